--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"foxlane/internal/simwire"
+	"foxlane/internal/simprotocol"
 )
 
 func main() {
-	if err := simwire.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"foxlane/internal/lab"
-	"foxlane/internal/rig"
+	"foxlane/internal/measure"
+	"foxlane/internal/harness"
 )
 
 func main() {
@@ -51,7 +51,7 @@
 			if seconds < 1 || seconds > 300 {
 				return fmt.Errorf("--seconds is %d, not within 1 and 300", seconds)
 			}
-			return lab.Demo(cmd.Context(), gateway, seconds, cmd.OutOrStdout(), isTerminal(cmd.OutOrStdout()))
+			return measure.Demo(cmd.Context(), gateway, seconds, cmd.OutOrStdout(), isTerminal(cmd.OutOrStdout()))
 		},
 	}
 	cmd.Flags().IntVar(&seconds, "seconds", 8, "length of each of the three scenes")
@@ -77,17 +77,17 @@
 		Short: "Several gateways in several sites, relays between all parties, and faults from one script",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script, err := rig.LoadScript(args[0])
+			script, err := harness.LoadScript(args[0])
 			if err != nil {
 				return err
 			}
 			named, _ := cmd.Flags().GetString("gateway")
-			gateway, remove, err := lab.Program(cmd.Context(), named)
+			gateway, remove, err := measure.Program(cmd.Context(), named)
 			if err != nil {
 				return err
 			}
 			defer remove()
-			books, err := rig.Run(cmd.Context(), gateway, *script, logs)
+			books, err := harness.Run(cmd.Context(), gateway, *script, logs)
 			if err != nil {
 				return err
 			}
@@ -113,29 +113,29 @@
 var measurements = []struct {
 	name, short string
 	seconds     int
-	run         func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*lab.Report, error)
+	run         func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error)
 }{
-	{"fair", "the door: quiet clients beside a flood, shares, times of return, size and cost", 20, lab.MeasureFair},
+	{"fair", "the door: quiet clients beside a flood, shares, times of return, size and cost", 20, measure.MeasureFair},
 	{"cost", "the fast path: processor time, memory and added time a request, without the operator's file", 12,
-		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*lab.Report, error) {
-			return lab.MeasureCost(ctx, gateway, "", seconds, progress)
+		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
+			return measure.MeasureCost(ctx, gateway, "", seconds, progress)
 		}},
-	{"spool", "kept results: how long an engine is held by a slow client over a fast one, reads after kills", 4, lab.MeasureSpool},
+	{"spool", "kept results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.MeasureSpool},
 	{"sites", "the loss of a zone: 300 gateways in virtual time, with and without the plan, paired by seed", 1,
-		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*lab.Report, error) {
-			return lab.MeasureSites(ctx, gateway, progress)
+		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
+			return measure.MeasureSites(ctx, gateway, progress)
 		}},
 	{"replica", "talk among gateways: how soon news reach all, bytes, copies that differ, worth, what it costs", 1,
-		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*lab.Report, error) {
-			return lab.MeasureReplica(ctx, gateway, progress)
+		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
+			return measure.MeasureReplica(ctx, gateway, progress)
 		}},
 	{"cost-sites", "the same with the plan for zones on", 12,
-		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*lab.Report, error) {
-			return lab.MeasureCost(ctx, gateway, "sites {\n}\n", seconds, progress)
+		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
+			return measure.MeasureCost(ctx, gateway, "sites {\n}\n", seconds, progress)
 		}},
 	{"cost-fair", "the same with the door on", 12,
-		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*lab.Report, error) {
-			return lab.MeasureCost(ctx, gateway, "fair {\n}\n", seconds, progress)
+		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
+			return measure.MeasureCost(ctx, gateway, "fair {\n}\n", seconds, progress)
 		}},
 }
 
--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"foxlane/internal/double"
-	"foxlane/internal/rig"
+	"foxlane/internal/faultgateway"
+	"foxlane/internal/harness"
 	"foxlane/internal/soak"
 )
 
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			o.Process = rig.Process{Program: self, Args: []string{"double"}, Orders: true}
+			o.Process = harness.Process{Program: self, Args: []string{"double"}, Orders: true}
 			o.Progress = cmd.ErrOrStderr()
 			if o.Logs == "" {
 				if o.Logs, err = os.MkdirTemp("", "foxsoak"); err != nil {
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			return double.Serve(site)
+			return faultgateway.Serve(site)
 		},
 	}
 	serve.Flags().String("site", "", "the operator's own file")
--- a/internal/door/door.go
+++ b/internal/admission/door.go
@@ -9,7 +9,7 @@
 // connection are named by slots that the caller chooses, below Sizes.Asks and
 // Sizes.Conns; a slot is free again once its Done or Closed was told. All state
 // has a size that follows from Sizes, however many principals come.
-package door
+package admission
 
 import (
 	"math"
--- a/internal/door/who.go
+++ b/internal/admission/who.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"encoding/binary"
--- a/internal/emu/books.go
+++ b/internal/emulator/books.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/emu/fleet.go
+++ b/internal/emulator/fleet.go
@@ -2,14 +2,14 @@
 // against modelled clients, engines, ways and a list of engines. It owns the models and the books of
 // what came of them. It must never look at a clock, draw from anything but its seed, or let a module
 // see more than a gateway would.
-package emu
+package emulator
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"foxlane/internal/hearsay"
+	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
 	"foxlane/internal/zones"
 	"foxlane/rules"
@@ -106,7 +106,7 @@
 	zones    *zones.Zones
 	letIn    letIn
 	copies   *replica.Replica
-	hearsay  *hearsay.Hearsay
+	hearsay  *gossip.Hearsay
 	seen     map[rules.EngineID]*seen
 	listed   map[rules.EngineID]bool // serve, by the list as the gateway has it
 	stopping bool
--- a/internal/emu/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -1,9 +1,9 @@
-package emu
+package emulator
 
 import (
 	"fmt"
 
-	"foxlane/internal/hearsay"
+	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
 	"foxlane/internal/zones"
 	"foxlane/rules"
@@ -16,7 +16,7 @@
 type HearsayModel struct {
 	Way     TalkModel
 	Notice  rules.Time // from a gateway's death until the others hold it to be dead
-	Hearsay hearsay.Settings
+	Hearsay gossip.Settings
 	Liars   int        // gateways, the first ones, that say of all engines that they fail, and of all zones that they are lost
 	Silent  rules.Time // from then on nobody hears anybody; 0: never
 }
@@ -33,7 +33,7 @@
 	set := replica.Defaults()
 	set.Name, set.Zone, set.Life, set.Seed = memberName(g.index), fmt.Sprint("zone-", g.zone), uint64(f.now), f.rng.Uint64()
 	g.copies = replica.New(set, f.now)
-	g.hearsay = hearsay.New(m.Hearsay, g.copies, f.now)
+	g.hearsay = gossip.New(m.Hearsay, g.copies, f.now)
 	for _, o := range f.gateways {
 		if o == g || !o.up || o.copies == nil {
 			continue
@@ -71,8 +71,8 @@
 	})
 }
 
-func (g *gateway) view() hearsay.View {
-	v := hearsay.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
+func (g *gateway) view() gossip.View {
+	v := gossip.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
 	if g.zones != nil {
 		v.Zones = g.zones.Status(g.f.now)
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -9,7 +9,7 @@
 	"errors"
 	"strconv"
 
-	"foxlane/internal/feed"
+	"foxlane/internal/framebuf"
 )
 
 // Errors of a stream of answers.
@@ -56,7 +56,7 @@
 type Decoder struct {
 	MaxLine int
 	MaxBody int
-	in      feed.Buffer
+	in      framebuf.Buffer
 }
 
 // Feed adds bytes that have come; they are copied.
--- a/internal/double/double.go
+++ b/internal/faultgateway/double.go
@@ -1,7 +1,7 @@
 // Package double is a test double of the gateway's process: the same net.Run, on a clock, sockets and files that fail as
 // they are told to on standard input, and with a defect planted in its reducer if one is named. Only the lab starts it;
 // the released program has no way to any of this. It must never reach any address but this machine's.
-package double
+package faultgateway
 
 import (
 	"bufio"
--- a/internal/double/files.go
+++ b/internal/faultgateway/files.go
@@ -1,4 +1,4 @@
-package double
+package faultgateway
 
 import (
 	"sync"
--- a/internal/relay/relay.go
+++ b/internal/faultproxy/relay.go
@@ -4,7 +4,7 @@
 //
 // Simplified: a TCP connection through a way that is cut is taken and stays silent, as behind a proxy, where the network
 // would let it time out; lost TCP segments come late, as after a retransmission.
-package relay
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/relay/relay_test.go
+++ b/internal/faultproxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/feed/feed.go
+++ b/internal/framebuf/feed.go
@@ -1,7 +1,7 @@
 // Package feed owns the buffer in which bytes of a stream wait until a message
 // is whole. It must never read from anywhere itself, and holds no more than
 // its user allows.
-package feed
+package framebuf
 
 // keep is how large an empty buffer may stay between messages.
 const keep = 4096
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"strconv"
 
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
@@ -152,7 +152,7 @@
 	if c.fresh != nil {
 		return
 	}
-	g.atGate(door.Event{Kind: door.Idle, Conn: c.slot})
+	g.atGate(admission.Event{Kind: admission.Idle, Conn: c.slot})
 	if c.idle == nil {
 		c.idle = g.idle.PushBack(c)
 	} else {
@@ -242,7 +242,7 @@
 	changed := c.partial != held
 	c.partial = held
 	if changed && !c.ended {
-		g.atGate(door.Event{Kind: door.Input, Conn: c.slot, Bytes: held})
+		g.atGate(admission.Event{Kind: admission.Input, Conn: c.slot, Bytes: held})
 	}
 	for g.partial > g.lim.InputBytes {
 		most := c
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -5,7 +5,7 @@
 	"net/netip"
 
 	"foxlane/internal/config"
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
@@ -15,13 +15,13 @@
 
 // gate is the door with the slots by which it names connections and requests.
 type gate struct {
-	door  *door.Door
+	door  *admission.Door
 	conns slots[client]
 	asks  slots[request]
-	inbox []door.Event
+	inbox []admission.Event
 	busy  bool
 	wake  rules.Time // 0: none
-	last  door.Stats // at the last line of the log
+	last  admission.Stats // at the last line of the log
 }
 
 // slots gives numbers to what is open.
@@ -56,17 +56,17 @@
 		return nil
 	}
 	l := cfg.Limits
-	sizes := door.Sizes{Conns: l.Clients + l.AcceptAhead/2 + 1, Room: l.Clients, Asks: l.Requests + 1, Statements: l.InputBytes, Input: l.InputBytes,
+	sizes := admission.Sizes{Conns: l.Clients + l.AcceptAhead/2 + 1, Room: l.Clients, Asks: l.Requests + 1, Statements: l.InputBytes, Input: l.InputBytes,
 		State: l.DoorState}
 	return &gate{
-		door:  door.New(doorSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.Tenants, cfg.Seed),
+		door:  admission.New(doorSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.Tenants, cfg.Seed),
 		conns: newSlots[client](sizes.Conns),
 		asks:  newSlots[request](sizes.Asks),
 	}
 }
 
 // doorSettings are the operator's, within what the site allows: times of return only where clients may be told.
-func doorSettings(cfg *config.Config) door.Settings {
+func doorSettings(cfg *config.Config) admission.Settings {
 	s := cfg.Site.Fair.Door
 	switch l := cfg.Settings.Rules.Limits; {
 	case !l.RetryAfter:
@@ -81,7 +81,7 @@
 
 // atGate hands an event to the door and carries out what it asks for. Events
 // that arise meanwhile wait for their turn, as with the module.
-func (g *Gateway) atGate(e door.Event) {
+func (g *Gateway) atGate(e admission.Event) {
 	a := g.gate
 	if a == nil {
 		return
@@ -95,9 +95,9 @@
 		e := a.inbox[i]
 		effects := a.door.Handle(g.now, e)
 		switch e.Kind {
-		case door.Closed:
+		case admission.Closed:
 			a.conns.drop(e.Conn)
-		case door.Done:
+		case admission.Done:
 			a.asks.drop(e.Slot)
 		}
 		for _, f := range effects {
@@ -109,31 +109,31 @@
 	a.busy = false
 }
 
-func (g *Gateway) actGate(f door.Effect) {
+func (g *Gateway) actGate(f admission.Effect) {
 	a := g.gate
 	switch f.Kind {
-	case door.Pass:
+	case admission.Pass:
 		g.pass(a.asks.all[f.Slot], f.After)
-	case door.Refuse:
+	case admission.Refuse:
 		if r := a.asks.all[f.Slot]; !r.answered {
 			r.why = EndAdmission
 			g.turnAway(r, f.After)
 		}
-	case door.Evict:
+	case admission.Evict:
 		if c := a.conns.all[f.Conn]; c != nil && !c.ended {
 			g.evict(c, f)
 		}
-	case door.Breach:
+	case admission.Breach:
 		if c := a.conns.all[f.Conn]; c != nil && !c.ended {
 			g.breach(c, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
 		}
-	case door.Wake:
+	case admission.Wake:
 		a.wake = f.At
 	}
 }
 
 // evict closes a connection that gives way, with a refusal if its client may be about to read one.
-func (g *Gateway) evict(c *client, f door.Effect) {
+func (g *Gateway) evict(c *client, f admission.Effect) {
 	why := "no room for this connection"
 	if f.After > 0 {
 		why = fmt.Sprintf("%s; holdoff=%d", why, int64(f.After/rules.Millisecond))
@@ -146,18 +146,18 @@
 	g.closeClient(c, CloseAdmission)
 }
 
-// enterGate takes a connection to the door. It answers whether it may stay.
+// enterGate takes a connection to the admission. It answers whether it may stay.
 func (g *Gateway) enterGate(c *client, from netip.Addr) bool {
 	c.slot = g.gate.conns.take(c)
-	g.atGate(door.Event{Kind: door.Opened, Conn: c.slot, From: from})
+	g.atGate(admission.Event{Kind: admission.Opened, Conn: c.slot, From: from})
 	return !c.ended
 }
 
 func (g *Gateway) leaveGate(c *client) {
-	g.atGate(door.Event{Kind: door.Closed, Conn: c.slot})
+	g.atGate(admission.Event{Kind: admission.Closed, Conn: c.slot})
 }
 
-// askGate takes a request to the door.
+// askGate takes a request to the admission.
 func (g *Gateway) askGate(r *request, tenant string) {
 	r.slot = g.gate.asks.take(r)
 	q := r.arrival
@@ -168,7 +168,7 @@
 	if g.cfg.Trace {
 		g.traceQueued(r, "admission")
 	}
-	g.atGate(door.Event{Kind: door.Asked, Slot: r.slot, Conn: r.client.slot, Ask: door.Ask{
+	g.atGate(admission.Event{Kind: admission.Asked, Slot: r.slot, Conn: r.client.slot, Ask: admission.Ask{
 		Class: r.class, Tenant: tenant, Key: key, Due: q.Due, Work: q.Work, Bytes: len(r.statement),
 	}})
 }
@@ -179,13 +179,13 @@
 		return
 	}
 	set := doorSettings(&g.cfg)
-	g.atGate(door.Event{Kind: door.Retuned, Settings: &set, Declared: g.cfg.Settings.Tenants})
+	g.atGate(admission.Event{Kind: admission.Retuned, Settings: &set, Declared: g.cfg.Settings.Tenants})
 }
 
 func (g *Gateway) ringGate() {
 	if a := g.gate; a != nil && a.wake != 0 && a.wake <= g.now {
 		a.wake = 0
-		g.atGate(door.Event{Kind: door.Tick})
+		g.atGate(admission.Event{Kind: admission.Tick})
 	}
 }
 
@@ -212,10 +212,10 @@
 	attrs := []Attr{{"tenants", s.Tenants}, {"held", s.Held}, {"open", s.Open}, {"passed", s.Passed - l.Passed}, {"waited", s.Waited - l.Waited}}
 	for w := range s.Refused {
 		if n := s.Refused[w] - l.Refused[w]; n > 0 {
-			attrs = append(attrs, Attr{"refused_for_" + door.Why(w).String(), n})
+			attrs = append(attrs, Attr{"refused_for_" + admission.Why(w).String(), n})
 		}
 		if n := s.Evicted[w] - l.Evicted[w]; n > 0 {
-			attrs = append(attrs, Attr{"closed_for_" + door.Why(w).String(), n})
+			attrs = append(attrs, Attr{"closed_for_" + admission.Why(w).String(), n})
 		}
 	}
 	g.log(Info, "door", append(attrs, Attr{"told", s.Told - l.Told}, Attr{"kept", s.Kept - l.Kept}, Attr{"lost", s.Lost - l.Lost},
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -7,7 +7,7 @@
 
 	"foxlane/internal/config"
 	"foxlane/internal/directives"
-	"foxlane/internal/hearsay"
+	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
 	"foxlane/rules"
 )
@@ -45,9 +45,9 @@
 // peers is what is held of other gateways.
 type peers struct {
 	copies  *replica.Replica
-	hearsay *hearsay.Hearsay
+	hearsay *gossip.Hearsay
 	last    replica.Stats
-	asked   hearsay.Counts
+	asked   gossip.Counts
 	odd     bool                  // ticks
 	since   map[string]rules.Time // members, by when they came
 }
@@ -63,7 +63,7 @@
 		set.Zone = cfg.Settings.ZoneNames[i]
 	}
 	p := &peers{copies: replica.New(set, now), since: map[string]rules.Time{}}
-	p.hearsay = hearsay.New(cfg.Site.Members.Hearsay, p.copies, now)
+	p.hearsay = gossip.New(cfg.Site.Members.Hearsay, p.copies, now)
 	return p
 }
 
@@ -142,7 +142,7 @@
 		g.atCopies(replica.Event{Kind: replica.Tick})
 		return
 	}
-	v := hearsay.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
+	v := gossip.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
 	if g.sites != nil {
 		v.Zones = g.sites.zones.Status(g.now)
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/internal/engine"
 	"foxlane/internal/mysql"
 	"foxlane/internal/spool"
@@ -192,7 +192,7 @@
 func (g *Gateway) forget(r *request) {
 	if r.answered && r.out == 0 && g.requests[r.id] == r {
 		delete(g.requests, r.id)
-		g.atGate(door.Event{Kind: door.Done, Slot: r.slot, Served: r.served})
+		g.atGate(admission.Event{Kind: admission.Done, Slot: r.slot, Served: r.served})
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	r.why = why
 	if g.gate != nil {
-		g.atGate(door.Event{Kind: door.TurnDown, Slot: r.slot})
+		g.atGate(admission.Event{Kind: admission.TurnDown, Slot: r.slot})
 		return
 	}
 	g.turnAway(r, g.stayAway(holdOff))
@@ -261,7 +261,7 @@
 	r.stats.attempts++
 	r.stats.running++
 	if r.out == 1 {
-		g.atGate(door.Event{Kind: door.Sent, Slot: r.slot})
+		g.atGate(admission.Event{Kind: admission.Sent, Slot: r.slot})
 	}
 	if s.Timeout != 0 {
 		a.deadline = min(a.deadline, g.now+s.Timeout)
@@ -363,7 +363,7 @@
 		g.traceEnded(a)
 	}
 	if a.sent {
-		g.atGate(door.Event{Kind: door.Spent, Slot: r.slot, Took: a.took})
+		g.atGate(admission.Event{Kind: admission.Spent, Slot: r.slot, Took: a.took})
 	}
 	if a.engine != nil && v != rules.VerdictOK && v != rules.VerdictMoot && !a.ours {
 		a.engine.fault = g.now
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -1,7 +1,7 @@
 package gateway
 
 import (
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/rules"
 )
 
@@ -16,7 +16,7 @@
 	g.log(Info, "stopping", Attr{"open", g.unanswered})
 	g.timers.add(timer{at: g.now + g.lim.StopLinger, kind: timerStop})
 	g.hurryKept()
-	g.atGate(door.Event{Kind: door.Stopping, By: g.now + g.lim.StopWithin})
+	g.atGate(admission.Event{Kind: admission.Stopping, By: g.now + g.lim.StopWithin})
 	g.tell(rules.Stopping{By: g.now + g.lim.StopWithin})
 }
 
--- a/internal/hearsay/hearsay.go
+++ b/internal/gossip/hearsay.go
@@ -3,7 +3,7 @@
 // probes, and all peers gone leaves a gateway as it would be without any.
 //
 // It is pure: time is an argument, and what it reads and writes is a replica of the caller's.
-package hearsay
+package gossip
 
 import (
 	"slices"
--- a/internal/hearsay/hearsay_test.go
+++ b/internal/gossip/hearsay_test.go
@@ -1,4 +1,4 @@
-package hearsay
+package gossip
 
 import (
 	"fmt"
--- a/internal/rig/books.go
+++ b/internal/harness/books.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 	"foxlane/internal/standin"
 )
 
@@ -26,7 +26,7 @@
 	Unheld       int      // orders that got another answer
 	Copies       int      // most entries that a gateway held of all, by its log
 	Cross        int      // attempts that reached another zone than their gateway's
-	Ways         map[string]relay.Counts
+	Ways         map[string]faultproxy.Counts
 	Verdicts     [verdicts]int
 	Kept         int // results that gateways said to keep, and that were read again
 	Pauses       int // of the rig itself, which can't judge what came meanwhile
@@ -92,7 +92,7 @@
 
 func newBooks(r *Rig) *Books {
 	b := &Books{rig: r, start: time.Now(), byID: map[string]*try{}, most: 20, byKey: map[turn][]*try{},
-		extras: map[*gateway][]extra{}, opened: map[*gateway][]opened{}, Ways: map[string]relay.Counts{}}
+		extras: map[*gateway][]extra{}, opened: map[*gateway][]opened{}, Ways: map[string]faultproxy.Counts{}}
 	for _, c := range r.classes {
 		b.Classes = append(b.Classes, ClassBooks{Name: c.name})
 	}
--- a/internal/rig/engine.go
+++ b/internal/harness/engine.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 	"foxlane/internal/standin"
 )
 
@@ -15,7 +15,7 @@
 	party
 	rig   *Rig
 	index int
-	ways  []*relay.TCP // from each gateway
+	ways  []*faultproxy.TCP // from each gateway
 
 	mu      sync.Mutex
 	srv     *standin.Engine
--- a/internal/rig/faults.go
+++ b/internal/harness/faults.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 )
 
 // befall carries a fault out, and takes it back after its time.
@@ -92,7 +92,7 @@
 }
 
 // conditions are what all faults that hold make of a way.
-func (r *Rig) conditions(w *way) (c relay.Conditions) {
+func (r *Rig) conditions(w *way) (c faultproxy.Conditions) {
 	for _, f := range r.faults {
 		switch f.Kind {
 		case "lose": // its engines say nothing; its gateways are dead
--- a/internal/rig/judge.go
+++ b/internal/harness/judge.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 )
 
 // This file judges a run by what clients and engines saw on the wire, and by what gateways counted themselves.
@@ -88,7 +88,7 @@
 // slowest is how much longer than usual a way between two parties may be now.
 func (r *Rig) slowest(from, to party) time.Duration {
 	sum := time.Duration(0)
-	for _, w := range []*relay.Way{r.way(from, to), r.way(to, from)} {
+	for _, w := range []*faultproxy.Way{r.way(from, to), r.way(to, from)} {
 		c := w.Conditions()
 		sum += c.Delay + c.Jitter
 		if c.Loss > 0 {
--- a/internal/rig/pauses.go
+++ b/internal/harness/pauses.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
--- a/internal/rig/rig.go
+++ b/internal/harness/rig.go
@@ -2,7 +2,7 @@
 // engines and name services, clients, and relays between all of them, with faults from one script. It keeps books of
 // what clients and engines saw, and judges the rules by these alone. It must never look into a gateway, be part of
 // one, or reach any address but this machine's.
-package rig
+package harness
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 	"time"
 
 	"foxlane/internal/directives/wal"
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 	"foxlane/internal/standin"
 )
 
@@ -68,7 +68,7 @@
 }
 
 type way struct {
-	*relay.Way
+	*faultproxy.Way
 	from, to party
 }
 
@@ -80,12 +80,12 @@
 	zoneAt int
 	begins sync.Mutex // one start at a time
 	names  *standin.Names
-	asks   *relay.UDP
-	front  *relay.TCP
+	asks   *faultproxy.UDP
+	front  *faultproxy.TCP
 	listen string
 	talk   netip.AddrPort // where other gateways find it
 	askAt  netip.AddrPort // and operators' commands
-	peers  []*relay.Pair  // to each other gateway, by its index
+	peers  []*faultproxy.Pair  // to each other gateway, by its index
 	life   atomic.Int64
 	frozen atomic.Bool
 	thawed atomic.Int64 // when it last went on after a stop; Unix nanoseconds, as those that follow
@@ -160,13 +160,13 @@
 }
 
 // way is the one from one party to another.
-func (r *Rig) way(from, to party) *relay.Way {
+func (r *Rig) way(from, to party) *faultproxy.Way {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := [2]string{from.name, to.name}
 	w := r.ways[key]
 	if w == nil {
-		w = &way{relay.NewWay(r.Seed + uint64(len(r.ways))), from, to}
+		w = &way{faultproxy.NewWay(r.Seed + uint64(len(r.ways))), from, to}
 		r.ways[key] = w
 	}
 	return w.Way
@@ -192,7 +192,7 @@
 			return err
 		}
 		for _, g := range r.gateways {
-			t, err := relay.NewTCP("127.0.0.1:0", e.addr(), r.way(g.party, e.party), r.way(e.party, g.party))
+			t, err := faultproxy.NewTCP("127.0.0.1:0", e.addr(), r.way(g.party, e.party), r.way(e.party, g.party))
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 		if g.names, err = standin.NewNames("127.0.0.1:0", listName); err != nil {
 			return err
 		}
-		if g.asks, err = relay.NewUDP("127.0.0.1:0", g.names.Addr(), r.way(g.party, names), r.way(names, g.party)); err != nil {
+		if g.asks, err = faultproxy.NewUDP("127.0.0.1:0", g.names.Addr(), r.way(g.party, names), r.way(names, g.party)); err != nil {
 			return err
 		}
 		g.names.Told(g.heard)
@@ -211,7 +211,7 @@
 		if g.listen, err = unused(g.index); err != nil {
 			return err
 		}
-		if g.front, err = relay.NewTCP("127.0.0.1:0", g.listen, r.way(clients, g.party), r.way(g.party, clients)); err != nil {
+		if g.front, err = faultproxy.NewTCP("127.0.0.1:0", g.listen, r.way(clients, g.party), r.way(g.party, clients)); err != nil {
 			return err
 		}
 	}
@@ -251,7 +251,7 @@
 				g.peers = append(g.peers, nil)
 				continue
 			}
-			p, err := relay.NewPair(g.talk.Addr().String(), o.talk.String(), r.way(g.party, o.party), r.way(o.party, g.party))
+			p, err := faultproxy.NewPair(g.talk.Addr().String(), o.talk.String(), r.way(g.party, o.party), r.way(o.party, g.party))
 			if err != nil {
 				return err
 			}
@@ -437,7 +437,7 @@
 		return true
 	}
 	clients := party{"clients", "", "clients"}
-	for _, w := range []*relay.Way{g.rig.way(clients, g.party), g.rig.way(g.party, clients)} {
+	for _, w := range []*faultproxy.Way{g.rig.way(clients, g.party), g.rig.way(g.party, clients)} {
 		if c := w.Conditions(); c.Cut || c.Delay > 0 || c.Loss > 0 {
 			return true
 		}
--- a/internal/lab/fair.go
+++ b/internal/measure/fair.go
@@ -1,4 +1,4 @@
-package lab
+package measure
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"go4.org/netipx"
 
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/rules"
 )
 
@@ -44,7 +44,7 @@
 		Warm: warm}
 }
 
-// MeasureFair measures the door. The gateway is a program; empty: built from this module.
+// MeasureFair measures the admission. The gateway is a program; empty: built from this module.
 func MeasureFair(ctx context.Context, gateway string, seconds int, progress io.Writer) (*Report, error) {
 	r := newReport("fair", "scene", "quiet asked", "served", "p50 ms", "p99 ms", "flood served", "refused", "cut")
 	length := time.Duration(seconds) * time.Second
@@ -118,17 +118,17 @@
 }
 
 // trusting lets any tenant be told from this machine.
-func trusting() door.Settings {
-	s := door.Defaults()
+func trusting() admission.Settings {
+	s := admission.Defaults()
 	var all netipx.IPSetBuilder
 	all.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
 	set, _ := all.IPSet()
-	s.AnyTenant, s.Networks = true, []door.Network{{Name: "here", Set: set, Weight: 1, Trusted: true}}
+	s.AnyTenant, s.Networks = true, []admission.Network{{Name: "here", Set: set, Weight: 1, Trusted: true}}
 	return s
 }
 
-func modelSizes() door.Sizes {
-	return door.Sizes{Conns: 502, Room: 500, Asks: 342, Statements: 24 << 20, Input: 24 << 20, State: 6 << 20}
+func modelSizes() admission.Sizes {
+	return admission.Sizes{Conns: 502, Room: 500, Asks: 342, Statements: 24 << 20, Input: 24 << 20, State: 6 << 20}
 }
 
 var here = netip.AddrFrom4([4]byte{127, 0, 0, 1})
@@ -162,10 +162,10 @@
 
 // weightError is the greatest part by which three greedy tenants of weights 1, 2 and 4 miss their shares.
 func weightError() float64 {
-	s := door.Defaults()
+	s := admission.Defaults()
 	names := []string{"one", "two", "four"}
 	for i, name := range names {
-		s.Tenants = append(s.Tenants, door.Tenant{Name: name, Weight: float64(int(1) << i)})
+		s.Tenants = append(s.Tenants, admission.Tenant{Name: name, Weight: float64(int(1) << i)})
 	}
 	m := newModel(s, modelSizes(), 32)
 	m.served = func(c *modelConn, _ *modelAsk) { m.ask(c) }
@@ -317,7 +317,7 @@
 // sent, what it took and its end.
 func doorCost() (ns, allocs float64) {
 	const known, rounds = 100_000, 400_000
-	d := door.New(trusting(), modelSizes(), []rules.Class{{Aim: 500 * rules.Millisecond, GiveUp: modelPatience, LateValue: 0.1, Threads: 1}}, nil, 11)
+	d := admission.New(trusting(), modelSizes(), []rules.Class{{Aim: 500 * rules.Millisecond, GiveUp: modelPatience, LateValue: 0.1, Threads: 1}}, nil, 11)
 	now := rules.Second
 	names := make([]string, known)
 	for i := range names {
@@ -326,15 +326,15 @@
 	round := func(i int) {
 		now += 10
 		slot := i % 300
-		d.Handle(now, door.Event{Kind: door.Asked, Slot: slot, Conn: slot, Ask: door.Ask{Tenant: names[i%known], Due: now + modelPatience, Bytes: 100}})
-		d.Handle(now, door.Event{Kind: door.Sent, Slot: slot})
+		d.Handle(now, admission.Event{Kind: admission.Asked, Slot: slot, Conn: slot, Ask: admission.Ask{Tenant: names[i%known], Due: now + modelPatience, Bytes: 100}})
+		d.Handle(now, admission.Event{Kind: admission.Sent, Slot: slot})
 		now += 1000
-		d.Handle(now, door.Event{Kind: door.Spent, Slot: slot, Took: 1000})
-		d.Handle(now, door.Event{Kind: door.Done, Slot: slot, Served: true})
-		d.Handle(now, door.Event{Kind: door.Idle, Conn: slot})
+		d.Handle(now, admission.Event{Kind: admission.Spent, Slot: slot, Took: 1000})
+		d.Handle(now, admission.Event{Kind: admission.Done, Slot: slot, Served: true})
+		d.Handle(now, admission.Event{Kind: admission.Idle, Conn: slot})
 	}
 	for i := range 300 {
-		d.Handle(now, door.Event{Kind: door.Opened, Conn: i, From: here})
+		d.Handle(now, admission.Event{Kind: admission.Opened, Conn: i, From: here})
 	}
 	for i := range known {
 		round(i)
--- a/internal/lab/replica.go
+++ b/internal/measure/replica.go
@@ -1,4 +1,4 @@
-package lab
+package measure
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"slices"
 	"sync"
 
-	"foxlane/internal/emu"
-	"foxlane/internal/hearsay"
+	"foxlane/internal/emulator"
+	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
-	"foxlane/internal/rig"
+	"foxlane/internal/harness"
 	"foxlane/rules"
 )
 
@@ -28,8 +28,8 @@
 
 // club is pure members that know one another.
 type club struct {
-	*emu.Talk
-	all []*emu.Copier
+	*emulator.Talk
+	all []*emulator.Copier
 }
 
 func clubName(i int) string { return fmt.Sprintf("n%03d", i) }
@@ -40,8 +40,8 @@
 	return s
 }
 
-func newClub(n int, m emu.TalkModel, seed uint64, change func(*replica.Settings)) *club {
-	c := &club{Talk: emu.NewTalk(m, replica.Defaults().Tick, copyStart, seed), all: make([]*emu.Copier, n)}
+func newClub(n int, m emulator.TalkModel, seed uint64, change func(*replica.Settings)) *club {
+	c := &club{Talk: emulator.NewTalk(m, replica.Defaults().Tick, copyStart, seed), all: make([]*emulator.Copier, n)}
 	for i := range n {
 		c.start(i, 1, change)
 	}
@@ -53,7 +53,7 @@
 	if change != nil {
 		change(&s)
 	}
-	m := &emu.Copier{Replica: replica.New(s, c.Now)}
+	m := &emulator.Copier{Replica: replica.New(s, c.Now)}
 	for j, o := range c.all {
 		if o != nil && j != i {
 			o.Meet(c.Now, replica.Member{Name: s.Name, Zone: s.Zone})
@@ -67,7 +67,7 @@
 // converge is how long news take to all members: the 99th percentile over members and news, in seconds, while each member tells of its
 // own load; and the bytes a second that a member sends.
 func converge(n int, seed uint64) (p99, bytesS float64) {
-	c := newClub(n, emu.TalkModel{Loss: 0.3, Double: 0.05, Least: rules.Millisecond, Most: 100 * rules.Millisecond}, seed, nil)
+	c := newClub(n, emulator.TalkModel{Loss: 0.3, Double: 0.05, Least: rules.Millisecond, Most: 100 * rules.Millisecond}, seed, nil)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	born := map[uint64]rules.Time{}
 	var took []float64
@@ -111,7 +111,7 @@
 // catchUp is how long a member that stood still for 60 s takes to hold what all others wrote before it went on, and the most that any
 // member sent within a second over the budget.
 func catchUp(n int, seed uint64) (seconds, burst float64) {
-	c := newClub(n, emu.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 20 * rules.Millisecond}, seed, nil)
+	c := newClub(n, emulator.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 20 * rules.Millisecond}, seed, nil)
 	write := func() {
 		for i, m := range c.all {
 			for s := range uint64(5) {
@@ -166,7 +166,7 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	c := newClub(4, emu.TalkModel{Loss: rng.Float64() * 0.4, Double: 0.1, Least: rules.Millisecond, Most: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, keep)
+	c := newClub(4, emulator.TalkModel{Loss: rng.Float64() * 0.4, Double: 0.1, Least: rules.Millisecond, Most: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, keep)
 	life := [4]uint64{1, 1, 1, 1}
 	for range 6 {
 		i := rng.IntN(4)
@@ -194,7 +194,7 @@
 		c.Freeze(clubName(i), false)
 	}
 	c.Split(func(string) int { return 0 })
-	c.Model = emu.TalkModel{Least: rules.Millisecond, Most: 20 * rules.Millisecond}
+	c.Model = emulator.TalkModel{Least: rules.Millisecond, Most: 20 * rules.Millisecond}
 	c.Run(c.Now + 10*rules.Second)
 	type held struct {
 		life, counter uint64
@@ -229,8 +229,8 @@
 type talkScene struct {
 	name   string
 	load   float64
-	faults []emu.Fault
-	talk   func(*emu.HearsayModel)
+	faults []emulator.Fault
+	talk   func(*emulator.HearsayModel)
 	told   float64 // work that clients tell, over what it is; 0: 1
 	from   int
 	to     int
@@ -245,32 +245,32 @@
 	talkAlone
 )
 
-func fifthFails() emu.Fault { return emu.Silence(8*rules.Second, 20*rules.Second, 0.2) }
+func fifthFails() emulator.Fault { return emulator.Silence(8*rules.Second, 20*rules.Second, 0.2) }
 
 var talkScenes = []talkScene{
-	{"a fifth of the engines silent for 20 s", 0.5, []emu.Fault{fifthFails()}, nil, 0, 8, 28},
-	{"three tenths start anew, four times, told work is a quarter", 0.9, []emu.Fault{emu.Kill(8*rules.Second, 0.3, rules.Second),
-		emu.Kill(10*rules.Second, 0.3, rules.Second), emu.Kill(12*rules.Second, 0.3, rules.Second), emu.Kill(14*rules.Second, 0.3, rules.Second)}, nil, 0.25, 8, 22},
-	{"the same as the first, one member lies", 0.5, []emu.Fault{fifthFails()}, func(m *emu.HearsayModel) { m.Liars = 1 }, 0, 8, 28},
-	{"the same, three members lie", 0.5, []emu.Fault{fifthFails()}, func(m *emu.HearsayModel) { m.Liars = 3 }, 0, 8, 28},
-	{"the same, nobody hears anybody from 6 s on", 0.5, []emu.Fault{fifthFails()}, func(m *emu.HearsayModel) { m.Silent = 6 * rules.Second }, 0, 8, 28},
+	{"a fifth of the engines silent for 20 s", 0.5, []emulator.Fault{fifthFails()}, nil, 0, 8, 28},
+	{"three tenths start anew, four times, told work is a quarter", 0.9, []emulator.Fault{emulator.Kill(8*rules.Second, 0.3, rules.Second),
+		emulator.Kill(10*rules.Second, 0.3, rules.Second), emulator.Kill(12*rules.Second, 0.3, rules.Second), emulator.Kill(14*rules.Second, 0.3, rules.Second)}, nil, 0.25, 8, 22},
+	{"the same as the first, one member lies", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Liars = 1 }, 0, 8, 28},
+	{"the same, three members lie", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Liars = 3 }, 0, 8, 28},
+	{"the same, nobody hears anybody from 6 s on", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Silent = 6 * rules.Second }, 0, 8, 28},
 }
 
 func (sc talkScene) play(talk bool, seed uint64) (share float64, probes int) {
-	s := emu.Warehouse(talkers, talkEngines, sc.load, seed)
+	s := emulator.Warehouse(talkers, talkEngines, sc.load, seed)
 	s.Zones, s.Faults = 3, sc.faults
 	for i := range s.Classes {
 		s.Classes[i].Told = sc.told
 	}
 	if talk {
-		m := &emu.HearsayModel{Way: emu.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 10 * rules.Millisecond}, Notice: 2 * rules.Second,
-			Hearsay: hearsay.Defaults()}
+		m := &emulator.HearsayModel{Way: emulator.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 10 * rules.Millisecond}, Notice: 2 * rules.Second,
+			Hearsay: gossip.Defaults()}
 		if sc.talk != nil {
 			sc.talk(m)
 		}
 		s.Talk = m
 	}
-	b := emu.New(s).Run()
+	b := emulator.New(s).Run()
 	return b.Share(sc.from, sc.to), b.Probes
 }
 
@@ -367,18 +367,18 @@
 		return err
 	}
 	defer remove()
-	var books [2]*rig.Books
+	var books [2]*harness.Books
 	for on := range books {
 		text := fmt.Sprintf("cores = 8\nload = 0.6\nlength = \"20s\"\ntalk = %v\n", on == 1)
 		for _, name := range []string{"hall-a", "hall-b", "hall-c"} {
 			text += fmt.Sprintf("zone %q {\n  gateways = 2\n  engines = 2\n}\n", name)
 		}
-		script, err := rig.ParseScript([]byte(text), "talk.hcl")
+		script, err := harness.ParseScript([]byte(text), "talk.hcl")
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(progress, "processes, talk %v, %v\n", on == 1, script.Length)
-		if books[on], err = rig.Run(ctx, gateway, *script, ""); err != nil {
+		if books[on], err = harness.Run(ctx, gateway, *script, ""); err != nil {
 			return err
 		}
 		r.row("six processes, share of worth", []string{"off", "on"}[on], fmt.Sprintf("%.3f", books[on].Share(1, 20)), "-", "-", "-")
--- a/internal/lab/sites.go
+++ b/internal/measure/sites.go
@@ -1,4 +1,4 @@
-package lab
+package measure
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"foxlane/internal/emu"
-	"foxlane/internal/rig"
+	"foxlane/internal/emulator"
+	"foxlane/internal/harness"
 	"foxlane/internal/zones"
 	"foxlane/rules"
 )
@@ -36,14 +36,14 @@
 	name   string
 	seeds  int
 	load   float64
-	faults []emu.Fault
+	faults []emulator.Fault
 	spread []int
 	set    func(*zones.Settings)
 	from   int // seconds that count
 	to     int
 }
 
-func lostZone() emu.Fault { return emu.LoseZone(lostAt, 0, 3*rules.Second, lostFor) }
+func lostZone() emulator.Fault { return emulator.LoseZone(lostAt, 0, 3*rules.Second, lostFor) }
 
 // Scenes that have figures of their own, by place in siteScenes.
 const (
@@ -56,35 +56,35 @@
 
 var siteScenes = []siteScene{
 	{name: "calm", seeds: siteSeeds, load: 0.8, from: 4, to: 25},
-	{name: "a zone is lost and returns cold", seeds: siteSeeds, load: 0.55, faults: []emu.Fault{lostZone()}, from: 8, to: 27},
-	{name: "a zone flaps every 2 s", seeds: siteSeeds, load: 0.55, faults: []emu.Fault{emu.Flap(lostAt, 0, flaps, flapEvery)}, from: 8, to: 29},
-	{name: "lost at a load of 0.9, with the ladder", seeds: siteSeeds, load: 0.9, faults: []emu.Fault{lostZone()}, from: 8, to: 27,
+	{name: "a zone is lost and returns cold", seeds: siteSeeds, load: 0.55, faults: []emulator.Fault{lostZone()}, from: 8, to: 27},
+	{name: "a zone flaps every 2 s", seeds: siteSeeds, load: 0.55, faults: []emulator.Fault{emulator.Flap(lostAt, 0, flaps, flapEvery)}, from: 8, to: 29},
+	{name: "lost at a load of 0.9, with the ladder", seeds: siteSeeds, load: 0.9, faults: []emulator.Fault{lostZone()}, from: 8, to: 27,
 		set: func(s *zones.Settings) { s.Shed = true }},
 	{name: "a burst of half as much again, with the ladder", seeds: siteSeeds, load: 0.9,
-		faults: []emu.Fault{emu.Burst(lostAt, lostFor, 1.5)}, from: 8, to: 27, set: func(s *zones.Settings) { s.Shed = true }},
+		faults: []emulator.Fault{emulator.Burst(lostAt, lostFor, 1.5)}, from: 8, to: 27, set: func(s *zones.Settings) { s.Shed = true }},
 	{name: "a zone's engines are lost, its gateways not; spill 0.25", seeds: siteSeeds, load: 0.55,
-		faults: []emu.Fault{emu.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27,
+		faults: []emulator.Fault{emulator.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27,
 		set: func(s *zones.Settings) { s.Spill, s.Retries = 0.25, 0.2 }},
-	{name: "the same without a limit", seeds: hardSeeds, load: 0.55, faults: []emu.Fault{emu.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27},
-	{name: "all zones lost", seeds: hardSeeds, load: 0.3, faults: []emu.Fault{emu.LoseZone(lostAt, 0, 3*rules.Second, lostFor),
-		emu.LoseZone(lostAt, 1, 3*rules.Second, lostFor), emu.LoseZone(lostAt, 2, 3*rules.Second, lostFor)}, from: 8, to: 29},
-	{name: "half of a zone is lost", seeds: hardSeeds, load: 0.6, faults: []emu.Fault{emu.SilenceIn(lostAt, lostFor, 0, 0.5)}, from: 8, to: 27},
+	{name: "the same without a limit", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27},
+	{name: "all zones lost", seeds: hardSeeds, load: 0.3, faults: []emulator.Fault{emulator.LoseZone(lostAt, 0, 3*rules.Second, lostFor),
+		emulator.LoseZone(lostAt, 1, 3*rules.Second, lostFor), emulator.LoseZone(lostAt, 2, 3*rules.Second, lostFor)}, from: 8, to: 29},
+	{name: "half of a zone is lost", seeds: hardSeeds, load: 0.6, faults: []emulator.Fault{emulator.SilenceIn(lostAt, lostFor, 0, 0.5)}, from: 8, to: 27},
 	{name: "lost while another drains", seeds: hardSeeds, load: 0.3,
-		faults: []emu.Fault{emu.DrainZone(4*rules.Second, 18*rules.Second, 1), lostZone()}, from: 8, to: 29},
-	{name: "lost while the list is dark", seeds: hardSeeds, load: 0.55, faults: []emu.Fault{emu.Dark(6*rules.Second, 14*rules.Second), lostZone()}, from: 8, to: 29},
-	{name: "lost, lists four times as late", seeds: hardSeeds, load: 0.55, faults: []emu.Fault{emu.Late(0, 30*rules.Second, 4), lostZone()}, from: 8, to: 29},
+		faults: []emulator.Fault{emulator.DrainZone(4*rules.Second, 18*rules.Second, 1), lostZone()}, from: 8, to: 29},
+	{name: "lost while the list is dark", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.Dark(6*rules.Second, 14*rules.Second), lostZone()}, from: 8, to: 29},
+	{name: "lost, lists four times as late", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.Late(0, 30*rules.Second, 4), lostZone()}, from: 8, to: 29},
 	{name: "two of three lost", seeds: hardSeeds, load: 0.3,
-		faults: []emu.Fault{lostZone(), emu.LoseZone(lostAt+rules.Second, 1, 3*rules.Second, lostFor)}, from: 8, to: 29},
-	{name: "the smaller of 1:3 takes over", seeds: hardSeeds, load: 0.5, spread: []int{0, 0, 0, 1}, faults: []emu.Fault{lostZone()}, from: 8, to: 29},
-	{name: "back under new ids", seeds: hardSeeds, load: 0.55, faults: []emu.Fault{emu.ReplaceZone(lostAt, 0, 3*rules.Second, lostFor)}, from: 8, to: 29},
+		faults: []emulator.Fault{lostZone(), emulator.LoseZone(lostAt+rules.Second, 1, 3*rules.Second, lostFor)}, from: 8, to: 29},
+	{name: "the smaller of 1:3 takes over", seeds: hardSeeds, load: 0.5, spread: []int{0, 0, 0, 1}, faults: []emulator.Fault{lostZone()}, from: 8, to: 29},
+	{name: "back under new ids", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.ReplaceZone(lostAt, 0, 3*rules.Second, lostFor)}, from: 8, to: 29},
 	{name: "answers cut off one way", seeds: hardSeeds, load: 0.55,
-		faults: []emu.Fault{emu.CutWay(lostAt, lostFor, 0, 1), emu.CutWay(lostAt, lostFor, 0, 2)}, from: 8, to: 27},
+		faults: []emulator.Fault{emulator.CutWay(lostAt, lostFor, 0, 1), emulator.CutWay(lostAt, lostFor, 0, 2)}, from: 8, to: 27},
 	{name: "a site cut off, its clients not", seeds: hardSeeds, load: 0.55,
-		faults: []emu.Fault{emu.CutWay(lostAt, lostFor, 0, 1), emu.CutWay(lostAt, lostFor, 0, 2), emu.CutWay(lostAt, lostFor, 1, 0),
-			emu.CutWay(lostAt, lostFor, 2, 0)}, from: 8, to: 27},
+		faults: []emulator.Fault{emulator.CutWay(lostAt, lostFor, 0, 1), emulator.CutWay(lostAt, lostFor, 0, 2), emulator.CutWay(lostAt, lostFor, 1, 0),
+			emulator.CutWay(lostAt, lostFor, 2, 0)}, from: 8, to: 27},
 	{name: "gateways start in the middle of a loss", seeds: hardSeeds, load: 0.55,
-		faults: []emu.Fault{lostZone(), emu.Kill(lostAt+3*rules.Second, 0.2, rules.Second)}, from: 8, to: 27},
-	{name: "flaps every 10 s", seeds: hardSeeds, load: 0.55, faults: []emu.Fault{emu.Flap(5*rules.Second, 0, 2, 6*rules.Second)}, from: 5, to: 29},
+		faults: []emulator.Fault{lostZone(), emulator.Kill(lostAt+3*rules.Second, 0.2, rules.Second)}, from: 8, to: 27},
+	{name: "flaps every 10 s", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.Flap(5*rules.Second, 0, 2, 6*rules.Second)}, from: 5, to: 29},
 }
 
 // siteRun is one run: without a plan, with it, or with a split that never changes.
@@ -213,11 +213,11 @@
 func (s siteRun) worth() float64 { return s.share }
 
 func coldSeconds() float64 {
-	return float64(emu.Warehouse(1, 1, 1, 1).Settings.Duties.ColdFor) / float64(rules.Second)
+	return float64(emulator.Warehouse(1, 1, 1, 1).Settings.Duties.ColdFor) / float64(rules.Second)
 }
 
 func (sc siteScene) play(plan bool, static *float64, seed uint64) siteRun {
-	s := emu.Warehouse(siteGateways, siteEngines, sc.load, seed)
+	s := emulator.Warehouse(siteGateways, siteEngines, sc.load, seed)
 	s.Zones, s.Spread, s.Faults, s.Static = siteZones, sc.spread, sc.faults, static
 	if sc.spread != nil {
 		s.Zones = slices.Max(sc.spread) + 1
@@ -230,7 +230,7 @@
 	if plan {
 		s.Sites = &set
 	}
-	b := emu.New(s).Run()
+	b := emulator.New(s).Run()
 	asked := 0
 	for i := range s.Classes {
 		asked += b.Class(i).Asked
@@ -255,13 +255,13 @@
 	if plan {
 		run.over = overLimit(b, set)
 		run.wrong, run.shedding = b.WrongSeconds, b.ShedSeconds
-		run.wrongAll = wrongOrder(b, set, func(s *emu.Second) []int { return s.Refused })
+		run.wrongAll = wrongOrder(b, set, func(s *emulator.Second) []int { return s.Refused })
 	}
 	return run
 }
 
 // overLimit counts the seconds in which a zone got more foreign load than the limit of spill allows.
-func overLimit(b *emu.Books, set zones.Settings) (n int) {
+func overLimit(b *emulator.Books, set zones.Settings) (n int) {
 	if set.Spill >= 1 {
 		return 0
 	}
@@ -282,7 +282,7 @@
 
 // wrongOrder counts the seconds in which a larger part was turned away of first tries that earn more for their told work than of some
 // that earn less.
-func wrongOrder(b *emu.Books, set zones.Settings, of func(*emu.Second) []int) (n int) {
+func wrongOrder(b *emulator.Books, set zones.Settings, of func(*emulator.Second) []int) (n int) {
 	if !set.Shed {
 		return 0
 	}
@@ -318,12 +318,12 @@
 	}
 	text += fmt.Sprintf("cores = 8\nload = 0.5\ncold = \"6s\"\nlength = \"%ds\"\noperator = \"sites {\\n  ramp = \\\"4s\\\"\\n}\\n\"\n", length)
 	text += fmt.Sprintf("fault \"lose\" {\n  of = \"hall-a\"\n  at = \"%ds\"\n  for = \"%ds\"\n  unlisted = \"%ds\"\n}\n", at, away, unlisted)
-	script, err := rig.ParseScript([]byte(text), "sites.hcl")
+	script, err := harness.ParseScript([]byte(text), "sites.hcl")
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(progress, "processes, %v\n", script.Length)
-	b, err := rig.Run(ctx, gateway, *script, "")
+	b, err := harness.Run(ctx, gateway, *script, "")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/spool.go
+++ b/internal/measure/spool.go
@@ -1,4 +1,4 @@
-package lab
+package measure
 
 import (
 	"bytes"
--- a/internal/lab/world.go
+++ b/internal/measure/world.go
@@ -2,7 +2,7 @@
 // name service and clients round a gateway's own process, all bounded in time
 // and count. It must never be part of that process, nor reach any address but
 // this machine's.
-package lab
+package measure
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"foxlane/internal/rig"
+	"foxlane/internal/harness"
 	"foxlane/internal/standin"
 )
 
@@ -211,13 +211,13 @@
 
 // CPU is the processor time that the gateway has used so far.
 func (w *World) CPU() (time.Duration, error) {
-	u, err := rig.UsageOf(w.gateway.Process.Pid)
+	u, err := harness.UsageOf(w.gateway.Process.Pid)
 	return time.Duration(u.CPU * float64(time.Second)), err
 }
 
 // RSS is the memory that the gateway holds now, in MB.
 func (w *World) RSS() (float64, error) {
-	u, err := rig.UsageOf(w.gateway.Process.Pid)
+	u, err := harness.UsageOf(w.gateway.Process.Pid)
 	return u.RSSMB, err
 }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -12,7 +12,7 @@
 
 	"go4.org/netipx"
 
-	"foxlane/internal/relay"
+	"foxlane/internal/faultproxy"
 )
 
 // free is an address that nobody listens on, for TCP and UDP.
@@ -154,7 +154,7 @@
 func TestThroughRelays(t *testing.T) {
 	const n = 3
 	at := []netip.AddrPort{free(t, 20), free(t, 21), free(t, 22)}
-	var ways []*relay.Way
+	var ways []*faultproxy.Way
 	var all []*member
 	for i := range n {
 		via := map[netip.AddrPort]netip.AddrPort{}
@@ -162,8 +162,8 @@
 			if i == j {
 				continue
 			}
-			there, back := relay.NewWay(uint64(i*n+j)), relay.NewWay(uint64(100+i*n+j))
-			p, err := relay.NewPair(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), at[j].String(), there, back)
+			there, back := faultproxy.NewWay(uint64(i*n+j)), faultproxy.NewWay(uint64(100+i*n+j))
+			p, err := faultproxy.NewPair(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), at[j].String(), there, back)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,7 +172,7 @@
 			if i == 2 || j == 2 {
 				ways = append(ways, there, back)
 			}
-			there.Set(relay.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
+			there.Set(faultproxy.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
 		}
 		all = append(all, begin(t, Settings{Name: fmt.Sprint("n", i), Bind: at[i], Seeds: at, Via: via}))
 		defer all[i].Close()
@@ -189,11 +189,11 @@
 	}
 	until(t, "all know all through relays", know(2, 2, 2))
 	for _, w := range ways {
-		w.Set(relay.Conditions{Cut: true})
+		w.Set(faultproxy.Conditions{Cut: true})
 	}
 	until(t, "the third is cut off", know(1, 1, 0))
 	for _, w := range ways {
-		w.Set(relay.Conditions{})
+		w.Set(faultproxy.Conditions{})
 	}
 	until(t, "and found again", know(2, 2, 2))
 }
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -10,7 +10,7 @@
 	"encoding/binary"
 	"fmt"
 
-	"foxlane/internal/feed"
+	"foxlane/internal/framebuf"
 )
 
 // Error is input that breaks the protocol, with the code that tells the client so.
@@ -49,7 +49,7 @@
 // Decoder cuts a client's stream into packets. Payloads of up to Max bytes pass.
 type Decoder struct {
 	Max int
-	in  feed.Buffer
+	in  framebuf.Buffer
 }
 
 // Feed adds bytes that have come; they are copied.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"foxlane/internal/emu"
+	"foxlane/internal/emulator"
 	. "foxlane/internal/replica"
 	"foxlane/rules"
 )
@@ -30,8 +30,8 @@
 
 // club is some members that know one another.
 type club struct {
-	*emu.Talk
-	all map[string]*emu.Copier
+	*emulator.Talk
+	all map[string]*emulator.Copier
 }
 
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
@@ -43,8 +43,8 @@
 	return s
 }
 
-func newClub(n int, m emu.TalkModel, seed uint64) *club {
-	c := &club{Talk: emu.NewTalk(m, Defaults().Tick, start, seed), all: map[string]*emu.Copier{}}
+func newClub(n int, m emulator.TalkModel, seed uint64) *club {
+	c := &club{Talk: emulator.NewTalk(m, Defaults().Tick, start, seed), all: map[string]*emulator.Copier{}}
 	for i := range n {
 		c.start(i, 1)
 	}
@@ -54,7 +54,7 @@
 // start starts a member, or starts it again: all hear of it, and it of all.
 func (c *club) start(i int, life uint64) {
 	s := set(i, life)
-	m := &emu.Copier{Replica: New(s, c.Now)}
+	m := &emulator.Copier{Replica: New(s, c.Now)}
 	for _, n := range c.Names() {
 		if o := c.all[n]; n != s.Name && o != nil {
 			o.Meet(c.Now, Member{Name: s.Name, Zone: s.Zone})
@@ -112,7 +112,7 @@
 
 // News reach all, through losses, delays, doubles and the wrong order.
 func TestNewsReachAll(t *testing.T) {
-	for _, m := range []emu.TalkModel{{Least: ms, Most: 5 * ms}, {Loss: 0.3, Double: 0.2, Least: ms, Most: 300 * ms}} {
+	for _, m := range []emulator.TalkModel{{Least: ms, Most: 5 * ms}, {Loss: 0.3, Double: 0.2, Least: ms, Most: 300 * ms}} {
 		c := newClub(5, m, 3)
 		c.Run(start + 3*second)
 		c.put(2, EngineFault, 77, 1)
@@ -127,7 +127,7 @@
 func TestCopiesAgreeAfterHealing(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := newClub(6, emu.TalkModel{Loss: 0.2, Double: 0.1, Least: ms, Most: 2 * second}, seed)
+		c := newClub(6, emulator.TalkModel{Loss: 0.2, Double: 0.1, Least: ms, Most: 2 * second}, seed)
 		lives := map[int]uint64{}
 		for range 12 {
 			switch rng.IntN(6) {
@@ -154,7 +154,7 @@
 			c.Freeze(name(i), false)
 		}
 		c.Split(func(string) int { return 0 })
-		c.Model = emu.TalkModel{Least: ms, Most: 20 * ms}
+		c.Model = emulator.TalkModel{Least: ms, Most: 20 * ms}
 		c.Run(c.Now + 8*second)
 		if err := c.agree(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
@@ -172,7 +172,7 @@
 		}
 		for i := range 3 {
 			for life := range uint64(2) {
-				w := &emu.Copier{Replica: New(set(i, life+1), start)}
+				w := &emulator.Copier{Replica: New(set(i, life+1), start)}
 				w.Meet(start, Member{Name: "reader"})
 				now := rules.Time(start)
 				for range rapid.IntRange(0, 5).Draw(t, "writes") {
@@ -184,7 +184,7 @@
 			}
 		}
 		read := func(order []int) []Copy {
-			r := &emu.Copier{Replica: New(Settings{}, start)}
+			r := &emulator.Copier{Replica: New(Settings{}, start)}
 			s := set(9, 1)
 			s.Name = "reader"
 			r.Replica = New(s, start)
@@ -218,7 +218,7 @@
 
 // A member that was away for a minute, or starts anew, has all within 3 s, and nobody sends more than the budget within a second.
 func TestCatchUp(t *testing.T) {
-	c := newClub(40, emu.TalkModel{Loss: 0.05, Least: ms, Most: 20 * ms}, 5)
+	c := newClub(40, emulator.TalkModel{Loss: 0.05, Least: ms, Most: 20 * ms}, 5)
 	write := func() {
 		for i := range 40 {
 			for s := range 6 {
@@ -268,7 +268,7 @@
 
 // What has grown old is gone before anything else is done: a process that stood still acts on nothing old.
 func TestNothingOldAfterAFreeze(t *testing.T) {
-	c := newClub(3, emu.TalkModel{Least: ms, Most: 5 * ms}, 1)
+	c := newClub(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
 	c.put(0, EngineFault, 5, 1)
 	c.Run(start + 2*second)
 	if c.knows(0, EngineFault, 5, 1) != 2 {
@@ -289,13 +289,13 @@
 // A later life of a member takes the place of an earlier one, and messages of the earlier one that come late change nothing.
 func TestLaterLifeWins(t *testing.T) {
 	var late [][]byte
-	old := &emu.Copier{Replica: New(set(1, 1), start)}
+	old := &emulator.Copier{Replica: New(set(1, 1), start)}
 	old.Meet(start, Member{Name: name(0)})
 	old.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{1})
 	old.Tick(start+ms, func(_ string, d []byte) { late = append(late, append([]byte(nil), d...)) })
-	r := &emu.Copier{Replica: New(set(0, 1), start)}
+	r := &emulator.Copier{Replica: New(set(0, 1), start)}
 	r.Meet(start, Member{Name: name(1)})
-	again := &emu.Copier{Replica: New(set(1, 2), start)}
+	again := &emulator.Copier{Replica: New(set(1, 2), start)}
 	again.Meet(start, Member{Name: name(0)})
 	again.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{2})
 	again.Tick(start+ms, func(_ string, d []byte) { r.Hear(start+ms, name(1), d, func(string, []byte) {}) })
@@ -318,11 +318,11 @@
 
 // Another process with our name is told, not believed; strangers, garbage and what was changed on its way count for nothing.
 func TestRefused(t *testing.T) {
-	r := &emu.Copier{Replica: New(set(0, 5), start)}
+	r := &emulator.Copier{Replica: New(set(0, 5), start)}
 	r.Meet(start, Member{Name: name(1)})
 	r.Replica.Put(start, Key{Kind: Offered}, Value{3})
 	var msg []byte
-	w := &emu.Copier{Replica: New(set(1, 1), start)}
+	w := &emulator.Copier{Replica: New(set(1, 1), start)}
 	w.Meet(start, Member{Name: name(0)})
 	w.Replica.Put(start, Key{Kind: Offered}, Value{4})
 	w.Tick(start+ms, func(_ string, d []byte) {
@@ -359,7 +359,7 @@
 // A member whose clock has stepped back since its last life takes a later one than others hold, and is heard again; two processes of
 // one name tell of each other in the end.
 func TestNameThatComesTwice(t *testing.T) {
-	back := newClub(3, emu.TalkModel{Least: ms, Most: 5 * ms}, 1)
+	back := newClub(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
 	back.Remove(name(0))
 	back.start(0, 50)
 	back.put(0, Offered, 0, 7)
@@ -371,7 +371,7 @@
 	if n := back.knows(0, Offered, 0, 8); n != 2 {
 		t.Errorf("%d of 2 hear the member whose clock stepped back", n)
 	}
-	one, two, reader := &emu.Copier{Replica: New(set(0, 5), start)}, &emu.Copier{Replica: New(set(0, 6), start)}, &emu.Copier{Replica: New(set(1, 1), start)}
+	one, two, reader := &emulator.Copier{Replica: New(set(0, 5), start)}, &emulator.Copier{Replica: New(set(0, 6), start)}, &emulator.Copier{Replica: New(set(1, 1), start)}
 	one.Meet(start, Member{Name: name(1)})
 	two.Meet(start, Member{Name: name(1)})
 	reader.Meet(start, Member{Name: name(0)})
@@ -379,7 +379,7 @@
 	told := false
 	for tick := range rules.Time(60) {
 		now := start + tick*second
-		for i, m := range []*emu.Copier{one, two} {
+		for i, m := range []*emulator.Copier{one, two} {
 			m.Replica.Put(now, Key{Kind: Offered}, Value{float32(i + 1)})
 			m.Tick(now, func(_ string, d []byte) { reader.Hear(now, name(0), d, say) })
 		}
@@ -387,7 +387,7 @@
 			one.Hear(now, name(1), d, say)
 			two.Hear(now, name(1), d, say)
 		})
-		for _, m := range []*emu.Copier{one, two} {
+		for _, m := range []*emulator.Copier{one, two} {
 			for _, err := range m.Refused {
 				told = told || err.Error() == "replica: another process has our name"
 			}
@@ -400,7 +400,7 @@
 
 // Whatever comes, nothing panics, and what is held stays within its bounds.
 func FuzzCame(f *testing.F) {
-	w := &emu.Copier{Replica: New(set(1, 1), start)}
+	w := &emulator.Copier{Replica: New(set(1, 1), start)}
 	w.Meet(start, Member{Name: name(0)})
 	for s := range 5 {
 		w.Replica.Put(start, Key{Kind: TenantUse, Subject: uint64(s)}, Value{4, 5})
@@ -428,10 +428,10 @@
 		s.Keep[k] = 2 * second
 	}
 	s.Origins = 20
-	r := &emu.Copier{Replica: New(s, start)}
+	r := &emulator.Copier{Replica: New(s, start)}
 	now := rules.Time(start)
 	for i := 1; i < 400; i++ {
-		w := &emu.Copier{Replica: New(set(i, 1), now)}
+		w := &emulator.Copier{Replica: New(set(i, 1), now)}
 		w.Meet(now, Member{Name: name(0)})
 		r.Meet(now, Member{Name: name(i)})
 		w.Replica.Put(now, Key{Kind: Offered}, Value{4})
--- a/internal/simwire/host.go
+++ b/internal/simprotocol/host.go
@@ -2,7 +2,7 @@
 // line in, one JSON reply a line out. It hosts instances of the decision
 // module and shares nothing between them but the numbered lists that the
 // wire itself declares as belonging to the process.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/simwire/reply.go
+++ b/internal/simprotocol/reply.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"encoding/base64"
--- a/internal/site/fair.go
+++ b/internal/site/fair.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"go4.org/netipx"
 
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 )
 
 // This file owns the block `fair`: who shares the door, with what weights.
@@ -54,7 +54,7 @@
 )
 
 func (b *fairBlock) decode() (*Fair, hcl.Diagnostics) {
-	f := &Fair{Door: door.Defaults()}
+	f := &Fair{Door: admission.Defaults()}
 	s := &f.Door
 	var r reader
 	r.flag(b.AnyTenant, &s.AnyTenant)
@@ -80,7 +80,7 @@
 			r.diags = append(r.diags, wrong(t.Range, "tenant %q has no name of its own", t.Name))
 		}
 		seen[t.Name] = true
-		out := door.Tenant{Name: t.Name, Weight: 1}
+		out := admission.Tenant{Name: t.Name, Weight: 1}
 		r.number(t.Weight, leastWeight, mostWeight, &out.Weight)
 		for _, w := range r.words(t.Networks) {
 			if !slices.Contains(names, w.text) {
@@ -105,8 +105,8 @@
 	return f, r.diags
 }
 
-func (b *networkBlock) decode(r *reader) door.Network {
-	n := door.Network{Name: b.Name, Weight: 1}
+func (b *networkBlock) decode(r *reader) admission.Network {
+	n := admission.Network{Name: b.Name, Weight: 1}
 	r.number(b.Weight, leastWeight, mostWeight, &n.Weight)
 	r.flag(b.Together, &n.Together)
 	r.flag(b.Trusted, &n.Trusted)
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"go4.org/netipx"
 
-	"foxlane/internal/hearsay"
+	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
 )
 
@@ -24,7 +24,7 @@
 	Via     map[netip.AddrPort]netip.AddrPort // reached by other addresses
 	Fast    bool
 	Replica replica.Settings // but for name, zone, life and seed
-	Hearsay hearsay.Settings
+	Hearsay gossip.Settings
 }
 
 // Set is the set of addresses that may speak, or nil.
@@ -66,7 +66,7 @@
 )
 
 func (b *membersBlock) decode() (*Members, hcl.Diagnostics) {
-	m := &Members{Replica: replica.Defaults(), Hearsay: hearsay.Defaults(), Via: map[netip.AddrPort]netip.AddrPort{}}
+	m := &Members{Replica: replica.Defaults(), Hearsay: gossip.Defaults(), Via: map[netip.AddrPort]netip.AddrPort{}}
 	var r reader
 	if b.Bind == nil {
 		r.diags = append(r.diags, wrong(b.Range, "members needs bind, an address with a port"))
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclparse"
 
-	"foxlane/internal/door"
+	"foxlane/internal/admission"
 	"foxlane/internal/files"
 )
 
@@ -30,9 +30,9 @@
 	Directives *Directives
 }
 
-// Fair are the settings of the door.
+// Fair are the settings of the admission.
 type Fair struct {
-	Door  door.Settings
+	Door  admission.Settings
 	State int64 // bytes that remember principals; 0: what follows from the machine
 }
 
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -9,13 +9,13 @@
 	"strings"
 	"time"
 
-	"foxlane/internal/rig"
+	"foxlane/internal/harness"
 )
 
 // Schedule is what is drawn from a seed.
 type Schedule struct {
 	Seed   uint64
-	Script rig.Script
+	Script harness.Script
 }
 
 const (
@@ -42,8 +42,8 @@
 	if crowd {
 		processes = crowdLeast + rng.IntN(crowdMost-crowdLeast+1)
 	}
-	s := rig.Script{
-		Zones: []rig.Zone{{Name: "hall-a", Gateways: processes - processes/2, Engines: engines / 2}, {Name: "hall-b", Gateways: processes / 2, Engines: engines / 2}},
+	s := harness.Script{
+		Zones: []harness.Zone{{Name: "hall-a", Gateways: processes - processes/2, Engines: engines / 2}, {Name: "hall-b", Gateways: processes / 2, Engines: engines / 2}},
 		Cores: coreCount, Load: 0.2 + 0.5*rng.Float64(), Seed: seed, ColdFrom: 0.33, Cold: coldFor, Overload: 0.3, Length: length, Notes: 0.1, Leave: 0.08,
 		InTurn: 0.06, Placed: 0.05, OneCore: crowd,
 	}
@@ -76,8 +76,8 @@
 }
 
 // drawFault draws one trouble.
-func drawFault(rng *rand.Rand, s *rig.Script, spooled bool, length time.Duration) rig.Fault {
-	f := rig.Fault{At: firstAt + time.Duration(rng.Int64N(int64(spread))), For: leastFor + time.Duration(rng.Int64N(int64(mostFor-leastFor)))}
+func drawFault(rng *rand.Rand, s *harness.Script, spooled bool, length time.Duration) harness.Fault {
+	f := harness.Fault{At: firstAt + time.Duration(rng.Int64N(int64(spread))), For: leastFor + time.Duration(rng.Int64N(int64(mostFor-leastFor)))}
 	f.For = min(f.For, length-f.At-200*time.Millisecond)
 	kinds := troubles
 	if spooled && rng.IntN(2) == 0 {
@@ -89,16 +89,16 @@
 
 // drawLists draws engines that leave the list and answers of the name service that don't say so, at times behind a kill of
 // several gateways.
-func drawLists(rng *rand.Rand, s *rig.Script, length time.Duration) (out []rig.Fault) {
+func drawLists(rng *rand.Rand, s *harness.Script, length time.Duration) (out []harness.Fault) {
 	if rng.IntN(3) == 0 {
 		return drawRestarted(rng, s, length)
 	}
 	if rng.IntN(2) == 0 {
-		out = append(out, rig.Fault{Kind: "retire", Of: oneEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
-			rig.Fault{Kind: "kill", Of: someGateways(rng, s), At: firstAt + 300*time.Millisecond, For: 200 * time.Millisecond})
+		out = append(out, harness.Fault{Kind: "retire", Of: oneEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
+			harness.Fault{Kind: "kill", Of: someGateways(rng, s), At: firstAt + 300*time.Millisecond, For: 200 * time.Millisecond})
 	}
 	from := firstAt + 700*time.Millisecond + time.Duration(rng.Int64N(int64(spread/2)))
-	lists := rig.Fault{Kind: "lists", Of: someGateways(rng, s), At: from - time.Duration(rng.Int64N(int64(time.Second/2))),
+	lists := harness.Fault{Kind: "lists", Of: someGateways(rng, s), At: from - time.Duration(rng.Int64N(int64(time.Second/2))),
 		For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second)))}
 	lists.Text = pick(rng, "stale", "stale", "earlier", "earlier", "mixed", "mixed", "lost", "late", "twice", "short", "failed", "other-id", "anew")
 	lists.Factor = 0.05 + 0.25*rng.Float64()
@@ -110,17 +110,17 @@
 	case "mixed":
 		lists.By = 2 * time.Second
 	}
-	leave := rig.Fault{Kind: "retire", Of: pick(rng, oneEngine(rng, s), oneEngine(rng, s), s.Zones[1].Name), Text: pick(rng, "", "", "gone", "both", "flap", "newid"), At: from}
+	leave := harness.Fault{Kind: "retire", Of: pick(rng, oneEngine(rng, s), oneEngine(rng, s), s.Zones[1].Name), Text: pick(rng, "", "", "gone", "both", "flap", "newid"), At: from}
 	leave.For = length - from - 700*time.Millisecond
 	return append(out, lists, leave)
 }
 
 // drawRestarted draws gateways that are killed and started again, lists from before that, and engines that leave behind it.
-func drawRestarted(rng *rand.Rand, s *rig.Script, length time.Duration) []rig.Fault {
+func drawRestarted(rng *rand.Rand, s *harness.Script, length time.Duration) []harness.Fault {
 	const killAt, begun = 900 * time.Millisecond, 1300 * time.Millisecond
 	of := someGateways(rng, s)
 	from := begun + 200*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
-	return []rig.Fault{
+	return []harness.Fault{
 		{Kind: "retire", Of: oneEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
 		{Kind: "kill", Of: of, At: killAt, For: 200 * time.Millisecond},
 		{Kind: "lists", Of: of, Text: pick(rng, "earlier", "stale", "mixed"), Factor: 0.05 + 0.25*rng.Float64(), By: time.Second, At: begun,
@@ -130,12 +130,12 @@
 }
 
 // trouble completes a fault whose time is drawn.
-type trouble func(rng *rand.Rand, s *rig.Script, f *rig.Fault)
+type trouble func(rng *rand.Rand, s *harness.Script, f *harness.Fault)
 
 func pick[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
 
 // someGateways names one gateway, a zone of them, or all.
-func someGateways(rng *rand.Rand, s *rig.Script) string {
+func someGateways(rng *rand.Rand, s *harness.Script) string {
 	z := s.Zones[rng.IntN(len(s.Zones))]
 	switch rng.IntN(4) {
 	case 0:
@@ -146,77 +146,77 @@
 	return oneGateway(rng, s)
 }
 
-func oneGateway(rng *rand.Rand, s *rig.Script) string {
+func oneGateway(rng *rand.Rand, s *harness.Script) string {
 	z := s.Zones[rng.IntN(len(s.Zones))]
 	return fmt.Sprintf("%s/g%d", z.Name, rng.IntN(z.Gateways))
 }
 
-func oneEngine(rng *rand.Rand, s *rig.Script) string {
+func oneEngine(rng *rand.Rand, s *harness.Script) string {
 	z := s.Zones[rng.IntN(len(s.Zones))]
 	return fmt.Sprintf("%s/e%d", z.Name, rng.IntN(z.Engines))
 }
 
 // troubles are drawn evenly.
 var troubles = []trouble{
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "freeze", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "freeze", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "kill", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "restart", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "kill", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "term", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "freeze", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "freeze", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "kill", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "restart", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "kill", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "term", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Text = "signals", oneGateway(rng, s), pick(rng, "HUP TERM TERM HUP", "TERM HUP", "HUP HUP HUP HUP", "HUP STOP CONT TERM TERM", "TERM STOP CONT HUP")
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor, f.By = "late-dials", someGateways(rng, s), 0.2+0.5*rng.Float64(), 300*time.Millisecond+time.Duration(rng.Int64N(int64(1200*time.Millisecond)))
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.From, f.To, f.Both = "cut", oneGateway(rng, s), "names", true
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "reload", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "fifo", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "log", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "files", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "reload", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "fifo", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "log", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "files", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "step", someGateways(rng, s), pick(rng, -3600.0, -5, 5, 3600)
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "calls", someGateways(rng, s), 0.3+0.7*rng.Float64()
 		f.Text = pick(rng, "dial ENETUNREACH", "dial EADDRNOTAVAIL", "dial ENOBUFS", "dial EHOSTUNREACH", "dial ETIMEDOUT", "accept ECONNABORTED",
 			"accept ENFILE", "accept EPROTO", "udp ENOBUFS", "send ENETUNREACH", "send ENOBUFS", "receive EHOSTUNREACH", "dial,accept,udp ENFILE")
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "retire", oneEngine(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "retire", oneEngine(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Text = "retire", oneEngine(rng, s), pick(rng, "", "gone", "flap", "newid")
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Text, f.Factor = "mode", pick(rng, oneEngine(rng, s), "engines"), pick(rng, "hang", "error", "spoil", "break"), 0.1+0.4*rng.Float64()
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "silence", oneEngine(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "silence", oneEngine(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of = "reset", pick(rng, oneEngine(rng, s), "engines", oneGateway(rng, s))
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "slow", oneEngine(rng, s), 2+4*rng.Float64()
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "burst", "*", 1.5+2*rng.Float64()
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Of = "rogue", someGateways(rng, s) },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) { f.Kind = "dark" },
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "rogue", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind = "dark" },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.From, f.To, f.Both = "cut", oneGateway(rng, s), oneEngine(rng, s), rng.IntN(2) == 0
 	},
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.From, f.To, f.Both, f.Loss = "link", "gateways", "engines", true, 0.3*rng.Float64()
 	},
 }
 
 // diskTroubles are those of the folder of results.
 var diskTroubles = []trouble{
-	func(rng *rand.Rand, s *rig.Script, f *rig.Fault) {
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "disk", "gateways", 0.3+0.7*rng.Float64()
 		f.Text = pick(rng, "write ENOSPC", "sync EIO", "write,sync EIO", "open,remove ENOSPC", "truncate,sync,write EIO")
 	},
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"foxlane/internal/double"
-	"foxlane/internal/rig"
+	"foxlane/internal/faultgateway"
+	"foxlane/internal/harness"
 )
 
 // Options say what is played.
 type Options struct {
-	Process   rig.Process   // the test double
+	Process   harness.Process   // the test double
 	Seeds     int           // how many
 	First     uint64        // the first one
 	Length    time.Duration // of each, without its start and end
@@ -35,7 +35,7 @@
 type Result struct {
 	Seeds, Overlapping, Faults int
 	Requests, Late, Kept       int
-	Verdicts                   map[rig.Verdict]int
+	Verdicts                   map[harness.Verdict]int
 	Pauses                     int // of the rig itself
 	LongestPause               time.Duration
 	Kinds                      map[string]int // troubles played, by kind
@@ -95,7 +95,7 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	r := &Result{Verdicts: map[rig.Verdict]int{}, Kinds: map[string]int{}}
+	r := &Result{Verdicts: map[harness.Verdict]int{}, Kinds: map[string]int{}}
 	var mu sync.Mutex
 	next := make(chan uint64)
 	var players sync.WaitGroup
@@ -124,7 +124,7 @@
 }
 
 // add takes in what came of a seed.
-func (r *Result) add(ctx context.Context, o *Options, s *Schedule, b *rig.Books, logs string, err error) {
+func (r *Result) add(ctx context.Context, o *Options, s *Schedule, b *harness.Books, logs string, err error) {
 	if ctx.Err() != nil {
 		return // it was cut short
 	}
@@ -147,7 +147,7 @@
 		r.LongestPause = max(r.LongestPause, b.LongestPause)
 		r.SlowestDrain = max(r.SlowestDrain, b.SlowestDrain)
 		for v, n := range b.Verdicts {
-			r.Verdicts[rig.Verdict(v)] += n
+			r.Verdicts[harness.Verdict(v)] += n
 		}
 	}
 	switch {
@@ -169,7 +169,7 @@
 }
 
 // play plays one schedule, with a defect planted if one is named. Logs is the folder of its logs, if any are kept.
-func (o *Options) play(ctx context.Context, s *Schedule, plant string) (b *rig.Books, logs string, err error) {
+func (o *Options) play(ctx context.Context, s *Schedule, plant string) (b *harness.Books, logs string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, o.Length+seedSlack)
 	defer cancel()
 	if o.Logs != "" && plant == "" {
@@ -180,9 +180,9 @@
 	}
 	p := o.Process
 	if plant != "" {
-		p.Env = append(append([]string{}, p.Env...), double.EnvPlant+"="+plant)
+		p.Env = append(append([]string{}, p.Env...), faultgateway.EnvPlant+"="+plant)
 	}
-	b, err = rig.RunProcess(ctx, p, s.Script, logs)
+	b, err = harness.RunProcess(ctx, p, s.Script, logs)
 	return b, logs, err
 }
 
@@ -202,7 +202,7 @@
 		smallest := f.Schedule
 		for at := 0; at < len(smallest.Script.Faults) && left > 0 && ctx.Err() == nil; left-- {
 			smaller := smallest
-			smaller.Script.Faults = append(append([]rig.Fault{}, smallest.Script.Faults[:at]...), smallest.Script.Faults[at+1:]...)
+			smaller.Script.Faults = append(append([]harness.Fault{}, smallest.Script.Faults[:at]...), smallest.Script.Faults[at+1:]...)
 			if len(smaller.Script.Faults) > 0 && o.fails(ctx, &smaller) {
 				smallest = smaller
 				f.Smallest = &smallest
@@ -223,7 +223,7 @@
 	}
 	plants := o.Only
 	if plants == nil {
-		plants = double.Plants
+		plants = faultgateway.Plants
 	}
 	found := make([]Found, len(plants))
 	var players sync.WaitGroup
@@ -288,11 +288,11 @@
 	}
 	fmt.Fprintf(w, "seeds: %d\nseeds_failed: %d\nseeds_not_played: %d\nrequests: %d\nkept_results: %d\nfaults: %d\noverlapping: %d\nviolations: %d\n", r.Seeds, len(r.Failed),
 		len(r.Broken), r.Requests, r.Kept, r.Faults, r.Overlapping, r.Violations())
-	for _, v := range []rig.Verdict{rig.Lost, rig.Duplicated} {
+	for _, v := range []harness.Verdict{harness.Lost, harness.Duplicated} {
 		fmt.Fprintf(w, "%s: %d\n", v, r.Verdicts[v])
 	}
 	fmt.Fprintf(w, "late: %d\n", r.Late)
-	for _, v := range []rig.Verdict{rig.SentAfterGone, rig.PastDeadline, rig.DrainBroken, rig.FailbackBroken, rig.WrongAnswer, rig.OrderBroken, rig.Misplaced, rig.RationBroken, rig.Guarded, rig.Crashed, rig.NotReady} {
+	for _, v := range []harness.Verdict{harness.SentAfterGone, harness.PastDeadline, harness.DrainBroken, harness.FailbackBroken, harness.WrongAnswer, harness.OrderBroken, harness.Misplaced, harness.RationBroken, harness.Guarded, harness.Crashed, harness.NotReady} {
 		fmt.Fprintf(w, "%s: %d\n", v, r.Verdicts[v])
 	}
 	fmt.Fprintf(w, "crowds: %d\ndrain_slowest_ms: %d\n", r.Crowds, r.SlowestDrain.Milliseconds())
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"foxlane/internal/double"
-	"foxlane/internal/rig"
+	"foxlane/internal/faultgateway"
+	"foxlane/internal/harness"
 )
 
 // The test's own program is the test double, where it is started as one.
@@ -19,7 +19,7 @@
 		if i := slices.Index(os.Args, "--site"); i > 0 {
 			site = os.Args[i+1]
 		}
-		if err := double.Serve(site); err != nil {
+		if err := faultgateway.Serve(site); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Process: rig.Process{Program: self, Args: []string{"double"}, Orders: true}, First: 1, Length: 4 * time.Second, Processes: 4,
+	return Options{Process: harness.Process{Program: self, Args: []string{"double"}, Orders: true}, First: 1, Length: 4 * time.Second, Processes: 4,
 		Parallel: 2, Logs: t.TempDir(), Progress: testLog{t}}
 }
 
@@ -61,7 +61,7 @@
 // Defects that are planted are found.
 func TestPlantsAreFound(t *testing.T) {
 	o := options(t)
-	o.Plants, o.Only = 3, []string{double.PlantUnsafeTwice, double.PlantCloseUnanswered, double.PlantAnswerLate, double.PlantListAtStart}
+	o.Plants, o.Only = 3, []string{faultgateway.PlantUnsafeTwice, faultgateway.PlantCloseUnanswered, faultgateway.PlantAnswerLate, faultgateway.PlantListAtStart}
 	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/spool/segment/segment.go
+++ b/internal/spool/segment/segment.go
@@ -16,7 +16,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"foxlane/internal/feed"
+	"foxlane/internal/framebuf"
 )
 
 // Kind is what a Record is.
@@ -155,7 +155,7 @@
 // Scanner reads a segment behind its header in pieces of any size.
 type Scanner struct {
 	header  Header
-	buf     feed.Buffer
+	buf     framebuf.Buffer
 	offset  int64 // of the buffer's first byte
 	damage  int64 // where a damaged stretch began
 	damaged bool
