--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"foxlane/internal/measure"
 	"foxlane/internal/harness"
+	"foxlane/internal/measure"
 )
 
 func main() {
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"net/netip"
 
-	"foxlane/internal/config"
 	"foxlane/internal/admission"
+	"foxlane/internal/config"
 	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
@@ -20,7 +20,7 @@
 	asks  slots[request]
 	inbox []admission.Event
 	busy  bool
-	wake  rules.Time // 0: none
+	wake  rules.Time      // 0: none
 	last  admission.Stats // at the last line of the log
 }
 
--- a/internal/harness/rig.go
+++ b/internal/harness/rig.go
@@ -83,9 +83,9 @@
 	asks   *faultproxy.UDP
 	front  *faultproxy.TCP
 	listen string
-	talk   netip.AddrPort // where other gateways find it
-	askAt  netip.AddrPort // and operators' commands
-	peers  []*faultproxy.Pair  // to each other gateway, by its index
+	talk   netip.AddrPort     // where other gateways find it
+	askAt  netip.AddrPort     // and operators' commands
+	peers  []*faultproxy.Pair // to each other gateway, by its index
 	life   atomic.Int64
 	frozen atomic.Bool
 	thawed atomic.Int64 // when it last went on after a stop; Unix nanoseconds, as those that follow
--- a/internal/measure/replica.go
+++ b/internal/measure/replica.go
@@ -11,8 +11,8 @@
 
 	"foxlane/internal/emulator"
 	"foxlane/internal/gossip"
-	"foxlane/internal/replica"
 	"foxlane/internal/harness"
+	"foxlane/internal/replica"
 	"foxlane/rules"
 )
 
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -159,9 +159,13 @@
 // troubles are drawn evenly.
 var troubles = []trouble{
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "freeze", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "freeze", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Of = "freeze", someGateways(rng, s)
+	},
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "kill", oneGateway(rng, s) },
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "restart", oneGateway(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Of = "restart", oneGateway(rng, s)
+	},
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "kill", someGateways(rng, s) },
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "term", someGateways(rng, s) },
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
@@ -173,7 +177,9 @@
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.From, f.To, f.Both = "cut", oneGateway(rng, s), "names", true
 	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "reload", someGateways(rng, s) },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Of = "reload", someGateways(rng, s)
+	},
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "fifo", oneGateway(rng, s) },
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "log", someGateways(rng, s) },
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "files", oneGateway(rng, s) },
@@ -202,9 +208,15 @@
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.Of, f.Factor = "burst", "*", 1.5+2*rng.Float64()
 	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Of = "rogue", someGateways(rng, s) },
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64() },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Of = "rogue", someGateways(rng, s)
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64()
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64()
+	},
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind = "dark" },
 	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
 		f.Kind, f.From, f.To, f.Both = "cut", oneGateway(rng, s), oneEngine(rng, s), rng.IntN(2) == 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -18,16 +18,16 @@
 
 // Options say what is played.
 type Options struct {
-	Process   harness.Process   // the test double
-	Seeds     int           // how many
-	First     uint64        // the first one
-	Length    time.Duration // of each, without its start and end
-	Processes int           // gateways of each
-	Parallel  int           // seeds at once
-	Shrink    int           // runs that a failing seed is shrunk by, at most; 0: none
-	Plants    int           // seeds that each planted defect is looked for with, at most; 0: none are planted
-	Only      []string      // defects to plant; nil: all
-	Logs      string        // folder for the logs of failing seeds
+	Process   harness.Process // the test double
+	Seeds     int             // how many
+	First     uint64          // the first one
+	Length    time.Duration   // of each, without its start and end
+	Processes int             // gateways of each
+	Parallel  int             // seeds at once
+	Shrink    int             // runs that a failing seed is shrunk by, at most; 0: none
+	Plants    int             // seeds that each planted defect is looked for with, at most; 0: none are planted
+	Only      []string        // defects to plant; nil: all
+	Logs      string          // folder for the logs of failing seeds
 	Progress  io.Writer
 }
 
