--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -135,7 +135,7 @@
 	set, _ := sites.Resolve(names)
 	sc := zones.Scenario{
 		At: span(f.at), Unlisted: span(f.unlisted), Notice: span(f.notice), Length: span(f.length),
-		ColdFrom: cfg.Settings.Rules.Duties.ColdFrom, ColdFor: cfg.Settings.Rules.Duties.ColdFor,
+		ColdFrom: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, ColdFor: cfg.Settings.Rules.Constraints.SlowStartPeriod,
 	}
 	cores := make([]float64, len(names))
 	for _, e := range cfg.Known.Engines {
@@ -187,13 +187,13 @@
 	total := 0.0
 	for i, name := range cfg.Settings.ClassNames {
 		c := cfg.Settings.Rules.Classes[i]
-		part, work := 1.0, float64(c.Aim)*float64(max(1, c.Threads))
+		part, work := 1.0, float64(c.LatencyObjective)*float64(max(1, c.Threads))
 		for _, k := range sites.Classes {
 			if k.Name == name {
 				part, work = k.Requests*float64(k.Work), float64(k.Work)
 			}
 		}
-		out[i] = zones.ClassSpec{Name: name, Part: part, Earns: c.Worth * float64(rules.Second) / max(work, 1)}
+		out[i] = zones.ClassSpec{Name: name, Part: part, Earns: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
 		total += part
 	}
 	for i := range out {
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -186,7 +186,7 @@
 	d.sketch, d.pledges = newSketch(rows), newPledges(rows)
 	for _, c := range classes {
 		d.weigher = append(d.weigher, estimate{})
-		d.weigher[len(d.weigher)-1].start(float64(c.Aim) / 2)
+		d.weigher[len(d.weigher)-1].start(float64(c.LatencyObjective) / 2)
 	}
 	d.capacity.span = float64(capacitySpan)
 	for i := range d.conns {
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -70,7 +70,7 @@
 }
 
 func oneClass() []rules.Class {
-	return []rules.Class{{Aim: 500 * ms, GiveUp: 5 * rules.Second, LateValue: 0.1, Threads: 1}}
+	return []rules.Class{{LatencyObjective: 500 * ms, ClientTimeout: 5 * rules.Second, LateValue: 0.1, Threads: 1}}
 }
 
 func newBench(t testing.TB, set Settings, sizes Sizes, classes []rules.Class, declared ...string) *bench {
@@ -705,7 +705,7 @@
 func TestDoorHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sizes := Sizes{Conns: 18, Room: 16, Asks: 12, Statements: 1500, Input: 2000, State: 16 << 10}
-		classes := append(oneClass(), rules.Class{Aim: 50 * ms, GiveUp: rules.Second, Threads: 2})
+		classes := append(oneClass(), rules.Class{LatencyObjective: 50 * ms, ClientTimeout: rules.Second, Threads: 2})
 		set := anyTenant()
 		set.Ahead = rapid.IntRange(1, 4).Draw(rt, "ahead")
 		set.Tenants = []Tenant{{Name: "t0", Weight: 3}}
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -290,7 +290,7 @@
 	run := a.work / d.threads(a.class)
 	end := a.due
 	if c.LateValue <= 0 {
-		end = min(end, a.at+c.Aim+rules.Time(c.AimStretch*run))
+		end = min(end, a.at+c.LatencyObjective+rules.Time(c.ObjectiveStretch*run))
 	}
 	return max(end-rules.Time(run), a.at)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -234,7 +234,7 @@
 	// What the module reckons with is what a dial may take here.
 	c.Settings.Rules.Limits.ConnectTimeout = c.Limits.Connect
 	// On sockets, clients can have no more requests open than they have connections.
-	open := &c.Settings.Rules.Limits.MaxOpen
+	open := &c.Settings.Rules.Limits.MaxOpenRequests
 	if *open <= 0 || *open > c.Limits.ClientShare {
 		*open = c.Limits.ClientShare
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,8 +32,8 @@
 		t.Errorf("engines: %+v", c.Known.Engines)
 	}
 	l := c.Limits
-	if c.Settings.Rules.Limits.MaxOpen != 341 || l.Multiplex != 32 || l.LinkIdle != 13*rules.Second || l.StopWithin != 2800*rules.Millisecond {
-		t.Errorf("limits: %+v, open %d", l, c.Settings.Rules.Limits.MaxOpen)
+	if c.Settings.Rules.Limits.MaxOpenRequests != 341 || l.Multiplex != 32 || l.LinkIdle != 13*rules.Second || l.StopWithin != 2800*rules.Millisecond {
+		t.Errorf("limits: %+v, open %d", l, c.Settings.Rules.Limits.MaxOpenRequests)
 	}
 	if sum := l.Clients + l.AllLinks + reserve; sum > l.Sockets {
 		t.Errorf("%d descriptors are shared out of %d", sum, l.Sockets)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -146,7 +146,7 @@
 	if s.ConnIdle <= 0 {
 		l.LinkIdle = 60 * rules.Second // engines are not said to close idle connections
 	}
-	if most := s.Rules.Limits.MaxOpen; most > 0 {
+	if most := s.Rules.Limits.MaxOpenRequests; most > 0 {
 		l.Requests = min(l.Requests, most)
 	}
 	if l.Connect <= 0 {
@@ -155,7 +155,7 @@
 	}
 	longest := rules.Time(0)
 	for _, c := range s.Rules.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.ClientTimeout)
 	}
 	if longest > 0 { // else no class names how long its clients wait
 		l.StopWithin = min(l.StopWithin, longest)
--- a/internal/emulator/books.go
+++ b/internal/emulator/books.go
@@ -26,7 +26,7 @@
 	Moves        int // states that zones have entered, over all gateways
 	MovedAt      []Move
 	Shed         int // of the refused, for the sake of what earns more
-	Lost         [rules.VerdictMoot + 1]int
+	Lost         [rules.StatusSuperseded + 1]int
 	Seconds      []Second
 
 	start   rules.Time
@@ -65,7 +65,7 @@
 
 func (b *Books) offer(a *ask, c rules.Class) {
 	b.classes[a.class].Asked++
-	b.at(a.at).Offered += c.Worth
+	b.at(a.at).Offered += c.PriorityWeight
 }
 
 func (b *Books) sent(g *gateway, a *attempt) {
@@ -107,14 +107,14 @@
 	c := r.class
 	took := f.now + f.scene.Ways.Client - a.at
 	s := b.at(a.at)
-	if took <= c.Aim+rules.Time(c.AimStretch*a.work/float64(max(1, c.Threads))) {
-		s.Worth += c.Worth
+	if took <= c.LatencyObjective+rules.Time(c.ObjectiveStretch*a.work/float64(max(1, c.Threads))) {
+		s.Worth += c.PriorityWeight
 		b.classes[a.class].InTime++
 		return
 	}
 	b.classes[a.class].Late++
-	s.Worth += c.Worth * c.LateValue
-	s.Late += c.Worth * c.LateValue
+	s.Worth += c.PriorityWeight * c.LateValue
+	s.Late += c.PriorityWeight * c.LateValue
 }
 
 // Share is the part of the worth offered in the seconds from and before to, counted from the start, that
@@ -142,8 +142,8 @@
 	fmt.Fprintf(&s, "%d refused, %d failed, %d unanswered; %d cold engines fell, at most %.2f of a budget spent\n",
 		b.Refused, b.Failed, b.Unanswered, b.Fallen, b.ColdWorst)
 	fmt.Fprintf(&s, "lost attempts: %d error, %d full, %d timeout, %d connect, %d reset, %d cancelled\n",
-		b.Lost[rules.VerdictError], b.Lost[rules.VerdictFull], b.Lost[rules.VerdictTimeout],
-		b.Lost[rules.VerdictConnectFailed], b.Lost[rules.VerdictReset], b.Lost[rules.VerdictCancelled])
+		b.Lost[rules.StatusError], b.Lost[rules.StatusRejected], b.Lost[rules.StatusTimeout],
+		b.Lost[rules.StatusConnectFailed], b.Lost[rules.StatusReset], b.Lost[rules.StatusCancelled])
 	for i, c := range b.classes {
 		fmt.Fprintf(&s, "class %d: %d asked, %d in time, %d late\n", i, c.Asked, c.InTime, c.Late)
 	}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -89,11 +89,11 @@
 
 // warmth is the part of its speed that an engine has: it warms evenly.
 func (e *engine) warmth() float64 {
-	d := e.f.scene.Settings.Duties
-	if e.started == 0 || d.ColdFor == 0 || e.f.now >= e.started+d.ColdFor {
+	d := e.f.scene.Settings.Constraints
+	if e.started == 0 || d.SlowStartPeriod == 0 || e.f.now >= e.started+d.SlowStartPeriod {
 		return 1
 	}
-	return d.ColdFrom + (1-d.ColdFrom)*float64(e.f.now-e.started)/float64(d.ColdFor)
+	return d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*float64(e.f.now-e.started)/float64(d.SlowStartPeriod)
 }
 
 const leastLow = 0.05 // part of the cores that the low band has in any case
@@ -163,7 +163,7 @@
 			j := heap.Pop(&b.running).(*job)
 			j.over = true
 			b.threads -= j.threads
-			e.f.answer(j.attempt, rules.VerdictOK)
+			e.f.answer(j.attempt, rules.StatusOK)
 		}
 	}
 	for len(e.line) > 0 && e.runs() < e.f.scene.Engine.Slots {
@@ -190,16 +190,16 @@
 	case e.silent:
 		return
 	case e.gone || e.fallen:
-		e.f.answer(a, rules.VerdictConnectFailed)
+		e.f.answer(a, rules.StatusConnectFailed)
 		return
 	case e.f.rng.Float64() < e.errs:
-		e.f.answer(a, rules.VerdictError)
+		e.f.answer(a, rules.StatusError)
 		return
 	}
 	e.settle()
 	work := a.request.work * math.Exp(e.f.rng.NormFloat64()*e.f.scene.Engine.Quarrel)
 	if e.bear(work); e.fallen {
-		e.f.answer(a, rules.VerdictReset)
+		e.f.answer(a, rules.StatusReset)
 		return
 	}
 	j := &job{attempt: a, threads: float64(max(1, a.request.class.Threads)), work: work, slot: -1}
@@ -211,35 +211,35 @@
 		e.line = append(e.line, j)
 	default:
 		j.over = true
-		e.f.answer(a, rules.VerdictFull)
+		e.f.answer(a, rules.StatusRejected)
 	}
 	e.arm()
 }
 
 // bear counts work against what a cold engine bears. Rejected work counts, too.
 func (e *engine) bear(work float64) {
-	d := e.f.scene.Settings.Duties
-	if e.warmth() >= 1 || d.TipAfter == 0 {
+	d := e.f.scene.Settings.Constraints
+	if e.warmth() >= 1 || d.OverloadWindow == 0 {
 		e.sent, e.sentSum = nil, 0
 		return
 	}
 	e.sent = append(e.sent, coldSend{e.f.now, work})
 	e.sentSum += work
-	for e.sent[0].at <= e.f.now-d.TipAfter {
+	for e.sent[0].at <= e.f.now-d.OverloadWindow {
 		e.sentSum -= e.sent[0].work
 		e.sent = e.sent[1:]
 	}
-	part := e.sentSum / (d.OverloadFactor * e.warmth() * e.f.scene.Engine.Cores * float64(d.TipAfter))
+	part := e.sentSum / (d.OverloadFactor * e.warmth() * e.f.scene.Engine.Cores * float64(d.OverloadWindow))
 	e.worst = max(e.worst, part)
 	if part > 1 {
 		e.fallen = true
 		e.f.Books.Fallen++
-		e.drop(rules.VerdictReset)
+		e.drop(rules.StatusReset)
 	}
 }
 
 // drop ends all that runs and waits there.
-func (e *engine) drop(v rules.Verdict) {
+func (e *engine) drop(v rules.Status) {
 	e.settle()
 	all := e.line
 	for i := range e.bands {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -28,7 +28,7 @@
 				f.news(e, fresh)
 				f.after(grace, func() {
 					e.state, e.gone = rules.EngineGone, true
-					e.drop(rules.VerdictReset)
+					e.drop(rules.StatusReset)
 					f.news(e)
 				})
 			})
@@ -45,7 +45,7 @@
 			if e.zone == zone && e.state == rules.EngineServing {
 				lost = append(lost, e)
 				e.silent = true
-				e.drop(rules.VerdictReset) // nobody hears of it
+				e.drop(rules.StatusReset) // nobody hears of it
 			}
 		}
 		var gone []*gateway
@@ -107,7 +107,7 @@
 			if e.zone == zone && e.state == rules.EngineServing {
 				lost = append(lost, e)
 				e.silent = true
-				e.drop(rules.VerdictReset)
+				e.drop(rules.StatusReset)
 			}
 		}
 		f.after(unlisted, func() {
@@ -193,7 +193,7 @@
 					return
 				}
 				g.stopping = true
-				g.tell(rules.Stopping{By: f.now + away})
+				g.tell(rules.ShutdownStarted{Deadline: f.now + away})
 				life := g.life
 				f.after(away, func() {
 					if g.life == life {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -245,7 +245,7 @@
 		life := g.life
 		f.after(rules.Time(f.late*float64(wait)), func() {
 			if g.up && g.life == life && !f.listDark {
-				g.hear(rules.ListDelta, list)
+				g.hear(rules.UpdateDelta, list)
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 	m, c := f.scene.Classes[class], f.scene.Settings.Classes[class]
 	sigma := math.Sqrt(math.Log(1 + m.CV*m.CV))
 	work := float64(m.Work) * math.Exp(f.rng.NormFloat64()*sigma-sigma*sigma/2)
-	a := &ask{class: class, at: f.now, due: f.now + c.GiveUp, work: work,
+	a := &ask{class: class, at: f.now, due: f.now + c.ClientTimeout, work: work,
 		told: work * math.Exp(f.rng.NormFloat64()*m.Rough), set: f.rng.IntN(40)}
 	if m.Told > 0 {
 		a.told *= m.Told
@@ -332,11 +332,11 @@
 // begin starts a gateway that knows nothing but the list.
 func (g *gateway) begin() {
 	s := g.f.scene.Settings
-	s.Me, s.Zone, s.Siblings = g.index, g.zone, g.f.scene.Gateways
+	s.GatewayIndex, s.Zone, s.Gateways = g.index, g.zone, g.f.scene.Gateways
 	g.life++
 	g.up, g.stopping = true, false
 	if by := g.f.scene.Believed; by > 0 {
-		s.Duties.OverloadFactor *= by
+		s.Constraints.OverloadFactor *= by
 	}
 	g.module = rules.New(s, g.f.rng.Uint64())
 	g.requests, g.links, g.order = map[rules.RequestID]*request{}, map[rules.EngineID]rules.Time{}, nil
@@ -344,15 +344,15 @@
 	g.seen, g.listed = map[rules.EngineID]*seen{}, map[rules.EngineID]bool{}
 	g.beginSites()
 	g.beginTalk()
-	g.hear(rules.ListSaved, g.f.listed())
+	g.hear(rules.UpdateCached, g.f.listed())
 }
 
 // hear takes news of the list.
-func (g *gateway) hear(mode rules.ListMode, list []rules.Engine) {
+func (g *gateway) hear(mode rules.UpdateMode, list []rules.Engine) {
 	for _, e := range list {
 		g.listed[e.ID] = e.State == rules.EngineServing
 	}
-	g.tell(rules.FleetChange{Mode: mode, Engines: list})
+	g.tell(rules.FleetUpdate{Mode: mode, Engines: list})
 }
 
 // die ends a gateway at once: engines give up what it has with them, and its clients come elsewhere.
@@ -390,13 +390,13 @@
 	if len(g.order) > 64 && g.order[0].over {
 		g.compact()
 	}
-	f.Books.first(f.now, r.class.Worth, a, tried)
+	f.Books.first(f.now, r.class.PriorityWeight, a, tried)
 	if !g.admits(r, a) {
 		return
 	}
-	g.tell(rules.Arrival{Request: rules.Request{ID: r.id, Class: a.class, Due: r.due, Work: rules.Time(a.told),
-		HasWork: true, DataSet: a.set, Repeat: a.tries > 1}})
-	f.after(r.due+f.scene.Settings.Duties.AnswerSlack+1-f.now, func() {
+	g.tell(rules.Arrival{Request: rules.Request{ID: r.id, Class: a.class, Deadline: r.due, EstimatedWork: rules.Time(a.told),
+		HasEstimate: true, DataSet: a.set, IsRetry: a.tries > 1}})
+	f.after(r.due+f.scene.Settings.Constraints.DeadlineSlack+1-f.now, func() {
 		if !r.over && g.up && g.life == r.life {
 			f.Books.Unanswered++
 		}
@@ -434,7 +434,7 @@
 	switch a := action.(type) {
 	case rules.Send:
 		g.send(g.requests[a.ID], a.Engine)
-	case rules.SetTerms:
+	case rules.SetAttemptOptions:
 		if r := g.requests[a.ID]; r != nil {
 			r.priority = a.Priority
 		}
@@ -442,7 +442,7 @@
 		if r := g.requests[a.ID]; r != nil {
 			g.cancel(r.attempts[a.Attempt])
 		}
-	case rules.Refuse:
+	case rules.Reject:
 		if r := g.requests[a.ID]; r != nil && !r.over {
 			after := a.RetryAfter
 			if g.zones != nil && !g.stopping {
@@ -454,7 +454,7 @@
 		if r := g.requests[a.ID]; r != nil && !r.over {
 			f.Books.Failed++
 			g.end(r)
-			if r.class.Effect == rules.EffectSafe {
+			if r.class.Idempotency == rules.Idempotent {
 				f.after(f.scene.Ways.Client, func() { f.again(r.ask, 0) })
 			}
 		}
@@ -462,7 +462,7 @@
 		life := g.life
 		f.agenda.add(max(a.At, f.now+1), func() {
 			if g.up && g.life == life {
-				g.tell(rules.Alarm{Token: a.Token})
+				g.tell(rules.TimerFired{Token: a.Token})
 			}
 		})
 	}
@@ -471,7 +471,7 @@
 func (g *gateway) refuse(r *request, after rules.Time) {
 	f := g.f
 	f.Books.Refused++
-	f.Books.first(r.at, r.class.Worth, r.ask, refused)
+	f.Books.first(r.at, r.class.PriorityWeight, r.ask, refused)
 	g.end(r)
 	f.after(f.scene.Ways.Client, func() { f.again(r.ask, min(after, f.scene.Settings.Limits.MaxRetryAfter)) })
 }
@@ -522,7 +522,7 @@
 		delete(g.links, id)
 		f.after(f.scene.Settings.Limits.ConnectTimeout, func() {
 			if g.up && g.life == r.life {
-				g.conclude(a, rules.VerdictConnectFailed)
+				g.conclude(a, rules.StatusConnectFailed)
 			}
 		})
 	default:
@@ -534,7 +534,7 @@
 	}
 	f.after(r.due-f.now, func() {
 		if !a.done && g.up && g.life == r.life {
-			g.conclude(a, rules.VerdictTimeout)
+			g.conclude(a, rules.StatusTimeout)
 		}
 	})
 }
@@ -542,7 +542,7 @@
 const linkIdle = 13 * rules.Second
 
 // answer has an engine's answer reach its gateway.
-func (f *Fleet) answer(a *attempt, v rules.Verdict) {
+func (f *Fleet) answer(a *attempt, v rules.Status) {
 	a.ended = true
 	g, life := a.request.gateway, a.request.life
 	if a.engine.silent || f.cut(a.engine.zone, g.zone) {
@@ -562,34 +562,34 @@
 	if j := a.job; j != nil {
 		g.f.after(g.f.way(g, a.engine), func() { a.engine.quit(j) })
 	}
-	g.conclude(a, rules.VerdictCancelled)
+	g.conclude(a, rules.StatusCancelled)
 }
 
 // conclude tells the module how an attempt ended; the first good answer is the client's.
-func (g *gateway) conclude(a *attempt, v rules.Verdict) {
+func (g *gateway) conclude(a *attempt, v rules.Status) {
 	if a.done {
 		return
 	}
 	a.done = true
 	f, r := g.f, a.request
-	if v != rules.VerdictOK && v != rules.VerdictMoot {
+	if v != rules.StatusOK && v != rules.StatusSuperseded {
 		g.of(a.engine.id).fault = f.now
 	}
 	if a.ended {
 		g.of(a.engine.id).heard = f.now
 	}
-	if v == rules.VerdictTimeout && a.job != nil {
+	if v == rules.StatusTimeout && a.job != nil {
 		a.engine.quit(a.job)
 	}
-	if v == rules.VerdictOK && !r.over {
+	if v == rules.StatusOK && !r.over {
 		f.Books.served(r)
 		r.over = true
-	} else if !a.ended || v != rules.VerdictOK {
+	} else if !a.ended || v != rules.StatusOK {
 		f.Books.Lost[v]++
 	}
-	o := rules.Outcome{ID: r.id, Attempt: a.index, Engine: a.engine.id, Verdict: v, Latency: f.now - a.at, Closed: r.over}
-	if v == rules.VerdictOK && f.scene.Settings.TellsCost {
-		o.TrueWork = rules.Time(r.work)
+	o := rules.Outcome{ID: r.id, Attempt: a.index, Engine: a.engine.id, Status: v, Latency: f.now - a.at, Closed: r.over}
+	if v == rules.StatusOK && f.scene.Settings.ReportsCost {
+		o.MeasuredWork = rules.Time(r.work)
 	}
 	if r.over {
 		g.end(r)
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -74,7 +74,7 @@
 			for i, sites := range []*zones.Settings{nil, &set} {
 				s := Warehouse(60, 15, 0.55, 3)
 				s.Zones, s.Sites, s.Faults = 3, sites, []Fault{sc.fault}
-				s.Settings.Fees.CrossZone = 0.05
+				s.Settings.Penalties.CrossZone = 0.05
 				b := New(s).Run()
 				worth[i] = b.Share(sc.from, 27)
 				cross := float64(b.Cross) / float64(b.Sends)
--- a/internal/emulator/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -72,7 +72,7 @@
 }
 
 func (g *gateway) view() gossip.View {
-	v := gossip.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
+	v := gossip.View{Engines: g.sights(), Learned: g.module.ClassEstimates(), Cold: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
 	if g.zones != nil {
 		v.Zones = g.zones.Status(g.f.now)
 	}
@@ -93,7 +93,7 @@
 			lie.Zones[i].State = zones.Lost
 		}
 		for i := range lie.Learned {
-			lie.Learned[i] = rules.Learned{Ratio: 1000, Usual: 1e9, Weight: 100}
+			lie.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
 		}
 		g.hearsay.Tell(f.now, lie)
 	} else {
--- a/internal/emulator/ramp_test.go
+++ b/internal/emulator/ramp_test.go
@@ -44,11 +44,11 @@
 // hurryless has every gateway spend all it may on cold engines, all the time: nothing that runs there is late.
 func hurryless(s *Scene) {
 	s.Load = 1.2
-	s.Settings.Duties.OverloadFactor, s.Settings.Duties.TipAfter = 1, second
+	s.Settings.Constraints.OverloadFactor, s.Settings.Constraints.OverloadWindow = 1, second
 	for i := range s.Classes {
 		s.Classes[i] = ClassModel{Share: 1, Work: 200 * rules.Millisecond, CV: 1, Rough: 0.3}
 		c := &s.Settings.Classes[i]
-		c.Aim, c.GiveUp, c.Threads, c.Effect, c.IsLoad = 15*second, 20*second, 1, rules.EffectSafe, false
+		c.LatencyObjective, c.ClientTimeout, c.Threads, c.Idempotency, c.IsDataLoad = 15*second, 20*second, 1, rules.Idempotent, false
 	}
 }
 
--- a/internal/emulator/scenes.go
+++ b/internal/emulator/scenes.go
@@ -10,18 +10,18 @@
 	const ms = rules.Millisecond
 	return Scene{
 		Settings: rules.Settings{
-			Tick: 5 * ms, Kinds: []rules.Kind{{Cores: 32, MemoryMB: 65536}}, MostGrant: 0.4, TakesGrants: true,
-			TakesPriority: true, TellsCost: true,
+			Tick: 5 * ms, Kinds: []rules.EngineKind{{Cores: 32, MemoryMB: 65536}}, MaxGrantFraction: 0.4, AcceptsGrants: true,
+			AcceptsPriority: true, ReportsCost: true,
 			Classes: []rules.Class{
-				{Aim: 300 * ms, AimStretch: 1.5, GiveUp: 1500 * ms, LateValue: 0.1, Worth: 1, Threads: 1},
-				{Aim: 900 * ms, AimStretch: 2.5, GiveUp: 12000 * ms, LateValue: 0.4, Worth: 20, Threads: 4},
-				{Aim: 2400 * ms, AimStretch: 3, GiveUp: 15000 * ms, LateValue: 0.6, Worth: 25, Threads: 2,
-					Effect: rules.EffectUnsafe, IsLoad: true},
+				{LatencyObjective: 300 * ms, ObjectiveStretch: 1.5, ClientTimeout: 1500 * ms, LateValue: 0.1, PriorityWeight: 1, Threads: 1},
+				{LatencyObjective: 900 * ms, ObjectiveStretch: 2.5, ClientTimeout: 12000 * ms, LateValue: 0.4, PriorityWeight: 20, Threads: 4},
+				{LatencyObjective: 2400 * ms, ObjectiveStretch: 3, ClientTimeout: 15000 * ms, LateValue: 0.6, PriorityWeight: 25, Threads: 2,
+					Idempotency: rules.NotIdempotent, IsDataLoad: true},
 			},
 			Limits: rules.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * rules.Second,
-				ParallelTries: true, Probes: true, ConnectTimeout: 250 * ms},
-			Duties: rules.Duties{AnswerSlack: 20 * ms, DrainGrace: rules.Second, ColdFrom: 0.33, ColdFor: 15 * rules.Second,
-				OverloadFactor: 3, TipAfter: 2 * rules.Second},
+				HedgedRequests: true, Probes: true, ConnectTimeout: 250 * ms},
+			Constraints: rules.Constraints{DeadlineSlack: 20 * ms, DrainGrace: rules.Second, SlowStartInitialSpeed: 0.33, SlowStartPeriod: 15 * rules.Second,
+				OverloadFactor: 3, OverloadWindow: 2 * rules.Second},
 		},
 		Gateways: gateways, Engines: engines, Zones: 5,
 		Engine: EngineModel{Cores: 32, Slots: 128, Line: 128, Knee: 1.7, Loss: 0.2, Quarrel: 0.1},
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -27,14 +27,14 @@
 	s := &g.f.scene
 	switch {
 	case s.Static != nil:
-		g.tell(rules.Planned{Zones: newStatic(g.zone, s.Zones, *s.Static)})
+		g.tell(rules.ZonePlanChanged{Plan: newStatic(g.zone, s.Zones, *s.Static)})
 		return
 	case s.Sites == nil:
 		return
 	}
 	g.zones = zones.New(*s.Sites, zones.Fleet{Zones: max(1, s.Zones), Own: g.zone, Gateways: s.Gateways, Jitter: g.f.rng.Float64(),
 		Classes: s.Settings.Classes}, g.f.now)
-	g.tell(rules.Planned{Zones: g.zones})
+	g.tell(rules.ZonePlanChanged{Plan: g.zones})
 	life := g.life
 	var look func()
 	look = func() {
@@ -49,14 +49,14 @@
 // sights is what is held of each engine that serves.
 func (g *gateway) sights() (list []zones.EngineSight) {
 	f := g.f
-	for _, b := range g.module.Beliefs() {
+	for _, b := range g.module.EngineViews() {
 		e := f.engine(b.Engine)
 		if !g.listed[e.id] {
 			continue
 		}
 		k := g.of(b.Engine)
-		list = append(list, zones.EngineSight{Engine: b.Engine, Zone: e.zone, Cores: f.scene.Engine.Cores, Warm: b.Warm, Slow: b.Slow,
-			LeftOut: b.LeftOut, Late: b.Late > 0, Asked: k.asked, Heard: k.heard, Fault: k.fault})
+		list = append(list, zones.EngineSight{Engine: b.Engine, Zone: e.zone, Cores: f.scene.Engine.Cores, Warm: b.SpeedFraction, Slow: b.Slowdown,
+			LeftOut: b.Ejected, Late: b.SlowInFlight > 0, Asked: k.asked, Heard: k.heard, Fault: k.fault})
 	}
 	return list
 }
@@ -64,7 +64,7 @@
 // look shows the zones what is held of their engines.
 func (g *gateway) look() {
 	f := g.f
-	looked := g.zones.Look(f.now, g.sights(), g.module.Standing(), f.scene.Settings.Limits.Probes)
+	looked := g.zones.Look(f.now, g.sights(), g.module.LoadSummary(), f.scene.Settings.Limits.Probes)
 	for _, c := range looked.Changes {
 		if c.From != c.To {
 			f.Books.move(f.now, c)
@@ -82,11 +82,11 @@
 	}
 	refuse, after := g.zones.Arrive(g.f.now, zones.Ask{Class: a.class, Work: a.told, Repeat: a.tries > 1})
 	if a.tries == 1 {
-		g.bookShed(zones.WorthRung(r.class.Worth, a.told), refuse)
+		g.bookShed(zones.WorthRung(r.class.PriorityWeight, a.told), refuse)
 	}
 	if refuse {
 		g.f.Books.Shed++
-		g.f.Books.first(r.at, r.class.Worth, a, shed)
+		g.f.Books.first(r.at, r.class.PriorityWeight, a, shed)
 		g.refuse(r, after)
 	}
 	return !refuse
@@ -141,11 +141,11 @@
 		if g.zones != nil {
 			g.zones.Answered(e.zone, ok)
 		}
-		v := rules.VerdictTimeout
+		v := rules.StatusTimeout
 		if ok {
-			v = rules.VerdictOK
+			v = rules.StatusOK
 		}
-		g.tell(rules.ProbeResult{Engine: e.id, Doubted: doubt, Verdict: v})
+		g.tell(rules.ProbeResult{Engine: e.id, Suspected: doubt, Status: v})
 	})
 }
 
@@ -167,7 +167,7 @@
 	return s
 }
 
-func (s *static) Draw(_ rules.Time, drawn, _ float64, tried []int) (int, bool) {
+func (s *static) PickZone(_ rules.Time, drawn, _ float64, tried []int) (int, bool) {
 	left := append([]float64(nil), s.parts...)
 	total := 0.0
 	for _, z := range tried {
@@ -185,5 +185,5 @@
 	return -1, true
 }
 
-func (s *static) Open(rules.Time, int, float64, bool) bool { return true }
-func (s *static) Sent(rules.Time, int, float64, bool)      {}
+func (s *static) Admits(rules.Time, int, float64, bool) bool { return true }
+func (s *static) RecordSend(rules.Time, int, float64, bool)  {}
--- a/internal/gateway/bad_test.go
+++ b/internal/gateway/bad_test.go
@@ -724,7 +724,7 @@
 			b.step(Closed, link, "")
 			b.pass(rules.Millisecond)
 		}
-		if left := b.g.module.Beliefs()[0].LeftOut; left == answers {
+		if left := b.g.module.EngineViews()[0].Ejected; left == answers {
 			t.Errorf("answers between resets %v: left out %v", answers, left)
 		}
 	}
@@ -780,7 +780,7 @@
 			}
 			b.pass(50 * rules.Millisecond)
 		}
-		if left := b.g.module.Beliefs()[0].LeftOut; left == serves {
+		if left := b.g.module.EngineViews()[0].Ejected; left == serves {
 			t.Errorf("serves beside: %v, left out: %v", serves, left)
 		}
 	}
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -40,11 +40,11 @@
 func (w *world) warmth(t *testing.T, name string) float64 {
 	t.Helper()
 	w.g.Step(w.now, Event{Kind: Wake})
-	w.g.tell(rules.Alarm{Token: "a look"}) // the module knows the time of its last event only
+	w.g.tell(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
 	w.carryOut()
-	for _, b := range w.g.module.Beliefs() {
+	for _, b := range w.g.module.EngineViews() {
 		if e := w.g.engines[b.Engine]; e != nil && e.entry.ID == name {
-			return b.Warm
+			return b.SpeedFraction
 		}
 	}
 	t.Fatalf("nothing is held of %s", name)
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -352,7 +352,7 @@
 		b.step(Data, 1, string(query(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
 		b.pass(400 * rules.Millisecond)
 	}
-	if b.g.module.Beliefs()[0].LeftOut {
+	if b.g.module.EngineViews()[0].Ejected {
 		t.Error("the engine is left out for our want of connections")
 	}
 }
@@ -604,7 +604,7 @@
 	} {
 		for _, copies := range []bool{false, true} {
 			x := newCrossing(t, "point")
-			x.g.cfg.Settings.Rules.Limits.ParallelTries = copies
+			x.g.cfg.Settings.Rules.Limits.HedgedRequests = copies
 			x.step(Data, 1, ask("point", idA))
 			first := x.link()
 			x.now += way
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -35,7 +35,7 @@
 // applyChanged takes the list over where an answer or the time has changed it.
 func (g *Gateway) applyChanged() {
 	if engines, ok := g.list.Changed(); ok {
-		g.applyList(engines, rules.ListDelta)
+		g.applyList(engines, rules.UpdateDelta)
 	}
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -39,14 +39,14 @@
 }
 
 // applyList takes the whole list and tells the module what is new in it.
-func (g *Gateway) applyList(entries []config.Engine, mode rules.ListMode) {
+func (g *Gateway) applyList(entries []config.Engine, mode rules.UpdateMode) {
 	listed := make(map[rules.EngineID]bool, len(entries))
 	var news []rules.Engine
 	var stale []*attempt
 	for _, entry := range entries {
 		e := g.engineOf(entry.ID)
 		listed[e.id] = true
-		if e.entry == entry && e.state != rules.EngineGone && mode == rules.ListDelta {
+		if e.entry == entry && e.state != rules.EngineGone && mode == rules.UpdateDelta {
 			continue
 		}
 		if e.entry.Addr != entry.Addr || e.entry.Started != entry.Started || e.state == rules.EngineGone {
@@ -89,19 +89,19 @@
 		}
 		return false
 	})
-	if len(news) > 0 || mode != rules.ListDelta {
-		g.tell(rules.FleetChange{Mode: mode, Engines: news})
+	if len(news) > 0 || mode != rules.UpdateDelta {
+		g.tell(rules.FleetUpdate{Mode: mode, Engines: news})
 	}
 	for _, a := range stale {
-		g.conclude(a, rules.VerdictMoot)
+		g.conclude(a, rules.StatusSuperseded)
 	}
 }
 
 var stateNames = map[rules.EngineState]string{rules.EngineServing: "serving", rules.EngineDraining: "draining", rules.EngineGone: "gone"}
 
 // noteState writes a change of an engine's state to the log, but for the list of the start.
-func (g *Gateway) noteState(e *engineState, before rules.EngineState, mode rules.ListMode) {
-	if mode != rules.ListDelta {
+func (g *Gateway) noteState(e *engineState, before rules.EngineState, mode rules.UpdateMode) {
+	if mode != rules.UpdateDelta {
 		return
 	}
 	waiting, open := 0, 0
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -169,7 +169,7 @@
 		g.traceQueued(r, "admission")
 	}
 	g.atGate(admission.Event{Kind: admission.Asked, Slot: r.slot, Conn: r.client.slot, Ask: admission.Ask{
-		Class: r.class, Tenant: tenant, Key: key, Due: q.Due, Work: q.Work, Bytes: len(r.statement),
+		Class: r.class, Tenant: tenant, Key: key, Due: q.Deadline, Work: q.EstimatedWork, Bytes: len(r.statement),
 	}})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -239,7 +239,7 @@
 	g.beginOrders()
 	g.beginPeers()
 	engines, _ := g.list.Changed()
-	g.applyList(engines, rules.ListSaved)
+	g.applyList(engines, rules.UpdateCached)
 	g.poll()
 	g.timers.add(timer{at: now + g.lim.Sweep, kind: timerSweep})
 	g.timers.add(timer{at: now + g.lim.StatsEvery, kind: timerStats})
@@ -413,11 +413,11 @@
 	switch a := action.(type) {
 	case rules.Send:
 		g.send(a)
-	case rules.SetTerms:
+	case rules.SetAttemptOptions:
 		g.setTerms(a)
 	case rules.Cancel:
 		g.cancel(a)
-	case rules.Refuse:
+	case rules.Reject:
 		g.refuse(g.requests[a.ID], a.RetryAfter, moduleReasons[a.Reason])
 	case rules.Fail:
 		g.fail(g.requests[a.ID], moduleReasons[a.Reason])
@@ -427,11 +427,11 @@
 		g.probe(a.Engine)
 	case rules.CloseIdle:
 		g.closeIdle(g.engines[a.Engine])
-	case rules.FetchList:
+	case rules.FetchFleet:
 		g.query()
 	case rules.Subscribe:
 		// The name service is polled in any case.
-	case rules.TellPeers:
+	case rules.Broadcast:
 		g.log(Debug, "no protocol among gateways: note dropped")
 	case rules.Log:
 		g.log(Info, "module", Attr{"text", a.Text})
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -42,7 +42,7 @@
 		if a == but {
 			continue
 		}
-		p := guard.Past{At: a.at, Sent: a.sent, Ended: a.done, NeverRan: a.done && a.verdict.NeverRan()}
+		p := guard.Past{At: a.at, Sent: a.sent, Ended: a.done, NeverRan: a.done && a.verdict.NeverExecuted()}
 		if a.engine != nil {
 			p.Zone, p.Cell = a.engine.zone, a.engine.entry.Cell
 		}
@@ -57,7 +57,7 @@
 	r, e, s := a.request, a.engine, &g.cfg.Settings.Rules
 	seen := g.translate(e)
 	send := guard.Send{Now: g.now, Answered: r.answered, Deadline: a.deadline, Due: r.due, State: seen.State, Told: e.told,
-		Zone: seen.Zone, Kind: seen.Kind, Cell: seen.Cell, Class: &s.Classes[r.class], Duties: &s.Duties, Limits: &s.Limits}
+		Zone: seen.Zone, Kind: seen.Kind, Cell: seen.Cell, Class: &s.Classes[r.class], Duties: &s.Constraints, Limits: &s.Limits}
 	if len(r.attempts) > 1 {
 		send.Past = g.past(r, a)
 	}
@@ -75,9 +75,9 @@
 // coldSend adds a send to what an engine in slow start got from us, and returns that beside all that it bears. Both are 0
 // for a warm engine, or where nothing names a budget.
 func (g *Gateway) coldSend(r *request, e *engineState) (sent, budget float64) {
-	d := &g.cfg.Settings.Rules.Duties
+	d := &g.cfg.Settings.Rules.Constraints
 	age := g.now - e.began
-	if e.began == 0 || age >= d.ColdFor || d.ColdFor <= 0 || d.TipAfter <= 0 || d.OverloadFactor <= 0 {
+	if e.began == 0 || age >= d.SlowStartPeriod || d.SlowStartPeriod <= 0 || d.OverloadWindow <= 0 || d.OverloadFactor <= 0 {
 		e.coldSent = nil
 		return 0, 0
 	}
@@ -85,11 +85,11 @@
 		return 0, 0
 	}
 	if e.coldSent == nil {
-		e.coldSent = &window.Sum{Span: d.TipAfter}
+		e.coldSent = &window.Sum{Span: d.OverloadWindow}
 	}
 	e.coldSent.Add(g.now, float64(r.work))
-	warmth := d.ColdFrom + (1-d.ColdFrom)*max(float64(age), 0)/float64(d.ColdFor)
-	return e.coldSent.Now(g.now), d.OverloadFactor * warmth * g.cfg.Settings.Rules.Kinds[e.kind].Cores * float64(d.TipAfter)
+	warmth := d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*max(float64(age), 0)/float64(d.SlowStartPeriod)
+	return e.coldSent.Now(g.now), d.OverloadFactor * warmth * g.cfg.Settings.Rules.Kinds[e.kind].Cores * float64(d.OverloadWindow)
 }
 
 // guardAnswer checks a final answer that is about to be given.
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -50,7 +50,7 @@
 		}, guard.SendToDrained},
 		"a zone that the class must not use": {func(b *bench) {
 			b.client(1)
-			b.g.cfg.Settings.Rules.Classes[1].Zones = []int{0} // the engine is in the other one
+			b.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
 			b.step(Data, 1, ask("report", idA))
 			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
 			b.flush()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -112,7 +112,7 @@
 // route puts an attempt on a connection.
 func (g *Gateway) route(a *attempt) {
 	if a.engine.state == rules.EngineGone {
-		g.conclude(a, rules.VerdictConnectFailed)
+		g.conclude(a, rules.StatusConnectFailed)
 		return
 	}
 	a.engine.asked = g.now
@@ -122,7 +122,7 @@
 		g.log(Warn, "engine: no connection left", Attr{"engine", a.engine.entry.ID})
 		a.spoilt, a.ours = true, true
 		a.engine.notAsked()
-		g.conclude(a, rules.VerdictConnectFailed)
+		g.conclude(a, rules.StatusConnectFailed)
 	case a.link.up && !g.settling():
 		g.ask(a)
 	default:
@@ -168,7 +168,7 @@
 		switch {
 		case a.done:
 		case a.request.answered || l.engine.state != rules.EngineServing || g.now-a.at > g.lim.Connect:
-			g.conclude(a, rules.VerdictMoot)
+			g.conclude(a, rules.StatusSuperseded)
 		case g.settling():
 			l.waiting = append(l.waiting, a)
 		default:
@@ -258,13 +258,13 @@
 		g.log(Warn, "engine: connection lost", Attr{"engine", l.engine.entry.ID}, Attr{"up", l.up},
 			Attr{"requests", l.load()}, Attr{"error", text})
 	}
-	verdict := rules.VerdictConnectFailed
+	verdict := rules.StatusConnectFailed
 	if l.up {
-		verdict = rules.VerdictReset
+		verdict = rules.StatusReset
 	}
 	for _, a := range slices.Clone(l.waiting) {
 		a.spoilt, a.ours = spoilt, ours
-		g.conclude(a, rules.VerdictConnectFailed)
+		g.conclude(a, rules.StatusConnectFailed)
 	}
 	e := l.engine
 	if len(l.open) > 0 && !spoilt {
@@ -279,9 +279,9 @@
 	for i, a := range lost {
 		a.spoilt = spoilt || i > 0
 		if a.end > taken {
-			g.conclude(a, rules.VerdictMoot)
+			g.conclude(a, rules.StatusSuperseded)
 		} else {
-			g.part(a, rules.VerdictReset)
+			g.part(a, rules.StatusReset)
 		}
 	}
 	if ours {
@@ -289,7 +289,7 @@
 	}
 	for _, p := range l.probes {
 		if p.ours = ours; ours {
-			verdict = rules.VerdictMoot
+			verdict = rules.StatusSuperseded
 		}
 		g.endProbe(p, verdict, nil)
 	}
@@ -312,7 +312,7 @@
 
 // watchGrace looks, ahead of the end of the grace of an engine that drains or has gone, whether something for it still waits here.
 func (g *Gateway) watchGrace(e *engineState) {
-	grace := g.cfg.Settings.Rules.Duties.DrainGrace
+	grace := g.cfg.Settings.Rules.Constraints.DrainGrace
 	if grace > 0 && len(e.links) > 0 {
 		g.timers.add(timer{at: g.now + grace - grace/graceMargin, kind: timerGrace, engine: e})
 	}
@@ -381,9 +381,9 @@
 		if a := l.open[string(m.ID)]; a != nil {
 			g.answer(a, &m)
 		} else if p := l.probes[string(m.ID)]; p != nil {
-			verdict := rules.VerdictError
+			verdict := rules.StatusError
 			if m.Word == engine.Green {
-				verdict = rules.VerdictOK
+				verdict = rules.StatusOK
 			}
 			g.endProbe(p, verdict, m.Report)
 		}
@@ -443,7 +443,7 @@
 	p := &probe{engine: e, doubt: doubt, tag: "p" + strconv.FormatUint(g.lastTag, 10), at: g.now, link: g.linkFor(e, nil)}
 	if p.link == nil || e.state == rules.EngineGone {
 		p.ours = p.link == nil
-		g.endProbe(p, rules.VerdictConnectFailed, nil)
+		g.endProbe(p, rules.StatusConnectFailed, nil)
 		return
 	}
 	p.link.probes[p.tag] = p
@@ -455,17 +455,17 @@
 	}
 }
 
-func (g *Gateway) endProbe(p *probe, v rules.Verdict, report []byte) {
+func (g *Gateway) endProbe(p *probe, v rules.Status, report []byte) {
 	if p.done {
 		return
 	}
 	p.done = true
 	if !p.ours {
-		g.looked(p.engine, v == rules.VerdictOK)
+		g.looked(p.engine, v == rules.StatusOK)
 	}
 	if p.link != nil {
 		delete(p.link.probes, p.tag)
 		g.maybeShut(p.link)
 	}
-	g.tell(rules.ProbeResult{Engine: p.engine.id, Doubted: p.doubt && !p.ours, Verdict: v, Latency: g.now - p.at, Load: engine.ParseReport(report)})
+	g.tell(rules.ProbeResult{Engine: p.engine.id, Suspected: p.doubt && !p.ours, Status: v, Latency: g.now - p.at, Load: engine.ParseReport(report)})
 }
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if len(news) > 0 {
-		g.tell(rules.FleetChange{Mode: rules.ListDelta, Engines: news})
+		g.tell(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: news})
 	}
 	g.retuneZones()
 }
--- a/internal/gateway/ourwant_test.go
+++ b/internal/gateway/ourwant_test.go
@@ -35,8 +35,8 @@
 		w.carryOut()
 		w.run(w.now + 100*rules.Millisecond)
 	}
-	for _, b := range w.g.module.Beliefs() {
-		if b.Engine == e.id && b.LeftOut {
+	for _, b := range w.g.module.EngineViews() {
+		if b.Engine == e.id && b.Ejected {
 			t.Error("an engine that was never reached is left out")
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -142,7 +142,7 @@
 		g.atCopies(replica.Event{Kind: replica.Tick})
 		return
 	}
-	v := gossip.View{Engines: g.sights(), Learned: g.module.Learned(), Cold: g.module.Cold(), Standing: g.module.Standing()}
+	v := gossip.View{Engines: g.sights(), Learned: g.module.ClassEstimates(), Cold: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
 	if g.sites != nil {
 		v.Zones = g.sites.zones.Status(g.now)
 	}
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/reasons.go
@@ -69,8 +69,8 @@
 
 func (r EndReason) String() string { return endReasonNames[r] }
 
-var moduleReasons = map[rules.FinishReason]EndReason{rules.FinishNoRoom: EndNoRoom, rules.FinishDeadline: EndDeadline,
-	rules.FinishLate: EndLate, rules.FinishTriesSpent: EndTriesSpent, rules.FinishOverdue: EndOverdue}
+var moduleReasons = map[rules.FailureReason]EndReason{rules.ReasonQueueFull: EndNoRoom, rules.ReasonDeadline: EndDeadline,
+	rules.ReasonTooLate: EndLate, rules.ReasonAttemptsExhausted: EndTriesSpent, rules.ReasonOverdue: EndOverdue}
 
 // ending is the answer that ends a request.
 type ending int
@@ -86,6 +86,6 @@
 
 func (e ending) String() string { return endingNames[e] }
 
-var verdictNames = map[rules.Verdict]string{rules.VerdictOK: "ok", rules.VerdictError: "error", rules.VerdictFull: "full",
-	rules.VerdictTimeout: "timeout", rules.VerdictConnectFailed: "connect_failed", rules.VerdictReset: "reset",
-	rules.VerdictCancelled: "cancelled", rules.VerdictMoot: "never_executed"}
+var verdictNames = map[rules.Status]string{rules.StatusOK: "ok", rules.StatusError: "error", rules.StatusRejected: "full",
+	rules.StatusTimeout: "timeout", rules.StatusConnectFailed: "connect_failed", rules.StatusReset: "reset",
+	rules.StatusCancelled: "cancelled", rules.StatusSuperseded: "never_executed"}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -51,11 +51,11 @@
 	sent     bool  // written to a connection that was up
 	end      int64 // where it ends in what is written on its link
 	done     bool
-	verdict  rules.Verdict // once done
-	parting  bool          // ended by us or by its connection: its engine may not have heard of that yet
-	spoilt   bool          // how it ends says nothing of its engine
-	ours     bool          // it had no connection for want of something here
-	at       rules.Time    // when the module sent it
+	verdict  rules.Status // once done
+	parting  bool         // ended by us or by its connection: its engine may not have heard of that yet
+	spoilt   bool         // how it ends says nothing of its engine
+	ours     bool         // it had no connection for want of something here
+	at       rules.Time   // when the module sent it
 	deadline rules.Time
 	priority int
 
@@ -90,7 +90,7 @@
 		}
 	}
 	patience := rules.Time(q.Fields.TimeoutMS) * rules.Millisecond
-	if most := g.cfg.Settings.Rules.Classes[class].GiveUp * g.lim.Patience; most > 0 && patience > most {
+	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.lim.Patience; most > 0 && patience > most {
 		g.unusable(c, mysql.CodeParse, fmt.Sprintf("a timeout of %d ms is out of range", q.Fields.TimeoutMS))
 		return
 	}
@@ -122,8 +122,8 @@
 	work := rules.Time(q.Fields.WorkMS * float64(rules.Millisecond))
 	r.work = work
 	arrival := rules.Request{
-		ID: id, Class: class, Tenant: tenant, OrderKey: q.Fields.Key, Due: due, Work: work, HasWork: work > 0,
-		MemoryMB: q.Fields.MemoryMB, DataSet: q.Group, Repeat: q.Fields.Repeat, Write: q.Write,
+		ID: id, Class: class, Tenant: tenant, OrderKey: q.Fields.Key, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
+		EstimatedMemoryMB: q.Fields.MemoryMB, DataSet: q.Group, IsRetry: q.Fields.Repeat, IsWrite: q.Write,
 	}
 	if g.gate == nil && g.shelf == nil && g.sites == nil && g.orders == nil {
 		r.passed = true
@@ -159,7 +159,7 @@
 
 func (g *Gateway) toModule(r *request) {
 	q := r.arrival
-	q.Held = r.held
+	q.QueuedFor = r.held
 	r.passed, r.arrival = true, nil
 	if g.cfg.Trace {
 		g.traceQueued(r, "module")
@@ -206,7 +206,7 @@
 	r.why = EndClientLeft
 	g.settle(r, endedLeft)
 	if r.passed {
-		g.tell(rules.Departure{ID: r.id})
+		g.tell(rules.ClientGone{ID: r.id})
 	}
 }
 
@@ -269,16 +269,16 @@
 	most := g.cfg.Settings.Rules.Limits.MaxAttempts
 	switch {
 	case r.answered, a.engine == nil, most > 0 && len(r.attempts) > most:
-		g.conclude(a, rules.VerdictMoot)
+		g.conclude(a, rules.StatusSuperseded)
 	case a.deadline <= g.now:
-		g.conclude(a, rules.VerdictTimeout)
+		g.conclude(a, rules.StatusTimeout)
 	default:
 		g.timers.add(timer{at: a.deadline, kind: timerAttempt, attempt: a})
 		g.route(a)
 	}
 }
 
-func (g *Gateway) setTerms(t rules.SetTerms) {
+func (g *Gateway) setTerms(t rules.SetAttemptOptions) {
 	r := g.requests[t.ID]
 	if r == nil {
 		return
@@ -301,11 +301,11 @@
 	if r == nil || c.Attempt < 0 || c.Attempt >= len(r.attempts) || r.attempts[c.Attempt].done {
 		return
 	}
-	g.giveUp(r.attempts[c.Attempt], rules.VerdictCancelled)
+	g.giveUp(r.attempts[c.Attempt], rules.StatusCancelled)
 }
 
 // giveUp ends an attempt from our side.
-func (g *Gateway) giveUp(a *attempt, v rules.Verdict) {
+func (g *Gateway) giveUp(a *attempt, v rules.Status) {
 	if a.sent && !a.parting && !a.link.ended {
 		id := string(a.request.id)
 		if a.served {
@@ -322,10 +322,10 @@
 // part ends an attempt that its engine may still run, since it hears of the end by a way of its own. Where a request may
 // have no two attempts out at once, another one could come to a nearer engine ahead of that: the module hears of the end
 // once the way is over, which takes no longer than its connection took to come up. Where nothing can follow it hears now.
-func (g *Gateway) part(a *attempt, v rules.Verdict) {
+func (g *Gateway) part(a *attempt, v rules.Status) {
 	r, s := a.request, &g.cfg.Settings.Rules
-	if !a.sent || r.answered || v == rules.VerdictTimeout || s.Limits.ParallelTries ||
-		s.Classes[r.class].Effect == rules.EffectUnsafe {
+	if !a.sent || r.answered || v == rules.StatusTimeout || s.Limits.HedgedRequests ||
+		s.Classes[r.class].Idempotency == rules.NotIdempotent {
 		g.conclude(a, v)
 		return
 	}
@@ -343,7 +343,7 @@
 }
 
 // conclude ends an attempt and tells the module.
-func (g *Gateway) conclude(a *attempt, v rules.Verdict) {
+func (g *Gateway) conclude(a *attempt, v rules.Status) {
 	if a.done {
 		return
 	}
@@ -365,18 +365,18 @@
 	if a.sent {
 		g.atGate(admission.Event{Kind: admission.Spent, Slot: r.slot, Took: a.took})
 	}
-	if a.engine != nil && v != rules.VerdictOK && v != rules.VerdictMoot && !a.ours {
+	if a.engine != nil && v != rules.StatusOK && v != rules.StatusSuperseded && !a.ours {
 		a.engine.fault = g.now
 	}
-	o := rules.Outcome{ID: r.id, Attempt: a.index, Engine: 0, Verdict: v, Latency: a.took, Closed: r.answered || r.keep.closed, Spoilt: a.spoilt}
+	o := rules.Outcome{ID: r.id, Attempt: a.index, Engine: 0, Status: v, Latency: a.took, Closed: r.answered || r.keep.closed, NotEngineFault: a.spoilt}
 	if a.engine != nil {
 		o.Engine = a.engine.id
 	}
-	if v == rules.VerdictOK && g.cfg.Settings.Rules.TellsCost && g.credible(a) {
-		o.TrueWork = rules.Time(a.work * float64(rules.Millisecond))
-		o.TrueMemoryMB = a.memory
+	if v == rules.StatusOK && g.cfg.Settings.Rules.ReportsCost && g.credible(a) {
+		o.MeasuredWork = rules.Time(a.work * float64(rules.Millisecond))
+		o.MeasuredMemoryMB = a.memory
 	}
-	if g.cfg.Settings.Rules.Report == rules.ReportAnswers {
+	if g.cfg.Settings.Rules.LoadReport == rules.LoadReportInOutcomes {
 		o.Load = engine.ParseReport(a.report)
 	}
 	g.forget(r)
@@ -414,15 +414,15 @@
 	switch m.Word {
 	case engine.Update: // the module asks for no notes of progress
 	case engine.Overload:
-		g.conclude(a, rules.VerdictFull)
+		g.conclude(a, rules.StatusRejected)
 	case engine.Nobody:
-		g.conclude(a, rules.VerdictMoot)
+		g.conclude(a, rules.StatusSuperseded)
 	case engine.Crashed:
 		// Engines answer an error to what bad clients ask, too: it tells of the engine if nothing good
 		// came from that since the last one.
 		a.spoilt = a.engine.good > a.engine.erred
 		a.engine.erred = g.now
-		g.conclude(a, rules.VerdictError)
+		g.conclude(a, rules.StatusError)
 	case engine.Served:
 		a.engine.good = g.now
 		g.firstPage(a, m)
@@ -442,7 +442,7 @@
 	g.log(Warn, "engine: unusable answer", Attr{"engine", a.engine.entry.ID}, Attr{"request", string(a.request.id)},
 		Attr{"what", what})
 	a.spoilt = true
-	g.giveUp(a, rules.VerdictReset)
+	g.giveUp(a, rules.StatusReset)
 }
 
 func (g *Gateway) firstPage(a *attempt, m *engine.Answer) {
@@ -553,7 +553,7 @@
 		a.link.out = engine.AppendFree(a.link.out, string(r.id))
 		g.touch(&a.link.pipe)
 	}
-	g.conclude(a, rules.VerdictOK)
+	g.conclude(a, rules.StatusOK)
 }
 
 // appendResult appends the whole result set. If a row can't be read, nothing is appended.
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -592,8 +592,8 @@
 		for _, e := range g.order {
 			links += len(e.links)
 		}
-		sizes[i] = [...]int{len(g.engines), len(g.order), len(g.links), len(g.clients), len(g.sessions), len(g.requests), len(g.timers), len(g.module.Beliefs())}
-		if links != len(g.links) || len(g.engines) > 8 || len(g.module.Beliefs()) > 12 || len(g.clients) > 200 || len(g.timers) > 1500 {
+		sizes[i] = [...]int{len(g.engines), len(g.order), len(g.links), len(g.clients), len(g.sessions), len(g.requests), len(g.timers), len(g.module.EngineViews())}
+		if links != len(g.links) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || len(g.timers) > 1500 {
 			t.Errorf("at %d s: engines, listed, connections to them, clients, sessions, requests, timers, engines in the module: %v",
 				(w.now-w.start)/rules.Second, sizes[i])
 		}
--- a/internal/gateway/shelf.go
+++ b/internal/gateway/shelf.go
@@ -273,7 +273,7 @@
 		a.link.out = engine.AppendFree(a.link.out, string(r.id))
 		g.touch(&a.link.pipe)
 	}
-	g.conclude(a, rules.VerdictOK)
+	g.conclude(a, rules.StatusOK)
 	g.timers.add(timer{at: r.due, kind: timerKept, request: r})
 }
 
@@ -304,16 +304,16 @@
 	if a := r.keep.feeding; a != nil {
 		r.keep.feeding = nil
 		a.spoilt = true
-		g.giveUp(a, rules.VerdictCancelled)
+		g.giveUp(a, rules.StatusCancelled)
 	}
-	if safe := g.cfg.Settings.Rules.Classes[r.class].Effect == rules.EffectSafe; safe && why != spool.ForSize {
+	if safe := g.cfg.Settings.Rules.Classes[r.class].Idempotency == rules.Idempotent; safe && why != spool.ForSize {
 		g.turnAway(r, 0)
 	} else {
 		r.stats.failed++
 		g.answerErr(r.client, mysql.CodeFailed, "the result could not be kept: "+why.String())
 		g.settle(r, endedFailed)
 	}
-	g.tell(rules.Departure{ID: r.id})
+	g.tell(rules.ClientGone{ID: r.id})
 }
 
 // ---- to the client
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -17,7 +17,7 @@
 	g.timers.add(timer{at: g.now + g.lim.StopLinger, kind: timerStop})
 	g.hurryKept()
 	g.atGate(admission.Event{Kind: admission.Stopping, By: g.now + g.lim.StopWithin})
-	g.tell(rules.Stopping{By: g.now + g.lim.StopWithin})
+	g.tell(rules.ShutdownStarted{Deadline: g.now + g.lim.StopWithin})
 }
 
 // maybeExit ends the process once all is answered. It asks for that again and again: what is read while the end is
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -31,7 +31,7 @@
 	set, drained := cfg.Site.Sites.Resolve(cfg.Settings.ZoneNames)
 	r := &cfg.Settings.Rules
 	s := &sites{names: append(slices.Clone(cfg.Settings.ZoneNames), "elsewhere")}
-	s.zones = zones.New(set, zones.Fleet{Zones: len(s.names), Elsewhere: true, Own: r.Zone, Gateways: r.Siblings, Jitter: rng.Float64(),
+	s.zones = zones.New(set, zones.Fleet{Zones: len(s.names), Elsewhere: true, Own: r.Zone, Gateways: r.Gateways, Jitter: rng.Float64(),
 		Classes: r.Classes, Tenants: r.Tenants}, now)
 	s.drain(drained, now)
 	return s
@@ -55,10 +55,10 @@
 // planZones hands the zones to the module.
 func (g *Gateway) planZones() {
 	if g.sites == nil {
-		g.tell(rules.Planned{})
+		g.tell(rules.ZonePlanChanged{})
 		return
 	}
-	g.tell(rules.Planned{Zones: g.sites.zones})
+	g.tell(rules.ZonePlanChanged{Plan: g.sites.zones})
 }
 
 // retuneSites goes over to what the operator's file says now; the block may come and go.
@@ -103,7 +103,7 @@
 	if s == nil {
 		return
 	}
-	looked := s.zones.Look(g.now, g.sights(), g.module.Standing(), g.cfg.Settings.Rules.Limits.Probes)
+	looked := s.zones.Look(g.now, g.sights(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
 	for _, c := range looked.Changes {
 		level := Info
 		if c.To == zones.Lost {
@@ -119,7 +119,7 @@
 // sights is what is held of each engine that serves.
 func (g *Gateway) sights() []zones.EngineSight {
 	out := g.seen[:0]
-	for _, b := range g.module.Beliefs() {
+	for _, b := range g.module.EngineViews() {
 		e := g.engines[b.Engine]
 		if e == nil || e.state != rules.EngineServing {
 			continue
@@ -128,8 +128,8 @@
 		if k := e.kind; k < len(g.cfg.Settings.Rules.Kinds) {
 			cores = max(g.cfg.Settings.Rules.Kinds[k].Cores, 1)
 		}
-		out = append(out, zones.EngineSight{Engine: b.Engine, Zone: e.zone, Cores: cores, Warm: b.Warm, Slow: b.Slow,
-			LeftOut: b.LeftOut, Late: b.Late > 0, Asked: e.asked, Heard: e.heard, Fault: e.fault})
+		out = append(out, zones.EngineSight{Engine: b.Engine, Zone: e.zone, Cores: cores, Warm: b.SpeedFraction, Slow: b.Slowdown,
+			LeftOut: b.Ejected, Late: b.SlowInFlight > 0, Asked: e.asked, Heard: e.heard, Fault: e.fault})
 	}
 	g.seen = out
 	return out
@@ -145,7 +145,7 @@
 		return true
 	}
 	q := r.arrival
-	refuse, after := g.sites.zones.Arrive(g.now, zones.Ask{Class: q.Class, Tenant: q.Tenant, Work: float64(q.Work), Repeat: q.Repeat})
+	refuse, after := g.sites.zones.Arrive(g.now, zones.Ask{Class: q.Class, Tenant: q.Tenant, Work: float64(q.EstimatedWork), Repeat: q.IsRetry})
 	if refuse {
 		g.refuse(r, after, EndZonePlan)
 	}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -22,7 +22,7 @@
 
 // logBeliefs notes what the module holds of each engine beside what is open on the sockets.
 func (g *Gateway) logBeliefs() {
-	for _, b := range g.module.Beliefs() {
+	for _, b := range g.module.EngineViews() {
 		e := g.engines[b.Engine]
 		if e == nil {
 			continue
@@ -34,8 +34,8 @@
 		for _, l := range e.links {
 			open += len(l.open) + len(l.waiting)
 		}
-		g.log(Info, "engine", Attr{"engine", e.entry.ID}, Attr{"state", e.entry.State}, Attr{"out", b.Out}, Attr{"open", open},
-			Attr{"connections", len(e.links)}, Attr{"left_out", b.LeftOut}, Attr{"slow", math.Round(100*b.Slow) / 100},
+		g.log(Info, "engine", Attr{"engine", e.entry.ID}, Attr{"state", e.entry.State}, Attr{"out", b.InFlight}, Attr{"open", open},
+			Attr{"connections", len(e.links)}, Attr{"left_out", b.Ejected}, Attr{"slow", math.Round(100*b.Slowdown) / 100},
 			Attr{"silent_ms", silent})
 	}
 }
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -30,7 +30,7 @@
 	kind    timerKind
 	token   string
 	attempt *attempt
-	verdict rules.Verdict
+	verdict rules.Status
 	probe   *probe
 	link    *link
 	request *request
@@ -92,15 +92,15 @@
 		}
 		switch t := g.timers.pop(); t.kind {
 		case timerAlarm:
-			g.tell(rules.Alarm{Token: t.token})
+			g.tell(rules.TimerFired{Token: t.token})
 		case timerAttempt:
 			if !t.attempt.done {
-				g.giveUp(t.attempt, rules.VerdictTimeout)
+				g.giveUp(t.attempt, rules.StatusTimeout)
 			}
 		case timerParted:
 			g.conclude(t.attempt, t.verdict)
 		case timerProbe:
-			g.endProbe(t.probe, rules.VerdictTimeout, nil)
+			g.endProbe(t.probe, rules.StatusTimeout, nil)
 		case timerSweep:
 			g.sweepClients()
 			g.sweepLinks()
--- a/internal/gossip/hearsay.go
+++ b/internal/gossip/hearsay.go
@@ -30,11 +30,11 @@
 
 // View is what a gateway holds itself.
 type View struct {
-	Engines  []zones.EngineSight // that serve, in the order of the list
-	Zones    []zones.Status      // nil: no plan
-	Learned  []rules.Learned     // by class
-	Cold     []rules.ColdSent
-	Standing rules.Standing
+	Engines  []zones.EngineSight   // that serve, in the order of the list
+	Zones    []zones.Status        // nil: no plan
+	Learned  []rules.ClassEstimate // by class
+	Cold     []rules.SlowStartUsage
+	Standing rules.LoadSummary
 }
 
 // Hearsay is what one gateway remembers of what it has told and asked.
@@ -96,8 +96,8 @@
 		}
 	}
 	for c, l := range v.Learned {
-		if l.Weight > 1 {
-			put(replica.ClassUsual, uint64(c), replica.Value{float32(l.Ratio), float32(l.Usual), float32(min(l.Weight, 100))})
+		if l.SampleWeight > 1 {
+			put(replica.ClassUsual, uint64(c), replica.Value{float32(l.CostRatio), float32(l.MeanWork), float32(min(l.SampleWeight, 100))})
 		}
 	}
 	for _, c := range v.Cold {
@@ -167,10 +167,10 @@
 	})
 	enough := max(leastTeachers, min(len(h.copies.Members())/2, mostTeachers))
 	for c := range ratios {
-		if len(ratios[c]) < enough || v.Learned[c].Weight > ownWeight {
+		if len(ratios[c]) < enough || v.Learned[c].SampleWeight > ownWeight {
 			continue
 		}
-		out = append(out, rules.Taught{Class: c, Ratio: median(ratios[c]), Usual: median(usuals[c])})
+		out = append(out, rules.PeerEstimate{Class: c, CostRatio: median(ratios[c]), MeanWork: median(usuals[c])})
 		h.counts.Taught++
 	}
 	if len(out) > 0 {
@@ -200,7 +200,7 @@
 	sums := map[uint64]float64{}
 	h.copies.Each(replica.ColdSpend, func(_ string, e *replica.Entry) { sums[e.Subject] += float64(e.Value[0]) })
 	for _, c := range v.Cold {
-		out = append(out, rules.SpentElsewhere{Engine: c.Engine, Work: sums[uint64(c.Engine)]})
+		out = append(out, rules.PeerSlowStartUsage{Engine: c.Engine, Work: sums[uint64(c.Engine)]})
 	}
 	return out
 }
--- a/internal/gossip/hearsay_test.go
+++ b/internal/gossip/hearsay_test.go
@@ -119,8 +119,8 @@
 // One that has just started learns classes from others, once; one that lies moves little; own samples go first; later nothing is taken.
 func TestTaughtOnce(t *testing.T) {
 	p := newPair(5)
-	v := View{Learned: make([]rules.Learned, 2)}
-	v.Learned[1].Weight = 20 // our own
+	v := View{Learned: make([]rules.ClassEstimate, 2)}
+	v.Learned[1].SampleWeight = 20 // our own
 	for i := range 5 {
 		ratio := float32(1.5)
 		if i == 4 {
@@ -133,7 +133,7 @@
 	if len(w.Lessons) != 1 {
 		t.Fatalf("%d lessons", len(w.Lessons))
 	}
-	if l := w.Lessons[0].(rules.Taught); l.Class != 0 || l.Ratio < 1.4 || l.Ratio > 1.6 || l.Usual != 5000 {
+	if l := w.Lessons[0].(rules.PeerEstimate); l.Class != 0 || l.CostRatio < 1.4 || l.CostRatio > 1.6 || l.MeanWork != 5000 {
 		t.Errorf("%+v", l)
 	}
 	late := newPair(2)
@@ -152,8 +152,8 @@
 	for i := range 3 {
 		p.say(start, i, replica.ColdSpend, 7, float32(i+1)*1000)
 	}
-	w := p.Weigh(start, View{Cold: []rules.ColdSent{{Engine: 7}, {Engine: 8}}})
-	want := []rules.Event{rules.SpentElsewhere{Engine: 7, Work: 6000}, rules.SpentElsewhere{Engine: 8}}
+	w := p.Weigh(start, View{Cold: []rules.SlowStartUsage{{Engine: 7}, {Engine: 8}}})
+	want := []rules.Event{rules.PeerSlowStartUsage{Engine: 7, Work: 6000}, rules.PeerSlowStartUsage{Engine: 8}}
 	if fmt.Sprint(w.Lessons) != fmt.Sprint(want) {
 		t.Errorf("%v, want %v", w.Lessons, want)
 	}
@@ -165,7 +165,7 @@
 	v := engines(1, 2)
 	v.Engines[0].LeftOut = true
 	v.Zones = []zones.Status{{State: zones.Present}, {State: zones.Lost}}
-	v.Learned = []rules.Learned{{Ratio: 2, Usual: 100, Weight: 5}, {Ratio: 2, Usual: 100, Weight: 0.5}}
+	v.Learned = []rules.ClassEstimate{{CostRatio: 2, MeanWork: 100, SampleWeight: 5}, {CostRatio: 2, MeanWork: 100, SampleWeight: 0.5}}
 	p.Tell(start, v)
 	v.Engines[0].LeftOut = false
 	p.Tell(start+second, v)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -104,7 +104,7 @@
 	ColdSent   float64 // work that we alone have sent it within the window, this included
 	ColdBudget float64 // what it bears from all within that; 0: it is warm
 	Class      *rules.Class
-	Duties     *rules.Duties
+	Duties     *rules.Constraints
 	Limits     *rules.Limits
 	Past       []Past // earlier attempts
 }
@@ -114,7 +114,7 @@
 	f.add(s.Answered, SendAfterEnd)
 	f.add(s.Now >= s.Due+Slack || s.Deadline > s.Due+DeadlineSlack, SendAfterDeadline)
 	f.add(s.State != rules.EngineServing && s.Now > s.Told+s.Duties.DrainGrace+Slack, SendToDrained)
-	f.add(!allowed(s.Class.Zones, s.Zone) || !allowed(s.Class.Kinds, s.Kind), SendMisplaced)
+	f.add(!allowed(s.Class.AllowedZones, s.Zone) || !allowed(s.Class.AllowedKinds, s.Kind), SendMisplaced)
 	f.add(s.ColdBudget > 0 && s.ColdSent > s.ColdBudget, SendOverBudget)
 	if len(s.Past) == 0 {
 		return f
@@ -123,12 +123,12 @@
 	parallel, unsafe, outside := false, false, false
 	for i := range s.Past {
 		p := &s.Past[i]
-		parallel = parallel || p.Sent && !p.Ended && !s.Limits.ParallelTries
+		parallel = parallel || p.Sent && !p.Ended && !s.Limits.HedgedRequests
 		if !p.MayHaveRun() {
 			continue
 		}
-		unsafe = unsafe || s.Class.Effect == rules.EffectUnsafe
-		outside = outside || s.Class.Effect == rules.EffectKeyed && (s.Now >= p.At+s.Class.DedupWindow+Slack || !s.sameGroup(p))
+		unsafe = unsafe || s.Class.Idempotency == rules.NotIdempotent
+		outside = outside || s.Class.Idempotency == rules.IdempotentWithKey && (s.Now >= p.At+s.Class.DedupWindow+Slack || !s.sameGroup(p))
 	}
 	f.add(parallel, SendParallel)
 	f.add(unsafe, RepeatUnsafe)
@@ -137,10 +137,10 @@
 }
 
 func (s *Send) sameGroup(p *Past) bool {
-	switch s.Class.Group {
-	case rules.GroupZone:
+	switch s.Class.DedupScope {
+	case rules.DedupZone:
 		return p.Zone == s.Zone
-	case rules.GroupCell:
+	case rules.DedupCell:
 		return p.Cell == s.Cell
 	}
 	return true
@@ -176,7 +176,7 @@
 func (a *Answer) Check() (f Found) {
 	f.add(a.Answered, AnswerTwice)
 	f.add(a.Now > a.Due+lateSlack, AnswerLate)
-	harmless := a.Class.Effect == rules.EffectSafe || a.Class.Effect == rules.EffectKeyed && a.Class.Group == rules.GroupAll
+	harmless := a.Class.Idempotency == rules.Idempotent || a.Class.Idempotency == rules.IdempotentWithKey && a.Class.DedupScope == rules.DedupFleet
 	mayHaveRun := false
 	for i := range a.Past {
 		mayHaveRun = mayHaveRun || a.Past[i].MayHaveRun()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -12,7 +12,7 @@
 // good is a send that breaks nothing.
 func good() Send {
 	return Send{Now: now, Deadline: now + rules.Second, Due: now + rules.Second, Told: now - 10*rules.Second, ColdSent: 1, ColdBudget: 2,
-		Class: &rules.Class{}, Duties: &rules.Duties{DrainGrace: rules.Second}, Limits: &rules.Limits{MaxAttempts: 3}}
+		Class: &rules.Class{}, Duties: &rules.Constraints{DrainGrace: rules.Second}, Limits: &rules.Limits{MaxAttempts: 3}}
 }
 
 // Each invariant is found by itself, and nothing where nothing is broken.
@@ -30,32 +30,32 @@
 		"drained":               {func(s *Send) { s.State = rules.EngineDraining }, []Invariant{SendToDrained}},
 		"drained just now":      {func(s *Send) { s.State, s.Told = rules.EngineDraining, now-rules.Second }, nil},
 		"gone":                  {func(s *Send) { s.State = rules.EngineGone }, []Invariant{SendToDrained}},
-		"zone":                  {func(s *Send) { s.Class.Zones = []int{1} }, []Invariant{SendMisplaced}},
-		"kind":                  {func(s *Send) { s.Class.Kinds = []int{} }, []Invariant{SendMisplaced}},
+		"zone":                  {func(s *Send) { s.Class.AllowedZones = []int{1} }, []Invariant{SendMisplaced}},
+		"kind":                  {func(s *Send) { s.Class.AllowedKinds = []int{} }, []Invariant{SendMisplaced}},
 		"cold":                  {func(s *Send) { s.ColdSent = 2.1 }, []Invariant{SendOverBudget}},
 		"warm":                  {func(s *Send) { s.ColdSent, s.ColdBudget = 9, 0 }, nil},
 		"safe again":            {func(s *Send) { s.Past = []Past{ran} }, nil},
-		"unsafe again":          {func(s *Send) { s.Past, s.Class.Effect = []Past{ran}, rules.EffectUnsafe }, []Invariant{RepeatUnsafe}},
-		"unsafe that never ran": {func(s *Send) { s.Past, s.Class.Effect = []Past{never}, rules.EffectUnsafe }, nil},
-		"unsafe never written":  {func(s *Send) { s.Past, s.Class.Effect = []Past{{At: now}}, rules.EffectUnsafe }, nil},
+		"unsafe again":          {func(s *Send) { s.Past, s.Class.Idempotency = []Past{ran}, rules.NotIdempotent }, []Invariant{RepeatUnsafe}},
+		"unsafe that never ran": {func(s *Send) { s.Past, s.Class.Idempotency = []Past{never}, rules.NotIdempotent }, nil},
+		"unsafe never written":  {func(s *Send) { s.Past, s.Class.Idempotency = []Past{{At: now}}, rules.NotIdempotent }, nil},
 		"in flight":             {func(s *Send) { s.Past = []Past{{At: now, Sent: true}} }, []Invariant{SendParallel}},
-		"in flight, allowed":    {func(s *Send) { s.Past, s.Limits.ParallelTries = []Past{{At: now, Sent: true}}, true }, nil},
+		"in flight, allowed":    {func(s *Send) { s.Past, s.Limits.HedgedRequests = []Past{{At: now, Sent: true}}, true }, nil},
 		"too many":              {func(s *Send) { s.Past = []Past{ran, ran, ran} }, []Invariant{RepeatOverLimit}},
 		"keyed behind its window": {func(s *Send) {
-			s.Past, s.Class.Effect = []Past{ran}, rules.EffectKeyed
+			s.Past, s.Class.Idempotency = []Past{ran}, rules.IdempotentWithKey
 			s.Class.DedupWindow = rules.Second / 2
 		},
 			[]Invariant{RepeatOutside}},
 		"keyed in its window": {func(s *Send) {
-			s.Past, s.Class.Effect = []Past{ran}, rules.EffectKeyed
+			s.Past, s.Class.Idempotency = []Past{ran}, rules.IdempotentWithKey
 			s.Class.DedupWindow = 2 * rules.Second
 		}, nil},
 		"keyed in another zone": {func(s *Send) {
-			s.Past, s.Class.Effect, s.Class.Group, s.Zone = []Past{ran}, rules.EffectKeyed, rules.GroupZone, 1
+			s.Past, s.Class.Idempotency, s.Class.DedupScope, s.Zone = []Past{ran}, rules.IdempotentWithKey, rules.DedupZone, 1
 			s.Class.DedupWindow = 2 * rules.Second
 		}, []Invariant{RepeatOutside}},
 		"keyed in another cell": {func(s *Send) {
-			s.Past, s.Class.Effect, s.Class.Group, s.Cell = []Past{ran}, rules.EffectKeyed, rules.GroupCell, 1
+			s.Past, s.Class.Idempotency, s.Class.DedupScope, s.Cell = []Past{ran}, rules.IdempotentWithKey, rules.DedupCell, 1
 			s.Class.DedupWindow = 2 * rules.Second
 		}, []Invariant{RepeatOutside}},
 	} {
@@ -65,7 +65,7 @@
 			t.Errorf("%s: got %v, want %v", name, f.All(), c.want)
 		}
 	}
-	unsafe := &rules.Class{Effect: rules.EffectUnsafe}
+	unsafe := &rules.Class{Idempotency: rules.NotIdempotent}
 	for name, c := range map[string]struct {
 		answer Answer
 		want   []Invariant
@@ -76,7 +76,7 @@
 		"may have run":  {Answer{Now: now, Due: now, Class: unsafe, Refusal: true, Past: []Past{never, ran}}, []Invariant{RefusedMayHaveRun}},
 		"never ran":     {Answer{Now: now, Due: now, Class: unsafe, Refusal: true, Past: []Past{never}}, nil},
 		"safe and ran":  {Answer{Now: now, Due: now, Class: &rules.Class{}, Refusal: true, Past: []Past{ran}}, nil},
-		"keyed and ran": {Answer{Now: now, Due: now, Class: &rules.Class{Effect: rules.EffectKeyed, Group: rules.GroupZone}, Refusal: true, Past: []Past{ran}}, []Invariant{RefusedMayHaveRun}},
+		"keyed and ran": {Answer{Now: now, Due: now, Class: &rules.Class{Idempotency: rules.IdempotentWithKey, DedupScope: rules.DedupZone}, Refusal: true, Past: []Past{ran}}, []Invariant{RefusedMayHaveRun}},
 	} {
 		if f := c.answer.Check(); !slices.Equal(f.All(), c.want) {
 			t.Errorf("answer %s: got %v, want %v", name, f.All(), c.want)
--- a/internal/measure/fair.go
+++ b/internal/measure/fair.go
@@ -317,7 +317,7 @@
 // sent, what it took and its end.
 func doorCost() (ns, allocs float64) {
 	const known, rounds = 100_000, 400_000
-	d := admission.New(trusting(), modelSizes(), []rules.Class{{Aim: 500 * rules.Millisecond, GiveUp: modelPatience, LateValue: 0.1, Threads: 1}}, nil, 11)
+	d := admission.New(trusting(), modelSizes(), []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelPatience, LateValue: 0.1, Threads: 1}}, nil, 11)
 	now := rules.Second
 	names := make([]string, known)
 	for i := range names {
--- a/internal/measure/model.go
+++ b/internal/measure/model.go
@@ -70,7 +70,7 @@
 const modelPatience = 5 * rules.Second
 
 func newModel(set admission.Settings, sizes admission.Sizes, cores int) *model {
-	classes := []rules.Class{{Aim: 500 * rules.Millisecond, GiveUp: modelPatience, LateValue: 0.1, Threads: 1}}
+	classes := []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelPatience, LateValue: 0.1, Threads: 1}}
 	m := &model{d: admission.New(set, sizes, classes, nil, 11), now: rules.Second, cores: cores, slower: 1,
 		asks: make([]*modelAsk, sizes.Asks), conns: make([]*modelConn, sizes.Conns)}
 	for i := range sizes.Asks {
--- a/internal/measure/sites.go
+++ b/internal/measure/sites.go
@@ -213,7 +213,7 @@
 func (s siteRun) worth() float64 { return s.share }
 
 func coldSeconds() float64 {
-	return float64(emulator.Warehouse(1, 1, 1, 1).Settings.Duties.ColdFor) / float64(rules.Second)
+	return float64(emulator.Warehouse(1, 1, 1, 1).Settings.Constraints.SlowStartPeriod) / float64(rules.Second)
 }
 
 func (sc siteScene) play(plan bool, static *float64, seed uint64) siteRun {
@@ -222,7 +222,7 @@
 	if sc.spread != nil {
 		s.Zones = slices.Max(sc.spread) + 1
 	}
-	s.Settings.Fees.CrossZone = 0.05
+	s.Settings.Penalties.CrossZone = 0.05
 	set := zones.Defaults()
 	if sc.set != nil {
 		sc.set(&set)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -157,53 +157,53 @@
 		return s, errors.New("settings: no classes")
 	}
 	s = rules.Settings{
-		Siblings:       max(w.Siblings, 1),
-		Me:             w.Me,
-		Zone:           w.Zone,
-		Tick:           rules.Time(w.Tick),
-		AskMembership:  w.MembershipMode == "ask",
-		OverShareWorth: w.OverShareWorth,
-		MostGrant:      w.Extra.MostGrant,
-		TakesGrants:    w.Extra.TakesGrants,
-		TakesPriority:  w.Extra.RanksHeeded,
-		TellsCost:      w.Extra.TellsCost,
-		MarksRetry:     w.Clients.MarksRetry,
-		ReportFields:   w.Report.Fields,
-		ScaleIsSize:    w.WeightSource == "nominal" || w.WeightSource == "rough",
+		Gateways:         max(w.Siblings, 1),
+		GatewayIndex:     w.Me,
+		Zone:             w.Zone,
+		Tick:             rules.Time(w.Tick),
+		PullMembership:   w.MembershipMode == "ask",
+		OverQuotaWeight:  w.OverShareWorth,
+		MaxGrantFraction: w.Extra.MostGrant,
+		AcceptsGrants:    w.Extra.TakesGrants,
+		AcceptsPriority:  w.Extra.RanksHeeded,
+		ReportsCost:      w.Extra.TellsCost,
+		MarksRetries:     w.Clients.MarksRetry,
+		LoadReportFields: w.Report.Fields,
+		ScaleIsCapacity:  w.WeightSource == "nominal" || w.WeightSource == "rough",
 		Limits: rules.Limits{
-			MaxAttempts:    w.Limits.MaxAttempts,
-			MaxOpen:        w.Limits.MaxOpen,
-			ParallelTries:  w.Limits.ParallelTries,
-			Cancel:         w.Limits.Cancel,
-			Probes:         w.Limits.Probes,
-			PeerMessages:   w.Limits.PeerMessages,
-			RetryAfter:     w.Limits.RetryAfter,
-			MaxRetryAfter:  rules.Time(w.Limits.MaxRetryAfter),
-			ConnectTimeout: rules.Time(w.Limits.ConnectTimeout),
+			MaxAttempts:     w.Limits.MaxAttempts,
+			MaxOpenRequests: w.Limits.MaxOpen,
+			HedgedRequests:  w.Limits.ParallelTries,
+			Cancel:          w.Limits.Cancel,
+			Probes:          w.Limits.Probes,
+			PeerMessages:    w.Limits.PeerMessages,
+			RetryAfter:      w.Limits.RetryAfter,
+			MaxRetryAfter:   rules.Time(w.Limits.MaxRetryAfter),
+			ConnectTimeout:  rules.Time(w.Limits.ConnectTimeout),
 		},
-		Duties: rules.Duties{
-			AnswerSlack:    rules.Time(w.Rules.AnswerSlack),
-			DrainGrace:     rules.Time(w.Rules.StopSendingWithin),
-			AskEvery:       rules.Time(w.Rules.AskEvery),
-			ColdFrom:       w.Rules.ColdFrom,
-			ColdFor:        rules.Time(w.Rules.Cold),
-			OverloadFactor: w.Rules.OverloadFactor,
-			TipAfter:       rules.Time(w.Rules.TipAfter),
-			KeyRest:        rules.Time(w.Rules.KeyRest),
-			RationWindow:   rules.Time(w.Rules.LookBack),
+		Constraints: rules.Constraints{
+			DeadlineSlack:         rules.Time(w.Rules.AnswerSlack),
+			DrainGrace:            rules.Time(w.Rules.StopSendingWithin),
+			PollInterval:          rules.Time(w.Rules.AskEvery),
+			SlowStartInitialSpeed: w.Rules.ColdFrom,
+			SlowStartPeriod:       rules.Time(w.Rules.Cold),
+			OverloadFactor:        w.Rules.OverloadFactor,
+			OverloadWindow:        rules.Time(w.Rules.TipAfter),
+			KeyQuarantine:         rules.Time(w.Rules.KeyRest),
+			RetryBudgetWindow:     rules.Time(w.Rules.LookBack),
 		},
-		Fees: rules.Fees{
-			CrossZone: w.Fees.CrossZone, Waste: w.Fees.Waste, Probe: w.Fees.Probe,
-			Peer: w.Fees.Peer, LateFail: w.Fees.LateFail,
+		Penalties: rules.Penalties{
+			CrossZone: w.Fees.CrossZone, WastedWork: w.Fees.Waste, Probe: w.Fees.Probe,
+			PeerMessage: w.Fees.Peer, LateFailure: w.Fees.LateFail,
 		},
 	}
 	if w.Rules.ExtraPerRequest != nil || w.Rules.FreeResends != nil {
-		s.Duties.Rationed = true
+		s.Constraints.RetryBudgetEnabled = true
 		if w.Rules.ExtraPerRequest != nil {
-			s.Duties.ExtraPerTaken = *w.Rules.ExtraPerRequest
+			s.Constraints.RetryBudgetRatio = *w.Rules.ExtraPerRequest
 		}
 		if w.Rules.FreeResends != nil {
-			s.Duties.FreeResends = *w.Rules.FreeResends
+			s.Constraints.RetryBudgetMin = *w.Rules.FreeResends
 		}
 	}
 	for _, f := range []struct {
@@ -226,18 +226,18 @@
 		return s, fmt.Errorf("settings: rules.coldFrom is %v, at most 1 is a part", w.Rules.ColdFrom)
 	}
 	var err error
-	if s.Report, err = choice[rules.ReportMode]("report.how", w.Report.How, "silent", "piggyback", "pull"); err != nil {
+	if s.LoadReport, err = choice[rules.LoadReportMode]("report.how", w.Report.How, "silent", "piggyback", "pull"); err != nil {
 		return s, err
 	}
-	s.WhenShort, err = choice[rules.Shortage]("extra.onShortage", w.Extra.OnShortage, "wait", "shrink", "page")
+	s.Overcommit, err = choice[rules.OvercommitMode]("extra.onShortage", w.Extra.OnShortage, "wait", "shrink", "page")
 	if err != nil {
 		return s, err
 	}
 	for _, p := range w.Parties {
-		s.Tenants = append(s.Tenants, rules.Tenant{QuotaPerS: p.QuotaPerS, Fraction: p.Fraction})
+		s.Tenants = append(s.Tenants, rules.Tenant{QuotaPerSecond: p.QuotaPerS, Fraction: p.Fraction})
 	}
 	for i := range max(len(w.MachineTypes), len(w.Extra.CPUOfKind), len(w.Extra.RAMOfKindMB)) {
-		s.Kinds = append(s.Kinds, rules.Kind{Cores: at(w.Extra.CPUOfKind, i), MemoryMB: at(w.Extra.RAMOfKindMB, i)})
+		s.Kinds = append(s.Kinds, rules.EngineKind{Cores: at(w.Extra.CPUOfKind, i), MemoryMB: at(w.Extra.RAMOfKindMB, i)})
 	}
 	for i, c := range w.Classes {
 		class, err := decodeClass(c, w, i)
@@ -251,28 +251,28 @@
 
 func decodeClass(c wireClass, w *wireInfo, i int) (rules.Class, error) {
 	class := rules.Class{
-		Aim:         rules.Time(c.Aim),
-		AimStretch:  c.AimStretch,
-		GiveUp:      rules.Time(c.GiveUp),
-		LateValue:   c.LateValue,
-		Worth:       c.Worth,
-		DedupWindow: rules.Time(c.DedupWindow),
-		Stream:      c.Stream,
-		Ordered:     c.SerialByKey,
-		Zones:       c.StaysIn,
-		Kinds:       c.MachineTypesAllowed,
-		Threads:     max(at(w.Extra.ClassThreads, i), 1),
-		IsLoad:      at(w.Extra.IsLoad, i),
-		WaitsOnLoad: at(w.Extra.YieldsToLoads, i),
+		LatencyObjective:  rules.Time(c.Aim),
+		ObjectiveStretch:  c.AimStretch,
+		ClientTimeout:     rules.Time(c.GiveUp),
+		LateValue:         c.LateValue,
+		PriorityWeight:    c.Worth,
+		DedupWindow:       rules.Time(c.DedupWindow),
+		Stream:            c.Stream,
+		Ordered:           c.SerialByKey,
+		AllowedZones:      c.StaysIn,
+		AllowedKinds:      c.MachineTypesAllowed,
+		Threads:           max(at(w.Extra.ClassThreads, i), 1),
+		IsDataLoad:        at(w.Extra.IsLoad, i),
+		BlockedByDataLoad: at(w.Extra.YieldsToLoads, i),
 	}
 	var err error
 	if c.Effect == "" { // what may not be known to be safe must not pass for it
 		return class, fmt.Errorf("class %d (%q): settings: effect is missing", i, c.Name)
 	}
-	if class.Effect, err = choice[rules.Effect]("effect", c.Effect, "pure", "token", "side_effect"); err != nil {
+	if class.Idempotency, err = choice[rules.Idempotency]("effect", c.Effect, "pure", "token", "side_effect"); err != nil {
 		return class, fmt.Errorf("class %d (%q): %w", i, c.Name, err)
 	}
-	if class.Group, err = choice[rules.Group]("group", c.Group, "all", "zone", "cell"); err != nil {
+	if class.DedupScope, err = choice[rules.DedupScope]("group", c.Group, "all", "zone", "cell"); err != nil {
 		return class, fmt.Errorf("class %d: %w", i, err)
 	}
 	for _, f := range []struct {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,10 +19,10 @@
 		[][]string{{"point", "load"}, {"a", "b"}, {"std"}, {"acme"}}) {
 		t.Errorf("names: %+v", s)
 	}
-	if s.ConnIdle != 15*rules.Second || s.Multiplex != 32 || s.Rules.Limits.MaxOpen != 7 {
+	if s.ConnIdle != 15*rules.Second || s.Multiplex != 32 || s.Rules.Limits.MaxOpenRequests != 7 {
 		t.Errorf("figures: %+v", s)
 	}
-	if c := s.Rules.Classes[1]; c.Threads != 4 || !c.IsLoad || c.Effect != rules.EffectUnsafe || c.Zones[0] != 1 {
+	if c := s.Rules.Classes[1]; c.Threads != 4 || !c.IsDataLoad || c.Idempotency != rules.NotIdempotent || c.AllowedZones[0] != 1 {
 		t.Errorf("class: %+v", c)
 	}
 }
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -70,17 +70,17 @@
 	costMemoryMB = 4
 )
 
-var verdicts = map[string]rules.Verdict{
-	"S": rules.VerdictOK, "E": rules.VerdictError, "F": rules.VerdictFull, "T": rules.VerdictTimeout,
-	"C": rules.VerdictConnectFailed, "R": rules.VerdictReset, "X": rules.VerdictCancelled, "N": rules.VerdictMoot,
+var verdicts = map[string]rules.Status{
+	"S": rules.StatusOK, "E": rules.StatusError, "F": rules.StatusRejected, "T": rules.StatusTimeout,
+	"C": rules.StatusConnectFailed, "R": rules.StatusReset, "X": rules.StatusCancelled, "N": rules.StatusSuperseded,
 }
 
 var healths = map[string]rules.EngineState{
 	"SERVING": rules.EngineServing, "DRAINING": rules.EngineDraining, "DELETED": rules.EngineGone,
 }
 
-var listModes = map[string]rules.ListMode{
-	"INCREMENTAL": rules.ListDelta, "FULL": rules.ListFull, "SAVED": rules.ListSaved, "FAILED": rules.ListFailed,
+var listModes = map[string]rules.UpdateMode{
+	"INCREMENTAL": rules.UpdateDelta, "FULL": rules.UpdateFull, "SAVED": rules.UpdateCached, "FAILED": rules.UpdateFailed,
 }
 
 func word[T any](what, word string, words map[string]T) (T, error) {
@@ -145,12 +145,12 @@
 		if err == nil && (w.Sort < 1 || w.Sort > 3) {
 			err = fmt.Errorf("sort %d is out of range", w.Sort)
 		}
-		return rules.Progress{ID: id, Attempt: w.Leg, Sort: rules.ProgressSort(w.Sort), Value: w.X}, err
+		return rules.Progress{ID: id, Attempt: w.Leg, Kind: rules.ProgressKind(w.Sort), Value: w.X}, err
 	case "Gone":
 		id, err := w.requestID()
-		return rules.Departure{ID: id}, err
+		return rules.ClientGone{ID: id}, err
 	case "Bell":
-		return rules.Alarm{Token: w.Handle}, nil
+		return rules.TimerFired{Token: w.Handle}, nil
 	case "HealthResult":
 		return w.decodeHealth()
 	case "FromPeer":
@@ -181,10 +181,10 @@
 		return nil, errors.New("a negative estimate")
 	}
 	return rules.Arrival{Request: rules.Request{
-		ID: id, Class: w.Cls, Tenant: w.Owner, OrderKey: w.OrderKey, Due: rules.Time(*w.Due),
-		Work: rules.Time(w.Estimate), HasWork: w.Bitmap&bitHint != 0 && w.Estimate > 0,
-		MemoryMB: w.FootprintMB, DataSet: int(w.Dataset),
-		Repeat: w.Bitmap&bitRepeat != 0, Write: w.Bitmap&bitWrite != 0,
+		ID: id, Class: w.Cls, Tenant: w.Owner, OrderKey: w.OrderKey, Deadline: rules.Time(*w.Due),
+		EstimatedWork: rules.Time(w.Estimate), HasEstimate: w.Bitmap&bitHint != 0 && w.Estimate > 0,
+		EstimatedMemoryMB: w.FootprintMB, DataSet: int(w.Dataset),
+		IsRetry: w.Bitmap&bitRepeat != 0, IsWrite: w.Bitmap&bitWrite != 0,
 	}}, nil
 }
 
@@ -205,10 +205,10 @@
 		return nil, errors.New("a negative value")
 	}
 	return rules.Outcome{
-		ID: id, Attempt: w.Leg, Engine: engine, Verdict: verdict, Latency: rules.Time(w.Lag), Closed: w.DoneFlag,
-		TrueWork:     rules.Time(w.TrueCost/costMSFactor) * rules.Millisecond,
-		TrueMemoryMB: float64(w.TrueCost%costMSFactor) * costMemoryMB,
-		Load:         w.Pressure,
+		ID: id, Attempt: w.Leg, Engine: engine, Status: verdict, Latency: rules.Time(w.Lag), Closed: w.DoneFlag,
+		MeasuredWork:     rules.Time(w.TrueCost/costMSFactor) * rules.Millisecond,
+		MeasuredMemoryMB: float64(w.TrueCost%costMSFactor) * costMemoryMB,
+		Load:             w.Pressure,
 	}, nil
 }
 
@@ -221,5 +221,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return rules.ProbeResult{Engine: engine, Verdict: verdict, Latency: rules.Time(w.Lag), Load: w.Pressure}, nil
+	return rules.ProbeResult{Engine: engine, Status: verdict, Latency: rules.Time(w.Lag), Load: w.Pressure}, nil
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -188,13 +188,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if mode == rules.ListFailed {
-		return rules.FleetChange{Mode: mode}, nil
+	if mode == rules.UpdateFailed {
+		return rules.FleetUpdate{Mode: mode}, nil
 	}
 	if w.Sheet < 0 || w.Sheet >= listCount || !h.listSet[w.Sheet] {
 		return nil, fmt.Errorf("sheet %d was never registered", w.Sheet)
 	}
-	return rules.FleetChange{Mode: mode, Engines: h.lists[w.Sheet]}, nil
+	return rules.FleetUpdate{Mode: mode, Engines: h.lists[w.Sheet]}, nil
 }
 
 // decide hands an event to the module. A panic there is answered with a crash
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -95,7 +95,7 @@
 		if a.Timeout != 0 {
 			e.int("tryFor", int64(a.Timeout))
 		}
-	case rules.SetTerms:
+	case rules.SetAttemptOptions:
 		e.cmd("GrantAndRank")
 		e.text("xid", string(a.ID))
 		e.key("workspaceMb")
@@ -105,7 +105,7 @@
 		e.cmd("Abandon")
 		e.text("xid", string(a.ID))
 		e.int("leg", int64(a.Attempt))
-	case rules.Refuse:
+	case rules.Reject:
 		e.cmd("Busy")
 		e.text("xid", string(a.ID))
 		if a.RetryAfter > 0 {
@@ -124,7 +124,7 @@
 	case rules.CloseIdle:
 		e.cmd("DropConns")
 		e.int("engine", int64(a.Engine))
-	case rules.TellPeers:
+	case rules.Broadcast:
 		e.cmd("Signal")
 		e.text("whom", "all")
 		e.text("content", base64.StdEncoding.EncodeToString(a.Payload))
@@ -132,7 +132,7 @@
 		e.cmd("Listen")
 		e.key("active")
 		e.buf = strconv.AppendBool(e.buf, a.On)
-	case rules.FetchList:
+	case rules.FetchFleet:
 		e.cmd("GetList")
 	case rules.Log:
 		e.cmd("Remark")
--- a/internal/zones/ladder.go
+++ b/internal/zones/ladder.go
@@ -135,7 +135,7 @@
 	case a.Repeat:
 		rung = Repeats
 	case a.Class < len(z.fleet.Classes):
-		rung += Rung(WorthRung(z.fleet.Classes[a.Class].Worth, work))
+		rung += Rung(WorthRung(z.fleet.Classes[a.Class].PriorityWeight, work))
 	}
 	r := &d.rungs[rung]
 	r.asked.add(z.now, work)
@@ -153,19 +153,19 @@
 
 // overShare counts a tenant's request, and answers whether its tenant asks for more than its agreed share here.
 func (z *Zones) overShare(tenant int) bool {
-	if tenant < 0 || tenant >= len(z.demand.tenants) || z.fleet.Tenants[tenant].QuotaPerS <= 0 {
+	if tenant < 0 || tenant >= len(z.demand.tenants) || z.fleet.Tenants[tenant].QuotaPerSecond <= 0 {
 		return false
 	}
 	f := &z.demand.tenants[tenant]
 	f.add(z.now, 1)
-	part := z.fleet.Tenants[tenant].QuotaPerS * float64(demandSpan) / float64(rules.Second) / float64(z.fleet.Gateways)
+	part := z.fleet.Tenants[tenant].QuotaPerSecond * float64(demandSpan) / float64(rules.Second) / float64(z.fleet.Gateways)
 	return f.sum > part+shareChance*math.Sqrt(part)+1
 }
 
 // press takes the pressure anew, and how much is shed.
-func (z *Zones) press(s rules.Standing) {
+func (z *Zones) press(s rules.LoadSummary) {
 	d, set := &z.demand, z.set.Ladder
-	d.usual = s.Work
+	d.usual = s.MeanWork
 	if z.since != 0 && z.now-z.last > pressedFor {
 		z.since = 0
 	}
@@ -174,7 +174,7 @@
 		gap = 0
 	}
 	d.at = z.now
-	d.held += (s.Held - d.held) * -math.Expm1(-float64(gap)/float64(heldOver))
+	d.held += (s.QueuedWork - d.held) * -math.Expm1(-float64(gap)/float64(heldOver))
 	d.now = 1 + d.held/float64(heldSpan)/max(d.done.now(z.now)/float64(demandSpan), z.leastRate())
 	if !z.set.Shed {
 		d.part = 0
--- a/internal/zones/look.go
+++ b/internal/zones/look.go
@@ -49,7 +49,7 @@
 
 // Look takes what a gateway holds of all engines that serve, and where it stands itself. Without probes a lost zone is
 // tried after as long as they would have taken, on its ramp: what fails there makes it lost again, and damped.
-func (z *Zones) Look(now rules.Time, engines []EngineSight, standing rules.Standing, probes bool) (out Looked) {
+func (z *Zones) Look(now rules.Time, engines []EngineSight, standing rules.LoadSummary, probes bool) (out Looked) {
 	z.now = max(z.now, now)
 	out.Changes = z.see(z.now, z.sights(engines))
 	for _, c := range out.Changes {
--- a/internal/zones/route.go
+++ b/internal/zones/route.go
@@ -11,17 +11,17 @@
 // This file answers the decision module: in which zone a query may run, how much of a foreign zone our load may take,
 // and how many further attempts a zone may get.
 
-// Draw returns the zone from which a query's engine is to be drawn (rules.ZonePlan): by the parts of the last look, among
+// PickZone returns the zone from which a query's engine is to be drawn (rules.ZonePlan): by the parts of the last look, among
 // zones that are open and had no attempt of it. A gateway that has not looked yet, or a query that all zones with a part had,
 // is drawn from any.
-func (z *Zones) Draw(now rules.Time, drawn, work float64, tried []int) (int, bool) {
+func (z *Zones) PickZone(now rules.Time, drawn, work float64, tried []int) (int, bool) {
 	z.now = max(z.now, now)
 	total, shut := 0.0, false
 	odds := func(i int) float64 {
 		if z.split.To[i] <= 0 || slices.Contains(tried, i) {
 			return 0
 		}
-		if !z.Open(now, i, work, len(tried) > 0) {
+		if !z.Admits(now, i, work, len(tried) > 0) {
 			shut = true
 			return 0
 		}
@@ -49,9 +49,9 @@
 	return last, true
 }
 
-// Open answers whether a query may run in a zone now (rules.ZonePlan): not in one that is lost or drained while others
+// Admits answers whether a query may run in a zone now (rules.ZonePlan): not in one that is lost or drained while others
 // are believed to be well, nor over the limit of spill or the budget of retries.
-func (z *Zones) Open(now rules.Time, i int, work float64, further bool) bool {
+func (z *Zones) Admits(now rules.Time, i int, work float64, further bool) bool {
 	if i < 0 || i >= len(z.all) || len(z.split.To) == 0 {
 		return true
 	}
@@ -63,8 +63,8 @@
 	return (!further || z.retryRoom(e)) && z.spillRoom(i, work)
 }
 
-// Sent notes that a query goes to a zone (rules.ZonePlan).
-func (z *Zones) Sent(now rules.Time, i int, work float64, further bool) {
+// RecordSend notes that a query goes to a zone (rules.ZonePlan).
+func (z *Zones) RecordSend(now rules.Time, i int, work float64, further bool) {
 	if i < 0 || i >= len(z.all) {
 		return
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -228,14 +228,14 @@
 		waits := 0
 		for now := rules.Time(1); now < length; now += 100 * ms {
 			for _, z := range all {
-				z.Look(now, engines(0, 1, 1), rules.Standing{Share: 1}, true)
+				z.Look(now, engines(0, 1, 1), rules.LoadSummary{Share: 1}, true)
 				if z.own != 0 {
 					continue
 				}
 				for i := range 16 {
-					zone, ok := z.Draw(now, 0.25+0.5*float64(i%2), float64(work), nil)
+					zone, ok := z.PickZone(now, 0.25+0.5*float64(i%2), float64(work), nil)
 					if ok && zone != 0 {
-						z.Sent(now, zone, float64(work), false)
+						z.RecordSend(now, zone, float64(work), false)
 						sent[now/second] += float64(work) / float64(second)
 					} else if !ok {
 						if waits++; z.Return(now) <= 0 {
@@ -266,23 +266,23 @@
 		"a zone that is not known":  New(limits(0.01), Fleet{Zones: 2, Own: 7, Gateways: 9}, 0),
 	} {
 		for now := rules.Time(1); now < 3*second; now += 200 * ms {
-			z.Look(now, engines(1, 1)[:4*min(len(z.all), 2)], rules.Standing{Share: 1}, true)
+			z.Look(now, engines(1, 1)[:4*min(len(z.all), 2)], rules.LoadSummary{Share: 1}, true)
 			for range 50 {
-				zone, ok := z.Draw(now, 0.7, float64(second), nil)
+				zone, ok := z.PickZone(now, 0.7, float64(second), nil)
 				if !ok {
 					t.Fatalf("%s: kept waiting", name)
 				}
-				z.Sent(now, zone, float64(second), false)
+				z.RecordSend(now, zone, float64(second), false)
 			}
 		}
 	}
 	z := New(limits(0.01), Fleet{Zones: 2, Elsewhere: true, Gateways: 9}, 0)
-	z.Look(1, engines(1, 1), rules.Standing{Share: 1}, true)
+	z.Look(1, engines(1, 1), rules.LoadSummary{Share: 1}, true)
 	for range 50 {
-		if !z.Open(1, 1, float64(second), false) {
+		if !z.Admits(1, 1, float64(second), false) {
 			t.Fatal("engines of no zone are held for foreign ones")
 		}
-		z.Sent(1, 1, float64(second), false)
+		z.RecordSend(1, 1, float64(second), false)
 	}
 }
 
@@ -292,12 +292,12 @@
 	set.Retries = 0.2
 	z := New(set, Fleet{Zones: 3, Gateways: 1}, 0)
 	now, sent := rules.Time(second), 0
-	z.Look(now, engines(0, 1, 1), rules.Standing{}, false)
+	z.Look(now, engines(0, 1, 1), rules.LoadSummary{}, false)
 	for range 100 {
-		z.Sent(now, 1, float64(ms), false)
+		z.RecordSend(now, 1, float64(ms), false)
 	}
-	for z.Open(now, 1, float64(ms), true) {
-		z.Sent(now, 1, float64(ms), true)
+	for z.Admits(now, 1, float64(ms), true) {
+		z.RecordSend(now, 1, float64(ms), true)
 		if sent++; sent > 100 {
 			t.Fatal("no end of further attempts")
 		}
@@ -305,10 +305,10 @@
 	if sent != retryFree+20 {
 		t.Errorf("%d further attempts on 100 first ones", sent)
 	}
-	if !z.Open(now, 2, float64(ms), true) || !z.Open(now, 1, float64(ms), false) {
+	if !z.Admits(now, 2, float64(ms), true) || !z.Admits(now, 1, float64(ms), false) {
 		t.Error("the budget of one zone keeps another's, or first attempts, back")
 	}
-	if !z.Open(now+3*retrySpan, 1, float64(ms), true) {
+	if !z.Admits(now+3*retrySpan, 1, float64(ms), true) {
 		t.Error("the budget does not come back")
 	}
 }
@@ -317,23 +317,23 @@
 func TestOpenZones(t *testing.T) {
 	z := New(Defaults(), Fleet{Zones: 3, Gateways: 1}, 0)
 	for now := rules.Time(1); now < 2*second; now += 200 * ms {
-		z.Look(now, engines(0, 1, 1), rules.Standing{}, true)
+		z.Look(now, engines(0, 1, 1), rules.LoadSummary{}, true)
 	}
-	if z.Open(2*second, 0, 1, false) || !z.Open(2*second, 1, 1, false) {
+	if z.Admits(2*second, 0, 1, false) || !z.Admits(2*second, 1, 1, false) {
 		t.Error("the lost zone is open, or another is not")
 	}
 	for drawn := 0.0; drawn < 1; drawn += 0.05 {
-		if zone, ok := z.Draw(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
+		if zone, ok := z.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
 			t.Fatalf("after an attempt in zone 1, zone 0 lost: %d, %v", zone, ok)
 		}
 	}
-	if zone, ok := z.Draw(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
+	if zone, ok := z.PickZone(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
 		t.Errorf("all zones with a part had an attempt: %d, %v", zone, ok)
 	}
 	for now := 2 * second; now < 5*second; now += 200 * ms {
-		z.Look(now, engines(0, 0, 0), rules.Standing{}, true)
+		z.Look(now, engines(0, 0, 0), rules.LoadSummary{}, true)
 	}
-	if !z.Open(5*second, 0, 1, false) {
+	if !z.Admits(5*second, 0, 1, false) {
 		t.Error("nothing is well, and a zone is shut all the same")
 	}
 }
@@ -341,7 +341,7 @@
 // Under a standing queue the ladder sheds what earns least, as much as the queue needs to go; calm again it is left. Without the
 // block nothing is shed.
 func TestArriveUnderPressure(t *testing.T) {
-	classes := []rules.Class{{Worth: 1, Aim: second}, {Worth: 20, Aim: second}}
+	classes := []rules.Class{{PriorityWeight: 1, LatencyObjective: second}, {PriorityWeight: 20, LatencyObjective: second}}
 	const work = float64(second) / 2
 	for _, shed := range []bool{false, true} {
 		set := limits(1)
@@ -351,7 +351,7 @@
 		run := func(from, length rules.Time, load float64) (refused [2]int) {
 			due := 0.0
 			for now := from; now < from+length; now += 50 * ms {
-				z.Look(now, engines(1), rules.Standing{Share: 1, Held: held, Work: []float64{work, work}}, true)
+				z.Look(now, engines(1), rules.LoadSummary{Share: 1, QueuedWork: held, MeanWork: []float64{work, work}}, true)
 				for due += load * 100 * float64(50*ms) / work; due >= 1; due-- { // 100 cores do their work
 					if refuse, _ := z.Arrive(now, Ask{Class: int(due) % 2, Work: work}); refuse {
 						refused[int(due)%2]++
@@ -361,7 +361,7 @@
 				}
 				for did := 0.0; did < 100*float64(50*ms) && held >= work; did += work {
 					held -= work
-					z.Sent(now, 0, work, false)
+					z.RecordSend(now, 0, work, false)
 				}
 				held = min(held, 400*float64(second)) // the rest has become hopeless
 			}
@@ -384,8 +384,8 @@
 
 // A tenant that asks for more than its agreed share is shed first.
 func TestOverShareGoesFirst(t *testing.T) {
-	z := New(limits(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}},
-		Classes: []rules.Class{{Worth: 1, Aim: second}}}, 0)
+	z := New(limits(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerSecond: 20}, {QuotaPerSecond: 20}},
+		Classes: []rules.Class{{PriorityWeight: 1, LatencyObjective: second}}}, 0)
 	z.demand.rungs[OverShare].part = 1
 	refused := [2]int{}
 	for now := rules.Time(1); now < 20*second; now += 50 * ms {
@@ -408,7 +408,7 @@
 // As much is shed as must be, from the first rung up, and of the last only a part: tenants over their share, repeats, then what
 // earns least for its work.
 func TestLadderShedsInOrder(t *testing.T) {
-	z := New(limits(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{Worth: 1}, {Worth: 16}}}, 0)
+	z := New(limits(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{PriorityWeight: 1}, {PriorityWeight: 16}}}, 0)
 	light, heavy := Cheap+Rung(WorthRung(1, float64(second))), Cheap+Rung(WorthRung(16, float64(second)))
 	if heavy-light != 4*perDouble {
 		t.Fatalf("16 times the worth is %d rungs up", heavy-light)
@@ -537,7 +537,7 @@
 			for i := range list {
 				list[i].Fault = fault
 			}
-			for _, id := range z.Look(now, list, rules.Standing{}, true).Ask {
+			for _, id := range z.Look(now, list, rules.LoadSummary{}, true).Ask {
 				if id < 10 {
 					z.Answered(0, answers)
 				}
@@ -588,7 +588,7 @@
 			if r.word != 0 && now >= start+r.word {
 				list[3].Heard = start + r.word
 			}
-			for _, id := range z.Look(now, list, rules.Standing{}, true).Ask {
+			for _, id := range z.Look(now, list, rules.LoadSummary{}, true).Ask {
 				if id < 10 {
 					asked++
 					due[now+250*ms] = r.answer
@@ -624,7 +624,7 @@
 				z.Doubt(0)
 				z.Doubt(7) // no such zone
 			}
-			for _, id := range z.Look(now, engines(1, 1), rules.Standing{}, true).Ask {
+			for _, id := range z.Look(now, engines(1, 1), rules.LoadSummary{}, true).Ask {
 				if id < 10 {
 					asked++
 					z.Answered(0, answers)
--- a/rules/estimate_test.go
+++ b/rules/estimate_test.go
@@ -5,18 +5,18 @@
 // A request without an estimate, of a class that earns nothing late, is tried on engines that are idle before it is
 // judged by what was never measured.
 func TestNoEstimateIsTriedOnIdleEngines(t *testing.T) {
-	point := Class{Aim: 200 * Millisecond, GiveUp: 1500 * Millisecond, Worth: 1, Threads: 1}
-	f := site(t, plain(point), 3)
-	f.usual[0] = float64(5 * Millisecond)
+	point := Class{LatencyObjective: 200 * Millisecond, ClientTimeout: 1500 * Millisecond, PriorityWeight: 1, Threads: 1}
+	f := startModule(t, basicSettings(point), 3)
+	f.work[0] = float64(5 * Millisecond)
 	for i := range 20 {
-		id := f.ask(0, func(r *Request) { r.HasWork, r.Work = false, 0 })
+		id := f.submit(0, func(r *Request) { r.HasEstimate, r.EstimatedWork = false, 0 })
 		f.advance(10 * Millisecond)
-		if f.sent(id) == 0 {
+		if f.attempts(id) == 0 {
 			t.Fatalf("request %d is not sent though all engines are idle", i)
 		}
 		for _, o := range f.pending() {
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 		}
 	}
-	f.check("without an estimate")
+	f.verify("without an estimate")
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// plain is a site of one safe class on like engines, for tests of one thing each.
-func plain(classes ...Class) Settings {
+// basicSettings is a site of one safe class on like engines, for tests of one thing each.
+func basicSettings(classes ...Class) Settings {
 	return Settings{
-		Siblings: 1, Tick: 5 * Millisecond, Kinds: []Kind{{Cores: 8, MemoryMB: 16384}}, MostGrant: 0.4,
-		TakesGrants: true, TellsCost: true, Classes: classes,
+		Gateways: 1, Tick: 5 * Millisecond, Kinds: []EngineKind{{Cores: 8, MemoryMB: 16384}}, MaxGrantFraction: 0.4,
+		AcceptsGrants: true, ReportsCost: true, Classes: classes,
 		Limits: Limits{MaxAttempts: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: Second,
 			ConnectTimeout: 250 * Millisecond},
-		Duties: Duties{AnswerSlack: 20 * Millisecond, ColdFrom: 0.3, ColdFor: 15 * Second, OverloadFactor: 2,
-			TipAfter: 2 * Second},
+		Constraints: Constraints{DeadlineSlack: 20 * Millisecond, SlowStartInitialSpeed: 0.3, SlowStartPeriod: 15 * Second, OverloadFactor: 2,
+			OverloadWindow: 2 * Second},
 	}
 }
 
-var quick = Class{Aim: 600 * Millisecond, AimStretch: 1.5, GiveUp: 3 * Second, Worth: 1, Threads: 1}
+var interactive = Class{LatencyObjective: 600 * Millisecond, ObjectiveStretch: 1.5, ClientTimeout: 3 * Second, PriorityWeight: 1, Threads: 1}
 
 // fleetOf lists n like engines with ids from 1.
 func fleetOf(n int) (out []Engine) {
@@ -30,35 +30,35 @@
 	return out
 }
 
-// site starts a module under a referee with n engines.
-func site(t *testing.T, s Settings, n int) *referee {
-	f := newReferee(t, s, 1, 1000*Second)
+// startModule starts a module under a referee with n engines.
+func startModule(t *testing.T, s Settings, n int) *checker {
+	f := newChecker(t, s, 1, 1000*Second)
 	for c := range s.Classes {
-		f.usual[c] = float64(100 * Millisecond)
+		f.work[c] = float64(100 * Millisecond)
 	}
-	f.tell(FleetChange{Mode: ListSaved, Engines: fleetOf(n)})
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleetOf(n)})
 	return f
 }
 
-// ask hands over one request with the class's usual work, and returns its id.
-func (f *referee) ask(class int, change func(*Request)) RequestID {
-	r := Request{ID: RequestID(fmt.Sprintf("q%d", len(f.order))), Class: class, Due: f.now + 3*Second,
-		Work: Time(f.usual[class]), HasWork: true, MemoryMB: 10}
+// submit hands over one request with the class's usual work, and returns its id.
+func (f *checker) submit(class int, change func(*Request)) RequestID {
+	r := Request{ID: RequestID(fmt.Sprintf("q%d", len(f.arrivalOrder))), Class: class, Deadline: f.now + 3*Second,
+		EstimatedWork: Time(f.work[class]), HasEstimate: true, EstimatedMemoryMB: 10}
 	if change != nil {
 		change(&r)
 	}
-	f.tell(Arrival{Request: r})
+	f.handle(Arrival{Request: r})
 	return r.ID
 }
 
 // A load holds its data set on its engine; a second one there would stand still, with its memory.
 func TestLoadsOfOneDataSetKeepApart(t *testing.T) {
-	load := quick
-	load.IsLoad, load.Effect = true, EffectUnsafe
+	load := interactive
+	load.IsDataLoad, load.Idempotency = true, NotIdempotent
 	for range 20 {
-		f := site(t, plain(load), 3)
+		f := startModule(t, basicSettings(load), 3)
 		for range 3 {
-			f.ask(0, func(r *Request) { r.DataSet = 4 })
+			f.submit(0, func(r *Request) { r.DataSet = 4 })
 		}
 		seen := map[EngineID]bool{}
 		for _, o := range f.pending() {
@@ -67,34 +67,34 @@
 			}
 			seen[o.Engine] = true
 		}
-		id := f.ask(0, func(r *Request) { r.DataSet = 4 })
+		id := f.submit(0, func(r *Request) { r.DataSet = 4 })
 		if len(f.requests[id].attempts) != 0 {
 			t.Fatal("a fourth load of the data set was sent while every engine runs one")
 		}
-		f.resolve(f.pending()[0], VerdictOK)
+		f.resolve(f.pending()[0], StatusOK)
 		if len(f.requests[id].attempts) != 1 {
 			t.Fatal("the load held back was not sent when an engine got free of its data set")
 		}
 	}
 }
 
-// sent counts the attempts of a request.
-func (f *referee) sent(id RequestID) int { return len(f.requests[id].attempts) }
+// attempts counts the attempts of a request.
+func (f *checker) attempts(id RequestID) int { return len(f.requests[id].attempts) }
 
-// share is what the module takes for its part of the fleet.
-func (f *referee) share() float64 { return f.m.part() }
+// fleetFraction is what the module takes for its part of the fleet.
+func (f *checker) fleetFraction() float64 { return f.module.fleetFraction() }
 
-func (f *referee) setShare(part float64) { f.m.share = part * float64(f.s.Siblings) }
+func (f *checker) setShare(part float64) { f.module.share = part * float64(f.settings.Gateways) }
 
 // An attempt with a bad plan is cancelled and tried elsewhere; when the next is bad too and no try is
 // left, the request is ended instead of holding its engine up to the client's deadline.
 func TestOverdueAttemptIsCancelledThenEnded(t *testing.T) {
-	s := plain(quick)
+	s := basicSettings(interactive)
 	s.Limits.MaxAttempts = 2
-	f := site(t, s, 3)
-	id := f.ask(0, nil)
+	f := startModule(t, s, 3)
+	id := f.submit(0, nil)
 	cancelled := 0
-	f.logging = func(a Action) {
+	f.observe = func(a Action) {
 		if _, ok := a.(Cancel); ok {
 			cancelled++
 		}
@@ -103,48 +103,48 @@
 	if cancelled != 1 {
 		t.Fatalf("%d cancels of an attempt at four times its expected time, want 1", cancelled)
 	}
-	f.resolve(f.pending()[0], VerdictCancelled)
-	if f.sent(id) != 2 {
+	f.resolve(f.pending()[0], StatusCancelled)
+	if f.attempts(id) != 2 {
 		t.Fatal("the request was not tried again")
 	}
 	f.advance(1500 * Millisecond)
-	if r := f.requests[id]; !r.over || f.now >= r.Due {
+	if r := f.requests[id]; !r.ended || f.now >= r.Deadline {
 		t.Fatal("a request that no attempt can help was not ended before its deadline")
 	}
-	f.check("overdue")
+	f.verify("overdue")
 }
 
 // Unsafe requests are never cancelled to be sent again, however long they take.
 func TestOverdueUnsafeIsLeftAlone(t *testing.T) {
-	c := quick
-	c.Effect = EffectUnsafe
-	f := site(t, plain(c), 3)
-	f.logging = func(a Action) {
+	c := interactive
+	c.Idempotency = NotIdempotent
+	f := startModule(t, basicSettings(c), 3)
+	f.observe = func(a Action) {
 		if _, ok := a.(Cancel); ok {
 			t.Fatal("an unsafe attempt was cancelled")
 		}
 	}
-	f.ask(0, nil)
+	f.submit(0, nil)
 	f.advance(2900 * Millisecond)
 }
 
 // Short queries fill no slot that a heavy class keeps taking: each class has the same share of time.
-func TestShortClassIsNotStarvedByHeavyWorth(t *testing.T) {
-	heavy := quick
-	heavy.Worth, heavy.Threads, heavy.GiveUp = 200, 4, 20*Second
-	s := plain(quick, heavy)
-	s.Kinds = []Kind{{Cores: 4, MemoryMB: 16384}}
-	f := site(t, s, 1)
-	f.usual[1] = float64(4 * Second)
-	f.ask(0, nil)
-	f.resolve(f.pending()[0], VerdictOK)
+func TestShortClassIsNotStarvedByPriorityWeight(t *testing.T) {
+	heavy := interactive
+	heavy.PriorityWeight, heavy.Threads, heavy.ClientTimeout = 200, 4, 20*Second
+	s := basicSettings(interactive, heavy)
+	s.Kinds = []EngineKind{{Cores: 4, MemoryMB: 16384}}
+	f := startModule(t, s, 1)
+	f.work[1] = float64(4 * Second)
+	f.submit(0, nil)
+	f.resolve(f.pending()[0], StatusOK)
 	for range 40 {
-		f.ask(1, func(r *Request) { r.Due = f.now + 20*Second })
-		f.ask(0, nil)
+		f.submit(1, func(r *Request) { r.Deadline = f.now + 20*Second })
+		f.submit(0, nil)
 	}
 	short := 0
 	for range 30 {
-		f.resolve(f.pending()[0], VerdictOK)
+		f.resolve(f.pending()[0], StatusOK)
 	}
 	for _, r := range f.requests {
 		if r.Class == 0 && len(r.attempts) > 0 {
@@ -160,17 +160,17 @@
 func TestDrawFollowsInverseTime(t *testing.T) {
 	light := 0
 	for seed := range uint64(400) {
-		s := plain(quick)
-		s.Kinds = []Kind{{Cores: 0.5, MemoryMB: 16384}}
-		f := newReferee(t, s, seed, 1000*Second)
-		f.usual[0] = float64(100 * Millisecond)
-		f.tell(FleetChange{Mode: ListSaved, Engines: fleetOf(1)})
-		f.m.share = 1
-		f.ask(0, nil)
-		first := f.ask(0, func(r *Request) { r.Work = 50 * Millisecond })
-		f.ask(0, func(r *Request) { r.Work = 150 * Millisecond })
-		f.resolve(f.pending()[0], VerdictOK)
-		light += f.sent(first)
+		s := basicSettings(interactive)
+		s.Kinds = []EngineKind{{Cores: 0.5, MemoryMB: 16384}}
+		f := newChecker(t, s, seed, 1000*Second)
+		f.work[0] = float64(100 * Millisecond)
+		f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleetOf(1)})
+		f.module.share = 1
+		f.submit(0, nil)
+		first := f.submit(0, func(r *Request) { r.EstimatedWork = 50 * Millisecond })
+		f.submit(0, func(r *Request) { r.EstimatedWork = 150 * Millisecond })
+		f.resolve(f.pending()[0], StatusOK)
+		light += f.attempts(first)
 	}
 	if light < 260 || light > 340 { // three quarters of 400, and four deviations
 		t.Fatalf("the light query was drawn first %d times of 400, want about 300", light)
@@ -179,10 +179,10 @@
 
 // With two choices the less busy engine of the pair gets the query.
 func TestLessBusyOfTwo(t *testing.T) {
-	f := site(t, plain(quick), 2)
-	a := f.ask(0, func(r *Request) { r.Work = Second })
+	f := startModule(t, basicSettings(interactive), 2)
+	a := f.submit(0, func(r *Request) { r.EstimatedWork = Second })
 	for range 4 {
-		b := f.ask(0, func(r *Request) { r.Work = 10 * Millisecond })
+		b := f.submit(0, func(r *Request) { r.EstimatedWork = 10 * Millisecond })
 		if f.requests[a].attempts[0].engine.ID == f.requests[b].attempts[0].engine.ID {
 			t.Fatal("the busier of two engines was picked")
 		}
@@ -192,50 +192,50 @@
 // A slow attempt cuts our share of its engine as soon as it is slow, and a report of queries that
 // wait for memory does so with any outcome; good ones with the share used up let it grow.
 func TestShareFollowsOutcomes(t *testing.T) {
-	s := plain(quick)
-	s.Siblings = 4
-	f := site(t, s, 1)
+	s := basicSettings(interactive)
+	s.Gateways = 4
+	f := startModule(t, s, 1)
 	f.setShare(1)
-	f.ask(0, nil)
+	f.submit(0, nil)
 	f.advance(400 * Millisecond)
-	if f.share() >= 1 {
+	if f.fleetFraction() >= 1 {
 		t.Fatal("an attempt at four times its run time did not count before its outcome")
 	}
-	before := f.share()
+	before := f.fleetFraction()
 	o := f.pending()[0]
-	f.ask(0, nil)
+	f.submit(0, nil)
 	o = f.pending()[1]
 	o.Latency, o.Load = 90*Millisecond, map[string]float64{"queue": 2}
-	f.resolve(o, VerdictOK)
-	if f.share() >= before {
+	f.resolve(o, StatusOK)
+	if f.fleetFraction() >= before {
 		t.Fatal("queries that wait for memory did not cut the share")
 	}
 	f.setShare(0.25)
 	for range 20 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 	}
 	for _, o := range f.pending() {
 		o.Latency = 90 * Millisecond
-		f.resolve(o, VerdictOK)
+		f.resolve(o, StatusOK)
 	}
-	if f.share() <= 0.25 {
+	if f.fleetFraction() <= 0.25 {
 		t.Fatal("the share did not grow though outcomes were good and it was used up")
 	}
 }
 
 // An engine that fails fast looks idle; it gets a trickle only, and the others the rest.
-func TestErrorSinkGetsATrickle(t *testing.T) {
-	f := site(t, plain(quick), 4)
+func TestFailingEngineGetsProbesOnly(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 4)
 	sink := 0
 	for range 300 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		for len(f.pending()) > 0 {
 			o := f.pending()[0]
 			if o.Engine == 1 {
 				sink++
-				f.resolve(o, VerdictError)
+				f.resolve(o, StatusError)
 			} else {
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			}
 		}
 		f.advance(10 * Millisecond)
@@ -243,18 +243,18 @@
 	if sink == 0 || sink > 20 {
 		t.Fatalf("the failing engine got %d of 300 requests", sink)
 	}
-	f.check("error sink")
+	f.verify("error sink")
 }
 
 // When all fail the cause is shared: requests are not piled on one engine nor all held back.
 func TestSharedFaultKeepsAllEngines(t *testing.T) {
-	f := site(t, plain(quick), 4)
+	f := startModule(t, basicSettings(interactive), 4)
 	got := map[EngineID]int{}
 	for range 200 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		for p := f.pending(); len(p) > 0; p = f.pending() {
 			got[p[0].Engine]++
-			f.resolve(p[0], VerdictError)
+			f.resolve(p[0], StatusError)
 		}
 	}
 	for id := EngineID(1); id <= 4; id++ {
@@ -265,17 +265,17 @@
 }
 
 // A request does not go where it would come back late while another engine is quick enough.
-func TestSlowEngineIsLeftOut(t *testing.T) {
-	f := site(t, plain(quick), 3)
+func TestSlowEngineIsAvoided(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 3)
 	slow := 0
 	for range 200 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		o := f.pending()[0]
 		if o.Latency = 90 * Millisecond; o.Engine == 2 {
 			o.Latency = 1500 * Millisecond
 			slow++
 		}
-		f.resolve(o, VerdictOK)
+		f.resolve(o, StatusOK)
 		f.advance(20 * Millisecond)
 	}
 	if slow == 0 || slow > 30 {
@@ -285,21 +285,21 @@
 
 // A cold engine's spent budget outlives its absence from the list, and a gateway that has just
 // started sends it nothing for a window.
-func TestColdBudget(t *testing.T) {
-	s := plain(quick)
-	f := newReferee(t, s, 1, 1000*Second)
-	f.usual[0] = float64(100 * Millisecond)
+func TestSlowStartBudget(t *testing.T) {
+	s := basicSettings(interactive)
+	f := newChecker(t, s, 1, 1000*Second)
+	f.work[0] = float64(100 * Millisecond)
 	cold := []Engine{{ID: 1, StartedAt: f.now}}
-	f.tell(FleetChange{Mode: ListSaved, Engines: cold})
-	if id := f.ask(0, nil); f.sent(id) != 0 {
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: cold})
+	if id := f.submit(0, nil); f.attempts(id) != 0 {
 		t.Fatal("sent to a cold engine by a gateway that just started")
 	}
 	f.advance(2500 * Millisecond)
 	send := func() (n int) {
 		for range 200 {
-			n += f.sent(f.ask(0, nil))
+			n += f.attempts(f.submit(0, nil))
 			for _, o := range f.pending() {
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			}
 		}
 		return n
@@ -307,47 +307,47 @@
 	if n := send(); n == 0 || n == 200 {
 		t.Fatalf("%d of 200 sent to a cold engine at once", n)
 	}
-	f.tell(FleetChange{Mode: ListFull})
-	f.tell(FleetChange{Mode: ListFull, Engines: cold})
+	f.handle(FleetUpdate{Mode: UpdateFull})
+	f.handle(FleetUpdate{Mode: UpdateFull, Engines: cold})
 	if n := send(); n != 0 {
 		t.Fatalf("%d sent after the engine left the list and came back", n)
 	}
-	f.check("cold")
+	f.verify("cold")
 }
 
 // A request that is late and would earn nothing is answered at once, not held to its deadline.
-func TestWorthlessIsRefusedEarly(t *testing.T) {
-	f := site(t, plain(quick), 0)
-	id := f.ask(0, nil)
+func TestWorthlessIsRejectedEarly(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 0)
+	id := f.submit(0, nil)
 	f.advance(800 * Millisecond)
-	if !f.requests[id].over {
+	if !f.requests[id].ended {
 		t.Fatal("a request that can earn nothing any more is still held")
 	}
-	late := quick
+	late := interactive
 	late.LateValue = 0.5
-	f = site(t, plain(late), 0)
-	id = f.ask(0, nil)
+	f = startModule(t, basicSettings(late), 0)
+	id = f.submit(0, nil)
 	f.advance(800 * Millisecond)
-	if f.requests[id].over {
+	if f.requests[id].ended {
 		t.Fatal("a request that still earns half was given up")
 	}
 	f.advance(2200 * Millisecond)
-	f.check("early refusal")
+	f.verify("early refusal")
 }
 
 // A failed list keeps the last one and is asked for again, where asking is needed.
 func TestFailedListKeepsTheLast(t *testing.T) {
-	s := plain(quick)
-	s.AskMembership = true
-	f := site(t, s, 1)
+	s := basicSettings(interactive)
+	s.PullMembership = true
+	f := startModule(t, s, 1)
 	asked := 0
-	f.logging = func(a Action) {
+	f.observe = func(a Action) {
 		if a, ok := a.(Subscribe); ok && a.On {
 			asked++
 		}
 	}
-	f.tell(FleetChange{Mode: ListFailed})
-	if id := f.ask(0, nil); f.sent(id) != 1 {
+	f.handle(FleetUpdate{Mode: UpdateFailed})
+	if id := f.submit(0, nil); f.attempts(id) != 1 {
 		t.Fatal("a failed list lost the engines")
 	}
 	f.advance(2 * Second)
@@ -359,12 +359,12 @@
 // The same events and seed give the same actions.
 func TestDeterministic(t *testing.T) {
 	run := func() (log []string) {
-		f := site(t, plain(quick, quick), 5)
-		f.logging = func(a Action) { log = append(log, fmt.Sprintf("%T%v", a, a)) }
+		f := startModule(t, basicSettings(interactive, interactive), 5)
+		f.observe = func(a Action) { log = append(log, fmt.Sprintf("%T%v", a, a)) }
 		for i := range 300 {
-			f.ask(i%2, nil)
+			f.submit(i%2, nil)
 			if i%3 > 0 {
-				f.resolve(f.pending()[0], VerdictOK)
+				f.resolve(f.pending()[0], StatusOK)
 			}
 			f.advance(5 * Millisecond)
 		}
@@ -378,68 +378,68 @@
 
 // A wide query gets its turn though narrow ones take every single thread that falls free.
 func TestWideQueriesAreNotShutOut(t *testing.T) {
-	wide := quick
-	wide.Threads, wide.Aim, wide.GiveUp = 4, 10*Second, 20*Second
-	s := plain(quick, wide)
-	s.Kinds = []Kind{{Cores: 4, MemoryMB: 16384}}
-	f := site(t, s, 2)
+	wide := interactive
+	wide.Threads, wide.LatencyObjective, wide.ClientTimeout = 4, 10*Second, 20*Second
+	s := basicSettings(interactive, wide)
+	s.Kinds = []EngineKind{{Cores: 4, MemoryMB: 16384}}
+	f := startModule(t, s, 2)
 	sent := 0
 	for range 200 {
-		f.ask(0, func(r *Request) { r.Due = f.now + 20*Second })
-		f.ask(0, func(r *Request) { r.Due = f.now + 20*Second })
-		id := f.ask(1, func(r *Request) { r.Due = f.now + 20*Second })
+		f.submit(0, func(r *Request) { r.Deadline = f.now + 20*Second })
+		f.submit(0, func(r *Request) { r.Deadline = f.now + 20*Second })
+		id := f.submit(1, func(r *Request) { r.Deadline = f.now + 20*Second })
 		for range 3 {
-			f.resolve(f.pending()[0], VerdictOK)
+			f.resolve(f.pending()[0], StatusOK)
 		}
-		sent += f.sent(id)
+		sent += f.attempts(id)
 	}
 	if sent < 20 {
 		t.Fatalf("%d of 200 wide queries were sent", sent)
 	}
-	f = site(t, s, 1) // six threads in all: four run, and half of the next four fit
-	f.ask(1, nil)
-	if id := f.ask(1, nil); f.sent(id) != 1 {
+	f = startModule(t, s, 1) // six threads in all: four run, and half of the next four fit
+	f.submit(1, nil)
+	if id := f.submit(1, nil); f.attempts(id) != 1 {
 		t.Fatal("a wide query was held though half of it fits")
 	}
 }
 
 // Memory is granted only up to our share of an engine, but one query may always run there.
 func TestMemoryGate(t *testing.T) {
-	s := plain(quick)
-	f := site(t, s, 1)
-	big := func(r *Request) { r.MemoryMB = 6000 }
-	if id := f.ask(0, big); f.sent(id) != 1 {
+	s := basicSettings(interactive)
+	f := startModule(t, s, 1)
+	big := func(r *Request) { r.EstimatedMemoryMB = 6000 }
+	if id := f.submit(0, big); f.attempts(id) != 1 {
 		t.Fatal("the first query was held")
 	}
-	f.ask(0, big)
-	if id := f.ask(0, big); f.sent(id) != 0 {
+	f.submit(0, big)
+	if id := f.submit(0, big); f.attempts(id) != 0 {
 		t.Fatal("three queries of two fifths of the memory were sent to one engine")
 	}
 	for len(f.pending()) > 0 {
-		f.resolve(f.pending()[0], VerdictOK)
+		f.resolve(f.pending()[0], StatusOK)
 	}
-	if f.sends != 3 {
+	if f.sendCount != 3 {
 		t.Fatal("the held query was not sent when memory fell free")
 	}
 }
 
 // The class that earns most for its work gets the high priority where priorities are heeded.
-func TestPriorityFollowsWorthOverWork(t *testing.T) {
-	heavy := quick
-	heavy.Worth = 5
-	s := plain(quick, heavy)
-	s.TakesPriority = true
-	f := site(t, s, 4)
-	f.usual[1] = float64(Second)
+func TestPriorityFollowsWeightOverWork(t *testing.T) {
+	heavy := interactive
+	heavy.PriorityWeight = 5
+	s := basicSettings(interactive, heavy)
+	s.AcceptsPriority = true
+	f := startModule(t, s, 4)
+	f.work[1] = float64(Second)
 	got := map[int]int{}
-	f.logging = func(a Action) {
-		if a, ok := a.(SetTerms); ok {
+	f.observe = func(a Action) {
+		if a, ok := a.(SetAttemptOptions); ok {
 			got[f.requests[a.ID].Class] = a.Priority
 		}
 	}
 	for range 3 {
-		f.ask(1, nil)
-		f.ask(0, nil)
+		f.submit(1, nil)
+		f.submit(0, nil)
 	}
 	if got[0] != 3 || got[1] != 1 {
 		t.Fatalf("priorities by class: %v", got)
@@ -448,33 +448,33 @@
 
 // A request that can't be sent, here a retry without ration, must not block its class.
 func TestBlockedRequestsDoNotBlockTheirClass(t *testing.T) {
-	s := plain(quick)
-	s.Duties.Rationed, s.Duties.RationWindow = true, 10*Second
-	f := site(t, s, 2)
-	retry := f.ask(0, func(r *Request) { r.Work = 10 * Millisecond })
-	f.resolve(f.pending()[0], VerdictConnectFailed)
-	if f.sent(retry) != 1 || f.requests[retry].over {
+	s := basicSettings(interactive)
+	s.Constraints.RetryBudgetEnabled, s.Constraints.RetryBudgetWindow = true, 10*Second
+	f := startModule(t, s, 2)
+	retry := f.submit(0, func(r *Request) { r.EstimatedWork = 10 * Millisecond })
+	f.resolve(f.pending()[0], StatusConnectFailed)
+	if f.attempts(retry) != 1 || f.requests[retry].ended {
 		t.Fatal("the retry was not held for its ration")
 	}
 	for range 100 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		for _, o := range f.pending() {
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 		}
 		f.advance(5 * Millisecond)
 	}
-	if f.sends < 85 {
-		t.Fatalf("%d of 100 requests sent beside one that waits for its ration", f.sends-1)
+	if f.sendCount < 85 {
+		t.Fatalf("%d of 100 requests sent beside one that waits for its ration", f.sendCount-1)
 	}
 }
 
 // A request that would be late on a slow engine waits for a quick one, though the slow one has room.
 func TestWaitsForAnEngineInTime(t *testing.T) {
-	f := site(t, plain(quick), 2)
-	f.m.byID[1].drags[0].log = 3
+	f := startModule(t, basicSettings(interactive), 2)
+	f.module.engineByID[1].slowdowns[0].log = 3
 	for range 20 {
 		for range 3 {
-			f.ask(0, nil)
+			f.submit(0, nil)
 		}
 		n := 0
 		for _, o := range f.pending() {
@@ -487,7 +487,7 @@
 		}
 		for _, o := range f.pending() {
 			if o.Engine == 2 {
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			}
 		}
 	}
@@ -496,11 +496,11 @@
 // With hundreds of gateways one query on every engine from each would add up to many times what the
 // engines run well: all that is ours together stays near our part of the fleet.
 func TestFleetBoundHoldsWhereEveryEngineIsFree(t *testing.T) {
-	s := plain(quick)
-	s.Siblings = 100
-	f := site(t, s, 40) // our part: 1.5 threads a core of 3.2 cores
+	s := basicSettings(interactive)
+	s.Gateways = 100
+	f := startModule(t, s, 40) // our part: 1.5 threads a core of 3.2 cores
 	for range 60 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 	}
 	if n := len(f.pending()); n < 4 || n > 12 {
 		t.Fatalf("%d queries of one gateway of a hundred are out, want about 5 and a margin", n)
@@ -509,36 +509,36 @@
 
 // A gateway of very many, with engines of next to nothing for its part, still sends one query.
 func TestSmallestPartStillSends(t *testing.T) {
-	s := plain(quick)
-	s.Siblings = 100000
-	f := site(t, s, 2)
-	f.ask(0, nil)
-	f.ask(0, nil)
+	s := basicSettings(interactive)
+	s.Gateways = 100000
+	f := startModule(t, s, 2)
+	f.submit(0, nil)
+	f.submit(0, nil)
 	if n := len(f.pending()); n != 1 {
 		t.Fatalf("%d queries are out, want one", n)
 	}
 }
 
 // Engines behind a cut link give no error: what was cancelled as overdue there has to count.
-func TestSilentEnginesGetATrickle(t *testing.T) {
-	f := site(t, plain(quick), 4)
+func TestSilentEnginesGetProbesOnly(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 4)
 	cancelled := map[RequestID]bool{}
-	f.logging = func(a Action) {
+	f.observe = func(a Action) {
 		if c, ok := a.(Cancel); ok {
 			cancelled[c.ID] = true
 		}
 	}
 	silent := 0
 	for range 300 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		for _, o := range f.pending() {
 			switch {
 			case o.Engine > 2:
 				o.Latency = 100 * Millisecond
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			case cancelled[o.ID]:
 				silent++
-				f.resolve(o, VerdictCancelled)
+				f.resolve(o, StatusCancelled)
 			}
 		}
 		f.advance(50 * Millisecond)
@@ -546,71 +546,71 @@
 	if silent == 0 || silent > 20 {
 		t.Fatalf("the silent half of the engines got %d of 300 requests", silent)
 	}
-	f.check("silent engines")
+	f.verify("silent engines")
 }
 
 // A gateway that hears of an engine every few seconds believes the newest outcome, and among two
 // engines on which nothing of its own runs it takes the quicker.
 func TestSlowEngineIsKnownFromOneOutcome(t *testing.T) {
-	f := site(t, plain(quick), 2)
+	f := startModule(t, basicSettings(interactive), 2)
 	for slow := false; !slow; {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		o := f.pending()[0]
 		slow = o.Engine == 1
 		o.Latency = 100 * Millisecond
 		if slow {
 			o.Latency = 400 * Millisecond
 		}
-		f.resolve(o, VerdictOK)
+		f.resolve(o, StatusOK)
 	}
 	for range 20 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		o := f.pending()[0]
 		if o.Engine == 1 {
 			t.Fatal("the slow engine was picked of two idle ones")
 		}
 		o.Latency = 100 * Millisecond
-		f.resolve(o, VerdictOK)
+		f.resolve(o, StatusOK)
 	}
 }
 
 // Hundreds of gateways with next to nothing on each engine can't tell a full one from an idle one:
 // where notes are allowed, what peers tell counts in the gate and in the pick, until they take it back
 // or are not heard of for longer than clients wait.
-func TestPeersNotesCount(t *testing.T) {
-	s := plain(quick)
-	s.Siblings, s.Limits.PeerMessages = 100, true
-	f := site(t, s, 2)
+func TestPeerReportsCount(t *testing.T) {
+	s := basicSettings(interactive)
+	s.Gateways, s.Limits.PeerMessages = 100, true
+	f := startModule(t, s, 2)
 	engineOfNext := func() EngineID {
-		f.ask(0, nil)
+		f.submit(0, nil)
 		o := f.pending()[0]
-		f.resolve(o, VerdictOK)
+		f.resolve(o, StatusOK)
 		return o.Engine
 	}
-	f.tell(PeerMessage{From: 7, Payload: note{1, 3, float64(Second)}.encode()})
+	f.handle(PeerMessage{From: 7, Payload: peerReport{1, 3, float64(Second)}.encode()})
 	for range 20 {
 		if engineOfNext() != 2 {
 			t.Fatal("the engine on which a peer has work was picked")
 		}
 	}
-	f.tell(PeerMessage{From: 8, Payload: note{2, 12, float64(Second)}.encode()})
+	f.handle(PeerMessage{From: 8, Payload: peerReport{2, 12, float64(Second)}.encode()})
 	for range 20 {
 		if engineOfNext() != 1 {
 			t.Fatal("a query went to an engine that peers fill")
 		}
 	}
-	f.tell(PeerMessage{From: 7, Payload: note{1, 12, float64(Second)}.encode()})
-	id := f.ask(0, nil)
-	if f.sent(id) != 0 {
+	f.handle(PeerMessage{From: 7, Payload: peerReport{1, 12, float64(Second)}.encode()})
+	id := f.submit(0, nil)
+	if f.attempts(id) != 0 {
 		t.Fatal("a query was sent though peers fill every engine")
 	}
-	f.tell(PeerMessage{From: 7, Payload: []byte("not a note")})
-	f.tell(PeerMessage{From: 7, Payload: note{1, 0, 0}.encode()})
-	if f.sent(id) != 1 {
+	f.handle(PeerMessage{From: 7, Payload: []byte("not a note")})
+	f.handle(PeerMessage{From: 7, Payload: peerReport{1, 0, 0}.encode()})
+	if f.attempts(id) != 1 {
 		t.Fatal("a query was held though a peer took its load back")
 	}
-	f.resolve(f.pending()[0], VerdictOK)
-	f.advance(quick.GiveUp + Second)
+	f.resolve(f.pending()[0], StatusOK)
+	f.advance(interactive.ClientTimeout + Second)
 	seen := map[EngineID]bool{}
 	for range 40 {
 		seen[engineOfNext()] = true
@@ -622,13 +622,13 @@
 
 // Peers hear of heavy queries only, when they start and when they end.
 func TestPeersHearOfHeavyQueries(t *testing.T) {
-	s := plain(quick)
-	s.Siblings, s.Limits.PeerMessages = 4, true
-	f := site(t, s, 2)
-	var told []note
-	f.logging = func(a Action) {
-		if p, ok := a.(TellPeers); ok {
-			n, ok := decodeNote(p.Payload)
+	s := basicSettings(interactive)
+	s.Gateways, s.Limits.PeerMessages = 4, true
+	f := startModule(t, s, 2)
+	var told []peerReport
+	f.observe = func(a Action) {
+		if p, ok := a.(Broadcast); ok {
+			n, ok := decodePeerReport(p.Payload)
 			if !ok {
 				t.Fatalf("a note that peers can't read: %v", p.Payload)
 			}
@@ -636,14 +636,14 @@
 		}
 	}
 	for range 20 {
-		f.ask(0, nil)
-		f.resolve(f.pending()[0], VerdictOK)
+		f.submit(0, nil)
+		f.resolve(f.pending()[0], StatusOK)
 	}
 	if len(told) != 0 {
 		t.Fatalf("%d notes of light queries", len(told))
 	}
-	f.ask(0, func(r *Request) { r.Work = Second })
-	f.resolve(f.pending()[0], VerdictOK)
+	f.submit(0, func(r *Request) { r.EstimatedWork = Second })
+	f.resolve(f.pending()[0], StatusOK)
 	if len(told) != 2 || told[0].threads != 1 || told[0].work <= 0 || told[1].threads != 0 || told[1].work != 0 {
 		t.Fatalf("notes of a heavy query: %v, want one thread and then none", told)
 	}
@@ -651,16 +651,16 @@
 
 // A fleet of dozens keeps a data set warm on few engines only if all gateways send it to the same ones;
 // a set that many ask for gets more of them, and loads of one set don't meet on its homes.
-func TestDataSetsHaveHomes(t *testing.T) {
+func TestDataSetsHavePreferredEngines(t *testing.T) {
 	homes := func(seed uint64, class Class, set int, of int) map[EngineID]bool {
-		s := plain(class)
-		s.Siblings = 4
-		f := newReferee(t, s, seed, 1000*Second)
-		f.usual[0] = float64(100 * Millisecond)
-		f.tell(FleetChange{Mode: ListSaved, Engines: fleetOf(30)})
+		s := basicSettings(class)
+		s.Gateways = 4
+		f := newChecker(t, s, seed, 1000*Second)
+		f.work[0] = float64(100 * Millisecond)
+		f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleetOf(30)})
 		seen := map[EngineID]bool{}
 		for i := range 600 {
-			f.ask(0, func(r *Request) {
+			f.submit(0, func(r *Request) {
 				if r.DataSet = 100 + i%40; i%of == 0 {
 					r.DataSet = set
 				}
@@ -670,104 +670,104 @@
 				seen[o.Engine] = true
 			}
 			o.Latency = 100 * Millisecond
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 			f.advance(5 * Millisecond)
 		}
 		return seen
 	}
-	a, b := homes(1, quick, 7, 60), homes(2, quick, 7, 60)
+	a, b := homes(1, interactive, 7, 60), homes(2, interactive, 7, 60)
 	for id := range b {
 		a[id] = true
 	}
 	if len(a) > 4 {
 		t.Fatalf("two gateways sent a little read data set to %d engines of 30", len(a))
 	}
-	if n := len(homes(1, quick, 7, 2)); n < 10 {
+	if n := len(homes(1, interactive, 7, 2)); n < 10 {
 		t.Fatalf("half of all requests are for a data set that got %d engines of 30", n)
 	}
-	load := quick
-	load.IsLoad = true
+	load := interactive
+	load.IsDataLoad = true
 	if n := len(homes(1, load, 7, 60)); n < 5 {
 		t.Fatalf("ten loads of one data set met on %d engines", n)
 	}
 }
 
 // A cold engine is judged by what all gateways send it together, whatever part of the traffic each has.
-func TestColdEngineOfAHundredGateways(t *testing.T) {
-	t.Run("light", func(t *testing.T) { coldEngineOfAHundred(t, 20*Millisecond) })
-	t.Run("heavier than an even part", func(t *testing.T) { coldEngineOfAHundred(t, 600*Millisecond) })
+func TestSlowStartBudgetOfAHundredGateways(t *testing.T) {
+	t.Run("light", func(t *testing.T) { checkHundredGateways(t, 20*Millisecond) })
+	t.Run("heavier than an even part", func(t *testing.T) { checkHundredGateways(t, 600*Millisecond) })
 }
 
-func coldEngineOfAHundred(t *testing.T, work Time) {
-	heavy := quick
-	heavy.Aim = 3 * Second
-	s := plain(heavy)
-	s.Siblings = 100
+func checkHundredGateways(t *testing.T, work Time) {
+	heavy := interactive
+	heavy.LatencyObjective = 3 * Second
+	s := basicSettings(heavy)
+	s.Gateways = 100
 	fleet := fleetOf(3)
 	fleet[2].StartedAt = 1000 * Second
 	sent := map[Time]float64{}
 	first, last, count := fleet[2].StartedAt, Time(0), 0
-	for g := range s.Siblings {
-		s.Me = g
-		f := newReferee(t, s, uint64(g), first)
-		f.usual[0] = float64(work)
-		f.tell(FleetChange{Mode: ListSaved, Engines: fleet})
+	for g := range s.Gateways {
+		s.GatewayIndex = g
+		f := newChecker(t, s, uint64(g), first)
+		f.work[0] = float64(work)
+		f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleet})
 		for range 40 {
 			for range 1 + g%7 {
-				f.ask(0, func(r *Request) { r.DataSet = g % 11 })
+				f.submit(0, func(r *Request) { r.DataSet = g % 11 })
 			}
 			f.advance(200 * Millisecond)
 			for _, o := range f.pending() {
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			}
 			last = f.now
 		}
 		for _, r := range f.requests {
 			for _, a := range r.attempts {
 				if a.engine.ID == 3 {
-					sent[a.at] += f.usual[0]
+					sent[a.startedAt] += f.work[0]
 					count++
 				}
 			}
 		}
-		if f.broken = slices.DeleteFunc(f.broken, func(s string) bool { return strings.HasPrefix(s, "rule 4") }); len(f.broken) > 0 {
-			t.Fatal(f.broken) // rule 4 is judged below, by what all of them sent
+		if f.violations = slices.DeleteFunc(f.violations, func(s string) bool { return strings.HasPrefix(s, "rule 4") }); len(f.violations) > 0 {
+			t.Fatal(f.violations) // rule 4 is judged below, by what all of them sent
 		}
 	}
 	if count == 0 {
 		t.Fatal("the cold engine got nothing from anyone")
 	}
-	d := s.Duties
-	for end := first + d.TipAfter; end <= last; end += s.Tick {
+	d := s.Constraints
+	for end := first + d.OverloadWindow; end <= last; end += s.Tick {
 		sum := 0.0
 		for at, work := range sent {
-			if at > end-d.TipAfter && at <= end {
+			if at > end-d.OverloadWindow && at <= end {
 				sum += work
 			}
 		}
-		warm := d.ColdFrom + (1-d.ColdFrom)*float64(end-d.TipAfter-first)/float64(d.ColdFor)
-		if whole := d.OverloadFactor * warm * s.Kinds[0].Cores * float64(d.TipAfter); sum > whole {
+		warm := d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*float64(end-d.OverloadWindow-first)/float64(d.SlowStartPeriod)
+		if whole := d.OverloadFactor * warm * s.Kinds[0].Cores * float64(d.OverloadWindow); sum > whole {
 			t.Fatalf("all together sent %.0f to a cold engine that takes %.0f", sum, whole)
 		}
 	}
 }
 
 // A query that is heavier than what a cold engine bears over what all ask of it never goes there.
-func TestNoLotForWhatIsTooHeavy(t *testing.T) {
-	s := plain(quick)
-	s.Siblings, s.Classes[0].Aim = 3, 20*Second
+func TestTooHeavyIsNeverSampled(t *testing.T) {
+	s := basicSettings(interactive)
+	s.Gateways, s.Classes[0].LatencyObjective = 3, 20*Second
 	cold := fleetOf(10)
 	for i := range cold {
 		cold[i].StartedAt = 1000 * Second
 	}
 	for me := range 3 {
-		s.Me = me
-		f := newReferee(t, s, uint64(me), 1000*Second)
-		f.usual[0] = float64(9 * Second)
-		f.tell(FleetChange{Mode: ListSaved, Engines: cold})
-		f.advance(s.Duties.TipAfter)
+		s.GatewayIndex = me
+		f := newChecker(t, s, uint64(me), 1000*Second)
+		f.work[0] = float64(9 * Second)
+		f.handle(FleetUpdate{Mode: UpdateCached, Engines: cold})
+		f.advance(s.Constraints.OverloadWindow)
 		for range 30 {
-			if id := f.ask(0, func(r *Request) { r.Due = f.now + 20*Second }); f.sent(id) > 0 {
+			if id := f.submit(0, func(r *Request) { r.Deadline = f.now + 20*Second }); f.attempts(id) > 0 {
 				t.Fatalf("gateway %d sent 9 s of work to an engine that bears 32 s in 2 s when it is warm", me)
 			}
 			f.advance(400 * Millisecond)
@@ -777,21 +777,21 @@
 
 // What has a high priority at the engines does not wait here behind what it would overtake there.
 func TestHighPriorityWaitsForItsLikeOnly(t *testing.T) {
-	heavy := quick
-	heavy.Aim, heavy.Threads, heavy.Worth = 5*Second, 4, 2
-	s := plain(quick, heavy)
-	s.TakesPriority, s.Siblings = true, 100
-	f := site(t, s, 4)
-	f.usual[1] = float64(4 * Second)
-	f.ask(0, nil)
-	f.resolve(f.pending()[0], VerdictOK)
+	heavy := interactive
+	heavy.LatencyObjective, heavy.Threads, heavy.PriorityWeight = 5*Second, 4, 2
+	s := basicSettings(interactive, heavy)
+	s.AcceptsPriority, s.Gateways = true, 100
+	f := startModule(t, s, 4)
+	f.work[1] = float64(4 * Second)
+	f.submit(0, nil)
+	f.resolve(f.pending()[0], StatusOK)
 	for range 40 {
-		f.ask(1, nil)
+		f.submit(1, nil)
 	}
-	if f.m.held == 0 {
+	if f.module.queuedCount == 0 {
 		t.Fatal("the heavy queries do not fill our part of the fleet")
 	}
-	if id := f.ask(0, nil); f.sent(id) != 1 {
+	if id := f.submit(0, nil); f.attempts(id) != 1 {
 		t.Fatal("a short query of a high priority was held behind heavy ones")
 	}
 }
@@ -799,22 +799,22 @@
 // Short queries pay as much for crossing zones as long ones, and are no load: they stay in their zone's
 // homes while one of these takes them, and cross when none does.
 func TestShortQueriesStayInTheirZone(t *testing.T) {
-	heavy := quick
-	heavy.Aim, heavy.Worth = 5*Second, 2
-	s := plain(quick, heavy)
-	s.TakesPriority, s.Fees.CrossZone, s.Zone, s.Siblings = true, 0.05, 1, 50
-	f := newReferee(t, s, 1, 1000*Second)
-	f.usual[0], f.usual[1] = float64(100*Millisecond), float64(Second)
+	heavy := interactive
+	heavy.LatencyObjective, heavy.PriorityWeight = 5*Second, 2
+	s := basicSettings(interactive, heavy)
+	s.AcceptsPriority, s.Penalties.CrossZone, s.Zone, s.Gateways = true, 0.05, 1, 50
+	f := newChecker(t, s, 1, 1000*Second)
+	f.work[0], f.work[1] = float64(100*Millisecond), float64(Second)
 	fleet := fleetOf(12)
 	for i := range fleet {
 		fleet[i].Zone = i % 3
 	}
-	f.tell(FleetChange{Mode: ListSaved, Engines: fleet})
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleet})
 	crossed := func(class int) (n int) {
 		for set := range 40 {
-			id := f.ask(class, func(r *Request) { r.DataSet = set })
+			id := f.submit(class, func(r *Request) { r.DataSet = set })
 			for _, o := range f.pending() {
-				f.resolve(o, VerdictOK)
+				f.resolve(o, StatusOK)
 			}
 			if as := f.requests[id].attempts; len(as) > 0 && as[0].engine.Zone != s.Zone {
 				n++
@@ -834,7 +834,7 @@
 			fleet[i].State = EngineDraining
 		}
 	}
-	f.tell(FleetChange{Mode: ListDelta, Engines: fleet})
+	f.handle(FleetUpdate{Mode: UpdateDelta, Engines: fleet})
 	if n := crossed(0); n != 40 {
 		t.Errorf("%d of 40 short queries crossed zones when their own was gone", n)
 	}
@@ -842,23 +842,23 @@
 
 // A short query that failed in its own zone is tried elsewhere: a lost zone would use up all of its attempts.
 func TestFurtherAttemptLeavesTheZone(t *testing.T) {
-	heavy := quick
-	heavy.Worth = 2
-	s := plain(quick, heavy)
-	s.TakesPriority, s.Fees.CrossZone, s.Siblings = true, 0.05, 50
+	heavy := interactive
+	heavy.PriorityWeight = 2
+	s := basicSettings(interactive, heavy)
+	s.AcceptsPriority, s.Penalties.CrossZone, s.Gateways = true, 0.05, 50
 	away := 0
 	for seed := range uint64(20) {
-		f := newReferee(t, s, seed, 1000*Second)
-		f.usual[0], f.usual[1] = float64(100*Millisecond), float64(Second)
+		f := newChecker(t, s, seed, 1000*Second)
+		f.work[0], f.work[1] = float64(100*Millisecond), float64(Second)
 		fleet := fleetOf(30)
 		for i := range fleet {
 			fleet[i].Zone = i % 5
 		}
-		f.tell(FleetChange{Mode: ListSaved, Engines: fleet})
-		f.ask(1, nil)
-		f.resolve(f.pending()[0], VerdictOK)
-		id := f.ask(0, nil)
-		f.resolve(f.pending()[0], VerdictConnectFailed)
+		f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleet})
+		f.submit(1, nil)
+		f.resolve(f.pending()[0], StatusOK)
+		id := f.submit(0, nil)
+		f.resolve(f.pending()[0], StatusConnectFailed)
 		if as := f.requests[id].attempts; as[0].engine.Zone != s.Zone || len(as) != 2 {
 			t.Fatalf("%d attempts, the first in zone %d", len(as), as[0].engine.Zone)
 		} else if as[1].engine.Zone != s.Zone {
@@ -872,22 +872,22 @@
 
 // What is late already has no margin of chance: while the share is cut, it waits.
 func TestLateWaitsWhileTheShareIsCut(t *testing.T) {
-	heavy := quick
+	heavy := interactive
 	heavy.Threads, heavy.LateValue = 2, 0.4
-	s := plain(heavy)
-	s.Siblings = 50
+	s := basicSettings(heavy)
+	s.Gateways = 50
 	for _, late := range []bool{false, true} {
-		f := site(t, s, 10)
-		f.usual[0] = float64(Second)
+		f := startModule(t, s, 10)
+		f.work[0] = float64(Second)
 		f.setShare(0.5 / 50)
 		sent := 0
 		for range 3 {
-			id := f.ask(0, func(r *Request) {
-				if r.Due = f.now + 20*Second; late {
-					r.Held = 5 * Second
+			id := f.submit(0, func(r *Request) {
+				if r.Deadline = f.now + 20*Second; late {
+					r.QueuedFor = 5 * Second
 				}
 			})
-			sent += f.sent(id)
+			sent += f.attempts(id)
 		}
 		if late && sent != 1 || !late && sent < 2 {
 			t.Errorf("late %v: %d of 3 sent", late, sent)
@@ -897,18 +897,18 @@
 
 // fixedPlan gives each zone a part, and shuts some.
 type fixedPlan struct {
-	to    []float64
-	shut  []int
-	waits bool
-	sent  []int // zones, in order
-	again int   // further attempts among them
+	weights []float64
+	closed  []int
+	blocked bool
+	sent    []int // zones, in order
+	retries int   // further attempts among them
 }
 
-func (p *fixedPlan) Draw(_ Time, drawn, _ float64, tried []int) (zone int, ok bool) {
-	if p.waits {
+func (p *fixedPlan) PickZone(_ Time, drawn, _ float64, tried []int) (zone int, ok bool) {
+	if p.blocked {
 		return 0, false
 	}
-	odds := slices.Clone(p.to)
+	odds := slices.Clone(p.weights)
 	for _, z := range tried {
 		odds[z] = 0
 	}
@@ -920,45 +920,45 @@
 	return slices.IndexFunc(odds, func(o float64) bool { return o > 0 }), true
 }
 
-func (p *fixedPlan) Open(_ Time, zone int, _ float64, _ bool) bool {
-	return !slices.Contains(p.shut, zone)
+func (p *fixedPlan) Admits(_ Time, zone int, _ float64, _ bool) bool {
+	return !slices.Contains(p.closed, zone)
 }
 
-func (p *fixedPlan) Sent(_ Time, zone int, _ float64, further bool) {
+func (p *fixedPlan) RecordSend(_ Time, zone int, _ float64, further bool) {
 	p.sent = append(p.sent, zone)
 	if further {
-		p.again++
+		p.retries++
 	}
 }
 
-// zoned starts a module with n engines in so many zones and a plan for them.
-func zoned(t *testing.T, s Settings, n, zones int, plan *fixedPlan) (*referee, []Engine) {
-	f := newReferee(t, s, 5, 1000*Second)
-	f.usual[0] = float64(100 * Millisecond)
+// startZoned starts a module with n engines in so many zones and a plan for them.
+func startZoned(t *testing.T, s Settings, n, zones int, plan *fixedPlan) (*checker, []Engine) {
+	f := newChecker(t, s, 5, 1000*Second)
+	f.work[0] = float64(100 * Millisecond)
 	fleet := fleetOf(n)
 	for i := range fleet {
 		fleet[i].Zone = i % zones
 	}
-	f.tell(FleetChange{Mode: ListSaved, Engines: fleet})
-	f.tell(Planned{Zones: plan})
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleet})
+	f.handle(ZonePlanChanged{Plan: plan})
 	return f, fleet
 }
 
 // Where a plan says which part each zone gets, load follows it; a further attempt leaves the zone that had one;
 // without room in the zone drawn others that are open are taken rather than none, and those that are shut never.
 func TestZonePlan(t *testing.T) {
-	s := plain(quick)
-	s.Siblings = 50
-	plan := &fixedPlan{to: []float64{0.7, 0.3, 0}}
-	f, fleet := zoned(t, s, 15, 3, plan)
+	s := basicSettings(interactive)
+	s.Gateways = 50
+	plan := &fixedPlan{weights: []float64{0.7, 0.3, 0}}
+	f, fleet := startZoned(t, s, 15, 3, plan)
 	got, again, sends := [3]int{}, [3]int{}, 0
 	for set := range 300 {
-		id := f.ask(0, func(r *Request) { r.DataSet = set % 7 })
+		id := f.submit(0, func(r *Request) { r.DataSet = set % 7 })
 		got[f.requests[id].attempts[0].engine.Zone]++
 		sends++
 		if set%10 == 0 {
 			first := f.requests[id].attempts[0].engine.Zone
-			f.resolve(f.pending()[0], VerdictFull)
+			f.resolve(f.pending()[0], StatusRejected)
 			if as := f.requests[id].attempts; len(as) == 2 {
 				sends++
 				if as[1].engine.Zone == first {
@@ -967,7 +967,7 @@
 			}
 		}
 		for _, o := range f.pending() {
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 		}
 		f.advance(50 * Millisecond)
 	}
@@ -977,30 +977,30 @@
 	if again != [3]int{} {
 		t.Errorf("%v further attempts stayed in the zone of the first", again)
 	}
-	if len(plan.sent) != sends || plan.again != sends-300 {
-		t.Errorf("the plan heard of %d attempts, %d of them further ones; %d were sent", len(plan.sent), plan.again, sends)
+	if len(plan.sent) != sends || plan.retries != sends-300 {
+		t.Errorf("the plan heard of %d attempts, %d of them further ones; %d were sent", len(plan.sent), plan.retries, sends)
 	}
 	for i := range fleet {
 		if fleet[i].Zone < 2 {
 			fleet[i].State = EngineDraining
 		}
 	}
-	f.tell(FleetChange{Mode: ListDelta, Engines: fleet})
-	plan.shut = []int{2}
-	if id := f.ask(0, nil); f.sent(id) != 0 {
+	f.handle(FleetUpdate{Mode: UpdateDelta, Engines: fleet})
+	plan.closed = []int{2}
+	if id := f.submit(0, nil); f.attempts(id) != 0 {
 		t.Error("sent to a zone that is shut")
 	}
-	plan.shut = nil
-	if id := f.ask(0, nil); f.sent(id) != 1 {
+	plan.closed = nil
+	if id := f.submit(0, nil); f.attempts(id) != 1 {
 		t.Error("no engine of the zones drawn serves, and the one that does was not taken")
 	}
-	plan.waits = true
-	id := f.ask(0, nil)
-	if f.sent(id) != 0 {
+	plan.blocked = true
+	id := f.submit(0, nil)
+	if f.attempts(id) != 0 {
 		t.Error("sent though the plan has it wait")
 	}
-	plan.waits = false
-	if f.advance(100 * Millisecond); f.sent(id) != 1 {
+	plan.blocked = false
+	if f.advance(100 * Millisecond); f.attempts(id) != 1 {
 		t.Error("not sent once the plan has room")
 	}
 }
@@ -1009,25 +1009,25 @@
 // on the same engines they would stand still for each other, with all the memory they were granted.
 func TestLoadsKeepApartInAPlannedZone(t *testing.T) {
 	met := func(isLoad bool) int {
-		class := quick
-		class.IsLoad = isLoad
-		s := plain(class)
-		s.Siblings = 50
-		f, _ := zoned(t, s, 24, 2, &fixedPlan{to: []float64{1, 0}})
+		class := interactive
+		class.IsDataLoad = isLoad
+		s := basicSettings(class)
+		s.Gateways = 50
+		f, _ := startZoned(t, s, 24, 2, &fixedPlan{weights: []float64{1, 0}})
 		seen := map[EngineID]bool{}
 		for range 60 {
-			id := f.ask(0, func(r *Request) { r.DataSet = 7 })
+			id := f.submit(0, func(r *Request) { r.DataSet = 7 })
 			if e := f.requests[id].attempts[0].engine; e.Zone != 0 {
 				t.Fatal("the plan's word was not kept")
 			} else {
 				seen[e.ID] = true
 			}
-			f.resolve(f.pending()[0], VerdictOK)
+			f.resolve(f.pending()[0], StatusOK)
 			f.advance(50 * Millisecond)
 		}
 		return len(seen)
 	}
-	if n := met(false); n > homesLeast {
+	if n := met(false); n > minPreferredEngines {
 		t.Errorf("queries of one data set went to %d engines of a zone", n)
 	}
 	if n := met(true); n < 10 {
@@ -1037,39 +1037,39 @@
 
 // A class that runs in some zones only goes there, whatever the plan says.
 func TestZonePlanLeavesBoundClasses(t *testing.T) {
-	bound := quick
-	bound.Zones = []int{1}
-	s := plain(bound)
-	f := newReferee(t, s, 5, 1000*Second)
-	f.usual[0] = float64(100 * Millisecond)
+	bound := interactive
+	bound.AllowedZones = []int{1}
+	s := basicSettings(bound)
+	f := newChecker(t, s, 5, 1000*Second)
+	f.work[0] = float64(100 * Millisecond)
 	fleet := fleetOf(4)
 	for i := range fleet {
 		fleet[i].Zone = i % 2
 	}
-	f.tell(FleetChange{Mode: ListSaved, Engines: fleet})
-	f.tell(Planned{Zones: &fixedPlan{to: []float64{1, 0}, shut: []int{1}, waits: true}})
-	if id := f.ask(0, nil); f.sent(id) != 1 {
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: fleet})
+	f.handle(ZonePlanChanged{Plan: &fixedPlan{weights: []float64{1, 0}, closed: []int{1}, blocked: true}})
+	if id := f.submit(0, nil); f.attempts(id) != 1 {
 		t.Error("a class that runs in zone 1 only is kept from it")
 	}
 }
 
 // An engine that is left out and answers a probe is used again, without waiting for a trickle to find out.
-func TestProbeEndsARest(t *testing.T) {
-	f := site(t, plain(quick), 2)
+func TestProbeEndsAnEjection(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 2)
 	for range 6 {
-		f.m.failed(f.m.byID[1])
+		f.module.recordFailure(f.module.engineByID[1])
 	}
-	if !f.m.sick(f.m.byID[1]) {
+	if !f.module.ejected(f.module.engineByID[1]) {
 		t.Fatal("an engine that failed six times in a row is not left out")
 	}
-	f.tell(ProbeResult{Engine: 1, Verdict: VerdictTimeout})
-	if !f.m.sick(f.m.byID[1]) {
+	f.handle(ProbeResult{Engine: 1, Status: StatusTimeout})
+	if !f.module.ejected(f.module.engineByID[1]) {
 		t.Error("a probe without an answer ended its rest")
 	}
 	for range 2 {
-		f.tell(ProbeResult{Engine: 1, Verdict: VerdictOK})
+		f.handle(ProbeResult{Engine: 1, Status: StatusOK})
 	}
-	if f.m.sick(f.m.byID[1]) {
+	if f.module.ejected(f.module.engineByID[1]) {
 		t.Error("two good probes did not end its rest")
 	}
 }
@@ -1077,76 +1077,76 @@
 // A class of high priority that is much of the work is held by the same bounds as all: it would crowd an engine by
 // itself. One world had 17 reports at once on a cold engine, when their estimates made them earn most for a while.
 func TestHeavyHighPriorityIsBounded(t *testing.T) {
-	low, high := quick, quick
-	low.Aim, low.Threads = 5*Second, 4
-	high.Aim, high.Threads, high.Worth = 5*Second, 4, 1000
-	s := plain(low, high)
-	s.TakesPriority = true
-	f := site(t, s, 1)
-	f.usual[0], f.usual[1] = float64(2*Second), float64(2*Second)
+	low, high := interactive, interactive
+	low.LatencyObjective, low.Threads = 5*Second, 4
+	high.LatencyObjective, high.Threads, high.PriorityWeight = 5*Second, 4, 1000
+	s := basicSettings(low, high)
+	s.AcceptsPriority = true
+	f := startModule(t, s, 1)
+	f.work[0], f.work[1] = float64(2*Second), float64(2*Second)
 	for range 8 { // both are known, and as much of the work
 		for class := range 2 {
-			f.ask(class, nil)
-			f.resolve(f.pending()[0], VerdictOK)
+			f.submit(class, nil)
+			f.resolve(f.pending()[0], StatusOK)
 		}
 	}
-	before := f.sends
+	before := f.sendCount
 	for range 6 {
-		f.ask(0, nil)
+		f.submit(0, nil)
 	}
-	sent := f.sends
+	sent := f.sendCount
 	if sent == before || sent == before+6 {
 		t.Fatalf("%d of 6 of the low class went out: they do not fill the engine", sent-before)
 	}
 	for range 3 {
-		f.ask(1, nil)
+		f.submit(1, nil)
 	}
-	if f.sends != sent {
-		t.Errorf("%d heavy queries of a high priority went to an engine that its bound says is full", f.sends-sent)
+	if f.sendCount != sent {
+		t.Errorf("%d heavy queries of a high priority went to an engine that its bound says is full", f.sendCount-sent)
 	}
 }
 
 // Requests of one key wait in line: the end of the first brings the turn of the next, which at our own end may end as
 // well before it is looked at itself.
-func TestStopEndsALine(t *testing.T) {
-	line := quick
+func TestShutdownEndsAKeyQueue(t *testing.T) {
+	line := interactive
 	line.Ordered = true
 	for seed := range uint64(20) {
-		f := newReferee(t, plain(line), seed, 1000*Second)
-		f.usual[0] = float64(2 * Second)
-		f.tell(FleetChange{Mode: ListSaved})
+		f := newChecker(t, basicSettings(line), seed, 1000*Second)
+		f.work[0] = float64(2 * Second)
+		f.handle(FleetUpdate{Mode: UpdateCached})
 		for i := range 6 {
-			f.ask(0, func(r *Request) { r.OrderKey, r.Held = "k", 5*Second*Time(min(i, 1)) })
+			f.submit(0, func(r *Request) { r.OrderKey, r.QueuedFor = "k", 5*Second*Time(min(i, 1)) })
 		}
-		f.tell(Stopping{By: f.now + Second})
+		f.handle(ShutdownStarted{Deadline: f.now + Second})
 		f.advance(2 * Second)
-		f.check("a line at the end")
+		f.verify("a line at the end")
 	}
 }
 
 // How slow an engine is to long queries is not told by short ones that overtake them there.
-func TestDragByPriority(t *testing.T) {
-	heavy := quick
-	heavy.Aim, heavy.Worth = 5*Second, 2
-	s := plain(quick, heavy)
-	s.TakesPriority = true
-	f := site(t, s, 1)
-	f.usual[0], f.usual[1] = float64(50*Millisecond), float64(Second)
+func TestSlowdownByPriority(t *testing.T) {
+	heavy := interactive
+	heavy.LatencyObjective, heavy.PriorityWeight = 5*Second, 2
+	s := basicSettings(interactive, heavy)
+	s.AcceptsPriority = true
+	f := startModule(t, s, 1)
+	f.work[0], f.work[1] = float64(50*Millisecond), float64(Second)
 	for range 20 {
-		f.ask(1, nil)
+		f.submit(1, nil)
 		f.advance(2500 * Millisecond)
 		for range 2 {
-			f.ask(0, nil)
+			f.submit(0, nil)
 		}
 		for _, o := range f.pending() {
 			if f.requests[o.ID].Class == 0 {
 				o.Latency = 50 * Millisecond
 			}
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 		}
 	}
-	e := f.m.byID[1]
-	long, short := e.drags[0].log, e.drags[1].log
+	e := f.module.engineByID[1]
+	long, short := e.slowdowns[0].log, e.slowdowns[1].log
 	if long < 0.7 || short > 0.1 {
 		t.Fatalf("drag %.2f of long queries that took 2.5 times as long, %.2f of short ones that did not", long, short)
 	}
@@ -1155,13 +1155,13 @@
 // An attempt that goes on being slow cuts the share further than one that was slow for a moment.
 func TestSlowForLongCutsMore(t *testing.T) {
 	cut := func(times Time) float64 {
-		f := site(t, plain(quick), 4)
+		f := startModule(t, basicSettings(interactive), 4)
 		f.setShare(2)
-		f.ask(0, func(r *Request) { r.Due = f.now + 100*Second })
+		f.submit(0, func(r *Request) { r.Deadline = f.now + 100*Second })
 		o := f.pending()[0]
 		o.Latency = times * 100 * Millisecond
-		f.resolve(o, VerdictOK)
-		return f.m.share
+		f.resolve(o, StatusOK)
+		return f.module.share
 	}
 	if brief, long := cut(2), cut(8); long >= brief || brief >= 2 {
 		t.Fatalf("a share of 2 became %.3f by an attempt at twice its time, %.3f at eight times", brief, long)
@@ -1171,22 +1171,22 @@
 // Settings and lists that say next to nothing are decided safely: requests get their answers.
 func TestBareSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no siblings told": func(s *Settings) { s.Siblings = 0 },
+		"no siblings told": func(s *Settings) { s.Gateways = 0 },
 		"no kinds told":    func(s *Settings) { s.Kinds = nil },
-		"300 gateways":     func(s *Settings) { s.Siblings = 300 },
-		"no cold figures":  func(s *Settings) { s.Duties = Duties{AnswerSlack: 20 * Millisecond} },
+		"300 gateways":     func(s *Settings) { s.Gateways = 300 },
+		"no cold figures":  func(s *Settings) { s.Constraints = Constraints{DeadlineSlack: 20 * Millisecond} },
 	} {
 		for _, n := range []int{0, 1, 40} {
-			s := plain(quick)
+			s := basicSettings(interactive)
 			change(&s)
-			f := site(t, s, n)
-			id := f.ask(0, nil)
-			if n > 0 && f.sent(id) != 1 {
+			f := startModule(t, s, n)
+			id := f.submit(0, nil)
+			if n > 0 && f.attempts(id) != 1 {
 				t.Fatalf("%s, %d engines: the only request was not sent", name, n)
 			}
 			f.advance(4 * Second)
-			f.check(name)
-			if len(f.m.open) != 0 && n == 0 {
+			f.verify(name)
+			if len(f.module.requests) != 0 && n == 0 {
 				t.Fatalf("%s: a request without engines was never answered", name)
 			}
 		}
@@ -1195,65 +1195,65 @@
 
 // Loads that wait for each other's data sets once filled all connections that clients may have with a
 // gateway, and short queries no longer reached it. Held requests must make room, the heavy ones first.
-func TestHeldRequestsMakeRoom(t *testing.T) {
+func TestExcessRequestsAreShed(t *testing.T) {
 	s := Settings{
-		Siblings: 1, Tick: 5 * Millisecond, Kinds: []Kind{{Cores: 64, MemoryMB: 1 << 20}},
-		Limits: Limits{MaxOpen: 20},
+		Gateways: 1, Tick: 5 * Millisecond, Kinds: []EngineKind{{Cores: 64, MemoryMB: 1 << 20}},
+		Limits: Limits{MaxOpenRequests: 20},
 		Classes: []Class{
-			quick,
-			{Aim: 10 * Second, GiveUp: 60 * Second, Worth: 25, Threads: 2, IsLoad: true, Effect: EffectUnsafe},
+			interactive,
+			{LatencyObjective: 10 * Second, ClientTimeout: 60 * Second, PriorityWeight: 25, Threads: 2, IsDataLoad: true, Idempotency: NotIdempotent},
 		},
 	}
 	m := New(s, 1)
-	m.Handle(0, FleetChange{Mode: ListSaved, Engines: []Engine{{ID: 1, Scale: 1}}})
+	m.Handle(0, FleetUpdate{Mode: UpdateCached, Engines: []Engine{{ID: 1, Scale: 1}}})
 	sent, refused := 0, 0
 	count := func(actions []Action) {
 		for _, a := range actions {
 			switch a.(type) {
 			case Send:
 				sent++
-			case Refuse:
+			case Reject:
 				refused++
 			}
 		}
 	}
 	for i := range 30 {
 		id := RequestID("load " + string(rune('a'+i)))
-		count(m.Handle(Time(i+1)*Millisecond, Arrival{Request{ID: id, Class: 1, DataSet: 7, Due: 60 * Second}}))
+		count(m.Handle(Time(i+1)*Millisecond, Arrival{Request{ID: id, Class: 1, DataSet: 7, Deadline: 60 * Second}}))
 	}
-	if sent != 1 || refused != 13 || len(m.open) != 17 {
-		t.Fatalf("%d loads sent, %d refused, %d open; want 1, 13 and 17 of 20", sent, refused, len(m.open))
+	if sent != 1 || refused != 13 || len(m.requests) != 17 {
+		t.Fatalf("%d loads sent, %d refused, %d open; want 1, 13 and 17 of 20", sent, refused, len(m.requests))
 	}
-	count(m.Handle(Second, Arrival{Request{ID: "short", Class: 0, Due: 4 * Second}}))
+	count(m.Handle(Second, Arrival{Request{ID: "short", Class: 0, Deadline: 4 * Second}}))
 	if sent != 2 || refused != 14 {
 		t.Errorf("a short query: %d sent, %d refused; want it sent and one more load refused", sent, refused)
 	}
 }
 
 // A gateway that ends brings all deadlines forward: nothing may be open after the time it is told.
-func TestStoppingEndsAllInTime(t *testing.T) {
+func TestShutdownEndsAllInTime(t *testing.T) {
 	s := Settings{
-		Siblings: 1, Tick: 5 * Millisecond, Kinds: []Kind{{Cores: 64, MemoryMB: 1 << 20}}, Limits: Limits{Cancel: true},
-		Classes: []Class{{Aim: Second, GiveUp: 60 * Second, Worth: 1, Threads: 2, IsLoad: true, Effect: EffectUnsafe}},
+		Gateways: 1, Tick: 5 * Millisecond, Kinds: []EngineKind{{Cores: 64, MemoryMB: 1 << 20}}, Limits: Limits{Cancel: true},
+		Classes: []Class{{LatencyObjective: Second, ClientTimeout: 60 * Second, PriorityWeight: 1, Threads: 2, IsDataLoad: true, Idempotency: NotIdempotent}},
 	}
 	m := New(s, 1)
-	m.Handle(0, FleetChange{Mode: ListSaved, Engines: []Engine{{ID: 1, Scale: 1}}})
+	m.Handle(0, FleetUpdate{Mode: UpdateCached, Engines: []Engine{{ID: 1, Scale: 1}}})
 	for _, id := range []RequestID{"runs", "held"} {
-		m.Handle(Millisecond, Arrival{Request{ID: id, DataSet: 7, Due: 60 * Second}})
+		m.Handle(Millisecond, Arrival{Request{ID: id, DataSet: 7, Deadline: 60 * Second}})
 	}
 	by := 3 * Second
-	m.Handle(2*Millisecond, Stopping{By: by})
-	m.Handle(3*Millisecond, Arrival{Request{ID: "new", DataSet: 7, Due: 60 * Second}})
+	m.Handle(2*Millisecond, ShutdownStarted{Deadline: by})
+	m.Handle(3*Millisecond, Arrival{Request{ID: "new", DataSet: 7, Deadline: 60 * Second}})
 	var ended []Action
 	for _, id := range []string{"runs", "held", "new"} {
-		for _, a := range m.Handle(by, Alarm{Token: "request " + id}) {
+		for _, a := range m.Handle(by, TimerFired{Token: "request " + id}) {
 			switch a.(type) {
-			case Fail, Refuse:
+			case Fail, Reject:
 				ended = append(ended, a)
 			}
 		}
 	}
-	want := []Action{Fail{ID: "runs", Reason: FinishDeadline}, Refuse{ID: "held", Reason: FinishDeadline}, Refuse{ID: "new", Reason: FinishDeadline}}
+	want := []Action{Fail{ID: "runs", Reason: ReasonDeadline}, Reject{ID: "held", Reason: ReasonDeadline}, Reject{ID: "new", Reason: ReasonDeadline}}
 	if !reflect.DeepEqual(ended, want) {
 		t.Errorf("got %v, want %v", ended, want)
 	}
@@ -1261,19 +1261,19 @@
 
 // Spoilt answers come from any engine alike; two of them in a row kept all but a trickle from an
 // engine. They say nothing of it, while errors of its own still count.
-func TestSpoiltAnswersLeaveNoEngineOut(t *testing.T) {
+func TestMalformedResponsesEjectNoEngine(t *testing.T) {
 	for _, spoilt := range []bool{true, false} {
-		f := site(t, plain(quick), 3)
+		f := startModule(t, basicSettings(interactive), 3)
 		for range 12 {
-			f.ask(0, nil)
+			f.submit(0, nil)
 			for _, o := range f.pending() {
-				o.Spoilt = spoilt
-				f.resolve(o, VerdictReset)
+				o.NotEngineFault = spoilt
+				f.resolve(o, StatusReset)
 			}
 		}
 		sick := 0
-		for _, e := range f.m.engines {
-			if f.m.sick(e) {
+		for _, e := range f.module.engines {
+			if f.module.ejected(e) {
 				sick++
 			}
 		}
@@ -1285,24 +1285,24 @@
 
 // A refused client is told to stay away until what is held should have run, within what the site lets
 // us ask and no longer than its query would run; where the site does not, and at our end, nothing.
-func TestRefusedClientsHearWhenToReturn(t *testing.T) {
+func TestRejectedClientsGetRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		allowed, stopping bool
 		most              Time
 		want              bool
 	}{{true, false, Second, true}, {true, false, 40 * Millisecond, true}, {false, false, Second, false}, {true, true, Second, false}} {
-		s := plain(quick)
-		s.Limits.RetryAfter, s.Limits.MaxRetryAfter, s.Limits.MaxOpen = c.allowed, c.most, 60
-		f := site(t, s, 1)
+		s := basicSettings(interactive)
+		s.Limits.RetryAfter, s.Limits.MaxRetryAfter, s.Limits.MaxOpenRequests = c.allowed, c.most, 60
+		f := startModule(t, s, 1)
 		if c.stopping {
-			f.tell(Stopping{By: f.now + 10*Second})
+			f.handle(ShutdownStarted{Deadline: f.now + 10*Second})
 		}
 		refused := 0
 		for range 80 {
-			r := Request{ID: RequestID(fmt.Sprintf("r%d", len(f.m.open)+1000*refused)), Due: f.now + 3*Second,
-				Work: 100 * Millisecond, HasWork: true}
-			for _, a := range f.tell(Arrival{Request: r}) {
-				if a, ok := a.(Refuse); ok {
+			r := Request{ID: RequestID(fmt.Sprintf("r%d", len(f.module.requests)+1000*refused)), Deadline: f.now + 3*Second,
+				EstimatedWork: 100 * Millisecond, HasEstimate: true}
+			for _, a := range f.handle(Arrival{Request: r}) {
+				if a, ok := a.(Reject); ok {
 					refused++
 					if (a.RetryAfter > 0) != c.want || a.RetryAfter > c.most || a.RetryAfter > 100*Millisecond {
 						t.Fatalf("%+v: told to return after %d us", c, a.RetryAfter)
@@ -1320,19 +1320,19 @@
 // queries meanwhile beside engines that were half empty. Its share grows faster at first, not for good.
 func TestShareGrowsFasterAfterAStart(t *testing.T) {
 	grown := func(age Time) float64 {
-		s := plain(quick)
-		s.Siblings = 3
-		f := site(t, s, 3)
-		f.m.born = f.now - age
+		s := basicSettings(interactive)
+		s.Gateways = 3
+		f := startModule(t, s, 3)
+		f.module.startedAt = f.now - age
 		for range 40 {
-			f.ask(0, nil)
+			f.submit(0, nil)
 		}
-		before := f.share()
+		before := f.fleetFraction()
 		for _, o := range f.pending() {
 			o.Latency = 90 * Millisecond
-			f.resolve(o, VerdictOK)
+			f.resolve(o, StatusOK)
 		}
-		return f.share() - before
+		return f.fleetFraction() - before
 	}
 	if young, old := grown(0), grown(60*Second); old <= 0 || young < 3*old {
 		t.Fatalf("grew by %.4f after a start and by %.4f a minute later", young, old)
@@ -1344,12 +1344,12 @@
 func TestFurtherAttemptsGoElsewhere(t *testing.T) {
 	for engines := 1; engines <= 3; engines++ {
 		for range 20 {
-			f := site(t, plain(quick), engines)
-			id := f.ask(0, nil)
+			f := startModule(t, basicSettings(interactive), engines)
+			id := f.submit(0, nil)
 			for range 3 {
 				if p := f.pending(); len(p) > 0 {
-					p[0].Spoilt = true
-					f.resolve(p[0], VerdictReset)
+					p[0].NotEngineFault = true
+					f.resolve(p[0], StatusReset)
 				}
 				f.advance(Millisecond)
 			}
@@ -1367,16 +1367,16 @@
 // Engines that turn away one class while they run others well cut our share of the fleet by a third
 // each time, and used up the attempts of the class. It rests from them, longer each time, and others do
 // not; where nearly all turn it away, none is left out.
-func TestClassRestsFromEnginesThatTurnItAway(t *testing.T) {
-	heavy := quick
-	heavy.Aim, heavy.GiveUp = 2*Second, 10*Second
+func TestRejectingEnginesAreEjectedForTheClass(t *testing.T) {
+	heavy := interactive
+	heavy.LatencyObjective, heavy.ClientTimeout = 2*Second, 10*Second
 	for _, turning := range []int{2, 4} {
-		f := site(t, plain(quick, heavy), 4)
+		f := startModule(t, basicSettings(interactive, heavy), 4)
 		f.setShare(1.5)
 		turned, short, taken := 0, 0, 0
 		for range 300 {
-			f.ask(0, nil)
-			f.ask(1, nil)
+			f.submit(0, nil)
+			f.submit(1, nil)
 			for p := f.pending(); len(p) > 0; p = f.pending() {
 				o := p[0]
 				o.Latency = 90 * Millisecond
@@ -1384,19 +1384,19 @@
 				switch heavy := f.requests[o.ID].Class == 1; {
 				case turns && heavy:
 					turned++
-					f.resolve(o, VerdictFull)
+					f.resolve(o, StatusRejected)
 				case turns:
 					short++
-					f.resolve(o, VerdictOK)
+					f.resolve(o, StatusOK)
 				default:
 					taken++
-					f.resolve(o, VerdictOK)
+					f.resolve(o, StatusOK)
 				}
 			}
 			f.advance(10 * Millisecond)
 		}
-		if f.share() < 1.4 {
-			t.Errorf("%d engines that are not slow turn a class away, and our share fell to %.2f", turning, f.share())
+		if f.fleetFraction() < 1.4 {
+			t.Errorf("%d engines that are not slow turn a class away, and our share fell to %.2f", turning, f.fleetFraction())
 		}
 		if turning == 2 && (turned == 0 || turned > 20 || short < 60) {
 			t.Errorf("they got %d queries of the class that they turn away, and %d others", turned, short)
@@ -1404,78 +1404,78 @@
 		if turning == 4 && turned < 300 {
 			t.Errorf("all turn the class away, and only %d attempts were made", turned)
 		}
-		f.check("turned away")
+		f.verify("turned away")
 	}
 }
 
 // A probe for hearsay counts as a failure of ours if nobody answers, and not otherwise; any other probe that fails says nothing.
-func TestDoubtedProbe(t *testing.T) {
-	f := site(t, plain(quick), 2)
+func TestSuspectedProbe(t *testing.T) {
+	f := startModule(t, basicSettings(interactive), 2)
 	for range 4 {
-		f.tell(ProbeResult{Engine: 1, Verdict: VerdictTimeout})
+		f.handle(ProbeResult{Engine: 1, Status: StatusTimeout})
 	}
-	if f.m.sick(f.m.byID[1]) {
+	if f.module.ejected(f.module.engineByID[1]) {
 		t.Fatal("an engine is left out for probes that nobody doubted")
 	}
-	f.tell(ProbeResult{Engine: 1, Verdict: VerdictTimeout, Doubted: true})
-	f.tell(ProbeResult{Engine: 1, Verdict: VerdictTimeout, Doubted: true})
-	if !f.m.sick(f.m.byID[1]) {
+	f.handle(ProbeResult{Engine: 1, Status: StatusTimeout, Suspected: true})
+	f.handle(ProbeResult{Engine: 1, Status: StatusTimeout, Suspected: true})
+	if !f.module.ejected(f.module.engineByID[1]) {
 		t.Error("an engine that answered neither of two probes for hearsay is not left out")
 	}
-	f.tell(ProbeResult{Engine: 1, Verdict: VerdictOK, Doubted: true})
-	if f.m.sick(f.m.byID[1]) {
+	f.handle(ProbeResult{Engine: 1, Status: StatusOK, Suspected: true})
+	if f.module.ejected(f.module.engineByID[1]) {
 		t.Error("and is not used again once it answers one")
 	}
 }
 
 // What others have learned stands in for what we have not seen, with little weight, and never beside what we have.
-func TestTaughtByOthers(t *testing.T) {
-	s := plain(quick)
-	f := site(t, s, 2)
-	f.tell(Taught{Class: 0, Ratio: 3, Usual: float64(300 * Millisecond)})
-	f.tell(Taught{Class: 7, Ratio: 3, Usual: 1})
-	f.tell(Taught{Class: 0, Ratio: 0, Usual: 1})
-	if l := f.m.Learned()[0]; l.Ratio < 2.9 || l.Usual != float64(300*Millisecond) {
+func TestPeerEstimate(t *testing.T) {
+	s := basicSettings(interactive)
+	f := startModule(t, s, 2)
+	f.handle(PeerEstimate{Class: 0, CostRatio: 3, MeanWork: float64(300 * Millisecond)})
+	f.handle(PeerEstimate{Class: 7, CostRatio: 3, MeanWork: 1})
+	f.handle(PeerEstimate{Class: 0, CostRatio: 0, MeanWork: 1})
+	if l := f.module.ClassEstimates()[0]; l.CostRatio < 2.9 || l.MeanWork != float64(300*Millisecond) {
 		t.Fatalf("taught: %+v", l)
 	}
 	for range 40 {
-		f.ask(0, nil)
-		f.resolve(f.pending()[0], VerdictOK)
+		f.submit(0, nil)
+		f.resolve(f.pending()[0], StatusOK)
 		f.advance(10 * Millisecond)
 	}
-	seen := f.m.Learned()[0]
-	if seen.Usual > float64(200*Millisecond) {
+	seen := f.module.ClassEstimates()[0]
+	if seen.MeanWork > float64(200*Millisecond) {
 		t.Errorf("after 40 requests of 100 ms: %+v", seen)
 	}
-	f.tell(Taught{Class: 0, Ratio: 3, Usual: float64(3000 * Millisecond)})
-	if l := f.m.Learned()[0]; l != seen {
+	f.handle(PeerEstimate{Class: 0, CostRatio: 3, MeanWork: float64(3000 * Millisecond)})
+	if l := f.module.ClassEstimates()[0]; l != seen {
 		t.Errorf("taught beside what we have seen: %+v, then %+v", seen, l)
 	}
 }
 
 // A cold engine whose budget others have used up gets nothing; without word of others it does.
-func TestColdBudgetCountsOthers(t *testing.T) {
-	s := plain(quick)
-	f := newReferee(t, s, 1, 1000*Second)
-	f.usual[0] = float64(100 * Millisecond)
+func TestSlowStartBudgetCountsPeers(t *testing.T) {
+	s := basicSettings(interactive)
+	f := newChecker(t, s, 1, 1000*Second)
+	f.work[0] = float64(100 * Millisecond)
 	f.advance(5 * Second)
-	f.tell(FleetChange{Mode: ListSaved, Engines: []Engine{{ID: 1, Scale: 1, StartedAt: f.now}}})
+	f.handle(FleetUpdate{Mode: UpdateCached, Engines: []Engine{{ID: 1, Scale: 1, StartedAt: f.now}}})
 	f.advance(3 * Second)
-	f.tell(SpentElsewhere{Engine: 9}) // of one that is not listed: let pass
-	whole := 2 * f.m.warmth(f.m.byID[1]) * 8 * float64(2*Second)
-	f.tell(SpentElsewhere{Engine: 1, Work: whole})
-	if id := f.ask(0, nil); f.sent(id) != 0 {
+	f.handle(PeerSlowStartUsage{Engine: 9}) // of one that is not listed: let pass
+	whole := 2 * f.module.speedFraction(f.module.engineByID[1]) * 8 * float64(2*Second)
+	f.handle(PeerSlowStartUsage{Engine: 1, Work: whole})
+	if id := f.submit(0, nil); f.attempts(id) != 0 {
 		t.Error("sent to a cold engine whose budget others have used up")
 	}
-	f.tell(SpentElsewhere{Engine: 1, Work: whole / 2})
-	if id := f.ask(0, nil); f.sent(id) != 1 {
+	f.handle(PeerSlowStartUsage{Engine: 1, Work: whole / 2})
+	if id := f.submit(0, nil); f.attempts(id) != 1 {
 		t.Error("not sent to a cold engine with half of its budget left")
 	}
 }
 
 // A repeat of a keyed request is sent only where it comes to its engine within the window even if it has to wait for a
 // connection for as long as that may take; with a window shorter than that it is never repeated.
-func TestKeyedRepeatStaysWithinItsWindow(t *testing.T) {
+func TestKeyedRetryStaysWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		window, after Time
 		again         bool
@@ -1483,42 +1483,42 @@
 		{900 * Millisecond, 600 * Millisecond, true}, {900 * Millisecond, 650 * Millisecond, false}, {900 * Millisecond, 800 * Millisecond, false},
 		{200 * Millisecond, 1 * Millisecond, false}, {0, 1 * Millisecond, false},
 	} {
-		keyed := quick
-		keyed.Effect, keyed.DedupWindow, keyed.Aim = EffectKeyed, c.window, 3*Second
-		f := site(t, plain(keyed), 3)
-		id := f.ask(0, nil)
+		keyed := interactive
+		keyed.Idempotency, keyed.DedupWindow, keyed.LatencyObjective = IdempotentWithKey, c.window, 3*Second
+		f := startModule(t, basicSettings(keyed), 3)
+		id := f.submit(0, nil)
 		f.advance(c.after)
-		f.resolve(f.pending()[0], VerdictReset)
-		if again := f.sent(id) > 1; again != c.again {
+		f.resolve(f.pending()[0], StatusReset)
+		if again := f.attempts(id) > 1; again != c.again {
 			t.Errorf("a window of %d ms, broken after %d: sent again %v, want %v", c.window/Millisecond, c.after/Millisecond, again, c.again)
 		}
-		f.check("keyed")
+		f.verify("keyed")
 	}
 }
 
 // A site that names no budget for cold engines, or no speed to begin with, has them used.
-func TestColdWithoutABudget(t *testing.T) {
-	for _, change := range []func(*Duties){
-		func(d *Duties) { d.TipAfter = 0 },
-		func(d *Duties) { d.OverloadFactor = 0 },
-		func(d *Duties) { d.ColdFrom, d.TipAfter = 0, 0 },
+func TestWarmingEngineWithoutABudget(t *testing.T) {
+	for _, change := range []func(*Constraints){
+		func(d *Constraints) { d.OverloadWindow = 0 },
+		func(d *Constraints) { d.OverloadFactor = 0 },
+		func(d *Constraints) { d.SlowStartInitialSpeed, d.OverloadWindow = 0, 0 },
 	} {
-		s := plain(quick)
-		change(&s.Duties)
-		s.Classes[0].Aim = 3 * Second
+		s := basicSettings(interactive)
+		change(&s.Constraints)
+		s.Classes[0].LatencyObjective = 3 * Second
 		m := New(s, 1)
 		now := 1000 * Second
-		m.Handle(now, FleetChange{Mode: ListSaved, Engines: []Engine{{ID: 1, StartedAt: now + 5*Millisecond}}}) // by a clock ahead of ours
+		m.Handle(now, FleetUpdate{Mode: UpdateCached, Engines: []Engine{{ID: 1, StartedAt: now + 5*Millisecond}}}) // by a clock ahead of ours
 		sent := 0
 		for i := range 3 {
-			for _, a := range m.Handle(now, Arrival{Request: Request{ID: RequestID(fmt.Sprint(i)), Due: now + 3*Second, Work: 1000, HasWork: true}}) {
+			for _, a := range m.Handle(now, Arrival{Request: Request{ID: RequestID(fmt.Sprint(i)), Deadline: now + 3*Second, EstimatedWork: 1000, HasEstimate: true}}) {
 				if _, ok := a.(Send); ok {
 					sent++
 				}
 			}
 		}
 		if sent == 0 {
-			t.Errorf("%+v: nothing was sent to the only engine", s.Duties)
+			t.Errorf("%+v: nothing was sent to the only engine", s.Constraints)
 		}
 	}
 }
