--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -84,7 +84,7 @@
 		if err == nil {
 			cfg, err = cfg.WithSite(sitePath)
 		}
-		if err == nil || !syserr.Passing(err) || time.Now().After(until) {
+		if err == nil || !syserr.Transient(err) || time.Now().After(until) {
 			return cfg, err
 		}
 	}
@@ -104,7 +104,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE) // a log collector that goes away must not end the process
-	return net.Signals{Reload: reload, End: end}
+	return net.Signals{Reload: reload, Terminate: end}
 }
 
 func serve(cfg config.Config, verbose bool, signals net.Signals) error {
--- a/cmd/foxlane/signals_test.go
+++ b/cmd/foxlane/signals_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	select {
-	case <-signals.End:
+	case <-signals.Terminate:
 	case <-time.After(5 * time.Second):
 		t.Error("the SIGTERM is lost behind the SIGHUPs")
 	}
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -11,22 +11,22 @@
 
 // Writer takes log lines without ever blocking and writes them from a goroutine of its own.
 type Writer struct {
-	out     io.Writer
-	most    int // bytes that may wait
-	lostMsg func(lines int) []byte
-	wake    chan struct{}
-	done    chan struct{}
+	out        io.Writer
+	maxBytes   int // bytes that may wait
+	formatLost func(lines int) []byte
+	wake       chan struct{}
+	done       chan struct{}
 
-	mu      sync.Mutex
-	waiting []byte
-	lines   int // of waiting
-	lost    int // lines dropped and not yet reported
-	closed  bool
+	mu           sync.Mutex
+	pending      []byte
+	pendingLines int // of waiting
+	lostLines    int // lines dropped and not yet reported
+	closed       bool
 }
 
 // New starts a writer that holds at most so many bytes. Lost renders the line that reports lost lines.
 func New(out io.Writer, most int, lost func(lines int) []byte) *Writer {
-	w := &Writer{out: out, most: most, lostMsg: lost, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	w := &Writer{out: out, maxBytes: most, formatLost: lost, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -35,14 +35,14 @@
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	switch {
-	case w.closed || len(w.waiting)+len(line) > w.most:
-		w.lost++
+	case w.closed || len(w.pending)+len(line) > w.maxBytes:
+		w.lostLines++
 	default:
-		w.waiting = append(w.waiting, line...)
-		w.lines++
+		w.pending = append(w.pending, line...)
+		w.pendingLines++
 	}
 	w.mu.Unlock()
-	w.poke()
+	w.signal()
 	return len(line), nil
 }
 
@@ -55,7 +55,7 @@
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
-	w.poke()
+	w.signal()
 	timeout := time.NewTimer(within)
 	defer timeout.Stop()
 	select {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (w *Writer) poke() {
+func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -77,14 +77,14 @@
 	defer close(w.done)
 	var spare []byte
 	for range w.wake {
-		batch, lines, lost, closed := w.take(spare[:0])
+		batch, lines, lost, closed := w.swap(spare[:0])
 		if lost > 0 {
-			batch = append(batch, w.lostMsg(lost)...)
+			batch = append(batch, w.formatLost(lost)...)
 		}
 		if len(batch) > 0 {
 			if _, err := w.out.Write(batch); err != nil {
 				w.mu.Lock()
-				w.lost += lines + lost
+				w.lostLines += lines + lost
 				w.mu.Unlock()
 			}
 		}
@@ -95,11 +95,11 @@
 	}
 }
 
-// take swaps the waiting lines for an empty buffer.
-func (w *Writer) take(empty []byte) (batch []byte, lines, lost int, closed bool) {
+// swap swaps the waiting lines for an empty buffer.
+func (w *Writer) swap(empty []byte) (batch []byte, lines, lost int, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	batch, lines, lost = w.waiting, w.lines, w.lost
-	w.waiting, w.lines, w.lost = empty, 0, 0
+	batch, lines, lost = w.pending, w.pendingLines, w.lostLines
+	w.pending, w.pendingLines, w.lostLines = empty, 0, 0
 	return batch, lines, lost, w.closed
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// gate is a writer that stands still until it is opened.
-type gate struct {
+// stalledWriter is a writer that stands still until it is opened.
+type stalledWriter struct {
 	mu   sync.Mutex
 	open chan struct{}
 	err  error
 	out  bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *stalledWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -28,7 +28,7 @@
 	return g.out.Write(p)
 }
 
-func (g *gate) text() string {
+func (g *stalledWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.out.String()
@@ -37,8 +37,8 @@
 func lost(lines int) []byte { return fmt.Appendf(nil, "lost %d\n", lines) }
 
 // With a reader that stands still no line waits, memory stays under the bound, and the loss is told when it reads again.
-func TestReaderThatStandsStill(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
+func TestStalledReader(t *testing.T) {
+	g := &stalledWriter{open: make(chan struct{})}
 	w := New(g, 1000, lost)
 	const lines = 5000
 	begin := time.Now()
@@ -49,7 +49,7 @@
 		t.Errorf("%d lines took %v", lines, took)
 	}
 	w.mu.Lock()
-	held := len(w.waiting)
+	held := len(w.pending)
 	w.mu.Unlock()
 	if held > 1000 {
 		t.Errorf("%d bytes wait", held)
@@ -73,14 +73,14 @@
 }
 
 // Lines that fail to be written are told as lost once writing works again.
-func TestWritesThatFail(t *testing.T) {
-	g := &gate{open: make(chan struct{}), err: errors.New("broken pipe")}
+func TestFailedWritesAreCounted(t *testing.T) {
+	g := &stalledWriter{open: make(chan struct{}), err: errors.New("broken pipe")}
 	close(g.open)
 	w := New(g, 1000, lost)
 	fmt.Fprintln(w, "one")
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		n := w.lost
+		n := w.lostLines
 		w.mu.Unlock()
 		if n == 1 {
 			break
@@ -100,7 +100,7 @@
 
 // Close gives up on a reader that stands still.
 func TestCloseIsBounded(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
+	g := &stalledWriter{open: make(chan struct{})}
 	w := New(g, 1000, lost)
 	fmt.Fprintln(w, "one")
 	if w.Close(20 * time.Millisecond) {
--- a/internal/faultgateway/double.go
+++ b/internal/faultgateway/double.go
@@ -180,5 +180,5 @@
 	if err != nil {
 		return err
 	}
-	return net.RunOn(platform, cfg, log, net.Signals{Reload: reload, End: end})
+	return net.RunOn(platform, cfg, log, net.Signals{Reload: reload, Terminate: end})
 }
--- a/internal/faultgateway/plants.go
+++ b/internal/faultgateway/plants.go
@@ -114,9 +114,9 @@
 		now += rules.Time(p.clock.stepped() / time.Microsecond)
 	}
 	switch e.Kind {
-	case gateway.Connected:
+	case gateway.DialSucceeded:
 		p.engines[e.Conn] = true
-	case gateway.Closed:
+	case gateway.ConnectionClosed:
 		delete(p.engines, e.Conn)
 		if id := p.clients[e.Conn]; p.name == PlantSentAfterGone && id != "" {
 			if a, ok := p.asks[id]; ok {
@@ -124,14 +124,14 @@
 			}
 		}
 		delete(p.clients, e.Conn)
-	case gateway.Data:
+	case gateway.DataReceived:
 		if p.name == PlantKeyTwice && e.Conn&dialledBit == 0 {
 			e.Data = bytes.ReplaceAll(e.Data, []byte("subject="), []byte("subjekt="))
 		}
 		if _, after, ok := bytes.Cut(e.Data, []byte("req=")); ok && e.Conn&dialledBit == 0 && len(after) >= 16 {
 			p.clients[e.Conn] = string(after[:16])
 		}
-	case gateway.Datagram:
+	case gateway.DNSResponse:
 		changed, err := p.list(e.Data)
 		if errors.Is(err, errDropped) {
 			return
@@ -293,7 +293,7 @@
 
 // pass lets an effect through, as the defect has it.
 func (p *planted) pass(f gateway.Effect) {
-	if f.Kind == gateway.Arm && p.name == PlantWallDeadline {
+	if f.Kind == gateway.SetTimer && p.name == PlantWallDeadline {
 		f.At -= rules.Time(p.clock.stepped() / time.Microsecond)
 	}
 	if f.Kind == gateway.Dial {
@@ -325,7 +325,7 @@
 		f.Data = bytes.Clone(f.Data)
 		p.later = append(p.later, delayed{p.now + 5*rules.Second, f})
 	case p.name == PlantCloseUnanswered:
-		p.out = append(p.out, gateway.Effect{Kind: gateway.Close, Conn: f.Conn})
+		p.out = append(p.out, gateway.Effect{Kind: gateway.CloseConnection, Conn: f.Conn})
 	default:
 		p.out = append(p.out, f)
 	}
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -10,13 +10,13 @@
 	"syscall"
 )
 
-// Most is how many bytes a settings file may have: that of the largest fleet has under a megabyte.
-const Most = 8 << 20
+// MaxSize is how many bytes a settings file may have: that of the largest fleet has under a megabyte.
+const MaxSize = 8 << 20
 
 // Errors of files that are no settings.
 var (
 	ErrIrregular = errors.New("not a regular file")
-	ErrTooLarge  = fmt.Errorf("larger than %d bytes", Most)
+	ErrTooLarge  = fmt.Errorf("larger than %d bytes", MaxSize)
 )
 
 // Read returns a regular file's bytes.
@@ -33,8 +33,8 @@
 	if !info.Mode().IsRegular() {
 		return nil, &os.PathError{Op: "read", Path: path, Err: ErrIrregular}
 	}
-	raw, err := io.ReadAll(io.LimitReader(f, Most+1))
-	if err == nil && len(raw) > Most {
+	raw, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	if err == nil && len(raw) > MaxSize {
 		err = &os.PathError{Op: "read", Path: path, Err: ErrTooLarge}
 	}
 	return raw, err
--- a/internal/files/files_test.go
+++ b/internal/files/files_test.go
@@ -34,7 +34,7 @@
 	if err := os.WriteFile(large, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Truncate(large, Most+1); err != nil {
+	if err := os.Truncate(large, MaxSize+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(large); !errors.Is(err, ErrTooLarge) {
--- a/internal/framebuf/feed.go
+++ b/internal/framebuf/buffer.go
@@ -3,34 +3,34 @@
 // its user allows.
 package framebuf
 
-// keep is how large an empty buffer may stay between messages.
-const keep = 4096
+// maxIdleCapacity is how large an empty buffer may stay between messages.
+const maxIdleCapacity = 4096
 
 // Buffer holds the bytes that have come and are not yet used. The zero value is ready.
 type Buffer struct {
-	data []byte
-	from int
+	data  []byte
+	start int
 }
 
 // Add appends bytes that have come. They are copied.
 func (b *Buffer) Add(p []byte) {
-	if b.from == len(b.data) {
-		b.data, b.from = b.data[:0], 0
-		if cap(b.data) > keep {
+	if b.start == len(b.data) {
+		b.data, b.start = b.data[:0], 0
+		if cap(b.data) > maxIdleCapacity {
 			b.data = nil
 		}
-	} else if b.from > 0 && len(b.data)+len(p) > cap(b.data) {
-		b.data = b.data[:copy(b.data, b.data[b.from:])]
-		b.from = 0
+	} else if b.start > 0 && len(b.data)+len(p) > cap(b.data) {
+		b.data = b.data[:copy(b.data, b.data[b.start:])]
+		b.start = 0
 	}
 	b.data = append(b.data, p...)
 }
 
 // Bytes are those not yet used, valid until the next Add.
-func (b *Buffer) Bytes() []byte { return b.data[b.from:] }
+func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
 // Len is how many there are.
-func (b *Buffer) Len() int { return len(b.data) - b.from }
+func (b *Buffer) Len() int { return len(b.data) - b.start }
 
 // Skip uses n bytes up.
-func (b *Buffer) Skip(n int) { b.from += n }
+func (b *Buffer) Skip(n int) { b.start += n }
--- a/internal/gateway/bad_test.go
+++ b/internal/gateway/bad_test.go
@@ -40,7 +40,7 @@
 		case Write:
 			b.sent[f.Conn] = append(b.sent[f.Conn], f.Data...)
 			b.taken[f.Conn] += int64(len(f.Data))
-		case Close:
+		case CloseConnection:
 			b.shut[f.Conn] = true
 		case Dial:
 			b.dials = append(b.dials, f.Conn)
@@ -51,7 +51,7 @@
 }
 
 func (b *bench) step(kind EventKind, conn ConnID, data string) {
-	b.g.Step(b.now, Event{Kind: kind, Conn: conn, Data: []byte(data), Taken: b.taken[conn]})
+	b.g.Step(b.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: b.taken[conn]})
 	b.flush()
 }
 
@@ -64,13 +64,13 @@
 			return
 		}
 		b.now = max(b.now, at)
-		b.step(Wake, 0, "")
+		b.step(TimerFired, 0, "")
 	}
 }
 
 func (b *bench) client(id ConnID) {
-	b.step(Accepted, id, "")
-	b.step(Data, id, string(login()))
+	b.step(ConnectionAccepted, id, "")
+	b.step(DataReceived, id, string(login()))
 }
 
 func ask(class, id string) string {
@@ -114,11 +114,11 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
 			b.client(1)
-			b.step(Data, 1, ask("point", idA))
+			b.step(DataReceived, 1, ask("point", idA))
 			b.client(2)
 			b.after(1)
 			b.after(2)
-			b.step(Data, 2, c.data)
+			b.step(DataReceived, 2, c.data)
 			if got := b.after(2); !strings.Contains(got, c.answer) || b.shut[2] != c.shut {
 				t.Errorf("answered %q, closed %v", got, b.shut[2])
 			}
@@ -142,8 +142,8 @@
 		"a query at once":   string(query("SELECT 1")),
 	} {
 		b := newBench(t)
-		b.step(Accepted, 1, "")
-		b.step(Data, 1, data)
+		b.step(ConnectionAccepted, 1, "")
+		b.step(DataReceived, 1, data)
 		b.pass(2900 * rules.Millisecond)
 		if !b.shut[1] || len(b.g.clients) != 0 || len(b.g.sessions) != 0 {
 			t.Errorf("%s: the session goes on", name)
@@ -157,8 +157,8 @@
 	for range 300 {
 		b := newBench(t)
 		b.client(1)
-		b.step(Data, 1, ask("point", idA))
-		b.step(Connected, b.dials[0], "")
+		b.step(DataReceived, 1, ask("point", idA))
+		b.step(DialSucceeded, b.dials[0], "")
 		pieces := []string{ask("load", idB), string(login()), idA + " served total=3 2\r\n\r\n\r\n", idA + " rows index=1 0\r\n\r\n",
 			"\x00\x01\x02", "p1 green - 0\r\n\r\n", string(standin.Answer(uint16(b.g.asked[0]), listName, 2, []standin.Host{oneHost}))}
 		for range 10 {
@@ -166,10 +166,10 @@
 			if rng.IntN(2) == 0 {
 				p[rng.IntN(len(p))] ^= byte(1 << rng.IntN(8))
 			}
-			b.step([]EventKind{Data, Data, Datagram}[rng.IntN(3)], []ConnID{1, b.dials[0]}[rng.IntN(2)], string(p))
+			b.step([]EventKind{DataReceived, DataReceived, DNSResponse}[rng.IntN(3)], []ConnID{1, b.dials[0]}[rng.IntN(2)], string(p))
 			b.pass(rules.Time(rng.IntN(100)) * rules.Millisecond)
 		}
-		b.step(Closed, 1, "")
+		b.step(ConnectionClosed, 1, "")
 		b.pass(5 * rules.Second)
 		if len(b.g.requests) != 0 || b.g.unanswered != 0 || b.g.partial != 0 {
 			t.Fatalf("%d requests and %d bytes are left", len(b.g.requests), b.g.partial)
@@ -206,14 +206,14 @@
 		for _, class := range []string{"point", "load"} {
 			b := newBench(t)
 			b.client(1)
-			b.step(Data, 1, ask(class, idA))
+			b.step(DataReceived, 1, ask(class, idA))
 			link := b.dials[0]
-			b.step(Connected, link, "")
+			b.step(DialSucceeded, link, "")
 			if got := b.after(link); !strings.HasPrefix(got, "ASK "+idA+" lane="+class) {
 				t.Fatalf("the engine got %q", got)
 			}
 			b.after(1)
-			b.step(Data, link, c.data)
+			b.step(DataReceived, link, c.data)
 			if b.shut[link] != c.shut {
 				t.Errorf("%s: connection closed: %v", name, b.shut[link])
 			}
@@ -241,20 +241,20 @@
 func TestPagesInAnyOrder(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	link := b.dials[0]
-	b.step(Connected, link, "")
+	b.step(DialSucceeded, link, "")
 	b.after(link)
-	b.step(Data, link, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
+	b.step(DataReceived, link, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
 	if got := b.after(link); got != "NEXT "+idA+" 1\r\nNEXT "+idA+" 2\r\n" {
 		t.Fatalf("asked for %q", got)
 	}
 	b.after(1)
-	b.step(Data, link, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
+	b.step(DataReceived, link, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
 	if b.after(1) != "" {
 		t.Fatal("the client has rows of a result that is not whole")
 	}
-	b.step(Data, link, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
+	b.step(DataReceived, link, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
 	got := b.after(1)
 	at := []int{strings.Index(got, "\x011\x01a"), strings.Index(got, "\x012\x01a"), strings.Index(got, "\x013\x01a")}
 	if at[0] < 0 || at[1] < at[0] || at[2] < at[1] {
@@ -269,11 +269,11 @@
 func TestListIsCheckedWhenWritten(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("load", idA))
+	b.step(DataReceived, 1, ask("load", idA))
 	h := oneHost
 	h.Draining = true
-	b.step(Datagram, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{h})))
-	b.step(Connected, b.dials[0], "")
+	b.step(DNSResponse, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{h})))
+	b.step(DialSucceeded, b.dials[0], "")
 	if got := b.after(b.dials[0]); got != "" {
 		t.Errorf("a draining engine got %q", got)
 	}
@@ -295,12 +295,12 @@
 		"another name": standin.Answer(b.g.asked[0], "_data._tcp.other.lan", 9, nil),
 		"empty":        {},
 	} {
-		b.step(Datagram, 0, string(msg))
+		b.step(DNSResponse, 0, string(msg))
 		if len(b.g.order) != 1 || b.g.order[0].entry.ID != oneHost.ID || b.g.order[0].state != rules.EngineServing {
 			t.Errorf("%s: the list has changed", name)
 		}
 	}
-	b.step(Datagram, 0, string(good))
+	b.step(DNSResponse, 0, string(good))
 	if len(b.g.order) != 1 || b.g.order[0].entry.ID != other.ID {
 		t.Error("a good answer has not changed the list")
 	}
@@ -311,14 +311,14 @@
 func TestSilentConnectionIsLeft(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, string(query("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
-	b.step(Connected, b.dials[0], "")
+	b.step(DataReceived, 1, string(query("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
+	b.step(DialSucceeded, b.dials[0], "")
 	b.pass(900 * rules.Millisecond) // less than what makes a connection idle
 	if b.g.requests[idA] != nil || len(b.dials) != 1 {
 		t.Fatal("the load should have failed, with no further attempt")
 	}
 	b.after(b.dials[0])
-	b.step(Data, 1, ask("load", idB))
+	b.step(DataReceived, 1, ask("load", idB))
 	if got := b.after(b.dials[0]); got != "" || len(b.dials) != 2 {
 		t.Errorf("the silent connection got %q; %d dials, want 2", got, len(b.dials))
 	}
@@ -328,10 +328,10 @@
 func TestTerminateAnswersAll(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, string(query("/* kind=load,req="+idA+",timeout=30000 */ SELECT 1 FROM sales_1.x")))
-	b.step(Connected, b.dials[0], "")
+	b.step(DataReceived, 1, string(query("/* kind=load,req="+idA+",timeout=30000 */ SELECT 1 FROM sales_1.x")))
+	b.step(DialSucceeded, b.dials[0], "")
 	b.after(1)
-	b.step(Terminate, 0, "")
+	b.step(ShutdownRequested, 0, "")
 	b.pass(b.g.lim.StopWithin - rules.Millisecond)
 	if b.exit || b.after(1) != "" {
 		t.Fatal("ended before its time")
@@ -346,12 +346,12 @@
 func TestIdleConnectionIsLeft(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
-	b.step(Connected, b.dials[0], "")
-	b.step(Data, b.dials[0], idA+" served total=1 0\r\n\r\n")
+	b.step(DataReceived, 1, ask("point", idA))
+	b.step(DialSucceeded, b.dials[0], "")
+	b.step(DataReceived, b.dials[0], idA+" served total=1 0\r\n\r\n")
 	b.now += b.g.lim.LinkIdle // before the sweep has seen it
 	b.g.armed = b.now         // and no timer is late: the process did not stand still
-	b.step(Data, 1, ask("load", idB))
+	b.step(DataReceived, 1, ask("load", idB))
 	if len(b.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(b.dials))
 	}
@@ -361,19 +361,19 @@
 func TestKill(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	b.client(2)
-	b.step(Data, 2, ask("point", idB))
+	b.step(DataReceived, 2, ask("point", idB))
 	link := b.dials[0]
-	b.step(Connected, link, "")
+	b.step(DialSucceeded, link, "")
 	b.after(link)
 	b.after(1)
 	b.client(3)
-	b.step(Data, 3, string(query(fmt.Sprintf("KILL QUERY %d", b.g.clients[1].session))))
+	b.step(DataReceived, 3, string(query(fmt.Sprintf("KILL QUERY %d", b.g.clients[1].session))))
 	if got := b.after(link); got != "QUIT "+idA+"\r\n" {
 		t.Errorf("the engine got %q", got)
 	}
-	b.step(Data, link, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
+	b.step(DataReceived, link, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
 	if got := b.after(1); got != "" {
 		t.Errorf("the killed session got %q", got)
 	}
@@ -387,11 +387,11 @@
 	b := newBench(t)
 	b.g.lim.InputBytes = 20 * b.g.lim.Statement
 	b.client(99)
-	b.step(Data, 99, string(query(ask("point", idA)))[:40])
+	b.step(DataReceived, 99, string(query(ask("point", idA)))[:40])
 	piece := "\xff\xff\x00\x00" + strings.Repeat("x", 0xff00)
 	for id := ConnID(1); id <= 40; id++ {
 		b.client(id)
-		b.step(Data, id, piece)
+		b.step(DataReceived, id, piece)
 		if b.g.partial > b.g.lim.InputBytes {
 			t.Fatalf("%d bytes are held, %d at most", b.g.partial, b.g.lim.InputBytes)
 		}
@@ -414,8 +414,8 @@
 func TestAnswerLeavesAhead(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("load", idA)) // waits 2 s
-	b.step(Connected, b.dials[0], "")
+	b.step(DataReceived, 1, ask("load", idA)) // waits 2 s
+	b.step(DialSucceeded, b.dials[0], "")
 	b.after(1)
 	b.pass(1799 * rules.Millisecond)
 	if got := b.after(1); got != "" {
@@ -435,7 +435,7 @@
 	for text, want := range map[string]string{
 		"SELECT @@max_allowed_packet": "65536", "select @@version_comment limit 1": "foxlane", "SET NAMES utf8mb4": "\x00\x00\x00",
 	} {
-		b.step(Data, 1, string(query(text)))
+		b.step(DataReceived, 1, string(query(text)))
 		if got := b.after(1); !strings.Contains(got, want) || strings.Contains(got, "\xff") {
 			t.Errorf("%s: got %q", text, got)
 		}
@@ -451,16 +451,16 @@
 		do   func(b *bench, link ConnID)
 		left int
 	}{
-		"green":   {func(b *bench, link ConnID) { b.step(Data, link, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
+		"green":   {func(b *bench, link ConnID) { b.step(DataReceived, link, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
 		"silence": {func(b *bench, link ConnID) { b.pass(300 * rules.Millisecond) }, 0},
-		"lost":    {func(b *bench, link ConnID) { b.step(Closed, link, "") }, 0},
+		"lost":    {func(b *bench, link ConnID) { b.step(ConnectionClosed, link, "") }, 0},
 		"waiting": {func(b *bench, link ConnID) {}, 1},
 	} {
 		b := newBench(t)
 		b.g.act(rules.Probe{Engine: b.g.order[0].id})
 		b.flush()
 		link := b.dials[0]
-		b.step(Connected, link, "")
+		b.step(DialSucceeded, link, "")
 		if got := b.after(link); got != "INFO p1\r\n" {
 			t.Fatalf("the engine got %q", got)
 		}
@@ -481,10 +481,10 @@
 	cfg := worldConfig(t, two)
 	cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
 	reload := func() (moved, asked bool) {
-		b.g.Step(b.now, Event{Kind: Reload, Config: &cfg})
+		b.g.Step(b.now, Event{Kind: ConfigReloaded, Config: &cfg})
 		for _, f := range b.g.Flush() {
-			moved = moved || f.Kind == Names && f.Addr == cfg.DNS
-			asked = asked || f.Kind == Query && moved
+			moved = moved || f.Kind == SetNameServer && f.Addr == cfg.DNS
+			asked = asked || f.Kind == QueryDNS && moved
 		}
 		return moved, asked
 	}
@@ -497,7 +497,7 @@
 		t.Errorf("a newer list in the file: %d engines, at event %d", len(b.g.engines), b.g.list.Serial())
 	}
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	if reload(); b.shut[1] || b.g.requests[idA] == nil {
 		t.Error("a client was concerned")
 	}
@@ -508,19 +508,19 @@
 func TestSilentConnectionsGiveWay(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	b.client(2)
-	b.step(Data, 2, string(packet(0, []byte{14}))) // idle after a ping
+	b.step(DataReceived, 2, string(packet(0, []byte{14}))) // idle after a ping
 	most := ConnID(b.g.lim.Clients)
 	for id := ConnID(100); id < 100+2*most; id++ {
-		b.step(Accepted, id, "")
+		b.step(ConnectionAccepted, id, "")
 	}
 	if len(b.g.clients) > b.g.lim.Clients {
 		t.Fatalf("%d connections are held, %d at most", len(b.g.clients), b.g.lim.Clients)
 	}
 	b.after(3)
 	b.client(3)
-	b.step(Data, 3, ask("point", idB))
+	b.step(DataReceived, 3, ask("point", idB))
 	if b.shut[3] || b.g.requests[idB] == nil {
 		t.Fatal("a client that asks at once was turned away for silent ones")
 	}
@@ -541,21 +541,21 @@
 func TestSessionsThatOutstay(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, string(packet(0, []byte{14})))
+	b.step(DataReceived, 1, string(packet(0, []byte{14})))
 	b.client(2)
-	b.step(Data, 2, ask("point", idA)[:30])
+	b.step(DataReceived, 2, ask("point", idA)[:30])
 	b.client(3) // logs in and asks for nothing
 	b.pass(2900 * rules.Millisecond)
 	if b.shut[1] || !b.shut[2] || !b.shut[3] {
 		t.Errorf("after 2.9 s: idle closed %v, half a query %v, login alone %v", b.shut[1], b.shut[2], b.shut[3])
 	}
 	b.pass(1200 * rules.Millisecond)
-	b.step(Data, 1, ask("point", idB))
+	b.step(DataReceived, 1, ask("point", idB))
 	if b.shut[1] || b.g.requests[idB] == nil {
 		t.Fatal("a client that was idle for 4 s was closed")
 	}
-	b.step(Connected, b.dials[0], "")
-	b.step(Data, b.dials[0], idB+" served total=1 0\r\n\r\n")
+	b.step(DialSucceeded, b.dials[0], "")
+	b.step(DataReceived, b.dials[0], idB+" served total=1 0\r\n\r\n")
 	b.pass(5 * rules.Second)
 	if !b.shut[1] || len(b.g.clients) != 0 || b.g.idle.Len()+b.g.fresh.Len() != 0 {
 		t.Error("a connection held for good is kept")
@@ -570,7 +570,7 @@
 		b.client(1)
 		for i := range b.g.lim.Faults + 1 {
 			b.after(1)
-			b.step(Data, 1, string(query("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
+			b.step(DataReceived, 1, string(query("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
 			if got := b.after(1); !strings.Contains(got, "unusable") && !strings.Contains(got, "out of range") {
 				t.Fatalf("%s: got %q", fields, got)
 			}
@@ -593,11 +593,11 @@
 		b := newBench(t)
 		for id, req := range map[ConnID]string{1: idA, 2: idB} {
 			b.client(id)
-			b.step(Data, id, ask("point", req))
+			b.step(DataReceived, id, ask("point", req))
 		}
 		link := b.dials[0]
-		b.step(Connected, link, "")
-		b.step(Data, link, piece)
+		b.step(DialSucceeded, link, "")
+		b.step(DataReceived, link, piece)
 		b.pass(b.g.lim.AnswerWhole - rules.Millisecond)
 		if b.shut[link] {
 			t.Errorf("%s: ended too early", name)
@@ -606,7 +606,7 @@
 		if !b.shut[link] || len(b.dials) != 2 {
 			t.Fatalf("%s: closed %v, %d dials: both queries should be under way again", name, b.shut[link], len(b.dials))
 		}
-		b.step(Connected, b.dials[1], "")
+		b.step(DialSucceeded, b.dials[1], "")
 		if got := b.after(b.dials[1]); strings.Count(got, "ASK ") != 2 {
 			t.Errorf("%s: the engine got %q", name, got)
 		}
@@ -618,13 +618,13 @@
 func TestAnswersThatComeTwice(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	link := b.dials[0]
-	b.step(Connected, link, "")
+	b.step(DialSucceeded, link, "")
 	b.after(1)
 	first := idA + " served total=3 6\r\n1\ta\tb\n\r\n"
 	page := idA + " rows index=1 6\r\n2\ta\tb\n\r\n"
-	b.step(Data, link, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
+	b.step(DataReceived, link, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
 	if got := b.after(1); strings.Count(got, "\x01a") != 3 || b.shut[link] {
 		t.Errorf("got %q", got)
 	}
@@ -639,11 +639,11 @@
 	b := newBench(t)
 	for i, class := range []string{"load", "load", "point", "point", "report"} {
 		b.client(ConnID(i + 1))
-		b.step(Data, ConnID(i+1), string(query(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x", class, i, i))))
+		b.step(DataReceived, ConnID(i+1), string(query(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x", class, i, i))))
 	}
 	got := map[string]int{}
 	for _, d := range b.dials {
-		b.step(Connected, d, "")
+		b.step(DialSucceeded, d, "")
 		sent := b.after(d)
 		for _, class := range []string{"load", "point", "report"} {
 			if n := strings.Count(sent, "lane="+class); n > 0 {
@@ -657,7 +657,7 @@
 	if len(b.dials) != 3 || got["load"] != 2 || got["point"] != 2 || got["report"] != 1 {
 		t.Fatalf("%d connections carry %v", len(b.dials), got)
 	}
-	b.step(Data, b.dials[1], "\x00\r\n")
+	b.step(DataReceived, b.dials[1], "\x00\r\n")
 	if !b.shut[b.dials[1]] || b.shut[b.dials[0]] || b.shut[b.dials[2]] || b.g.requests["0000000000000000"].out != 1 {
 		t.Error("more than the queries of one class were concerned")
 	}
@@ -671,12 +671,12 @@
 	ask := func(client int, class string) string {
 		id := fmt.Sprintf("%016x", client)
 		b.client(ConnID(client))
-		b.step(Data, ConnID(client), string(query("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
+		b.step(DataReceived, ConnID(client), string(query("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
 		return id
 	}
 	first := ask(1, "point")
-	b.step(Connected, b.dials[0], "")
-	b.step(Data, b.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
+	b.step(DialSucceeded, b.dials[0], "")
+	b.step(DataReceived, b.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
 	ask(2, "report")
 	if len(b.dials) != 1 || !strings.Contains(b.after(b.dials[0]), "lane=report") {
 		t.Fatalf("%d connections for two requests one after the other", len(b.dials))
@@ -694,10 +694,10 @@
 	for i := range 6 {
 		id := ConnID(i + 1)
 		b.client(id)
-		b.step(Data, id, string(query(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x",
+		b.step(DataReceived, id, string(query(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x",
 			[]string{"load", "point"}[i%2], i, i))))
 	}
-	b.step(Connected, b.dials[0], "")
+	b.step(DialSucceeded, b.dials[0], "")
 	if asked := strings.Count(b.after(b.dials[0]), "ASK "); len(b.dials) != 1 || asked != b.g.lim.Multiplex {
 		t.Errorf("%d requests went out on %d connections", asked, len(b.dials))
 	}
@@ -713,15 +713,15 @@
 			id := ConnID(10 * (round + 1))
 			for i := range ConnID(3) {
 				b.client(id + i)
-				b.step(Data, id+i, string(query(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
+				b.step(DataReceived, id+i, string(query(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
 			}
 			link := b.dials[len(b.dials)-1]
-			b.step(Connected, link, "")
+			b.step(DialSucceeded, link, "")
 			if answers {
-				b.step(Data, link, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
+				b.step(DataReceived, link, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
 			}
 			b.pass(rules.Millisecond)
-			b.step(Closed, link, "")
+			b.step(ConnectionClosed, link, "")
 			b.pass(rules.Millisecond)
 		}
 		if left := b.g.module.EngineViews()[0].Ejected; left == answers {
@@ -762,11 +762,11 @@
 		b.client(2)
 		for i := range 12 {
 			bad, good := fmt.Sprintf("%016x", 2*i), fmt.Sprintf("%016x", 2*i+1)
-			b.step(Data, 1, ask("load", bad))
-			b.step(Data, 2, ask("point", good))
+			b.step(DataReceived, 1, ask("load", bad))
+			b.step(DataReceived, 2, ask("point", good))
 			for _, d := range b.dials {
 				if l := b.g.links[d]; l != nil && !l.up {
-					b.step(Connected, d, "")
+					b.step(DialSucceeded, d, "")
 				}
 			}
 			answers := map[string]string{good: good + " crashed - 0\r\n\r\n", bad: bad + " crashed - 0\r\n\r\n"}
@@ -775,7 +775,7 @@
 			}
 			for _, id := range []string{good, bad} {
 				if r := b.g.requests[rules.RequestID(id)]; r != nil && r.out > 0 {
-					b.step(Data, r.attempts[len(r.attempts)-1].link.id, answers[id])
+					b.step(DataReceived, r.attempts[len(r.attempts)-1].link.id, answers[id])
 				}
 			}
 			b.pass(50 * rules.Millisecond)
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -39,7 +39,7 @@
 // warmth is what the module holds of an engine's.
 func (w *world) warmth(t *testing.T, name string) float64 {
 	t.Helper()
-	w.g.Step(w.now, Event{Kind: Wake})
+	w.g.Step(w.now, Event{Kind: TimerFired})
 	w.g.tell(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
 	w.carryOut()
 	for _, b := range w.g.module.EngineViews() {
--- a/internal/gateway/crossings_test.go
+++ b/internal/gateway/crossings_test.go
@@ -72,7 +72,7 @@
 	two := []standin.Host{oneHost, oneHost}
 	two[1].ID, two[1].Addr = "s-00000002", netip.MustParseAddrPort("127.8.1.2:7001")
 	change(two)
-	x.step(Datagram, 0, string(standin.Answer(x.g.asked[(x.g.askedNum-1)%len(x.g.asked)], listName, serial, two)))
+	x.step(DNSResponse, 0, string(standin.Answer(x.g.asked[(x.g.askedNum-1)%len(x.g.asked)], listName, serial, two)))
 }
 
 // moments are all that may come, by name.
@@ -82,39 +82,39 @@
 }{
 	{"request", func(x *crossing) {
 		if !x.shut[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.step(Data, 1, ask(x.class, idA))
+			x.step(DataReceived, 1, ask(x.class, idA))
 		}
 	}},
 	{"first byte", func(x *crossing) {
 		if !x.shut[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.step(Data, 1, ask(x.class, idA)[:9])
+			x.step(DataReceived, 1, ask(x.class, idA)[:9])
 		}
 	}},
 	{"last byte", func(x *crossing) {
 		if c := x.g.clients[1]; c != nil && c.partial > 0 && !x.left {
-			x.step(Data, 1, ask(x.class, idA)[9:])
+			x.step(DataReceived, 1, ask(x.class, idA)[9:])
 		}
 	}},
 	{"close", func(x *crossing) {
 		x.left = true
-		x.step(Closed, 1, "")
+		x.step(ConnectionClosed, 1, "")
 	}},
 	{"kill", func(x *crossing) {
 		if c := x.g.clients[1]; c != nil && c.request != nil {
 			x.left = true
-			x.step(Data, crossingKill, string(query(fmt.Sprintf("KILL QUERY %d", c.session))))
+			x.step(DataReceived, crossingKill, string(query(fmt.Sprintf("KILL QUERY %d", c.session))))
 		}
 	}},
 	{"session killed", func(x *crossing) {
 		if c := x.g.clients[1]; c != nil {
 			x.left = true
-			x.step(Data, crossingKill, string(query(fmt.Sprintf("KILL %d", c.session))))
+			x.step(DataReceived, crossingKill, string(query(fmt.Sprintf("KILL %d", c.session))))
 		}
 	}},
 	{"connection up", func(x *crossing) {
 		if id := x.link(); id != 0 && !x.down[id] {
 			x.down[id] = true
-			x.step(Connected, id, "")
+			x.step(DialSucceeded, id, "")
 		}
 	}},
 	{"dial failed", func(x *crossing) {
@@ -124,18 +124,18 @@
 			x.flush()
 		}
 	}},
-	{"answer", func(x *crossing) { x.step(Data, x.link(), idA+" served total=1 6\r\n1\ta\tb\n\r\n") }},
+	{"answer", func(x *crossing) { x.step(DataReceived, x.link(), idA+" served total=1 6\r\n1\ta\tb\n\r\n") }},
 	{"second answer", func(x *crossing) {
-		x.step(Data, x.link(), strings.Repeat(idA+" served total=1 6\r\n1\ta\tb\n\r\n", 2))
+		x.step(DataReceived, x.link(), strings.Repeat(idA+" served total=1 6\r\n1\ta\tb\n\r\n", 2))
 	}},
-	{"first page", func(x *crossing) { x.step(Data, x.link(), idA+" served total=2 6\r\n1\ta\tb\n\r\n") }},
-	{"second page", func(x *crossing) { x.step(Data, x.link(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
-	{"half an answer", func(x *crossing) { x.step(Data, x.link(), idA+" served total=1 6\r\n1\ta") }},
+	{"first page", func(x *crossing) { x.step(DataReceived, x.link(), idA+" served total=2 6\r\n1\ta\tb\n\r\n") }},
+	{"second page", func(x *crossing) { x.step(DataReceived, x.link(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
+	{"half an answer", func(x *crossing) { x.step(DataReceived, x.link(), idA+" served total=1 6\r\n1\ta") }},
 	{"overload", func(x *crossing) {
 		if x.asks > 0 {
 			x.unsure--
 		}
-		x.step(Data, x.link(), idA+" overload - 0\r\n\r\n")
+		x.step(DataReceived, x.link(), idA+" overload - 0\r\n\r\n")
 		if x.asks == 0 {
 			return
 		}
@@ -146,7 +146,7 @@
 	{"reset", func(x *crossing) {
 		if id := x.link(); id != 0 && x.g.links[id] != nil {
 			x.down[id] = true
-			x.step(Closed, id, "")
+			x.step(ConnectionClosed, id, "")
 		}
 	}},
 	{"drain told", func(x *crossing) {
@@ -158,10 +158,10 @@
 	{"reload", func(x *crossing) {
 		cfg := x.g.cfg
 		cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
-		x.g.Step(x.now, Event{Kind: Reload, Config: &cfg})
+		x.g.Step(x.now, Event{Kind: ConfigReloaded, Config: &cfg})
 		x.flush()
 	}},
-	{"terminate", func(x *crossing) { x.step(Terminate, 0, "") }},
+	{"terminate", func(x *crossing) { x.step(ShutdownRequested, 0, "") }},
 	{"deadline", func(x *crossing) { x.pass(2 * rules.Second) }},
 	{"a while", func(x *crossing) { x.pass(260 * rules.Millisecond) }},
 }
@@ -185,7 +185,7 @@
 				x.look()
 			}
 			asked := x.g.requests[idA] != nil || x.answers > 0 || x.left
-			x.step(Terminate, 0, "")
+			x.step(ShutdownRequested, 0, "")
 			x.pass(5 * rules.Second)
 			x.look()
 			fault := ""
@@ -233,7 +233,7 @@
 		b := newBench(t)
 		for id := ConnID(1); id <= leaving+1; id++ {
 			b.client(id)
-			b.step(Data, id, ask("point", fmt.Sprintf("%016x", id)))
+			b.step(DataReceived, id, ask("point", fmt.Sprintf("%016x", id)))
 		}
 		links := map[ConnID]bool{}
 		for _, id := range b.dials {
@@ -241,14 +241,14 @@
 		}
 		up := func() {
 			for _, id := range b.dials {
-				b.g.Step(b.now, Event{Kind: Connected, Conn: id})
+				b.g.Step(b.now, Event{Kind: DialSucceeded, Conn: id})
 			}
 		}
 		if upFirst {
 			up()
 		}
 		for id := ConnID(1); id <= leaving; id++ {
-			b.g.Step(b.now, Event{Kind: Closed, Conn: id})
+			b.g.Step(b.now, Event{Kind: ConnectionClosed, Conn: id})
 		}
 		if !upFirst {
 			up()
@@ -278,12 +278,12 @@
 	}{"all was taken": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
 		b := newBench(t)
 		b.client(1)
-		b.step(Data, 1, ask("load", idA))
+		b.step(DataReceived, 1, ask("load", idA))
 		link := b.dials[0]
-		b.step(Connected, link, "")
+		b.step(DialSucceeded, link, "")
 		b.after(1)
 		b.taken[link] = max(b.taken[link]-c.missing, 0)
-		b.step(Closed, link, "")
+		b.step(ConnectionClosed, link, "")
 		if again := b.g.requests[idA] != nil && len(b.dials) == 2; again != c.again {
 			t.Errorf("%s: sent again %v, want %v; the client got %q", name, again, c.again, b.after(1))
 		}
@@ -294,14 +294,14 @@
 func TestLinkEndsInTheTurnOfASend(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	link := b.dials[0]
-	b.step(Connected, link, "")
-	b.step(Data, link, idA+" served total=1 0\r\n\r\n")
+	b.step(DialSucceeded, link, "")
+	b.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
 	b.pass(10 * rules.Millisecond)
 	taken := b.taken[link]
-	b.g.Step(b.now, Event{Kind: Data, Conn: 1, Data: []byte(ask("load", idB))})
-	b.g.Step(b.now, Event{Kind: Closed, Conn: link, Taken: taken})
+	b.g.Step(b.now, Event{Kind: DataReceived, Conn: 1, Data: []byte(ask("load", idB))})
+	b.g.Step(b.now, Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: taken})
 	b.flush()
 	if r := b.g.requests[idB]; r == nil || len(b.dials) != 2 {
 		t.Errorf("a load that was never written was given up: %q", b.after(1))
@@ -313,16 +313,16 @@
 func TestDialToAnOldAddressIsGivenUp(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("load", idA))
+	b.step(DataReceived, 1, ask("load", idA))
 	old := b.dials[0]
 	moved := oneHost
 	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
-	b.step(Datagram, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{moved})))
+	b.step(DNSResponse, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{moved})))
 	if len(b.dials) != 2 || !b.shut[old] {
 		t.Fatalf("%d dials, the old one given up: %v", len(b.dials), b.shut[old])
 	}
-	b.step(Connected, old, "") // it crossed
-	b.step(Connected, b.dials[1], "")
+	b.step(DialSucceeded, old, "") // it crossed
+	b.step(DialSucceeded, b.dials[1], "")
 	if got := b.after(old); got != "" {
 		t.Errorf("the old address got %q", got)
 	}
@@ -335,9 +335,9 @@
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("note", idA))
+	b.step(DataReceived, 1, ask("note", idA))
 	b.now += b.g.lim.Connect + rules.Millisecond // frozen: no timer rang
-	b.step(Connected, b.dials[0], "")
+	b.step(DialSucceeded, b.dials[0], "")
 	if r := b.g.requests[idA]; r == nil || !r.attempts[0].done || r.attempts[0].sent {
 		t.Errorf("sent on %d ms after it was decided: %q", (b.g.lim.Connect+rules.Millisecond)/rules.Millisecond, b.after(b.dials[0]))
 	}
@@ -349,7 +349,7 @@
 	b.g.lim.AllLinks = 0
 	b.client(1)
 	for i := range 12 {
-		b.step(Data, 1, string(query(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
+		b.step(DataReceived, 1, string(query(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
 		b.pass(400 * rules.Millisecond)
 	}
 	if b.g.module.EngineViews()[0].Ejected {
@@ -364,21 +364,21 @@
 		b := newBench(t)
 		b.client(1)
 		session := b.g.clients[1].session
-		b.step(Data, 1, ask("point", idA))
+		b.step(DataReceived, 1, ask("point", idA))
 		link := b.dials[0]
-		b.step(Connected, link, "")
+		b.step(DialSucceeded, link, "")
 		if !openedLate {
 			b.client(2)
 		}
 		b.now += rules.Millisecond
-		b.step(Data, link, idA+" served total=1 0\r\n\r\n")
+		b.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
 		b.now += rules.Millisecond
-		b.step(Data, 1, ask("point", idB))
+		b.step(DataReceived, 1, ask("point", idB))
 		if openedLate {
 			b.client(2)
 		}
 		b.after(link)
-		b.step(Data, 2, string(query(fmt.Sprintf("KILL QUERY %d", session))))
+		b.step(DataReceived, 2, string(query(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := b.g.requests[idB] == nil; hit != openedLate {
 			t.Errorf("opened behind the answer %v: the next query was killed %v", openedLate, hit)
 		}
@@ -390,11 +390,11 @@
 func TestEndAnswersWhatComesMeanwhile(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, string(packet(0, []byte{14}))) // a ping: it rests
-	b.step(Terminate, 0, "")
+	b.step(DataReceived, 1, string(packet(0, []byte{14}))) // a ping: it rests
+	b.step(ShutdownRequested, 0, "")
 	b.pass(b.g.lim.StopLinger - 10*rules.Millisecond)
 	b.client(2) // asks for nothing
-	b.step(Accepted, 3, "")
+	b.step(ConnectionAccepted, 3, "")
 	b.after(2)
 	b.after(3)
 	b.pass(20 * rules.Millisecond)
@@ -406,7 +406,7 @@
 			t.Errorf("connection %d got %q, closed %v", id, got, b.shut[id])
 		}
 	}
-	b.step(Accepted, 4, "")
+	b.step(ConnectionAccepted, 4, "")
 	if got := b.after(4); !strings.Contains(got, "Too many") || !b.shut[4] {
 		t.Errorf("a newcomer got %q, closed %v", got, b.shut[4])
 	}
@@ -415,12 +415,12 @@
 	}
 	b.after(1)
 	b.exit = false
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	if b.exit {
 		t.Fatal("ended with a request open")
 	}
-	b.step(Connected, b.dials[0], "")
-	b.step(Data, b.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
+	b.step(DialSucceeded, b.dials[0], "")
+	b.step(DataReceived, b.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
 	if got := b.after(1); !strings.Contains(got, "\x011\x01a") || !b.exit {
 		t.Errorf("the request got %q, ended %v", got, b.exit)
 	}
@@ -430,7 +430,7 @@
 func TestAnswersUnread(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
+	b.step(DataReceived, 1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
 	if got := len(b.sent[1]); !b.shut[1] || got > b.g.lim.ClientOut {
 		t.Errorf("closed %v, %d bytes were written to it", b.shut[1], got)
 	}
@@ -442,9 +442,9 @@
 	for end := b.now + d; b.now < end; {
 		next, _ := b.g.timers.next()
 		b.now = max(b.now, next)
-		b.g.Step(b.now, Event{Kind: Wake})
+		b.g.Step(b.now, Event{Kind: TimerFired})
 		for _, f := range b.g.Flush() {
-			if f.Kind == Names {
+			if f.Kind == SetNameServer {
 				at = append(at, (b.now-from)/rules.Millisecond)
 			}
 		}
@@ -476,7 +476,7 @@
 			line = append(line, late{b.g.asked[(n-1)%len(b.g.asked)], b.now + 6*rules.Second})
 		}
 		for len(line) > 0 && line[0].at <= b.now {
-			b.g.Step(b.now, Event{Kind: Datagram, Data: standin.Answer(line[0].id, listName, 1, nil)})
+			b.g.Step(b.now, Event{Kind: DNSResponse, Data: standin.Answer(line[0].id, listName, 1, nil)})
 			line = line[1:]
 		}
 	})
@@ -494,7 +494,7 @@
 	b.pass(6500 * rules.Millisecond)
 	drained := oneHost
 	drained.Draining = true
-	b.step(Datagram, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	b.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
 	if b.g.order[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 6.5 s late was not heard")
 	}
@@ -509,13 +509,13 @@
 	id := b.g.asked[0]
 	for range 80 {
 		cfg := b.g.cfg
-		b.g.Step(b.now, Event{Kind: Reload, Config: &cfg})
+		b.g.Step(b.now, Event{Kind: ConfigReloaded, Config: &cfg})
 		b.g.Flush()
 	}
 	b.pass(3 * rules.Second)
 	drained := oneHost
 	drained.Draining = true
-	b.step(Datagram, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	b.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
 	if b.g.order[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 3 s late was not heard")
 	}
@@ -535,10 +535,10 @@
 	}{{second, 4, 1}, {first, 12, 0}, {second, 11, 0}} {
 		cfg := b.g.cfg
 		cfg.DNS, cfg.Known = c.dns, config.Known{Seq: c.seq}
-		b.g.Step(b.now, Event{Kind: Reload, Config: &cfg})
+		b.g.Step(b.now, Event{Kind: ConfigReloaded, Config: &cfg})
 		moved := 0
 		for _, f := range b.g.Flush() {
-			if f.Kind == Names && f.Addr == c.dns {
+			if f.Kind == SetNameServer && f.Addr == c.dns {
 				moved++
 			}
 		}
@@ -553,27 +553,27 @@
 func TestRepeatKeyAndNotes(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, string(query("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
+	b.step(DataReceived, 1, string(query("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
 	link := b.dials[0]
-	b.step(Connected, link, "")
+	b.step(DialSucceeded, link, "")
 	if got := b.after(link); !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the engine got %q", got)
 	}
-	b.step(Data, link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
+	b.step(DataReceived, link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
 	if b.shut[link] || b.g.requests[idA] == nil || b.g.requests[idA].out != 1 {
 		t.Fatal("a note of progress ended the attempt, or its connection")
 	}
 	b.pass(20 * rules.Millisecond)
-	b.step(Closed, link, "")
+	b.step(ConnectionClosed, link, "")
 	b.pass(rules.Millisecond)
-	b.step(Connected, b.dials[len(b.dials)-1], "")
+	b.step(DialSucceeded, b.dials[len(b.dials)-1], "")
 	if got := b.after(b.dials[len(b.dials)-1]); len(b.dials) < 2 || !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the further attempt: %d dials, the engine got %q", len(b.dials), got)
 	}
 	b.client(2)
 	for _, key := range []string{"", "a b", "a=b", strings.Repeat("k", 200), "k\x01"} {
 		b.after(2)
-		b.step(Data, 2, string(query("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
+		b.step(DataReceived, 2, string(query("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
 		if got := b.after(2); !strings.Contains(got, "opkey") {
 			t.Errorf("key %.20q: answered %q", key, got)
 		}
@@ -593,28 +593,28 @@
 			x.g.act(rules.Cancel{ID: idA, Attempt: 0})
 			x.flush()
 		}, true},
-		"an answer that makes no sense":   {func(x *crossing) { x.step(Data, x.link(), idA+" green - 0\r\n\r\n") }, true},
-		"a connection that can't be read": {func(x *crossing) { x.step(Data, x.link(), "\x00\x01\x02") }, true},
-		"reset":                           {func(x *crossing) { x.step(Closed, x.link(), "") }, true},
-		"full":                            {func(x *crossing) { x.step(Data, x.link(), idA+" overload - 0\r\n\r\n") }, false},
+		"an answer that makes no sense":   {func(x *crossing) { x.step(DataReceived, x.link(), idA+" green - 0\r\n\r\n") }, true},
+		"a connection that can't be read": {func(x *crossing) { x.step(DataReceived, x.link(), "\x00\x01\x02") }, true},
+		"reset":                           {func(x *crossing) { x.step(ConnectionClosed, x.link(), "") }, true},
+		"full":                            {func(x *crossing) { x.step(DataReceived, x.link(), idA+" overload - 0\r\n\r\n") }, false},
 		"never taken": {func(x *crossing) {
 			x.taken[x.link()] = 0
-			x.step(Closed, x.link(), "")
+			x.step(ConnectionClosed, x.link(), "")
 		}, false},
 	} {
 		for _, copies := range []bool{false, true} {
 			x := newCrossing(t, "point")
 			x.g.cfg.Settings.Rules.Limits.HedgedRequests = copies
-			x.step(Data, 1, ask("point", idA))
+			x.step(DataReceived, 1, ask("point", idA))
 			first := x.link()
 			x.now += way
-			x.step(Connected, first, "")
+			x.step(DialSucceeded, first, "")
 			x.look()
 			if x.asks != 1 {
 				t.Fatalf("%s: asked %d times at first", name, x.asks)
 			}
 			x.now += 5 * rules.Millisecond
-			x.step(Wake, 0, "")
+			x.step(TimerFired, 0, "")
 			c.end(x)
 			again := func() bool { // another attempt has begun, whether its connection is up or not
 				x.look()
@@ -640,10 +640,10 @@
 	const way = 40 * rules.Millisecond
 	start := func(timeout int, took rules.Time) *crossing {
 		x := newCrossing(t, "point")
-		x.step(Data, 1, string(query(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
+		x.step(DataReceived, 1, string(query(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
 		x.g.armed = x.now + took // the process does not stand still: no timer is late
 		x.now += took
-		x.step(Connected, x.link(), "")
+		x.step(DialSucceeded, x.link(), "")
 		x.g.act(rules.Cancel{ID: idA, Attempt: 0})
 		x.flush()
 		return x
@@ -652,13 +652,13 @@
 		timeout, answers int
 		end              func(x *crossing)
 	}{
-		"client goes": {2000, 0, func(x *crossing) { x.step(Closed, 1, "") }},
+		"client goes": {2000, 0, func(x *crossing) { x.step(ConnectionClosed, 1, "") }},
 		"killed": {2000, 0, func(x *crossing) {
-			x.step(Data, crossingKill, string(query(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
+			x.step(DataReceived, crossingKill, string(query(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
 		}},
 		"deadline": {80, 1, func(x *crossing) { x.pass(30 * rules.Millisecond) }},
 		"terminate": {80, 1, func(x *crossing) {
-			x.step(Terminate, 0, "")
+			x.step(ShutdownRequested, 0, "")
 			x.pass(30 * rules.Millisecond)
 		}},
 	} {
@@ -691,11 +691,11 @@
 func TestSpoiltConnectionGivesUpByName(t *testing.T) {
 	b := newBench(t)
 	b.client(1)
-	b.step(Data, 1, ask("point", idA))
+	b.step(DataReceived, 1, ask("point", idA))
 	link := b.dials[0]
-	b.step(Connected, link, "")
+	b.step(DialSucceeded, link, "")
 	b.after(link)
-	b.step(Data, link, "\x00\x01\x02")
+	b.step(DataReceived, link, "\x00\x01\x02")
 	if got := b.after(link); got != "QUIT "+idA+"\r\n" || !b.shut[link] {
 		t.Errorf("the engine got %q, closed %v", got, b.shut[link])
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -55,7 +55,7 @@
 // turnTo asks the name service at an address from a new socket.
 func (g *Gateway) turnTo(addr netip.AddrPort) {
 	g.source.turned = g.now
-	g.do(Effect{Kind: Names, Addr: addr})
+	g.do(Effect{Kind: SetNameServer, Addr: addr})
 }
 
 // listenAnew asks from a new socket where the name service has said nothing for a while: what lies between may
@@ -84,7 +84,7 @@
 	id := uint16(g.rng.Uint32())
 	g.asked[g.askedNum%len(g.asked)], g.askedAt[g.askedNum%len(g.asked)] = id, g.now
 	g.askedNum++
-	g.do(Effect{Kind: Query, Data: dns.AppendQuery(nil, id, listName)})
+	g.do(Effect{Kind: QueryDNS, Data: dns.AppendQuery(nil, id, listName)})
 }
 
 // datagram takes an answer. Whatever is wrong with it, the last list stays.
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -145,7 +145,7 @@
 	if entry.Started == 0 {
 		return 0
 	}
-	return g.steps.Began(rules.Time(entry.Started)*rules.Millisecond, g.now)
+	return g.steps.ProcessTime(rules.Time(entry.Started)*rules.Millisecond, g.now)
 }
 
 func (g *Gateway) translate(e *engineState) rules.Engine {
--- a/internal/gateway/gate_test.go
+++ b/internal/gateway/gate_test.go
@@ -98,10 +98,10 @@
 }
 
 func (b *bench) clientFrom(id ConnID, from string) {
-	b.g.Step(b.now, Event{Kind: Accepted, Conn: id, From: netip.MustParseAddr(from)})
+	b.g.Step(b.now, Event{Kind: ConnectionAccepted, Conn: id, From: netip.MustParseAddr(from)})
 	b.flush()
 	if !b.shut[id] {
-		b.step(Data, id, string(login()))
+		b.step(DataReceived, id, string(login()))
 	}
 }
 
@@ -116,7 +116,7 @@
 	for i := range ConnID(50) {
 		b.clientFrom(1+i, "10.0.0.1")
 		b.after(1 + i)
-		b.step(Data, 1+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
+		b.step(DataReceived, 1+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
 	}
 	held := b.g.gate.door.Stats().Held
 	if held < 10 {
@@ -127,11 +127,11 @@
 		t.Fatal("the last one is not held")
 	}
 	b.clientFrom(51, "10.0.0.2")
-	b.step(Data, 51, string(query(fmt.Sprintf("KILL QUERY %d", victim.session))))
+	b.step(DataReceived, 51, string(query(fmt.Sprintf("KILL QUERY %d", victim.session))))
 	if victim.request != nil || b.after(50) != "" || b.g.gate.door.Stats().Held != held-1 {
 		t.Error("a killed query is still held, or was answered")
 	}
-	b.step(Closed, 49, "")
+	b.step(ConnectionClosed, 49, "")
 	if b.g.gate.door.Stats().Held != held-2 {
 		t.Error("the query of a client that left is still held")
 	}
@@ -148,7 +148,7 @@
 	if answers < 40 || b.g.gate.door.Stats().Held != 0 {
 		t.Errorf("%d of 48 are answered, %d are held", answers, b.g.gate.door.Stats().Held)
 	}
-	b.step(Terminate, 0, "")
+	b.step(ShutdownRequested, 0, "")
 	b.pass(4 * rules.Second)
 	if !b.exit {
 		t.Error("not ended")
@@ -168,7 +168,7 @@
 		for i := range ConnID(40) {
 			b.clientFrom(1+i, "10.0.0.1")
 			b.after(1 + i)
-			b.step(Data, 1+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
+			b.step(DataReceived, 1+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
 		}
 		for i := range ConnID(40) {
 			if out := b.after(1 + i); strings.Contains(out, "refused") {
@@ -201,7 +201,7 @@
 		b := fairBench(t, c.text, 20, 20)
 		b.clientFrom(1, "10.0.0.1")
 		b.after(1)
-		b.step(Data, 1, askAs("point", idA, ",owner="+c.tenant))
+		b.step(DataReceived, 1, askAs("point", idA, ",owner="+c.tenant))
 		if taken := b.g.requests[idA] != nil; taken != c.ok {
 			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, taken)
 		}
@@ -216,11 +216,11 @@
 	for _, asks := range []bool{false, true} {
 		b := fairBench(t, "fair {\n}", 60, 60)
 		b.clientFrom(1, "10.0.0.2")
-		b.step(Data, 1, string(query("SET x = 1")))
+		b.step(DataReceived, 1, string(query("SET x = 1")))
 		for i := range ConnID(1000) {
 			b.clientFrom(100+i, "10.0.0.1")
 			if asks && !b.shut[100+i] {
-				b.step(Data, 100+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
+				b.step(DataReceived, 100+i, askAs("point", fmt.Sprintf("%016x", i+1), ""))
 			}
 		}
 		if b.shut[1] {
@@ -229,7 +229,7 @@
 		for i := range ConnID(10) {
 			b.clientFrom(2+i, "10.0.0.2")
 			b.after(2 + i)
-			b.step(Data, 2+i, string(query("SET x = 1")))
+			b.step(DataReceived, 2+i, string(query("SET x = 1")))
 			if out := b.after(2 + i); b.shut[2+i] || strings.Contains(out, "\xff") {
 				t.Errorf("asks %v: newcomer %d was turned away: %q", asks, i, out)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,44 +33,44 @@
 
 // Kinds of events.
 const (
-	Accepted    EventKind = iota + 1 // a client connected
-	Data                             // bytes came on a connection
-	Closed                           // a connection ended
-	Connected                        // a dial came up
-	DialFailed                       // or did not; nothing was written
-	Datagram                         // bytes came from the name service
-	Wake                             // the time asked for has come
-	Terminate                        // the process is asked to end
-	Reload                           // the configuration was read again
-	Shelved                          // the spool's disk has done what it was asked for
-	Drained                          // a connection that was watched has taken all that was written to it
-	Peer                             // something has happened among the members
-	Inquiry                          // an operator's command asks something
-	VoterOpened                      // the voter's log was read: Kept
-	KeptIt                           // what Keep asked for is on the disk, or Err
-	Blocked                          // a connection to an engine does not take what was written to it; Drained follows once it has
+	ConnectionAccepted EventKind = iota + 1 // a client connected
+	DataReceived                            // bytes came on a connection
+	ConnectionClosed                        // a connection ended
+	DialSucceeded                           // a dial came up
+	DialFailed                              // or did not; nothing was written
+	DNSResponse                             // bytes came from the name service
+	TimerFired                              // the time asked for has come
+	ShutdownRequested                       // the process is asked to end
+	ConfigReloaded                          // the configuration was read again
+	SpoolCompleted                          // the spool's disk has done what it was asked for
+	WriteDrained                            // a connection that was watched has taken all that was written to it
+	PeerNotified                            // something has happened among the members
+	ControlRequest                          // an operator's command asks something
+	VoterLogOpened                          // the voter's log was read: Kept
+	VoterLogPersisted                       // what Keep asked for is on the disk, or Err
+	WriteBlocked                            // a connection to an engine does not take what was written to it; Drained follows once it has
 )
 
 // Event is something that happened outside. Data is valid during the call only.
 type Event struct {
-	Kind EventKind
-	Conn ConnID
-	Data []byte
-	Err  error
-	From netip.Addr // with Accepted: the client's address, if it is known
-	Ours bool       // with DialFailed: for want of something here, such as descriptors
+	Kind  EventKind
+	Conn  ConnID
+	Data  []byte
+	Err   error
+	From  netip.Addr // with Accepted: the client's address, if it is known
+	Local bool       // with DialFailed: for want of something here, such as descriptors
 
 	// With Closed: how many bytes of all that was written on the connection the system has taken. What lies behind
 	// them has never left, whatever broke.
-	Taken int64
+	AcceptedBytes int64
 
 	// With Datagram and Reload: by how much the wall clock is ahead of the time of events, since it was stepped.
-	Skew rules.Time
+	ClockSkew rules.Time
 
-	Config *config.Config   // with Reload: what holds from now on
-	Spool  []spool.Event    // with Shelved
-	Peer   *PeerEvent       // with Peer; Data is what a member said
-	Kept   *directives.Kept // with VoterOpened
+	Config     *config.Config   // with Reload: what holds from now on
+	Spool      []spool.Event    // with Shelved
+	Peer       *PeerEvent       // with Peer; Data is what a member said
+	VoterState *directives.Kept // with VoterOpened
 }
 
 // EffectKind is what an Effect asks for.
@@ -78,22 +78,22 @@
 
 // Kinds of effects.
 const (
-	Write  EffectKind = iota + 1 // send Data on a connection
-	Close                        // close a connection once what was written is sent, or give up its dial
-	Dial                         // connect to Addr within Wait
-	Query                        // send Data to the name service
-	Names                        // ask the name service at Addr from now on, from a new socket
-	Arm                          // wake the reducer at At, and at no earlier time
-	Log                          // note Text
-	Exit                         // all is answered: end the process, unless more has come meanwhile
-	Disk                         // carry Spool out on the spool's disk; its data stays as it is until it is answered
-	Watch                        // tell Drained once all that was written on a connection is taken
-	Tell                         // send Data to the member To on Channel; it may be lost
-	Talk                         // begin to look for members, as the configuration has it now
-	Hush                         // leave them
-	Answer                       // Data answers the Inquiry of Conn
-	Keep                         // put Keep on the voter's disk, synced, and tell KeptIt
-	Abort                        // reset a connection: what it has not taken is never sent; Closed follows
+	Write           EffectKind = iota + 1 // send Data on a connection
+	CloseConnection                       // close a connection once what was written is sent, or give up its dial
+	Dial                                  // connect to Addr within Wait
+	QueryDNS                              // send Data to the name service
+	SetNameServer                         // ask the name service at Addr from now on, from a new socket
+	SetTimer                              // wake the reducer at At, and at no earlier time
+	Log                                   // note Text
+	Exit                                  // all is answered: end the process, unless more has come meanwhile
+	SubmitSpool                           // carry Spool out on the spool's disk; its data stays as it is until it is answered
+	NotifyDrained                         // tell Drained once all that was written on a connection is taken
+	SendToMember                          // send Data to the member To on Channel; it may be lost
+	JoinMembers                           // begin to look for members, as the configuration has it now
+	LeaveMembers                          // leave them
+	ControlResponse                       // Data answers the Inquiry of Conn
+	PersistVoterLog                       // put Keep on the voter's disk, synced, and tell KeptIt
+	ResetConnection                       // reset a connection: what it has not taken is never sent; Closed follows
 )
 
 // Level is the weight of a log line.
@@ -114,20 +114,20 @@
 
 // Effect is something to do. Data is valid until the next Step.
 type Effect struct {
-	Kind  EffectKind
-	Conn  ConnID
-	Data  []byte
-	Addr  netip.AddrPort
-	Wait  rules.Time
-	At    rules.Time
-	Level Level
-	Text  string
-	Attrs []Attr
-	Spool spool.Effect
+	Kind    EffectKind
+	Conn    ConnID
+	Data    []byte
+	Addr    netip.AddrPort
+	Timeout rules.Time
+	At      rules.Time
+	Level   Level
+	Text    string
+	Attrs   []Attr
+	Spool   spool.Effect
 
 	To      string
 	Channel byte
-	Keep    directives.Batch
+	Batch   directives.Batch
 }
 
 // Gateway is the reducer.
@@ -156,7 +156,7 @@
 
 	requests   map[rules.RequestID]*request
 	unanswered int
-	classes    map[string]int
+	classIndex map[string]int
 	resultHeld int        // bytes of results that wait for their last page
 	pageQueue  []*attempt // want pages, wait for others to free room
 
@@ -166,13 +166,13 @@
 	lastLink ConnID
 	lastTag  uint64
 
-	list     *discovery.List
-	asked    [askedMost]uint16     // ids of the latest queries
-	askedAt  [askedMost]rules.Time // and when they were sent
-	askedNum int
-	source   source // of the list: the name service
-	steps    wallclock.Steps
-	stall    stall // the last one
+	list      *discovery.List
+	asked     [askedMost]uint16     // ids of the latest queries
+	askedAt   [askedMost]rules.Time // and when they were sent
+	askedNum  int
+	source    source // of the list: the name service
+	steps     wallclock.Steps
+	lastStall stall // the last one
 
 	shelf  *shelf              // nil: no spool is set, results are passed on at once
 	gate   *gate               // nil: the door is off, all requests go to the module at once
@@ -182,8 +182,8 @@
 	orders *orders             // nil: no directives are followed
 
 	stats    stats
-	broken   guard.Broken
-	pastList []guard.Past // scratch
+	broken   guard.Violations
+	pastList []guard.PriorAttempt // scratch
 	closed   [closeReasons]int
 	stopping bool
 	stopped  bool
@@ -216,20 +216,20 @@
 	}
 	g := &Gateway{
 		cfg: cfg, lim: cfg.Limits, now: now,
-		module:   rules.New(cfg.Settings.Rules, cfg.Seed),
-		rng:      rand.New(rand.NewChaCha8(seed)),
-		clients:  map[ConnID]*client{},
-		sessions: map[uint32]*client{},
-		requests: map[rules.RequestID]*request{},
-		classes:  map[string]int{},
-		engines:  map[rules.EngineID]*engineState{},
-		links:    map[ConnID]*link{},
-		list:     discovery.New(cfg.Known.Seq, cfg.Known.Engines),
-		source:   source{heard: now, fresh: now, pause: cfg.Limits.ListSilent},
+		module:     rules.New(cfg.Settings.Rules, cfg.Seed),
+		rng:        rand.New(rand.NewChaCha8(seed)),
+		clients:    map[ConnID]*client{},
+		sessions:   map[uint32]*client{},
+		requests:   map[rules.RequestID]*request{},
+		classIndex: map[string]int{},
+		engines:    map[rules.EngineID]*engineState{},
+		links:      map[ConnID]*link{},
+		list:       discovery.New(cfg.Known.Seq, cfg.Known.Engines),
+		source:     source{heard: now, fresh: now, pause: cfg.Limits.ListSilent},
 	}
 	g.session = g.rng.Uint32() >> 1
 	for i, name := range cfg.Settings.ClassNames {
-		g.classes[name] = i
+		g.classIndex[name] = i
 	}
 	g.gate, g.shelf = newGate(&g.cfg), newShelf(&g.cfg)
 	g.sites = newSites(&g.cfg, g.rng, now)
@@ -252,61 +252,61 @@
 	g.now = max(g.now, now)
 	g.noteStall()
 	switch e.Kind {
-	case Accepted:
+	case ConnectionAccepted:
 		g.stillReading()
 		g.accept(e.Conn, e.From)
-	case Data:
+	case DataReceived:
 		if c := g.clients[e.Conn]; c != nil {
 			g.stillReading()
 			g.clientData(c, e.Data)
 		} else if l := g.links[e.Conn]; l != nil {
 			g.linkData(l, e.Data)
 		}
-	case Closed:
+	case ConnectionClosed:
 		if c := g.clients[e.Conn]; c != nil {
 			g.stillReading()
 			g.noteClose(c, ClosePeer)
 			g.dropClient(c)
 		} else if l := g.links[e.Conn]; l != nil {
-			g.dropLink(l, e.Err, e.Taken, false)
+			g.dropLink(l, e.Err, e.AcceptedBytes, false)
 		}
-	case Connected:
+	case DialSucceeded:
 		if l := g.links[e.Conn]; l != nil {
 			g.linkUp(l)
 		}
 	case DialFailed:
 		if l := g.links[e.Conn]; l != nil {
-			g.dropLink(l, e.Err, 0, e.Ours)
+			g.dropLink(l, e.Err, 0, e.Local)
 		}
-	case Datagram:
-		g.steps.Note(e.Skew)
+	case DNSResponse:
+		g.steps.Note(e.ClockSkew)
 		g.datagram(e.Data)
-	case Wake:
+	case TimerFired:
 		g.ring()
-	case Terminate:
+	case ShutdownRequested:
 		g.stop()
-	case Reload:
-		g.steps.Note(e.Skew)
+	case ConfigReloaded:
+		g.steps.Note(e.ClockSkew)
 		g.reload(e.Config)
-	case Shelved:
+	case SpoolCompleted:
 		g.shelved(e.Spool)
-	case Drained:
+	case WriteDrained:
 		if c := g.clients[e.Conn]; c != nil {
 			g.drained(c)
 		} else if l := g.links[e.Conn]; l != nil {
 			l.blockedAt = 0
 		}
-	case Blocked:
+	case WriteBlocked:
 		if l := g.links[e.Conn]; l != nil {
 			l.blockedAt = g.now
 		}
-	case Peer:
+	case PeerNotified:
 		g.peer(e)
-	case Inquiry:
+	case ControlRequest:
 		g.inquire(e)
-	case VoterOpened:
-		g.voterOpened(e.Kept)
-	case KeptIt:
+	case VoterLogOpened:
+		g.voterOpened(e.VoterState)
+	case VoterLogPersisted:
 		if g.orders != nil {
 			g.carryOrders(g.orders.desk.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: e.Err == nil}))
 		}
@@ -327,7 +327,7 @@
 	g.maybeExit() // behind the last answers, or they would never be written
 	if at, ok := g.nextWake(); ok && at != g.armed {
 		g.armed = at
-		g.effects = append(g.effects, Effect{Kind: Arm, At: at})
+		g.effects = append(g.effects, Effect{Kind: SetTimer, At: at})
 	}
 	out := g.effects
 	g.effects, g.given = g.given[:0], out
@@ -369,8 +369,8 @@
 	}
 }
 
-// writeNow sends what is in a pipe ahead of what others hold.
-func (g *Gateway) writeNow(p *pipe) {
+// flushNow sends what is in a pipe ahead of what others hold.
+func (g *Gateway) flushNow(p *pipe) {
 	if len(p.out) > 0 {
 		p.given += int64(len(p.out))
 		g.do(Effect{Kind: Write, Conn: p.id, Data: p.out})
@@ -383,9 +383,9 @@
 	if p.ended {
 		return
 	}
-	g.writeNow(p)
+	g.flushNow(p)
 	p.ended = true
-	g.do(Effect{Kind: Close, Conn: p.id})
+	g.do(Effect{Kind: CloseConnection, Conn: p.id})
 }
 
 // ---- the module
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -13,9 +13,9 @@
 // request, goes through one of these functions. What they find is counted by name and logged once; nothing is stopped.
 
 // broken notes invariants that something breaks.
-func (g *Gateway) broke(f guard.Found, request rules.RequestID, engine string) {
+func (g *Gateway) broke(f guard.Findings, request rules.RequestID, engine string) {
 	for _, i := range f.All() {
-		first := g.broken.Note(i)
+		first := g.broken.Record(i)
 		if first || g.cfg.Trace {
 			g.log(Warn, "invariant broken", Attr{"invariant", i.String()}, Attr{"request", string(request)}, Attr{"engine", engine})
 		}
@@ -27,22 +27,22 @@
 	if !broken {
 		return
 	}
-	if first := g.broken.Note(i); first || g.cfg.Trace {
+	if first := g.broken.Record(i); first || g.cfg.Trace {
 		g.log(Warn, "invariant broken", Attr{"invariant", i.String()}, Attr{"request", string(request)}, Attr{"engine", engine})
 	}
 }
 
 // Broken is how often each invariant was broken.
-func (g *Gateway) Broken() guard.Broken { return g.broken }
+func (g *Gateway) Broken() guard.Violations { return g.broken }
 
 // past lists the attempts of a request but one. It is valid until the next call.
-func (g *Gateway) past(r *request, but *attempt) []guard.Past {
+func (g *Gateway) past(r *request, but *attempt) []guard.PriorAttempt {
 	out := g.pastList[:0]
 	for _, a := range r.attempts {
 		if a == but {
 			continue
 		}
-		p := guard.Past{At: a.at, Sent: a.sent, Ended: a.done, NeverRan: a.done && a.verdict.NeverExecuted()}
+		p := guard.PriorAttempt{At: a.at, Sent: a.sent, Ended: a.done, NeverRan: a.done && a.verdict.NeverExecuted()}
 		if a.engine != nil {
 			p.Zone, p.Cell = a.engine.zone, a.engine.entry.Cell
 		}
@@ -56,12 +56,12 @@
 func (g *Gateway) guardSend(a *attempt) {
 	r, e, s := a.request, a.engine, &g.cfg.Settings.Rules
 	seen := g.translate(e)
-	send := guard.Send{Now: g.now, Answered: r.answered, Deadline: a.deadline, Due: r.due, State: seen.State, Told: e.told,
+	send := guard.Send{Now: g.now, Answered: r.answered, Deadline: a.deadline, ClientDeadline: r.due, State: seen.State, NotifiedAt: e.told,
 		Zone: seen.Zone, Kind: seen.Kind, Cell: seen.Cell, Class: &s.Classes[r.class], Duties: &s.Constraints, Limits: &s.Limits}
 	if len(r.attempts) > 1 {
-		send.Past = g.past(r, a)
+		send.PriorAttempts = g.past(r, a)
 	}
-	send.ColdSent, send.ColdBudget = g.coldSend(r, e)
+	send.SlowStartSent, send.SlowStartBudget = g.coldSend(r, e)
 	if f := send.Check(); len(f.All()) > 0 {
 		g.broke(f, r.id, e.entry.ID)
 	}
@@ -89,7 +89,7 @@
 	}
 	e.coldSent.Add(g.now, float64(r.work))
 	warmth := d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*max(float64(age), 0)/float64(d.SlowStartPeriod)
-	return e.coldSent.Now(g.now), d.OverloadFactor * warmth * g.cfg.Settings.Rules.Kinds[e.kind].Cores * float64(d.OverloadWindow)
+	return e.coldSent.Total(g.now), d.OverloadFactor * warmth * g.cfg.Settings.Rules.Kinds[e.kind].Cores * float64(d.OverloadWindow)
 }
 
 // guardAnswer checks a final answer that is about to be given.
@@ -98,13 +98,13 @@
 		return
 	}
 	due := r.due
-	if r.at <= g.stall.seen+g.lim.SettleLong+g.lim.SettleMost { // a process that does not run can't answer
-		due = max(due, g.stall.seen)
+	if r.at <= g.lastStall.seen+g.lim.SettleLong+g.lim.SettleMost { // a process that does not run can't answer
+		due = max(due, g.lastStall.seen)
 	}
-	a := guard.Answer{Now: g.now, Due: due, Answered: r.answered, Refusal: how == endedRefused,
+	a := guard.Answer{Now: g.now, ClientDeadline: due, Answered: r.answered, Rejection: how == endedRefused,
 		Class: &g.cfg.Settings.Rules.Classes[r.class]}
-	if a.Refusal && len(r.attempts) > 0 {
-		a.Past = g.past(r, nil)
+	if a.Rejection && len(r.attempts) > 0 {
+		a.PriorAttempts = g.past(r, nil)
 	}
 	if f := a.Check(); len(f.All()) > 0 {
 		g.broke(f, r.id, "")
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -16,8 +16,8 @@
 	engineID := func(b *bench) rules.EngineID { return b.g.order[0].id }
 	open := func(b *bench, class string) { // one attempt is in flight
 		b.client(1)
-		b.step(Data, 1, ask(class, idA))
-		b.step(Connected, b.dials[0], "")
+		b.step(DataReceived, 1, ask(class, idA))
+		b.step(DialSucceeded, b.dials[0], "")
 	}
 	for name, c := range map[string]struct {
 		do   func(b *bench)
@@ -27,46 +27,46 @@
 			open(b, "load")
 			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
 			b.flush()
-			b.step(Connected, b.dials[len(b.dials)-1], "")
-		}, guard.RepeatUnsafe},
+			b.step(DialSucceeded, b.dials[len(b.dials)-1], "")
+		}, guard.RetryUnsafe},
 		"two attempts in flight": {func(b *bench) {
 			open(b, "point")
 			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
 			b.flush()
-			b.step(Connected, b.dials[len(b.dials)-1], "")
+			b.step(DialSucceeded, b.dials[len(b.dials)-1], "")
 		}, guard.SendParallel},
 		"an engine that drains": {func(b *bench) {
 			b.client(1)
 			host := oneHost
 			host.Draining = true
-			b.step(Datagram, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{host})))
+			b.step(DNSResponse, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{host})))
 			b.pass(1100 * rules.Millisecond)
-			b.step(Accepted, 2, "")
-			b.step(Data, 2, string(login()))
-			b.step(Data, 2, ask("load", idB))
+			b.step(ConnectionAccepted, 2, "")
+			b.step(DataReceived, 2, string(login()))
+			b.step(DataReceived, 2, ask("load", idB))
 			b.g.act(rules.Send{ID: idB, Engine: engineID(b)})
 			a := b.g.requests[idB].attempts[0]
 			b.g.ask(a)
-		}, guard.SendToDrained},
+		}, guard.SendToDraining},
 		"a zone that the class must not use": {func(b *bench) {
 			b.client(1)
 			b.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
-			b.step(Data, 1, ask("report", idA))
+			b.step(DataReceived, 1, ask("report", idA))
 			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
 			b.flush()
-			b.step(Connected, b.dials[0], "")
+			b.step(DialSucceeded, b.dials[0], "")
 		}, guard.SendMisplaced},
 		"a client that has gone": {func(b *bench) {
 			open(b, "point")
 			r := b.g.requests[idA]
 			a := r.attempts[0]
-			b.step(Closed, 1, "")
+			b.step(ConnectionClosed, 1, "")
 			b.g.ask(a)
 		}, guard.SendAfterEnd},
 		"a refusal of what may have run": {func(b *bench) {
 			open(b, "load")
 			b.g.refuse(b.g.requests[idA], 0, EndNoRoom)
-		}, guard.RefusedMayHaveRun},
+		}, guard.RejectedMayHaveRun},
 		"a second answer": {func(b *bench) {
 			open(b, "point")
 			r := b.g.requests[idA]
@@ -108,18 +108,18 @@
 		b.flush()
 	}
 	step := func(kind EventKind, conn ConnID, data string) {
-		b.g.Step(b.now, Event{Kind: kind, Conn: conn, Data: []byte(data), Taken: b.taken[conn]})
+		b.g.Step(b.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: b.taken[conn]})
 		take()
 	}
-	step(Accepted, 1, "")
-	step(Data, 1, string(login()))
-	step(Data, 1, ask("point", idA))
-	step(Connected, b.dials[0], "")
+	step(ConnectionAccepted, 1, "")
+	step(DataReceived, 1, string(login()))
+	step(DataReceived, 1, ask("point", idA))
+	step(DialSucceeded, b.dials[0], "")
 	b.now += 10 * rules.Millisecond
-	step(Data, b.dials[0], idA+" overload - 0\r\n\r\n")
+	step(DataReceived, b.dials[0], idA+" overload - 0\r\n\r\n")
 	b.now += 10 * rules.Millisecond
-	step(Closed, 1, "")
-	step(Closed, b.dials[0], "")
+	step(ConnectionClosed, 1, "")
+	step(ConnectionClosed, b.dials[0], "")
 	for _, want := range []string{"request: begins[{request " + idA, "request: queued[{request " + idA + "} {where module}",
 		"attempt: begins[{request " + idA + "} {attempt 0} {engine s-00000001} {why first}", "attempt: sent[{request " + idA,
 		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {verdict full} {sent true}", "request: ends[{request " + idA + "} {how left} {why client_left}",
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -105,7 +105,7 @@
 		dec: engine.Decoder{MaxLine: g.lim.Line, MaxBody: g.lim.Page}, used: g.now, dialled: g.now}
 	e.links = append(e.links, l)
 	g.links[l.id] = l
-	g.do(Effect{Kind: Dial, Conn: l.id, Addr: e.entry.Addr, Wait: g.lim.Connect})
+	g.do(Effect{Kind: Dial, Conn: l.id, Addr: e.entry.Addr, Timeout: g.lim.Connect})
 	return l
 }
 
@@ -335,7 +335,7 @@
 			Attr{"blocked_ms", milliseconds(g.now - l.blockedAt)})
 		l.aborted = true
 		l.retire(LinkUnread)
-		g.do(Effect{Kind: Abort, Conn: l.id})
+		g.do(Effect{Kind: ResetConnection, Conn: l.id})
 	}
 }
 
--- a/internal/gateway/listsend_test.go
+++ b/internal/gateway/listsend_test.go
@@ -48,7 +48,7 @@
 func (l *leaver) list(hosts ...standin.Host) {
 	l.look()
 	l.serial++
-	l.step(Datagram, 0, string(standin.Answer(l.g.asked[(l.g.askedNum-1)%len(l.g.asked)], listName, l.serial, hosts)))
+	l.step(DNSResponse, 0, string(standin.Answer(l.g.asked[(l.g.askedNum-1)%len(l.g.asked)], listName, l.serial, hosts)))
 	l.look()
 }
 
@@ -57,7 +57,7 @@
 	l.look()
 	for _, id := range l.dials {
 		if k := l.g.links[id]; k != nil && !k.up {
-			l.step(Connected, id, "")
+			l.step(DialSucceeded, id, "")
 		}
 	}
 	l.look()
@@ -67,7 +67,7 @@
 func (l *leaver) ask(id string) {
 	l.last++
 	l.client(l.last)
-	l.step(Data, l.last, string(query(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
+	l.step(DataReceived, l.last, string(query(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
 	l.look()
 }
 
@@ -75,7 +75,7 @@
 func (l *leaver) serveOne() {
 	l.ask(idB)
 	l.up()
-	l.step(Data, l.dials[0], idB+" served total=1 0\r\n\r\n")
+	l.step(DataReceived, l.dials[0], idB+" served total=1 0\r\n\r\n")
 	l.look()
 	l.asks = map[netip.AddrPort]int{}
 }
@@ -125,7 +125,7 @@
 					l.look()
 					l.asks = map[netip.AddrPort]int{}
 					tell()
-					l.step(Data, l.dials[0], idA+" overload - 0\r\n\r\n")
+					l.step(DataReceived, l.dials[0], idA+" overload - 0\r\n\r\n")
 				},
 				"told by a reload": func(l *leaver, tell func()) {
 					l.ask(idA)
@@ -139,7 +139,7 @@
 						cfg.Known.Engines = append(cfg.Known.Engines, e)
 					}
 					l.look()
-					l.g.Step(l.now, Event{Kind: Reload, Config: &cfg})
+					l.g.Step(l.now, Event{Kind: ConfigReloaded, Config: &cfg})
 					l.flush()
 				},
 			} {
@@ -174,7 +174,7 @@
 	if len(l.dials) < 2 || !l.shut[l.dials[0]] {
 		t.Fatalf("%d dials, the first one given up: %v", len(l.dials), l.shut[l.dials[0]])
 	}
-	l.step(Connected, l.dials[0], "")
+	l.step(DialSucceeded, l.dials[0], "")
 	if out := string(l.sent[l.dials[0]]); strings.Contains(out, "ASK") {
 		t.Errorf("the first connection got %q", out)
 	}
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -70,9 +70,9 @@
 			if f.Channel == directives.ChannelBooks {
 				channel = ChannelBooks
 			}
-			g.do(Effect{Kind: Tell, To: f.To, Channel: channel, Data: f.Data})
+			g.do(Effect{Kind: SendToMember, To: f.To, Channel: channel, Data: f.Data})
 		case directives.Persist:
-			g.do(Effect{Kind: Keep, Keep: f.Batch})
+			g.do(Effect{Kind: PersistVoterLog, Batch: f.Batch})
 		case directives.Applied:
 			g.log(Info, "directives: the book has changed", Attr{"index", f.Index}, Attr{"held", len(g.orders.desk.Book().Held)})
 			g.obey()
--- a/internal/gateway/orders_test.go
+++ b/internal/gateway/orders_test.go
@@ -16,13 +16,13 @@
 func TestOrdersAreCarriedOut(t *testing.T) {
 	text := talkText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	w := newWorldWith(t, 4, 0, planned(t, text))
-	w.step(Event{Kind: VoterOpened, Kept: &directives.Kept{Born: true}})
+	w.step(Event{Kind: VoterLogOpened, VoterState: &directives.Kept{Born: true}})
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		w.after(at, w.request)
 	}
 	order := func(at rules.Time, op, kind, subject string) {
 		w.after(at, func() {
-			w.step(Event{Kind: Inquiry, Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
+			w.step(Event{Kind: ControlRequest, Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
 		})
 	}
 	order(3*rules.Second, "set", "drain-engine", "s-00000001")
@@ -31,7 +31,7 @@
 	order(14*rules.Second, "unset", "drain-zone", "hall-a")
 	order(18*rules.Second, "set", "refuse-class", "point")
 	order(21*rules.Second, "set", "dance", "all")
-	w.after(22*rules.Second, func() { w.step(Event{Kind: Inquiry, Conn: 8, Data: []byte("book")}) })
+	w.after(22*rules.Second, func() { w.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("book")}) })
 	w.run(w.start + 24*rules.Second)
 	engine := func(id string, from, to rules.Time) (n int) {
 		for _, r := range w.taken {
@@ -89,9 +89,9 @@
 		} else {
 			c.Site = mustSite(t, talkText)
 		}
-		w.step(Event{Kind: Inquiry, Conn: 8, Data: []byte("members")})
-		w.step(Event{Kind: Peer, Peer: &PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"}})
-		w.step(Event{Kind: Peer, Data: []byte("garbage"), Peer: &PeerEvent{Kind: PeerCame, Name: "n1", Channel: ChannelCopies}})
+		w.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("members")})
+		w.step(Event{Kind: PeerNotified, Peer: &PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"}})
+		w.step(Event{Kind: PeerNotified, Data: []byte("garbage"), Peer: &PeerEvent{Kind: PeerCame, Name: "n1", Channel: ChannelCopies}})
 	}
 	w.play(6 * rules.Second)
 	on, off := 0, 0
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,10 +76,10 @@
 	case !on:
 		g.peers = nil // the book stays as it is, and grows old
 		g.log(Info, "members: talk ends")
-		g.do(Effect{Kind: Hush})
+		g.do(Effect{Kind: LeaveMembers})
 	default:
 		g.beginPeers()
-		g.do(Effect{Kind: Talk})
+		g.do(Effect{Kind: JoinMembers})
 	}
 }
 
@@ -124,7 +124,7 @@
 	for _, f := range g.peers.copies.Handle(g.now, e) {
 		switch f.Kind {
 		case replica.Send:
-			g.do(Effect{Kind: Tell, To: f.To, Channel: ChannelCopies, Data: f.Data})
+			g.do(Effect{Kind: SendToMember, To: f.To, Channel: ChannelCopies, Data: f.Data})
 		case replica.Refuse:
 			g.log(Warn, "members: message refused", Attr{"member", f.Origin}, Attr{"error", f.Err.Error()})
 		}
@@ -205,7 +205,7 @@
 	if err != nil {
 		line = []byte(`{"error":"the answer can't be written"}`)
 	}
-	g.do(Effect{Kind: Answer, Conn: conn, Data: append(line, '\n')})
+	g.do(Effect{Kind: ControlResponse, Conn: conn, Data: append(line, '\n')})
 }
 
 // MemberLine is a member as `foxlane members` shows it.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -74,7 +74,7 @@
 
 // open takes a client's request.
 func (g *Gateway) open(c *client, q *mysql.Query) {
-	class, ok := g.classes[q.Fields.Class]
+	class, ok := g.classIndex[q.Fields.Class]
 	if !ok {
 		g.unusable(c, mysql.CodeParse, fmt.Sprintf("unknown class %.40q", q.Fields.Class))
 		return
@@ -313,7 +313,7 @@
 		} else {
 			a.link.out = engine.AppendQuit(a.link.out, id)
 		}
-		g.writeNow(&a.link.pipe) // ahead of another attempt, which may go out on a connection that was written to before
+		g.flushNow(&a.link.pipe) // ahead of another attempt, which may go out on a connection that was written to before
 		g.doubt(a)
 	}
 	g.part(a, v)
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -35,9 +35,9 @@
 	w.next++
 	c := &wconn{id: w.next, client: true}
 	w.conns[c.id] = c
-	w.step(Event{Kind: Accepted, Conn: c.id})
+	w.step(Event{Kind: ConnectionAccepted, Conn: c.id})
 	if !c.dead {
-		w.step(Event{Kind: Data, Conn: c.id, Data: append(login(), ahead...)})
+		w.step(Event{Kind: DataReceived, Conn: c.id, Data: append(login(), ahead...)})
 	}
 	return c
 }
@@ -68,7 +68,7 @@
 		c := &wconn{id: w.next, client: true, request: r}
 		r.client = c
 		w.conns[c.id] = c
-		w.step(Event{Kind: Accepted, Conn: c.id})
+		w.step(Event{Kind: ConnectionAccepted, Conn: c.id})
 		w.send(c, append(login(), q...))
 	} else {
 		c := w.free[len(w.free)-1]
@@ -127,7 +127,7 @@
 		}
 		in[2] |= 1 // a packet larger than any login
 	}
-	w.step(Event{Kind: Accepted, Conn: c.id})
+	w.step(Event{Kind: ConnectionAccepted, Conn: c.id})
 	if r := w.reqs[open]; r != nil && r.over { // it gave way to this connection: its id is free again
 		in = append(login(), query("SELECT 1")...)
 	}
@@ -145,10 +145,10 @@
 		cut = w.rng.IntN(len(b))
 	}
 	if cut > 0 && !c.dead {
-		w.step(Event{Kind: Data, Conn: c.id, Data: b[:cut]})
+		w.step(Event{Kind: DataReceived, Conn: c.id, Data: b[:cut]})
 	}
 	if cut < len(b) && !c.dead {
-		w.step(Event{Kind: Data, Conn: c.id, Data: b[cut:]})
+		w.step(Event{Kind: DataReceived, Conn: c.id, Data: b[cut:]})
 	}
 }
 
@@ -165,7 +165,7 @@
 			}
 			if k := w.connect(nil); !k.dead && !r.over && c.request == r { // neither was turned away for the other
 				r.killed, r.over, r.gone = true, true, w.now
-				w.step(Event{Kind: Data, Conn: k.id, Data: query(fmt.Sprintf("KILL QUERY %d", c.session))})
+				w.step(Event{Kind: DataReceived, Conn: k.id, Data: query(fmt.Sprintf("KILL QUERY %d", c.session))})
 			}
 			w.after(500*rules.Millisecond, func() {
 				if !c.dead && (r.killed || c.request == r) {
@@ -497,13 +497,13 @@
 				if w.retune != nil {
 					w.retune(&cfg)
 				}
-				w.step(Event{Kind: Reload, Config: &cfg})
+				w.step(Event{Kind: ConfigReloaded, Config: &cfg})
 			})
 		}
 	}
 	w.after(length, func() {
 		w.stopped = w.now
-		w.step(Event{Kind: Terminate})
+		w.step(Event{Kind: ShutdownRequested})
 	})
 	w.run(w.start + length + 4*rules.Second)
 	w.ending()
--- a/internal/gateway/shelf.go
+++ b/internal/gateway/shelf.go
@@ -94,7 +94,7 @@
 	h := g.shelf
 	switch f.Kind {
 	case spool.Write, spool.Load, spool.Gone:
-		g.do(Effect{Kind: Disk, Spool: f})
+		g.do(Effect{Kind: SubmitSpool, Spool: f})
 	case spool.Wake:
 		h.wake = f.At
 	case spool.Give:
@@ -399,8 +399,8 @@
 
 // watchClient asks to be told once all that was written to a client has been taken.
 func (g *Gateway) watchClient(c *client) {
-	g.writeNow(&c.pipe)
-	g.do(Effect{Kind: Watch, Conn: c.id})
+	g.flushNow(&c.pipe)
+	g.do(Effect{Kind: NotifyDrained, Conn: c.id})
 }
 
 // drained: the client has taken a chunk and gets the next.
--- a/internal/gateway/shelf_test.go
+++ b/internal/gateway/shelf_test.go
@@ -80,15 +80,15 @@
 			switch f.Kind {
 			case Write:
 				b.sent[f.Conn] = append(b.sent[f.Conn], f.Data...)
-			case Close:
+			case CloseConnection:
 				b.shut[f.Conn] = true
 			case Dial:
 				b.dials = append(b.dials, f.Conn)
-			case Watch:
+			case NotifyDrained:
 				b.watched[f.Conn] = true
 			case Exit:
 				b.exit = true
-			case Disk:
+			case SubmitSpool:
 				b.held = append(b.held, f.Spool)
 			}
 		}
@@ -118,16 +118,16 @@
 		default:
 			continue
 		}
-		b.g.Step(b.now, Event{Kind: Shelved, Spool: events})
+		b.g.Step(b.now, Event{Kind: SpoolCompleted, Spool: events})
 	}
 }
 
 func (b *spoolBench) data(id ConnID, text string) {
-	b.run(Event{Kind: Data, Conn: id, Data: []byte(text)})
+	b.run(Event{Kind: DataReceived, Conn: id, Data: []byte(text)})
 }
 
 func (b *spoolBench) connect(id ConnID) {
-	b.run(Event{Kind: Accepted, Conn: id})
+	b.run(Event{Kind: ConnectionAccepted, Conn: id})
 	b.data(id, string(login()))
 	b.after(id)
 }
@@ -144,7 +144,7 @@
 		return 0
 	}
 	link = b.dials[len(b.dials)-1]
-	b.run(Event{Kind: Connected, Conn: link})
+	b.run(Event{Kind: DialSucceeded, Conn: link})
 	b.after(link)
 	p := bigPage(0)
 	b.data(link, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
@@ -180,7 +180,7 @@
 			break
 		}
 		delete(b.watched, id)
-		b.run(Event{Kind: Drained, Conn: id})
+		b.run(Event{Kind: WriteDrained, Conn: id})
 	}
 	all = append(all, b.after(id)...)
 	ends, n := 0, 0
@@ -279,7 +279,7 @@
 	if len(handle) != spool.HandleSize || len(pages) < 2 {
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
-	b.run(Event{Kind: Closed, Conn: 1})
+	b.run(Event{Kind: ConnectionClosed, Conn: 1})
 	asks := b.after(link)
 	b.connect(2)
 	last := pages[len(pages)-1]
@@ -412,13 +412,13 @@
 		t.Fatalf("answered before it is safe: %q", out)
 	}
 	for end := b.now + 2*rules.Second; b.now < end; b.now += 10 * rules.Millisecond {
-		b.run(Event{Kind: Wake})
+		b.run(Event{Kind: TimerFired})
 	}
 	if out := b.after(1); !strings.Contains(out, "failed") || len(b.g.requests) != 0 {
 		t.Errorf("a disk that hangs: %q", out)
 	}
 	b.waits = false
-	b.run(Event{Kind: Wake})
+	b.run(Event{Kind: TimerFired})
 	if s := b.g.shelf.spool.Stats(); s.Results != 0 {
 		t.Errorf("left %+v", s)
 	}
@@ -442,8 +442,8 @@
 	b.connect(1)
 	link := b.begin(1, "point", idA, "", 30)
 	b.after(link)
-	b.run(Event{Kind: Closed, Conn: link, Taken: math.MaxInt64})
-	b.run(Event{Kind: Wake})
+	b.run(Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: math.MaxInt64})
+	b.run(Event{Kind: TimerFired})
 	if out := b.after(1); out != "" {
 		t.Fatalf("the client has %q", out)
 	}
@@ -451,7 +451,7 @@
 	if link2 == link {
 		t.Fatal("no further attempt")
 	}
-	b.run(Event{Kind: Connected, Conn: link2})
+	b.run(Event{Kind: DialSucceeded, Conn: link2})
 	b.after(link2)
 	p := bigPage(0)
 	b.data(link2, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
@@ -469,7 +469,7 @@
 	b.after(1)
 	b.connect(2)
 	b.data(2, string(query(fmt.Sprintf("KILL QUERY %d", b.g.clients[1].session))))
-	b.run(Event{Kind: Drained, Conn: 1})
+	b.run(Event{Kind: WriteDrained, Conn: 1})
 	if out := b.after(1); out != "" || !b.shut[1] {
 		t.Errorf("after KILL the client got %d bytes", len(out))
 	}
--- a/internal/gateway/sites_test.go
+++ b/internal/gateway/sites_test.go
@@ -171,7 +171,7 @@
 		return func() {
 			cfg := w.g.cfg
 			cfg.Site = mustSite(t, text)
-			w.step(Event{Kind: Reload, Config: &cfg})
+			w.step(Event{Kind: ConfigReloaded, Config: &cfg})
 		}
 	}
 	w.after(3*rules.Second, reload(on))
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -16,12 +16,12 @@
 // noteStall looks whether the reducer runs again after a stall.
 func (g *Gateway) noteStall() {
 	late := g.now - g.armed
-	if g.armed == 0 || late < g.lim.StallFrom || g.now < g.stall.until {
+	if g.armed == 0 || late < g.lim.StallFrom || g.now < g.lastStall.until {
 		return
 	}
 	g.log(Info, "stalled: what came meanwhile is read first", Attr{"late_ms", int64(late / rules.Millisecond)})
-	g.stall = stall{seen: g.now, late: late, until: g.now + g.settleFor(late)}
-	g.timers.add(timer{at: g.stall.until, kind: timerSettled})
+	g.lastStall = stall{seen: g.now, late: late, until: g.now + g.settleFor(late)}
+	g.timers.add(timer{at: g.lastStall.until, kind: timerSettled})
 }
 
 // settleFor is how long nothing is sent at least. Behind a long stall reading takes longer, since others may come out of it at
@@ -34,19 +34,19 @@
 }
 
 // settling answers whether what came during a stall is still being read.
-func (g *Gateway) settling() bool { return g.now < g.stall.until }
+func (g *Gateway) settling() bool { return g.now < g.lastStall.until }
 
 // stillReading notes that a client's connection said something: more of what came during the stall may lie behind it.
 func (g *Gateway) stillReading() {
 	if g.settling() {
-		g.stall.until = max(g.stall.until, min(g.now+g.settleFor(g.stall.late), g.stall.seen+g.settleFor(g.stall.late)+g.lim.SettleMost))
+		g.lastStall.until = max(g.lastStall.until, min(g.now+g.settleFor(g.lastStall.late), g.lastStall.seen+g.settleFor(g.lastStall.late)+g.lim.SettleMost))
 	}
 }
 
 // waitedFor is for how long what is read now may have waited in its socket.
 func (g *Gateway) waitedFor() rules.Time {
 	if g.settling() {
-		return g.stall.late
+		return g.lastStall.late
 	}
 	return 0
 }
@@ -54,7 +54,7 @@
 // settled sends what has waited since the stall, unless there was still something to read.
 func (g *Gateway) settled() {
 	if g.settling() {
-		g.timers.add(timer{at: g.stall.until, kind: timerSettled})
+		g.timers.add(timer{at: g.lastStall.until, kind: timerSettled})
 		return
 	}
 	for _, e := range g.order {
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/world_test.go
@@ -234,11 +234,11 @@
 		w.after(w.readAt-w.now, func() { w.step(e) })
 		return
 	}
-	if e.Kind == Accepted && w.from != nil {
+	if e.Kind == ConnectionAccepted && w.from != nil {
 		e.From = w.from()
 	}
-	if e.Kind == Datagram || e.Kind == Reload {
-		e.Skew = w.skew
+	if e.Kind == DNSResponse || e.Kind == ConfigReloaded {
+		e.ClockSkew = w.skew
 	}
 	w.g.Step(w.now, e)
 	w.carryOut()
@@ -263,7 +263,7 @@
 		}
 		if w.wake != 0 && w.wake <= at {
 			w.now, w.wake = max(w.now, w.wake), 0
-			w.step(Event{Kind: Wake})
+			w.step(Event{Kind: TimerFired})
 			continue
 		}
 		w.now = max(w.now, at)
@@ -296,7 +296,7 @@
 					w.engineReads(c)
 				}
 			})
-		case Close:
+		case CloseConnection:
 			if c == nil || c.dead {
 				continue
 			}
@@ -311,18 +311,18 @@
 			})
 		case Dial:
 			w.dial(f)
-		case Query:
+		case QueryDNS:
 			w.names(f.Data)
-		case Arm:
+		case SetTimer:
 			w.wake = f.At
-		case Disk:
+		case SubmitSpool:
 			w.disk(f.Spool)
-		case Watch:
+		case NotifyDrained:
 			id := f.Conn
-			w.after(w.latency(), func() { w.step(Event{Kind: Drained, Conn: id}) })
-		case Keep:
-			w.after(w.latency(), func() { w.step(Event{Kind: KeptIt}) })
-		case Answer:
+			w.after(w.latency(), func() { w.step(Event{Kind: WriteDrained, Conn: id}) })
+		case PersistVoterLog:
+			w.after(w.latency(), func() { w.step(Event{Kind: VoterLogPersisted}) })
+		case ControlResponse:
 			w.said = append(w.said, string(f.Data))
 		case Exit:
 			w.exited = true
@@ -348,7 +348,7 @@
 		default:
 			return
 		}
-		w.step(Event{Kind: Shelved, Spool: events})
+		w.step(Event{Kind: SpoolCompleted, Spool: events})
 	})
 }
 
@@ -392,7 +392,7 @@
 				}
 			}
 		}
-		w.step(Event{Kind: Datagram, Data: msg})
+		w.step(Event{Kind: DNSResponse, Data: msg})
 	})
 }
 
@@ -409,17 +409,17 @@
 	switch {
 	case w.ownWant:
 		w.wanting++
-		w.after(w.latency(), func() { w.step(Event{Kind: DialFailed, Conn: id, Err: errOwnWant, Ours: true}) })
+		w.after(w.latency(), func() { w.step(Event{Kind: DialFailed, Conn: id, Err: errOwnWant, Local: true}) })
 	case e == nil || e.down:
 		w.after(w.latency(), func() { w.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("refused")}) })
 	case e.mute:
-		w.after(f.Wait, func() { w.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("timeout")}) })
+		w.after(f.Timeout, func() { w.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("timeout")}) })
 	default:
 		c := &wconn{id: id, engine: e, open: map[string]*wattempt{}, way: w.latency()}
 		w.conns[id] = c
 		w.after(2*c.way, func() {
 			if !w.conns[id].dead {
-				w.step(Event{Kind: Connected, Conn: id})
+				w.step(Event{Kind: DialSucceeded, Conn: id})
 			}
 		})
 	}
@@ -491,11 +491,11 @@
 			told()
 		}
 		if cut := w.rng.IntN(len(text)); w.chance(0.5) { // in two pieces
-			w.step(Event{Kind: Data, Conn: c.id, Data: []byte(text[:cut])})
+			w.step(Event{Kind: DataReceived, Conn: c.id, Data: []byte(text[:cut])})
 			text = text[cut:]
 		}
 		if !c.dead {
-			w.step(Event{Kind: Data, Conn: c.id, Data: []byte(text)})
+			w.step(Event{Kind: DataReceived, Conn: c.id, Data: []byte(text)})
 		}
 	})
 }
@@ -619,5 +619,5 @@
 			w.breach(1, "the connection of %s ended with no answer", r.id)
 		}
 	}
-	w.after(w.latency(), func() { w.step(Event{Kind: Closed, Conn: c.id, Taken: c.taken}) })
+	w.after(w.latency(), func() { w.step(Event{Kind: ConnectionClosed, Conn: c.id, AcceptedBytes: c.taken}) })
 }
--- a/internal/net/unread_test.go
+++ b/internal/net/backpressure_test.go
@@ -24,8 +24,8 @@
 // heldBySystem is how many of the test's requests of 60 KB the system holds of a connection: it doubles both sides' buffers.
 const heldBySystem = 2
 
-// unreadEngine is an engine that reads nothing until it is told to.
-type unreadEngine struct {
+// stalledEngine is an engine that reads nothing until it is told to.
+type stalledEngine struct {
 	ln   stdnet.Listener
 	read chan struct{} // closed: it reads from now on
 	asks atomic.Int64  // that have come whole
@@ -33,7 +33,7 @@
 	done sync.WaitGroup
 }
 
-func newUnreadEngine(t *testing.T) *unreadEngine {
+func newStalledEngine(t *testing.T) *stalledEngine {
 	t.Helper()
 	small := stdnet.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &unreadEngine{ln: ln, read: make(chan struct{})}
+	e := &stalledEngine{ln: ln, read: make(chan struct{})}
 	e.done.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -60,13 +60,13 @@
 	return e
 }
 
-func (e *unreadEngine) close() {
+func (e *stalledEngine) close() {
 	e.ln.Close()
 	e.done.Wait()
 }
 
 // serve counts the requests that come on a connection.
-func (e *unreadEngine) serve(c stdnet.Conn) {
+func (e *stalledEngine) serve(c stdnet.Conn) {
 	defer c.Close()
 	<-e.read
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
@@ -92,7 +92,7 @@
 
 // An engine stops reading, so that requests to it wait in the gateway's own buffer, and leaves the list: what has not left by the
 // end of the grace never does, and its clients are answered from elsewhere.
-func TestNothingLeavesTheBufferBehindADrain(t *testing.T) {
+func TestNothingLeavesTheBufferAfterADrain(t *testing.T) {
 	for name, leave := range map[string]func(stuck standin.Host) []standin.Host{
 		"drains": func(stuck standin.Host) []standin.Host { stuck.Draining = true; return []standin.Host{stuck} },
 		"gone":   func(standin.Host) []standin.Host { return nil },
@@ -106,8 +106,8 @@
 				}
 				return c, err
 			}
-			stuck := newUnreadEngine(t)
-			s := newStageOn(t, platform, `{"cores":1,"memory_mb":192,"sockets":1024}`, served(time.Millisecond, "a\tb\tc\n"))
+			stuck := newStalledEngine(t)
+			s := newTestbedOn(t, platform, `{"cores":1,"memory_mb":192,"sockets":1024}`, served(time.Millisecond, "a\tb\tc\n"))
 			defer stuck.close()
 			defer s.end()
 			host := s.hosts[0]
--- a/internal/net/close.go
+++ b/internal/net/close.go
@@ -18,72 +18,72 @@
 // with it what the other side has not read yet: our last answer. So a client's connection ends by a lingering
 // close: our half is closed behind what was written, and the other half is read to its end, within bounds.
 
-// tickEvery is how often the end of the process is looked at.
-const tickEvery = 2 * time.Millisecond
+// shutdownPollInterval is how often the end of the process is looked at.
+const shutdownPollInterval = 2 * time.Millisecond
 
-// hangUp ends a connection behind what was written on it. That of an engine ends at once: nothing of ours is open
+// closeGracefully ends a connection behind what was written on it. That of an engine ends at once: nothing of ours is open
 // on it, and what it still says answers nothing.
-func (e *Edge) hangUp(c *conn) {
-	if !c.client {
-		e.cut(c, errDone)
+func (e *Server) closeGracefully(c *conn) {
+	if !c.accepted {
+		e.shutdownConn(c, errClosedHere)
 		return
 	}
 	e.mu.Lock()
 	var oldest *conn
-	if known := e.conns[c.id] == c && e.shutWrite(c); known && len(e.lingers) > e.lim.Lingering {
-		oldest = e.lingers[0]
+	if known := e.conns[c.id] == c && e.closeWrite(c); known && len(e.lingering) > e.limits.Lingering {
+		oldest = e.lingering[0]
 	}
 	e.mu.Unlock()
 	if oldest != nil {
-		e.cut(oldest, errDone)
+		e.shutdownConn(oldest, errClosedHere)
 	}
-	e.after(e.lim.FlushWithin, func() { e.cut(c, errDone) })
+	e.after(e.limits.FlushWithin, func() { e.shutdownConn(c, errClosedHere) })
 }
 
-var errDone = errors.New("done with")
+var errClosedHere = errors.New("done with")
 
-// cut ends a connection at once. It shuts it down, and the poller closes it when it sees that. The poller works off events
+// shutdownConn ends a connection at once. It shuts it down, and the poller closes it when it sees that. The poller works off events
 // in batches, by number of the descriptor: one that is closed from elsewhere within the batch may be a new connection's
 // before its old event has its turn, which then ends the wrong one.
-func (e *Edge) cut(c *conn, why error) {
+func (e *Server) shutdownConn(c *conn, why error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.conns[c.id] != c || c.err != nil {
+	if e.conns[c.id] != c || c.closeErr != nil {
 		return
 	}
-	c.err = why
-	if c.owns() {
+	c.closeErr = why
+	if c.ownsDescriptor() {
 		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR)
 	}
-	e.after(e.lim.FlushWithin, func() { // should the system tell the poller nothing
-		if e.get(c.id) == c {
+	e.after(e.limits.FlushWithin, func() { // should the system tell the poller nothing
+		if e.connByID(c.id) == c {
 			_ = c.nb.Close()
-			e.plug(c.nb.Hash())
+			e.reserveDescriptor(c.nb.Hash())
 		}
 	})
 }
 
-// abort resets a connection: neither side reads what the system still holds of it.
-func (e *Edge) abort(c *conn) {
-	if c.owns() {
+// reset resets a connection: neither side reads what the system still holds of it.
+func (e *Server) reset(c *conn) {
+	if c.ownsDescriptor() {
 		_ = syscall.SetsockoptLinger(c.nb.Hash(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1, Linger: 0})
 	}
-	e.cut(c, errNotRead)
+	e.shutdownConn(c, errPeerNotReading)
 }
 
-// owns answers whether the connection's number is still its own. Nbio tells of a close behind it, from another goroutine:
+// ownsDescriptor answers whether the connection's number is still its own. Nbio tells of a close behind it, from another goroutine:
 // the number may be another connection's by then. No two connections have the same ends.
-func (c *conn) owns() bool {
+func (c *conn) ownsDescriptor() bool {
 	fd := c.nb.Hash()
 	local, err := syscall.Getsockname(fd)
-	if err != nil || !same(local, c.nb.LocalAddr()) {
+	if err != nil || !sameAddress(local, c.nb.LocalAddr()) {
 		return false
 	}
 	remote, err := syscall.Getpeername(fd)
-	return err == nil && same(remote, c.nb.RemoteAddr())
+	return err == nil && sameAddress(remote, c.nb.RemoteAddr())
 }
 
-func same(a syscall.Sockaddr, b stdnet.Addr) bool {
+func sameAddress(a syscall.Sockaddr, b stdnet.Addr) bool {
 	var at netip.AddrPort
 	switch a := a.(type) {
 	case *syscall.SockaddrInet4:
@@ -97,40 +97,40 @@
 
 // send writes to a connection. Where it turns out to be broken nbio closes it here and now, and its number must not be
 // given out while the poller may still hold an event of it (see cut).
-func (e *Edge) send(c *conn, data []byte) {
-	if c.pending.Add(int64(len(data))) > c.most {
-		e.cut(c, errNotRead)
+func (e *Server) send(c *conn, data []byte) {
+	if c.pending.Add(int64(len(data))) > c.maxPending {
+		e.shutdownConn(c, errPeerNotReading)
 		return
 	}
 	if _, err := c.nb.Write(data); err != nil && !errors.Is(err, stdnet.ErrClosed) {
-		e.plug(c.nb.Hash())
+		e.reserveDescriptor(c.nb.Hash())
 	}
 	e.noteBlocked(c)
 }
 
-// plug holds the number of a descriptor that was closed a moment ago, until the poller has done with its batch. Few are held
+// reserveDescriptor holds the number of a descriptor that was closed a moment ago, until the poller has done with its batch. Few are held
 // at a time: the oldest gives way.
-func (e *Edge) plug(fd int) {
+func (e *Server) reserveDescriptor(fd int) {
 	var lower []int
 	defer func() {
 		for _, n := range lower {
 			syscall.Close(n)
 		}
 	}()
-	for range plugTries {
-		n, err := syscall.Dup(int(e.null.Fd())) // the lowest number that is free
+	for range maxReserveAttempts {
+		n, err := syscall.Dup(int(e.devNull.Fd())) // the lowest number that is free
 		switch {
 		case err != nil:
 			return
 		case n == fd:
 			e.mu.Lock()
-			e.plugs = append(e.plugs, n)
-			if len(e.plugs) > e.lim.Plugs {
-				syscall.Close(e.plugs[0])
-				e.plugs = e.plugs[1:]
+			e.reserved = append(e.reserved, n)
+			if len(e.reserved) > e.limits.Plugs {
+				syscall.Close(e.reserved[0])
+				e.reserved = e.reserved[1:]
 			}
 			e.mu.Unlock()
-			e.after(e.lim.FlushWithin, func() { e.unplug(n) })
+			e.after(e.limits.FlushWithin, func() { e.releaseDescriptor(n) })
 			return
 		case n > fd: // somebody has it
 			syscall.Close(n)
@@ -140,101 +140,103 @@
 	}
 }
 
-// plugTries is how many lower numbers are passed over on the way to the one that is to be held.
-const plugTries = 8
+// maxReserveAttempts is how many lower numbers are passed over on the way to the one that is to be held.
+const maxReserveAttempts = 8
 
-// unplug gives a number free that is still held.
-func (e *Edge) unplug(fd int) {
+// releaseDescriptor gives a number free that is still held.
+func (e *Server) releaseDescriptor(fd int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if i := slices.Index(e.plugs, fd); i >= 0 {
+	if i := slices.Index(e.reserved, fd); i >= 0 {
 		syscall.Close(fd)
-		e.plugs = slices.Delete(e.plugs, i, i+1)
+		e.reserved = slices.Delete(e.reserved, i, i+1)
 	}
 }
 
-func (e *Edge) after(d rules.Time, do func()) { time.AfterFunc(time.Duration(d)*time.Microsecond, do) }
+func (e *Server) after(d rules.Time, do func()) {
+	time.AfterFunc(time.Duration(d)*time.Microsecond, do)
+}
 
-// shutWrite closes our half of a connection that is known. The caller holds the lock.
-func (e *Edge) shutWrite(c *conn) bool {
-	if c.hungUp {
+// closeWrite closes our half of a connection that is known. The caller holds the lock.
+func (e *Server) closeWrite(c *conn) bool {
+	if c.halfClosed {
 		return true
 	}
-	if !c.owns() || syscall.Shutdown(c.nb.Hash(), syscall.SHUT_WR) != nil {
+	if !c.ownsDescriptor() || syscall.Shutdown(c.nb.Hash(), syscall.SHUT_WR) != nil {
 		return false
 	}
-	c.hungUp = true
-	e.lingers = append(e.lingers, c)
+	c.halfClosed = true
+	e.lingering = append(e.lingering, c)
 	return true
 }
 
-// giveUpDial ends a dial whose connection is wanted no more.
-func (e *Edge) giveUpDial(id gateway.ConnID) {
+// cancelDial ends a dial whose connection is wanted no more.
+func (e *Server) cancelDial(id gateway.ConnID) {
 	e.mu.Lock()
-	giveUp := e.dialling[id]
-	delete(e.dialling, id)
+	giveUp := e.pendingDials[id]
+	delete(e.pendingDials, id)
 	e.mu.Unlock()
 	if giveUp != nil {
 		giveUp()
 	}
 }
 
-// unqueue notes which bytes the reducer takes from the mailbox.
-func (e *Edge) unqueue(events []gateway.Event) {
+// uncountReads notes which bytes the reducer takes from the mailbox.
+func (e *Server) uncountReads(events []gateway.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range events {
-		if events[i].Kind == gateway.Data {
+		if events[i].Kind == gateway.DataReceived {
 			if c := e.conns[events[i].Conn]; c != nil {
-				c.queued--
+				c.queuedReads--
 			}
 		}
 	}
 }
 
-// ending is how far the end of the process has come.
-type ending struct {
-	until time.Time // zero: it has not begun
-	tick  <-chan time.Time
+// shutdownState is how far the end of the process has come.
+type shutdownState struct {
+	deadline time.Time // zero: it has not begun
+	tick     <-chan time.Time
 }
 
 // next goes on with the end, or takes it back: something has come that is to be answered first.
-func (s ending) next(over bool) ending {
+func (s shutdownState) next(over bool) shutdownState {
 	if !over {
-		return ending{}
+		return shutdownState{}
 	}
-	s.tick = time.After(tickEvery)
+	s.tick = time.After(shutdownPollInterval)
 	return s
 }
 
-// end goes on with the end of the process, once all is answered: nothing is accepted any more, and each client's
+// advanceShutdown goes on with the end of the process, once all is answered: nothing is accepted any more, and each client's
 // connection is hung up on which no byte waits to be read. What waits goes to the reducer first. It answers whether
 // all of them have ended, or the time for it is over.
-func (e *Edge) end(s *ending) bool {
-	if s.until.IsZero() {
-		s.until = time.Now().Add(time.Duration(e.lim.FlushWithin) * time.Microsecond)
-		e.ending.Store(true)
+func (e *Server) advanceShutdown(s *shutdownState) bool {
+	if s.deadline.IsZero() {
+		s.deadline = time.Now().Add(time.Duration(e.limits.FlushWithin) * time.Microsecond)
+		e.shuttingDown.Store(true)
 		e.listener.Close()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	left := len(e.box.ready) > 0
+	left := len(e.queue.ready) > 0
 	for _, c := range e.conns {
 		switch {
 		case c.pending.Load() > 0:
 			left = true
-		case c.client:
+		case c.accepted:
 			left = true
-			if !c.hungUp && c.queued == 0 && unread(c) == 0 {
-				e.shutWrite(c)
+			if !c.halfClosed && c.queuedReads == 0 && unreadBytes(c) == 0 {
+				e.closeWrite(c)
 			}
 		}
 	}
-	return !left || !time.Now().Before(s.until)
+	return !left || !time.Now().Before(s.deadline)
 }
 
-// unread is how many bytes wait to be read on a connection.
-func unread(c *conn) int {
+// unreadBytes is how many bytes wait to be read on a connection.
+func unreadBytes(c *conn) int {
 	n, err := unix.IoctlGetInt(c.nb.Hash(), unix.SIOCINQ)
 	if err != nil {
 		return 0 // it is not told
--- a/internal/net/close_test.go
+++ b/internal/net/close_test.go
@@ -23,8 +23,8 @@
 	"foxlane/internal/syserr"
 )
 
-// bareEdge is an edge without a reducer: what happens stays in the mailbox until the test takes it.
-func bareEdge(t *testing.T) *Edge {
+// newBareServer is an edge without a reducer: what happens stays in the mailbox until the test takes it.
+func newBareServer(t *testing.T) *Server {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,38 +37,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := newEdge(System(), cfg, zap.NewNop())
+	e := newServer(System(), cfg, zap.NewNop())
 	if err := e.open(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.close)
 	// The library's loops begin in goroutines of their own, and one that is stopped ahead of its beginning goes on for
 	// ever: both have begun once a byte has come. (A gateway lives 0.9 s at least.)
-	client, c := e.join(t)
+	client, c := e.connectClient(t)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "a byte", func() bool {
-		e.box.mu.Lock()
-		defer e.box.mu.Unlock()
-		return e.box.bytes > 0
+		e.queue.mu.Lock()
+		defer e.queue.mu.Unlock()
+		return e.queue.queuedBytes > 0
 	})
 	client.Close()
-	waitFor(t, "its end", func() bool { return e.get(c.id) == nil })
+	waitFor(t, "its end", func() bool { return e.connByID(c.id) == nil })
 	waitFor(t, "the event of it", func() bool {
-		e.box.mu.Lock()
-		defer e.box.mu.Unlock()
-		return len(e.box.events) == 3
+		e.queue.mu.Lock()
+		defer e.queue.mu.Unlock()
+		return len(e.queue.events) == 3
 	})
-	e.box.take(nil, nil)
+	e.queue.drain(nil, nil)
 	return e
 }
 
-// join connects a client to a bare edge.
-func (e *Edge) join(t *testing.T) (client stdnet.Conn, c *conn) {
+// connectClient connects a client to a bare edge.
+func (e *Server) connectClient(t *testing.T) (client stdnet.Conn, c *conn) {
 	t.Helper()
 	e.mu.Lock()
-	had := e.accepted
+	had := e.lastAccepted
 	e.mu.Unlock()
 	client, err := stdnet.Dial("tcp", e.cfg.Listen.String())
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 	t.Cleanup(func() { client.Close() })
 	waitFor(t, "the connection", func() bool {
-		c = e.get(had + 1)
+		c = e.connByID(had + 1)
 		return c != nil
 	})
 	return client, c
@@ -84,27 +84,27 @@
 
 // The poller works off a batch of events by descriptor. A connection that is ended from elsewhere within the batch,
 // with its descriptor given to a new one, must not have its old event end the new one.
-func TestOldEventEndsNoNewConnection(t *testing.T) {
-	t.Run("ended by a write that finds it broken", func(t *testing.T) { oldEvent(t, true) })
-	t.Run("ended by a close", func(t *testing.T) { oldEvent(t, false) })
+func TestStaleEventEndsNoNewConnection(t *testing.T) {
+	t.Run("ended by a write that finds it broken", func(t *testing.T) { testStaleEvent(t, true) })
+	t.Run("ended by a close", func(t *testing.T) { testStaleEvent(t, false) })
 }
 
-func oldEvent(t *testing.T, write bool) {
-	e := bareEdge(t)
+func testStaleEvent(t *testing.T, write bool) {
+	e := newBareServer(t)
 	low, err := syscall.Dup(0) // the system gives out the lowest number that is free
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _ := e.join(t)
-	second, c2 := e.join(t)
-	third, _ := e.join(t)
+	first, _ := e.connectClient(t)
+	second, c2 := e.connectClient(t)
+	third, _ := e.connectClient(t)
 	room := func(most, bytes int) {
-		e.box.mu.Lock()
-		e.box.most, e.box.bytes = most, bytes
-		e.box.room.Broadcast()
-		e.box.mu.Unlock()
+		e.queue.mu.Lock()
+		e.queue.maxBytes, e.queue.queuedBytes = most, bytes
+		e.queue.notFull.Broadcast()
+		e.queue.mu.Unlock()
 	}
-	most := e.box.most
+	most := e.queue.maxBytes
 	room(0, 1) // the poller waits in a batch, on the first connection's bytes
 	send := func(nc stdnet.Conn) {
 		if _, err := nc.Write([]byte("x")); err != nil {
@@ -118,15 +118,15 @@
 	time.Sleep(50 * time.Millisecond)
 	room(0, 0) // and now in its next, on the third's bytes, with the end of the second behind them
 	waitFor(t, "the first's bytes", func() bool {
-		e.box.mu.Lock()
-		defer e.box.mu.Unlock()
-		return e.box.bytes > 0
+		e.queue.mu.Lock()
+		defer e.queue.mu.Unlock()
+		return e.queue.queuedBytes > 0
 	})
 	time.Sleep(50 * time.Millisecond)
 	// New connections wait at the accepting goroutine, which holds one.
 	e.mu.Lock()
-	e.clients += 1000
-	had := e.accepted
+	e.clientCount += 1000
+	had := e.lastAccepted
 	e.mu.Unlock()
 	var fillers []int
 	for fd := 0; fd < c2.nb.Hash(); {
@@ -145,28 +145,28 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	e.mu.Lock() // the second ends from here, as an engine's connection does
-	c2.client = false
-	e.clients--
+	c2.accepted = false
+	e.clientCount--
 	e.mu.Unlock()
 	if write {
 		for range 3 {
-			e.carryOut(&gateway.Effect{Kind: gateway.Write, Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
+			e.execute(&gateway.Effect{Kind: gateway.Write, Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	e.carryOut(&gateway.Effect{Kind: gateway.Close, Conn: c2.id})
+	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: c2.id})
 	time.Sleep(50 * time.Millisecond)
 	syscall.Close(low)
 	e.mu.Lock()
-	e.clients -= 1000
-	e.fewer.Broadcast()
+	e.clientCount -= 1000
+	e.clientClosed.Broadcast()
 	e.mu.Unlock()
-	waitFor(t, "the new connections", func() bool { return e.get(had+fresh) != nil })
+	waitFor(t, "the new connections", func() bool { return e.connByID(had+fresh) != nil })
 	room(most, 0)
-	waitFor(t, "the second to be gone", func() bool { return e.get(c2.id) == nil })
+	waitFor(t, "the second to be gone", func() bool { return e.connByID(c2.id) == nil })
 	time.Sleep(50 * time.Millisecond)
 	for i := range gateway.ConnID(fresh) {
-		if e.get(had+1+i) == nil {
+		if e.connByID(had+1+i) == nil {
 			t.Errorf("new connection %d was ended by the old event of another", i)
 		}
 	}
@@ -177,8 +177,8 @@
 
 // A client that is refused while it still sends reads the refusal and an end, no reset: a close over its unread bytes
 // would take the refusal with it.
-func TestRefusalOutlivesTheClose(t *testing.T) {
-	s := newStage(t)
+func TestRejectionIsReadBeforeTheClose(t *testing.T) {
+	s := newTestbed(t)
 	defer s.end()
 	var wg sync.WaitGroup
 	for range 3 {
@@ -209,16 +209,16 @@
 
 // Small writes are not held back, on accepted connections and dialled ones.
 func TestNoDelay(t *testing.T) {
-	e := bareEdge(t)
-	_, accepted := e.join(t)
+	e := newBareServer(t)
+	_, accepted := e.connectClient(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	e.beginDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), e.lim.Connect)
-	waitFor(t, "the dial", func() bool { return e.get(1<<63|1) != nil })
-	for name, c := range map[string]*conn{"accepted": accepted, "dialled": e.get(1<<63 | 1)} {
+	e.startDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), e.limits.Connect)
+	waitFor(t, "the dial", func() bool { return e.connByID(1<<63|1) != nil })
+	for name, c := range map[string]*conn{"accepted": accepted, "dialled": e.connByID(1<<63 | 1)} {
 		if on, err := syscall.GetsockoptInt(c.nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 			t.Errorf("%s: TCP_NODELAY is %d, %v", name, on, err)
 		}
@@ -226,8 +226,8 @@
 }
 
 // A dial that is given up ends at once, and a connection that comes up in that moment is closed: nobody would use it.
-func TestDialGivenUp(t *testing.T) {
-	e := bareEdge(t)
+func TestDialCancelled(t *testing.T) {
+	e := newBareServer(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -235,9 +235,9 @@
 	defer ln.Close()
 	const id = gateway.ConnID(1<<63 | 7)
 	e.mu.Lock() // it comes up while the close is on its way
-	e.dialling[id] = func() {}
+	e.pendingDials[id] = func() {}
 	e.mu.Unlock()
-	e.giveUpDial(id)
+	e.cancelDial(id)
 	e.dial(t.Context(), id, netip.MustParseAddrPort(ln.Addr().String()))
 	nc, err := ln.Accept()
 	if err != nil {
@@ -248,7 +248,7 @@
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the other side read %v, want the end", err)
 	}
-	if e.get(id) != nil || len(e.dialling) != 0 {
+	if e.connByID(id) != nil || len(e.pendingDials) != 0 {
 		t.Error("the edge still knows it")
 	}
 	// One that never comes up: a listener whose line is full.
@@ -266,14 +266,14 @@
 	}
 	full := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port))
 	for i := range gateway.ConnID(4) {
-		e.beginDial(1<<63|(100+i), full, 60_000_000)
+		e.startDial(1<<63|(100+i), full, 60_000_000)
 	}
 	time.Sleep(50 * time.Millisecond)
 	for i := range gateway.ConnID(4) {
-		e.carryOut(&gateway.Effect{Kind: gateway.Close, Conn: 1<<63 | (100 + i)})
+		e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: 1<<63 | (100 + i)})
 	}
 	done := make(chan struct{})
-	go func() { e.dials.Wait(); close(done) }()
+	go func() { e.dialWorkers.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
@@ -282,8 +282,8 @@
 }
 
 // With no descriptor left the gateway still turns to another name service: the old socket's serves.
-func TestNamesAtTheLimitOfDescriptors(t *testing.T) {
-	e := bareEdge(t)
+func TestNameServiceMoveAtDescriptorLimit(t *testing.T) {
+	e := newBareServer(t)
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -297,35 +297,35 @@
 		t.Fatal(err)
 	}
 	_, full := syscall.Dup(0)
-	first := e.openUDP(netip.MustParseAddrPort("127.0.0.1:10"))
-	second := e.openUDP(netip.MustParseAddrPort("127.0.0.1:10"))
+	first := e.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
+	second := e.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 	if full == nil {
 		t.Fatal("descriptors are free below the limit: nothing is shown")
 	}
-	if first != nil || second != nil || e.udp == nil || e.udp.RemoteAddr().String() != "127.0.0.1:10" {
+	if first != nil || second != nil || e.dnsConn == nil || e.dnsConn.RemoteAddr().String() != "127.0.0.1:10" {
 		t.Errorf("moved with %v, again with %v", first, second)
 	}
 }
 
 // Reading stops while the mailbox is full, and with it word of those that leave: one turn of the reducer later all is
 // heard, however many they are.
-func TestLeavingBehindAFullMailbox(t *testing.T) {
-	e := bareEdge(t)
+func TestClosesBehindAFullQueue(t *testing.T) {
+	e := newBareServer(t)
 	const leaving = 200
-	sender, _ := e.join(t)
+	sender, _ := e.connectClient(t)
 	var gone []stdnet.Conn
 	ids := map[gateway.ConnID]bool{}
 	for range leaving {
-		nc, c := e.join(t)
+		nc, c := e.connectClient(t)
 		gone, ids[c.id] = append(gone, nc), true
 	}
-	e.box.take(nil, nil)
-	e.box.mu.Lock()
-	e.box.most = 1000
-	e.box.mu.Unlock()
+	e.queue.drain(nil, nil)
+	e.queue.mu.Lock()
+	e.queue.maxBytes = 1000
+	e.queue.mu.Unlock()
 	for range 2 { // the first fills it, the second has the poller wait
 		if _, err := sender.Write(make([]byte, 4000)); err != nil {
 			t.Fatal(err)
@@ -337,9 +337,9 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	heard := func() (n int) {
-		events, _ := e.box.take(nil, nil)
+		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.Closed && ids[ev.Conn] {
+			if ev.Kind == gateway.ConnectionClosed && ids[ev.Conn] {
 				n++
 			}
 		}
@@ -349,9 +349,9 @@
 		t.Fatalf("%d were heard of ahead of the turn: the test has lost its subject", n)
 	}
 	waitFor(t, "word of all", func() bool {
-		e.box.mu.Lock()
-		defer e.box.mu.Unlock()
-		return len(e.box.events) > leaving
+		e.queue.mu.Lock()
+		defer e.queue.mu.Unlock()
+		return len(e.queue.events) > leaving
 	})
 	if n := heard(); n != leaving {
 		t.Errorf("%d of %d were heard of within one turn", n, leaving)
@@ -359,28 +359,28 @@
 }
 
 // Nbio tells of a close behind it: by then the number may be another connection's, which must not be shut down for it.
-func TestNumberOfAnotherConnection(t *testing.T) {
-	e := bareEdge(t)
-	_, old := e.join(t)
-	client, other := e.join(t)
+func TestReusedDescriptorIsNotShutDown(t *testing.T) {
+	e := newBareServer(t)
+	_, old := e.connectClient(t)
+	client, other := e.connectClient(t)
 	if err := syscall.Dup3(other.nb.Hash(), old.nb.Hash(), 0); err != nil { // as if it were closed and given out again
 		t.Fatal(err)
 	}
-	e.carryOut(&gateway.Effect{Kind: gateway.Close, Conn: old.id})
-	e.cut(old, errDone)
+	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: old.id})
+	e.shutdownConn(old, errClosedHere)
 	time.Sleep(20 * time.Millisecond)
 	_ = client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the other connection's client read %v", err)
 	}
-	if e.get(other.id) == nil {
+	if e.connByID(other.id) == nil {
 		t.Error("the other connection has ended")
 	}
 }
 
 // The reducer closes a connection that is up, and of which it will hear in a moment: it is found all the same.
 func TestCloseBetweenDialAndEvent(t *testing.T) {
-	e := bareEdge(t)
+	e := newBareServer(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -392,21 +392,21 @@
 		t.Fatal(err)
 	}
 	e.mu.Lock()
-	e.dialling[id] = func() {}
+	e.pendingDials[id] = func() {}
 	e.mu.Unlock()
-	c, err := e.takeIn(id, std)
+	c, err := e.registerDialed(id, std)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.carryOut(&gateway.Effect{Kind: gateway.Close, Conn: id})
-	if _, err := e.engine.AddConn(c.nb); err != nil {
+	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: id})
+	if _, err := e.poller.AddConn(c.nb); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the connection to be gone", func() bool { return e.get(id) == nil })
+	waitFor(t, "the connection to be gone", func() bool { return e.connByID(id) == nil })
 }
 
 // Dials that fail for want of something here are told apart from those that the engine refuses.
-func TestOurWant(t *testing.T) {
+func TestLocalDialErrors(t *testing.T) {
 	for err, ours := range map[error]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
 		syscall.ENOMEM: true, syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false} {
 		wrapped := &stdnet.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
@@ -418,37 +418,37 @@
 
 // At the end a connection with bytes that nobody has read, in its socket or in the mailbox, is left open until the
 // reducer had them; one that rests is ended cleanly, and what comes on it behind that counts no more.
-func TestEndLeavesWhatIsUnread(t *testing.T) {
-	e := bareEdge(t)
-	resting, rest := e.join(t)
-	asking, ask := e.join(t)
+func TestShutdownWaitsForUnreadBytes(t *testing.T) {
+	e := newBareServer(t)
+	resting, rest := e.connectClient(t)
+	asking, ask := e.connectClient(t)
 	if _, err := asking.Write([]byte("a request")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the bytes in the mailbox", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return ask.queued > 0
+		return ask.queuedReads > 0
 	})
-	s := ending{}.next(true)
-	if e.end(&s) {
+	s := shutdownState{}.next(true)
+	if e.advanceShutdown(&s) {
 		t.Fatal("over with a request in the mailbox")
 	}
 	e.mu.Lock()
-	if ask.hungUp || !rest.hungUp {
-		t.Errorf("hung up: the one that asks %v, the one that rests %v", ask.hungUp, rest.hungUp)
+	if ask.halfClosed || !rest.halfClosed {
+		t.Errorf("hung up: the one that asks %v, the one that rests %v", ask.halfClosed, rest.halfClosed)
 	}
 	e.mu.Unlock()
 	if _, err := stdnet.DialTimeout("tcp", e.cfg.Listen.String(), time.Second); err == nil {
 		t.Error("a new connection was taken")
 	}
-	events, _ := e.box.take(nil, nil)
-	e.unqueue(events)
-	if s = s.next(false).next(true); e.end(&s) {
+	events, _ := e.queue.drain(nil, nil)
+	e.uncountReads(events)
+	if s = s.next(false).next(true); e.advanceShutdown(&s) {
 		t.Error("over with two clients that have not closed yet")
 	}
 	e.mu.Lock()
-	if !ask.hungUp {
+	if !ask.halfClosed {
 		t.Error("what was read and answered is not hung up")
 	}
 	e.mu.Unlock()
@@ -460,21 +460,21 @@
 	if _, err := resting.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the resting client read %v, want the end", err)
 	}
-	events, _ = e.box.take(nil, nil)
+	events, _ = e.queue.drain(nil, nil)
 	for _, ev := range events {
-		if ev.Kind == gateway.Data {
+		if ev.Kind == gateway.DataReceived {
 			t.Errorf("the reducer hears %q of a connection that was hung up", ev.Data)
 		}
 	}
 	resting.Close()
 	asking.Close()
-	waitFor(t, "both to be gone", func() bool { return e.end(&s) })
+	waitFor(t, "both to be gone", func() bool { return e.advanceShutdown(&s) })
 }
 
 // Requests that cross the end of the process, one by one from well ahead of it to well behind: each is answered, or its
 // connection ends with not a byte of an answer and no engine has seen it. None is reset.
-func TestRequestsAcrossTheEnd(t *testing.T) {
-	s := newStage(t, served(5*time.Millisecond, "a\tb\tc\n"))
+func TestRequestsDuringShutdown(t *testing.T) {
+	s := newTestbed(t, served(5*time.Millisecond, "a\tb\tc\n"))
 	const clients = 60
 	type outcome struct {
 		id     string
@@ -503,7 +503,7 @@
 			time.Sleep(time.Until(began.Add(linger + time.Duration(i-10)*10*time.Millisecond)))
 			o := outcome{id: fmt.Sprintf("%016x", 0xabc000+i)}
 			var n int
-			n, o.err = c.Query(fields("point", o.id, 1500), 3*time.Second)
+			n, o.err = c.Query(statement("point", o.id, 1500), 3*time.Second)
 			var refusal *standin.Refusal
 			o.answer = n > 0 || errors.As(o.err, &refusal)
 			outcomes <- o
@@ -544,8 +544,8 @@
 
 // A client that never closes, one that sends without end and reads nothing, half a login and a login with nothing
 // behind it: the process ends in time all the same.
-func TestEndWithClientsThatNeverClose(t *testing.T) {
-	s := newStage(t, served(5*time.Millisecond, "a\tb\tc\n"))
+func TestShutdownWithClientsThatNeverClose(t *testing.T) {
+	s := newTestbed(t, served(5*time.Millisecond, "a\tb\tc\n"))
 	for i := range 4 {
 		nc, err := stdnet.Dial("tcp", s.addr)
 		if err != nil {
@@ -568,8 +568,8 @@
 
 // A name service that answers each socket for a while only: the gateway comes again from a new one, and hears of a
 // drain within the time after which it counts as told.
-func TestDrainBehindASilentSocket(t *testing.T) {
-	s := newStage(t, served(time.Millisecond, "a\tb\tc\n"), served(time.Millisecond, "a\tb\tc\n"))
+func TestDrainSeenThroughANewSocket(t *testing.T) {
+	s := newTestbed(t, served(time.Millisecond, "a\tb\tc\n"), served(time.Millisecond, "a\tb\tc\n"))
 	defer s.end()
 	var mu sync.Mutex
 	heard := map[string]int{}
@@ -595,7 +595,7 @@
 	}
 	before := len(s.engines[0].Asks())
 	for i := range 12 {
-		if _, err := rows(t.Context(), s.db, fields("point", fmt.Sprintf("%016x", 0xd00+i), 1500)); err != nil {
+		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 0xd00+i), 1500)); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/net/connections.go
+++ b/internal/net/connections.go
@@ -19,76 +19,76 @@
 // onOpen takes in a connection that a client has opened, or that a dial has. Where clients come
 // faster than the reducer can close others for them, the accepting goroutine waits here: descriptors
 // must not run out, or dials to engines fail with them.
-func (e *Edge) onOpen(nb *nbio.Conn) {
+func (e *Server) onOpen(nb *nbio.Conn) {
 	e.mu.Lock()
-	c, kind := e.byNB[nb], gateway.Connected
+	c, kind := e.connsByNB[nb], gateway.DialSucceeded
 	if c == nil {
-		for e.clients >= e.lim.Clients+e.lim.AcceptAhead && !e.ending.Load() {
-			e.fewer.Wait()
+		for e.clientCount >= e.limits.Clients+e.limits.AcceptAhead && !e.shuttingDown.Load() {
+			e.clientClosed.Wait()
 		}
-		e.accepted++
-		e.clients++
-		c, kind = &conn{id: e.accepted, nb: nb, most: int64(e.lim.ClientOut), client: true}, gateway.Accepted
-		e.byNB[nb] = c
+		e.lastAccepted++
+		e.clientCount++
+		c, kind = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientOut), accepted: true}, gateway.ConnectionAccepted
+		e.connsByNB[nb] = c
 	}
 	e.conns[c.id] = c
 	e.mu.Unlock()
 	ev := gateway.Event{Kind: kind, Conn: c.id}
-	if c.client {
-		ev.From = addressOf(nb.RemoteAddr())
+	if c.accepted {
+		ev.From = remoteIP(nb.RemoteAddr())
 	}
-	e.box.put(ev)
+	e.queue.enqueue(ev)
 }
 
-// addressOf is the address of the other side, or none.
-func addressOf(a stdnet.Addr) netip.Addr {
+// remoteIP is the address of the other side, or none.
+func remoteIP(a stdnet.Addr) netip.Addr {
 	if tcp, ok := a.(*stdnet.TCPAddr); ok {
 		return tcp.AddrPort().Addr().Unmap()
 	}
 	return netip.Addr{}
 }
 
-// beginDial connects in a goroutine of its own, for so long at most and until the reducer closes the connection.
-func (e *Edge) beginDial(id gateway.ConnID, addr netip.AddrPort, wait rules.Time) {
+// startDial connects in a goroutine of its own, for so long at most and until the reducer closes the connection.
+func (e *Server) startDial(id gateway.ConnID, addr netip.AddrPort, wait rules.Time) {
 	ctx, giveUp := context.WithTimeout(context.Background(), time.Duration(wait)*time.Microsecond)
 	e.mu.Lock()
-	e.dialling[id] = giveUp
+	e.pendingDials[id] = giveUp
 	e.mu.Unlock()
-	e.dials.Go(func() {
+	e.dialWorkers.Go(func() {
 		defer giveUp()
 		e.dial(ctx, id, addr)
 	})
 }
 
 // dial connects by the standard library, which tells a refusal from a silence.
-func (e *Edge) dial(ctx context.Context, id gateway.ConnID, addr netip.AddrPort) {
-	std, err := e.connect(ctx, addr)
+func (e *Server) dial(ctx context.Context, id gateway.ConnID, addr netip.AddrPort) {
+	std, err := e.dialWithRetry(ctx, addr)
 	var c *conn
 	if err == nil {
-		c, err = e.takeIn(id, std)
+		c, err = e.registerDialed(id, std)
 	}
 	if c != nil {
-		if _, err = e.engine.AddConn(c.nb); err == nil {
+		if _, err = e.poller.AddConn(c.nb); err == nil {
 			return
 		}
-		_ = e.forget(c)
+		_ = e.removeConn(c)
 	}
-	e.giveUpDial(id)
-	e.box.put(gateway.Event{Kind: gateway.DialFailed, Conn: id, Err: err, Ours: syserr.Local(err)})
+	e.cancelDial(id)
+	e.queue.enqueue(gateway.Event{Kind: gateway.DialFailed, Conn: id, Err: err, Local: syserr.Local(err)})
 }
 
 // A connection that this machine could not make is tried again a few times: what it lacks may be back at once. Who waits
 // for longer could have gone elsewhere.
 const (
-	connectTries = 4
-	connectPause = 10 * time.Millisecond
+	maxDialAttempts = 4
+	dialRetryPause  = 10 * time.Millisecond
 )
 
-// connect dials, and dials again where the call failed for want of something on this machine.
-func (e *Edge) connect(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+// dialWithRetry dials, and dials again where the call failed for want of something on this machine.
+func (e *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
 	for try := 1; ; try++ {
 		conn, err := e.platform.Dial(ctx, addr)
-		if err == nil || try == connectTries || !syserr.Local(err) || !sleep(ctx, connectPause) {
+		if err == nil || try == maxDialAttempts || !syserr.Local(err) || !sleep(ctx, dialRetryPause) {
 			return conn, err
 		}
 	}
@@ -104,11 +104,11 @@
 	}
 }
 
-var errGivenUp = errors.New("given up")
+var errDialCancelled = errors.New("given up")
 
-// takeIn makes a connection that came up one of the edge's. One that was given up meanwhile is closed: nobody would
+// registerDialed makes a connection that came up one of the edge's. One that was given up meanwhile is closed: nobody would
 // ever use it.
-func (e *Edge) takeIn(id gateway.ConnID, std stdnet.Conn) (*conn, error) {
+func (e *Server) registerDialed(id gateway.ConnID, std stdnet.Conn) (*conn, error) {
 	nb, err := nbio.NBConn(std)
 	if err != nil {
 		std.Close()
@@ -116,13 +116,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, wanted := e.dialling[id]
-	delete(e.dialling, id)
+	_, wanted := e.pendingDials[id]
+	delete(e.pendingDials, id)
 	if !wanted {
 		_ = nb.Close()
-		return nil, errGivenUp
+		return nil, errDialCancelled
 	}
-	c := &conn{id: id, nb: nb, most: int64(e.lim.LinkOut)}
-	e.byNB[nb], e.conns[id] = c, c // from here on the reducer's close finds it
+	c := &conn{id: id, nb: nb, maxPending: int64(e.limits.LinkOut)}
+	e.connsByNB[nb], e.conns[id] = c, c // from here on the reducer's close finds it
 	return c, nil
 }
--- a/internal/net/platform.go
+++ b/internal/net/platform.go
@@ -38,13 +38,13 @@
 
 // Platform is the clock, the sockets, the file system and the reducer of a gateway.
 type Platform struct {
-	Clock      Clock
-	Listen     func(addr string) (stdnet.Listener, error)
-	Dial       func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error)
-	DialUDP    func(addr netip.AddrPort) (stdnet.Conn, error)
-	OpenFolder func(path string) (Folder, error)
-	OpenVotes  func(path string) (VoterLog, directives.Kept, error)
-	Reducer    func(cfg config.Config, now rules.Time) Reducer
+	Clock        Clock
+	Listen       func(addr string) (stdnet.Listener, error)
+	Dial         func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error)
+	DialUDP      func(addr netip.AddrPort) (stdnet.Conn, error)
+	OpenFolder   func(path string) (Folder, error)
+	OpenVoterLog func(path string) (VoterLog, directives.Kept, error)
+	Reducer      func(cfg config.Config, now rules.Time) Reducer
 }
 
 // System is the platform that the operating system gives.
@@ -61,7 +61,7 @@
 			}
 			return folder, nil
 		},
-		OpenVotes: func(path string) (VoterLog, directives.Kept, error) {
+		OpenVoterLog: func(path string) (VoterLog, directives.Kept, error) {
 			log, kept, err := wal.Open(path)
 			if err != nil {
 				return nil, kept, err
@@ -101,16 +101,16 @@
 // clock is the Unix time of the start, carried on by the monotonic clock: a step of the wall clock does not move it.
 type clock struct {
 	Clock
-	began time.Duration
-	unix  int64 // microseconds at the start
+	startElapsed time.Duration
+	startUnix    int64 // microseconds at the start
 }
 
 func newClock(c Clock) *clock {
-	return &clock{Clock: c, began: c.Elapsed(), unix: c.Wall().UnixMicro()}
+	return &clock{Clock: c, startElapsed: c.Elapsed(), startUnix: c.Wall().UnixMicro()}
 }
 
 func (c *clock) now() rules.Time {
-	return rules.Time(c.unix + (c.Elapsed() - c.began).Microseconds())
+	return rules.Time(c.startUnix + (c.Elapsed() - c.startElapsed).Microseconds())
 }
 
 // skew is by how much the wall clock is ahead of this one: by what it was stepped since the start.
--- a/internal/net/edge_test.go
+++ b/internal/net/server_test.go
@@ -32,8 +32,8 @@
 "limits":{"cancel":true,"connIdle":15000000,"connectTimeout":250000,"maxAttempts":3,"maxOpen":20000,"multiplex":32,"parallelTries":true},
 "machineTypes":["std-16"],"membershipMode":"push","rules":{"answerSlack":5000,"stopSendingWithin":1000000},"siblings":1,"tick":1000,"zones":["hall-a"]}`
 
-// stage is a gateway between stand-ins, on loopback.
-type stage struct {
+// testbed is a gateway between stand-ins, on loopback.
+type testbed struct {
 	t       *testing.T
 	addr    string
 	names   *standin.Names
@@ -46,23 +46,23 @@
 	db      *sql.DB
 }
 
-func newStage(t *testing.T, answers ...func(standin.Ask) standin.Reply) *stage {
+func newTestbed(t *testing.T, answers ...func(standin.Ask) standin.Reply) *testbed {
 	t.Helper()
-	return newStageOf(t, `{"cores":1,"memory_mb":192,"sockets":1024}`, answers...)
+	return newTestbedWithLimits(t, `{"cores":1,"memory_mb":192,"sockets":1024}`, answers...)
 }
 
-// newStageOf has a gateway with other limits.
-func newStageOf(t *testing.T, limits string, answers ...func(standin.Ask) standin.Reply) *stage {
+// newTestbedWithLimits has a gateway with other limits.
+func newTestbedWithLimits(t *testing.T, limits string, answers ...func(standin.Ask) standin.Reply) *testbed {
 	t.Helper()
-	return newStageOn(t, System(), limits, answers...)
+	return newTestbedOn(t, System(), limits, answers...)
 }
 
-// newStageOn has a gateway on a platform that may be a double.
-func newStageOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Ask) standin.Reply) *stage {
+// newTestbedOn has a gateway on a platform that may be a double.
+func newTestbedOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Ask) standin.Reply) *testbed {
 	t.Helper()
-	s := &stage{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	s := &testbed{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
 	goroutines, files, heap := runtime.NumGoroutine(), descriptors(t), heapAlloc()
-	t.Cleanup(func() { s.leavesNothing(goroutines, files, heap) }) // behind all that the test defers
+	t.Cleanup(func() { s.checkNoLeaks(goroutines, files, heap) }) // behind all that the test defers
 	var err error
 	if s.names, err = standin.NewNames("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { s.ended <- RunOn(platform, cfg, zap.NewNop(), Signals{Reload: s.hup, End: s.stop}) }()
+	go func() { s.ended <- RunOn(platform, cfg, zap.NewNop(), Signals{Reload: s.hup, Terminate: s.stop}) }()
 	if s.db, err = sql.Open("mysql", "app@tcp("+s.addr+")/main?interpolateParams=true"); err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 }
 
 // end asks the gateway to end and closes the rest.
-func (s *stage) end() {
+func (s *testbed) end() {
 	s.t.Helper()
 	s.stop <- syscall.SIGTERM
 	select {
@@ -123,7 +123,7 @@
 	s.names.Close()
 }
 
-func fields(class, id string, timeout int) string {
+func statement(class, id string, timeout int) string {
 	return fmt.Sprintf("/* kind=%s,req=%s,timeout=%d */ SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = 'x''y'", class, id, timeout)
 }
 
@@ -151,16 +151,16 @@
 // A whole life on loopback, with an ordinary client library as the peer: many
 // queries at a time, an engine that dies, a killed query, SIGTERM with queries
 // open. Nothing of it is left behind.
-func TestLife(t *testing.T) {
+func TestLifecycle(t *testing.T) {
 	long := strings.Repeat("x", 300)
 	pages := []string{"1\ta\t" + long + "\n2\tb\t\n", "3\tc\tz\n", "4\td\tz\n"}
-	s := newStage(t, served(20*time.Millisecond, pages...), served(20*time.Millisecond, pages...), served(time.Hour))
+	s := newTestbed(t, served(20*time.Millisecond, pages...), served(20*time.Millisecond, pages...), served(time.Hour))
 	s.names.Set(2, s.hosts[:2]) // the third never answers; it leaves the list
 	time.Sleep(300 * time.Millisecond)
 	var wg sync.WaitGroup
 	for i := range 60 {
 		wg.Go(func() {
-			got, err := rows(t.Context(), s.db, fields("point", fmt.Sprintf("%016x", i), 1500))
+			got, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", i), 1500))
 			if want := []string{"1|a|" + long, "2|b|", "3|c|z", "4|d|z"}; err != nil || strings.Join(got, "\n") != strings.Join(want, "\n") {
 				t.Errorf("query %d: %v, %.200q", i, err, got)
 			}
@@ -175,15 +175,15 @@
 	}
 	s.engines[0].Close() // its connections are reset; safe queries go elsewhere
 	for i := range 10 {
-		if _, err := rows(t.Context(), s.db, fields("point", fmt.Sprintf("%016x", 100+i), 1500)); err != nil {
+		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 100+i), 1500)); err != nil {
 			t.Errorf("after an engine died: %v", err)
 		}
 	}
 	s.end()
 }
 
-// leavesNothing checks, behind each scene, that goroutines, descriptors and memory are as before.
-func (s *stage) leavesNothing(goroutines, files int, heap uint64) {
+// checkNoLeaks checks, behind each scene, that goroutines, descriptors and memory are as before.
+func (s *testbed) checkNoLeaks(goroutines, files int, heap uint64) {
 	const spare = 4 << 20 // what libraries keep for later, and the books of the stage
 	if s.t.Failed() {
 		return
@@ -220,7 +220,7 @@
 
 // KILL QUERY from another session gives a query up at its engine, and the killed session gets nothing.
 func TestKillQuery(t *testing.T) {
-	s := newStage(t, served(time.Hour))
+	s := newTestbed(t, served(time.Hour))
 	defer s.end()
 	conn, err := s.db.Conn(t.Context())
 	if err != nil {
@@ -235,7 +235,7 @@
 	// A client of our own that writes login and query ahead of the greeting.
 	login := append([]byte{0, 0x82, 8, 0, 0, 0, 0, 1, 45}, make([]byte, 23)...)
 	login = append(login, "app\x00\x00"...)
-	q := append([]byte{3}, fields("load", "00000000000000aa", 4000)...)
+	q := append([]byte{3}, statement("load", "00000000000000aa", 4000)...)
 	ahead := append([]byte{byte(len(login)), 0, 0, 1}, login...)
 	ahead = append(append(ahead, byte(len(q)), 0, 0, 0), q...)
 	if _, err := nc.Write(ahead); err != nil {
@@ -273,7 +273,7 @@
 
 // SIGTERM: what is open is answered, new connections are still taken, and all ends in time.
 func TestTerminate(t *testing.T) {
-	s := newStage(t, func(a standin.Ask) standin.Reply {
+	s := newTestbed(t, func(a standin.Ask) standin.Reply {
 		if a.Fields["lane"] == "load" {
 			return standin.Reply{After: time.Hour, Word: "served"}
 		}
@@ -281,7 +281,7 @@
 	})
 	results := make(chan error, 2)
 	go func() {
-		_, err := rows(context.Background(), s.db, fields("load", "00000000000000bb", 30000))
+		_, err := rows(context.Background(), s.db, statement("load", "00000000000000bb", 30000))
 		results <- err
 	}()
 	waitFor(t, "the load at its engine", func() bool { return len(s.engines[0].Asks()) == 1 })
@@ -293,7 +293,7 @@
 		t.Fatal(err)
 	}
 	defer fresh.Close()
-	if got, err := rows(t.Context(), fresh, fields("point", "00000000000000cc", 1500)); err != nil || len(got) != 1 {
+	if got, err := rows(t.Context(), fresh, statement("point", "00000000000000cc", 1500)); err != nil || len(got) != 1 {
 		t.Errorf("a query after SIGTERM: %v, %v", got, err)
 	}
 	err = <-results
@@ -310,7 +310,7 @@
 // SIGHUP ended the process. It moves the gateway to the name service that its file names now, any
 // number of times and beside queries; a file that can't be used changes nothing.
 func TestReload(t *testing.T) {
-	s := newStage(t, served(200*time.Millisecond, "a\tb\tc\n"), served(200*time.Millisecond, "a\tb\tc\n"))
+	s := newTestbed(t, served(200*time.Millisecond, "a\tb\tc\n"), served(200*time.Millisecond, "a\tb\tc\n"))
 	defer s.end()
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(config.EnvConfig, path)
@@ -328,7 +328,7 @@
 	}
 	open := make(chan error, 1)
 	go func() {
-		_, err := rows(context.Background(), s.db, fields("point", "00000000000000ba", 1500))
+		_, err := rows(context.Background(), s.db, statement("point", "00000000000000ba", 1500))
 		open <- err
 	}()
 	waitFor(t, "a query at an engine", func() bool { return len(s.engines[0].Asks())+len(s.engines[1].Asks()) == 1 })
@@ -342,7 +342,7 @@
 	time.Sleep(400 * time.Millisecond)
 	before := len(s.engines[0].Asks())
 	for i := range 6 {
-		if _, err := rows(t.Context(), s.db, fields("point", fmt.Sprintf("%016x", 200+i), 1500)); err != nil {
+		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 200+i), 1500)); err != nil {
 			t.Errorf("after the move: %v", err)
 		}
 	}
@@ -352,15 +352,15 @@
 }
 
 // What a client library sees of a refusal: an error that says when to come back is harmless to retry.
-func TestRefusal(t *testing.T) {
-	s := newStage(t, func(standin.Ask) standin.Reply { return standin.Reply{Word: "overload"} })
+func TestRejection(t *testing.T) {
+	s := newTestbed(t, func(standin.Ask) standin.Reply { return standin.Reply{Word: "overload"} })
 	defer s.end()
-	_, err := rows(t.Context(), s.db, fields("load", "00000000000000dd", 800))
+	_, err := rows(t.Context(), s.db, statement("load", "00000000000000dd", 800))
 	var answer *mysql.MySQLError
 	if !errors.As(err, &answer) || answer.Number != 1226 {
 		t.Errorf("got %v, want error 1226", err)
 	}
-	for _, bad := range []string{"SELECT 1", fields("other", "00000000000000de", 800), "/* kind=point", fields("point", "xyz", 800)} {
+	for _, bad := range []string{"SELECT 1", statement("other", "00000000000000de", 800), "/* kind=point", statement("point", "xyz", 800)} {
 		if _, err := rows(t.Context(), s.db, bad); !errors.As(err, &answer) || answer.Number != 1064 {
 			t.Errorf("%.30q: got %v, want error 1064", bad, err)
 		}
@@ -386,10 +386,10 @@
 
 // Single turns for every event kept the other sides busy with many small reads: turns keep an
 // interval, but the first after a quiet time comes at once.
-func TestPace(t *testing.T) {
-	p := pace{least: 2000, last: 10_000}
+func TestPacer(t *testing.T) {
+	p := pacer{interval: 2000, last: 10_000}
 	for _, c := range []struct{ now, rest rules.Time }{{10_000, 2000}, {11_500, 500}, {12_000, 0}, {90_000, -78_000}, {9_000, 2000}} {
-		if got := p.rest(c.now); got != c.rest {
+		if got := p.wait(c.now); got != c.rest {
 			t.Errorf("at %d: rest %d, want %d", c.now, got, c.rest)
 		}
 	}
@@ -398,7 +398,7 @@
 // On the smallest machine, hundreds of connections that say nothing, or send what is no packet, get an
 // error or a close within 3 s; a client that asks meanwhile is served at once.
 func TestCrowdOnTheSmallestMachine(t *testing.T) {
-	s := newStageOf(t, `{"cores":0.25,"memory_mb":32,"sockets":256}`, served(5*time.Millisecond, "a\tb\tc\n"))
+	s := newTestbedWithLimits(t, `{"cores":0.25,"memory_mb":32,"sockets":256}`, served(5*time.Millisecond, "a\tb\tc\n"))
 	defer s.end()
 	var crowd sync.WaitGroup
 	for i := range 300 {
@@ -423,7 +423,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rows(t.Context(), fresh, fields("point", fmt.Sprintf("%016x", 300+i), 1500)); err != nil || time.Since(began) > time.Second {
+		if _, err := rows(t.Context(), fresh, statement("point", fmt.Sprintf("%016x", 300+i), 1500)); err != nil || time.Since(began) > time.Second {
 			t.Errorf("a client beside the crowd: %v after %v", err, time.Since(began))
 		}
 		fresh.Close()
--- a/internal/net/moments_test.go
+++ b/internal/net/transient_test.go
@@ -21,13 +21,13 @@
 	"foxlane/rules"
 )
 
-// failing answers an error for so many calls, then none.
-type failing struct {
+// transientFault answers an error for so many calls, then none.
+type transientFault struct {
 	left atomic.Int64
 	err  error
 }
 
-func (f *failing) next() error {
+func (f *transientFault) next() error {
 	if f.left.Add(-1) >= 0 {
 		return &stdnet.OpError{Op: "dial", Err: os.NewSyscallError("call", f.err)}
 	}
@@ -50,9 +50,9 @@
 }
 
 // A start at which socket calls fail for a moment goes on once they don't.
-func TestStartWhereCallsFailForAMoment(t *testing.T) {
+func TestStartRetriesTransientErrors(t *testing.T) {
 	p := System()
-	var listens, names failing
+	var listens, names transientFault
 	listens.err, names.err = syscall.ENOBUFS, syscall.ENFILE
 	listens.left.Store(3)
 	names.left.Store(3)
@@ -70,7 +70,7 @@
 	}
 	cfg := loopbackConfig(t)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{End: stop}) }()
+	go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{Terminate: stop}) }()
 	served := false
 	for i := 0; i < 200 && !served; i++ {
 		if c, err := stdnet.DialTimeout("tcp", cfg.Listen.String(), time.Second); err == nil {
@@ -89,14 +89,14 @@
 }
 
 // A dial that fails because this machine has no way out for a moment is tried again, and says nothing of the engine.
-func TestDialThatFailsForAMoment(t *testing.T) {
+func TestDialRetriesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN} {
 		engine, err := stdnet.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := System()
-		calls := failing{err: errno}
+		calls := transientFault{err: errno}
 		calls.left.Store(2)
 		p.Dial = func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
 			if err := calls.next(); err != nil {
@@ -104,50 +104,50 @@
 			}
 			return System().Dial(ctx, addr)
 		}
-		e := edgeOn(t, p)
+		e := newBareServerOn(t, p)
 		addr := netip.MustParseAddrPort(engine.Addr().String())
-		e.beginDial(1<<63|1, addr, rules.Second)
-		if ev := e.awaitDial(t); ev.Kind != gateway.Connected {
-			t.Errorf("%v twice: %v, ours %v", errno, ev.Err, ev.Ours)
+		e.startDial(1<<63|1, addr, rules.Second)
+		if ev := e.awaitDialResult(t); ev.Kind != gateway.DialSucceeded {
+			t.Errorf("%v twice: %v, ours %v", errno, ev.Err, ev.Local)
 		}
 		calls.left.Store(1 << 40)
-		e.beginDial(1<<63|2, addr, rules.Second)
-		if ev := e.awaitDial(t); ev.Kind != gateway.DialFailed || !ev.Ours {
-			t.Errorf("%v for long: kind %v, ours %v", errno, ev.Kind, ev.Ours)
+		e.startDial(1<<63|2, addr, rules.Second)
+		if ev := e.awaitDialResult(t); ev.Kind != gateway.DialFailed || !ev.Local {
+			t.Errorf("%v for long: kind %v, ours %v", errno, ev.Kind, ev.Local)
 		}
 		engine.Close()
 	}
 }
 
-// edgeOn is an edge without a reducer, on a platform.
-func edgeOn(t *testing.T, p Platform) *Edge {
+// newBareServerOn is an edge without a reducer, on a platform.
+func newBareServerOn(t *testing.T, p Platform) *Server {
 	t.Helper()
-	e := newEdge(p, loopbackConfig(t), zap.NewNop())
+	e := newServer(p, loopbackConfig(t), zap.NewNop())
 	if err := e.open(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.close)
-	client, c := e.join(t) // the library's loops have begun once a byte has come (see bareEdge)
+	client, c := e.connectClient(t) // the library's loops have begun once a byte has come (see bareEdge)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "a byte", func() bool {
-		e.box.mu.Lock()
-		defer e.box.mu.Unlock()
-		return e.box.bytes > 0
+		e.queue.mu.Lock()
+		defer e.queue.mu.Unlock()
+		return e.queue.queuedBytes > 0
 	})
 	client.Close()
-	waitFor(t, "its end", func() bool { return e.get(c.id) == nil })
+	waitFor(t, "its end", func() bool { return e.connByID(c.id) == nil })
 	return e
 }
 
-// awaitDial waits for what becomes of a dial.
-func (e *Edge) awaitDial(t *testing.T) (out gateway.Event) {
+// awaitDialResult waits for what becomes of a dial.
+func (e *Server) awaitDialResult(t *testing.T) (out gateway.Event) {
 	t.Helper()
 	waitFor(t, "the end of the dial", func() bool {
-		events, _ := e.box.take(nil, nil)
+		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.Connected || ev.Kind == gateway.DialFailed {
+			if ev.Kind == gateway.DialSucceeded || ev.Kind == gateway.DialFailed {
 				out = ev
 				return true
 			}
@@ -158,26 +158,26 @@
 }
 
 // The name service is asked again within moments where its socket could not be opened at a reload.
-func TestNameServiceSocketFailsForAMoment(t *testing.T) {
+func TestNameServiceSocketRetried(t *testing.T) {
 	service, err := stdnet.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer service.Close()
 	p := System()
-	calls := failing{err: syscall.ENOBUFS}
+	calls := transientFault{err: syscall.ENOBUFS}
 	p.DialUDP = func(addr netip.AddrPort) (stdnet.Conn, error) {
 		if err := calls.next(); err != nil {
 			return nil, err
 		}
 		return System().DialUDP(addr)
 	}
-	e := edgeOn(t, p)
+	e := newBareServerOn(t, p)
 	calls.left.Store(4)
-	e.carryOut(&gateway.Effect{Kind: gateway.Names, Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
+	e.execute(&gateway.Effect{Kind: gateway.SetNameServer, Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
 	buf := make([]byte, 16)
 	for range 4 { // polls
-		e.carryOut(&gateway.Effect{Kind: gateway.Query, Data: []byte("who is there")})
+		e.execute(&gateway.Effect{Kind: gateway.QueryDNS, Data: []byte("who is there")})
 	}
 	_ = service.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 	if n, _, err := service.ReadFrom(buf); err != nil || string(buf[:n]) != "who is there" {
@@ -187,7 +187,7 @@
 
 // brokenLog is a voter's log that fails for a while.
 type brokenLog struct {
-	failing
+	transientFault
 	kept, repaired atomic.Int64
 }
 
@@ -203,22 +203,22 @@
 func (l *brokenLog) Close()        {}
 
 // A voter whose disk fails for a while goes on once it works again: the batch is kept then, and not told as failed.
-func TestVotersDiskThatFailsForAWhile(t *testing.T) {
+func TestVoterDiskRetried(t *testing.T) {
 	p := System()
-	log := &brokenLog{failing: failing{err: syscall.EIO}}
-	p.OpenVotes = func(string) (VoterLog, directives.Kept, error) { return log, directives.Kept{}, nil }
-	e := edgeOn(t, p)
+	log := &brokenLog{transientFault: transientFault{err: syscall.EIO}}
+	p.OpenVoterLog = func(string) (VoterLog, directives.Kept, error) { return log, directives.Kept{}, nil }
+	e := newBareServerOn(t, p)
 	e.cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{e.cfg.Name}, Folder: t.TempDir()}}
-	if err := e.openVotes(); err != nil {
+	if err := e.openVoterLog(); err != nil {
 		t.Fatal(err)
 	}
-	defer e.closeVotes()
+	defer e.closeVoterLog()
 	log.left.Store(3)
-	e.keep(directives.Batch{})
+	e.persist(directives.Batch{})
 	waitFor(t, "the batch to be kept", func() bool {
-		events, _ := e.box.take(nil, nil)
+		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.KeptIt {
+			if ev.Kind == gateway.VoterLogPersisted {
 				if ev.Err != nil {
 					t.Fatalf("told as %v", ev.Err)
 				}
@@ -234,11 +234,11 @@
 
 // A start that fails behind the opening of the sockets ends with its error: it does not wait for loops of the sockets' library
 // that were stopped ahead of their beginning, with clients that connect and hear nothing.
-func TestStartThatFailsEnds(t *testing.T) {
+func TestFailedStartReturns(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as the program has it
 	for range 20 {
 		p := System()
-		p.OpenVotes = func(string) (VoterLog, directives.Kept, error) { return nil, directives.Kept{}, errDamaged }
+		p.OpenVoterLog = func(string) (VoterLog, directives.Kept, error) { return nil, directives.Kept{}, errDamaged }
 		cfg := loopbackConfig(t)
 		cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{cfg.Name}, Folder: t.TempDir()}}
 		ended := make(chan error, 1)
@@ -257,16 +257,16 @@
 var errDamaged = errors.New("damaged")
 
 // The end of the process does not wait for members that do not answer.
-func TestEndWaitsForMembersForABoundedTime(t *testing.T) {
-	e := edgeOn(t, System())
+func TestShutdownWaitsForMembersWithinBounds(t *testing.T) {
+	e := newBareServerOn(t, System())
 	stopped := make(chan struct{})
 	defer close(stopped)
-	e.hushing.Go(func() { <-stopped })
+	e.leaveWorkers.Go(func() { <-stopped })
 	ended := make(chan struct{})
-	go func() { e.awaitTalk(); close(ended) }()
+	go func() { e.awaitLeave(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(talkCloses + 2*time.Second):
-		t.Errorf("still waiting after %v", talkCloses+2*time.Second)
+	case <-time.After(leaveTimeout + 2*time.Second):
+		t.Errorf("still waiting after %v", leaveTimeout+2*time.Second)
 	}
 }
--- a/internal/replica/gossip.go
+++ b/internal/replica/gossip.go
@@ -51,7 +51,7 @@
 
 // room answers whether so many bytes may be sent now.
 func (r *Replica) room(n int) bool {
-	if r.spent.Now(r.now)+float64(n) <= float64(r.set.Budget) {
+	if r.spent.Total(r.now)+float64(n) <= float64(r.set.Budget) {
 		return true
 	}
 	r.stats.Held++
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -8,27 +8,27 @@
 	"syscall"
 )
 
-// local are errors of socket and connect by which this machine says that it lacks something, or has no way out. They say
+// localErrors are errors of socket and connect by which this machine says that it lacks something, or has no way out. They say
 // nothing of the other side. Linux documents them in socket(2), connect(2), epoll_ctl(2) and ip(7).
-var local = []syscall.Errno{
+var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES,
 }
 
-// passing are errors of calls on files and sockets that may be over a moment later.
-var passing = []syscall.Errno{
+// transientErrors are errors of calls on files and sockets that may be over a moment later.
+var transientErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EIO, syscall.ESTALE,
 	syscall.ETIMEDOUT, syscall.ECONNABORTED,
 }
 
 // Local answers whether a connection could not be made for want of something on this machine.
-func Local(err error) bool { return is(err, local) }
+func Local(err error) bool { return matches(err, localErrors) }
 
-// Passing answers whether a call that failed is worth trying again.
-func Passing(err error) bool { return is(err, passing) }
+// Transient answers whether a call that failed is worth trying again.
+func Transient(err error) bool { return matches(err, transientErrors) }
 
-func is(err error, list []syscall.Errno) bool {
+func matches(err error, list []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -27,8 +27,8 @@
 		{errors.New("other"), false, false},
 		{nil, false, false},
 	} {
-		if Local(c.err) != c.local || Passing(c.err) != c.passing {
-			t.Errorf("%v: local %v, passing %v", c.err, Local(c.err), Passing(c.err))
+		if Local(c.err) != c.local || Transient(c.err) != c.passing {
+			t.Errorf("%v: local %v, passing %v", c.err, Local(c.err), Transient(c.err))
 		}
 	}
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// noticed is the least difference between two readings that counts as a step and not as a clock being slewed.
-	noticed = 100 * rules.Millisecond
-	// future is how far a stamp may lie ahead of now: clocks of machines differ a little.
-	future = rules.Second
-	// remembered is how many steps are kept.
-	remembered = 8
+	// minStep is the least difference between two readings that counts as a step and not as a clock being slewed.
+	minStep = 100 * rules.Millisecond
+	// maxFuture is how far a stamp may lie ahead of now: clocks of machines differ a little.
+	maxFuture = rules.Second
+	// maxSteps is how many steps are kept.
+	maxSteps = 8
 )
 
 // Steps are those of the wall clock since the process began, each as its distance from the process's time.
@@ -26,22 +26,22 @@
 	if n := len(s.skews); n > 0 {
 		last = s.skews[n-1]
 	}
-	if max(skew-last, last-skew) < noticed {
+	if max(skew-last, last-skew) < minStep {
 		return
 	}
-	if s.skews = append(s.skews, skew); len(s.skews) > remembered {
+	if s.skews = append(s.skews, skew); len(s.skews) > maxSteps {
 		s.skews = slices.Delete(s.skews, 0, 1)
 	}
 }
 
-// Began is when something began, in the process's time, that was stamped so by the wall clock. A stamp may have been
+// ProcessTime is when something began, in the process's time, that was stamped so by the wall clock. A stamp may have been
 // made before or behind any step. The latest reading that is not in the future is taken: what is wrongly held to be
 // younger than it is gets less for a while, what is wrongly held to be older would be overloaded. A stamp that lies in
 // the future by all readings began now.
-func (s *Steps) Began(stamp, now rules.Time) rules.Time {
+func (s *Steps) ProcessTime(stamp, now rules.Time) rules.Time {
 	best, found := rules.Time(0), false
 	for _, skew := range append([]rules.Time{0}, s.skews...) {
-		if at := stamp - skew; at <= now+future && (!found || at > best) {
+		if at := stamp - skew; at <= now+maxFuture && (!found || at > best) {
 			best, found = at, true
 		}
 	}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -29,7 +29,7 @@
 		for _, skew := range c.skews {
 			s.Note(skew)
 		}
-		if got := s.Began(c.stamp, now); got != c.want {
+		if got := s.ProcessTime(c.stamp, now); got != c.want {
 			t.Errorf("%s: %v after now, want %v", name, got-now, c.want-now)
 		}
 	}
@@ -49,7 +49,7 @@
 			skew += rules.Time(rapid.Int64Range(-int64(2*hour), int64(2*hour)).Draw(t, "step"))
 			s.Note(skew)
 		}
-		if got := s.Began(stamp, now); got < began-6*noticed {
+		if got := s.ProcessTime(stamp, now); got < began-6*minStep {
 			t.Fatalf("held to be %v older than it is", began-got)
 		}
 	})
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -4,34 +4,34 @@
 
 import "foxlane/rules"
 
-const steps = 10
+const bucketCount = 10
 
 // Sum is a sum over the last span. The zero value with a Span is empty.
 type Sum struct {
-	Span rules.Time
-	step [steps + 1]float64
-	at   rules.Time // the step that is filled, counted from the start of time
+	Span    rules.Time
+	buckets [bucketCount + 1]float64
+	current rules.Time // the step that is filled, counted from the start of time
 }
 
-func (s *Sum) forward(now rules.Time) {
-	at := now / (s.Span / steps)
-	for n := min(at-s.at, rules.Time(len(s.step))); n > 0; n-- {
-		copy(s.step[1:], s.step[:])
-		s.step[0] = 0
+func (s *Sum) advance(now rules.Time) {
+	at := now / (s.Span / bucketCount)
+	for n := min(at-s.current, rules.Time(len(s.buckets))); n > 0; n-- {
+		copy(s.buckets[1:], s.buckets[:])
+		s.buckets[0] = 0
 	}
-	s.at = max(s.at, at)
+	s.current = max(s.current, at)
 }
 
 // Add adds to it.
 func (s *Sum) Add(now rules.Time, x float64) {
-	s.forward(now)
-	s.step[0] += x
+	s.advance(now)
+	s.buckets[0] += x
 }
 
-// Now is what was added within the span.
-func (s *Sum) Now(now rules.Time) (sum float64) {
-	s.forward(now)
-	for _, x := range s.step {
+// Total is what was added within the span.
+func (s *Sum) Total(now rules.Time) (sum float64) {
+	s.advance(now)
+	for _, x := range s.buckets {
 		sum += x
 	}
 	return sum
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -28,11 +28,11 @@
 				if now-a.at < rules.Second {
 					least += a.x
 				}
-				if now-a.at <= rules.Second+rules.Second/steps {
+				if now-a.at <= rules.Second+rules.Second/bucketCount {
 					most += a.x
 				}
 			}
-			if got := s.Now(now); got < least || got > most {
+			if got := s.Total(now); got < least || got > most {
 				t.Fatalf("%v within the span, %v to %v were added", got, least, most)
 			}
 		}
--- a/internal/zones/route.go
+++ b/internal/zones/route.go
@@ -157,7 +157,7 @@
 		return true
 	}
 	s := &z.all[i].spill
-	spent := s.sent.Now(z.now)
+	spent := s.sent.Total(z.now)
 	if spent+work <= s.whole {
 		return true
 	}
