--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -100,7 +100,7 @@
 		Short: "What holds at a gateway, and how old that is",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var b gateway.BookLine
+			var b gateway.DirectiveStatus
 			if err := ask("book", &b); err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 				fmt.Fprintf(w, "votes; leader %q, term %d, listens %v, disk failed %v\n", s.Leader, s.Term, s.Listens, s.Broken)
 			}
 			t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-			for _, d := range b.Held {
+			for _, d := range b.InForce {
 				fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t\n", d.Kind, d.Subject, d.Value, d.By, time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339))
 			}
 			return t.Flush()
@@ -135,7 +135,7 @@
 		Short: "The latest commands, with what became of them",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var b gateway.BookLine
+			var b gateway.DirectiveStatus
 			if err := ask("book", &b); err != nil {
 				return err
 			}
--- a/cmd/foxlane/members.go
+++ b/cmd/foxlane/members.go
@@ -88,7 +88,7 @@
 			if err != nil {
 				return err
 			}
-			var lines []gateway.MemberLine
+			var lines []gateway.MemberStatus
 			if err := control(at[0], "members", &lines); err != nil {
 				return err
 			}
@@ -105,19 +105,19 @@
 	return cmd
 }
 
-func printMembers(w io.Writer, lines []gateway.MemberLine) error {
+func printMembers(w io.Writer, lines []gateway.MemberStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "member\tzone\there for\tentries\tnewest\tlag\tsends B/s\tbegan\t")
 	for _, l := range lines {
 		name, lag, sends := l.Name, "", ""
-		if l.Us {
-			name, lag, sends = "* "+name, span2(l.LagMS), fmt.Sprintf("%.0f", l.SentBS)
+		if l.Self {
+			name, lag, sends = "* "+name, span2(l.LagMS), fmt.Sprintf("%.0f", l.SentBytesPerSecond)
 		}
 		newest := "-"
-		if l.NewestMS >= 0 {
-			newest = span2(l.NewestMS)
+		if l.NewestEntryMS >= 0 {
+			newest = span2(l.NewestEntryMS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, l.Zone, span2(l.SinceMS), l.Entries, newest, lag, sends, l.Life)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, l.Zone, span2(l.SinceMS), l.Entries, newest, lag, sends, l.Incarnation)
 	}
 	return t.Flush()
 }
@@ -145,7 +145,7 @@
 			if err != nil {
 				return err
 			}
-			held := make([][]gateway.CopyLine, len(at))
+			held := make([][]gateway.ReplicaEntry, len(at))
 			for i := range at {
 				if err := control(at[i], "copies", &held[i]); err != nil {
 					return err
@@ -167,18 +167,18 @@
 }
 
 // compareCopies names the entries that differ, each with who holds what, and the rule by which it will be joined.
-func compareCopies(names []string, held [][]gateway.CopyLine, settle time.Duration) (out []string) {
+func compareCopies(names []string, held [][]gateway.ReplicaEntry, settle time.Duration) (out []string) {
 	type key struct {
 		origin, kind string
 		subject      uint64
 	}
-	all := map[key][]*gateway.CopyLine{}
+	all := map[key][]*gateway.ReplicaEntry{}
 	for i := range held {
 		for j := range held[i] {
 			l := &held[i][j]
 			k := key{l.Origin, l.Kind, l.Subject}
 			if all[k] == nil {
-				all[k] = make([]*gateway.CopyLine, len(held))
+				all[k] = make([]*gateway.ReplicaEntry, len(held))
 			}
 			all[k][i] = l
 		}
@@ -196,11 +196,11 @@
 			if l == nil {
 				continue
 			}
-			if n := all[k][newest]; n == nil || l.Life > n.Life || l.Life == n.Life && l.Counter > n.Counter {
+			if n := all[k][newest]; n == nil || l.Incarnation > n.Incarnation || l.Incarnation == n.Incarnation && l.Counter > n.Counter {
 				newest = i
 			}
 			ms := settle.Milliseconds()
-			fresh = fresh || l.AgeMS < ms || l.LeftMS < ms
+			fresh = fresh || l.AgeMS < ms || l.ExpiresInMS < ms
 		}
 		n := all[k][newest]
 		for i, l := range all[k] {
@@ -208,8 +208,8 @@
 			case fresh:
 			case l == nil:
 				out = append(out, fmt.Sprintf("%s %s %d: %s lacks what %s has (counter %d): it will be taken with the next digest", k.origin, k.kind, k.subject, names[i], names[newest], n.Counter))
-			case l.Life != n.Life:
-				out = append(out, fmt.Sprintf("%s %s %d: %s has life %d, %s the later %d: the later life stands", k.origin, k.kind, k.subject, names[i], l.Life, names[newest], n.Life))
+			case l.Incarnation != n.Incarnation:
+				out = append(out, fmt.Sprintf("%s %s %d: %s has life %d, %s the later %d: the later life stands", k.origin, k.kind, k.subject, names[i], l.Incarnation, names[newest], n.Incarnation))
 			case l.Counter != n.Counter:
 				out = append(out, fmt.Sprintf("%s %s %d: %s has counter %d, %s the higher %d: the higher stands", k.origin, k.kind, k.subject, names[i], l.Counter, names[newest], n.Counter))
 			case l.Value != n.Value:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -22,14 +22,14 @@
 // Answers are 100 ms apart. Three are well under the grace of a drain, and more than the name service brings from before
 // in a row; ten, one second's, are what it takes against a list that was told again and again.
 const (
-	firstWeight         = 3
-	mostWeight          = 10
+	initialSupport      = 3
+	maxSupport          = 10
 	confirmationsNeeded = 3
 )
 
-// absentFor is how long an engine may be missing from answers that are not newer than the list that holds until it counts
+// absenceGrace is how long an engine may be missing from answers that are not newer than the list that holds until it counts
 // as gone: an older list lacks what came behind it, and the next answer says so.
-const absentFor = 300 * rules.Millisecond
+const absenceGrace = 300 * rules.Millisecond
 
 // maxTombstones is how many engines that have gone are remembered: a list from before may name them again.
 const maxTombstones = 256
@@ -39,27 +39,27 @@
 
 // Verdicts.
 const (
-	Confirmed Verdict = iota // it holds the list that holds
-	Newer                    // it holds a newer one, which holds from now on
-	Other                    // it holds another one that is not newer: stale, or of another count
-	Recounted                // as Other, and it holds from now on: the count has begun anew
-	Late                     // its query was sent ahead of others that were answered, and it tells nothing newer
+	Confirmed  Verdict = iota // it holds the list that holds
+	Newer                     // it holds a newer one, which holds from now on
+	Unordered                 // it holds another one that is not newer: stale, or of another count
+	Renumbered                // as Other, and it holds from now on: the count has begun anew
+	Late                      // its query was sent ahead of others that were answered, and it tells nothing newer
 )
 
 // Answer is a usable answer of the name service.
 type Answer struct {
-	Query   uint64 // the place of its query among all that were sent
-	Serial  uint32
-	Engines []config.Engine
+	QuerySeq uint64 // the place of its query among all that were sent
+	Serial   uint32
+	Engines  []config.Engine
 }
 
 // List is the list of engines as it holds now.
 type List struct {
 	serial     uint32
-	held       []config.Engine
-	places     map[string]int // in held, by id
+	engines    []config.Engine
+	index      map[string]int // in held, by id
 	support    int            // of the list that holds: an answer with it adds one, one with another list takes one away
-	answered   uint64         // the latest query that was answered
+	lastQuery  uint64         // the latest query that was answered
 	records    map[string]*record
 	tombstones []string // ids of engines that have gone, the longest gone first
 	changed    bool
@@ -70,21 +70,21 @@
 	restricted    bool       // it drains or has gone, as far as is known
 	confirmations int        // answers in a row that held the list that holds, or a newer one, and list the engine as active
 	started       int64      // its latest start that is known: a later one is another process
-	absentAt      rules.Time // since when it is missing from answers that are not newer; 0: it is not
+	absentSince   rules.Time // since when it is missing from answers that are not newer; 0: it is not
 	tombstone     bool       // it is in tombstones
 }
 
 // New returns the list that a gateway knows at its start.
 func New(serial uint32, engines []config.Engine) *List {
-	l := &List{records: map[string]*record{}}
-	l.hold(serial, engines)
-	l.support = mostWeight
+	list := &List{records: map[string]*record{}}
+	list.adopt(serial, engines)
+	list.support = maxSupport
 	for i := range engines {
 		if engines[i].State == config.StateLeaving {
-			l.restrict(engines[i].ID, engines[i].Started)
+			list.restrict(engines[i].ID, engines[i].Started)
 		}
 	}
-	return l
+	return list
 }
 
 // Serial is the number of the list that holds.
@@ -97,49 +97,49 @@
 		return nil, false
 	}
 	l.changed = false
-	engines = slices.Clone(l.held)
+	engines = slices.Clone(l.engines)
 	for i := range engines {
-		if d := l.records[engines[i].ID]; d != nil && d.restricted {
+		if rec := l.records[engines[i].ID]; rec != nil && rec.restricted {
 			engines[i].State = config.StateLeaving
 		}
 	}
 	return engines, true
 }
 
-// Hear takes an answer.
-func (l *List) Hear(now rules.Time, a Answer) Verdict {
-	late := a.Query <= l.answered
-	l.answered = max(l.answered, a.Query)
-	return l.hear(now, &a, late)
+// Apply takes an answer.
+func (l *List) Apply(now rules.Time, answer Answer) Verdict {
+	late := answer.QuerySeq <= l.lastQuery
+	l.lastQuery = max(l.lastQuery, answer.QuerySeq)
+	return l.apply(now, &answer, late)
 }
 
-// Read takes a list from a configuration that was read again.
-func (l *List) Read(now rules.Time, serial uint32, engines []config.Engine) Verdict {
-	return l.hear(now, &Answer{Serial: serial, Engines: engines}, false)
+// Reload takes a list from a configuration that was read again.
+func (l *List) Reload(now rules.Time, serial uint32, engines []config.Engine) Verdict {
+	return l.apply(now, &Answer{Serial: serial, Engines: engines}, false)
 }
 
-func (l *List) hear(now rules.Time, a *Answer, late bool) Verdict {
-	verdict := Other
+func (l *List) apply(now rules.Time, answer *Answer, late bool) Verdict {
+	verdict := Unordered
 	switch {
-	case newer(a.Serial, l.serial):
+	case newer(answer.Serial, l.serial):
 		verdict = Newer
 	case late:
 		return Late
-	case a.Serial == l.serial && l.same(a.Engines):
+	case answer.Serial == l.serial && l.same(answer.Engines):
 		verdict = Confirmed
-		l.support = min(l.support+1, mostWeight)
+		l.support = min(l.support+1, maxSupport)
 	default:
 		if l.support--; l.support <= 0 {
-			verdict = Recounted
+			verdict = Renumbered
 		}
 	}
 	if verdict == Confirmed {
-		l.weighHeld()
+		l.reconfirm()
 		return verdict
 	}
-	l.weigh(now, a, verdict)
-	if verdict != Other {
-		l.hold(a.Serial, a.Engines)
+	l.compare(now, answer, verdict)
+	if verdict != Unordered {
+		l.adopt(answer.Serial, answer.Engines)
 		l.trimTombstones()
 	}
 	return verdict
@@ -147,9 +147,9 @@
 
 // Tick lets time pass.
 func (l *List) Tick(now rules.Time) {
-	for id, d := range l.records {
-		if d.absentAt > 0 && now-d.absentAt >= absentFor {
-			l.restrict(id, d.started)
+	for id, rec := range l.records {
+		if rec.absentSince > 0 && now-rec.absentSince >= absenceGrace {
+			l.restrict(id, rec.started)
 		}
 	}
 }
@@ -157,130 +157,130 @@
 // newer compares numbers of lists as RFC 1982 does serials: they go round.
 func newer(a, b uint32) bool { return int32(a-b) > 0 }
 
-// hold takes a list for the one that holds.
-func (l *List) hold(serial uint32, engines []config.Engine) {
-	l.serial, l.held, l.support, l.changed = serial, slices.Clone(engines), firstWeight, true
-	l.places = make(map[string]int, len(engines))
+// adopt takes a list for the one that holds.
+func (l *List) adopt(serial uint32, engines []config.Engine) {
+	l.serial, l.engines, l.support, l.changed = serial, slices.Clone(engines), initialSupport, true
+	l.index = make(map[string]int, len(engines))
 	for i := range engines {
-		l.places[engines[i].ID] = i
+		l.index[engines[i].ID] = i
 	}
 }
 
 // same answers whether a list names the same engines in the same states as the one that holds, in any order.
 func (l *List) same(engines []config.Engine) bool {
-	if len(engines) != len(l.held) {
+	if len(engines) != len(l.engines) {
 		return false
 	}
 	for i := range engines {
-		at, ok := l.places[engines[i].ID]
+		at, ok := l.index[engines[i].ID]
 		if !ok {
 			return false
 		}
-		e, held := &engines[i], &l.held[at]
-		if e.State != held.State || e.Addr != held.Addr || e.Started != held.Started {
+		entry, held := &engines[i], &l.engines[at]
+		if entry.State != held.State || entry.Addr != held.Addr || entry.Started != held.Started {
 			return false
 		}
 	}
 	return true
 }
 
-// weighHeld takes once more what the list that holds says of engines that are in doubt.
-func (l *List) weighHeld() {
-	for id, d := range l.records {
-		at, held := l.places[id]
+// reconfirm takes once more what the list that holds says of engines that are in doubt.
+func (l *List) reconfirm() {
+	for id, rec := range l.records {
+		at, held := l.index[id]
 		switch {
-		case held && l.held[at].State != config.StateLeaving:
-			l.confirm(&l.held[at], Confirmed)
+		case held && l.engines[at].State != config.StateLeaving:
+			l.confirm(&l.engines[at], Confirmed)
 		default:
-			d.confirmations = 0
+			rec.confirmations = 0
 		}
 	}
 }
 
-// weigh takes what another list says of each engine. Of engines that the gateway does not know, only a list that is to hold
+// compare takes what another list says of each engine. Of engines that the gateway does not know, only a list that is to hold
 // tells anything.
-func (l *List) weigh(now rules.Time, a *Answer, verdict Verdict) {
-	named := make(map[string]bool, len(a.Engines))
-	for i := range a.Engines {
-		e := &a.Engines[i]
-		named[e.ID] = true
-		_, known := l.places[e.ID]
+func (l *List) compare(now rules.Time, answer *Answer, verdict Verdict) {
+	named := make(map[string]bool, len(answer.Engines))
+	for i := range answer.Engines {
+		entry := &answer.Engines[i]
+		named[entry.ID] = true
+		_, known := l.index[entry.ID]
 		switch {
-		case e.State != config.StateLeaving:
-			l.confirm(e, verdict)
-		case known || l.records[e.ID] != nil || verdict != Other:
-			l.restrict(e.ID, e.Started)
+		case entry.State != config.StateLeaving:
+			l.confirm(entry, verdict)
+		case known || l.records[entry.ID] != nil || verdict != Unordered:
+			l.restrict(entry.ID, entry.Started)
 		}
 	}
-	for id, d := range l.records {
+	for id, rec := range l.records {
 		if !named[id] {
-			d.confirmations = 0
+			rec.confirmations = 0
 		}
 	}
-	for i := range l.held {
-		if e := &l.held[i]; !named[e.ID] {
-			l.miss(now, e, verdict)
+	for i := range l.engines {
+		if entry := &l.engines[i]; !named[entry.ID] {
+			l.noteMissing(now, entry, verdict)
 		}
 	}
 }
 
 // restrict notes that an engine drains or has gone.
 func (l *List) restrict(id string, started int64) {
-	d := l.recordOf(id)
-	d.absentAt, d.started = 0, max(d.started, started)
-	l.changed = l.changed || !d.restricted
-	d.restricted, d.confirmations = true, 0
+	rec := l.recordOf(id)
+	rec.absentSince, rec.started = 0, max(rec.started, started)
+	l.changed = l.changed || !rec.restricted
+	rec.restricted, rec.confirmations = true, 0
 }
 
 // confirm notes that an engine was listed as active.
-func (l *List) confirm(e *config.Engine, verdict Verdict) {
-	d := l.records[e.ID]
-	if d == nil {
+func (l *List) confirm(entry *config.Engine, verdict Verdict) {
+	rec := l.records[entry.ID]
+	if rec == nil {
 		return
 	}
-	d.absentAt = 0
-	d.confirmations++
-	if verdict == Other {
-		d.confirmations = 0
+	rec.absentSince = 0
+	rec.confirmations++
+	if verdict == Unordered {
+		rec.confirmations = 0
 	}
-	if !d.restricted || e.Started > d.started || d.confirmations >= confirmationsNeeded {
-		l.release(e.ID, d)
+	if !rec.restricted || entry.Started > rec.started || rec.confirmations >= confirmationsNeeded {
+		l.release(entry.ID, rec)
 	}
 }
 
-// miss notes that an answer does not name an engine of the list that holds.
-func (l *List) miss(now rules.Time, e *config.Engine, verdict Verdict) {
-	if verdict != Other {
-		l.restrict(e.ID, e.Started)
-		l.addTombstone(e.ID)
+// noteMissing notes that an answer does not name an engine of the list that holds.
+func (l *List) noteMissing(now rules.Time, entry *config.Engine, verdict Verdict) {
+	if verdict != Unordered {
+		l.restrict(entry.ID, entry.Started)
+		l.addTombstone(entry.ID)
 		return
 	}
-	if d := l.recordOf(e.ID); !d.restricted && d.absentAt == 0 {
-		d.absentAt, d.started = now, e.Started
+	if rec := l.recordOf(entry.ID); !rec.restricted && rec.absentSince == 0 {
+		rec.absentSince, rec.started = now, entry.Started
 	}
 }
 
 func (l *List) recordOf(id string) *record {
-	d := l.records[id]
-	if d == nil {
-		d = &record{}
-		l.records[id] = d
+	rec := l.records[id]
+	if rec == nil {
+		rec = &record{}
+		l.records[id] = rec
 	}
-	return d
+	return rec
 }
 
-func (l *List) release(id string, d *record) {
-	l.changed = l.changed || d.restricted
+func (l *List) release(id string, rec *record) {
+	l.changed = l.changed || rec.restricted
 	delete(l.records, id)
-	if d.tombstone {
+	if rec.tombstone {
 		l.tombstones = slices.DeleteFunc(l.tombstones, func(o string) bool { return o == id })
 	}
 }
 
 // addTombstone remembers an engine that has gone.
 func (l *List) addTombstone(id string) {
-	if d := l.records[id]; !d.tombstone {
-		d.tombstone = true
+	if rec := l.records[id]; !rec.tombstone {
+		rec.tombstone = true
 		l.tombstones = append(l.tombstones, id)
 	}
 }
@@ -290,7 +290,7 @@
 	for len(l.tombstones) > maxTombstones {
 		id := l.tombstones[0]
 		l.tombstones = l.tombstones[1:]
-		if _, held := l.places[id]; held {
+		if _, held := l.index[id]; held {
 			l.records[id].tombstone = false
 		} else {
 			delete(l.records, id)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,8 +14,8 @@
 
 const poll = 100 * rules.Millisecond
 
-// world is a list with the queries and the time around it.
-type world struct {
+// fixture is a list with the queries and the time around it.
+type fixture struct {
 	t     rapid.TB
 	list  *List
 	now   rules.Time
@@ -23,52 +23,52 @@
 	view  map[string]string
 }
 
-func newWorld(t rapid.TB, serial uint32, engines ...config.Engine) *world {
-	w := &world{t: t, list: New(serial, engines), now: rules.Second, view: map[string]string{}}
-	w.look()
-	return w
+func newFixture(t rapid.TB, serial uint32, engines ...config.Engine) *fixture {
+	f := &fixture{t: t, list: New(serial, engines), now: rules.Second, view: map[string]string{}}
+	f.look()
+	return f
 }
 
 // look takes the list over where it has changed, as a gateway does.
-func (w *world) look() {
-	engines, ok := w.list.Changed()
+func (f *fixture) look() {
+	engines, ok := f.list.Changed()
 	if !ok {
 		return
 	}
-	clear(w.view)
-	for _, e := range engines {
-		w.view[e.ID] = e.State
+	clear(f.view)
+	for _, entry := range engines {
+		f.view[entry.ID] = entry.State
 	}
 }
 
 // hear has an answer come to a query that was sent just now.
-func (w *world) hear(serial uint32, engines ...config.Engine) Verdict {
-	w.query++
-	return w.hearLate(w.query, serial, engines...)
+func (f *fixture) hear(serial uint32, engines ...config.Engine) Verdict {
+	f.query++
+	return f.hearLate(f.query, serial, engines...)
 }
 
-func (w *world) hearLate(query uint64, serial uint32, engines ...config.Engine) Verdict {
-	w.now += poll
-	w.list.Tick(w.now)
-	v := w.list.Hear(w.now, Answer{Query: query, Serial: serial, Engines: engines})
-	w.look()
-	return v
+func (f *fixture) hearLate(query uint64, serial uint32, engines ...config.Engine) Verdict {
+	f.now += poll
+	f.list.Tick(f.now)
+	verdict := f.list.Apply(f.now, Answer{QuerySeq: query, Serial: serial, Engines: engines})
+	f.look()
+	return verdict
 }
 
 // expect fails the test if what the list says of an engine is something else: "active", "leaving" or "" for not listed.
-func (w *world) expect(when, id string, want string) {
-	w.t.Helper()
-	if got := w.view[id]; got != want {
-		w.t.Errorf("%s: %s is %q, not %q", when, id, got, want)
+func (f *fixture) expect(when, id string, want string) {
+	f.t.Helper()
+	if got := f.view[id]; got != want {
+		f.t.Errorf("%s: %s is %q, not %q", when, id, got, want)
 	}
 }
 
-func engine(id string, state string, started ...int64) config.Engine {
-	e := config.Engine{ID: id, Addr: netip.MustParseAddrPort("127.0.0.1:7001"), State: state}
+func newEngine(id string, state string, started ...int64) config.Engine {
+	entry := config.Engine{ID: id, Addr: netip.MustParseAddrPort("127.0.0.1:7001"), State: state}
 	for _, s := range started {
-		e.Started = s
+		entry.Started = s
 	}
-	return e
+	return entry
 }
 
 const (
@@ -77,131 +77,131 @@
 )
 
 func TestNewerListHoldsAtOnce(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on))
-	if v := w.hear(2, engine("a", off), engine("c", on)); v != Newer {
-		t.Errorf("verdict %v", v)
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+	if verdict := f.hear(2, newEngine("a", off), newEngine("c", on)); verdict != Newer {
+		t.Errorf("verdict %v", verdict)
 	}
-	w.expect("told to drain", "a", off)
-	w.expect("not named", "b", "")
-	w.expect("new", "c", on)
-	if w.list.Serial() != 2 {
-		t.Errorf("serial %d", w.list.Serial())
+	f.expect("told to drain", "a", off)
+	f.expect("not named", "b", "")
+	f.expect("new", "c", on)
+	if f.list.Serial() != 2 {
+		t.Errorf("serial %d", f.list.Serial())
 	}
 }
 
 // The incident: a list of an earlier count is taken for newer, and the present ones have lower numbers.
 func TestDrainUnderALowerNumberIsBelieved(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on))
-	w.hear(5, engine("a", on), engine("b", on))
-	w.hear(2, engine("a", off), engine("b", on))
-	w.expect("at the first answer", "a", off)
-	w.hear(2, engine("a", off), engine("b", on))
-	if v := w.hear(2, engine("a", off), engine("b", on)); v != Recounted || w.list.Serial() != 2 {
-		t.Errorf("the third answer: verdict %v, serial %d", v, w.list.Serial())
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+	f.hear(5, newEngine("a", on), newEngine("b", on))
+	f.hear(2, newEngine("a", off), newEngine("b", on))
+	f.expect("at the first answer", "a", off)
+	f.hear(2, newEngine("a", off), newEngine("b", on))
+	if verdict := f.hear(2, newEngine("a", off), newEngine("b", on)); verdict != Renumbered || f.list.Serial() != 2 {
+		t.Errorf("the third answer: verdict %v, serial %d", verdict, f.list.Serial())
 	}
-	w.hear(3, engine("a", off), engine("b", off))
-	w.expect("behind it", "b", off)
+	f.hear(3, newEngine("a", off), newEngine("b", off))
+	f.expect("behind it", "b", off)
 }
 
 // A list of an earlier count names an engine as active that was told to drain since, and one that has gone.
 func TestNewerNumberReleasesNothing(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on), engine("c", on))
-	w.hear(2, engine("a", off), engine("c", on))
-	w.hear(9, engine("a", on), engine("b", on), engine("c", on))
-	w.expect("drained", "a", off)
-	w.expect("gone", "b", off)
-	w.expect("untouched", "c", on)
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on), newEngine("c", on))
+	f.hear(2, newEngine("a", off), newEngine("c", on))
+	f.hear(9, newEngine("a", on), newEngine("b", on), newEngine("c", on))
+	f.expect("drained", "a", off)
+	f.expect("gone", "b", off)
+	f.expect("untouched", "c", on)
 }
 
 // Where the count begins anew in the middle of a life, what it restricts holds at once, and the list behind a second.
-func TestCountBeginsAnew(t *testing.T) {
-	w := newWorld(t, 40, engine("a", on), engine("b", on), engine("c", on))
-	present := []config.Engine{engine("a", off), engine("c", on), engine("d", on)}
-	w.hear(1, present...)
-	w.expect("at the first answer", "a", off)
+func TestRenumberingIsAccepted(t *testing.T) {
+	f := newFixture(t, 40, newEngine("a", on), newEngine("b", on), newEngine("c", on))
+	present := []config.Engine{newEngine("a", off), newEngine("c", on), newEngine("d", on)}
+	f.hear(1, present...)
+	f.expect("at the first answer", "a", off)
 	for range 4 {
-		w.hear(1, present...)
+		f.hear(1, present...)
 	}
-	w.expect("gone for 0.4 s", "b", off)
-	w.expect("new, and not certain yet", "d", "")
+	f.expect("gone for 0.4 s", "b", off)
+	f.expect("new, and not certain yet", "d", "")
 	for range 5 {
-		w.hear(1, present...)
+		f.hear(1, present...)
 	}
-	if w.list.Serial() != 1 {
-		t.Fatalf("serial %d behind ten answers", w.list.Serial())
+	if f.list.Serial() != 1 {
+		t.Fatalf("serial %d behind ten answers", f.list.Serial())
 	}
-	w.expect("new", "d", on)
-	w.expect("gone", "b", "")
+	f.expect("new", "d", on)
+	f.expect("gone", "b", "")
 }
 
 // Single answers from before change nothing: no engine is released, none that came behind them is left out.
 func TestStaleAnswersChangeNothing(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on))
-	now := []config.Engine{engine("a", off), engine("b", on), engine("c", on)}
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+	now := []config.Engine{newEngine("a", off), newEngine("b", on), newEngine("c", on)}
 	for range 20 {
-		w.hear(2, now...)
-		if v := w.hear(1, engine("a", on), engine("b", on)); v != Other {
-			t.Fatalf("verdict %v", v)
+		f.hear(2, now...)
+		if verdict := f.hear(1, newEngine("a", on), newEngine("b", on)); verdict != Unordered {
+			t.Fatalf("verdict %v", verdict)
 		}
-		w.expect("drained", "a", off)
-		w.expect("untouched", "b", on)
-		w.expect("new", "c", on)
+		f.expect("drained", "a", off)
+		f.expect("untouched", "b", on)
+		f.expect("new", "c", on)
 	}
 }
 
 // An engine that drained and is active again is used once that was told several times; a later start of it counts at once.
 func TestReturn(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on))
-	w.hear(2, engine("a", off), engine("b", off))
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+	f.hear(2, newEngine("a", off), newEngine("b", off))
 	for i := range confirmationsNeeded {
-		w.expect(fmt.Sprint("behind ", i, " answers"), "a", off)
-		w.hear(3, engine("a", on), engine("b", on, 5000))
-		w.expect("started anew", "b", on)
+		f.expect(fmt.Sprint("behind ", i, " answers"), "a", off)
+		f.hear(3, newEngine("a", on), newEngine("b", on, 5000))
+		f.expect("started anew", "b", on)
 	}
-	w.expect("told often enough", "a", on)
-	w.hear(4, engine("a", off), engine("b", on, 5000))
-	w.expect("drains again", "a", off)
+	f.expect("told often enough", "a", on)
+	f.hear(4, newEngine("a", off), newEngine("b", on, 5000))
+	f.expect("drains again", "a", off)
 }
 
 // Answers that come late or twice tell nothing, unless they hold a newer list.
 func TestLateAnswers(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on))
-	w.hear(3, engine("a", on), engine("b", on))
-	w.query = 10
-	w.hear(3, engine("a", on), engine("b", on))
+	f := newFixture(t, 1, newEngine("a", on))
+	f.hear(3, newEngine("a", on), newEngine("b", on))
+	f.query = 10
+	f.hear(3, newEngine("a", on), newEngine("b", on))
 	for range 20 {
-		if v := w.hearLate(4, 2, engine("a", on)); v != Late {
-			t.Fatalf("verdict %v", v)
+		if verdict := f.hearLate(4, 2, newEngine("a", on)); verdict != Late {
+			t.Fatalf("verdict %v", verdict)
 		}
 	}
-	w.expect("not in late answers", "b", on)
-	w.hearLate(5, 4, engine("a", off), engine("b", on))
-	w.expect("newer, if late", "a", off)
+	f.expect("not in late answers", "b", on)
+	f.hearLate(5, 4, newEngine("a", off), newEngine("b", on))
+	f.expect("newer, if late", "a", off)
 }
 
 // One number may stand for two lists, of two counts: what is told in the end holds.
 func TestSameNumberOtherList(t *testing.T) {
-	w := newWorld(t, 3, engine("a", on), engine("b", on))
-	for range mostWeight {
-		w.hear(3, engine("a", off), engine("c", on))
+	f := newFixture(t, 3, newEngine("a", on), newEngine("b", on))
+	for range maxSupport {
+		f.hear(3, newEngine("a", off), newEngine("c", on))
 	}
-	w.expect("drains", "a", off)
-	w.expect("gone", "b", "")
-	w.expect("new", "c", on)
+	f.expect("drains", "a", off)
+	f.expect("gone", "b", "")
+	f.expect("new", "c", on)
 }
 
 // What was told for a second is not taken back by nine answers that say otherwise.
-func TestOftenToldStands(t *testing.T) {
-	w := newWorld(t, 1, engine("a", on), engine("b", on))
-	for range mostWeight {
-		w.hear(2, engine("a", off))
+func TestWellSupportedListStands(t *testing.T) {
+	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+	for range maxSupport {
+		f.hear(2, newEngine("a", off))
 	}
-	for range mostWeight - 1 {
-		w.hear(1, engine("a", on), engine("b", on))
-		w.expect("told for a second", "a", off)
+	for range maxSupport - 1 {
+		f.hear(1, newEngine("a", on), newEngine("b", on))
+		f.expect("told for a second", "a", off)
 	}
-	if w.list.Serial() != 2 {
-		t.Errorf("serial %d", w.list.Serial())
+	if f.list.Serial() != 2 {
+		t.Errorf("serial %d", f.list.Serial())
 	}
 }
 
@@ -218,16 +218,16 @@
 }
 
 // What is remembered of engines that have gone stays bounded.
-func TestMemoryOfTheGone(t *testing.T) {
-	w := newWorld(t, 1)
+func TestTombstonesAreBounded(t *testing.T) {
+	f := newFixture(t, 1)
 	for i := range uint32(5000) {
-		w.hear(2+i, engine(fmt.Sprint("e", i), on))
+		f.hear(2+i, newEngine(fmt.Sprint("e", i), on))
 		if i%7 == 0 {
-			w.hear(1, engine(fmt.Sprint("stale", i), off))
+			f.hear(1, newEngine(fmt.Sprint("stale", i), off))
 		}
 	}
-	if len(w.list.records) > maxTombstones+2 || len(w.list.tombstones) > maxTombstones {
-		t.Errorf("%d records, %d tombstones", len(w.list.records), len(w.list.tombstones))
+	if len(f.list.records) > maxTombstones+2 || len(f.list.tombstones) > maxTombstones {
+		t.Errorf("%d records, %d tombstones", len(f.list.records), len(f.list.tombstones))
 	}
 }
 
@@ -257,7 +257,7 @@
 		list := func() (out []config.Engine) {
 			for _, id := range names {
 				if state[id] != "" {
-					out = append(out, engine(id, state[id]))
+					out = append(out, newEngine(id, state[id]))
 				}
 			}
 			return out
@@ -267,7 +267,7 @@
 			h.versions = append(h.versions, version{uint32(len(h.versions) - h.base), list()})
 		}
 		publish()
-		w := newWorld(rt, h.versions[0].serial, h.versions[0].engines...)
+		f := newFixture(rt, h.versions[0].serial, h.versions[0].engines...)
 		told := map[string]rules.Time{}
 		goodOwed, staleInRow := 0, 0
 		for range 150 {
@@ -295,47 +295,47 @@
 				}
 			}
 			present := h.versions[len(h.versions)-1]
-			w.query++
+			f.query++
 			kind := rng.IntN(10)
 			if kind == 0 { // lost
-				w.now += poll
-				w.list.Tick(w.now)
-				w.look()
+				f.now += poll
+				f.list.Tick(f.now)
+				f.look()
 			} else if kind <= 2 && goodOwed == 0 && staleInRow < 2 {
 				old := h.versions[rng.IntN(len(h.versions))]
-				w.list.Tick(w.now + poll)
-				w.now += poll
-				w.list.Hear(w.now, Answer{Query: w.query, Serial: old.serial, Engines: old.engines})
-				w.look()
+				f.list.Tick(f.now + poll)
+				f.now += poll
+				f.list.Apply(f.now, Answer{QuerySeq: f.query, Serial: old.serial, Engines: old.engines})
+				f.look()
 				staleInRow++
 			} else {
 				if staleInRow > 0 {
 					goodOwed, staleInRow = max(goodOwed, staleInRow+1), 0
 				}
 				goodOwed = max(0, goodOwed-1)
-				w.hearLate(w.query, present.serial, present.engines...)
+				f.hearLate(f.query, present.serial, present.engines...)
 				for _, id := range names {
 					if _, known := told[id]; !known && state[id] != on {
-						told[id] = w.now
+						told[id] = f.now
 					}
 				}
 				if kind == 9 { // twice
-					w.hearLate(w.query, present.serial, present.engines...)
+					f.hearLate(f.query, present.serial, present.engines...)
 				}
 			}
 			for id, at := range told {
-				if w.view[id] == on && w.now-at > rules.Second {
-					rt.Fatalf("%s is active %d ms behind its end was told", id, (w.now-at)/rules.Millisecond)
+				if f.view[id] == on && f.now-at > rules.Second {
+					rt.Fatalf("%s is active %d ms behind its end was told", id, (f.now-at)/rules.Millisecond)
 				}
 			}
 		}
 		present := h.versions[len(h.versions)-1]
-		for range 2 * mostWeight {
-			w.hear(present.serial, present.engines...)
+		for range 2 * maxSupport {
+			f.hear(present.serial, present.engines...)
 		}
 		for _, id := range names {
-			if w.view[id] != state[id] {
-				rt.Fatalf("%s is %q, and %q in the list", id, w.view[id], state[id])
+			if f.view[id] != state[id] {
+				rt.Fatalf("%s is %q, and %q in the list", id, f.view[id], state[id])
 			}
 		}
 	})
--- /dev/null
+++ b/internal/gateway/admission_test.go
@@ -0,0 +1,241 @@
+package gateway
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"foxlane/internal/config"
+	"foxlane/internal/site"
+	"foxlane/internal/standin"
+	"foxlane/rules"
+)
+
+// withAdmission sets a door, and limits that a flood reaches.
+func withAdmission(t testing.TB, text string, conns, asks int) func(*config.Config) {
+	s, err := site.Parse([]byte(text), "site.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return func(cfg *config.Config) {
+		cfg.Site = s
+		cfg.Limits.Clients, cfg.Limits.Requests, cfg.Limits.ClientShare = conns, asks, conns
+	}
+}
+
+const admissionText = `fair {
+  any_tenant = true
+  network "flood" {
+    addresses = ["10.0.0.1"]
+    weight = %d
+  }
+  network "offices" {
+    addresses = ["10.0.1.0/24"]
+    together = true
+  }
+}`
+
+// The seven rules hold with the door on and a flood at it, under failures, with reloads that change the
+// weights and networks while requests are held, up to the end by SIGTERM.
+func TestRulesWithAdmissionControl(t *testing.T) {
+	for _, faultRate := range []float64{0, 0.4, 1} {
+		for seed := range uint64(6) {
+			t.Run(fmt.Sprintf("rough %v seed %d", faultRate, seed), func(t *testing.T) {
+				sim := newSimulationWith(t, seed, faultRate, withAdmission(t, fmt.Sprintf(admissionText, 1), 70, 60))
+				sim.nextClientAddr = func() netip.Addr {
+					switch n := sim.rng.IntN(10); {
+					case n < 6:
+						return netip.MustParseAddr("10.0.0.1")
+					case n < 8:
+						return netip.AddrFrom4([4]byte{10, 0, 1, byte(n)})
+					}
+					return netip.AddrFrom4([4]byte{10, 0, 2, byte(sim.rng.IntN(200))})
+				}
+				n := 1
+				sim.reloadChange = func(cfg *config.Config) {
+					n++
+					cfg.Site = parseSite(t, strings.Replace(fmt.Sprintf(admissionText, n), "10.0.1.0/24", fmt.Sprintf("10.0.%d.0/24", 1+n%2), 1))
+				}
+				for at := rules.Time(0); at < 6*rules.Second; at += 3 * rules.Millisecond { // three times the load
+					sim.schedule(at, sim.sendRequest)
+				}
+				sim.play(6 * rules.Second)
+				for _, b := range sim.violations[:min(len(sim.violations), 5)] {
+					t.Error(b)
+				}
+				if sim.served < 100 || sim.rejected < 20 {
+					t.Errorf("only %d served and %d refused: the test has lost its subject", sim.served, sim.rejected)
+				}
+				stats := sim.g.admission.controller.Stats()
+				if stats.Waited < 20 {
+					t.Errorf("only %d waited at the door: the test has lost its subject", stats.Waited)
+				}
+				if stats.Held != 0 || len(sim.g.admission.requests.free) != len(sim.g.admission.requests.entries)-len(sim.g.requests) {
+					t.Errorf("left at the door: %+v, %d slots of %d free, %d requests", stats, len(sim.g.admission.requests.free), len(sim.g.admission.requests.entries), len(sim.g.requests))
+				}
+			})
+		}
+	}
+}
+
+func parseSite(t testing.TB, text string) *site.Site {
+	s, err := site.Parse([]byte(text), "site.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// newAdmissionGateway is a bench with the door on, whose engine answers nothing by itself.
+func newAdmissionGateway(t *testing.T, text string, conns, asks int) *testGateway {
+	gw := &testGateway{t: t, now: 1_700_000_000 * rules.Second, output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}}
+	cfg := simConfig(t, []standin.Host{oneHost})
+	withAdmission(t, text, conns, asks)(&cfg)
+	gw.g = New(cfg, gw.now)
+	gw.flush()
+	return gw
+}
+
+func (gw *testGateway) clientFrom(id ConnID, from string) {
+	gw.g.Step(gw.now, Event{Kind: ConnectionAccepted, Conn: id, From: netip.MustParseAddr(from)})
+	gw.flush()
+	if !gw.closed[id] {
+		gw.step(DataReceived, id, string(loginPacket()))
+	}
+}
+
+func askTextWith(class, id, more string) string {
+	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, more)))
+}
+
+// What is held at the door has one final answer each: by KILL none, by leaving none, by SIGTERM and by
+// its deadline a refusal ahead of it.
+func TestQueuedRequestEndsOnce(t *testing.T) {
+	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
+	for i := range ConnID(50) {
+		gw.clientFrom(1+i, "10.0.0.1")
+		gw.takeOutput(1 + i)
+		gw.step(DataReceived, 1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+	}
+	held := gw.g.admission.controller.Stats().Held
+	if held < 10 {
+		t.Fatalf("only %d are held", held)
+	}
+	victim := gw.g.clients[50]
+	if victim.request == nil || victim.request.submitted {
+		t.Fatal("the last one is not held")
+	}
+	gw.clientFrom(51, "10.0.0.2")
+	gw.step(DataReceived, 51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
+	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Held != held-1 {
+		t.Error("a killed query is still held, or was answered")
+	}
+	gw.step(ConnectionClosed, 49, "")
+	if gw.g.admission.controller.Stats().Held != held-2 {
+		t.Error("the query of a client that left is still held")
+	}
+	gw.advance(690 * rules.Millisecond)
+	answers := 0
+	for i := range ConnID(48) {
+		out := gw.takeOutput(1 + i)
+		if n := strings.Count(out, "\xff"); n > 1 {
+			t.Errorf("client %d has %d errors: %q", 1+i, n, out)
+		} else if n == 1 {
+			answers++
+		}
+	}
+	if answers < 40 || gw.g.admission.controller.Stats().Held != 0 {
+		t.Errorf("%d of 48 are answered, %d are held", answers, gw.g.admission.controller.Stats().Held)
+	}
+	gw.step(ShutdownRequested, 0, "")
+	gw.advance(4 * rules.Second)
+	if !gw.exited {
+		t.Error("not ended")
+	}
+}
+
+// A refusal names the time of return where the site allows it, and none where it does not.
+func TestRejectionsNameARetryAfter(t *testing.T) {
+	for _, allowed := range []bool{true, false} {
+		gw := &testGateway{t: t, now: 1_700_000_000 * rules.Second, output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}}
+		cfg := simConfig(t, []standin.Host{oneHost})
+		withAdmission(t, "fair {\n longest = \"400ms\"\n}", 60, 10)(&cfg)
+		cfg.Settings.Rules.Limits.RetryAfter = allowed
+		gw.g = New(cfg, gw.now)
+		gw.flush()
+		refused := 0
+		for i := range ConnID(40) {
+			gw.clientFrom(1+i, "10.0.0.1")
+			gw.takeOutput(1 + i)
+			gw.step(DataReceived, 1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+		}
+		for i := range ConnID(40) {
+			if out := gw.takeOutput(1 + i); strings.Contains(out, "refused") {
+				refused++
+				if strings.Contains(out, "holdoff=") != allowed {
+					t.Errorf("allowed %v: %q", allowed, out)
+				}
+			}
+		}
+		if refused < 20 {
+			t.Errorf("only %d refused", refused)
+		}
+	}
+}
+
+// A tenant that nobody declared is an error to its client unless the operator lets any be told; a name
+// of any length and of any bytes is then no more than a name.
+func TestAdmissionByTenant(t *testing.T) {
+	long := strings.Repeat("x", 50<<10)
+	for _, c := range []struct {
+		text, tenant string
+		ok           bool
+	}{
+		{"fair {\n}", "unknown", false},
+		{"fair {\n tenant \"known\" {\n }\n}", "known", true},
+		{"fair {\n any_tenant = true\n}", "unknown", true},
+		{"fair {\n any_tenant = true\n}", "\xff\xfe\x01", true},
+		{"fair {\n any_tenant = true\n}", long, true},
+	} {
+		gw := newAdmissionGateway(t, c.text, 20, 20)
+		gw.clientFrom(1, "10.0.0.1")
+		gw.takeOutput(1)
+		gw.step(DataReceived, 1, askTextWith("point", idA, ",owner="+c.tenant))
+		if taken := gw.g.requests[idA] != nil; taken != c.ok {
+			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, taken)
+		}
+		if gw.g.admission.controller.StateBytes() > gw.g.admission.controller.StateBound() {
+			t.Error("over its bound")
+		}
+	}
+}
+
+// Hundreds of connections of one client do not shut others out, whether they ask or only log in.
+func TestFloodOfConnectionsLeavesRoom(t *testing.T) {
+	for _, asks := range []bool{false, true} {
+		gw := newAdmissionGateway(t, "fair {\n}", 60, 60)
+		gw.clientFrom(1, "10.0.0.2")
+		gw.step(DataReceived, 1, string(queryPacket("SET x = 1")))
+		for i := range ConnID(1000) {
+			gw.clientFrom(100+i, "10.0.0.1")
+			if asks && !gw.closed[100+i] {
+				gw.step(DataReceived, 100+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+			}
+		}
+		if gw.closed[1] {
+			t.Errorf("asks %v: a quiet client was closed", asks)
+		}
+		for i := range ConnID(10) {
+			gw.clientFrom(2+i, "10.0.0.2")
+			gw.takeOutput(2 + i)
+			gw.step(DataReceived, 2+i, string(queryPacket("SET x = 1")))
+			if out := gw.takeOutput(2 + i); gw.closed[2+i] || strings.Contains(out, "\xff") {
+				t.Errorf("asks %v: newcomer %d was turned away: %q", asks, i, out)
+			}
+		}
+		if n := len(gw.g.clients); n > 60 {
+			t.Errorf("%d connections are open", n)
+		}
+	}
+}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -17,383 +17,383 @@
 
 const serverVersion = "8.0.0-foxlane"
 
-var errUnread = &mysql.Error{Code: mysql.CodeTooLarge, Text: "answers are not read"}
+var errAnswersUnread = &mysql.Error{Code: mysql.CodeTooLarge, Text: "answers are not read"}
 
 const (
 	clientUser     = "app"
 	clientDatabase = "main"
 )
 
-type client struct {
-	pipe
-	slot     int // at the door
-	greeted  bool
-	session  uint32
-	dec      mysql.Decoder
-	login    bool // still to come
-	request  *request
-	killed   bool // its query was killed: no answer follows, so the session is of no more use
-	seen     rules.Time
-	opened   rules.Time
-	asked    int        // commands
-	answered rules.Time // when a request of it was last over
-	partial  int        // bytes of an unfinished packet
-	began    rules.Time // when that packet did
-	faults   int        // commands that could not be used
-	fresh    *list.Element
-	idle     *list.Element
-	reading  *reading // a result is on its way to it
+type clientConn struct {
+	outputBuffer
+	admissionSlot int // at the door
+	greeted       bool
+	session       uint32
+	decoder       mysql.Decoder
+	loginPending  bool // still to come
+	request       *queryRequest
+	killed        bool // its query was killed: no answer follows, so the session is of no more use
+	lastActive    rules.Time
+	openedAt      rules.Time
+	commands      int        // commands
+	answeredAt    rules.Time // when a request of it was last over
+	partialBytes  int        // bytes of an unfinished packet
+	partialSince  rules.Time // when that packet did
+	badCommands   int        // commands that could not be used
+	newElement    *list.Element
+	idleElement   *list.Element
+	reader        *resultReader // a result is on its way to it
 }
 
-func (g *Gateway) accept(id ConnID, from netip.Addr) {
-	c := &client{pipe: pipe{id: id}, login: true, seen: g.now, opened: g.now, dec: mysql.Decoder{Max: g.lim.Login}}
-	if g.stopped || g.gate == nil && len(g.clients) >= g.lim.Clients && !g.giveWay() {
+func (g *Gateway) acceptClient(id ConnID, from netip.Addr) {
+	client := &clientConn{outputBuffer: outputBuffer{id: id}, loginPending: true, lastActive: g.now, openedAt: g.now, decoder: mysql.Decoder{Max: g.limits.Login}}
+	if g.stopped || g.admission == nil && len(g.clients) >= g.limits.Clients && !g.evictOne() {
 		g.log(Warn, "client: too many connections", Attr{"clients", len(g.clients)}, Attr{"stopped", g.stopped})
-		c.out = mysql.AppendErr(nil, 0, mysql.CodeTooMany, "Too many connections")
-		g.noteClose(c, CloseTooMany)
-		g.shut(&c.pipe)
+		client.output = mysql.AppendErr(nil, 0, mysql.CodeTooMany, "Too many connections")
+		g.countClose(client, CloseTooManyClients)
+		g.closeAfterWrites(&client.outputBuffer)
 		return
 	}
-	g.session++
-	if g.session == 0 {
-		g.session++
+	g.lastSession++
+	if g.lastSession == 0 {
+		g.lastSession++
 	}
-	c.session = g.session
-	c.fresh = g.fresh.PushBack(c)
-	g.clients[id], g.sessions[c.session] = c, c
-	if g.gate != nil && !g.enterGate(c, from) {
+	client.session = g.lastSession
+	client.newElement = g.newClients.PushBack(client)
+	g.clients[id], g.sessions[client.session] = client, client
+	if g.admission != nil && !g.admitConn(client, from) {
 		return
 	}
-	c.greeted = true
+	client.greeted = true
 	var scramble [20]byte
 	for i := range scramble {
 		scramble[i] = byte(1 + g.rng.IntN(127))
 	}
-	c.out = mysql.AppendGreeting(c.out, c.session, scramble, serverVersion)
-	g.touch(&c.pipe)
+	client.output = mysql.AppendGreeting(client.output, client.session, scramble, serverVersion)
+	g.markDirty(&client.outputBuffer)
 }
 
-// giveWay closes the connection that is worth least to make room for a newcomer: the longest silent
+// evictOne closes the connection that is worth least to make room for a newcomer: the longest silent
 // one that has asked for nothing yet, else the longest idle one. Hundreds that say nothing would
 // otherwise turn everybody else away.
-func (g *Gateway) giveWay() bool {
-	if e := g.fresh.Front(); e != nil {
-		g.turnOut(e.Value.(*client), CloseNoRoom, "no room for a connection that asks for nothing")
-	} else if e := g.idle.Front(); e != nil {
-		g.closeClient(e.Value.(*client), CloseNoRoom)
+func (g *Gateway) evictOne() bool {
+	if element := g.newClients.Front(); element != nil {
+		g.evictWithError(element.Value.(*clientConn), CloseEvicted, "no room for a connection that asks for nothing")
+	} else if element := g.idleClients.Front(); element != nil {
+		g.closeClient(element.Value.(*clientConn), CloseEvicted)
 	} else {
 		return false
 	}
 	return true
 }
 
-// turnOut closes a connection on which nothing was asked, with the refusal that its client may be
+// evictWithError closes a connection on which nothing was asked, with the refusal that its client may be
 // about to read as the answer to its login or its first command.
-func (g *Gateway) turnOut(c *client, reason CloseReason, why string) {
+func (g *Gateway) evictWithError(client *clientConn, reason CloseReason, why string) {
 	seq := byte(1)
 	switch {
-	case !c.greeted:
+	case !client.greeted:
 		seq = 0
-	case c.login:
+	case client.loginPending:
 		seq = 2
 	}
-	g.log(Info, "client: turned out", Attr{"session", c.session}, Attr{"login", c.login}, Attr{"why", why})
-	c.out = mysql.AppendErr(c.out, seq, mysql.CodeTooMany, why)
-	g.closeClient(c, reason)
+	g.log(Info, "client: turned out", Attr{"session", client.session}, Attr{"login", client.loginPending}, Attr{"why", why})
+	client.output = mysql.AppendErr(client.output, seq, mysql.CodeTooMany, why)
+	g.closeClient(client, reason)
 }
 
-// unlist takes a session off the lists of those that wait for their client.
-func (g *Gateway) unlist(c *client) {
-	if c.fresh != nil {
-		g.fresh.Remove(c.fresh)
+// unlistClient takes a session off the lists of those that wait for their client.
+func (g *Gateway) unlistClient(client *clientConn) {
+	if client.newElement != nil {
+		g.newClients.Remove(client.newElement)
 	}
-	if c.idle != nil {
-		g.idle.Remove(c.idle)
+	if client.idleElement != nil {
+		g.idleClients.Remove(client.idleElement)
 	}
-	c.fresh, c.idle = nil, nil
+	client.newElement, client.idleElement = nil, nil
 }
 
-// dropClient forgets a session and gives its request up.
-func (g *Gateway) dropClient(c *client) {
-	c.ended = true
-	g.partial -= c.partial
-	c.partial = 0
-	delete(g.clients, c.id)
-	delete(g.sessions, c.session)
-	g.unlist(c)
-	g.abandon(c.request)
-	g.leaveShelf(c)
-	g.leaveGate(c)
+// removeClient forgets a session and gives its request up.
+func (g *Gateway) removeClient(client *clientConn) {
+	client.closed = true
+	g.partialBytes -= client.partialBytes
+	client.partialBytes = 0
+	delete(g.clients, client.id)
+	delete(g.sessions, client.session)
+	g.unlistClient(client)
+	g.abandonRequest(client.request)
+	g.detachReader(client)
+	g.releaseConn(client)
 }
 
 // closeClient is the one way in which we close a client's connection.
-func (g *Gateway) closeClient(c *client, why CloseReason) {
-	g.guardClose(c, why)
-	g.noteClose(c, why)
-	g.shut(&c.pipe)
-	g.dropClient(c)
+func (g *Gateway) closeClient(client *clientConn, why CloseReason) {
+	g.checkClose(client, why)
+	g.countClose(client, why)
+	g.closeAfterWrites(&client.outputBuffer)
+	g.removeClient(client)
 }
 
-// noteClose counts the end of a client's connection by its reason.
-func (g *Gateway) noteClose(c *client, why CloseReason) {
-	g.closed[why]++
+// countClose counts the end of a client's connection by its reason.
+func (g *Gateway) countClose(client *clientConn, why CloseReason) {
+	g.closeCounts[why]++
 	if g.cfg.Trace {
-		g.traceClose(c, why)
+		g.traceClose(client, why)
 	}
 }
 
-// clientIdle notes that a session has no request, and closes the longest idle
+// clientBecameIdle notes that a session has no request, and closes the longest idle
 // ones where there are too many.
-func (g *Gateway) clientIdle(c *client) {
-	if c.ended || c.killed || c.reading != nil {
+func (g *Gateway) clientBecameIdle(client *clientConn) {
+	if client.closed || client.killed || client.reader != nil {
 		return
 	}
-	c.seen = g.now
-	if c.fresh != nil {
+	client.lastActive = g.now
+	if client.newElement != nil {
 		return
 	}
-	g.atGate(admission.Event{Kind: admission.Idle, Conn: c.slot})
-	if c.idle == nil {
-		c.idle = g.idle.PushBack(c)
+	g.handleAdmission(admission.Event{Kind: admission.Idle, Conn: client.admissionSlot})
+	if client.idleElement == nil {
+		client.idleElement = g.idleClients.PushBack(client)
 	} else {
-		g.idle.MoveToBack(c.idle)
+		g.idleClients.MoveToBack(client.idleElement)
 	}
-	for g.idle.Len() > g.lim.ClientShare {
-		g.closeClient(g.idle.Front().Value.(*client), CloseIdleShare)
+	for g.idleClients.Len() > g.limits.ClientShare {
+		g.closeClient(g.idleClients.Front().Value.(*clientConn), CloseIdleQuota)
 	}
 }
 
 // sweepClients closes sessions that outstay what any client does: those that are idle for longer than
 // clients keep connections, ask for nothing, leave a packet unfinished or stay on after a KILL.
 func (g *Gateway) sweepClients() {
-	for e := g.fresh.Front(); e != nil; e = g.fresh.Front() {
-		c := e.Value.(*client)
-		if g.now-c.seen < g.lim.LoginWithin {
+	for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
+		client := element.Value.(*clientConn)
+		if g.now-client.lastActive < g.limits.LoginWithin {
 			break
 		}
-		g.turnOut(c, CloseNothingAsked, "nothing was asked in time")
+		g.evictWithError(client, CloseNoCommand, "nothing was asked in time")
 	}
-	for e := g.idle.Front(); e != nil; e = g.idle.Front() {
-		c := e.Value.(*client)
-		if g.now-c.seen < g.lim.IdleFor {
+	for element := g.idleClients.Front(); element != nil; element = g.idleClients.Front() {
+		client := element.Value.(*clientConn)
+		if g.now-client.lastActive < g.limits.IdleFor {
 			break
 		}
-		g.closeClient(c, CloseIdle)
+		g.closeClient(client, CloseIdle)
 	}
-	for _, c := range g.clients {
+	for _, client := range g.clients {
 		switch {
-		case c.killed && g.now-c.seen >= g.lim.LoginWithin:
-			g.closeClient(c, CloseKilledQuery)
-		case c.partial > 0 && g.now-c.began >= g.lim.LoginWithin:
-			g.breach(c, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a packet never ends"})
+		case client.killed && g.now-client.lastActive >= g.limits.LoginWithin:
+			g.closeClient(client, CloseQueryKilled)
+		case client.partialBytes > 0 && g.now-client.partialSince >= g.limits.LoginWithin:
+			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a packet never ends"})
 		}
 	}
 }
 
-// unusable answers a command that can't be used. Whoever goes on sending such is not listened to any more.
-func (g *Gateway) unusable(c *client, code uint16, text string) {
-	if c.faults++; c.faults > g.lim.Faults {
-		g.breach(c, 1, &mysql.Error{Code: code, Text: text})
+// rejectCommand answers a command that can't be used. Whoever goes on sending such is not listened to any more.
+func (g *Gateway) rejectCommand(client *clientConn, code uint16, text string) {
+	if client.badCommands++; client.badCommands > g.limits.Faults {
+		g.protocolError(client, 1, &mysql.Error{Code: code, Text: text})
 		return
 	}
-	g.answerErr(c, code, text)
+	g.writeErr(client, code, text)
 }
 
-func (g *Gateway) answerErr(c *client, code uint16, text string) {
-	c.out = mysql.AppendErr(c.out, 1, code, text)
-	g.touch(&c.pipe)
+func (g *Gateway) writeErr(client *clientConn, code uint16, text string) {
+	client.output = mysql.AppendErr(client.output, 1, code, text)
+	g.markDirty(&client.outputBuffer)
 }
 
-func (g *Gateway) clientData(c *client, data []byte) {
-	c.dec.Feed(data)
-	defer g.countPartial(c)
-	for !c.ended {
-		payload, seq, ok, err := c.dec.Next()
+func (g *Gateway) clientData(client *clientConn, data []byte) {
+	client.decoder.Feed(data)
+	defer g.countPartial(client)
+	for !client.closed {
+		payload, seq, ok, err := client.decoder.Next()
 		if err != nil {
-			g.breach(c, seq+1, err)
+			g.protocolError(client, seq+1, err)
 			return
 		}
 		if !ok {
 			return
 		}
-		c.began = g.now // what follows it
-		if c.login {
-			g.clientLogin(c, payload, seq)
+		client.partialSince = g.now // what follows it
+		if client.loginPending {
+			g.clientLogin(client, payload, seq)
 		} else {
-			g.command(c, payload, seq)
+			g.handleCommand(client, payload, seq)
 		}
-		if len(c.out) > g.lim.ClientOut && !c.ended { // commands without end, and their answers unread
-			c.out = c.out[:0]
-			g.breach(c, 1, errUnread)
+		if len(client.output) > g.limits.ClientOut && !client.closed { // commands without end, and their answers unread
+			client.output = client.output[:0]
+			g.protocolError(client, 1, errAnswersUnread)
 		}
 	}
 }
 
 // countPartial keeps unfinished packets of all clients together within bounds.
-func (g *Gateway) countPartial(c *client) {
-	held := c.dec.Held()
-	if c.ended {
+func (g *Gateway) countPartial(client *clientConn) {
+	held := client.decoder.Held()
+	if client.closed {
 		held = 0
 	}
-	if c.partial == 0 {
-		c.began = g.now
+	if client.partialBytes == 0 {
+		client.partialSince = g.now
 	}
-	g.partial += held - c.partial
-	changed := c.partial != held
-	c.partial = held
-	if changed && !c.ended {
-		g.atGate(admission.Event{Kind: admission.Input, Conn: c.slot, Bytes: held})
+	g.partialBytes += held - client.partialBytes
+	changed := client.partialBytes != held
+	client.partialBytes = held
+	if changed && !client.closed {
+		g.handleAdmission(admission.Event{Kind: admission.Input, Conn: client.admissionSlot, Bytes: held})
 	}
-	for g.partial > g.lim.InputBytes {
-		most := c
-		for _, o := range g.clients {
-			if o.partial > most.partial {
-				most = o
+	for g.partialBytes > g.limits.InputBytes {
+		most := client
+		for _, other := range g.clients {
+			if other.partialBytes > most.partialBytes {
+				most = other
 			}
 		}
-		g.breach(most, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
+		g.protocolError(most, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
 	}
 }
 
-// breach ends a session that breaks the protocol.
-func (g *Gateway) breach(c *client, seq byte, err error) {
+// protocolError ends a session that breaks the protocol.
+func (g *Gateway) protocolError(client *clientConn, seq byte, err error) {
 	code := uint16(mysql.CodeFailed)
 	var known *mysql.Error
 	if errors.As(err, &known) {
 		code = known.Code
 	}
-	g.log(Warn, "client: broken protocol", Attr{"session", c.session}, Attr{"error", err.Error()})
-	if c.request == nil && !c.killed && c.reading == nil {
-		c.out = mysql.AppendErr(c.out, seq, code, err.Error())
+	g.log(Warn, "client: broken protocol", Attr{"session", client.session}, Attr{"error", err.Error()})
+	if client.request == nil && !client.killed && client.reader == nil {
+		client.output = mysql.AppendErr(client.output, seq, code, err.Error())
 	}
-	g.closeClient(c, CloseProtocol)
+	g.closeClient(client, CloseProtocolError)
 }
 
-func (g *Gateway) clientLogin(c *client, payload []byte, seq byte) {
-	l, err := mysql.ParseLogin(payload)
+func (g *Gateway) clientLogin(client *clientConn, payload []byte, seq byte) {
+	login, err := mysql.ParseLogin(payload)
 	switch {
 	case err != nil:
 	case seq != 1:
 		err = &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "login: wrong sequence number"}
-	case l.User != clientUser || l.Password:
+	case login.User != clientUser || login.Password:
 		err = &mysql.Error{Code: mysql.CodeDenied, Text: "login: access denied"}
-	case l.Database != "" && l.Database != clientDatabase:
+	case login.Database != "" && login.Database != clientDatabase:
 		err = &mysql.Error{Code: mysql.CodeUnknownDB, Text: "login: unknown database"}
 	}
 	if err != nil {
-		g.breach(c, seq+1, err)
+		g.protocolError(client, seq+1, err)
 		return
 	}
-	c.login, c.dec.Max = false, g.lim.Statement
-	c.out = mysql.AppendOK(c.out, seq+1)
-	g.touch(&c.pipe)
+	client.loginPending, client.decoder.Max = false, g.limits.Statement
+	client.output = mysql.AppendOK(client.output, seq+1)
+	g.markDirty(&client.outputBuffer)
 }
 
-func (g *Gateway) command(c *client, payload []byte, seq byte) {
+func (g *Gateway) handleCommand(client *clientConn, payload []byte, seq byte) {
 	switch {
-	case c.request != nil || c.killed || c.reading != nil:
-		g.breach(c, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a command while a query is open"})
+	case client.request != nil || client.killed || client.reader != nil:
+		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a command while a query is open"})
 		return
 	case seq != 0:
-		g.breach(c, seq+1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "wrong sequence number"})
+		g.protocolError(client, seq+1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "wrong sequence number"})
 		return
 	case len(payload) == 0:
-		g.breach(c, 1, &mysql.Error{Code: mysql.CodeUnknownCom, Text: "empty command"})
+		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCom, Text: "empty command"})
 		return
 	}
-	g.unlist(c)
-	c.asked++
+	g.unlistClient(client)
+	client.commands++
 	switch com := mysql.Command(payload[0]); com {
 	case mysql.ComQuit:
-		g.closeClient(c, CloseQuit)
+		g.closeClient(client, CloseQuit)
 		return
 	case mysql.ComQuery:
-		g.statement(c, payload[1:])
+		g.handleStatement(client, payload[1:])
 	case mysql.ComPing, mysql.ComReset:
-		g.answerOK(c)
+		g.writeOK(client)
 	case mysql.ComInitDB:
 		if string(payload[1:]) != clientDatabase {
-			g.unusable(c, mysql.CodeUnknownDB, "unknown database")
+			g.rejectCommand(client, mysql.CodeUnknownDB, "unknown database")
 		} else {
-			g.answerOK(c)
+			g.writeOK(client)
 		}
 	default:
-		g.log(Info, "client: unknown command", Attr{"session", c.session}, Attr{"command", int(com)})
-		g.unusable(c, mysql.CodeUnknownCom, "unknown command")
+		g.log(Info, "client: unknown command", Attr{"session", client.session}, Attr{"command", int(com)})
+		g.rejectCommand(client, mysql.CodeUnknownCom, "unknown command")
 	}
-	if c.request == nil && c.reading == nil {
-		g.clientIdle(c)
+	if client.request == nil && client.reader == nil {
+		g.clientBecameIdle(client)
 	}
 }
 
-func (g *Gateway) answerOK(c *client) {
-	c.out = mysql.AppendOK(c.out, 1)
-	g.touch(&c.pipe)
+func (g *Gateway) writeOK(client *clientConn) {
+	client.output = mysql.AppendOK(client.output, 1)
+	g.markDirty(&client.outputBuffer)
 }
 
-// statement takes a COM_QUERY: a request with its fields, KILL, or what client
+// handleStatement takes a COM_QUERY: a request with its fields, KILL, or what client
 // libraries say of their own accord.
-func (g *Gateway) statement(c *client, text []byte) {
+func (g *Gateway) handleStatement(client *clientConn, text []byte) {
 	if mysql.HasFields(text) {
-		if q, ok, err := mysql.ParseResume(text); ok {
+		if resume, ok, err := mysql.ParseResume(text); ok {
 			if err != nil {
-				g.unusable(c, mysql.CodeParse, err.Error())
+				g.rejectCommand(client, mysql.CodeParse, err.Error())
 				return
 			}
-			g.resume(c, &q)
+			g.resumeResult(client, &resume)
 			return
 		}
-		q, err := mysql.ParseQuery(text)
+		query, err := mysql.ParseQuery(text)
 		if err != nil {
-			g.log(Info, "client: unusable query", Attr{"session", c.session}, Attr{"error", err.Error()})
-			g.unusable(c, mysql.CodeParse, err.Error())
+			g.log(Info, "client: unusable query", Attr{"session", client.session}, Attr{"error", err.Error()})
+			g.rejectCommand(client, mysql.CodeParse, err.Error())
 			return
 		}
-		g.open(c, &q)
+		g.acceptQuery(client, &query)
 		return
 	}
 	if session, query, ok := mysql.ParseKill(text); ok {
-		g.kill(c, session, query)
+		g.kill(client, session, query)
 		return
 	}
 	switch mysql.FirstWord(text) {
 	case "SET", "USE", "BEGIN", "COMMIT", "ROLLBACK", "START":
-		g.answerOK(c)
+		g.writeOK(client)
 		return
 	case "SELECT":
 		if bytes.Contains(text, []byte("@@")) { // clients ask for one before anything else
 			value := "foxlane"
 			if bytes.Contains(text, []byte("max_allowed_packet")) {
-				value = strconv.Itoa(g.lim.Statement)
+				value = strconv.Itoa(g.limits.Statement)
 			}
-			out, seq := mysql.AppendColumns(c.out, 1, []string{"value"})
+			out, seq := mysql.AppendColumns(client.output, 1, []string{"value"})
 			out, seq, _ = mysql.AppendRow(out, seq, []byte(value), 1)
-			c.out = mysql.AppendEnd(out, seq)
-			g.touch(&c.pipe)
+			client.output = mysql.AppendEnd(out, seq)
+			g.markDirty(&client.outputBuffer)
 			return
 		}
 	}
-	g.log(Info, "client: query without fields", Attr{"session", c.session})
-	g.unusable(c, mysql.CodeParse, "no comment with fields ahead of the statement")
+	g.log(Info, "client: query without fields", Attr{"session", client.session})
+	g.rejectCommand(client, mysql.CodeParse, "no comment with fields ahead of the statement")
 }
 
 // kill ends another session's query, without an answer to it, or the session. Who opened a connection to kill while
 // the session's last query was still open means that one: it must not hit the next.
-func (g *Gateway) kill(c *client, session uint32, query bool) {
+func (g *Gateway) kill(client *clientConn, session uint32, query bool) {
 	target := g.sessions[session]
 	if target == nil {
-		g.unusable(c, mysql.CodeNoThread, "unknown session")
+		g.rejectCommand(client, mysql.CodeNoThread, "unknown session")
 		return
 	}
-	g.answerOK(c)
-	late := c.asked == 1 && target.answered >= c.opened
+	g.writeOK(client)
+	late := client.commands == 1 && target.answeredAt >= client.openedAt
 	if !query {
 		g.closeClient(target, CloseKilled)
-	} else if r := target.request; r != nil && !late {
-		target.killed, target.seen = true, g.now
-		g.abandon(r)
-	} else if target.reading != nil && !late { // nothing more of the answer
-		target.out = nil
-		g.closeClient(target, CloseKilledQuery)
+	} else if req := target.request; req != nil && !late {
+		target.killed, target.lastActive = true, g.now
+		g.abandonRequest(req)
+	} else if target.reader != nil && !late { // nothing more of the answer
+		target.output = nil
+		g.closeClient(target, CloseQueryKilled)
 	}
 }
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -17,19 +17,19 @@
 		"stamped before back": {-hour, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 5, 0)
-			w.run(w.now + rules.Second)
-			w.skew = c.skew
-			w.run(w.now + rules.Second)
-			e := w.engines["s-00000002"]
-			e.host.Started = int64((w.now + c.stamped) / rules.Millisecond)
-			w.serial++
-			w.run(w.now + 300*rules.Millisecond)
-			if warm := w.warmth(t, "s-00000002"); warm > 0.6 {
+			sim := newSimulation(t, 5, 0)
+			sim.run(sim.now + rules.Second)
+			sim.clockSkew = c.skew
+			sim.run(sim.now + rules.Second)
+			engine := sim.engines["s-00000002"]
+			engine.host.Started = int64((sim.now + c.stamped) / rules.Millisecond)
+			sim.serial++
+			sim.run(sim.now + 300*rules.Millisecond)
+			if warm := sim.warmth(t, "s-00000002"); warm > 0.6 {
 				t.Errorf("0.3 s after its start it counts as warm as %.2f", warm)
 			}
-			w.run(w.now + 5*rules.Second)
-			if warm := w.warmth(t, "s-00000002"); warm < 1 {
+			sim.run(sim.now + 5*rules.Second)
+			if warm := sim.warmth(t, "s-00000002"); warm < 1 {
 				t.Errorf("5 s after its start it counts as warm as %.2f only", warm)
 			}
 		})
@@ -37,14 +37,14 @@
 }
 
 // warmth is what the module holds of an engine's.
-func (w *world) warmth(t *testing.T, name string) float64 {
+func (sim *simulation) warmth(t *testing.T, name string) float64 {
 	t.Helper()
-	w.g.Step(w.now, Event{Kind: TimerFired})
-	w.g.tell(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
-	w.carryOut()
-	for _, b := range w.g.module.EngineViews() {
-		if e := w.g.engines[b.Engine]; e != nil && e.entry.ID == name {
-			return b.SpeedFraction
+	sim.g.Step(sim.now, Event{Kind: TimerFired})
+	sim.g.tellModule(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
+	sim.executeEffects()
+	for _, belief := range sim.g.module.EngineViews() {
+		if eng := sim.g.engines[belief.Engine]; eng != nil && eng.entry.ID == name {
+			return belief.SpeedFraction
 		}
 	}
 	t.Fatalf("nothing is held of %s", name)
--- /dev/null
+++ b/internal/gateway/directives.go
@@ -0,0 +1,202 @@
+package gateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"foxlane/internal/config"
+	"foxlane/internal/directives"
+	"foxlane/rules"
+)
+
+// This file carries the operators' directives out: drains of zones and engines, the limit of spill, classes that are refused. The book
+// itself, and who may change it, is internal/directives'. It decides nothing; without the block `directives` it does nothing.
+
+// directiveState is what is held of the directives.
+type directiveState struct {
+	proposer        *directives.Desk
+	rejectedClasses []bool // by class
+	lastCommand     uint64
+	waiting         map[uint64]ConnID // operators' commands that wait, by ask
+}
+
+func newDirectives(cfg *config.Config) *directiveState {
+	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
+		return nil
+	}
+	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, Tick: cfg.Site.Directives.Tick}
+	return &directiveState{proposer: directives.NewDesk(set, cfg.Seed), rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)), waiting: map[uint64]ConnID{}}
+}
+
+func (g *Gateway) startDirectives() {
+	if g.directives = newDirectives(&g.cfg); g.directives != nil {
+		g.timers.add(timer{at: g.now + g.cfg.Site.Directives.Tick, kind: timerDirectives})
+	}
+}
+
+// voterOpened: the voter's log was read at the start.
+func (g *Gateway) voterOpened(kept *directives.Kept) {
+	if g.directives == nil || kept == nil {
+		return
+	}
+	if err := g.directives.proposer.Open(g.now, *kept); err != nil {
+		g.log(Warn, "directives: this voter can't begin", Attr{"error", err.Error()})
+	}
+	g.applyDirectives()
+}
+
+// tickDirectives lets time pass.
+func (g *Gateway) tickDirectives() {
+	if g.directives == nil {
+		return
+	}
+	g.timers.add(timer{at: g.now + g.cfg.Site.Directives.Tick, kind: timerDirectives})
+	if g.peers == nil { // talk is switched off: the book stays as it is, and grows old
+		return
+	}
+	var names []string
+	for _, member := range g.peers.replica.Members() {
+		names = append(names, member.Name)
+	}
+	g.runDirectiveOutcomes(g.directives.proposer.Tick(g.now, names))
+}
+
+func (g *Gateway) runDirectiveOutcomes(out []directives.Outcome) {
+	for _, outcome := range out {
+		switch outcome.Kind {
+		case directives.Send:
+			channel := ChannelConsensus
+			if outcome.Channel == directives.ChannelBooks {
+				channel = ChannelDirectives
+			}
+			g.emit(Effect{Kind: SendToMember, To: outcome.To, Channel: channel, Data: outcome.Data})
+		case directives.Persist:
+			g.emit(Effect{Kind: PersistVoterLog, Batch: outcome.Batch})
+		case directives.Applied:
+			g.log(Info, "directives: the book has changed", Attr{"index", outcome.Index}, Attr{"held", len(g.directives.proposer.Book().Held)})
+			g.applyDirectives()
+		case directives.Answer:
+			g.answerProposal(outcome.Ask, outcome.Index, outcome.Err)
+		case directives.Told:
+			g.log(Warn, outcome.Text)
+		}
+	}
+}
+
+// applyDirectives goes over to what the book says now.
+func (g *Gateway) applyDirectives() {
+	state := g.directives
+	if state == nil {
+		return
+	}
+	inForce := state.proposer.Book()
+	refused := inForce.Of(directives.RefuseClass)
+	for i, name := range g.cfg.Settings.ClassNames {
+		state.rejectedClasses[i] = slices.Contains(refused, name)
+	}
+	drains := inForce.Of(directives.DrainEngine)
+	var news []rules.Engine
+	for _, eng := range g.engineOrder {
+		if ordered := slices.Contains(drains, eng.entry.ID); ordered != eng.drainedByDirective {
+			if eng.drainedByDirective, eng.stateSince = ordered, g.now; eng.state == rules.EngineServing {
+				news = append(news, g.moduleEngine(eng))
+			}
+		}
+	}
+	if len(news) > 0 {
+		g.tellModule(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: news})
+	}
+	g.applyZoneSettings()
+}
+
+// drained answers whether the book drains an engine.
+func (g *Gateway) drainsEngine(id string) bool {
+	return g.directives != nil && slices.Contains(g.directives.proposer.Book().Of(directives.DrainEngine), id)
+}
+
+// rejectsClass answers whether the book refuses a class.
+func (g *Gateway) rejectsClass(class int) bool {
+	return g.directives != nil && g.directives.rejectedClasses[class]
+}
+
+// logDirectives notes the book and how a voter stands.
+func (g *Gateway) logDirectives() {
+	state := g.directives
+	if state == nil {
+		return
+	}
+	inForce := state.proposer.Book()
+	attrs := []Attr{{"index", inForce.Index}, {"held", len(inForce.Held)}}
+	if age, ok := state.proposer.Age(g.now); ok {
+		attrs = append(attrs, Attr{"age_ms", int64(age / rules.Millisecond)})
+	}
+	if s, ok := state.proposer.Status(); ok {
+		attrs = append(attrs, Attr{"leader", s.Leader}, Attr{"term", s.Term}, Attr{"listens", s.Listens}, Attr{"broken", s.Broken})
+	}
+	g.log(Info, "directives", attrs...)
+}
+
+// ---- operators' commands
+
+// DirectiveStatus is the book as `foxlane directive list` shows it.
+type DirectiveStatus struct {
+	Index   uint64                 `json:"index"`
+	InForce []directives.Directive `json:"held"`
+	History []directives.Change    `json:"history"`
+	AgeMS   int64                  `json:"age_ms"` // since a voter that sees a quorum confirmed it; -1: never
+	IsVoter bool                   `json:"votes"`
+	Voters  []string               `json:"voters"`
+	Status  *directives.Status     `json:"status,omitempty"`
+}
+
+func (g *Gateway) directiveStatus() any {
+	state := g.directives
+	if state == nil {
+		return map[string]string{"error": "directives are off"}
+	}
+	inForce := state.proposer.Book()
+	status := DirectiveStatus{Index: inForce.Index, InForce: inForce.Held, History: inForce.History, AgeMS: -1, IsVoter: state.proposer.Votes(), Voters: g.cfg.Site.Directives.Voters}
+	if age, ok := state.proposer.Age(g.now); ok {
+		status.AgeMS = int64(age / rules.Millisecond)
+	}
+	if s, ok := state.proposer.Status(); ok {
+		status.Status = &s
+	}
+	return status
+}
+
+// order takes an operator's command. Its answer may come later; a question that is none is answered at once.
+func (g *Gateway) proposeDirective(conn ConnID, raw []byte) {
+	state := g.directives
+	var command directives.Command
+	err := json.Unmarshal(raw, &command)
+	switch {
+	case state == nil:
+		err = fmt.Errorf("directives are off")
+	case err == nil && !state.proposer.Votes():
+		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, g.cfg.Site.Directives.Voters)
+	case err == nil:
+		err = command.Validate()
+	}
+	if err != nil {
+		g.reply(conn, map[string]string{"error": err.Error()})
+		return
+	}
+	state.lastCommand++
+	state.waiting[state.lastCommand] = conn
+	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, Ask: state.lastCommand}))
+}
+
+func (g *Gateway) answerProposal(ask, index uint64, err error) {
+	conn, ok := g.directives.waiting[ask]
+	if !ok {
+		return
+	}
+	delete(g.directives.waiting, ask)
+	if err != nil {
+		g.reply(conn, map[string]string{"error": err.Error()})
+		return
+	}
+	g.reply(conn, map[string]uint64{"index": index})
+}
--- /dev/null
+++ b/internal/gateway/directives_test.go
@@ -0,0 +1,111 @@
+package gateway
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"foxlane/internal/config"
+	"foxlane/internal/directives"
+	"foxlane/rules"
+)
+
+const membersText = "members {\n  bind = \"127.0.0.1:7946\"\n}\n"
+
+// A gateway that votes alone carries out what it is ordered, keeps the rules meanwhile, and goes back when the order is taken back.
+func TestDirectivesAreApplied(t *testing.T) {
+	text := membersText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
+	sim := newSimulationWith(t, 4, 0, withSite(t, text))
+	sim.step(Event{Kind: VoterLogOpened, VoterState: &directives.Kept{Born: true}})
+	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
+		sim.schedule(at, sim.sendRequest)
+	}
+	order := func(at rules.Time, op, kind, subject string) {
+		sim.schedule(at, func() {
+			sim.step(Event{Kind: ControlRequest, Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
+		})
+	}
+	order(3*rules.Second, "set", "drain-engine", "s-00000001")
+	order(6*rules.Second, "unset", "drain-engine", "s-00000001")
+	order(9*rules.Second, "set", "drain-zone", "hall-a")
+	order(14*rules.Second, "unset", "drain-zone", "hall-a")
+	order(18*rules.Second, "set", "refuse-class", "point")
+	order(21*rules.Second, "set", "dance", "all")
+	sim.schedule(22*rules.Second, func() { sim.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("book")}) })
+	sim.run(sim.start + 24*rules.Second)
+	engine := func(id string, from, to rules.Time) (n int) {
+		for _, req := range sim.requests {
+			for _, attempt := range req.attempts {
+				if attempt.engine.host.ID == id && attempt.at >= sim.start+from && attempt.at < sim.start+to {
+					n++
+				}
+			}
+		}
+		return n
+	}
+	if before, during, after := engine("s-00000001", rules.Second, 3*rules.Second), engine("s-00000001", 3100*rules.Millisecond, 6*rules.Second),
+		engine("s-00000001", 6100*rules.Millisecond, 9*rules.Second); before == 0 || during > 0 || after == 0 {
+		t.Errorf("the drained engine got %d, %d and %d attempts before, during and after", before, during, after)
+	}
+	if during, after := sim.sentTo("hall-a", 11*rules.Second, 14*rules.Second), sim.sentTo("hall-a", 16*rules.Second, 18*rules.Second); during > 3 || after < 20 {
+		t.Errorf("the drained zone got %d and %d attempts during and after", during, after)
+	}
+	served := 0
+	for _, req := range sim.requests {
+		if req.class == 0 && req.at > sim.start+18200*rules.Millisecond && len(req.attempts) > 0 {
+			served++
+		}
+	}
+	if served > 0 || sim.rejected < 50 {
+		t.Errorf("%d requests of the class that is refused were sent on, %d were refused", served, sim.rejected)
+	}
+	holds, unknown, book := 0, 0, 0
+	for _, s := range sim.commandAnswers {
+		switch {
+		case strings.HasPrefix(s, `{"index":`) && !strings.Contains(s, "held"):
+			holds++
+		case strings.Contains(s, "unknown kind"):
+			unknown++
+		case strings.Contains(s, `"held":[{"kind":"refuse-class"`):
+			book++
+		}
+	}
+	if holds != 5 || unknown != 1 || book != 1 {
+		t.Errorf("answers: %v", sim.commandAnswers)
+	}
+	for _, b := range sim.violations {
+		t.Error(b)
+	}
+}
+
+// A gateway whose talk is switched off and on serves on; without the block a question is answered with an error.
+func TestMembersBlockComesAndGoes(t *testing.T) {
+	sim := newSimulationWith(t, 5, 0.4, withSite(t, membersText))
+	n := 0
+	sim.reloadChange = func(cfg *config.Config) {
+		if n++; n%2 == 1 {
+			cfg.Site = parseSite(t, "fair {}\n")
+			cfg.Site.Fair = nil
+		} else {
+			cfg.Site = parseSite(t, membersText)
+		}
+		sim.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("members")})
+		sim.step(Event{Kind: PeerNotified, Peer: &PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"}})
+		sim.step(Event{Kind: PeerNotified, Data: []byte("garbage"), Peer: &PeerEvent{Kind: PeerMessage, Name: "n1", Channel: ChannelReplica}})
+	}
+	sim.play(6 * rules.Second)
+	on, off := 0, 0
+	for _, s := range sim.commandAnswers {
+		if strings.Contains(s, "talk is off") {
+			off++
+		} else if strings.Contains(s, `"us":true`) {
+			on++
+		}
+	}
+	if on == 0 || off == 0 {
+		t.Errorf("answers: %v", sim.commandAnswers)
+	}
+	for _, b := range sim.violations[:min(len(sim.violations), 5)] {
+		t.Error(b)
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,7 +26,7 @@
 // ConnID names a connection. Those that the reducer dials have the top bit set.
 type ConnID uint64
 
-const dialled ConnID = 1 << 63
+const dialledBit ConnID = 1 << 63
 
 // EventKind is what an Event tells.
 type EventKind int
@@ -132,80 +132,80 @@
 
 // Gateway is the reducer.
 type Gateway struct {
-	cfg     config.Config
-	lim     config.Limits
-	module  *rules.Module
-	rng     *rand.Rand
-	now     rules.Time
-	effects []Effect
-	given   []Effect // handed out last
-	spare   [][]byte // large buffers
-	dirty   []*pipe
-	timers  timers
-	armed   rules.Time
-	inbox   []rules.Event // for the module
-	telling bool
-
-	clients   map[ConnID]*client
-	sessions  map[uint32]*client
-	fresh     list.List // of clients that have asked for nothing yet, oldest first
-	idle      list.List // of other clients without a request, longest idle first
-	inputHeld int       // bytes of statements held for all clients
-	partial   int       // bytes of unfinished packets of all clients
-	session   uint32    // last id given
-
-	requests   map[rules.RequestID]*request
-	unanswered int
-	classIndex map[string]int
-	resultHeld int        // bytes of results that wait for their last page
-	pageQueue  []*attempt // want pages, wait for others to free room
-
-	engines  map[rules.EngineID]*engineState
-	order    []*engineState
-	links    map[ConnID]*link
-	lastLink ConnID
-	lastTag  uint64
-
-	list      *discovery.List
-	asked     [askedMost]uint16     // ids of the latest queries
-	askedAt   [askedMost]rules.Time // and when they were sent
-	askedNum  int
-	source    source // of the list: the name service
-	steps     wallclock.Steps
-	lastStall stall // the last one
-
-	shelf  *shelf              // nil: no spool is set, results are passed on at once
-	gate   *gate               // nil: the door is off, all requests go to the module at once
-	sites  *sites              // nil: no plan for the loss of a zone is set
-	seen   []zones.EngineSight // scratch
-	peers  *peers              // nil: other gateways are not talked to
-	orders *orders             // nil: no directives are followed
-
-	stats    stats
-	broken   guard.Violations
-	pastList []guard.PriorAttempt // scratch
-	closed   [closeReasons]int
-	stopping bool
-	stopped  bool
-	lingered bool
+	cfg          config.Config
+	limits       config.Limits
+	module       *rules.Module
+	rng          *rand.Rand
+	now          rules.Time
+	effects      []Effect
+	lastEffects  []Effect // handed out last
+	freeBuffers  [][]byte // large buffers
+	dirtyBuffers []*outputBuffer
+	timers       timers
+	armedAt      rules.Time
+	moduleInbox  []rules.Event // for the module
+	inModule     bool
+
+	clients        map[ConnID]*clientConn
+	sessions       map[uint32]*clientConn
+	newClients     list.List // of clients that have asked for nothing yet, oldest first
+	idleClients    list.List // of other clients without a request, longest idle first
+	statementBytes int       // bytes of statements held for all clients
+	partialBytes   int       // bytes of unfinished packets of all clients
+	lastSession    uint32    // last id given
+
+	requests    map[rules.RequestID]*queryRequest
+	unanswered  int
+	classIndex  map[string]int
+	resultBytes int              // bytes of results that wait for their last page
+	pageQueue   []*engineAttempt // want pages, wait for others to free room
+
+	engines      map[rules.EngineID]*engineState
+	engineOrder  []*engineState
+	engineConns  map[ConnID]*engineConn
+	lastConn     ConnID
+	lastProbeTag uint64
+
+	list        *discovery.List
+	queryIDs    [maxQueries]uint16     // ids of the latest queries
+	queryTimes  [maxQueries]rules.Time // and when they were sent
+	queryCount  int
+	nameService nameService // of the list: the name service
+	clockSteps  wallclock.Steps
+	lastStall   stall // the last one
+
+	results     *resultStore        // nil: no spool is set, results are passed on at once
+	admission   *admissionControl   // nil: the door is off, all requests go to the module at once
+	zones       *zoneRouting        // nil: no plan for the loss of a zone is set
+	sightBuffer []zones.EngineSight // scratch
+	peers       *peerState          // nil: other gateways are not talked to
+	directives  *directiveState     // nil: no directives are followed
+
+	stats           gatewayStats
+	violations      guard.Violations
+	pastBuffer      []guard.PriorAttempt // scratch
+	closeCounts     [closeReasons]int
+	stopping        bool
+	stopped         bool
+	drainPeriodOver bool
 }
 
-// askedMost is how many queries to the name service are remembered: those of the time in which an answer may come, polls and as
+// maxQueries is how many queries to the name service are remembered: those of the time in which an answer may come, polls and as
 // many again for reloads.
-const askedMost = 192
+const maxQueries = 192
 
 const (
-	keepOut   = 2048 // bytes of a buffer that a connection keeps
-	keepSpare = 64   // larger buffers kept for all
+	maxIdleBuffer  = 2048 // bytes of a buffer that a connection keeps
+	maxFreeBuffers = 64   // larger buffers kept for all
 )
 
-// pipe is a connection's way out.
-type pipe struct {
-	id    ConnID
-	out   []byte
-	given int64 // bytes of it that were handed out to be written, in all
-	dirty bool
-	ended bool // closed, by us or by the other side
+// outputBuffer is a connection's way out.
+type outputBuffer struct {
+	id        ConnID
+	output    []byte
+	handedOut int64 // bytes of it that were handed out to be written, in all
+	dirty     bool
+	closed    bool // closed, by us or by the other side
 }
 
 // New returns a gateway that has just started.
@@ -215,220 +215,220 @@
 		seed[i] = byte(cfg.Seed >> (8 * (i % 8)))
 	}
 	g := &Gateway{
-		cfg: cfg, lim: cfg.Limits, now: now,
-		module:     rules.New(cfg.Settings.Rules, cfg.Seed),
-		rng:        rand.New(rand.NewChaCha8(seed)),
-		clients:    map[ConnID]*client{},
-		sessions:   map[uint32]*client{},
-		requests:   map[rules.RequestID]*request{},
-		classIndex: map[string]int{},
-		engines:    map[rules.EngineID]*engineState{},
-		links:      map[ConnID]*link{},
-		list:       discovery.New(cfg.Known.Seq, cfg.Known.Engines),
-		source:     source{heard: now, fresh: now, pause: cfg.Limits.ListSilent},
+		cfg: cfg, limits: cfg.Limits, now: now,
+		module:      rules.New(cfg.Settings.Rules, cfg.Seed),
+		rng:         rand.New(rand.NewChaCha8(seed)),
+		clients:     map[ConnID]*clientConn{},
+		sessions:    map[uint32]*clientConn{},
+		requests:    map[rules.RequestID]*queryRequest{},
+		classIndex:  map[string]int{},
+		engines:     map[rules.EngineID]*engineState{},
+		engineConns: map[ConnID]*engineConn{},
+		list:        discovery.New(cfg.Known.Seq, cfg.Known.Engines),
+		nameService: nameService{lastAnswer: now, listAsOf: now, renewAfter: cfg.Limits.ListSilent},
 	}
-	g.session = g.rng.Uint32() >> 1
+	g.lastSession = g.rng.Uint32() >> 1
 	for i, name := range cfg.Settings.ClassNames {
 		g.classIndex[name] = i
 	}
-	g.gate, g.shelf = newGate(&g.cfg), newShelf(&g.cfg)
-	g.sites = newSites(&g.cfg, g.rng, now)
-	if g.sites != nil {
-		g.planZones()
+	g.admission, g.results = newAdmission(&g.cfg), newResultStore(&g.cfg)
+	g.zones = newZoneRouting(&g.cfg, g.rng, now)
+	if g.zones != nil {
+		g.setZonePlan()
 	}
-	g.beginOrders()
-	g.beginPeers()
+	g.startDirectives()
+	g.startPeers()
 	engines, _ := g.list.Changed()
 	g.applyList(engines, rules.UpdateCached)
 	g.poll()
-	g.timers.add(timer{at: now + g.lim.Sweep, kind: timerSweep})
-	g.timers.add(timer{at: now + g.lim.StatsEvery, kind: timerStats})
+	g.timers.add(timer{at: now + g.limits.Sweep, kind: timerSweep})
+	g.timers.add(timer{at: now + g.limits.StatsEvery, kind: timerStats})
 	g.stats.classes = make([]classStats, len(cfg.Settings.ClassNames))
 	return g
 }
 
 // Step takes one event.
-func (g *Gateway) Step(now rules.Time, e Event) {
+func (g *Gateway) Step(now rules.Time, event Event) {
 	g.now = max(g.now, now)
-	g.noteStall()
-	switch e.Kind {
+	g.detectStall()
+	switch event.Kind {
 	case ConnectionAccepted:
-		g.stillReading()
-		g.accept(e.Conn, e.From)
+		g.extendCatchUp()
+		g.acceptClient(event.Conn, event.From)
 	case DataReceived:
-		if c := g.clients[e.Conn]; c != nil {
-			g.stillReading()
-			g.clientData(c, e.Data)
-		} else if l := g.links[e.Conn]; l != nil {
-			g.linkData(l, e.Data)
+		if client := g.clients[event.Conn]; client != nil {
+			g.extendCatchUp()
+			g.clientData(client, event.Data)
+		} else if conn := g.engineConns[event.Conn]; conn != nil {
+			g.engineData(conn, event.Data)
 		}
 	case ConnectionClosed:
-		if c := g.clients[e.Conn]; c != nil {
-			g.stillReading()
-			g.noteClose(c, ClosePeer)
-			g.dropClient(c)
-		} else if l := g.links[e.Conn]; l != nil {
-			g.dropLink(l, e.Err, e.AcceptedBytes, false)
+		if client := g.clients[event.Conn]; client != nil {
+			g.extendCatchUp()
+			g.countClose(client, CloseByPeer)
+			g.removeClient(client)
+		} else if conn := g.engineConns[event.Conn]; conn != nil {
+			g.engineConnEnded(conn, event.Err, event.AcceptedBytes, false)
 		}
 	case DialSucceeded:
-		if l := g.links[e.Conn]; l != nil {
-			g.linkUp(l)
+		if conn := g.engineConns[event.Conn]; conn != nil {
+			g.engineConnected(conn)
 		}
 	case DialFailed:
-		if l := g.links[e.Conn]; l != nil {
-			g.dropLink(l, e.Err, 0, e.Local)
+		if conn := g.engineConns[event.Conn]; conn != nil {
+			g.engineConnEnded(conn, event.Err, 0, event.Local)
 		}
 	case DNSResponse:
-		g.steps.Note(e.ClockSkew)
-		g.datagram(e.Data)
+		g.clockSteps.Note(event.ClockSkew)
+		g.receiveDatagram(event.Data)
 	case TimerFired:
-		g.ring()
+		g.runTimers()
 	case ShutdownRequested:
-		g.stop()
+		g.beginShutdown()
 	case ConfigReloaded:
-		g.steps.Note(e.ClockSkew)
-		g.reload(e.Config)
+		g.clockSteps.Note(event.ClockSkew)
+		g.reconfigure(event.Config)
 	case SpoolCompleted:
-		g.shelved(e.Spool)
+		g.diskCompleted(event.Spool)
 	case WriteDrained:
-		if c := g.clients[e.Conn]; c != nil {
-			g.drained(c)
-		} else if l := g.links[e.Conn]; l != nil {
-			l.blockedAt = 0
+		if client := g.clients[event.Conn]; client != nil {
+			g.clientDrained(client)
+		} else if conn := g.engineConns[event.Conn]; conn != nil {
+			conn.blockedSince = 0
 		}
 	case WriteBlocked:
-		if l := g.links[e.Conn]; l != nil {
-			l.blockedAt = g.now
+		if conn := g.engineConns[event.Conn]; conn != nil {
+			conn.blockedSince = g.now
 		}
 	case PeerNotified:
-		g.peer(e)
+		g.handlePeer(event)
 	case ControlRequest:
-		g.inquire(e)
+		g.answerInquiry(event)
 	case VoterLogOpened:
-		g.voterOpened(e.VoterState)
+		g.voterOpened(event.VoterState)
 	case VoterLogPersisted:
-		if g.orders != nil {
-			g.carryOrders(g.orders.desk.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: e.Err == nil}))
+		if g.directives != nil {
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: event.Err == nil}))
 		}
 	}
 }
 
 // Flush returns what is to be done, in order. It is valid until the next Step.
 func (g *Gateway) Flush() []Effect {
-	for _, p := range g.dirty {
-		p.dirty = false
-		if !p.ended && len(p.out) > 0 {
-			p.given += int64(len(p.out))
-			g.effects = append(g.effects, Effect{Kind: Write, Conn: p.id, Data: p.out})
+	for _, buffer := range g.dirtyBuffers {
+		buffer.dirty = false
+		if !buffer.closed && len(buffer.output) > 0 {
+			buffer.handedOut += int64(len(buffer.output))
+			g.effects = append(g.effects, Effect{Kind: Write, Conn: buffer.id, Data: buffer.output})
 		}
-		g.reuse(p)
+		g.recycleBuffer(buffer)
 	}
-	g.dirty = g.dirty[:0]
-	g.maybeExit() // behind the last answers, or they would never be written
-	if at, ok := g.nextWake(); ok && at != g.armed {
-		g.armed = at
+	g.dirtyBuffers = g.dirtyBuffers[:0]
+	g.exitWhenDone() // behind the last answers, or they would never be written
+	if at, ok := g.nextWake(); ok && at != g.armedAt {
+		g.armedAt = at
 		g.effects = append(g.effects, Effect{Kind: SetTimer, At: at})
 	}
 	out := g.effects
-	g.effects, g.given = g.given[:0], out
+	g.effects, g.lastEffects = g.lastEffects[:0], out
 	return out
 }
 
-// reuse empties a connection's way out. Large buffers go round: few results are written at a time,
+// recycleBuffer empties a connection's way out. Large buffers go round: few results are written at a time,
 // and the many connections would keep them all.
-func (g *Gateway) reuse(p *pipe) {
-	if cap(p.out) <= keepOut {
-		p.out = p.out[:0]
+func (g *Gateway) recycleBuffer(buffer *outputBuffer) {
+	if cap(buffer.output) <= maxIdleBuffer {
+		buffer.output = buffer.output[:0]
 		return
 	}
-	if len(g.spare) < keepSpare {
-		g.spare = append(g.spare, p.out[:0])
+	if len(g.freeBuffers) < maxFreeBuffers {
+		g.freeBuffers = append(g.freeBuffers, buffer.output[:0])
 	}
-	p.out = nil
+	buffer.output = nil
 }
 
-// roomy gives a connection's empty way out a large buffer.
-func (g *Gateway) roomy(p *pipe) {
-	if n := len(g.spare) - 1; len(p.out) == 0 && n >= 0 {
-		p.out, g.spare[n] = g.spare[n], nil
-		g.spare = g.spare[:n]
+// borrowBuffer gives a connection's empty way out a large buffer.
+func (g *Gateway) borrowBuffer(buffer *outputBuffer) {
+	if n := len(g.freeBuffers) - 1; len(buffer.output) == 0 && n >= 0 {
+		buffer.output, g.freeBuffers[n] = g.freeBuffers[n], nil
+		g.freeBuffers = g.freeBuffers[:n]
 	}
 }
 
-func (g *Gateway) do(e Effect) { g.effects = append(g.effects, e) }
+func (g *Gateway) emit(effect Effect) { g.effects = append(g.effects, effect) }
 
 func (g *Gateway) log(level Level, text string, attrs ...Attr) {
-	g.do(Effect{Kind: Log, Level: level, Text: text, Attrs: attrs})
+	g.emit(Effect{Kind: Log, Level: level, Text: text, Attrs: attrs})
 }
 
-// touch notes that something was put into a pipe.
-func (g *Gateway) touch(p *pipe) {
-	if !p.dirty {
-		p.dirty = true
-		g.dirty = append(g.dirty, p)
+// markDirty notes that something was put into a pipe.
+func (g *Gateway) markDirty(buffer *outputBuffer) {
+	if !buffer.dirty {
+		buffer.dirty = true
+		g.dirtyBuffers = append(g.dirtyBuffers, buffer)
 	}
 }
 
 // flushNow sends what is in a pipe ahead of what others hold.
-func (g *Gateway) flushNow(p *pipe) {
-	if len(p.out) > 0 {
-		p.given += int64(len(p.out))
-		g.do(Effect{Kind: Write, Conn: p.id, Data: p.out})
-		p.out = nil
+func (g *Gateway) flushNow(buffer *outputBuffer) {
+	if len(buffer.output) > 0 {
+		buffer.handedOut += int64(len(buffer.output))
+		g.emit(Effect{Kind: Write, Conn: buffer.id, Data: buffer.output})
+		buffer.output = nil
 	}
 }
 
-// shut closes a connection behind what was written to it.
-func (g *Gateway) shut(p *pipe) {
-	if p.ended {
+// closeAfterWrites closes a connection behind what was written to it.
+func (g *Gateway) closeAfterWrites(buffer *outputBuffer) {
+	if buffer.closed {
 		return
 	}
-	g.flushNow(p)
-	p.ended = true
-	g.do(Effect{Kind: CloseConnection, Conn: p.id})
+	g.flushNow(buffer)
+	buffer.closed = true
+	g.emit(Effect{Kind: CloseConnection, Conn: buffer.id})
 }
 
 // ---- the module
 
-// tell hands an event to the module and carries out what it asks for. Events
+// tellModule hands an event to the module and carries out what it asks for. Events
 // that arise meanwhile wait for their turn: the module is never called from
 // within its own actions.
-func (g *Gateway) tell(e rules.Event) {
-	g.inbox = append(g.inbox, e)
-	if g.telling {
+func (g *Gateway) tellModule(event rules.Event) {
+	g.moduleInbox = append(g.moduleInbox, event)
+	if g.inModule {
 		return
 	}
-	g.telling = true
-	for i := 0; i < len(g.inbox); i++ {
-		for _, a := range g.module.Handle(g.now, g.inbox[i]) {
-			g.act(a)
+	g.inModule = true
+	for i := 0; i < len(g.moduleInbox); i++ {
+		for _, act := range g.module.Handle(g.now, g.moduleInbox[i]) {
+			g.runAction(act)
 		}
 	}
-	clear(g.inbox)
-	g.inbox = g.inbox[:0]
-	g.telling = false
+	clear(g.moduleInbox)
+	g.moduleInbox = g.moduleInbox[:0]
+	g.inModule = false
 }
 
-func (g *Gateway) act(action rules.Action) {
+func (g *Gateway) runAction(action rules.Action) {
 	switch a := action.(type) {
 	case rules.Send:
-		g.send(a)
+		g.startAttempt(a)
 	case rules.SetAttemptOptions:
 		g.setTerms(a)
 	case rules.Cancel:
-		g.cancel(a)
+		g.cancelAttempt(a)
 	case rules.Reject:
-		g.refuse(g.requests[a.ID], a.RetryAfter, moduleReasons[a.Reason])
+		g.reject(g.requests[a.ID], a.RetryAfter, moduleReasons[a.Reason])
 	case rules.Fail:
-		g.fail(g.requests[a.ID], moduleReasons[a.Reason])
+		g.failRequest(g.requests[a.ID], moduleReasons[a.Reason])
 	case rules.SetTimer:
-		g.timers.add(timer{at: max(a.At, g.now+1), kind: timerAlarm, token: a.Token})
+		g.timers.add(timer{at: max(a.At, g.now+1), kind: timerModule, token: a.Token})
 	case rules.Probe:
-		g.probe(a.Engine)
+		g.startProbe(a.Engine)
 	case rules.CloseIdle:
-		g.closeIdle(g.engines[a.Engine])
+		g.closeIdleConns(g.engines[a.Engine])
 	case rules.FetchFleet:
-		g.query()
+		g.sendQuery()
 	case rules.Subscribe:
 		// The name service is polled in any case.
 	case rules.Broadcast:
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -13,113 +13,113 @@
 // What the module must never ask for, and what the reducer must never do, is counted by name at the place where it is
 // carried out, and logged once with the request's id.
 func TestGuardsCountWhatMustNotBe(t *testing.T) {
-	engineID := func(b *bench) rules.EngineID { return b.g.order[0].id }
-	open := func(b *bench, class string) { // one attempt is in flight
-		b.client(1)
-		b.step(DataReceived, 1, ask(class, idA))
-		b.step(DialSucceeded, b.dials[0], "")
+	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
+	open := func(gw *testGateway, class string) { // one attempt is in flight
+		gw.client(1)
+		gw.step(DataReceived, 1, askText(class, idA))
+		gw.step(DialSucceeded, gw.dials[0], "")
 	}
 	for name, c := range map[string]struct {
-		do   func(b *bench)
+		do   func(gw *testGateway)
 		want guard.Invariant
 	}{
-		"an unsafe class sent again": {func(b *bench) {
-			open(b, "load")
-			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
-			b.flush()
-			b.step(DialSucceeded, b.dials[len(b.dials)-1], "")
+		"an unsafe class sent again": {func(gw *testGateway) {
+			open(gw, "load")
+			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
+			gw.flush()
+			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
 		}, guard.RetryUnsafe},
-		"two attempts in flight": {func(b *bench) {
-			open(b, "point")
-			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
-			b.flush()
-			b.step(DialSucceeded, b.dials[len(b.dials)-1], "")
+		"two attempts in flight": {func(gw *testGateway) {
+			open(gw, "point")
+			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
+			gw.flush()
+			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
 		}, guard.SendParallel},
-		"an engine that drains": {func(b *bench) {
-			b.client(1)
+		"an engine that drains": {func(gw *testGateway) {
+			gw.client(1)
 			host := oneHost
 			host.Draining = true
-			b.step(DNSResponse, 0, string(standin.Answer(b.g.asked[0], listName, 2, []standin.Host{host})))
-			b.pass(1100 * rules.Millisecond)
-			b.step(ConnectionAccepted, 2, "")
-			b.step(DataReceived, 2, string(login()))
-			b.step(DataReceived, 2, ask("load", idB))
-			b.g.act(rules.Send{ID: idB, Engine: engineID(b)})
-			a := b.g.requests[idB].attempts[0]
-			b.g.ask(a)
+			gw.step(DNSResponse, 0, string(standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
+			gw.advance(1100 * rules.Millisecond)
+			gw.step(ConnectionAccepted, 2, "")
+			gw.step(DataReceived, 2, string(loginPacket()))
+			gw.step(DataReceived, 2, askText("load", idB))
+			gw.g.runAction(rules.Send{ID: idB, Engine: engineID(gw)})
+			attempt := gw.g.requests[idB].attempts[0]
+			gw.g.writeAttempt(attempt)
 		}, guard.SendToDraining},
-		"a zone that the class must not use": {func(b *bench) {
-			b.client(1)
-			b.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
-			b.step(DataReceived, 1, ask("report", idA))
-			b.g.act(rules.Send{ID: idA, Engine: engineID(b)})
-			b.flush()
-			b.step(DialSucceeded, b.dials[0], "")
+		"a zone that the class must not use": {func(gw *testGateway) {
+			gw.client(1)
+			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
+			gw.step(DataReceived, 1, askText("report", idA))
+			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
+			gw.flush()
+			gw.step(DialSucceeded, gw.dials[0], "")
 		}, guard.SendMisplaced},
-		"a client that has gone": {func(b *bench) {
-			open(b, "point")
-			r := b.g.requests[idA]
-			a := r.attempts[0]
-			b.step(ConnectionClosed, 1, "")
-			b.g.ask(a)
+		"a client that has gone": {func(gw *testGateway) {
+			open(gw, "point")
+			req := gw.g.requests[idA]
+			attempt := req.attempts[0]
+			gw.step(ConnectionClosed, 1, "")
+			gw.g.writeAttempt(attempt)
 		}, guard.SendAfterEnd},
-		"a refusal of what may have run": {func(b *bench) {
-			open(b, "load")
-			b.g.refuse(b.g.requests[idA], 0, EndNoRoom)
+		"a refusal of what may have run": {func(gw *testGateway) {
+			open(gw, "load")
+			gw.g.reject(gw.g.requests[idA], 0, EndOverCapacity)
 		}, guard.RejectedMayHaveRun},
-		"a second answer": {func(b *bench) {
-			open(b, "point")
-			r := b.g.requests[idA]
-			b.g.fail(r, EndDeadline)
-			b.g.guardAnswer(r, endedFailed)
+		"a second answer": {func(gw *testGateway) {
+			open(gw, "point")
+			req := gw.g.requests[idA]
+			gw.g.failRequest(req, EndDeadlineUnreachable)
+			gw.g.checkAnswer(req, outcomeFailed)
 		}, guard.AnswerTwice},
-		"a connection closed without an answer": {func(b *bench) {
-			open(b, "point")
-			b.g.closeClient(b.g.clients[1], CloseIdle)
+		"a connection closed without an answer": {func(gw *testGateway) {
+			open(gw, "point")
+			gw.g.closeClient(gw.g.clients[1], CloseIdle)
 		}, guard.CloseUnanswered},
-		"a connection closed under an attempt": {func(b *bench) {
-			open(b, "point")
-			b.g.closeLink(b.g.links[b.dials[0]], LinkIdle)
+		"a connection closed under an attempt": {func(gw *testGateway) {
+			open(gw, "point")
+			gw.g.closeEngineConn(gw.g.engineConns[gw.dials[0]], CloseEngineIdle)
 		}, guard.CloseInFlight},
-		"an id that is open": {func(b *bench) {
-			open(b, "point")
-			b.g.guardStart(&request{id: idA, client: &client{}})
+		"an id that is open": {func(gw *testGateway) {
+			open(gw, "point")
+			gw.g.checkStart(&queryRequest{id: idA, client: &clientConn{}})
 		}, guard.StartTwice},
 	} {
-		b := newBench(t)
-		c.do(b)
-		if b.g.broken[c.want] == 0 {
-			t.Errorf("%s: %v is not counted; got %v", name, c.want, b.g.broken)
+		gw := newTestGateway(t)
+		c.do(gw)
+		if gw.g.violations[c.want] == 0 {
+			t.Errorf("%s: %v is not counted; got %v", name, c.want, gw.g.violations)
 		}
 	}
 }
 
 // One request is followed by its id through all that becomes of it, and each connection's end has a reason.
 func TestTraceFollowsARequest(t *testing.T) {
-	b := newBench(t)
-	b.g.cfg.Trace = true
+	gw := newTestGateway(t)
+	gw.g.cfg.Trace = true
 	var lines []string
 	take := func() {
-		for _, f := range b.g.effects {
-			if f.Kind == Log && f.Level == Debug {
-				lines = append(lines, fmt.Sprint(f.Text, f.Attrs))
+		for _, effect := range gw.g.effects {
+			if effect.Kind == Log && effect.Level == Debug {
+				lines = append(lines, fmt.Sprint(effect.Text, effect.Attrs))
 			}
 		}
-		b.flush()
+		gw.flush()
 	}
 	step := func(kind EventKind, conn ConnID, data string) {
-		b.g.Step(b.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: b.taken[conn]})
+		gw.g.Step(gw.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: gw.written[conn]})
 		take()
 	}
 	step(ConnectionAccepted, 1, "")
-	step(DataReceived, 1, string(login()))
-	step(DataReceived, 1, ask("point", idA))
-	step(DialSucceeded, b.dials[0], "")
-	b.now += 10 * rules.Millisecond
-	step(DataReceived, b.dials[0], idA+" overload - 0\r\n\r\n")
-	b.now += 10 * rules.Millisecond
+	step(DataReceived, 1, string(loginPacket()))
+	step(DataReceived, 1, askText("point", idA))
+	step(DialSucceeded, gw.dials[0], "")
+	gw.now += 10 * rules.Millisecond
+	step(DataReceived, gw.dials[0], idA+" overload - 0\r\n\r\n")
+	gw.now += 10 * rules.Millisecond
 	step(ConnectionClosed, 1, "")
-	step(ConnectionClosed, b.dials[0], "")
+	step(ConnectionClosed, gw.dials[0], "")
 	for _, want := range []string{"request: begins[{request " + idA, "request: queued[{request " + idA + "} {where module}",
 		"attempt: begins[{request " + idA + "} {attempt 0} {engine s-00000001} {why first}", "attempt: sent[{request " + idA,
 		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {verdict full} {sent true}", "request: ends[{request " + idA + "} {how left} {why client_left}",
--- /dev/null
+++ b/internal/gateway/interleaving_test.go
@@ -0,0 +1,702 @@
+package gateway
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"foxlane/internal/config"
+	"foxlane/internal/discovery"
+	"foxlane/internal/standin"
+	"foxlane/rules"
+)
+
+// interleaving is a gateway with two engines, one client's request open, and whatever comes next in any order. It judges
+// by what was written alone.
+type interleaving struct {
+	*testGateway
+	class          string
+	asks           int  // times that the request came whole to an engine
+	mayHaveRun     int  // of these, times that it may have run
+	sentAfterLeave bool // it came there after its client had left
+	answers        int  // final ones
+	left           bool // its client has gone, or has killed it
+	readUpTo       map[ConnID]int
+	resolvedDials  map[ConnID]bool // links that have come up, or never will
+}
+
+const killerConn = 3 // the connection that kills
+
+func newInterleaving(t *testing.T, class string) *interleaving {
+	gw := &testGateway{t: t, now: 1_700_000_000 * rules.Second, output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}}
+	two := []standin.Host{oneHost, oneHost}
+	two[1].ID, two[1].Addr = "s-00000002", netip.MustParseAddrPort("127.8.1.2:7001")
+	gw.g = New(simConfig(t, two), gw.now)
+	gw.flush()
+	x := &interleaving{testGateway: gw, class: class, readUpTo: map[ConnID]int{}, resolvedDials: map[ConnID]bool{}}
+	gw.client(1)
+	gw.client(killerConn)
+	gw.takeOutput(1)
+	return x
+}
+
+// observe reads what was written since the last look.
+func (x *interleaving) observe() {
+	x.t.Helper()
+	for id, out := range x.output {
+		text := string(out[x.readUpTo[id]:])
+		x.readUpTo[id] = len(out)
+		switch {
+		case id == 1:
+			x.answers += strings.Count(text, "the query") + strings.Count(text, "\x011\x01a\x01b")
+		case id&dialledBit != 0:
+			if n := strings.Count(text, "ASK "+idA); n > 0 {
+				x.asks += n
+				x.mayHaveRun += n
+				x.sentAfterLeave = x.sentAfterLeave || x.left
+			}
+		}
+	}
+}
+
+func (x *interleaving) lastDial() ConnID {
+	if len(x.dials) == 0 {
+		return 0
+	}
+	return x.dials[len(x.dials)-1]
+}
+
+func (x *interleaving) list(serial uint32, change func(hosts []standin.Host)) {
+	two := []standin.Host{oneHost, oneHost}
+	two[1].ID, two[1].Addr = "s-00000002", netip.MustParseAddrPort("127.8.1.2:7001")
+	change(two)
+	x.step(DNSResponse, 0, string(standin.Answer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)))
+}
+
+// interleavedEvents are all that may come, by name.
+var interleavedEvents = []struct {
+	name string
+	do   func(x *interleaving)
+}{
+	{"request", func(x *interleaving) {
+		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
+			x.step(DataReceived, 1, askText(x.class, idA))
+		}
+	}},
+	{"first byte", func(x *interleaving) {
+		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
+			x.step(DataReceived, 1, askText(x.class, idA)[:9])
+		}
+	}},
+	{"last byte", func(x *interleaving) {
+		if client := x.g.clients[1]; client != nil && client.partialBytes > 0 && !x.left {
+			x.step(DataReceived, 1, askText(x.class, idA)[9:])
+		}
+	}},
+	{"close", func(x *interleaving) {
+		x.left = true
+		x.step(ConnectionClosed, 1, "")
+	}},
+	{"kill", func(x *interleaving) {
+		if client := x.g.clients[1]; client != nil && client.request != nil {
+			x.left = true
+			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session))))
+		}
+	}},
+	{"session killed", func(x *interleaving) {
+		if client := x.g.clients[1]; client != nil {
+			x.left = true
+			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL %d", client.session))))
+		}
+	}},
+	{"connection up", func(x *interleaving) {
+		if id := x.lastDial(); id != 0 && !x.resolvedDials[id] {
+			x.resolvedDials[id] = true
+			x.step(DialSucceeded, id, "")
+		}
+	}},
+	{"dial failed", func(x *interleaving) {
+		if id := x.lastDial(); id != 0 && !x.resolvedDials[id] {
+			x.resolvedDials[id] = true
+			x.g.Step(x.now, Event{Kind: DialFailed, Conn: id, Err: errors.New("refused")})
+			x.flush()
+		}
+	}},
+	{"answer", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=1 6\r\n1\ta\tb\n\r\n") }},
+	{"second answer", func(x *interleaving) {
+		x.step(DataReceived, x.lastDial(), strings.Repeat(idA+" served total=1 6\r\n1\ta\tb\n\r\n", 2))
+	}},
+	{"first page", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=2 6\r\n1\ta\tb\n\r\n") }},
+	{"second page", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
+	{"half an answer", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=1 6\r\n1\ta") }},
+	{"overload", func(x *interleaving) {
+		if x.asks > 0 {
+			x.mayHaveRun--
+		}
+		x.step(DataReceived, x.lastDial(), idA+" overload - 0\r\n\r\n")
+		if x.asks == 0 {
+			return
+		}
+		if req := x.g.requests[idA]; req != nil && len(req.attempts) > 0 && req.attempts[0].sent && !req.attempts[0].done {
+			x.mayHaveRun++ // it said so on a connection that carried nothing of it
+		}
+	}},
+	{"reset", func(x *interleaving) {
+		if id := x.lastDial(); id != 0 && x.g.engineConns[id] != nil {
+			x.resolvedDials[id] = true
+			x.step(ConnectionClosed, id, "")
+		}
+	}},
+	{"drain told", func(x *interleaving) {
+		x.list(7, func(hosts []standin.Host) { hosts[0].Draining, hosts[1].Draining = true, true })
+	}},
+	{"another address", func(x *interleaving) {
+		x.list(8, func(hosts []standin.Host) { hosts[0].Addr, hosts[1].Addr = hosts[1].Addr, hosts[0].Addr })
+	}},
+	{"reload", func(x *interleaving) {
+		cfg := x.g.cfg
+		cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
+		x.g.Step(x.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		x.flush()
+	}},
+	{"terminate", func(x *interleaving) { x.step(ShutdownRequested, 0, "") }},
+	{"deadline", func(x *interleaving) { x.advance(2 * rules.Second) }},
+	{"a while", func(x *interleaving) { x.advance(260 * rules.Millisecond) }},
+}
+
+// Whatever comes in whatever order, two and three of all that may: one final answer at most, and one unless the
+// client has gone; what must not run twice doesn't; nothing goes to an engine once the client has left; nothing is left
+// behind, and the process ends.
+func TestAllInterleavings(t *testing.T) {
+	cases := 0
+	for _, class := range []string{"point", "note", "load"} {
+		play := func(order ...int) {
+			cases++
+			x := newInterleaving(t, class)
+			names := ""
+			if order[0] != 0 && order[0] != 1 { // or the request itself is among what crosses
+				interleavedEvents[0].do(x)
+			}
+			for _, i := range order {
+				names += " | " + interleavedEvents[i].name
+				interleavedEvents[i].do(x)
+				x.observe()
+			}
+			asked := x.g.requests[idA] != nil || x.answers > 0 || x.left
+			x.step(ShutdownRequested, 0, "")
+			x.advance(5 * rules.Second)
+			x.observe()
+			fault := ""
+			switch {
+			case x.answers > 1:
+				fault = fmt.Sprintf("%d final answers", x.answers)
+			case asked && x.answers == 0 && !x.left && !x.closed[1]:
+				fault = "no answer"
+			case class != "point" && x.mayHaveRun > 1:
+				fault = fmt.Sprintf("it came to engines %d times", x.asks)
+			case x.sentAfterLeave:
+				fault = "it came to an engine after its client had left"
+			case len(x.g.requests) != 0 || x.g.unanswered != 0 || x.g.statementBytes != 0 || x.g.resultBytes != 0 || x.g.partialBytes != 0:
+				fault = fmt.Sprintf("left: %d requests, %d unanswered, %d, %d and %d bytes", len(x.g.requests), x.g.unanswered, x.g.statementBytes,
+					x.g.resultBytes, x.g.partialBytes)
+			case !x.exited:
+				fault = "the process has not ended"
+			}
+			if fault != "" {
+				t.Errorf("%s%s: %s", class, names, fault)
+			}
+		}
+		for i := range interleavedEvents {
+			for j := range interleavedEvents {
+				if i == j {
+					continue
+				}
+				play(i, j)
+				for k := range interleavedEvents {
+					if k != i && k != j {
+						play(i, j, k)
+					}
+				}
+			}
+		}
+	}
+	t.Logf("%d orders", cases)
+}
+
+// Hundreds leave in one turn, as the connection comes up for which their requests have waited: nothing of theirs is sent,
+// and nothing of them stays.
+func TestHundredsLeaveInOneBatch(t *testing.T) {
+	const leaving = 200
+	for _, upFirst := range []bool{true, false} {
+		gw := newTestGateway(t)
+		for id := ConnID(1); id <= leaving+1; id++ {
+			gw.client(id)
+			gw.step(DataReceived, id, askText("point", fmt.Sprintf("%016x", id)))
+		}
+		links := map[ConnID]bool{}
+		for _, id := range gw.dials {
+			links[id] = true
+		}
+		up := func() {
+			for _, id := range gw.dials {
+				gw.g.Step(gw.now, Event{Kind: DialSucceeded, Conn: id})
+			}
+		}
+		if upFirst {
+			up()
+		}
+		for id := ConnID(1); id <= leaving; id++ {
+			gw.g.Step(gw.now, Event{Kind: ConnectionClosed, Conn: id})
+		}
+		if !upFirst {
+			up()
+		}
+		gw.flush()
+		for link := range links {
+			got := gw.takeOutput(link)
+			for id := 1; id <= leaving; id++ {
+				name := fmt.Sprintf("%016x", id)
+				if strings.Contains(got, "ASK "+name) && !strings.Contains(got, "QUIT "+name) {
+					t.Fatalf("up first %v: client %d has gone, and its request was sent and not given up", upFirst, id)
+				}
+			}
+		}
+		if n := len(gw.g.requests); n != 1 {
+			t.Errorf("up first %v: %d requests are open, one client is left", upFirst, n)
+		}
+	}
+}
+
+// A connection that breaks ahead of what was written to it proves that this never ran: a load is sent again, where
+// a load of which every byte was taken may have run and is not.
+func TestUnwrittenNeverRan(t *testing.T) {
+	for name, c := range map[string]struct {
+		missing int64
+		again   bool
+	}{"all was taken": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
+		gw := newTestGateway(t)
+		gw.client(1)
+		gw.step(DataReceived, 1, askText("load", idA))
+		link := gw.dials[0]
+		gw.step(DialSucceeded, link, "")
+		gw.takeOutput(1)
+		gw.written[link] = max(gw.written[link]-c.missing, 0)
+		gw.step(ConnectionClosed, link, "")
+		if again := gw.g.requests[idA] != nil && len(gw.dials) == 2; again != c.again {
+			t.Errorf("%s: sent again %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
+		}
+	}
+}
+
+// An engine's connection ends in the same turn in which a load is put on it: the load was never written.
+func TestConnectionEndsInTheBatchOfASend(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, askText("point", idA))
+	link := gw.dials[0]
+	gw.step(DialSucceeded, link, "")
+	gw.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
+	gw.advance(10 * rules.Millisecond)
+	taken := gw.written[link]
+	gw.g.Step(gw.now, Event{Kind: DataReceived, Conn: 1, Data: []byte(askText("load", idB))})
+	gw.g.Step(gw.now, Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: taken})
+	gw.flush()
+	if req := gw.g.requests[idB]; req == nil || len(gw.dials) != 2 {
+		t.Errorf("a load that was never written was given up: %q", gw.takeOutput(1))
+	}
+}
+
+// An engine gets another address while a dial to the old one is under way: nothing is written there, and the request
+// goes on at once.
+func TestDialToAnOldAddressIsGivenUp(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, askText("load", idA))
+	old := gw.dials[0]
+	moved := oneHost
+	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
+	gw.step(DNSResponse, 0, string(standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})))
+	if len(gw.dials) != 2 || !gw.closed[old] {
+		t.Fatalf("%d dials, the old one given up: %v", len(gw.dials), gw.closed[old])
+	}
+	gw.step(DialSucceeded, old, "") // it crossed
+	gw.step(DialSucceeded, gw.dials[1], "")
+	if got := gw.takeOutput(old); got != "" {
+		t.Errorf("the old address got %q", got)
+	}
+	if got := gw.takeOutput(gw.dials[1]); !strings.HasPrefix(got, "ASK "+idA) {
+		t.Errorf("the new address got %q", got)
+	}
+}
+
+// A connection that comes up later than a dial may take carries nothing that waited for it: the process stood still.
+func TestLateConnectionCarriesNothing(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, askText("note", idA))
+	gw.now += gw.g.limits.Connect + rules.Millisecond // frozen: no timer rang
+	gw.step(DialSucceeded, gw.dials[0], "")
+	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
+		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.Connect+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
+	}
+}
+
+// No connection is left for an attempt: that tells nothing of its engine.
+func TestConnectionLimitBlamesNoEngine(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.g.limits.AllLinks = 0
+	gw.client(1)
+	for i := range 12 {
+		gw.step(DataReceived, 1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
+		gw.advance(400 * rules.Millisecond)
+	}
+	if gw.g.module.EngineViews()[0].Ejected {
+		t.Error("the engine is left out for our want of connections")
+	}
+}
+
+// A KILL on a connection that was opened while the session's last query was still open, and comes behind its answer,
+// leaves the next one alone. One that was opened later means the next.
+func TestKillBehindTheAnswer(t *testing.T) {
+	for _, openedLate := range []bool{false, true} {
+		gw := newTestGateway(t)
+		gw.client(1)
+		session := gw.g.clients[1].session
+		gw.step(DataReceived, 1, askText("point", idA))
+		link := gw.dials[0]
+		gw.step(DialSucceeded, link, "")
+		if !openedLate {
+			gw.client(2)
+		}
+		gw.now += rules.Millisecond
+		gw.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
+		gw.now += rules.Millisecond
+		gw.step(DataReceived, 1, askText("point", idB))
+		if openedLate {
+			gw.client(2)
+		}
+		gw.takeOutput(link)
+		gw.step(DataReceived, 2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
+		if hit := gw.g.requests[idB] == nil; hit != openedLate {
+			t.Errorf("opened behind the answer %v: the next query was killed %v", openedLate, hit)
+		}
+	}
+}
+
+// At the end: who has asked for nothing hears a refusal, newcomers too; who rests is left to the last close; and a
+// request that is read while the end is under way is answered ahead of it.
+func TestEndAnswersWhatComesMeanwhile(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, string(packet(0, []byte{14}))) // a ping: it rests
+	gw.step(ShutdownRequested, 0, "")
+	gw.advance(gw.g.limits.StopLinger - 10*rules.Millisecond)
+	gw.client(2) // asks for nothing
+	gw.step(ConnectionAccepted, 3, "")
+	gw.takeOutput(2)
+	gw.takeOutput(3)
+	gw.advance(20 * rules.Millisecond)
+	if !gw.exited {
+		t.Fatal("not ended")
+	}
+	for _, id := range []ConnID{2, 3} {
+		if got := gw.takeOutput(id); !strings.Contains(got, "this gateway ends") || !gw.closed[id] {
+			t.Errorf("connection %d got %q, closed %v", id, got, gw.closed[id])
+		}
+	}
+	gw.step(ConnectionAccepted, 4, "")
+	if got := gw.takeOutput(4); !strings.Contains(got, "Too many") || !gw.closed[4] {
+		t.Errorf("a newcomer got %q, closed %v", got, gw.closed[4])
+	}
+	if gw.closed[1] {
+		t.Error("the resting one was closed from the reducer, over what it may be sending")
+	}
+	gw.takeOutput(1)
+	gw.exited = false
+	gw.step(DataReceived, 1, askText("point", idA))
+	if gw.exited {
+		t.Fatal("ended with a request open")
+	}
+	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.step(DataReceived, gw.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
+	if got := gw.takeOutput(1); !strings.Contains(got, "\x011\x01a") || !gw.exited {
+		t.Errorf("the request got %q, ended %v", got, gw.exited)
+	}
+}
+
+// A client that sends commands without end and reads nothing is closed before its answers fill the memory.
+func TestAnswersUnread(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
+	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientOut {
+		t.Errorf("closed %v, %d bytes were written to it", gw.closed[1], got)
+	}
+}
+
+// socketRenewals counts how often the gateway asks from a new socket while time goes by.
+func socketRenewals(gw *testGateway, d rules.Time, each func()) (at []rules.Time) {
+	from := gw.now
+	for end := gw.now + d; gw.now < end; {
+		next, _ := gw.g.timers.next()
+		gw.now = max(gw.now, next)
+		gw.g.Step(gw.now, Event{Kind: TimerFired})
+		for _, effect := range gw.g.Flush() {
+			if effect.Kind == SetNameServer {
+				at = append(at, (gw.now-from)/rules.Millisecond)
+			}
+		}
+		if each != nil {
+			each()
+		}
+	}
+	return at
+}
+
+// A name service that falls silent is asked from a new socket after a second, and then after twice as long each time;
+// one that answers never is, however late it does.
+func TestSilentNameServiceGetsANewSocket(t *testing.T) {
+	gw := newTestGateway(t)
+	at := socketRenewals(gw, 20*rules.Second, nil)
+	if len(at) < 3 || at[0] < 900 || at[0] > 1300 || at[1]-at[0] < 1900 || at[2]-at[1] < 3900 || len(at) > 5 {
+		t.Errorf("asked from a new socket at %v ms", at)
+	}
+	gw = newTestGateway(t)
+	type late struct {
+		id uint16
+		at rules.Time
+	}
+	var line []late
+	n := 0
+	at = socketRenewals(gw, 20*rules.Second, func() {
+		if gw.g.queryCount > n {
+			n = gw.g.queryCount
+			line = append(line, late{gw.g.queryIDs[(n-1)%len(gw.g.queryIDs)], gw.now + 6*rules.Second})
+		}
+		for len(line) > 0 && line[0].at <= gw.now {
+			gw.g.Step(gw.now, Event{Kind: DNSResponse, Data: standin.Answer(line[0].id, listName, 1, nil)})
+			line = line[1:]
+		}
+	})
+	for _, ms := range at {
+		if ms > 7000 {
+			t.Errorf("answers come, 6 s late, and it is asked from a new socket at %d ms", ms)
+		}
+	}
+}
+
+// An answer that is seconds late still counts: what it tells counts as told.
+func TestLateList(t *testing.T) {
+	gw := newTestGateway(t)
+	id := gw.g.queryIDs[0]
+	gw.advance(6500 * rules.Millisecond)
+	drained := oneHost
+	drained.Draining = true
+	gw.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	if gw.g.engineOrder[0].state != rules.EngineDraining {
+		t.Error("a drain in an answer that is 6.5 s late was not heard")
+	}
+}
+
+// Behind many reloads, each of which asks as well, an answer that is seconds late still counts.
+func TestLateListBehindManyReloads(t *testing.T) {
+	gw := newTestGateway(t)
+	if polls := int(gw.g.limits.ListTold / gw.g.limits.PollEvery); maxQueries < 2*polls {
+		t.Errorf("%d queries are remembered, %d are sent while an answer may come", maxQueries, polls)
+	}
+	id := gw.g.queryIDs[0]
+	for range 80 {
+		cfg := gw.g.cfg
+		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		gw.g.Flush()
+	}
+	gw.advance(3 * rules.Second)
+	drained := oneHost
+	drained.Draining = true
+	gw.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	if gw.g.engineOrder[0].state != rules.EngineDraining {
+		t.Error("a drain in an answer that is 3 s late was not heard")
+	}
+}
+
+// A reload that moves the name service: an older list in the file changes nothing, a newer one counts, and going back
+// to the first address asks there again, on a new socket each time.
+func TestReloadBackAndForth(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.g.list = discovery.New(9, gw.g.cfg.Known.Engines)
+	first := gw.g.cfg.DNS
+	second := netip.MustParseAddrPort("127.0.0.9:5301")
+	for i, c := range []struct {
+		dns     netip.AddrPort
+		seq     uint32
+		engines int
+	}{{second, 4, 1}, {first, 12, 0}, {second, 11, 0}} {
+		cfg := gw.g.cfg
+		cfg.DNS, cfg.Known = c.dns, config.Known{Seq: c.seq}
+		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		moved := 0
+		for _, effect := range gw.g.Flush() {
+			if effect.Kind == SetNameServer && effect.Addr == c.dns {
+				moved++
+			}
+		}
+		if serving := len(gw.g.engineOrder); moved != 1 || serving != c.engines {
+			t.Errorf("step %d: moved %d times, %d engines, want %d", i, moved, serving, c.engines)
+		}
+	}
+}
+
+// The key by which engines drop repeats, and notes of progress: deployments have both that the first one had not. The
+// key goes on as it came, with every attempt; one that would break the list of fields is refused; a note ends nothing.
+func TestRepeatKeyAndNotes(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, string(queryPacket("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
+	link := gw.dials[0]
+	gw.step(DialSucceeded, link, "")
+	if got := gw.takeOutput(link); !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
+		t.Errorf("the engine got %q", got)
+	}
+	gw.step(DataReceived, link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
+	if gw.closed[link] || gw.g.requests[idA] == nil || gw.g.requests[idA].inFlight != 1 {
+		t.Fatal("a note of progress ended the attempt, or its connection")
+	}
+	gw.advance(20 * rules.Millisecond)
+	gw.step(ConnectionClosed, link, "")
+	gw.advance(rules.Millisecond)
+	gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
+	if got := gw.takeOutput(gw.dials[len(gw.dials)-1]); len(gw.dials) < 2 || !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
+		t.Errorf("the further attempt: %d dials, the engine got %q", len(gw.dials), got)
+	}
+	gw.client(2)
+	for _, key := range []string{"", "a b", "a=b", strings.Repeat("k", 200), "k\x01"} {
+		gw.takeOutput(2)
+		gw.step(DataReceived, 2, string(queryPacket("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
+		if got := gw.takeOutput(2); !strings.Contains(got, "opkey") {
+			t.Errorf("key %.20q: answered %q", key, got)
+		}
+	}
+}
+
+// Where a request may have no two attempts out at once, an engine that may run one has heard of its end before another is
+// asked, however the attempt ended: on a way of up to 40 ms, as its connection took to come up. A proof that nothing ran
+// needs no wait, and neither does a site that allows second copies.
+func TestNoAttemptOvertakesAnEnd(t *testing.T) {
+	const way = 40 * rules.Millisecond
+	for name, c := range map[string]struct {
+		end  func(x *interleaving)
+		wait bool
+	}{
+		"cancelled": {func(x *interleaving) {
+			x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
+			x.flush()
+		}, true},
+		"an answer that makes no sense":   {func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" green - 0\r\n\r\n") }, true},
+		"a connection that can't be read": {func(x *interleaving) { x.step(DataReceived, x.lastDial(), "\x00\x01\x02") }, true},
+		"reset":                           {func(x *interleaving) { x.step(ConnectionClosed, x.lastDial(), "") }, true},
+		"full":                            {func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
+		"never taken": {func(x *interleaving) {
+			x.written[x.lastDial()] = 0
+			x.step(ConnectionClosed, x.lastDial(), "")
+		}, false},
+	} {
+		for _, copies := range []bool{false, true} {
+			x := newInterleaving(t, "point")
+			x.g.cfg.Settings.Rules.Limits.HedgedRequests = copies
+			x.step(DataReceived, 1, askText("point", idA))
+			first := x.lastDial()
+			x.now += way
+			x.step(DialSucceeded, first, "")
+			x.observe()
+			if x.asks != 1 {
+				t.Fatalf("%s: asked %d times at first", name, x.asks)
+			}
+			x.now += 5 * rules.Millisecond
+			x.step(TimerFired, 0, "")
+			c.end(x)
+			again := func() bool { // another attempt has begun, whether its connection is up or not
+				x.observe()
+				return x.asks > 1 || len(x.dials) > 1
+			}
+			if waits := c.wait && !copies; waits {
+				x.advance(way - rules.Millisecond)
+				if again() {
+					t.Errorf("%s: another attempt began while the end of the first was on its way", name)
+				}
+			}
+			x.advance(2 * rules.Millisecond)
+			if !again() {
+				t.Errorf("%s, copies %v: no further attempt began", name, copies)
+			}
+		}
+	}
+}
+
+// While the end of an attempt is on its way its client goes or kills the query, its deadline comes, or the process ends: the
+// request ends as ever, its engine hears once, and nothing stays. A connection that came up late makes nobody wait for long.
+func TestTerminatingAttemptEndsWithItsRequest(t *testing.T) {
+	const way = 40 * rules.Millisecond
+	start := func(timeout int, took rules.Time) *interleaving {
+		x := newInterleaving(t, "point")
+		x.step(DataReceived, 1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
+		x.g.armedAt = x.now + took // the process does not stand still: no timer is late
+		x.now += took
+		x.step(DialSucceeded, x.lastDial(), "")
+		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
+		x.flush()
+		return x
+	}
+	for name, c := range map[string]struct {
+		timeout, answers int
+		end              func(x *interleaving)
+	}{
+		"client goes": {2000, 0, func(x *interleaving) { x.step(ConnectionClosed, 1, "") }},
+		"killed": {2000, 0, func(x *interleaving) {
+			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
+		}},
+		"deadline": {80, 1, func(x *interleaving) { x.advance(30 * rules.Millisecond) }},
+		"terminate": {80, 1, func(x *interleaving) {
+			x.step(ShutdownRequested, 0, "")
+			x.advance(30 * rules.Millisecond)
+		}},
+	} {
+		x := start(c.timeout, way)
+		first := x.lastDial()
+		c.end(x)
+		x.observe()
+		if len(x.g.requests) != 0 || x.answers != c.answers {
+			t.Errorf("%s: %d requests stay, %d answers, want %d", name, len(x.g.requests), x.answers, c.answers)
+		}
+		x.advance(2 * way)
+		x.observe()
+		if got := string(x.output[first]); strings.Count(got, "QUIT") != 1 || len(x.dials) > 1 || x.answers != c.answers {
+			t.Errorf("%s: the engine got %q, %d dials, %d answers", name, got, len(x.dials), x.answers)
+		}
+		if n := x.g.stats.classes[0].attemptsInFlight; n != 0 {
+			t.Errorf("%s: %d attempts still count as running", name, n)
+		}
+	}
+	x := start(2000, 240*rules.Millisecond)
+	if x.advance(x.g.limits.WayMost - rules.Millisecond); len(x.dials) > 1 {
+		t.Error("another attempt began while the end of the first was on its way")
+	}
+	if x.advance(2 * rules.Millisecond); len(x.dials) < 2 {
+		t.Error("an attempt on a connection that came up late keeps its request waiting")
+	}
+}
+
+// Answers that can't be read end their connection; what was asked on it is given up there first, by name.
+func TestMalformedConnectionCancelsByName(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.client(1)
+	gw.step(DataReceived, 1, askText("point", idA))
+	link := gw.dials[0]
+	gw.step(DialSucceeded, link, "")
+	gw.takeOutput(link)
+	gw.step(DataReceived, link, "\x00\x01\x02")
+	if got := gw.takeOutput(link); got != "QUIT "+idA+"\r\n" || !gw.closed[link] {
+		t.Errorf("the engine got %q, closed %v", got, gw.closed[link])
+	}
+}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -17,474 +17,474 @@
 // one final answer. It never gives a second answer, and none to a client that
 // has left.
 
-type request struct {
-	id        rules.RequestID
-	client    *client // nil: it has left
-	slot      int     // at the door
-	why       EndReason
-	work      rules.Time // as told; 0: it was not
-	passed    bool       // the module knows of it
-	served    bool
-	arrival   *rules.Request // while it is held at the door or waits for room for its result
-	held      rules.Time     // at the door
-	owner     uint64         // of its result
-	shape     uint64         // of its statement
-	keep      keeping
-	class     int
-	stats     *classStats
-	at        rules.Time
-	due       rules.Time
-	statement []byte // nil once answered
-	once      string // by which engines drop its repeats
-	answered  bool   // the final answer was given, or is owed no more
-	attempts  []*attempt
-	out       int // attempts without an outcome
-	memoryMB  int64
-	priority  int
+type queryRequest struct {
+	id             rules.RequestID
+	client         *clientConn // nil: it has left
+	admissionSlot  int         // at the door
+	endReason      EndReason
+	work           rules.Time // as told; 0: it was not
+	submitted      bool       // the module knows of it
+	served         bool
+	pending        *rules.Request // while it is held at the door or waits for room for its result
+	heldFor        rules.Time     // at the door
+	resultOwner    uint64         // of its result
+	statementShape uint64         // of its statement
+	result         resultState
+	class          int
+	stats          *classStats
+	arrivedAt      rules.Time
+	dueAt          rules.Time
+	statement      []byte // nil once answered
+	idempotencyKey string // by which engines drop its repeats
+	answered       bool   // the final answer was given, or is owed no more
+	attempts       []*engineAttempt
+	inFlight       int // attempts without an outcome
+	memoryMB       int64
+	priority       int
 }
 
-type attempt struct {
-	request  *request
-	index    int
-	engine   *engineState
-	link     *link // nil: never had one
-	sent     bool  // written to a connection that was up
-	end      int64 // where it ends in what is written on its link
-	done     bool
-	verdict  rules.Status // once done
-	parting  bool         // ended by us or by its connection: its engine may not have heard of that yet
-	spoilt   bool         // how it ends says nothing of its engine
-	ours     bool         // it had no connection for want of something here
-	at       rules.Time   // when the module sent it
-	deadline rules.Time
-	priority int
-
-	served  bool // page 0 is here
-	paged   bool // the other pages are asked for
-	took    rules.Time
-	pages   [][]byte
-	total   int    // where results are kept: pages
-	first   []byte // and page 0, until its turn comes
-	missing int
-	bytes   int // of the pages
-	work    float64
-	memory  float64
-	report  []byte
+type engineAttempt struct {
+	request         *queryRequest
+	index           int
+	engine          *engineState
+	conn            *engineConn // nil: never had one
+	sent            bool        // written to a connection that was up
+	endOffset       int64       // where it ends in what is written on its link
+	done            bool
+	status          rules.Status // once done
+	terminating     bool         // ended by us or by its connection: its engine may not have heard of that yet
+	blameless       bool         // how it ends says nothing of its engine
+	localExhaustion bool         // it had no connection for want of something here
+	startedAt       rules.Time   // when the module sent it
+	deadline        rules.Time
+	priority        int
+
+	firstPageReceived bool // page 0 is here
+	pagesRequested    bool // the other pages are asked for
+	latency           rules.Time
+	pages             [][]byte
+	totalPages        int    // where results are kept: pages
+	firstPage         []byte // and page 0, until its turn comes
+	pagesMissing      int
+	pageBytes         int // of the pages
+	workMS            float64
+	memoryMB          float64
+	loadReport        []byte
 }
 
-// open takes a client's request.
-func (g *Gateway) open(c *client, q *mysql.Query) {
-	class, ok := g.classIndex[q.Fields.Class]
+// acceptQuery takes a client's request.
+func (g *Gateway) acceptQuery(client *clientConn, query *mysql.Query) {
+	class, ok := g.classIndex[query.Fields.Class]
 	if !ok {
-		g.unusable(c, mysql.CodeParse, fmt.Sprintf("unknown class %.40q", q.Fields.Class))
+		g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("unknown class %.40q", query.Fields.Class))
 		return
 	}
 	tenant := 0
-	if q.Fields.Tenant != "" {
-		if tenant = slices.Index(g.cfg.Settings.Tenants, q.Fields.Tenant); tenant < 0 && g.gate.knows(q.Fields.Tenant) {
+	if query.Fields.Tenant != "" {
+		if tenant = slices.Index(g.cfg.Settings.Tenants, query.Fields.Tenant); tenant < 0 && g.admission.knowsTenant(query.Fields.Tenant) {
 			tenant = 0
 		}
 		if tenant < 0 {
-			g.unusable(c, mysql.CodeParse, fmt.Sprintf("unknown tenant %.40q", q.Fields.Tenant))
+			g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("unknown tenant %.40q", query.Fields.Tenant))
 			return
 		}
 	}
-	patience := rules.Time(q.Fields.TimeoutMS) * rules.Millisecond
-	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.lim.Patience; most > 0 && patience > most {
-		g.unusable(c, mysql.CodeParse, fmt.Sprintf("a timeout of %d ms is out of range", q.Fields.TimeoutMS))
+	patience := rules.Time(query.Fields.TimeoutMS) * rules.Millisecond
+	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.limits.Patience; most > 0 && patience > most {
+		g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("a timeout of %d ms is out of range", query.Fields.TimeoutMS))
 		return
 	}
-	id := rules.RequestID(q.Fields.ID)
+	id := rules.RequestID(query.Fields.ID)
 	if g.requests[id] != nil {
-		g.unusable(c, mysql.CodeFailed, "a request with this id is open")
+		g.rejectCommand(client, mysql.CodeFailed, "a request with this id is open")
 		return
 	}
-	if g.gate == nil && (len(g.requests) >= g.lim.Requests || g.inputHeld+len(q.Statement) > g.lim.InputBytes) {
+	if g.admission == nil && (len(g.requests) >= g.limits.Requests || g.statementBytes+len(query.Statement) > g.limits.InputBytes) {
 		g.log(Warn, "client: too much is open, request refused", Attr{"requests", len(g.requests)})
-		g.answerErr(c, mysql.CodeLimitReached, "too much is open")
+		g.writeErr(client, mysql.CodeLimitReached, "too much is open")
 		return
 	}
 	// The client counts from when it sent the request and until it has the answer. Both ways take time,
 	// more where machines are busy, so its answer must leave earlier.
-	due := g.now + patience - min(patience/g.lim.WayPart, g.lim.WayMost) - g.waitedFor()
-	r := &request{id: id, client: c, class: class, stats: &g.stats.classes[class], at: g.now, due: due,
-		statement: bytes.Clone(q.Statement), once: q.Fields.Once, priority: engine.DefaultPriority}
-	g.guardStart(r)
+	due := g.now + patience - min(patience/g.limits.WayPart, g.limits.WayMost) - g.inputDelay()
+	req := &queryRequest{id: id, client: client, class: class, stats: &g.stats.classes[class], arrivedAt: g.now, dueAt: due,
+		statement: bytes.Clone(query.Statement), idempotencyKey: query.Fields.Once, priority: engine.DefaultPriority}
+	g.checkStart(req)
 	if g.cfg.Trace {
-		g.traceStart(r)
+		g.traceRequest(req)
 	}
-	g.requests[id] = r
+	g.requests[id] = req
 	g.unanswered++
-	r.stats.taken++
-	r.stats.open++
-	g.inputHeld += len(r.statement)
-	c.request = r
-	work := rules.Time(q.Fields.WorkMS * float64(rules.Millisecond))
-	r.work = work
+	req.stats.accepted++
+	req.stats.inFlight++
+	g.statementBytes += len(req.statement)
+	client.request = req
+	work := rules.Time(query.Fields.WorkMS * float64(rules.Millisecond))
+	req.work = work
 	arrival := rules.Request{
-		ID: id, Class: class, Tenant: tenant, OrderKey: q.Fields.Key, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
-		EstimatedMemoryMB: q.Fields.MemoryMB, DataSet: q.Group, IsRetry: q.Fields.Repeat, IsWrite: q.Write,
+		ID: id, Class: class, Tenant: tenant, OrderKey: query.Fields.Key, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
+		EstimatedMemoryMB: query.Fields.MemoryMB, DataSet: query.Group, IsRetry: query.Fields.Repeat, IsWrite: query.Write,
 	}
-	if g.gate == nil && g.shelf == nil && g.sites == nil && g.orders == nil {
-		r.passed = true
+	if g.admission == nil && g.results == nil && g.zones == nil && g.directives == nil {
+		req.submitted = true
 		if g.cfg.Trace {
-			g.traceQueued(r, "module")
+			g.traceQueued(req, "module")
 		}
-		g.tell(rules.Arrival{Request: arrival})
+		g.tellModule(rules.Arrival{Request: arrival})
 		return
 	}
-	r.arrival = &arrival
-	if g.shelf != nil {
-		r.owner, r.shape, r.keep.lasting = ownerOf(q.Fields.Tenant), 0, q.Fields.Spool
+	req.pending = &arrival
+	if g.results != nil {
+		req.resultOwner, req.statementShape, req.result.resumable = tenantKey(query.Fields.Tenant), 0, query.Fields.Spool
 	}
-	if g.gate != nil {
-		g.askGate(r, q.Fields.Tenant)
+	if g.admission != nil {
+		g.requestAdmission(req, query.Fields.Tenant)
 		return
 	}
-	g.pass(r, 0)
+	g.admitted(req, 0)
 }
 
-// pass hands a request to the module, after it was held for a while.
-func (g *Gateway) pass(r *request, held rules.Time) {
-	r.held = held
-	if !g.admits(r) {
+// admitted hands a request to the module, after it was held for a while.
+func (g *Gateway) admitted(req *queryRequest, held rules.Time) {
+	req.heldFor = held
+	if !g.admitsRequest(req) {
 		return
 	}
-	if g.shelf != nil { // room for its result comes first: without it nothing runs
-		g.shelve(r)
+	if g.results != nil { // room for its result comes first: without it nothing runs
+		g.reserveResult(req)
 		return
 	}
-	g.toModule(r)
+	g.submit(req)
 }
 
-func (g *Gateway) toModule(r *request) {
-	q := r.arrival
-	q.QueuedFor = r.held
-	r.passed, r.arrival = true, nil
+func (g *Gateway) submit(req *queryRequest) {
+	arrival := req.pending
+	arrival.QueuedFor = req.heldFor
+	req.submitted, req.pending = true, nil
 	if g.cfg.Trace {
-		g.traceQueued(r, "module")
+		g.traceQueued(req, "module")
 	}
-	g.tell(rules.Arrival{Request: *q})
+	g.tellModule(rules.Arrival{Request: *arrival})
 }
 
-// settle notes that no answer is owed any more. Each final answer goes through here, once.
-func (g *Gateway) settle(r *request, how ending) {
-	g.guardAnswer(r, how)
+// finishRequest notes that no answer is owed any more. Each final answer goes through here, once.
+func (g *Gateway) finishRequest(req *queryRequest, how outcome) {
+	g.checkAnswer(req, how)
 	if g.cfg.Trace {
-		g.traceAnswer(r, how)
+		g.traceAnswer(req, how)
 	}
-	r.answered = true
+	req.answered = true
 	g.unanswered--
-	g.unshelve(r)
-	r.stats.open--
-	g.inputHeld -= len(r.statement)
-	r.statement = nil
-	if c := r.client; c != nil {
-		r.client, c.request = nil, nil
-		if c.reading == nil {
-			c.answered = g.now
+	g.releaseResult(req)
+	req.stats.inFlight--
+	g.statementBytes -= len(req.statement)
+	req.statement = nil
+	if client := req.client; client != nil {
+		req.client, client.request = nil, nil
+		if client.reader == nil {
+			client.answeredAt = g.now
 		}
-		g.clientIdle(c)
+		g.clientBecameIdle(client)
 	}
-	g.forget(r)
+	g.releaseRequest(req)
 }
 
-func (g *Gateway) forget(r *request) {
-	if r.answered && r.out == 0 && g.requests[r.id] == r {
-		delete(g.requests, r.id)
-		g.atGate(admission.Event{Kind: admission.Done, Slot: r.slot, Served: r.served})
+func (g *Gateway) releaseRequest(req *queryRequest) {
+	if req.answered && req.inFlight == 0 && g.requests[req.id] == req {
+		delete(g.requests, req.id)
+		g.handleAdmission(admission.Event{Kind: admission.Done, Slot: req.admissionSlot, Served: req.served})
 	}
 }
 
-// abandon: the client has left or has killed its query.
-func (g *Gateway) abandon(r *request) {
-	if r == nil || r.answered {
+// abandonRequest: the client has left or has killed its query.
+func (g *Gateway) abandonRequest(req *queryRequest) {
+	if req == nil || req.answered {
 		return
 	}
-	r.client.request, r.client = nil, nil
-	r.stats.left++
-	r.why = EndClientLeft
-	g.settle(r, endedLeft)
-	if r.passed {
-		g.tell(rules.ClientGone{ID: r.id})
+	req.client.request, req.client = nil, nil
+	req.stats.abandoned++
+	req.endReason = EndClientLeft
+	g.finishRequest(req, outcomeAbandoned)
+	if req.submitted {
+		g.tellModule(rules.ClientGone{ID: req.id})
 	}
 }
 
-// refuse carries out the module's refusal. Where the door is on, that names the time of return.
-func (g *Gateway) refuse(r *request, holdOff rules.Time, why EndReason) {
-	if r == nil || r.answered {
+// reject carries out the module's refusal. Where the door is on, that names the time of return.
+func (g *Gateway) reject(req *queryRequest, holdOff rules.Time, why EndReason) {
+	if req == nil || req.answered {
 		return
 	}
-	r.why = why
-	if g.gate != nil {
-		g.atGate(admission.Event{Kind: admission.TurnDown, Slot: r.slot})
+	req.endReason = why
+	if g.admission != nil {
+		g.handleAdmission(admission.Event{Kind: admission.TurnDown, Slot: req.admissionSlot})
 		return
 	}
-	g.turnAway(r, g.stayAway(holdOff))
+	g.writeRejection(req, g.retryAfter(holdOff))
 }
 
-// turnAway gives the answer that promises that a retry is harmless.
-func (g *Gateway) turnAway(r *request, holdOff rules.Time) {
-	r.stats.refused++
+// writeRejection gives the answer that promises that a retry is harmless.
+func (g *Gateway) writeRejection(req *queryRequest, holdOff rules.Time) {
+	req.stats.rejected++
 	text := "the query was refused"
 	if holdOff > 0 {
 		text = fmt.Sprintf("the query was refused; holdoff=%d", int64(holdOff/rules.Millisecond))
 	}
-	g.answerErr(r.client, mysql.CodeLimitReached, text)
-	g.settle(r, endedRefused)
+	g.writeErr(req.client, mysql.CodeLimitReached, text)
+	g.finishRequest(req, outcomeRejected)
 }
 
-func (g *Gateway) fail(r *request, why EndReason) {
-	if r == nil || r.answered {
+func (g *Gateway) failRequest(req *queryRequest, why EndReason) {
+	if req == nil || req.answered {
 		return
 	}
-	r.why = why
-	r.stats.failed++
-	g.answerErr(r.client, mysql.CodeFailed, "the query failed")
-	g.settle(r, endedFailed)
+	req.endReason = why
+	req.stats.failed++
+	g.writeErr(req.client, mysql.CodeFailed, "the query failed")
+	g.finishRequest(req, outcomeFailed)
 }
 
 // ---- attempts
 
-func (g *Gateway) send(s rules.Send) {
-	r := g.requests[s.ID]
-	if r == nil {
+func (g *Gateway) startAttempt(send rules.Send) {
+	req := g.requests[send.ID]
+	if req == nil {
 		return
 	}
-	a := &attempt{request: r, index: len(r.attempts), engine: g.engines[s.Engine], at: g.now, deadline: r.due,
-		priority: r.priority}
-	r.attempts = append(r.attempts, a)
-	r.out++
+	attempt := &engineAttempt{request: req, index: len(req.attempts), engine: g.engines[send.Engine], startedAt: g.now, deadline: req.dueAt,
+		priority: req.priority}
+	req.attempts = append(req.attempts, attempt)
+	req.inFlight++
 	if g.cfg.Trace {
-		g.traceAttempt(a)
+		g.traceAttempt(attempt)
 	}
-	r.stats.attempts++
-	r.stats.running++
-	if r.out == 1 {
-		g.atGate(admission.Event{Kind: admission.Sent, Slot: r.slot})
+	req.stats.attempts++
+	req.stats.attemptsInFlight++
+	if req.inFlight == 1 {
+		g.handleAdmission(admission.Event{Kind: admission.Sent, Slot: req.admissionSlot})
 	}
-	if s.Timeout != 0 {
-		a.deadline = min(a.deadline, g.now+s.Timeout)
+	if send.Timeout != 0 {
+		attempt.deadline = min(attempt.deadline, g.now+send.Timeout)
 	}
 	most := g.cfg.Settings.Rules.Limits.MaxAttempts
 	switch {
-	case r.answered, a.engine == nil, most > 0 && len(r.attempts) > most:
-		g.conclude(a, rules.StatusSuperseded)
-	case a.deadline <= g.now:
-		g.conclude(a, rules.StatusTimeout)
+	case req.answered, attempt.engine == nil, most > 0 && len(req.attempts) > most:
+		g.concludeAttempt(attempt, rules.StatusSuperseded)
+	case attempt.deadline <= g.now:
+		g.concludeAttempt(attempt, rules.StatusTimeout)
 	default:
-		g.timers.add(timer{at: a.deadline, kind: timerAttempt, attempt: a})
-		g.route(a)
+		g.timers.add(timer{at: attempt.deadline, kind: timerAttempt, attempt: attempt})
+		g.assignConn(attempt)
 	}
 }
 
-func (g *Gateway) setTerms(t rules.SetAttemptOptions) {
-	r := g.requests[t.ID]
-	if r == nil {
+func (g *Gateway) setTerms(terms rules.SetAttemptOptions) {
+	req := g.requests[terms.ID]
+	if req == nil {
 		return
 	}
-	r.memoryMB, r.priority = int64(math.Ceil(t.MemoryMB)), t.Priority
-	for _, a := range r.attempts {
-		if a.done || a.parting || a.priority == t.Priority {
+	req.memoryMB, req.priority = int64(math.Ceil(terms.MemoryMB)), terms.Priority
+	for _, attempt := range req.attempts {
+		if attempt.done || attempt.terminating || attempt.priority == terms.Priority {
 			continue
 		}
-		a.priority = t.Priority
-		if a.sent {
-			a.link.out = engine.AppendPriority(a.link.out, string(r.id), t.Priority)
-			g.touch(&a.link.pipe)
+		attempt.priority = terms.Priority
+		if attempt.sent {
+			attempt.conn.output = engine.AppendPriority(attempt.conn.output, string(req.id), terms.Priority)
+			g.markDirty(&attempt.conn.outputBuffer)
 		}
 	}
 }
 
-func (g *Gateway) cancel(c rules.Cancel) {
-	r := g.requests[c.ID]
-	if r == nil || c.Attempt < 0 || c.Attempt >= len(r.attempts) || r.attempts[c.Attempt].done {
+func (g *Gateway) cancelAttempt(c rules.Cancel) {
+	req := g.requests[c.ID]
+	if req == nil || c.Attempt < 0 || c.Attempt >= len(req.attempts) || req.attempts[c.Attempt].done {
 		return
 	}
-	g.giveUp(r.attempts[c.Attempt], rules.StatusCancelled)
+	g.abandonAttempt(req.attempts[c.Attempt], rules.StatusCancelled)
 }
 
-// giveUp ends an attempt from our side.
-func (g *Gateway) giveUp(a *attempt, v rules.Status) {
-	if a.sent && !a.parting && !a.link.ended {
-		id := string(a.request.id)
-		if a.served {
-			a.link.out = engine.AppendFree(a.link.out, id)
+// abandonAttempt ends an attempt from our side.
+func (g *Gateway) abandonAttempt(attempt *engineAttempt, status rules.Status) {
+	if attempt.sent && !attempt.terminating && !attempt.conn.closed {
+		id := string(attempt.request.id)
+		if attempt.firstPageReceived {
+			attempt.conn.output = engine.AppendFree(attempt.conn.output, id)
 		} else {
-			a.link.out = engine.AppendQuit(a.link.out, id)
+			attempt.conn.output = engine.AppendQuit(attempt.conn.output, id)
 		}
-		g.flushNow(&a.link.pipe) // ahead of another attempt, which may go out on a connection that was written to before
-		g.doubt(a)
+		g.flushNow(&attempt.conn.outputBuffer) // ahead of another attempt, which may go out on a connection that was written to before
+		g.retireIfSilent(attempt)
 	}
-	g.part(a, v)
+	g.terminateAttempt(attempt, status)
 }
 
-// part ends an attempt that its engine may still run, since it hears of the end by a way of its own. Where a request may
+// terminateAttempt ends an attempt that its engine may still run, since it hears of the end by a way of its own. Where a request may
 // have no two attempts out at once, another one could come to a nearer engine ahead of that: the module hears of the end
 // once the way is over, which takes no longer than its connection took to come up. Where nothing can follow it hears now.
-func (g *Gateway) part(a *attempt, v rules.Status) {
-	r, s := a.request, &g.cfg.Settings.Rules
-	if !a.sent || r.answered || v == rules.StatusTimeout || s.Limits.HedgedRequests ||
-		s.Classes[r.class].Idempotency == rules.NotIdempotent {
-		g.conclude(a, v)
+func (g *Gateway) terminateAttempt(attempt *engineAttempt, status rules.Status) {
+	req, settings := attempt.request, &g.cfg.Settings.Rules
+	if !attempt.sent || req.answered || status == rules.StatusTimeout || settings.Limits.HedgedRequests ||
+		settings.Classes[req.class].Idempotency == rules.NotIdempotent {
+		g.concludeAttempt(attempt, status)
 		return
 	}
-	if a.parting {
+	if attempt.terminating {
 		return
 	}
-	a.parting = true
-	if !a.served {
-		a.took = g.now - a.at
+	attempt.terminating = true
+	if !attempt.firstPageReceived {
+		attempt.latency = g.now - attempt.startedAt
 	}
-	g.leave(a.link, a)
-	g.freePages(a)
-	g.feedNoMore(a)
-	g.timers.add(timer{at: g.now + min(a.link.took, g.lim.WayMost), kind: timerParted, attempt: a, verdict: v})
+	g.detachAttempt(attempt.conn, attempt)
+	g.releasePages(attempt)
+	g.stopFilling(attempt)
+	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.WayMost), kind: timerTerminated, attempt: attempt, status: status})
 }
 
-// conclude ends an attempt and tells the module.
-func (g *Gateway) conclude(a *attempt, v rules.Status) {
-	if a.done {
+// concludeAttempt ends an attempt and tells the module.
+func (g *Gateway) concludeAttempt(attempt *engineAttempt, status rules.Status) {
+	if attempt.done {
 		return
 	}
-	a.done, a.verdict = true, v
-	r := a.request
-	r.out--
-	r.stats.running--
-	r.stats.verdicts[v]++
-	if a.link != nil {
-		g.leave(a.link, a)
+	attempt.done, attempt.status = true, status
+	req := attempt.request
+	req.inFlight--
+	req.stats.attemptsInFlight--
+	req.stats.statuses[status]++
+	if attempt.conn != nil {
+		g.detachAttempt(attempt.conn, attempt)
 	}
-	if !a.served && !a.parting {
-		a.took = g.now - a.at
+	if !attempt.firstPageReceived && !attempt.terminating {
+		attempt.latency = g.now - attempt.startedAt
 	}
-	g.freePages(a)
+	g.releasePages(attempt)
 	if g.cfg.Trace {
-		g.traceEnded(a)
+		g.traceAttemptEnd(attempt)
 	}
-	if a.sent {
-		g.atGate(admission.Event{Kind: admission.Spent, Slot: r.slot, Took: a.took})
+	if attempt.sent {
+		g.handleAdmission(admission.Event{Kind: admission.Spent, Slot: req.admissionSlot, Took: attempt.latency})
 	}
-	if a.engine != nil && v != rules.StatusOK && v != rules.StatusSuperseded && !a.ours {
-		a.engine.fault = g.now
+	if attempt.engine != nil && status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion {
+		attempt.engine.lastFault = g.now
 	}
-	o := rules.Outcome{ID: r.id, Attempt: a.index, Engine: 0, Status: v, Latency: a.took, Closed: r.answered || r.keep.closed, NotEngineFault: a.spoilt}
-	if a.engine != nil {
-		o.Engine = a.engine.id
+	outcome := rules.Outcome{ID: req.id, Attempt: attempt.index, Engine: 0, Status: status, Latency: attempt.latency, Closed: req.answered || req.result.engineDone, NotEngineFault: attempt.blameless}
+	if attempt.engine != nil {
+		outcome.Engine = attempt.engine.id
 	}
-	if v == rules.StatusOK && g.cfg.Settings.Rules.ReportsCost && g.credible(a) {
-		o.MeasuredWork = rules.Time(a.work * float64(rules.Millisecond))
-		o.MeasuredMemoryMB = a.memory
+	if status == rules.StatusOK && g.cfg.Settings.Rules.ReportsCost && g.plausibleUsage(attempt) {
+		outcome.MeasuredWork = rules.Time(attempt.workMS * float64(rules.Millisecond))
+		outcome.MeasuredMemoryMB = attempt.memoryMB
 	}
 	if g.cfg.Settings.Rules.LoadReport == rules.LoadReportInOutcomes {
-		o.Load = engine.ParseReport(a.report)
+		outcome.Load = engine.ParseReport(attempt.loadReport)
 	}
-	g.forget(r)
-	g.feedNoMore(a)
-	g.tell(o)
+	g.releaseRequest(req)
+	g.stopFilling(attempt)
+	g.tellModule(outcome)
 }
 
-// feedNoMore: the rest of a result that is kept does not come from this attempt.
-func (g *Gateway) feedNoMore(a *attempt) {
-	if k := &a.request.keep; k.feeding == a {
-		k.feeding = nil
-		g.atShelf(spool.Event{Kind: spool.Broke, ID: k.handle.ID})
+// stopFilling: the rest of a result that is kept does not come from this attempt.
+func (g *Gateway) stopFilling(attempt *engineAttempt) {
+	if result := &attempt.request.result; result.source == attempt {
+		result.source = nil
+		g.handleSpool(spool.Event{Kind: spool.Broke, ID: result.handle.ID})
 	}
 }
 
-// credible answers whether an engine of that kind can have spent the work and the memory that an answer
+// plausibleUsage answers whether an engine of that kind can have spent the work and the memory that an answer
 // tells. Of one that was spoilt without a sign the module must not learn.
-func (g *Gateway) credible(a *attempt) bool {
+func (g *Gateway) plausibleUsage(attempt *engineAttempt) bool {
 	kinds := g.cfg.Settings.Rules.Kinds
-	if a.engine.kind >= len(kinds) {
+	if attempt.engine.kind >= len(kinds) {
 		return true // nothing is known of it
 	}
-	k := kinds[a.engine.kind]
-	return (k.Cores <= 0 || a.work <= k.Cores*float64(a.took/rules.Millisecond+1)) &&
-		(k.MemoryMB <= 0 || a.memory <= k.MemoryMB)
+	kind := kinds[attempt.engine.kind]
+	return (kind.Cores <= 0 || attempt.workMS <= kind.Cores*float64(attempt.latency/rules.Millisecond+1)) &&
+		(kind.MemoryMB <= 0 || attempt.memoryMB <= kind.MemoryMB)
 }
 
 // ---- results
 
-// answer takes what an engine says of an attempt.
-func (g *Gateway) answer(a *attempt, m *engine.Answer) {
-	if m.Report != nil {
-		a.report = bytes.Clone(m.Report)
+// receiveAnswer takes what an engine says of an attempt.
+func (g *Gateway) receiveAnswer(attempt *engineAttempt, answer *engine.Answer) {
+	if answer.Report != nil {
+		attempt.loadReport = bytes.Clone(answer.Report)
 	}
-	switch m.Word {
+	switch answer.Word {
 	case engine.Update: // the module asks for no notes of progress
 	case engine.Overload:
-		g.conclude(a, rules.StatusRejected)
+		g.concludeAttempt(attempt, rules.StatusRejected)
 	case engine.Nobody:
-		g.conclude(a, rules.StatusSuperseded)
+		g.concludeAttempt(attempt, rules.StatusSuperseded)
 	case engine.Crashed:
 		// Engines answer an error to what bad clients ask, too: it tells of the engine if nothing good
 		// came from that since the last one.
-		a.spoilt = a.engine.good > a.engine.erred
-		a.engine.erred = g.now
-		g.conclude(a, rules.StatusError)
+		attempt.blameless = attempt.engine.lastServed > attempt.engine.lastError
+		attempt.engine.lastError = g.now
+		g.concludeAttempt(attempt, rules.StatusError)
 	case engine.Served:
-		a.engine.good = g.now
-		g.firstPage(a, m)
+		attempt.engine.lastServed = g.now
+		g.receiveFirstPage(attempt, answer)
 	case engine.Rows:
-		if g.shelf != nil {
-			g.keepPage(a, m.Index, m.Body)
+		if g.results != nil {
+			g.spoolPage(attempt, answer.Index, answer.Body)
 		} else {
-			g.page(a, m.Index, m.Body)
+			g.receivePage(attempt, answer.Index, answer.Body)
 		}
 	default:
-		g.badAnswer(a, "health for a request")
+		g.malformedAnswer(attempt, "health for a request")
 	}
 }
 
-// badAnswer ends an attempt whose answer makes no sense. It may have run, and may still run: its key rests.
-func (g *Gateway) badAnswer(a *attempt, what string) {
-	g.log(Warn, "engine: unusable answer", Attr{"engine", a.engine.entry.ID}, Attr{"request", string(a.request.id)},
+// malformedAnswer ends an attempt whose answer makes no sense. It may have run, and may still run: its key rests.
+func (g *Gateway) malformedAnswer(attempt *engineAttempt, what string) {
+	g.log(Warn, "engine: unusable answer", Attr{"engine", attempt.engine.entry.ID}, Attr{"request", string(attempt.request.id)},
 		Attr{"what", what})
-	a.spoilt = true
-	g.giveUp(a, rules.StatusReset)
+	attempt.blameless = true
+	g.abandonAttempt(attempt, rules.StatusReset)
 }
 
-func (g *Gateway) firstPage(a *attempt, m *engine.Answer) {
-	total := max(m.Total, 1)
-	if g.shelf != nil {
-		if a.served { // a second copy
+func (g *Gateway) receiveFirstPage(attempt *engineAttempt, answer *engine.Answer) {
+	total := max(answer.Total, 1)
+	if g.results != nil {
+		if attempt.firstPageReceived { // a second copy
 			return
 		}
-		g.serve(a, m, total)
+		g.spoolFirstPage(attempt, answer, total)
 		return
 	}
-	if a.served && total == len(a.pages) {
-		g.page(a, 0, m.Body) // a second copy, unless its rows are others
+	if attempt.firstPageReceived && total == len(attempt.pages) {
+		g.receivePage(attempt, 0, answer.Body) // a second copy, unless its rows are others
 		return
 	}
-	if a.served || total > g.lim.Pages {
-		g.badAnswer(a, "served twice, or too many pages")
+	if attempt.firstPageReceived || total > g.limits.Pages {
+		g.malformedAnswer(attempt, "served twice, or too many pages")
 		return
 	}
-	a.served, a.took = true, g.now-a.at
-	a.work, a.memory = m.Elapsed, m.RSS
-	a.pages, a.missing = make([][]byte, total), total
-	if g.page(a, 0, m.Body); !a.done && !a.parting {
-		g.pageQueue = append(g.pageQueue, a)
-		g.askPages()
+	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
+	attempt.workMS, attempt.memoryMB = answer.Elapsed, answer.RSS
+	attempt.pages, attempt.pagesMissing = make([][]byte, total), total
+	if g.receivePage(attempt, 0, answer.Body); !attempt.done && !attempt.terminating {
+		g.pageQueue = append(g.pageQueue, attempt)
+		g.requestPages()
 	}
 }
 
-// askPages asks for the pages of results in turn, while there is room for them.
-func (g *Gateway) askPages() {
+// requestPages asks for the pages of results in turn, while there is room for them.
+func (g *Gateway) requestPages() {
 	for len(g.pageQueue) > 0 {
-		a := g.pageQueue[0]
-		if !a.done && !a.parting {
-			if g.resultHeld+g.lim.Result > g.lim.ResultBytes {
+		attempt := g.pageQueue[0]
+		if !attempt.done && !attempt.terminating {
+			if g.resultBytes+g.limits.Result > g.limits.ResultBytes {
 				return
 			}
-			g.resultHeld += g.lim.Result
-			a.paged = true
-			for n := 1; n < len(a.pages); n++ {
-				a.link.out = engine.AppendNext(a.link.out, string(a.request.id), n)
+			g.resultBytes += g.limits.Result
+			attempt.pagesRequested = true
+			for n := 1; n < len(attempt.pages); n++ {
+				attempt.conn.output = engine.AppendNext(attempt.conn.output, string(attempt.request.id), n)
 			}
-			g.touch(&a.link.pipe)
+			g.markDirty(&attempt.conn.outputBuffer)
 		}
 		g.pageQueue[0] = nil
 		g.pageQueue = g.pageQueue[1:]
@@ -492,68 +492,68 @@
 	g.pageQueue = nil
 }
 
-// freePages gives back the room of an attempt's pages.
-func (g *Gateway) freePages(a *attempt) {
-	a.pages = nil
-	if a.paged {
-		a.paged = false
-		g.resultHeld -= g.lim.Result
-		g.askPages()
+// releasePages gives back the room of an attempt's pages.
+func (g *Gateway) releasePages(attempt *engineAttempt) {
+	attempt.pages = nil
+	if attempt.pagesRequested {
+		attempt.pagesRequested = false
+		g.resultBytes -= g.limits.Result
+		g.requestPages()
 	}
 }
 
-func (g *Gateway) page(a *attempt, n int, body []byte) {
+func (g *Gateway) receivePage(attempt *engineAttempt, n int, body []byte) {
 	switch {
-	case !a.served || n < 0 || n >= len(a.pages):
-		g.badAnswer(a, "a page that was not asked for")
+	case !attempt.firstPageReceived || n < 0 || n >= len(attempt.pages):
+		g.malformedAnswer(attempt, "a page that was not asked for")
 		return
-	case a.pages[n] != nil:
-		if !bytes.Equal(a.pages[n], body) {
-			g.badAnswer(a, "a page that comes twice, each time another")
+	case attempt.pages[n] != nil:
+		if !bytes.Equal(attempt.pages[n], body) {
+			g.malformedAnswer(attempt, "a page that comes twice, each time another")
 		}
 		return
-	case a.bytes+len(body) > g.lim.Result:
-		g.badAnswer(a, "the result is too large")
+	case attempt.pageBytes+len(body) > g.limits.Result:
+		g.malformedAnswer(attempt, "the result is too large")
 		return
 	case len(body) > 0 && body[len(body)-1] != '\n':
-		g.badAnswer(a, "a page ends within a row")
+		g.malformedAnswer(attempt, "a page ends within a row")
 		return
 	}
-	if a.pages[n] = body; a.missing > 1 {
-		a.pages[n] = append([]byte{}, body...) // the last one is used at once
+	if attempt.pages[n] = body; attempt.pagesMissing > 1 {
+		attempt.pages[n] = append([]byte{}, body...) // the last one is used at once
 	}
-	a.bytes += len(body)
-	if a.missing--; a.missing == 0 {
-		g.complete(a)
+	attempt.pageBytes += len(body)
+	if attempt.pagesMissing--; attempt.pagesMissing == 0 {
+		g.completeResult(attempt)
 	}
 }
 
-const columns = 3
+const columnCount = 3
 
 var columnNames = []string{"c1", "c2", "c3"}
 
-// complete: all pages are here. The first such attempt is the client's answer.
-func (g *Gateway) complete(a *attempt) {
-	r := a.request
-	if !r.answered {
-		g.roomy(&r.client.pipe)
-		out, ok := appendResult(r.client.out, a.pages)
+// completeResult: all pages are here. The first such attempt is the client's answer.
+func (g *Gateway) completeResult(attempt *engineAttempt) {
+	req := attempt.request
+	if !req.answered {
+		g.borrowBuffer(&req.client.outputBuffer)
+		out, ok := appendResult(req.client.output, attempt.pages)
 		if !ok {
-			g.badAnswer(a, "a row has not three columns")
+			g.malformedAnswer(attempt, "a row has not three columns")
 			return
 		}
-		r.client.out = out
-		g.touch(&r.client.pipe)
-		r.served = true
-		r.stats.served++
-		r.stats.took += g.now - r.at
-		g.settle(r, endedServed)
-	}
-	if len(a.pages) > 1 { // of a single page the engine keeps nothing
-		a.link.out = engine.AppendFree(a.link.out, string(r.id))
-		g.touch(&a.link.pipe)
-	}
-	g.conclude(a, rules.StatusOK)
+		req.client.output = out
+		g.markDirty(&req.client.outputBuffer)
+		req.served = true
+		req.stats.served++
+		req.stats.latencySum += g.now - req.arrivedAt
+		g.finishRequest(req, outcomeServed)
+	}
+	if len(attempt.pages) > 1 { // of a single page the engine keeps nothing
+		attempt.conn.output = engine.AppendFree(attempt.conn.output, string(req.id))
+		g.markDirty(&attempt.conn.outputBuffer)
+	}
+	g.concludeAttempt(attempt, rules.StatusOK)
 }
 
 // appendResult appends the whole result set. If a row can't be read, nothing is appended.
@@ -563,7 +563,7 @@
 		for len(page) > 0 {
 			var row []byte
 			row, page, _ = bytes.Cut(page, []byte{'\n'})
-			if out, seq, ok = mysql.AppendRow(out, seq, row, columns); !ok {
+			if out, seq, ok = mysql.AppendRow(out, seq, row, columnCount); !ok {
 				return dst, false
 			}
 		}
--- /dev/null
+++ b/internal/gateway/resultstore_test.go
@@ -0,0 +1,486 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"foxlane/internal/config"
+	"foxlane/internal/spool"
+	"foxlane/internal/spool/segment"
+	"foxlane/internal/standin"
+	"foxlane/rules"
+)
+
+func withSpool(t testing.TB, text string) func(*config.Config) {
+	s := parseSite(t, text)
+	return func(cfg *config.Config) { cfg.Site = s }
+}
+
+const (
+	memorySpool = "spool {\n memory = \"4MB\"\n}\n"
+	diskSpool   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
+)
+
+// The seven rules hold with results kept, in memory and on a disk that fails at times, with the door and without.
+func TestRulesWithResultsKept(t *testing.T) {
+	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and door": diskSpool + "fair {\n}\n"} {
+		for _, faultRate := range []float64{0, 0.4, 1} {
+			for seed := range uint64(5) {
+				t.Run(fmt.Sprintf("%s rough %v seed %d", name, faultRate, seed), func(t *testing.T) {
+					sim := newSimulationWith(t, seed, faultRate, withSpool(t, text))
+					sim.play(6 * rules.Second)
+					for _, b := range sim.violations[:min(len(sim.violations), 5)] {
+						t.Error(b)
+					}
+					if sim.sent < 250 || sim.served < 100 {
+						t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
+					}
+					stats := sim.g.results.spool.Stats()
+					if stats.Whole < 100 || stats.Results != 0 || stats.Readers != 0 || stats.Memory != 0 || stats.Disk != 0 || len(sim.g.results.filling) != 0 {
+						t.Errorf("left on the shelf: %+v, %d on their way", stats, len(sim.g.results.filling))
+					}
+				})
+			}
+		}
+	}
+}
+
+// spoolGateway is a bench whose spool has a disk, that does all at once unless it is told to wait.
+type spoolGateway struct {
+	*testGateway
+	records     [][]byte
+	pendingDisk []spool.Effect
+	diskPaused  bool
+	diskFails   bool
+	watched     map[ConnID]bool
+}
+
+func newSpoolGateway(t *testing.T, text string) *spoolGateway {
+	gw := &spoolGateway{testGateway: &testGateway{t: t, now: 1_700_000_000 * rules.Second, output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}},
+		watched: map[ConnID]bool{}}
+	cfg := simConfig(t, []standin.Host{oneHost})
+	withSpool(t, text)(&cfg)
+	gw.g = New(cfg, gw.now)
+	gw.run(Event{})
+	return gw
+}
+
+func (gw *spoolGateway) run(event Event) {
+	if event.Kind != 0 {
+		gw.g.Step(gw.now, event)
+	}
+	for again := true; again; {
+		again = false
+		for _, effect := range slices.Clone(gw.g.Flush()) {
+			switch effect.Kind {
+			case Write:
+				gw.output[effect.Conn] = append(gw.output[effect.Conn], effect.Data...)
+			case CloseConnection:
+				gw.closed[effect.Conn] = true
+			case Dial:
+				gw.dials = append(gw.dials, effect.Conn)
+			case NotifyDrained:
+				gw.watched[effect.Conn] = true
+			case Exit:
+				gw.exited = true
+			case SubmitSpool:
+				gw.pendingDisk = append(gw.pendingDisk, effect.Spool)
+			}
+		}
+		if !gw.diskPaused && len(gw.pendingDisk) > 0 {
+			again = true
+			gw.runDisk()
+		}
+	}
+}
+
+// runDisk lets the disk do what waits.
+func (gw *spoolGateway) runDisk() {
+	held := gw.pendingDisk
+	gw.pendingDisk = nil
+	for _, effect := range held {
+		var events []spool.Event
+		switch effect.Kind {
+		case spool.Write:
+			place := spool.Place{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.Size(len(effect.Data)))}
+			gw.records = append(gw.records, bytes.Clone(effect.Data))
+			events = append(events, spool.Event{Kind: spool.Written, ID: effect.ID, Record: effect.Record, N: effect.N, Place: place, Err: gw.diskFails})
+			if effect.Record == segment.Seal && !gw.diskFails {
+				events = append(events, spool.Event{Kind: spool.Synced, ID: effect.ID})
+			}
+		case spool.Load:
+			events = append(events, spool.Event{Kind: spool.Read, ID: effect.ID, Reader: effect.Reader, N: effect.N, Data: gw.records[effect.Place.Offset], Err: gw.diskFails})
+		default:
+			continue
+		}
+		gw.g.Step(gw.now, Event{Kind: SpoolCompleted, Spool: events})
+	}
+}
+
+func (gw *spoolGateway) send(id ConnID, text string) {
+	gw.run(Event{Kind: DataReceived, Conn: id, Data: []byte(text)})
+}
+
+func (gw *spoolGateway) connect(id ConnID) {
+	gw.run(Event{Kind: ConnectionAccepted, Conn: id})
+	gw.send(id, string(loginPacket()))
+	gw.takeOutput(id)
+}
+
+// bigPage is page n of a result that the engine gives in many.
+func bigPage(n int) string {
+	return strings.Repeat(fmt.Sprintf("%d\tfield\t%s\n", n, strings.Repeat("x", 180)), 25)
+}
+
+// startResult asks for a result of so many pages and lets the engine give the first.
+func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (link ConnID) {
+	gw.send(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, more))))
+	if len(gw.dials) == 0 {
+		return 0
+	}
+	link = gw.dials[len(gw.dials)-1]
+	gw.run(Event{Kind: DialSucceeded, Conn: link})
+	gw.takeOutput(link)
+	p := bigPage(0)
+	gw.send(link, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
+	return link
+}
+
+var nextCommand = regexp.MustCompile(`NEXT ([0-9a-f]{16}) (\d+)\r\n`)
+
+// serveEngine answers all that the engine is asked for, until it is freed. It returns the commands that it saw.
+func (gw *spoolGateway) serveEngine(link ConnID) (saw string) {
+	for {
+		got := gw.takeOutput(link)
+		saw += got
+		asks := nextCommand.FindAllStringSubmatch(got, -1)
+		if len(asks) == 0 {
+			return saw
+		}
+		for _, m := range asks {
+			n := 0
+			fmt.Sscan(m[2], &n)
+			p := bigPage(n)
+			gw.send(link, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
+		}
+	}
+}
+
+// readRows lets a client take what is written to it, to the end, and returns the rows: columns joined by tabs.
+func (gw *spoolGateway) readRows(id ConnID, chunks int) (rows []string, end string) {
+	var all []byte
+	for range chunks {
+		all = append(all, gw.takeOutput(id)...)
+		if !gw.watched[id] {
+			break
+		}
+		delete(gw.watched, id)
+		gw.run(Event{Kind: WriteDrained, Conn: id})
+	}
+	all = append(all, gw.takeOutput(id)...)
+	ends, n := 0, 0
+	for len(all) >= 4 {
+		size := int(all[0]) | int(all[1])<<8 | int(all[2])<<16
+		if int(all[3]) != (n+1)%256 {
+			gw.t.Fatalf("packet %d has sequence number %d", n+1, all[3])
+		}
+		p := all[4 : 4+size]
+		all = all[4+size:]
+		n++
+		switch {
+		case p[0] == 0xff:
+			return rows, string(p[9:])
+		case p[0] == 0xfe && size < 9:
+			if ends++; ends == 2 {
+				return rows, "end"
+			}
+		case ends == 1:
+			var cells []string
+			for len(p) > 0 {
+				k := int(p[0])
+				cells = append(cells, string(p[1:1+k]))
+				p = p[1+k:]
+			}
+			rows = append(rows, strings.Join(cells, "\t"))
+		}
+	}
+	return rows, "cut short"
+}
+
+func wantRows(from, to int) (rows []string) {
+	for n := from; n < to; n++ {
+		rows = append(rows, strings.Split(strings.TrimSuffix(bigPage(n), "\n"), "\n")...)
+	}
+	return rows
+}
+
+// plain are the rows without those that tell of the spool, and the handle and the chunks that these tell.
+func plain(rows []string) (out []string, handle string, pages []int) {
+	for _, r := range rows {
+		switch f := strings.Split(r, "\t"); f[0] {
+		case "#handle":
+			handle = f[1]
+		case "#page":
+			n := 0
+			fmt.Sscan(f[1], &n)
+			pages = append(pages, n)
+		default:
+			out = append(out, r)
+		}
+	}
+	return out, handle, pages
+}
+
+// The engine is free as soon as it has given all, while the client has not read a byte; and the client gets
+// every row, far beyond what a gateway holds.
+func TestEngineIsFreeWhateverTheClientDoes(t *testing.T) {
+	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool} {
+		gw := newSpoolGateway(t, text)
+		gw.connect(1)
+		link := gw.startResult(1, "point", idA, "", 150) // 700 KB
+		saw := gw.serveEngine(link)
+		if !strings.HasSuffix(saw, "FREE "+idA+"\r\n") {
+			t.Fatalf("%s: the engine saw %.80q ... %.60q", name, saw, saw[max(0, len(saw)-60):])
+		}
+		if req := gw.g.requests[idA]; req != nil {
+			t.Errorf("%s: the request is still open", name)
+		}
+		first := len(gw.output[1])
+		if first > 128<<10 {
+			t.Errorf("%s: %d bytes are written to a client that has read none", name, first)
+		}
+		rows, end := gw.readRows(1, 1000)
+		if end != "end" || !slices.Equal(rows, wantRows(0, 150)) {
+			t.Errorf("%s: %d rows of %d, %s", name, len(rows), len(wantRows(0, 150)), end)
+		}
+		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Memory != 0 {
+			t.Errorf("%s: left %+v", name, stats)
+		}
+		gw.send(1, string(queryPacket("SET x = 1"))) // and the session goes on
+		if gw.closed[1] || gw.takeOutput(1) == "" {
+			t.Errorf("%s: the session is of no more use", name)
+		}
+	}
+}
+
+// A client that leaves half way reads on from where it was, on another connection, without the query running again.
+func TestResumeReadsOnWithoutRunningAgain(t *testing.T) {
+	gw := newSpoolGateway(t, diskSpool)
+	gw.connect(1)
+	link := gw.startResult(1, "point", idA, ",spool=1", 60)
+	gw.serveEngine(link)
+	rows, _ := gw.readRows(1, 3)
+	got, handle, pages := plain(rows)
+	if len(handle) != spool.HandleSize || len(pages) < 2 {
+		t.Fatalf("handle %q, chunks %v", handle, pages)
+	}
+	gw.run(Event{Kind: ConnectionClosed, Conn: 1})
+	asks := gw.takeOutput(link)
+	gw.connect(2)
+	last := pages[len(pages)-1]
+	// The rows behind the last whole chunk are read again.
+	whole := 0
+	for i, r := range rows {
+		if strings.HasPrefix(r, fmt.Sprintf("#page\t%d\t", last)) {
+			whole = i + 1
+		}
+	}
+	got, _, _ = plain(rows[:whole])
+	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s,page=%d,timeout=2000 */ FETCH", handle, last+1))))
+	rest, end := gw.readRows(2, 1000)
+	more, again, _ := plain(rest)
+	if end != "end" || again != handle || !slices.Equal(append(got, more...), wantRows(0, 60)) {
+		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
+	}
+	if asks += gw.takeOutput(link); strings.Contains(asks, "ASK") {
+		t.Error("the query ran again")
+	}
+	// It is kept until it is acknowledged: a second read of all, then not any more.
+	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", handle))))
+	rest, end = gw.readRows(2, 1000)
+	if all, _, _ := plain(rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
+		t.Errorf("read twice: %s, %d rows", end, len(all))
+	}
+	gw.send(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", handle))))
+	if out := gw.takeOutput(2); len(out) < 5 || out[4] != 0 {
+		t.Errorf("release: %q", out)
+	}
+	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Disk != 0 {
+		t.Errorf("left %+v", stats)
+	}
+}
+
+// Whatever is wrong with a handle, the words are the same.
+func TestHandlesThatAreNone(t *testing.T) {
+	gw := newSpoolGateway(t, memorySpool)
+	gw.connect(1)
+	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
+	rows, _ := gw.readRows(1, 10)
+	_, handle, _ := plain(rows)
+	gw.connect(2)
+	words := map[string]bool{}
+	for _, h := range []string{"", "0", strings.Repeat("0", 64), handle[:32] + strings.Repeat("0", 32), handle + ",owner=other",
+		handle + ",page=99", strings.ToUpper(handle)} {
+		gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", h))))
+		out := gw.takeOutput(2)
+		if len(out) < 13 || out[4] != 0xff {
+			t.Fatalf("%q: %q", h, out)
+		}
+		words[out[13:]] = true
+		if !strings.Contains(h, "page") {
+			gw.send(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", h))))
+			gw.takeOutput(2)
+		}
+	}
+	if len(words) != 1 {
+		t.Errorf("denials differ: %v", words)
+	}
+	if stats := gw.g.results.spool.Stats(); stats.Results != 1 {
+		t.Errorf("a denied release took effect: %+v", stats)
+	}
+	for _, bad := range []string{"/* resume=" + handle + ",page=-1 */ x", "/* resume=" + handle + ",page=x */ x", "/* resume=" + handle + ",resume=" + handle + " */ x"} {
+		gw.send(2, string(queryPacket(bad)))
+		if out := gw.takeOutput(2); len(out) < 9 || out[4] != 0xff {
+			t.Errorf("%s: %q", bad, out)
+		}
+	}
+}
+
+// A full spool refuses before anything runs, and the refusal names a time.
+func TestFullSpoolRejects(t *testing.T) {
+	gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"128KB\"\n tenant = \"128KB\"\n}\n")
+	gw.connect(1)
+	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 20)) // 93 KB, and it is not read
+	gw.readRows(1, 100)
+	gw.connect(2)
+	gw.send(2, askTextWith("point", idB, ",spool=1"))
+	out := gw.takeOutput(2)
+	if !strings.Contains(out, "refused; holdoff=") {
+		t.Errorf("got %q", out)
+	}
+	if n := len(gw.g.requests); n != 0 {
+		t.Errorf("%d requests are open", n)
+	}
+}
+
+// A result that fits nowhere ends with an error: failed where it may have run and must not again, else refused
+// or, if it never can be kept, failed. The engine is given up.
+func TestResultThatCanNotBeKept(t *testing.T) {
+	for _, c := range []struct {
+		class, want string
+		pages       int
+	}{{"point", "could not be kept: size", 40}, {"load", "could not be kept: size", 40}} {
+		gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"64KB\"\n tenant = \"128KB\"\n}\n")
+		gw.connect(1)
+		link := gw.startResult(1, c.class, idA, "", c.pages)
+		saw := gw.serveEngine(link)
+		out := gw.takeOutput(1)
+		if !strings.Contains(out, c.want) || strings.Contains(out, "refused") {
+			t.Errorf("%s: %q", c.class, out)
+		}
+		if !strings.Contains(saw, "FREE "+idA) || strings.Count(saw, "ASK") > 0 || len(gw.g.requests) != 0 {
+			t.Errorf("%s: the engine saw %q, %d requests are open", c.class, saw[max(0, len(saw)-80):], len(gw.g.requests))
+		}
+	}
+}
+
+// A disk that fails while a lasting result is sealed: the client hears of it, by what its class allows.
+func TestDiskFailsUnderAResult(t *testing.T) {
+	for class, want := range map[string]string{"point": "the query was refused", "load": "could not be kept: disk"} {
+		gw := newSpoolGateway(t, diskSpool)
+		gw.connect(1)
+		gw.diskFails = true
+		gw.serveEngine(gw.startResult(1, class, idA, ",spool=1", 5))
+		if out := gw.takeOutput(1); !strings.Contains(out, want) || strings.Contains(out, "#handle") {
+			t.Errorf("%s: %q", class, out)
+		}
+		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || len(gw.g.requests) != 0 {
+			t.Errorf("%s: left %+v", class, stats)
+		}
+	}
+	// It hangs: the client has its answer in time.
+	gw := newSpoolGateway(t, diskSpool)
+	gw.connect(1)
+	gw.diskPaused = true
+	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
+	if out := gw.takeOutput(1); out != "" {
+		t.Fatalf("answered before it is safe: %q", out)
+	}
+	for end := gw.now + 2*rules.Second; gw.now < end; gw.now += 10 * rules.Millisecond {
+		gw.run(Event{Kind: TimerFired})
+	}
+	if out := gw.takeOutput(1); !strings.Contains(out, "failed") || len(gw.g.requests) != 0 {
+		t.Errorf("a disk that hangs: %q", out)
+	}
+	gw.diskPaused = false
+	gw.run(Event{Kind: TimerFired})
+	if stats := gw.g.results.spool.Stats(); stats.Results != 0 {
+		t.Errorf("left %+v", stats)
+	}
+}
+
+// A result that is lost while it is read ends with an error, not with an end.
+func TestResultLostWhileRead(t *testing.T) {
+	gw := newSpoolGateway(t, diskSpool)
+	gw.connect(1)
+	gw.serveEngine(gw.startResult(1, "point", idA, "", 60))
+	gw.diskFails = true
+	rows, end := gw.readRows(1, 1000)
+	if !strings.Contains(end, "the result was lost") || len(rows) >= len(wantRows(0, 60)) {
+		t.Errorf("%d rows, then %q", len(rows), end)
+	}
+}
+
+// The engine dies half way: another attempt gives all, and nothing of the first is in it.
+func TestEngineDiesHalfWay(t *testing.T) {
+	gw := newSpoolGateway(t, memorySpool)
+	gw.connect(1)
+	link := gw.startResult(1, "point", idA, "", 30)
+	gw.takeOutput(link)
+	gw.run(Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: math.MaxInt64})
+	gw.run(Event{Kind: TimerFired})
+	if out := gw.takeOutput(1); out != "" {
+		t.Fatalf("the client has %q", out)
+	}
+	link2 := gw.dials[len(gw.dials)-1]
+	if link2 == link {
+		t.Fatal("no further attempt")
+	}
+	gw.run(Event{Kind: DialSucceeded, Conn: link2})
+	gw.takeOutput(link2)
+	p := bigPage(0)
+	gw.send(link2, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
+	gw.serveEngine(link2)
+	if rows, end := gw.readRows(1, 100); end != "end" || !slices.Equal(rows, wantRows(0, 30)) {
+		t.Errorf("%s, %d rows", end, len(rows))
+	}
+}
+
+// KILL ends an answer that is being read, and a command meanwhile is out of order.
+func TestKillWhileReading(t *testing.T) {
+	gw := newSpoolGateway(t, memorySpool)
+	gw.connect(1)
+	gw.serveEngine(gw.startResult(1, "point", idA, "", 60))
+	gw.takeOutput(1)
+	gw.connect(2)
+	gw.send(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
+	gw.run(Event{Kind: WriteDrained, Conn: 1})
+	if out := gw.takeOutput(1); out != "" || !gw.closed[1] {
+		t.Errorf("after KILL the client got %d bytes", len(out))
+	}
+	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Readers != 0 {
+		t.Errorf("left %+v", stats)
+	}
+	gw.connect(3)
+	gw.serveEngine(gw.startResult(3, "point", idB, "", 60))
+	gw.takeOutput(3)
+	gw.send(3, string(queryPacket("SET x = 1")))
+	if !gw.closed[3] {
+		t.Error("a command while an answer is read was taken")
+	}
+}
