--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -134,8 +134,8 @@
 	}
 	set, _ := sites.Resolve(names)
 	sc := zones.Scenario{
-		At: span(f.at), Unlisted: span(f.unlisted), Notice: span(f.notice), Length: span(f.length),
-		ColdFrom: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, ColdFor: cfg.Settings.Rules.Constraints.SlowStartPeriod,
+		LostAt: span(f.at), UnlistAfter: span(f.unlisted), ClientsMoveAfter: span(f.notice), Duration: span(f.length),
+		ColdSpeed: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, WarmupTime: cfg.Settings.Rules.Constraints.SlowStartPeriod,
 	}
 	cores := make([]float64, len(names))
 	for _, e := range cfg.Known.Engines {
@@ -155,11 +155,11 @@
 		}
 	}
 	if len(f.back) > 0 {
-		sc.Back = sc.At + span(f.after)
+		sc.ReturnAt = sc.LostAt + span(f.after)
 	}
 	for _, name := range append(slices.Clone(f.lose), f.back...) {
-		if i := slices.Index(names, name); !slices.Contains(sc.Lose, i) {
-			sc.Lose = append(sc.Lose, i)
+		if i := slices.Index(names, name); !slices.Contains(sc.LostZones, i) {
+			sc.LostZones = append(sc.LostZones, i)
 			p.Lost = append(p.Lost, name)
 		}
 	}
@@ -168,10 +168,10 @@
 	for i := range names {
 		p.Steady = append(p.Steady, settled(set, sc, i))
 	}
-	for _, m := range zones.Play(set, sc) {
-		s := second{At: float64(m.At/rules.Millisecond) / 1000, Asked: m.Asked, Left: m.Left}
+	for _, m := range zones.Simulate(set, sc) {
+		s := second{At: float64(m.At/rules.Millisecond) / 1000, Asked: m.Demand, Left: m.Unserved}
 		for _, z := range m.Zones {
-			s.Zones = append(s.Zones, zoneSecond{z.State.String(), z.Share, z.Room, z.Own, z.Foreign, z.Held, z.Refused, z.Shed})
+			s.Zones = append(s.Zones, zoneSecond{z.State.String(), z.LoadShare, z.Capacity, z.OwnLoad, z.ForeignLoad, z.BlockedLoad, z.RejectedClasses, z.ShedLoad})
 		}
 		p.Seconds = append(p.Seconds, s)
 	}
@@ -193,18 +193,18 @@
 				part, work = k.Requests*float64(k.Work), float64(k.Work)
 			}
 		}
-		out[i] = zones.ClassSpec{Name: name, Part: part, Earns: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
+		out[i] = zones.ClassSpec{Name: name, DemandFraction: part, ValuePerCoreSecond: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
 		total += part
 	}
 	for i := range out {
-		out[i].Part /= max(total, 1e-9)
+		out[i].DemandFraction /= max(total, 1e-9)
 	}
 	return out
 }
 
 func classOrder(classes []zones.ClassSpec) (out []string) {
 	byRank := slices.Clone(classes)
-	slices.SortStableFunc(byRank, func(a, b zones.ClassSpec) int { return cmp.Compare(a.Earns, b.Earns) })
+	slices.SortStableFunc(byRank, func(a, b zones.ClassSpec) int { return cmp.Compare(a.ValuePerCoreSecond, b.ValuePerCoreSecond) })
 	for _, c := range byRank[:max(len(byRank)-1, 0)] {
 		out = append(out, c.Name)
 	}
@@ -213,14 +213,14 @@
 
 // settled plays the loss of one zone until nothing changes any more.
 func settled(set zones.Settings, sc zones.Scenario, lose int) steady {
-	sc.Lose, sc.At, sc.Back, sc.Length = []int{lose}, rules.Second, 0, rules.Second+sc.Unlisted+sc.Notice+20*rules.Second
-	moments := zones.Play(set, sc)
+	sc.LostZones, sc.LostAt, sc.ReturnAt, sc.Duration = []int{lose}, rules.Second, 0, rules.Second+sc.UnlistAfter+sc.ClientsMoveAfter+20*rules.Second
+	moments := zones.Simulate(set, sc)
 	last := moments[len(moments)-1]
-	s := steady{Zone: sc.Zones[lose].Name, Unserved: last.Left, To: map[string]float64{}}
+	s := steady{Zone: sc.Zones[lose].Name, Unserved: last.Unserved, To: map[string]float64{}}
 	for i, z := range last.Zones {
-		s.Held += z.Held
-		if last.Asked > 0 {
-			s.To[sc.Zones[i].Name] = (z.Own + z.Foreign) / last.Asked
+		s.Held += z.BlockedLoad
+		if last.Demand > 0 {
+			s.To[sc.Zones[i].Name] = (z.OwnLoad + z.ForeignLoad) / last.Demand
 		}
 	}
 	return s
--- /dev/null
+++ b/internal/admission/controller_test.go
@@ -0,0 +1,883 @@
+package admission
+
+import (
+	"flag"
+	"fmt"
+	"math"
+	"net/netip"
+	"os"
+	"testing"
+
+	"go4.org/netipx"
+	"pgregory.net/rapid"
+
+	"foxlane/rules"
+)
+
+const ms = rules.Millisecond
+
+// The random days are the same in each run, unless a seed is given: one verdict for one program.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true"} {
+		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
+			_ = flag.Set(name, value)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+// simulation is a door with a module that sends at once while one of so many slots
+// of engines is free, on a clock of its own.
+type simulation struct {
+	t           testing.TB
+	controller  *Controller
+	now         rules.Time
+	slots       int // of the engines
+	running     []run
+	waiting     []int // passed, not sent
+	requests    []*simulatedRequest
+	connections []*simulatedConnection
+	timerAt     rules.Time
+	served      map[string]float64 // work by tenant
+	waits       map[string][]rules.Time
+	admitted    []string // ids, in order
+	aborted     []int
+	evicted     []int
+	onRejected  func(request *simulatedRequest, after rules.Time, why Reason)
+	onServed    func(request *simulatedRequest)
+	outcomes    map[string]int
+	neverRuns   func(request *simulatedRequest) bool // it fits nowhere: never sent
+}
+
+type run struct {
+	slot int
+	end  rules.Time
+}
+
+type simulatedRequest struct {
+	id, tenant string
+	connection int
+	arrivedAt  rules.Time
+	runTime    rules.Time
+	admitted   bool
+	request    Request
+}
+
+type simulatedConnection struct {
+	from    netip.Addr
+	request int // -1: none
+}
+
+func oneClass() []rules.Class {
+	return []rules.Class{{LatencyObjective: 500 * ms, ClientTimeout: 5 * rules.Second, LateValue: 0.1, Threads: 1}}
+}
+
+func newSimulation(t testing.TB, set Settings, sizes Limits, classes []rules.Class, declared ...string) *simulation {
+	if err := set.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	return &simulation{t: t, controller: New(set, sizes, classes, declared, 7), now: rules.Second, slots: 4, requests: make([]*simulatedRequest, sizes.Requests),
+		connections: make([]*simulatedConnection, sizes.ConnectionSlots), timerAt: math.MaxInt64, served: map[string]float64{}, waits: map[string][]rules.Time{},
+		outcomes: map[string]int{}}
+}
+
+func testLimits() Limits {
+	return Limits{ConnectionSlots: 66, Connections: 64, Requests: 64, StatementBytes: 64 << 10, InputBytes: 16 << 10, StateBytes: 64 << 10}
+}
+
+func (sim *simulation) handle(e Event) {
+	inbox := []Event{e}
+	for len(inbox) > 0 {
+		e, inbox = inbox[0], inbox[1:]
+		for _, f := range append([]Effect(nil), sim.controller.Handle(sim.now, e)...) {
+			switch f.Kind {
+			case Admit:
+				request := sim.requests[f.Slot]
+				if request.admitted {
+					sim.t.Fatalf("%s passes twice", request.id)
+				}
+				if f.After < 0 {
+					sim.t.Fatalf("%s was held for %d us", request.id, f.After)
+				}
+				request.admitted = true
+				sim.admitted = append(sim.admitted, request.id)
+				sim.waits[request.tenant] = append(sim.waits[request.tenant], sim.now-request.arrivedAt)
+				if sim.neverRuns == nil || !sim.neverRuns(request) {
+					sim.waiting = append(sim.waiting, f.Slot)
+				}
+			case Reject:
+				request := sim.requests[f.Slot]
+				sim.finish(f.Slot)
+				if sim.onRejected != nil {
+					sim.onRejected(request, f.After, f.Reason)
+				}
+			case Evict:
+				sim.evicted = append(sim.evicted, f.Conn)
+				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
+			case AbortInput:
+				sim.aborted = append(sim.aborted, f.Conn)
+				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
+			case SetTimer:
+				sim.timerAt = f.At
+			}
+		}
+		for len(sim.waiting) > 0 && len(sim.running) < sim.slots {
+			slot := sim.waiting[0]
+			sim.waiting = sim.waiting[1:]
+			sim.running = append(sim.running, run{slot, sim.now + sim.requests[slot].runTime})
+			inbox = append(inbox, Event{Kind: RequestForwarded, Slot: slot})
+		}
+	}
+	if got, most := sim.controller.StateBytes(), sim.controller.StateBound(); got > most {
+		sim.t.Fatalf("state holds %d bytes, %d at most", got, most)
+	}
+}
+
+func (sim *simulation) finish(slot int) {
+	request := sim.requests[slot]
+	sim.requests[slot] = nil
+	sim.outcomes[request.id]++
+	if conn := sim.connections[request.connection]; conn != nil {
+		conn.request = -1
+	}
+}
+
+// disconnectEvents are the events of a connection that ends.
+func (sim *simulation) disconnectEvents(index int) (out []Event) {
+	conn := sim.connections[index]
+	if conn == nil {
+		return nil
+	}
+	sim.connections[index] = nil
+	if conn.request >= 0 {
+		slot := conn.request
+		if request := sim.requests[slot]; request.admitted {
+			for i, w := range sim.waiting {
+				if w == slot {
+					sim.waiting = append(sim.waiting[:i], sim.waiting[i+1:]...)
+					break
+				}
+			}
+			for i, r := range sim.running {
+				if r.slot == slot {
+					sim.running = append(sim.running[:i], sim.running[i+1:]...)
+					break
+				}
+			}
+		}
+		sim.finish(slot)
+		out = append(out, Event{Kind: RequestDone, Slot: slot})
+	}
+	return append(out, Event{Kind: ConnectionClosed, Conn: index})
+}
+
+func (sim *simulation) disconnect(conn int) {
+	for _, e := range sim.disconnectEvents(conn) {
+		sim.handle(e)
+	}
+}
+
+func (sim *simulation) connect(from string) int {
+	for i, conn := range sim.connections {
+		if conn == nil {
+			sim.connections[i] = &simulatedConnection{from: netip.MustParseAddr(from), request: -1}
+			sim.handle(Event{Kind: ConnectionOpened, Conn: i, From: sim.connections[i].from})
+			return i
+		}
+	}
+	sim.t.Fatal("no slot for a connection")
+	return 0
+}
+
+func (sim *simulation) send(conn int, id, tenant string, took rules.Time, change func(*Request)) *simulatedRequest {
+	slot := 0
+	for sim.requests[slot] != nil {
+		slot++
+	}
+	request := &simulatedRequest{id: id, tenant: tenant, connection: conn, arrivedAt: sim.now, runTime: took,
+		request: Request{Tenant: tenant, Deadline: sim.now + 5*rules.Second, DeclaredWork: took, StatementBytes: 100}}
+	if change != nil {
+		change(&request.request)
+	}
+	sim.requests[slot], sim.connections[conn].request = request, slot
+	sim.handle(Event{Kind: RequestArrived, Slot: slot, Conn: conn, Request: request.request})
+	return request
+}
+
+// advance plays for a while.
+func (sim *simulation) advance(by rules.Time) {
+	until := sim.now + by
+	for {
+		next, which := min(until, sim.timerAt), -1
+		for i, r := range sim.running {
+			if r.end < next {
+				next, which = r.end, i
+			}
+		}
+		sim.now = max(sim.now, next)
+		if which < 0 {
+			if sim.timerAt <= sim.now {
+				sim.timerAt = math.MaxInt64
+				sim.handle(Event{Kind: TimerFired})
+				continue
+			}
+			if next == until {
+				return
+			}
+			continue
+		}
+		r := sim.running[which]
+		sim.running = append(sim.running[:which], sim.running[which+1:]...)
+		request := sim.requests[r.slot]
+		sim.served[request.tenant] += float64(request.runTime)
+		sim.handle(Event{Kind: EngineTimeUsed, Slot: r.slot, EngineTime: request.runTime})
+		sim.finish(r.slot)
+		sim.handle(Event{Kind: RequestDone, Slot: r.slot, Served: true})
+		if sim.connections[request.connection] != nil {
+			sim.handle(Event{Kind: ConnectionIdle, Conn: request.connection})
+			if sim.onServed != nil {
+				sim.onServed(request)
+			}
+		}
+	}
+}
+
+// startClosedLoop asks on so many connections again as soon as it is answered.
+func (sim *simulation) startClosedLoop(from, tenant string, conns int, took rules.Time) {
+	for i := range conns {
+		c := sim.connect(from)
+		sim.send(c, fmt.Sprintf("%s-%d-%d", tenant, c, i), tenant, took, nil)
+	}
+}
+
+func (sim *simulation) repeatRequests() {
+	n := 0
+	sim.onServed = func(request *simulatedRequest) {
+		n++
+		sim.send(request.connection, fmt.Sprintf("%s+%d", request.id[:min(len(request.id), 12)], n), request.tenant, request.runTime, nil)
+	}
+}
+
+func trustingSettings() Settings {
+	s := Defaults()
+	s.AnyTenant = true
+	all := netipx.IPSetBuilder{}
+	all.AddPrefix(netip.MustParsePrefix("10.0.0.0/8"))
+	set, _ := all.IPSet()
+	s.Networks = []Network{{Name: "office", Addresses: set, Weight: 1, Trusted: true}}
+	return s
+}
+
+func TestLightTenantIsAdmittedBeforeAFlood(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "flood", 50, 100*ms)
+	sim.advance(2 * rules.Second)
+	c := sim.connect("10.0.0.2")
+	sim.onServed = func(request *simulatedRequest) {
+		if request.tenant == "flood" {
+			sim.send(request.connection, fmt.Sprint(request.id[:8], sim.now), "flood", request.runTime, nil)
+		}
+	}
+	for i := range 20 {
+		sim.send(c, fmt.Sprintf("quiet-%d", i), "quiet", 100*ms, nil)
+		sim.advance(500 * ms)
+	}
+	for _, w := range sim.waits["quiet"] {
+		if w > 0 { // the module has room for one of it before anybody else's
+			if w > 100*ms {
+				t.Errorf("a quiet request waited %d ms at the door", w/ms)
+			}
+		}
+	}
+	if sim.outcomes["quiet-19"] != 1 {
+		t.Error("the quiet tenant was not served")
+	}
+}
+
+func TestWeightsAndEqualWork(t *testing.T) {
+	set := Defaults()
+	set.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4}}
+	sim := newSimulation(t, set, testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "a", 10, 200*ms) // few heavy ones
+	sim.startClosedLoop("10.0.0.2", "b", 20, 10*ms)
+	sim.startClosedLoop("10.0.0.3", "c", 20, 25*ms)
+	sim.advance(60 * rules.Second)
+	sum := sim.served["a"] + sim.served["b"] + sim.served["c"]
+	for name, part := range map[string]float64{"a": 1.0 / 7, "b": 2.0 / 7, "c": 4.0 / 7} {
+		if got := sim.served[name] / sum; math.Abs(got/part-1) > 0.1 {
+			t.Errorf("tenant %s got %.3f of the work, %.3f is its part", name, got, part)
+		}
+	}
+	if used := sum / float64(60*rules.Second) / float64(sim.slots); used < 0.99 {
+		t.Errorf("engines were used %.3f of the time", used)
+	}
+}
+
+func TestClientsOfATenantShare(t *testing.T) {
+	set := Defaults()
+	set.Tenants = []Tenant{{Name: "coop", Weight: 1}}
+	sim := newSimulation(t, set, testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "coop", 50, 100*ms)
+	sim.advance(rules.Second)
+	c := sim.connect("10.0.0.2")
+	request := sim.send(c, "colleague", "coop", 100*ms, nil)
+	sim.advance(150 * ms)
+	if !request.admitted {
+		t.Error("a colleague waits behind a script of its tenant")
+	}
+}
+
+func TestIdleTenantEarnsNoCredit(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "busy", 20, 50*ms)
+	sim.advance(30 * rules.Second) // the other one is away
+	sim.startClosedLoop("10.0.0.2", "back", 20, 50*ms)
+	clear(sim.served)
+	sim.advance(2 * rules.Second)
+	if part := sim.served["back"] / (sim.served["back"] + sim.served["busy"]); part > 0.6 {
+		t.Errorf("a tenant that was idle got %.2f of the work", part)
+	}
+}
+
+func TestDebtIsNotForgottenByReconnecting(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "stays", 20, 50*ms)
+	n := 0
+	again := sim.onServed
+	for range 40 {
+		sim.onServed = again
+		var mine []int
+		for range 20 {
+			c := sim.connect("10.0.0.2")
+			n++
+			sim.send(c, fmt.Sprint("r", n), "reconnects", 50*ms, nil)
+			mine = append(mine, c)
+		}
+		sim.advance(250 * ms)
+		for _, c := range mine {
+			sim.disconnect(c)
+		}
+	}
+	if part := sim.served["reconnects"] / (sim.served["stays"] + sim.served["reconnects"]); part > 0.55 {
+		t.Errorf("who opens and closes connections got %.2f of the work", part)
+	}
+}
+
+func TestNewNamesFromOneAddressGainNothing(t *testing.T) {
+	set := Defaults()
+	set.AnyTenant = true
+	sim := newSimulation(t, set, testLimits(), oneClass())
+	n := 0
+	sim.onServed = func(request *simulatedRequest) {
+		name := request.tenant
+		if name != "honest" {
+			n++
+			name = fmt.Sprint("name", n)
+		}
+		sim.send(request.connection, fmt.Sprint(name, sim.now, request.connection), name, request.runTime, nil)
+	}
+	sim.startClosedLoop("192.0.2.1", "x", 30, 50*ms)
+	sim.startClosedLoop("192.0.2.2", "honest", 20, 50*ms)
+	sim.advance(20 * rules.Second)
+	sum := 0.0
+	for _, w := range sim.served {
+		sum += w
+	}
+	if part := sim.served["honest"] / sum; part < 0.45 {
+		t.Errorf("beside one that changes its name the honest tenant got %.2f of the work", part)
+	}
+}
+
+func TestKeysKeepTheirOrder(t *testing.T) {
+	set := trustingSettings()
+	sim := newSimulation(t, set, testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "flood", 30, 100*ms)
+	sim.advance(rules.Second)
+	again := sim.onServed
+	sim.onServed = func(request *simulatedRequest) {
+		if request.tenant == "flood" {
+			again(request)
+		}
+	}
+	key := func(q *Request) { q.OrderKey = "k" }
+	c1, c2, c3 := sim.connect("10.0.0.1"), sim.connect("10.0.0.9"), sim.connect("10.0.0.9")
+	sim.send(c1, "first", "flood", 50*ms, key) // of the heavy tenant: waits
+	sim.send(c2, "second", "light", 50*ms, key)
+	sim.send(c3, "third", "light", 50*ms, key)
+	sim.disconnect(c2) // leaves no gap
+	sim.advance(4 * rules.Second)
+	first, third := -1, -1
+	for i, id := range sim.admitted {
+		switch id {
+		case "first":
+			first = i
+		case "second":
+			t.Error("one whose client left was passed")
+		case "third":
+			third = i
+		}
+	}
+	if first < 0 || third < 0 || third < first {
+		t.Errorf("of one key the first passed as %d, the third as %d", first, third)
+	}
+	if len(sim.controller.lastOfKey) != 0 {
+		t.Errorf("%d keys are kept", len(sim.controller.lastOfKey))
+	}
+}
+
+func TestQueuedRequestsAreRejectedBeforeTheirDeadline(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "flood", 40, 400*ms)
+	sim.advance(3 * rules.Second)
+	sim.onServed = nil
+	c := sim.connect("10.0.0.1")
+	refused := rules.Time(0)
+	sim.onRejected = func(request *simulatedRequest, after rules.Time, why Reason) {
+		if request.id == "short" {
+			refused = sim.now
+			if after <= 0 {
+				t.Error("no time to return was named")
+			}
+		}
+	}
+	request := sim.send(c, "short", "flood", 100*ms, func(q *Request) { q.Deadline = sim.now + 300*ms })
+	sim.advance(400 * ms)
+	if request.admitted || refused == 0 || refused > request.request.Deadline-100*ms {
+		t.Errorf("passed %v, refused at %d ms, due at %d ms", request.admitted, refused/ms, request.request.Deadline/ms)
+	}
+}
+
+func TestBookingsAreSpreadAndServed(t *testing.T) {
+	sizes := testLimits()
+	sizes.Requests = 16
+	sim := newSimulation(t, trustingSettings(), sizes, oneClass())
+	kept, lost, told := 0, 0, []float64{}
+	n := 0
+	type back struct {
+		at, granted rules.Time
+		conn        int
+	}
+	var backs []back
+	first := map[string]back{}
+	sim.onRejected = func(request *simulatedRequest, after rules.Time, _ Reason) {
+		if _, ok := first[request.id]; ok {
+			lost++
+		}
+		delete(first, request.id)
+		backs = append(backs, back{sim.now + after, sim.now, request.connection})
+	}
+	sim.onServed = func(request *simulatedRequest) {
+		if f, ok := first[request.id]; ok {
+			kept++
+			told = append(told, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
+			delete(first, request.id)
+		}
+		backs = append(backs, back{sim.now, 0, request.connection})
+	}
+	for i := range 60 {
+		c := sim.connect(fmt.Sprintf("10.0.0.%d", i+1))
+		sim.send(c, fmt.Sprint("q", c), "coop", 50*ms, nil)
+	}
+	for range 2000 {
+		sim.advance(10 * ms)
+		due := backs[:0:0]
+		rest := backs[:0:0]
+		for _, k := range backs {
+			if k.at <= sim.now {
+				due = append(due, k)
+			} else {
+				rest = append(rest, k)
+			}
+		}
+		backs = rest
+		for _, k := range due {
+			n++
+			id := fmt.Sprint("b", n)
+			if k.granted > 0 {
+				first[id] = k
+			}
+			sim.send(k.conn, id, "coop", 50*ms, nil)
+		}
+	}
+	if kept+lost < 300 || float64(kept)/float64(kept+lost) < 0.9 {
+		t.Errorf("of %d that came back when told %d were served", kept+lost, kept)
+	}
+	s := sim.controller.Stats()
+	if s.ReturnsServed < 300 || s.RetryAfterCorrection < 0.5 || s.RetryAfterCorrection > 2 {
+		t.Errorf("the door counts %d kept, %d lost, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
+	}
+	middle := 0
+	for _, r := range told {
+		if r >= 0.5 && r <= 2 {
+			middle++
+		}
+	}
+	if float64(middle) < 0.5*float64(len(told)) {
+		t.Errorf("%d of %d times of return were within a half and twice", middle, len(told))
+	}
+}
+
+func TestNoRetryAfterWhereItIsNotAllowed(t *testing.T) {
+	set := trustingSettings()
+	set.MaxRetryAfter = 0
+	sizes := testLimits()
+	sizes.Requests = 8
+	sim := newSimulation(t, set, sizes, oneClass())
+	n := 0
+	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
+		if n++; after != 0 {
+			t.Error("a time of return was named")
+		}
+	}
+	sim.startClosedLoop("10.0.0.1", "flood", 20, 100*ms)
+	if n == 0 {
+		t.Error("nothing was refused")
+	}
+}
+
+func TestConnectionsAreTakenFromTheTenantMostOverQuota(t *testing.T) {
+	sim := newSimulation(t, Defaults(), testLimits(), oneClass())
+	quiet := sim.connect("192.0.2.7")
+	sim.send(quiet, "q", "", 10*ms, nil)
+	sim.advance(20 * ms)
+	for range 1000 {
+		sim.connect("192.0.2.1")
+		sim.advance(ms)
+	}
+	for range 5 {
+		c := sim.connect("192.0.2.8")
+		if sim.connections[c] == nil {
+			t.Fatal("a newcomer was turned away for a flood of logins")
+		}
+	}
+	if sim.connections[quiet] == nil {
+		t.Error("a quiet connection gave way to a flood of logins")
+	}
+	if sim.controller.openConnections > sim.controller.limits.Connections {
+		t.Errorf("%d connections are open", sim.controller.openConnections)
+	}
+}
+
+func TestBusyFloodLosesAConnectionToANewClient(t *testing.T) {
+	sim := newSimulation(t, Defaults(), testLimits(), oneClass())
+	sim.repeatRequests()
+	for i := range 64 {
+		c := sim.connect("192.0.2.1")
+		sim.send(c, fmt.Sprint("f", i), "", 100*ms, nil)
+	}
+	refused := 0
+	sim.onRejected = func(*simulatedRequest, rules.Time, Reason) { refused++ }
+	c := sim.connect("192.0.2.9")
+	if sim.connections[c] == nil || refused != 1 || len(sim.evicted) != 1 {
+		t.Errorf("newcomer in: %v, refused %d, evicted %v", sim.connections[c] != nil, refused, sim.evicted)
+	}
+	own := sim.connect("192.0.2.1")
+	if sim.connections[own] == nil {
+		t.Fatal("the flood's own newcomer can't say KILL")
+	}
+	sim.send(own, "own", "", 100*ms, nil)
+	if sim.connections[own] != nil || sim.outcomes["own"] != 1 {
+		t.Error("the flood's own newcomer took a place")
+	}
+}
+
+func TestUnfinishedInputHasAQuota(t *testing.T) {
+	sim := newSimulation(t, Defaults(), testLimits(), oneClass())
+	small := sim.connect("192.0.2.7")
+	sim.handle(Event{Kind: InputBuffered, Conn: small, Bytes: 4000})
+	var flood []int
+	for range 8 {
+		c := sim.connect("192.0.2.1")
+		sim.handle(Event{Kind: InputBuffered, Conn: c, Bytes: 3000})
+		flood = append(flood, c)
+	}
+	sim.handle(Event{Kind: InputBuffered, Conn: small, Bytes: 4600}) // it is over the limit again, by the small one
+	if sim.connections[small] == nil || len(sim.aborted) == 0 {
+		t.Errorf("the small client is there: %v, %d connections were ended", sim.connections[small] != nil, len(sim.aborted))
+	}
+	if sim.controller.inputBytes > sim.controller.limits.InputBytes {
+		t.Errorf("%d bytes are held", sim.controller.inputBytes)
+	}
+	for _, c := range append(flood, small) {
+		sim.disconnect(c)
+	}
+	if sim.controller.inputBytes != 0 {
+		t.Errorf("%d bytes stay counted", sim.controller.inputBytes)
+	}
+}
+
+func TestClientThatIgnoresRetryAfterIsDisconnected(t *testing.T) {
+	sizes := testLimits()
+	sizes.Requests = 16
+	sim := newSimulation(t, Defaults(), sizes, oneClass())
+	n := 0
+	sim.onRejected = func(request *simulatedRequest, _ rules.Time, _ Reason) {
+		if request.request.Tenant == "" {
+			n++
+		}
+	}
+	for i := range 40 { // of them 25 wait at the door or are turned away
+		c := sim.connect("192.0.2.1")
+		sim.send(c, fmt.Sprint("f", i), "", 100*ms, nil)
+	}
+	for i := range 100 {
+		for c, k := range sim.connections {
+			if k != nil && k.request < 0 {
+				sim.send(c, fmt.Sprint("g", i, "-", c), "", 100*ms, nil)
+			}
+		}
+		sim.advance(ms)
+	}
+	if sim.controller.stats.Evicted[ReasonEarlyReturn] == 0 {
+		t.Error("a client that never heeds its times keeps its connections")
+	}
+	if n > 40*(Defaults().MaxEarlyReturns+2) {
+		t.Errorf("%d refusals were sent to it", n)
+	}
+}
+
+func TestStateIsBoundedWhateverTheNumberOfTenants(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	most := sim.controller.StateBound()
+	for i := range 20000 {
+		c := sim.connect(fmt.Sprintf("10.%d.%d.%d", i>>16, i>>8&255, i&255))
+		sim.send(c, fmt.Sprint("n", i), fmt.Sprint("tenant", i), ms/10, nil)
+		sim.advance(ms / 5)
+		sim.disconnect(c)
+	}
+	if got := sim.controller.StateBytes(); got > most {
+		t.Errorf("%d bytes, %d at most", got, most)
+	}
+	if len(sim.controller.tenantByKey) != 0 || len(sim.controller.tenants) != 0 || sim.controller.queued != 0 || sim.controller.statementBytes != 0 || sim.controller.openRequests != 0 {
+		t.Error("something is left of what has gone")
+	}
+}
+
+func TestReloadRequeuesQueuedRequests(t *testing.T) {
+	set := Defaults()
+	set.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
+	sim := newSimulation(t, set, testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("192.0.2.1", "a", 20, 50*ms)
+	sim.startClosedLoop("192.0.2.2", "b", 20, 50*ms)
+	sim.advance(2 * rules.Second)
+	set.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is gone: its address shares from now on
+	set.UnlistedWeight = 1
+	sim.handle(Event{Kind: Reconfigured, Settings: &set})
+	clear(sim.served)
+	sim.advance(10 * rules.Second)
+	if part := sim.served["a"] / (sim.served["a"] + sim.served["b"]); math.Abs(part-0.8) > 0.06 {
+		t.Errorf("after the reload a got %.2f of the work", part)
+	}
+	for id, n := range sim.outcomes {
+		if n != 1 {
+			t.Errorf("%s had %d answers", id, n)
+		}
+	}
+}
+
+func TestStoppingEndsQueuedRequests(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.startClosedLoop("10.0.0.1", "flood", 40, 300*ms)
+	sim.advance(350 * ms)
+	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
+		if after != 0 {
+			t.Error("told to return to a gateway that ends")
+		}
+	}
+	sim.handle(Event{Kind: Stopping, Deadline: sim.now + rules.Second})
+	sim.advance(rules.Second)
+	if sim.controller.queued != 0 {
+		t.Errorf("%d are held at the end", sim.controller.queued)
+	}
+}
+
+// Whatever comes: each taken request has one end, state stays in bounds, keys stay in order, the module
+// is never left without work that is held, and nobody who stays is passed over for ever.
+func TestControllerInvariants(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		sizes := Limits{ConnectionSlots: 18, Connections: 16, Requests: 12, StatementBytes: 1500, InputBytes: 2000, StateBytes: 16 << 10}
+		classes := append(oneClass(), rules.Class{LatencyObjective: 50 * ms, ClientTimeout: rules.Second, Threads: 2})
+		set := trustingSettings()
+		set.ModuleQueueDepth = rapid.IntRange(1, 4).Draw(rt, "ahead")
+		set.Tenants = []Tenant{{Name: "t0", Weight: 3}}
+		sim := newSimulation(t, set, sizes, classes)
+		sim.slots = rapid.IntRange(1, 4).Draw(rt, "slots")
+		keys := map[string][]string{} // in the order taken
+		ids := 0
+		taken := map[string]bool{}
+		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
+			switch rapid.IntRange(0, 9).Draw(rt, "step") {
+			case 0, 1:
+				sim.connect(fmt.Sprintf("10.0.0.%d", rapid.IntRange(1, 4).Draw(rt, "from")))
+			case 2, 3, 4, 5:
+				if c := idleConnection(rt, sim); c >= 0 {
+					ids++
+					id := fmt.Sprint("r", ids)
+					taken[id] = true
+					key := rapid.SampledFrom([]string{"", "", "k", "l"}).Draw(rt, "key")
+					if key != "" {
+						keys[key] = append(keys[key], id)
+					}
+					sim.send(c, id, rapid.SampledFrom([]string{"", "t0", "t1", "t2"}).Draw(rt, "tenant"),
+						rules.Time(rapid.IntRange(1, 300).Draw(rt, "took"))*ms, func(q *Request) {
+							q.OrderKey, q.Class = key, rapid.IntRange(0, 1).Draw(rt, "class")
+							q.Deadline = sim.now + rules.Time(rapid.IntRange(1, 3000).Draw(rt, "patience"))*ms
+							q.StatementBytes = rapid.IntRange(1, 400).Draw(rt, "bytes")
+						})
+				}
+			case 6:
+				if c := rapid.IntRange(0, len(sim.connections)-1).Draw(rt, "leaves"); sim.connections[c] != nil {
+					sim.disconnect(c)
+				}
+			case 7:
+				if c := idleConnection(rt, sim); c >= 0 {
+					sim.handle(Event{Kind: InputBuffered, Conn: c, Bytes: rapid.IntRange(0, 900).Draw(rt, "input")})
+				}
+			case 8:
+				if rapid.IntRange(0, 3).Draw(rt, "reload") == 0 {
+					set.Tenants = []Tenant{{Name: "t0", Weight: float64(rapid.IntRange(1, 4).Draw(rt, "weight"))}}
+					sim.handle(Event{Kind: Reconfigured, Settings: &set})
+				}
+			case 9:
+				sim.advance(rules.Time(rapid.IntRange(1, 200).Draw(rt, "ms")) * ms)
+			}
+			sim.checkInvariants(rt, keys)
+		}
+		sim.advance(20 * rules.Second)
+		sim.checkInvariants(rt, keys)
+		for id := range taken {
+			if sim.outcomes[id] != 1 {
+				rt.Fatalf("%s had %d ends", id, sim.outcomes[id])
+			}
+		}
+		for c := range sim.connections {
+			sim.disconnect(c)
+		}
+		controller := sim.controller
+		if controller.queued != 0 || controller.openRequests != 0 || controller.statementBytes != 0 || controller.inputBytes != 0 || controller.openConnections != 0 || len(controller.tenants) != 0 || len(controller.tenantByKey) != 0 ||
+			len(controller.lastOfKey) != 0 || len(controller.expiry) != 0 || controller.queuedWeight != 0 {
+			rt.Fatalf("left behind: %+v", controller.Stats())
+		}
+	})
+}
+
+// Nobody starves: beside greedy tenants of any weights and runs, whoever asks passes within the time in which
+// every tenant gets one run, and the work that it owes for what it had.
+func TestNoTenantStarves(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		set := Defaults()
+		n := rapid.IntRange(1, 6).Draw(rt, "tenants")
+		least, longest, weights := 1.0, rules.Time(0), 0.0
+		var runs []rules.Time
+		for i := range n {
+			w := float64(rapid.IntRange(1, 8).Draw(rt, "weight"))
+			set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("g", i), Weight: w})
+			weights += w
+			run := rules.Time(rapid.IntRange(5, 200).Draw(rt, "run")) * ms
+			runs, longest = append(runs, run), max(longest, run)
+		}
+		set.Tenants = append(set.Tenants, Tenant{Name: "small", Weight: least})
+		sim := newSimulation(t, set, testLimits(), oneClass())
+		sim.slots = rapid.IntRange(1, 6).Draw(rt, "slots")
+		class := 0
+		sim.onServed = func(request *simulatedRequest) {
+			if request.tenant != "small" {
+				class++
+				sim.send(request.connection, fmt.Sprint("again", class), request.tenant, request.runTime, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
+			}
+		}
+		for i := range n {
+			for j := range 8 {
+				c := sim.connect(fmt.Sprintf("10.0.%d.%d", i, j))
+				sim.send(c, fmt.Sprint("first", i, j), fmt.Sprint("g", i), runs[i], func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
+			}
+		}
+		sim.advance(5 * rules.Second)
+		c := sim.connect("10.0.9.9")
+		for i := range 5 {
+			run := rules.Time(rapid.IntRange(5, 50).Draw(rt, "small run")) * ms
+			sim.send(c, fmt.Sprint("small", i), "small", run, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
+			sim.advance(longest + run) // it owes no more than this one once it asks again
+			for sim.outcomes[fmt.Sprint("small", i)] == 0 && sim.now < 60*rules.Second {
+				sim.advance(longest)
+			}
+		}
+		// The tenants' runs that are on their way, one of each, and for what it owes of its own last run as much
+		// work of each as that has weight.
+		bound := longest*rules.Time(set.ModuleQueueDepth+sim.slots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.slots)
+		for _, w := range sim.waits["small"] {
+			if w > bound {
+				rt.Fatalf("waited %d ms, %d at most", w/ms, bound/ms)
+			}
+		}
+		if len(sim.waits["small"]) != 5 {
+			rt.Fatalf("only %d of 5 passed", len(sim.waits["small"]))
+		}
+	})
+}
+
+func idleConnection(rt *rapid.T, sim *simulation) int {
+	var idle []int
+	for i, conn := range sim.connections {
+		if conn != nil && conn.request < 0 {
+			idle = append(idle, i)
+		}
+	}
+	if len(idle) == 0 {
+		return -1
+	}
+	return rapid.SampledFrom(idle).Draw(rt, "conn")
+}
+
+func (sim *simulation) checkInvariants(rt *rapid.T, keys map[string][]string) {
+	controller := sim.controller
+	if controller.queued > 0 && len(sim.waiting) == 0 && len(sim.running) < sim.slots {
+		rt.Fatalf("%d are held while an engine stands idle", controller.queued)
+	}
+	if controller.openRequests > controller.limits.Requests || controller.statementBytes > controller.limits.StatementBytes || controller.inputBytes > controller.limits.InputBytes || controller.openConnections >= controller.limits.ConnectionSlots {
+		rt.Fatalf("over the bounds: %d requests, %d bytes, %d unfinished, %d connections", controller.openRequests, controller.statementBytes, controller.inputBytes, controller.openConnections)
+	}
+	at := map[string]int{}
+	for i, id := range sim.admitted {
+		at[id] = i + 1
+	}
+	for key, ids := range keys {
+		last := 0
+		for _, id := range ids {
+			if n := at[id]; n > 0 {
+				if n < last {
+					rt.Fatalf("key %s: %s passed ahead of an earlier one", key, id)
+				}
+				last = n
+			}
+		}
+	}
+	held := 0
+	for i := range controller.requests {
+		if request := &controller.requests[i]; request.state == requestBlocked || request.state == requestQueued {
+			held++
+			if request.client.tenant == nil {
+				rt.Fatal("held by nobody")
+			}
+		}
+	}
+	if held != controller.queued || held != len(controller.expiry) {
+		rt.Fatalf("%d held, %d counted, %d with a deadline", held, controller.queued, len(controller.expiry))
+	}
+	for class := range controller.flows {
+		for i, tn := range controller.flows[class].heap {
+			if tn.flows[class].heapIndex != int32(i) || i > 0 && controller.flows[class].heap[(i-1)/2].virtualTime > tn.virtualTime {
+				rt.Fatal("a heap is out of order")
+			}
+		}
+	}
+}
--- a/internal/admission/who_test.go
+++ b/internal/admission/identity_test.go
@@ -10,7 +10,7 @@
 	"foxlane/rules"
 )
 
-func set(t testing.TB, prefixes ...string) *netipx.IPSet {
+func addressSet(t testing.TB, prefixes ...string) *netipx.IPSet {
 	var b netipx.IPSetBuilder
 	for _, p := range prefixes {
 		b.AddPrefix(netip.MustParsePrefix(p))
@@ -22,21 +22,21 @@
 	return s
 }
 
-func TestWhoseARequestIs(t *testing.T) {
+func TestPrincipalOfARequest(t *testing.T) {
 	s := Defaults()
 	s.AnyTenant = true
 	s.Networks = []Network{
-		{Name: "offices", Set: set(t, "10.1.0.0/16", "2001:db8:1::/48"), Weight: 2, Together: true},
-		{Name: "proxy", Set: set(t, "192.0.2.7/32"), Weight: 3, Trusted: true},
+		{Name: "offices", Addresses: addressSet(t, "10.1.0.0/16", "2001:db8:1::/48"), Weight: 2, SharedTenant: true},
+		{Name: "proxy", Addresses: addressSet(t, "192.0.2.7/32"), Weight: 3, Trusted: true},
 	}
 	s.Tenants = []Tenant{{Name: "coop", Weight: 4}, {Name: "inner", Weight: 5, Networks: []string{"offices"}}}
-	w := newDirectory(s, []string{"site"}, 9)
+	r := newDirectory(s, []string{"site"}, 9)
 	of := func(from, tenant string) principal {
 		name := uint64(0)
 		if tenant != "" {
-			name = w.hashName(spaceTenant, tenant)
+			name = r.hashName(spaceTenant, tenant)
 		}
-		return w.of(w.from(netip.MustParseAddr(from)), name)
+		return r.principalOf(r.originOf(netip.MustParseAddr(from)), name)
 	}
 	const (
 		same      = iota // one tenant, one client
@@ -81,15 +81,15 @@
 }
 
 // Who knows the names but not the seed can't tell which share a place.
-func TestPlacesDependOnTheSeed(t *testing.T) {
+func TestHashCollisionsDependOnTheSeed(t *testing.T) {
 	const tenants, places = 2000, 1 << 10
 	pairs := func(seed uint64, addresses bool) map[[2]int]bool {
-		w := newDirectory(Defaults(), nil, seed)
+		r := newDirectory(Defaults(), nil, seed)
 		at := map[uint64][]int{}
 		for i := range tenants {
-			h := w.hashName(spaceTenant, fmt.Sprint("tenant-", i)) % places
+			h := r.hashName(spaceTenant, fmt.Sprint("tenant-", i)) % places
 			if addresses {
-				h = w.address(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})) % places
+				h = r.hashAddress(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})) % places
 			}
 			at[h] = append(at[h], i)
 		}
@@ -118,43 +118,43 @@
 }
 
 // The heaviest of those that have left are followed exactly.
-func TestHeaviestAreFollowedExactly(t *testing.T) {
-	tb := newTable(32 << 10)
-	w := newDirectory(Defaults(), nil, 9)
-	key := func(i int) uint64 { return w.hashName(spaceTenant, fmt.Sprint("t", i)) }
+func TestHeaviestDebtsAreExact(t *testing.T) {
+	tb := newDebtTable(32 << 10)
+	r := newDirectory(Defaults(), nil, 9)
+	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range 20_000 {
 		v := 1.0
 		if i%1000 == 7 {
 			v = 1e6
 		}
-		tb.put(record{key(i), v, 0}, 0, 0)
+		tb.put(debt{key(i), v, 0}, 0, 0)
 	}
 	for i := 7; i < 20_000; i += 1000 {
-		if r, ok := tb.take(key(i)); !ok || r.value != 1e6 {
+		if r, ok := tb.take(key(i)); !ok || r.virtualTime != 1e6 {
 			t.Errorf("heavy tenant %d: %+v, %v", i, r, ok)
 		}
 	}
-	full := newTable(0) // one set
-	for i := range ways {
-		full.put(record{key(i), float64(10 + i), 0}, 0, 0)
+	full := newDebtTable(0) // one set
+	for i := range tableWays {
+		full.put(debt{key(i), float64(10 + i), 0}, 0, 0)
 	}
-	if lost := full.put(record{key(100), 5, 0}, 0, 0); lost.key != key(100) {
+	if lost := full.put(debt{key(100), 5, 0}, 0, 0); lost.key != key(100) {
 		t.Error("a light one took the place of a heavier one")
 	}
-	if lost := full.put(record{key(101), 50, 0}, 0, 0); lost.key != key(0) {
+	if lost := full.put(debt{key(101), 50, 0}, 0, 0); lost.key != key(0) {
 		t.Error("not the lightest gave way")
 	}
-	if lost := full.put(record{key(102), 5, 0}, 11, 0); lost.key != 0 {
+	if lost := full.put(debt{key(102), 5, 0}, 11, 0); lost.key != 0 {
 		t.Error("one that owes nothing any more kept its place")
 	}
 }
 
 // What light ones owe is never less than they do, and seldom more.
 func TestSketchSeldomOverstates(t *testing.T) {
-	s := newSketch(8 << 10) // 256 places a row
-	w := newDirectory(Defaults(), nil, 9)
+	s := newDebtSketch(8 << 10) // 256 places a row
+	r := newDirectory(Defaults(), nil, 9)
 	const n = 100
-	key := func(i int) uint64 { return w.hashName(spaceTenant, fmt.Sprint("t", i)) }
+	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range n {
 		s.put(key(i), float64(i+1))
 	}
@@ -173,102 +173,102 @@
 }
 
 // A tenant that comes once is not worse off than a regular, after a million of them.
-func TestOnceIsAsGoodAsRegular(t *testing.T) {
-	b := newBench(t, anyTenant(), testSizes(), oneClass())
+func TestOneTimeTenantIsServedLikeARegularOne(t *testing.T) {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	for i := range 30_000 {
-		c := b.connect(fmt.Sprintf("10.%d.%d.%d", i>>16, i>>8&255, i&255))
-		b.ask(c, fmt.Sprint("n", i), fmt.Sprint("once", i), ms/10, nil)
-		b.advance(ms / 10)
-		b.leave(c)
+		c := sim.connect(fmt.Sprintf("10.%d.%d.%d", i>>16, i>>8&255, i&255))
+		sim.send(c, fmt.Sprint("n", i), fmt.Sprint("once", i), ms/10, nil)
+		sim.advance(ms / 10)
+		sim.disconnect(c)
 	}
-	b.again()
-	b.greedy("10.0.0.1", "regular", 30, 50*ms)
-	b.advance(5 * rules.Second)
-	again := b.ended
-	b.ended = func(a *benchAsk) {
-		if a.tenant == "regular" {
-			again(a)
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "regular", 30, 50*ms)
+	sim.advance(5 * rules.Second)
+	again := sim.onServed
+	sim.onServed = func(request *simulatedRequest) {
+		if request.tenant == "regular" {
+			again(request)
 		}
 	}
 	for i := range 20 {
 		name := fmt.Sprint("newcomer", i)
-		c := b.connect(fmt.Sprintf("10.9.9.%d", i+1))
-		b.ask(c, name, name, 50*ms, nil)
-		b.advance(100 * ms)
-		if w := b.waits[name]; len(w) != 1 || w[0] > 50*ms {
+		c := sim.connect(fmt.Sprintf("10.9.9.%d", i+1))
+		sim.send(c, name, name, 50*ms, nil)
+		sim.advance(100 * ms)
+		if w := sim.waits[name]; len(w) != 1 || w[0] > 50*ms {
 			t.Errorf("%s waited %v at the door", name, w)
 		}
-		b.leave(c)
+		sim.disconnect(c)
 	}
 }
 
 // Neither a tenant of few heavy queries nor one of many light ones waits for the other longer than one run.
 func TestHeavyAndLightWaitOneRunAtMost(t *testing.T) {
-	b := newBench(t, anyTenant(), testSizes(), oneClass())
-	b.again()
-	b.greedy("10.0.0.1", "heavy", 20, 400*ms)
-	b.advance(4 * rules.Second)
-	again := b.ended
-	b.ended = func(a *benchAsk) {
-		if a.tenant == "heavy" {
-			again(a)
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	sim.repeatRequests()
+	sim.startClosedLoop("10.0.0.1", "heavy", 20, 400*ms)
+	sim.advance(4 * rules.Second)
+	again := sim.onServed
+	sim.onServed = func(request *simulatedRequest) {
+		if request.tenant == "heavy" {
+			again(request)
 		}
 	}
-	c := b.connect("10.0.0.2")
+	c := sim.connect("10.0.0.2")
 	for i := range 30 {
-		b.ask(c, fmt.Sprint("light", i), "light", 10*ms, nil)
-		b.advance(600 * ms)
+		sim.send(c, fmt.Sprint("light", i), "light", 10*ms, nil)
+		sim.advance(600 * ms)
 	}
-	for _, w := range b.waits["light"] {
+	for _, w := range sim.waits["light"] {
 		if w > 400*ms {
 			t.Errorf("a light query waited %d ms for runs of 400 ms", w/ms)
 		}
 	}
-	if len(b.waits["light"]) != 30 {
-		t.Errorf("%d of 30 light queries passed", len(b.waits["light"]))
+	if len(sim.waits["light"]) != 30 {
+		t.Errorf("%d of 30 light queries passed", len(sim.waits["light"]))
 	}
 }
 
 // A flood that takes a new address of one network for each connection is one tenant where the operator
 // has put the network together.
-func TestNewAddressesOfOneNetworkWinNothing(t *testing.T) {
+func TestNewAddressesOfOneNetworkGainNothing(t *testing.T) {
 	s := Defaults()
-	s.Networks = []Network{{Name: "pool", Set: set(t, "10.0.0.0/8"), Weight: 1, Together: true}}
-	b := newBench(t, s, testSizes(), oneClass())
+	s.Networks = []Network{{Name: "pool", Addresses: addressSet(t, "10.0.0.0/8"), Weight: 1, SharedTenant: true}}
+	sim := newSimulation(t, s, testLimits(), oneClass())
 	n := 0
-	var fresh func(a *benchAsk)
-	fresh = func(a *benchAsk) {
-		if a.tenant == "" && a.id[0] == 'p' {
-			b.leave(a.conn)
+	var fresh func(request *simulatedRequest)
+	fresh = func(request *simulatedRequest) {
+		if request.tenant == "" && request.id[0] == 'p' {
+			sim.disconnect(request.connection)
 			n++
-			c := b.connect(fmt.Sprintf("10.%d.%d.%d", n>>16&255, n>>8&255, n&255))
-			if b.conns[c] != nil {
-				b.ask(c, fmt.Sprint("p", n), "", 50*ms, nil)
+			c := sim.connect(fmt.Sprintf("10.%d.%d.%d", n>>16&255, n>>8&255, n&255))
+			if sim.connections[c] != nil {
+				sim.send(c, fmt.Sprint("p", n), "", 50*ms, nil)
 			}
 			return
 		}
-		b.ask(a.conn, fmt.Sprint("h", b.now, a.conn), "", a.took, nil)
+		sim.send(request.connection, fmt.Sprint("h", sim.now, request.connection), "", request.runTime, nil)
 	}
-	b.ended = fresh
+	sim.onServed = fresh
 	pool, honest := 0.0, 0.0
 	for i := range 30 {
-		c := b.connect(fmt.Sprintf("10.200.0.%d", i+1))
-		b.ask(c, fmt.Sprint("p-", i), "", 50*ms, nil)
+		c := sim.connect(fmt.Sprintf("10.200.0.%d", i+1))
+		sim.send(c, fmt.Sprint("p-", i), "", 50*ms, nil)
 	}
 	for i := range 20 {
-		c := b.connect("192.0.2.1")
-		b.ask(c, fmt.Sprint("h-", i), "", 50*ms, nil)
+		c := sim.connect("192.0.2.1")
+		sim.send(c, fmt.Sprint("h-", i), "", 50*ms, nil)
 	}
-	inner := b.ended
-	b.ended = func(a *benchAsk) {
-		if a.id[0] == 'p' {
-			pool += float64(a.took)
+	inner := sim.onServed
+	sim.onServed = func(request *simulatedRequest) {
+		if request.id[0] == 'p' {
+			pool += float64(request.runTime)
 		} else {
-			honest += float64(a.took)
+			honest += float64(request.runTime)
 		}
-		inner(a)
+		inner(request)
 	}
-	b.advance(20 * rules.Second)
+	sim.advance(20 * rules.Second)
 	if part := honest / (pool + honest); part < 0.45 {
 		t.Errorf("beside a pool of addresses the honest client got %.2f of the work", part)
 	}
@@ -277,21 +277,21 @@
 // A clock that steps back stands still for the door: nothing is refused or forgotten for it, and nobody
 // was held for less than no time.
 func TestClockStepsBack(t *testing.T) {
-	b := newBench(t, anyTenant(), testSizes(), oneClass())
-	c := b.connect("10.0.0.1")
-	b.ask(c, "before", "a", 50*ms, nil)
-	b.greedy("10.0.0.3", "a", 20, 50*ms)
-	b.now -= 10 * rules.Second
-	c2 := b.connect("10.0.0.2")
-	b.ask(c2, "after", "b", 50*ms, func(q *Ask) { q.Due = b.now + 15*rules.Second })
-	if b.finals["before"] != 0 || b.finals["after"] != 0 {
+	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
+	c := sim.connect("10.0.0.1")
+	sim.send(c, "before", "a", 50*ms, nil)
+	sim.startClosedLoop("10.0.0.3", "a", 20, 50*ms)
+	sim.now -= 10 * rules.Second
+	c2 := sim.connect("10.0.0.2")
+	sim.send(c2, "after", "b", 50*ms, func(q *Request) { q.Deadline = sim.now + 15*rules.Second })
+	if sim.outcomes["before"] != 0 || sim.outcomes["after"] != 0 {
 		t.Error("a step back of the clock ended a request")
 	}
-	for i := range b.running { // these run on by the clock as it is now
-		b.running[i].end -= 10 * rules.Second
+	for i := range sim.running { // these run on by the clock as it is now
+		sim.running[i].end -= 10 * rules.Second
 	}
-	b.advance(rules.Second)
-	if b.finals["before"] != 1 || b.finals["after"] != 1 {
+	sim.advance(rules.Second)
+	if sim.outcomes["before"] != 1 || sim.outcomes["after"] != 1 {
 		t.Error("not answered after the clock stepped back")
 	}
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -11,19 +11,19 @@
 
 // Settings is what the operator sets of the door.
 type Settings struct {
-	Tenants  []Tenant
-	Networks []Network // the first that holds an address counts
-	Unlisted float64   // weight of an address that no network holds
+	Tenants        []Tenant
+	Networks       []Network // the first that holds an address counts
+	UnlistedWeight float64   // weight of an address that no network holds
 
 	// AnyTenant lets tenants be told that neither the site nor the operator
 	// declares. They share as clients of whoever tells them, unless that network
 	// is trusted to tell.
 	AnyTenant bool
 
-	Ahead   int        // requests of a class that wait in the module, where others wait at the door
-	Burst   rules.Time // work ahead of its share that a tenant gets after it was idle
-	Longest rules.Time // time of return that is named at most; 0: none is named
-	Ignored int        // times that a connection may come before it was told to, one after the other
+	ModuleQueueDepth int        // requests of a class that wait in the module, where others wait at the door
+	Burst            rules.Time // work ahead of its share that a tenant gets after it was idle
+	MaxRetryAfter    rules.Time // time of return that is named at most; 0: none is named
+	MaxEarlyReturns  int        // times that a connection may come before it was told to, one after the other
 }
 
 // Tenant is a declared tenant.
@@ -35,18 +35,18 @@
 
 // Network is a named set of addresses.
 type Network struct {
-	Name     string
-	Set      *netipx.IPSet
-	Weight   float64 // of each address, or of all together
-	Together bool    // its addresses share as clients of one tenant
-	Trusted  bool    // tenants that are told from there need no declaration
+	Name         string
+	Addresses    *netipx.IPSet
+	Weight       float64 // of each address, or of all together
+	SharedTenant bool    // its addresses share as clients of one tenant
+	Trusted      bool    // tenants that are told from there need no declaration
 }
 
 // Defaults are the settings of a file that names none. Ahead keeps a choice
 // for the module's draw and is short enough that one run bounds the wait;
 // Burst is about one short query.
 func Defaults() Settings {
-	return Settings{Unlisted: 1, Ahead: 4, Burst: 100 * rules.Millisecond, Longest: 30 * rules.Second, Ignored: 8}
+	return Settings{UnlistedWeight: 1, ModuleQueueDepth: 4, Burst: 100 * rules.Millisecond, MaxRetryAfter: 30 * rules.Second, MaxEarlyReturns: 8}
 }
 
 const (
@@ -63,7 +63,7 @@
 		}
 		return nil
 	}
-	errs := []error{weight("unlisted", "addresses", s.Unlisted)}
+	errs := []error{weight("unlisted", "addresses", s.UnlistedWeight)}
 	networks := map[string]bool{}
 	for _, n := range s.Networks {
 		if networks[n.Name] {
@@ -85,13 +85,13 @@
 			}
 		}
 	}
-	if s.Ahead < 1 || s.Ahead > maxAhead {
-		errs = append(errs, fmt.Errorf("ahead is %d, not within 1 and %d", s.Ahead, maxAhead))
+	if s.ModuleQueueDepth < 1 || s.ModuleQueueDepth > maxAhead {
+		errs = append(errs, fmt.Errorf("ahead is %d, not within 1 and %d", s.ModuleQueueDepth, maxAhead))
 	}
-	if s.Burst < 0 || s.Longest < 0 {
+	if s.Burst < 0 || s.MaxRetryAfter < 0 {
 		errs = append(errs, errors.New("burst and longest must not be under 0"))
 	}
-	if s.Ignored < 1 {
+	if s.MaxEarlyReturns < 1 {
 		errs = append(errs, errors.New("ignored must be 1 or more"))
 	}
 	return errors.Join(errs...)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -161,7 +161,7 @@
 	write(own, "fair {\n state = \"2MB\"\n ahead = 7\n}\n")
 	write(path, strings.Replace(sample, "10.2.0.1:5300", "10.2.0.9:5300", 1))
 	next, err := first.Reload()
-	if err != nil || next.Site.Fair.Door.Ahead != 7 || next.DNS.String() != "10.2.0.9:5300" {
+	if err != nil || next.Site.Fair.Door.ModuleQueueDepth != 7 || next.DNS.String() != "10.2.0.9:5300" {
 		t.Errorf("%v, %+v", err, next.Site)
 	}
 	for name, text := range map[string]string{
--- a/internal/emulator/books.go
+++ b/internal/emulator/books.go
@@ -84,7 +84,7 @@
 // first notes something of a first try that came at some time.
 func (b *Books) first(at rules.Time, worth float64, a *ask, to func(*Second) []int) {
 	if a.tries == 1 {
-		to(b.at(at))[zones.WorthRung(worth, a.told)]++
+		to(b.at(at))[zones.ValueTier(worth, a.told)]++
 	}
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -133,7 +133,7 @@
 	set := func(f *Fleet, on bool) {
 		for _, g := range f.gateways {
 			if g.up && g.zones != nil {
-				g.zones.DrainZone(f.now, zone, on)
+				g.zones.SetDraining(f.now, zone, on)
 			}
 		}
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -103,7 +103,7 @@
 	requests map[rules.RequestID]*request
 	order    []*request                    // in the order of arrival, some of them over
 	links    map[rules.EngineID]rules.Time // when a connection was last used
-	zones    *zones.Zones
+	zones    *zones.Controller
 	letIn    letIn
 	copies   *replica.Replica
 	hearsay  *gossip.Hearsay
@@ -446,7 +446,7 @@
 		if r := g.requests[a.ID]; r != nil && !r.over {
 			after := a.RetryAfter
 			if g.zones != nil && !g.stopping {
-				after = max(after, min(g.zones.Return(f.now), f.scene.Settings.Limits.MaxRetryAfter))
+				after = max(after, min(g.zones.RetryAfter(f.now), f.scene.Settings.Limits.MaxRetryAfter))
 			}
 			g.refuse(r, after)
 		}
--- a/internal/emulator/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -84,9 +84,9 @@
 	v := g.view()
 	if g.index < m.Liars {
 		lie := v
-		lie.Engines = append([]zones.EngineSight(nil), v.Engines...)
+		lie.Engines = append([]zones.EngineObservation(nil), v.Engines...)
 		for i := range lie.Engines {
-			lie.Engines[i].LeftOut = true
+			lie.Engines[i].Excluded = true
 		}
 		lie.Zones = append([]zones.Status(nil), v.Zones...)
 		for i := range lie.Zones {
@@ -105,7 +105,7 @@
 		g.probeFor(f.engine(id), true)
 	}
 	for _, zone := range w.Doubt {
-		g.zones.Doubt(zone)
+		g.zones.Suspect(zone)
 	}
 	for _, lesson := range w.Lessons {
 		g.tell(lesson)
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -32,7 +32,7 @@
 	case s.Sites == nil:
 		return
 	}
-	g.zones = zones.New(*s.Sites, zones.Fleet{Zones: max(1, s.Zones), Own: g.zone, Gateways: s.Gateways, Jitter: g.f.rng.Float64(),
+	g.zones = zones.New(*s.Sites, zones.Fleet{Zones: max(1, s.Zones), OwnZone: g.zone, Gateways: s.Gateways, Jitter: g.f.rng.Float64(),
 		Classes: s.Settings.Classes}, g.f.now)
 	g.tell(rules.ZonePlanChanged{Plan: g.zones})
 	life := g.life
@@ -47,7 +47,7 @@
 }
 
 // sights is what is held of each engine that serves.
-func (g *gateway) sights() (list []zones.EngineSight) {
+func (g *gateway) sights() (list []zones.EngineObservation) {
 	f := g.f
 	for _, b := range g.module.EngineViews() {
 		e := f.engine(b.Engine)
@@ -55,8 +55,8 @@
 			continue
 		}
 		k := g.of(b.Engine)
-		list = append(list, zones.EngineSight{Engine: b.Engine, Zone: e.zone, Cores: f.scene.Engine.Cores, Warm: b.SpeedFraction, Slow: b.Slowdown,
-			LeftOut: b.Ejected, Late: b.SlowInFlight > 0, Asked: k.asked, Heard: k.heard, Fault: k.fault})
+		list = append(list, zones.EngineObservation{Engine: b.Engine, Zone: e.zone, Cores: f.scene.Engine.Cores, WarmFraction: b.SpeedFraction, Slowdown: b.Slowdown,
+			Excluded: b.Ejected, Overdue: b.SlowInFlight > 0, LastRequest: k.asked, LastResponse: k.heard, LastFailure: k.fault})
 	}
 	return list
 }
@@ -64,13 +64,13 @@
 // look shows the zones what is held of their engines.
 func (g *gateway) look() {
 	f := g.f
-	looked := g.zones.Look(f.now, g.sights(), g.module.LoadSummary(), f.scene.Settings.Limits.Probes)
+	looked := g.zones.Observe(f.now, g.sights(), g.module.LoadSummary(), f.scene.Settings.Limits.Probes)
 	for _, c := range looked.Changes {
 		if c.From != c.To {
 			f.Books.move(f.now, c)
 		}
 	}
-	for _, id := range looked.Ask {
+	for _, id := range looked.Probe {
 		g.probe(f.engine(id))
 	}
 }
@@ -80,9 +80,9 @@
 	if g.zones == nil {
 		return true
 	}
-	refuse, after := g.zones.Arrive(g.f.now, zones.Ask{Class: a.class, Work: a.told, Repeat: a.tries > 1})
+	refuse, after := g.zones.RequestArrived(g.f.now, zones.Request{Class: a.class, DeclaredWork: a.told, Retry: a.tries > 1})
 	if a.tries == 1 {
-		g.bookShed(zones.WorthRung(r.class.PriorityWeight, a.told), refuse)
+		g.bookShed(zones.ValueTier(r.class.PriorityWeight, a.told), refuse)
 	}
 	if refuse {
 		g.f.Books.Shed++
@@ -139,7 +139,7 @@
 			g.of(e.id).heard = f.now
 		}
 		if g.zones != nil {
-			g.zones.Answered(e.zone, ok)
+			g.zones.ProbeAnswered(e.zone, ok)
 		}
 		v := rules.StatusTimeout
 		if ok {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,7 +15,7 @@
 
 // admissionControl is the door with the slots by which it names connections and requests.
 type admissionControl struct {
-	controller *admission.Door
+	controller *admission.Controller
 	conns      slotTable[clientConn]
 	requests   slotTable[queryRequest]
 	inbox      []admission.Event
@@ -56,12 +56,12 @@
 		return nil
 	}
 	limits := cfg.Limits
-	sizes := admission.Sizes{Conns: limits.Clients + limits.AcceptAhead/2 + 1, Room: limits.Clients, Asks: limits.Requests + 1, Statements: limits.InputBytes, Input: limits.InputBytes,
-		State: limits.DoorState}
+	sizes := admission.Limits{ConnectionSlots: limits.Clients + limits.AcceptAhead/2 + 1, Connections: limits.Clients, Requests: limits.Requests + 1, StatementBytes: limits.InputBytes, InputBytes: limits.InputBytes,
+		StateBytes: limits.DoorState}
 	return &admissionControl{
 		controller: admission.New(admissionSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.Tenants, cfg.Seed),
-		conns:      newSlotTable[clientConn](sizes.Conns),
-		requests:   newSlotTable[queryRequest](sizes.Asks),
+		conns:      newSlotTable[clientConn](sizes.ConnectionSlots),
+		requests:   newSlotTable[queryRequest](sizes.Requests),
 	}
 }
 
@@ -70,15 +70,15 @@
 	settings := cfg.Site.Fair.Door
 	switch limits := cfg.Settings.Rules.Limits; {
 	case !limits.RetryAfter:
-		settings.Longest = 0
+		settings.MaxRetryAfter = 0
 	case limits.MaxRetryAfter > 0:
-		settings.Longest = min(settings.Longest, limits.MaxRetryAfter)
+		settings.MaxRetryAfter = min(settings.MaxRetryAfter, limits.MaxRetryAfter)
 	}
 	return settings
 }
 
 func (c *admissionControl) knowsTenant(tenant string) bool {
-	return c != nil && c.controller.Knows(tenant)
+	return c != nil && c.controller.AcceptsTenant(tenant)
 }
 
 // handleAdmission hands an event to the door and carries out what it asks for. Events
@@ -97,9 +97,9 @@
 		event := control.inbox[i]
 		effects := control.controller.Handle(g.now, event)
 		switch event.Kind {
-		case admission.Closed:
+		case admission.ConnectionClosed:
 			control.conns.release(event.Conn)
-		case admission.Done:
+		case admission.RequestDone:
 			control.requests.release(event.Slot)
 		}
 		for _, effect := range effects {
@@ -114,9 +114,9 @@
 func (g *Gateway) runAdmissionEffect(effect admission.Effect) {
 	control := g.admission
 	switch effect.Kind {
-	case admission.Pass:
+	case admission.Admit:
 		g.admitted(control.requests.entries[effect.Slot], effect.After)
-	case admission.Refuse:
+	case admission.Reject:
 		if req := control.requests.entries[effect.Slot]; !req.answered {
 			req.endReason = EndAdmission
 			g.writeRejection(req, effect.After)
@@ -125,11 +125,11 @@
 		if client := control.conns.entries[effect.Conn]; client != nil && !client.closed {
 			g.evict(client, effect)
 		}
-	case admission.Breach:
+	case admission.AbortInput:
 		if client := control.conns.entries[effect.Conn]; client != nil && !client.closed {
 			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
 		}
-	case admission.Wake:
+	case admission.SetTimer:
 		control.wakeAt = effect.At
 	}
 }
@@ -144,19 +144,19 @@
 		g.evictWithError(client, CloseAdmission, why)
 		return
 	}
-	g.log(Info, "client: gave way", Attr{"session", client.session}, Attr{"why", effect.Why.String()})
+	g.log(Info, "client: gave way", Attr{"session", client.session}, Attr{"why", effect.Reason.String()})
 	g.closeClient(client, CloseAdmission)
 }
 
 // admitConn takes a connection to the admission. It answers whether it may stay.
 func (g *Gateway) admitConn(client *clientConn, from netip.Addr) bool {
 	client.admissionSlot = g.admission.conns.allocate(client)
-	g.handleAdmission(admission.Event{Kind: admission.Opened, Conn: client.admissionSlot, From: from})
+	g.handleAdmission(admission.Event{Kind: admission.ConnectionOpened, Conn: client.admissionSlot, From: from})
 	return !client.closed
 }
 
 func (g *Gateway) releaseConn(client *clientConn) {
-	g.handleAdmission(admission.Event{Kind: admission.Closed, Conn: client.admissionSlot})
+	g.handleAdmission(admission.Event{Kind: admission.ConnectionClosed, Conn: client.admissionSlot})
 }
 
 // requestAdmission takes a request to the admission.
@@ -170,8 +170,8 @@
 	if g.cfg.Trace {
 		g.traceQueued(req, "admission")
 	}
-	g.handleAdmission(admission.Event{Kind: admission.Asked, Slot: req.admissionSlot, Conn: req.client.admissionSlot, Ask: admission.Ask{
-		Class: req.class, Tenant: tenant, Key: key, Due: arrival.Deadline, Work: arrival.EstimatedWork, Bytes: len(req.statement),
+	g.handleAdmission(admission.Event{Kind: admission.RequestArrived, Slot: req.admissionSlot, Conn: req.client.admissionSlot, Request: admission.Request{
+		Class: req.class, Tenant: tenant, OrderKey: key, Deadline: arrival.Deadline, DeclaredWork: arrival.EstimatedWork, StatementBytes: len(req.statement),
 	}})
 }
 
@@ -181,13 +181,13 @@
 		return
 	}
 	set := admissionSettings(&g.cfg)
-	g.handleAdmission(admission.Event{Kind: admission.Retuned, Settings: &set, Declared: g.cfg.Settings.Tenants})
+	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &set, DeclaredTenants: g.cfg.Settings.Tenants})
 }
 
 func (g *Gateway) wakeAdmission() {
 	if control := g.admission; control != nil && control.wakeAt != 0 && control.wakeAt <= g.now {
 		control.wakeAt = 0
-		g.handleAdmission(admission.Event{Kind: admission.Tick})
+		g.handleAdmission(admission.Event{Kind: admission.TimerFired})
 	}
 }
 
@@ -211,15 +211,15 @@
 	}
 	stats, last := control.controller.Stats(), control.lastStats
 	control.lastStats = stats
-	attrs := []Attr{{"tenants", stats.Tenants}, {"held", stats.Held}, {"open", stats.Open}, {"passed", stats.Passed - last.Passed}, {"waited", stats.Waited - last.Waited}}
-	for w := range stats.Refused {
-		if n := stats.Refused[w] - last.Refused[w]; n > 0 {
-			attrs = append(attrs, Attr{"refused_for_" + admission.Why(w).String(), n})
+	attrs := []Attr{{"tenants", stats.Tenants}, {"held", stats.Queued}, {"open", stats.Connections}, {"passed", stats.Admitted - last.Admitted}, {"waited", stats.Delayed - last.Delayed}}
+	for w := range stats.Rejected {
+		if n := stats.Rejected[w] - last.Rejected[w]; n > 0 {
+			attrs = append(attrs, Attr{"refused_for_" + admission.Reason(w).String(), n})
 		}
 		if n := stats.Evicted[w] - last.Evicted[w]; n > 0 {
-			attrs = append(attrs, Attr{"closed_for_" + admission.Why(w).String(), n})
+			attrs = append(attrs, Attr{"closed_for_" + admission.Reason(w).String(), n})
 		}
 	}
-	g.log(Info, "door", append(attrs, Attr{"told", stats.Told - last.Told}, Attr{"kept", stats.Kept - last.Kept}, Attr{"lost", stats.Lost - last.Lost},
-		Attr{"needed_over_told", stats.NeededOverTold}, Attr{"state_bytes", control.controller.StateBytes()})...)
+	g.log(Info, "door", append(attrs, Attr{"told", stats.RetryAfterSent - last.RetryAfterSent}, Attr{"kept", stats.ReturnsServed - last.ReturnsServed}, Attr{"lost", stats.ReturnsMissed - last.ReturnsMissed},
+		Attr{"needed_over_told", stats.RetryAfterCorrection}, Attr{"state_bytes", control.controller.StateBytes()})...)
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -68,10 +68,10 @@
 					t.Errorf("only %d served and %d refused: the test has lost its subject", sim.served, sim.rejected)
 				}
 				stats := sim.g.admission.controller.Stats()
-				if stats.Waited < 20 {
-					t.Errorf("only %d waited at the door: the test has lost its subject", stats.Waited)
+				if stats.Delayed < 20 {
+					t.Errorf("only %d waited at the door: the test has lost its subject", stats.Delayed)
 				}
-				if stats.Held != 0 || len(sim.g.admission.requests.free) != len(sim.g.admission.requests.entries)-len(sim.g.requests) {
+				if stats.Queued != 0 || len(sim.g.admission.requests.free) != len(sim.g.admission.requests.entries)-len(sim.g.requests) {
 					t.Errorf("left at the door: %+v, %d slots of %d free, %d requests", stats, len(sim.g.admission.requests.free), len(sim.g.admission.requests.entries), len(sim.g.requests))
 				}
 			})
@@ -118,7 +118,7 @@
 		gw.takeOutput(1 + i)
 		gw.step(DataReceived, 1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
 	}
-	held := gw.g.admission.controller.Stats().Held
+	held := gw.g.admission.controller.Stats().Queued
 	if held < 10 {
 		t.Fatalf("only %d are held", held)
 	}
@@ -128,11 +128,11 @@
 	}
 	gw.clientFrom(51, "10.0.0.2")
 	gw.step(DataReceived, 51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
-	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Held != held-1 {
+	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != held-1 {
 		t.Error("a killed query is still held, or was answered")
 	}
 	gw.step(ConnectionClosed, 49, "")
-	if gw.g.admission.controller.Stats().Held != held-2 {
+	if gw.g.admission.controller.Stats().Queued != held-2 {
 		t.Error("the query of a client that left is still held")
 	}
 	gw.advance(690 * rules.Millisecond)
@@ -145,8 +145,8 @@
 			answers++
 		}
 	}
-	if answers < 40 || gw.g.admission.controller.Stats().Held != 0 {
-		t.Errorf("%d of 48 are answered, %d are held", answers, gw.g.admission.controller.Stats().Held)
+	if answers < 40 || gw.g.admission.controller.Stats().Queued != 0 {
+		t.Errorf("%d of 48 are answered, %d are held", answers, gw.g.admission.controller.Stats().Queued)
 	}
 	gw.step(ShutdownRequested, 0, "")
 	gw.advance(4 * rules.Second)
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -152,7 +152,7 @@
 	if client.newElement != nil {
 		return
 	}
-	g.handleAdmission(admission.Event{Kind: admission.Idle, Conn: client.admissionSlot})
+	g.handleAdmission(admission.Event{Kind: admission.ConnectionIdle, Conn: client.admissionSlot})
 	if client.idleElement == nil {
 		client.idleElement = g.idleClients.PushBack(client)
 	} else {
@@ -242,7 +242,7 @@
 	changed := client.partialBytes != held
 	client.partialBytes = held
 	if changed && !client.closed {
-		g.handleAdmission(admission.Event{Kind: admission.Input, Conn: client.admissionSlot, Bytes: held})
+		g.handleAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: held})
 	}
 	for g.partialBytes > g.limits.InputBytes {
 		most := client
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -174,12 +174,12 @@
 	clockSteps  wallclock.Steps
 	lastStall   stall // the last one
 
-	results     *resultStore        // nil: no spool is set, results are passed on at once
-	admission   *admissionControl   // nil: the door is off, all requests go to the module at once
-	zones       *zoneRouting        // nil: no plan for the loss of a zone is set
-	sightBuffer []zones.EngineSight // scratch
-	peers       *peerState          // nil: other gateways are not talked to
-	directives  *directiveState     // nil: no directives are followed
+	results     *resultStore              // nil: no spool is set, results are passed on at once
+	admission   *admissionControl         // nil: the door is off, all requests go to the module at once
+	zones       *zoneRouting              // nil: no plan for the loss of a zone is set
+	sightBuffer []zones.EngineObservation // scratch
+	peers       *peerState                // nil: other gateways are not talked to
+	directives  *directiveState           // nil: no directives are followed
 
 	stats           gatewayStats
 	violations      guard.Violations
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -155,7 +155,7 @@
 		}
 	}
 	for _, zone := range weighed.Doubt {
-		g.zones.router.Doubt(zone)
+		g.zones.router.Suspect(zone)
 	}
 	for _, lesson := range weighed.Lessons {
 		g.tellModule(lesson)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -192,7 +192,7 @@
 func (g *Gateway) releaseRequest(req *queryRequest) {
 	if req.answered && req.inFlight == 0 && g.requests[req.id] == req {
 		delete(g.requests, req.id)
-		g.handleAdmission(admission.Event{Kind: admission.Done, Slot: req.admissionSlot, Served: req.served})
+		g.handleAdmission(admission.Event{Kind: admission.RequestDone, Slot: req.admissionSlot, Served: req.served})
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	req.endReason = why
 	if g.admission != nil {
-		g.handleAdmission(admission.Event{Kind: admission.TurnDown, Slot: req.admissionSlot})
+		g.handleAdmission(admission.Event{Kind: admission.RequestRejected, Slot: req.admissionSlot})
 		return
 	}
 	g.writeRejection(req, g.retryAfter(holdOff))
@@ -261,7 +261,7 @@
 	req.stats.attempts++
 	req.stats.attemptsInFlight++
 	if req.inFlight == 1 {
-		g.handleAdmission(admission.Event{Kind: admission.Sent, Slot: req.admissionSlot})
+		g.handleAdmission(admission.Event{Kind: admission.RequestForwarded, Slot: req.admissionSlot})
 	}
 	if send.Timeout != 0 {
 		attempt.deadline = min(attempt.deadline, g.now+send.Timeout)
@@ -363,7 +363,7 @@
 		g.traceAttemptEnd(attempt)
 	}
 	if attempt.sent {
-		g.handleAdmission(admission.Event{Kind: admission.Spent, Slot: req.admissionSlot, Took: attempt.latency})
+		g.handleAdmission(admission.Event{Kind: admission.EngineTimeUsed, Slot: req.admissionSlot, EngineTime: attempt.latency})
 	}
 	if attempt.engine != nil && status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion {
 		attempt.engine.lastFault = g.now
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -16,7 +16,7 @@
 	g.log(Info, "stopping", Attr{"open", g.unanswered})
 	g.timers.add(timer{at: g.now + g.limits.StopLinger, kind: timerStop})
 	g.shortenStoreDeadlines()
-	g.handleAdmission(admission.Event{Kind: admission.Stopping, By: g.now + g.limits.StopWithin})
+	g.handleAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.StopWithin})
 	g.tellModule(rules.ShutdownStarted{Deadline: g.now + g.limits.StopWithin})
 }
 
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -17,7 +17,7 @@
 
 // zoneRouting are the zones of the gateway. The last one holds the engines of zones that the configuration does not name.
 type zoneRouting struct {
-	router     *zones.Zones
+	router     *zones.Controller
 	names      []string
 	drained    []int
 	lastCounts zones.Counts // at the last line of the log
@@ -31,7 +31,7 @@
 	set, drained := cfg.Site.Sites.Resolve(cfg.Settings.ZoneNames)
 	settings := &cfg.Settings.Rules
 	routing := &zoneRouting{names: append(slices.Clone(cfg.Settings.ZoneNames), "elsewhere")}
-	routing.router = zones.New(set, zones.Fleet{Zones: len(routing.names), Elsewhere: true, Own: settings.Zone, Gateways: settings.Gateways, Jitter: rng.Float64(),
+	routing.router = zones.New(set, zones.Fleet{Zones: len(routing.names), HasUnassignedZone: true, OwnZone: settings.Zone, Gateways: settings.Gateways, Jitter: rng.Float64(),
 		Classes: settings.Classes, Tenants: settings.Tenants}, now)
 	routing.setDrained(drained, now)
 	return routing
@@ -41,12 +41,12 @@
 func (r *zoneRouting) setDrained(drained []int, now rules.Time) {
 	for _, z := range r.drained {
 		if !slices.Contains(drained, z) {
-			r.router.DrainZone(now, z, false)
+			r.router.SetDraining(now, z, false)
 		}
 	}
 	for _, z := range drained {
 		if !slices.Contains(r.drained, z) {
-			r.router.DrainZone(now, z, true)
+			r.router.SetDraining(now, z, true)
 		}
 	}
 	r.drained = drained
@@ -85,7 +85,7 @@
 	if g.directives != nil {
 		inForce := g.directives.proposer.Book()
 		if v, ok := inForce.Value(directives.Spill); ok {
-			set.Spill = v
+			set.SpilloverLimit = v
 		}
 		for _, name := range inForce.Of(directives.DrainZone) {
 			if i := slices.Index(g.cfg.Settings.ZoneNames, name); i >= 0 && !slices.Contains(drained, i) {
@@ -93,7 +93,7 @@
 			}
 		}
 	}
-	g.zones.router.Retune(set)
+	g.zones.router.Reconfigure(set)
 	g.zones.setDrained(drained, g.now)
 }
 
@@ -103,7 +103,7 @@
 	if routing == nil {
 		return
 	}
-	looked := routing.router.Look(g.now, g.engineSights(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
+	looked := routing.router.Observe(g.now, g.engineSights(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
 	for _, change := range looked.Changes {
 		level := Info
 		if change.To == zones.Lost {
@@ -111,13 +111,13 @@
 		}
 		g.log(level, "zone", Attr{"zone", routing.names[change.Zone]}, Attr{"from", change.From.String()}, Attr{"to", change.To.String()}, Attr{"damped", change.Damped})
 	}
-	for _, id := range looked.Ask {
+	for _, id := range looked.Probe {
 		g.startProbe(id)
 	}
 }
 
 // engineSights is what is held of each engine that serves.
-func (g *Gateway) engineSights() []zones.EngineSight {
+func (g *Gateway) engineSights() []zones.EngineObservation {
 	out := g.sightBuffer[:0]
 	for _, belief := range g.module.EngineViews() {
 		eng := g.engines[belief.Engine]
@@ -128,8 +128,8 @@
 		if k := eng.kind; k < len(g.cfg.Settings.Rules.Kinds) {
 			cores = max(g.cfg.Settings.Rules.Kinds[k].Cores, 1)
 		}
-		out = append(out, zones.EngineSight{Engine: belief.Engine, Zone: eng.zone, Cores: cores, Warm: belief.SpeedFraction, Slow: belief.Slowdown,
-			LeftOut: belief.Ejected, Late: belief.SlowInFlight > 0, Asked: eng.lastRequest, Heard: eng.lastRead, Fault: eng.lastFault})
+		out = append(out, zones.EngineObservation{Engine: belief.Engine, Zone: eng.zone, Cores: cores, WarmFraction: belief.SpeedFraction, Slowdown: belief.Slowdown,
+			Excluded: belief.Ejected, Overdue: belief.SlowInFlight > 0, LastRequest: eng.lastRequest, LastResponse: eng.lastRead, LastFailure: eng.lastFault})
 	}
 	g.sightBuffer = out
 	return out
@@ -145,7 +145,7 @@
 		return true
 	}
 	arrival := req.pending
-	refuse, after := g.zones.router.Arrive(g.now, zones.Ask{Class: arrival.Class, Tenant: arrival.Tenant, Work: float64(arrival.EstimatedWork), Repeat: arrival.IsRetry})
+	refuse, after := g.zones.router.RequestArrived(g.now, zones.Request{Class: arrival.Class, Tenant: arrival.Tenant, DeclaredWork: float64(arrival.EstimatedWork), Retry: arrival.IsRetry})
 	if refuse {
 		g.reject(req, after, EndZonePlan)
 	}
@@ -159,7 +159,7 @@
 	if g.zones == nil || g.stopping || !limits.RetryAfter {
 		return holdOff
 	}
-	after := g.zones.router.Return(g.now)
+	after := g.zones.router.RetryAfter(g.now)
 	if limits.MaxRetryAfter > 0 {
 		after = min(after, limits.MaxRetryAfter)
 	}
@@ -169,7 +169,7 @@
 // zoneProbed takes what a probe said.
 func (g *Gateway) zoneProbed(eng *engineState, ok bool) {
 	if g.zones != nil {
-		g.zones.router.Answered(eng.zone, ok)
+		g.zones.router.ProbeAnswered(eng.zone, ok)
 	}
 }
 
@@ -180,20 +180,20 @@
 		return
 	}
 	for i, status := range routing.router.Status(g.now) {
-		attrs := []Attr{{"zone", routing.names[i]}, {"state", status.State.String()}, {"share", round2(status.Share)}, {"part", round2(status.Part)},
-			{"well", round2(status.Well)}, {"penalty", round2(status.Penalty)}, {"losses", status.Losses}}
-		if status.Limit >= 0 {
-			attrs = append(attrs, Attr{"limit_cores", round2(status.Limit)})
+		attrs := []Attr{{"zone", routing.names[i]}, {"state", status.State.String()}, {"share", round2(status.LoadShare)}, {"part", round2(status.TrafficFraction)},
+			{"well", round2(status.HealthyFraction)}, {"penalty", round2(status.Penalty)}, {"losses", status.Losses}}
+		if status.SpilloverCores >= 0 {
+			attrs = append(attrs, Attr{"limit_cores", round2(status.SpilloverCores)})
 		}
 		g.log(Info, "zone state", attrs...)
 	}
-	pressure, part, counts := routing.router.Shedding()
+	pressure, part, counts := routing.router.SheddingStatus()
 	last := routing.lastCounts
 	routing.lastCounts = counts
-	g.log(Info, "zone limits", Attr{"pressure", round2(pressure)}, Attr{"shed_part", round2(part)}, Attr{"spilled", counts.Spilled - last.Spilled},
-		Attr{"waited", counts.Waited - last.Waited}, Attr{"further", counts.Further - last.Further}, Attr{"further_kept_back", counts.Spent - last.Spent},
-		Attr{"shed_over_share", counts.Shed[zones.OverShare] - last.Shed[zones.OverShare]},
-		Attr{"shed_repeats", counts.Shed[zones.Repeats] - last.Shed[zones.Repeats]}, Attr{"shed_cheap", counts.Shed[zones.Cheap] - last.Shed[zones.Cheap]})
+	g.log(Info, "zone limits", Attr{"pressure", round2(pressure)}, Attr{"shed_part", round2(part)}, Attr{"spilled", counts.Spillovers - last.Spillovers},
+		Attr{"waited", counts.Blocked - last.Blocked}, Attr{"further", counts.Retries - last.Retries}, Attr{"further_kept_back", counts.RetriesBlocked - last.RetriesBlocked},
+		Attr{"shed_over_share", counts.Shed[zones.TierOverQuota] - last.Shed[zones.TierOverQuota]},
+		Attr{"shed_repeats", counts.Shed[zones.TierRetries] - last.Shed[zones.TierRetries]}, Attr{"shed_cheap", counts.Shed[zones.TierLowestValue] - last.Shed[zones.TierLowestValue]})
 }
 
 func round2(x float64) float64 { return math.Round(100*x) / 100 }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -98,8 +98,8 @@
 				for _, s := range sim.g.zones.router.Status(sim.now) {
 					lost += s.Losses
 				}
-				_, _, counts := sim.g.zones.router.Shedding()
-				spilled += counts.Spilled
+				_, _, counts := sim.g.zones.router.SheddingStatus()
+				spilled += counts.Spillovers
 			})
 		}
 	}
--- a/internal/gossip/hearsay.go
+++ b/internal/gossip/hearsay.go
@@ -30,9 +30,9 @@
 
 // View is what a gateway holds itself.
 type View struct {
-	Engines  []zones.EngineSight   // that serve, in the order of the list
-	Zones    []zones.Status        // nil: no plan
-	Learned  []rules.ClassEstimate // by class
+	Engines  []zones.EngineObservation // that serve, in the order of the list
+	Zones    []zones.Status            // nil: no plan
+	Learned  []rules.ClassEstimate     // by class
 	Cold     []rules.SlowStartUsage
 	Standing rules.LoadSummary
 }
@@ -72,7 +72,7 @@
 	for _, e := range v.Engines {
 		listed[e.Engine] = true
 		switch {
-		case e.LeftOut:
+		case e.Excluded:
 			h.faults[e.Engine] = true
 			put(replica.EngineFault, uint64(e.Engine), replica.Value{1})
 		case h.faults[e.Engine]:
@@ -121,7 +121,7 @@
 		if len(out.Ask) >= h.set.AskMost {
 			break
 		}
-		if said[uint64(e.Engine)] < h.set.Observers || e.LeftOut || now-h.asked[e.Engine] < h.set.AskEvery {
+		if said[uint64(e.Engine)] < h.set.Observers || e.Excluded || now-h.asked[e.Engine] < h.set.AskEvery {
 			continue
 		}
 		h.asked[e.Engine] = now
--- a/internal/gossip/hearsay_test.go
+++ b/internal/gossip/hearsay_test.go
@@ -54,7 +54,7 @@
 
 func engines(ids ...rules.EngineID) (v View) {
 	for _, id := range ids {
-		v.Engines = append(v.Engines, zones.EngineSight{Engine: id})
+		v.Engines = append(v.Engines, zones.EngineObservation{Engine: id})
 	}
 	return v
 }
@@ -78,7 +78,7 @@
 		t.Errorf("not looked at again after 1.2 s")
 	}
 	left := engines(1, 2)
-	left.Engines[1].LeftOut = true
+	left.Engines[1].Excluded = true
 	if w := p.Weigh(start+2500*ms, left); len(w.Ask) != 0 {
 		t.Errorf("we leave it out ourselves, and look for hearsay: %v", w.Ask)
 	}
@@ -163,11 +163,11 @@
 func TestTell(t *testing.T) {
 	p := newPair(1)
 	v := engines(1, 2)
-	v.Engines[0].LeftOut = true
+	v.Engines[0].Excluded = true
 	v.Zones = []zones.Status{{State: zones.Present}, {State: zones.Lost}}
 	v.Learned = []rules.ClassEstimate{{CostRatio: 2, MeanWork: 100, SampleWeight: 5}, {CostRatio: 2, MeanWork: 100, SampleWeight: 0.5}}
 	p.Tell(start, v)
-	v.Engines[0].LeftOut = false
+	v.Engines[0].Excluded = false
 	p.Tell(start+second, v)
 	told := map[replica.Key]replica.Value{}
 	for _, c := range p.copies.Copies() {
--- a/internal/measure/fair.go
+++ b/internal/measure/fair.go
@@ -123,12 +123,12 @@
 	var all netipx.IPSetBuilder
 	all.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
 	set, _ := all.IPSet()
-	s.AnyTenant, s.Networks = true, []admission.Network{{Name: "here", Set: set, Weight: 1, Trusted: true}}
+	s.AnyTenant, s.Networks = true, []admission.Network{{Name: "here", Addresses: set, Weight: 1, Trusted: true}}
 	return s
 }
 
-func modelSizes() admission.Sizes {
-	return admission.Sizes{Conns: 502, Room: 500, Asks: 342, Statements: 24 << 20, Input: 24 << 20, State: 6 << 20}
+func modelSizes() admission.Limits {
+	return admission.Limits{ConnectionSlots: 502, Connections: 500, Requests: 342, StatementBytes: 24 << 20, InputBytes: 24 << 20, StateBytes: 6 << 20}
 }
 
 var here = netip.AddrFrom4([4]byte{127, 0, 0, 1})
@@ -199,7 +199,7 @@
 // that came back as told were served in time, and the median of the time needed over the time told.
 func returns(slower float64) (kept, p50 float64) {
 	sizes := modelSizes()
-	sizes.Asks = 120
+	sizes.Requests = 120
 	m := newModel(trusting(), sizes, 32)
 	good, bad := 0, 0
 	var ratios []float64
@@ -326,15 +326,15 @@
 	round := func(i int) {
 		now += 10
 		slot := i % 300
-		d.Handle(now, admission.Event{Kind: admission.Asked, Slot: slot, Conn: slot, Ask: admission.Ask{Tenant: names[i%known], Due: now + modelPatience, Bytes: 100}})
-		d.Handle(now, admission.Event{Kind: admission.Sent, Slot: slot})
+		d.Handle(now, admission.Event{Kind: admission.RequestArrived, Slot: slot, Conn: slot, Request: admission.Request{Tenant: names[i%known], Deadline: now + modelPatience, StatementBytes: 100}})
+		d.Handle(now, admission.Event{Kind: admission.RequestForwarded, Slot: slot})
 		now += 1000
-		d.Handle(now, admission.Event{Kind: admission.Spent, Slot: slot, Took: 1000})
-		d.Handle(now, admission.Event{Kind: admission.Done, Slot: slot, Served: true})
-		d.Handle(now, admission.Event{Kind: admission.Idle, Conn: slot})
+		d.Handle(now, admission.Event{Kind: admission.EngineTimeUsed, Slot: slot, EngineTime: 1000})
+		d.Handle(now, admission.Event{Kind: admission.RequestDone, Slot: slot, Served: true})
+		d.Handle(now, admission.Event{Kind: admission.ConnectionIdle, Conn: slot})
 	}
 	for i := range 300 {
-		d.Handle(now, admission.Event{Kind: admission.Opened, Conn: i, From: here})
+		d.Handle(now, admission.Event{Kind: admission.ConnectionOpened, Conn: i, From: here})
 	}
 	for i := range known {
 		round(i)
--- a/internal/measure/model.go
+++ b/internal/measure/model.go
@@ -12,7 +12,7 @@
 // model is a door in virtual time with engines behind it that run so many
 // requests at once, in the order in which they pass.
 type model struct {
-	d       *admission.Door
+	d       *admission.Controller
 	now     rules.Time
 	cores   int
 	busy    int
@@ -69,14 +69,14 @@
 
 const modelPatience = 5 * rules.Second
 
-func newModel(set admission.Settings, sizes admission.Sizes, cores int) *model {
+func newModel(set admission.Settings, sizes admission.Limits, cores int) *model {
 	classes := []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelPatience, LateValue: 0.1, Threads: 1}}
 	m := &model{d: admission.New(set, sizes, classes, nil, 11), now: rules.Second, cores: cores, slower: 1,
-		asks: make([]*modelAsk, sizes.Asks), conns: make([]*modelConn, sizes.Conns)}
-	for i := range sizes.Asks {
+		asks: make([]*modelAsk, sizes.Requests), conns: make([]*modelConn, sizes.ConnectionSlots)}
+	for i := range sizes.Requests {
 		m.free = append(m.free, i)
 	}
-	for i := range sizes.Conns {
+	for i := range sizes.ConnectionSlots {
 		m.slots = append(m.slots, i)
 	}
 	return m
@@ -92,20 +92,20 @@
 	for i := 0; i < len(inbox); i++ {
 		for _, f := range m.d.Handle(m.now, inbox[i]) {
 			switch f.Kind {
-			case admission.Pass:
+			case admission.Admit:
 				m.asks[f.Slot].passed = m.now
 				m.line = append(m.line, f.Slot)
-			case admission.Refuse:
+			case admission.Reject:
 				c := m.asks[f.Slot].conn
 				m.asks[f.Slot] = nil
 				m.free = append(m.free, f.Slot)
-				inbox = append(inbox, admission.Event{Kind: admission.Idle, Conn: c.slot})
+				inbox = append(inbox, admission.Event{Kind: admission.ConnectionIdle, Conn: c.slot})
 				m.after(0, func() { m.refused(c, f.After) })
 			case admission.Evict:
 				c := m.conns[f.Conn]
 				c.open = false
-				inbox = append(inbox, admission.Event{Kind: admission.Closed, Conn: f.Conn})
-			case admission.Wake:
+				inbox = append(inbox, admission.Event{Kind: admission.ConnectionClosed, Conn: f.Conn})
+			case admission.SetTimer:
 				m.wake = f.At
 			}
 		}
@@ -114,7 +114,7 @@
 			m.line = m.line[1:]
 			m.busy++
 			a := m.asks[slot]
-			inbox = append(inbox, admission.Event{Kind: admission.Sent, Slot: slot})
+			inbox = append(inbox, admission.Event{Kind: admission.RequestForwarded, Slot: slot})
 			run := rules.Time(float64(a.run) * m.slower)
 			m.after(run, func() { m.end(slot, run) })
 		}
@@ -127,10 +127,10 @@
 	m.asks[slot] = nil
 	m.free = append(m.free, slot)
 	a.conn.work += float64(run)
-	m.tell(admission.Event{Kind: admission.Spent, Slot: slot, Took: run})
-	m.tell(admission.Event{Kind: admission.Done, Slot: slot, Served: true})
+	m.tell(admission.Event{Kind: admission.EngineTimeUsed, Slot: slot, EngineTime: run})
+	m.tell(admission.Event{Kind: admission.RequestDone, Slot: slot, Served: true})
 	if a.conn.open {
-		m.tell(admission.Event{Kind: admission.Idle, Conn: a.conn.slot})
+		m.tell(admission.Event{Kind: admission.ConnectionIdle, Conn: a.conn.slot})
 		m.served(a.conn, a)
 	}
 }
@@ -139,14 +139,14 @@
 	c := &modelConn{slot: m.slots[0], tenant: tenant, run: run, open: true}
 	m.slots = m.slots[1:]
 	m.conns[c.slot] = c
-	m.tell(admission.Event{Kind: admission.Opened, Conn: c.slot, From: from})
+	m.tell(admission.Event{Kind: admission.ConnectionOpened, Conn: c.slot, From: from})
 	return c
 }
 
 func (m *model) close(c *modelConn) {
 	m.conns[c.slot] = nil
 	m.slots = append(m.slots, c.slot)
-	m.tell(admission.Event{Kind: admission.Closed, Conn: c.slot})
+	m.tell(admission.Event{Kind: admission.ConnectionClosed, Conn: c.slot})
 }
 
 func (m *model) ask(c *modelConn) {
@@ -156,8 +156,8 @@
 	slot := m.free[0]
 	m.free = m.free[1:]
 	m.asks[slot] = &modelAsk{conn: c, run: c.run, at: m.now}
-	m.tell(admission.Event{Kind: admission.Asked, Slot: slot, Conn: c.slot,
-		Ask: admission.Ask{Tenant: c.tenant, Due: m.now + modelPatience, Work: c.run, Bytes: 100}})
+	m.tell(admission.Event{Kind: admission.RequestArrived, Slot: slot, Conn: c.slot,
+		Request: admission.Request{Tenant: c.tenant, Deadline: m.now + modelPatience, DeclaredWork: c.run, StatementBytes: 100}})
 }
 
 // play goes on for a while.
@@ -169,7 +169,7 @@
 		}
 		if m.wake > 0 && m.wake <= next {
 			m.now, m.wake = max(m.now, m.wake), 0
-			m.tell(admission.Event{Kind: admission.Tick})
+			m.tell(admission.Event{Kind: admission.TimerFired})
 			continue
 		}
 		m.now = max(m.now, next)
--- a/internal/measure/sites.go
+++ b/internal/measure/sites.go
@@ -59,12 +59,12 @@
 	{name: "a zone is lost and returns cold", seeds: siteSeeds, load: 0.55, faults: []emulator.Fault{lostZone()}, from: 8, to: 27},
 	{name: "a zone flaps every 2 s", seeds: siteSeeds, load: 0.55, faults: []emulator.Fault{emulator.Flap(lostAt, 0, flaps, flapEvery)}, from: 8, to: 29},
 	{name: "lost at a load of 0.9, with the ladder", seeds: siteSeeds, load: 0.9, faults: []emulator.Fault{lostZone()}, from: 8, to: 27,
-		set: func(s *zones.Settings) { s.Shed = true }},
+		set: func(s *zones.Settings) { s.SheddingEnabled = true }},
 	{name: "a burst of half as much again, with the ladder", seeds: siteSeeds, load: 0.9,
-		faults: []emulator.Fault{emulator.Burst(lostAt, lostFor, 1.5)}, from: 8, to: 27, set: func(s *zones.Settings) { s.Shed = true }},
+		faults: []emulator.Fault{emulator.Burst(lostAt, lostFor, 1.5)}, from: 8, to: 27, set: func(s *zones.Settings) { s.SheddingEnabled = true }},
 	{name: "a zone's engines are lost, its gateways not; spill 0.25", seeds: siteSeeds, load: 0.55,
 		faults: []emulator.Fault{emulator.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27,
-		set: func(s *zones.Settings) { s.Spill, s.Retries = 0.25, 0.2 }},
+		set: func(s *zones.Settings) { s.SpilloverLimit, s.RetryBudget = 0.25, 0.2 }},
 	{name: "the same without a limit", seeds: hardSeeds, load: 0.55, faults: []emulator.Fault{emulator.SilenceIn(lostAt, lostFor, 0, 1)}, from: 8, to: 27},
 	{name: "all zones lost", seeds: hardSeeds, load: 0.3, faults: []emulator.Fault{emulator.LoseZone(lostAt, 0, 3*rules.Second, lostFor),
 		emulator.LoseZone(lostAt, 1, 3*rules.Second, lostFor), emulator.LoseZone(lostAt, 2, 3*rules.Second, lostFor)}, from: 8, to: 29},
@@ -262,12 +262,12 @@
 
 // overLimit counts the seconds in which a zone got more foreign load than the limit of spill allows.
 func overLimit(b *emulator.Books, set zones.Settings) (n int) {
-	if set.Spill >= 1 {
+	if set.SpilloverLimit >= 1 {
 		return 0
 	}
 	for _, sec := range b.Seconds[:len(b.Seconds)-1] {
 		for z, foreign := range sec.Foreign {
-			if sec.Could[z] > 0 && foreign > set.Spill*sec.Could[z] {
+			if sec.Could[z] > 0 && foreign > set.SpilloverLimit*sec.Could[z] {
 				n++
 			}
 		}
@@ -283,7 +283,7 @@
 // wrongOrder counts the seconds in which a larger part was turned away of first tries that earn more for their told work than of some
 // that earn less.
 func wrongOrder(b *emulator.Books, set zones.Settings, of func(*emulator.Second) []int) (n int) {
-	if !set.Shed {
+	if !set.SheddingEnabled {
 		return 0
 	}
 	for i := range b.Seconds {
@@ -328,15 +328,15 @@
 		return err
 	}
 	set := zones.Defaults()
-	set.Ramp = 4 * rules.Second
+	set.RecoveryRamp = 4 * rules.Second
 	whole := float64(len(script.Zones) * 2 * script.Cores)
-	sc := zones.Scenario{Classes: []zones.ClassSpec{{Name: "all", Part: 1, Earns: 1}}, Lose: []int{0}, At: at * rules.Second, Back: (at + away) * rules.Second,
-		Unlisted: unlisted * rules.Second, Notice: rules.Second / 10, ColdFrom: script.ColdFrom, ColdFor: rules.Time(script.Cold / time.Microsecond),
-		Length: length * rules.Second}
+	sc := zones.Scenario{Classes: []zones.ClassSpec{{Name: "all", DemandFraction: 1, ValuePerCoreSecond: 1}}, LostZones: []int{0}, LostAt: at * rules.Second, ReturnAt: (at + away) * rules.Second,
+		UnlistAfter: unlisted * rules.Second, ClientsMoveAfter: rules.Second / 10, ColdSpeed: script.ColdFrom, WarmupTime: rules.Time(script.Cold / time.Microsecond),
+		Duration: length * rules.Second}
 	for _, z := range script.Zones {
 		sc.Zones = append(sc.Zones, zones.ZoneSpec{Name: z.Name, Cores: whole / 3, Demand: script.Load * whole / 3})
 	}
-	planned := zones.Play(set, sc)
+	planned := zones.Simulate(set, sc)
 	worst := 0.0
 	for _, span := range []struct {
 		what     string
@@ -345,8 +345,8 @@
 		is, sum := make([]float64, len(sc.Zones)), 0.0
 		for _, m := range planned[span.from:min(span.to, len(planned))] {
 			for z := range m.Zones {
-				is[z] += m.Zones[z].Own + m.Zones[z].Foreign
-				sum += m.Zones[z].Own + m.Zones[z].Foreign
+				is[z] += m.Zones[z].OwnLoad + m.Zones[z].ForeignLoad
+				sum += m.Zones[z].OwnLoad + m.Zones[z].ForeignLoad
 			}
 		}
 		did := b.Parts(span.from, span.to)
--- a/internal/site/fair.go
+++ b/internal/site/fair.go
@@ -58,11 +58,11 @@
 	s := &f.Door
 	var r reader
 	r.flag(b.AnyTenant, &s.AnyTenant)
-	r.number(b.Weight, leastWeight, mostWeight, &s.Unlisted)
-	r.count(b.Ahead, 1, mostAhead, &s.Ahead)
+	r.number(b.Weight, leastWeight, mostWeight, &s.UnlistedWeight)
+	r.count(b.Ahead, 1, mostAhead, &s.ModuleQueueDepth)
 	r.duration(b.Burst, &s.Burst)
-	r.duration(b.Longest, &s.Longest)
-	r.count(b.Ignored, 1, mostIgnored, &s.Ignored)
+	r.duration(b.Longest, &s.MaxRetryAfter)
+	r.count(b.Ignored, 1, mostIgnored, &s.MaxEarlyReturns)
 	r.size(b.State, leastState, mostState, &f.State)
 	var names []string
 	for _, n := range b.Networks {
@@ -108,7 +108,7 @@
 func (b *networkBlock) decode(r *reader) admission.Network {
 	n := admission.Network{Name: b.Name, Weight: 1}
 	r.number(b.Weight, leastWeight, mostWeight, &n.Weight)
-	r.flag(b.Together, &n.Together)
+	r.flag(b.Together, &n.SharedTenant)
 	r.flag(b.Trusted, &n.Trusted)
 	var set netipx.IPSetBuilder
 	words := r.words(b.Addresses)
@@ -124,7 +124,7 @@
 	if err != nil {
 		r.diags = append(r.diags, wrong(b.Range, "network %q: %v", b.Name, err))
 	}
-	n.Set = all
+	n.Addresses = all
 	return n
 }
 
@@ -168,7 +168,7 @@
 func (f *Fair) write(b *bytes.Buffer) {
 	s := f.Door
 	fmt.Fprintf(b, "fair {\n  any_tenant = %v\n  weight     = %v\n  ahead      = %d\n  burst      = %q\n  longest    = %q\n  ignored    = %d\n",
-		s.AnyTenant, s.Unlisted, s.Ahead, timeText(s.Burst), timeText(s.Longest), s.Ignored)
+		s.AnyTenant, s.UnlistedWeight, s.ModuleQueueDepth, timeText(s.Burst), timeText(s.MaxRetryAfter), s.MaxEarlyReturns)
 	if f.State > 0 {
 		fmt.Fprintf(b, "  state      = %q\n", sizeText(f.State))
 	} else {
@@ -176,11 +176,11 @@
 	}
 	for _, n := range s.Networks {
 		var ranges []string
-		for _, p := range n.Set.Prefixes() {
+		for _, p := range n.Addresses.Prefixes() {
 			ranges = append(ranges, fmt.Sprintf("%q", p.String()))
 		}
 		fmt.Fprintf(b, "\n  network %q {\n    addresses = [%s]\n    weight    = %v\n    together  = %v\n    trusted   = %v\n  }\n",
-			n.Name, strings.Join(ranges, ", "), n.Weight, n.Together, n.Trusted)
+			n.Name, strings.Join(ranges, ", "), n.Weight, n.SharedTenant, n.Trusted)
 	}
 	for _, t := range s.Tenants {
 		fmt.Fprintf(b, "\n  tenant %q {\n    weight = %v\n", t.Name, t.Weight)
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -40,10 +40,10 @@
 		t.Fatal(err)
 	}
 	d := s.Fair.Door
-	if !d.AnyTenant || d.Ahead != 6 || d.Burst != 250*rules.Millisecond || d.Longest != 90*rules.Second || s.Fair.State != 3<<19 || d.Ignored != 8 {
+	if !d.AnyTenant || d.ModuleQueueDepth != 6 || d.Burst != 250*rules.Millisecond || d.MaxRetryAfter != 90*rules.Second || s.Fair.State != 3<<19 || d.MaxEarlyReturns != 8 {
 		t.Errorf("got %+v, state %d", d, s.Fair.State)
 	}
-	offices := d.Networks[0].Set
+	offices := d.Networks[0].Addresses
 	for addr, in := range map[string]bool{"10.1.2.3": true, "10.1.9.3": false, "10.2.0.9": true, "10.2.0.10": false, "2001:db8::1": true} {
 		if offices.Contains(netip.MustParseAddr(addr)) != in {
 			t.Errorf("%s in offices: %v", addr, !in)
--- a/internal/site/sites.go
+++ b/internal/site/sites.go
@@ -89,27 +89,27 @@
 	z := &s.Zones
 	var r reader
 	r.number(b.Overprovision, 1, 10, &z.Overprovision)
-	r.number(b.Panic, 0, 1, &z.Panic)
-	r.number(b.Spill, 0, 1, &z.Spill)
-	r.number(b.Retries, 0, 1, &z.Retries)
+	r.number(b.Panic, 0, 1, &z.PanicThreshold)
+	r.number(b.Spill, 0, 1, &z.SpilloverLimit)
+	r.number(b.Retries, 0, 1, &z.RetryBudget)
 	r.number(b.LostBelow, 0, 1, &z.LostBelow)
-	r.number(b.BackOver, 0, 1, &z.BackOver)
-	r.duration(b.Settle, &z.Settle)
-	r.duration(b.Ramp, &z.Ramp)
-	r.number(b.Jitter, 0, 1, &z.Jitter)
-	r.duration(b.DrainOver, &z.Drain)
+	r.number(b.BackOver, 0, 1, &z.RecoverAbove)
+	r.duration(b.Settle, &z.SettlingTime)
+	r.duration(b.Ramp, &z.RecoveryRamp)
+	r.number(b.Jitter, 0, 1, &z.RampJitter)
+	r.duration(b.DrainOver, &z.DrainTime)
 	if d := b.Damping; d != nil {
 		r.number(d.Penalty, 0, mostPenalty, &z.Damping.Penalty)
 		r.duration(d.HalfLife, &z.Damping.HalfLife)
-		r.number(d.Suppress, 0, mostPenalty, &z.Damping.Suppress)
-		r.number(d.Reuse, 0, mostPenalty, &z.Damping.Reuse)
-		r.duration(d.Longest, &z.Damping.Longest)
+		r.number(d.Suppress, 0, mostPenalty, &z.Damping.SuppressAbove)
+		r.number(d.Reuse, 0, mostPenalty, &z.Damping.ReuseBelow)
+		r.duration(d.Longest, &z.Damping.MaxSuppression)
 	}
 	if l := b.Shedding; l != nil {
-		z.Shed = true
-		r.number(l.Up, 0, mostPenalty, &z.Ladder.Up)
-		r.number(l.Slack, 0, mostPenalty, &z.Ladder.Slack)
-		r.duration(l.Settle, &z.Ladder.Settle)
+		z.SheddingEnabled = true
+		r.number(l.Up, 0, mostPenalty, &z.Shedding.Threshold)
+		r.number(l.Slack, 0, mostPenalty, &z.Shedding.Hysteresis)
+		r.duration(l.Settle, &z.Shedding.SettlingTime)
 	}
 	for _, zb := range b.Zones {
 		s.Named = append(s.Named, zb.decode(&r, s.Named))
@@ -207,12 +207,12 @@
 	z := s.Zones
 	fmt.Fprintf(b, "sites {\n  overprovision = %v\n  panic         = %v\n  spill         = %v\n  retries       = %v\n  lost_below    = %v\n  back_over     = %v\n"+
 		"  settle        = %q\n  ramp          = %q\n  jitter        = %v\n  drain_over    = %q\n",
-		z.Overprovision, z.Panic, z.Spill, z.Retries, z.LostBelow, z.BackOver, timeText(z.Settle), timeText(z.Ramp), z.Jitter, timeText(z.Drain))
-	d, l := z.Damping, z.Ladder
+		z.Overprovision, z.PanicThreshold, z.SpilloverLimit, z.RetryBudget, z.LostBelow, z.RecoverAbove, timeText(z.SettlingTime), timeText(z.RecoveryRamp), z.RampJitter, timeText(z.DrainTime))
+	d, l := z.Damping, z.Shedding
 	fmt.Fprintf(b, "\n  damping {\n    penalty   = %v\n    half_life = %q\n    suppress  = %v\n    reuse     = %v\n    longest   = %q\n  }\n",
-		d.Penalty, timeText(d.HalfLife), d.Suppress, d.Reuse, timeText(d.Longest))
-	if z.Shed {
-		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", l.Up, l.Slack, timeText(l.Settle))
+		d.Penalty, timeText(d.HalfLife), d.SuppressAbove, d.ReuseBelow, timeText(d.MaxSuppression))
+	if z.SheddingEnabled {
+		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", l.Threshold, l.Hysteresis, timeText(l.SettlingTime))
 	}
 	for _, n := range s.Named {
 		fmt.Fprintf(b, "\n  zone %q {\n    drain   = %v\n", n.Name, n.Drain)
--- a/internal/site/sites_test.go
+++ b/internal/site/sites_test.go
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	set, drained := s.Sites.Resolve([]string{"hall-a", "hall-b", "hall-c"})
-	if set.Overprovision != 1.2 || set.Spill != 0.25 || set.Ramp != 20*rules.Second || set.Damping.HalfLife != 30*rules.Second ||
-		set.Damping.Suppress != zones.Defaults().Damping.Suppress || set.Ladder.Up != 1.2 || set.Panic != zones.Defaults().Panic {
+	if set.Overprovision != 1.2 || set.SpilloverLimit != 0.25 || set.RecoveryRamp != 20*rules.Second || set.Damping.HalfLife != 30*rules.Second ||
+		set.Damping.SuppressAbove != zones.Defaults().Damping.SuppressAbove || set.Shedding.Threshold != 1.2 || set.PanicThreshold != zones.Defaults().PanicThreshold {
 		t.Errorf("got %+v", set)
 	}
 	if !reflect.DeepEqual(set.Tiers, map[int][][]int{0: {{1}, {2}}}) || !reflect.DeepEqual(drained, []int{2}) {
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -12,48 +12,48 @@
 // Split is where load goes, in parts of 1 by zone. Panic tells that too little is well to believe what is seen:
 // then all that is listed gets load by its size.
 type Split struct {
-	To    []float64
-	Panic bool
-	Short float64 // part of the load for which no zone has room
+	Fractions []float64
+	Panic     bool
+	Unplaced  float64 // part of the load for which no zone has room
 }
 
-// slowFrom is the slowdown from which a zone counts as crowded: its capacity then counts by what is over it. It
+// crowdedSlowdown is the slowdown from which a zone counts as crowded: its capacity then counts by what is over it. It
 // is the factor by which a query may take longer than alone before the decision module counts it as too slow,
 // twice: a zone gives load away when its engines are clearly slower than that, not at the first slow query.
-const slowFrom = 1.35 * 1.35
+const crowdedSlowdown = 1.35 * 1.35
 
 // capacity is what a zone can take now, in cores: a return is paced by the ramp or by how warm its engines are,
 // whichever is less.
-func (z *Zones) capacity(e *zone) float64 {
-	if e.sight.cut() {
+func (c *Controller) capacity(zone *zoneRecord) float64 {
+	if zone.observation.unreachable() {
 		return 0
 	}
-	c := min(min(e.sight.Well, e.sight.Listed)*z.share(e), e.sight.Warm)
-	if e.sight.Slow > slowFrom {
-		c *= slowFrom / e.sight.Slow
+	cores := min(min(zone.observation.HealthyCores, zone.observation.ListedCores)*c.loadShare(zone), zone.observation.WarmCores)
+	if zone.observation.Slowdown > crowdedSlowdown {
+		cores *= crowdedSlowdown / zone.observation.Slowdown
 	}
-	return c
+	return cores
 }
 
-// usual is what a zone lists when nothing of it is gone, in cores. Engines that have died leave the list after a
+// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have died leave the list after a
 // while: what was listed counts on, fading by half in the longest time that a zone is kept away, or the half that
 // is left of a zone would be taken for a whole one.
-func (z *Zones) usual(e *zone) float64 {
-	faded := e.usual * math.Exp2(-float64(z.now-e.usualAt)/float64(max(z.set.Damping.Longest, 1)))
-	return max(e.sight.Listed, faded, leastCores/2)
+func (c *Controller) usualCores(zone *zoneRecord) float64 {
+	faded := zone.usualCores * math.Exp2(-float64(c.now-zone.usualCoresAt)/float64(max(c.settings.Damping.MaxSuppression, 1)))
+	return max(zone.observation.ListedCores, faded, minCores/2)
 }
 
-// leastCores is less than any engine has.
-const leastCores = 1e-6
+// minCores is less than any engine has.
+const minCores = 1e-6
 
-// tiers are all zones in the order in which a zone's load goes to them.
-func (z *Zones) tiers(from int) [][]int {
-	placed := make([]bool, len(z.all))
+// preferenceTiers are all zones in the order in which a zone's load goes to them.
+func (c *Controller) preferenceTiers(from int) [][]int {
+	placed := make([]bool, len(c.zones))
 	levels := [][]int{}
 	add := func(level []int) {
 		kept := make([]int, 0, len(level))
 		for _, i := range level {
-			if i >= 0 && i < len(z.all) && !placed[i] {
+			if i >= 0 && i < len(c.zones) && !placed[i] {
 				placed[i] = true
 				kept = append(kept, i)
 			}
@@ -63,11 +63,11 @@
 		}
 	}
 	add([]int{from})
-	for _, t := range z.set.Tiers[from] {
+	for _, t := range c.settings.Tiers[from] {
 		add(t)
 	}
-	rest := make([]int, 0, len(z.all))
-	for i := range z.all {
+	rest := make([]int, 0, len(c.zones))
+	for i := range c.zones {
 		rest = append(rest, i)
 	}
 	add(rest)
@@ -76,86 +76,88 @@
 
 // Split says where this gateway's load goes now. A zone keeps all of its load while its capacity, counted
 // Overprovision times, is at least what it lists; what is over goes to the next tier, within a tier by capacity.
-func (z *Zones) Split(now rules.Time) Split { return z.splitOf(now, z.own) }
+func (c *Controller) Split(now rules.Time) Split { return c.splitFrom(now, c.ownZone) }
 
-func (z *Zones) splitOf(now rules.Time, from int) Split {
-	z.now = max(z.now, now)
-	s := Split{To: make([]float64, len(z.all))}
+func (c *Controller) splitFrom(now rules.Time, from int) Split {
+	c.now = max(c.now, now)
+	s := Split{Fractions: make([]float64, len(c.zones))}
 	listed, there, well := 0.0, 0.0, 0.0
-	for i := range z.all {
-		e := &z.all[i]
-		listed += e.sight.Listed
-		there += e.there()
-		well += e.sight.Listed * e.sight.well()
+	for i := range c.zones {
+		zone := &c.zones[i]
+		listed += zone.observation.ListedCores
+		there += zone.presentCores()
+		well += zone.observation.ListedCores * zone.observation.healthyFraction()
 	}
 	if listed <= 0 {
 		return s
 	}
-	if well < z.set.Panic*there {
+	if well < c.settings.PanicThreshold*there {
 		s.Panic = true
-		z.bySize(&s, listed)
+		c.splitBySize(&s, listed)
 		return s
 	}
 	left := 1.0
-	for _, level := range z.tiers(from) {
+	for _, level := range c.preferenceTiers(from) {
 		room, whole := 0.0, 0.0
 		for _, i := range level {
-			room += z.capacity(&z.all[i])
-			whole += z.usual(&z.all[i])
+			room += c.capacity(&c.zones[i])
+			whole += c.usualCores(&c.zones[i])
 		}
 		if room <= 0 {
 			continue
 		}
-		part := min(left, z.set.Overprovision*room/whole)
+		part := min(left, c.settings.Overprovision*room/whole)
 		for _, i := range level {
-			s.To[i] += part * z.capacity(&z.all[i]) / room
+			s.Fractions[i] += part * c.capacity(&c.zones[i]) / room
 		}
 		if left -= part; left <= 0 {
 			return s
 		}
 	}
-	z.spread(&s, left, listed)
+	c.spreadRemainder(&s, left, listed)
 	return s
 }
 
-// spread gives what no level took to all in proportion: nothing is kept back here, the limits of spill and the
+// spreadRemainder gives what no level took to all in proportion: nothing is kept back here, the limits of spill and the
 // ladder say what is held or refused.
-func (z *Zones) spread(s *Split, left, listed float64) {
-	s.Short = left
+func (c *Controller) spreadRemainder(s *Split, left, listed float64) {
+	s.Unplaced = left
 	taken := 0.0
-	for _, p := range s.To {
+	for _, p := range s.Fractions {
 		taken += p
 	}
 	if taken <= 0 {
 		s.Panic = true
-		z.bySize(s, listed)
+		c.splitBySize(s, listed)
 		return
 	}
-	for i := range s.To {
-		s.To[i] /= taken
+	for i := range s.Fractions {
+		s.Fractions[i] /= taken
 	}
 }
 
-// there is what of a zone may be believed to be there, whatever we hold of its health: that nobody answers a probe is no belief.
-func (e *zone) there() float64 { return max(e.sight.Listed-e.sight.Dead, 0) }
+// presentCores is what of a zone may be believed to be there, whatever we hold of its health: that nobody answers a probe is no belief.
+func (z *zoneRecord) presentCores() float64 {
+	return max(z.observation.ListedCores-z.observation.UnansweredCores, 0)
+}
 
-// bySize gives to each zone by what is there of it, but to what is drained on purpose, which nothing makes come back.
-func (z *Zones) bySize(s *Split, listed float64) {
+// splitBySize gives to each zone by what is there of it, but to what is drained on purpose, which nothing makes come back.
+func (c *Controller) splitBySize(s *Split, listed float64) {
 	total := 0.0
-	size := func(e *zone) float64 {
-		if e.state == Draining || e.state == Drained {
+	size := func(zone *zoneRecord) float64 {
+		if zone.state == Draining || zone.state == Drained {
 			return 0
 		}
-		return e.there()
+		return zone.presentCores()
 	}
-	for i := range z.all {
-		total += size(&z.all[i])
+	for i := range c.zones {
+		total += size(&c.zones[i])
 	}
-	for i := range z.all {
-		if e := &z.all[i]; total > 0 {
-			s.To[i] = size(e) / total
+	for i := range c.zones {
+		if zone := &c.zones[i]; total > 0 {
+			s.Fractions[i] = size(zone) / total
 		} else {
-			s.To[i] = e.sight.Listed / listed
+			s.Fractions[i] = zone.observation.ListedCores / listed
 		}
 	}
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -39,38 +39,38 @@
 
 // Settings are the operator's. Parts are of 1.
 type Settings struct {
-	Overprovision float64    // times that the capacity which is well counts: 1.4 keeps all of a zone's load in it until 0.71 is well
-	Panic         float64    // part of all capacity that must be well, or health is not believed
-	Spill         float64    // part of a zone's warm capacity that load of other zones takes at most; 1: no limit
-	Retries       float64    // further attempts into a zone, over the first ones there; 1: no limit
-	LostBelow     float64    // a zone fails when less than this part of it is well
-	BackOver      float64    // and is well again from this part on
-	Settle        rules.Time // how long either must last
-	Ramp          rules.Time // of a return, from nothing to all
-	Jitter        float64    // part of the ramp by which gateways begin it apart
-	Drain         rules.Time // of a drain, from all to nothing
-	Damping       Damping
-	Tiers         map[int][][]int // by zone: the zones that it prefers beyond itself, nearest first; the rest come last
-	Shed          bool            // the ladder is climbed; without it nothing is refused for the sake of what earns more
-	Ladder        Ladder
+	Overprovision   float64    // times that the capacity which is well counts: 1.4 keeps all of a zone's load in it until 0.71 is well
+	PanicThreshold  float64    // part of all capacity that must be well, or health is not believed
+	SpilloverLimit  float64    // part of a zone's warm capacity that load of other zones takes at most; 1: no limit
+	RetryBudget     float64    // further attempts into a zone, over the first ones there; 1: no limit
+	LostBelow       float64    // a zone fails when less than this part of it is well
+	RecoverAbove    float64    // and is well again from this part on
+	SettlingTime    rules.Time // how long either must last
+	RecoveryRamp    rules.Time // of a return, from nothing to all
+	RampJitter      float64    // part of the ramp by which gateways begin it apart
+	DrainTime       rules.Time // of a drain, from all to nothing
+	Damping         Damping
+	Tiers           map[int][][]int // by zone: the zones that it prefers beyond itself, nearest first; the rest come last
+	SheddingEnabled bool            // the ladder is climbed; without it nothing is refused for the sake of what earns more
+	Shedding        SheddingSettings
 }
 
 // Damping keeps a zone that flaps away until it has been still (as route-flap damping, RFC 2439).
 type Damping struct {
-	Penalty  float64    // of each loss
-	HalfLife rules.Time // in which the sum of penalties halves
-	Suppress float64    // sum from which the zone stays lost though it is well
-	Reuse    float64    // sum under which it may return
-	Longest  rules.Time // that a zone is kept away after it is well
+	Penalty        float64    // of each loss
+	HalfLife       rules.Time // in which the sum of penalties halves
+	SuppressAbove  float64    // sum from which the zone stays lost though it is well
+	ReuseBelow     float64    // sum under which it may return
+	MaxSuppression rules.Time // that a zone is kept away after it is well
 }
 
 // Defaults are those of a site that says nothing.
 func Defaults() Settings {
 	return Settings{
-		Overprovision: 1.4, Panic: 0.5, Spill: 1, Retries: 1, LostBelow: 0.3, BackOver: 0.7, Settle: 500 * rules.Millisecond,
-		Ramp: 15 * rules.Second, Jitter: 0.2, Drain: 10 * rules.Second,
-		Damping: Damping{Penalty: 1, HalfLife: 15 * rules.Second, Suppress: 2.5, Reuse: 0.75, Longest: 60 * rules.Second},
-		Ladder:  DefaultLadder(),
+		Overprovision: 1.4, PanicThreshold: 0.5, SpilloverLimit: 1, RetryBudget: 1, LostBelow: 0.3, RecoverAbove: 0.7, SettlingTime: 500 * rules.Millisecond,
+		RecoveryRamp: 15 * rules.Second, RampJitter: 0.2, DrainTime: 10 * rules.Second,
+		Damping:  Damping{Penalty: 1, HalfLife: 15 * rules.Second, SuppressAbove: 2.5, ReuseBelow: 0.75, MaxSuppression: 60 * rules.Second},
+		Shedding: DefaultShedding(),
 	}
 }
 
@@ -79,16 +79,16 @@
 	switch {
 	case !(s.Overprovision >= 1 && s.Overprovision <= 10):
 		return fmt.Errorf("overprovision is %v, 1 to 10 is possible", s.Overprovision)
-	case !(s.Panic >= 0 && s.Panic <= 1), !(s.Spill >= 0 && s.Spill <= 1), !(s.Jitter >= 0 && s.Jitter <= 1), !(s.Retries >= 0 && s.Retries <= 1):
+	case !(s.PanicThreshold >= 0 && s.PanicThreshold <= 1), !(s.SpilloverLimit >= 0 && s.SpilloverLimit <= 1), !(s.RampJitter >= 0 && s.RampJitter <= 1), !(s.RetryBudget >= 0 && s.RetryBudget <= 1):
 		return errors.New("panic, spill, retries and jitter are parts: 0 to 1")
-	case !(s.LostBelow > 0 && s.LostBelow < s.BackOver && s.BackOver <= 1):
-		return fmt.Errorf("lost_below is %v and back_over %v: 0 < lost_below < back_over <= 1", s.LostBelow, s.BackOver)
-	case s.Settle < 0, s.Ramp <= 0, s.Drain <= 0:
+	case !(s.LostBelow > 0 && s.LostBelow < s.RecoverAbove && s.RecoverAbove <= 1):
+		return fmt.Errorf("lost_below is %v and back_over %v: 0 < lost_below < back_over <= 1", s.LostBelow, s.RecoverAbove)
+	case s.SettlingTime < 0, s.RecoveryRamp <= 0, s.DrainTime <= 0:
 		return errors.New("ramp and drain must be over 0, settle at least 0")
-	case !(s.Damping.Penalty >= 0), s.Damping.HalfLife <= 0, s.Damping.Longest < 0:
+	case !(s.Damping.Penalty >= 0), s.Damping.HalfLife <= 0, s.Damping.MaxSuppression < 0:
 		return errors.New("damping: half_life must be over 0, penalty and longest at least 0")
-	case !(s.Damping.Reuse > 0 && s.Damping.Reuse < s.Damping.Suppress):
-		return fmt.Errorf("damping: reuse is %v and suppress %v: 0 < reuse < suppress", s.Damping.Reuse, s.Damping.Suppress)
+	case !(s.Damping.ReuseBelow > 0 && s.Damping.ReuseBelow < s.Damping.SuppressAbove):
+		return fmt.Errorf("damping: reuse is %v and suppress %v: 0 < reuse < suppress", s.Damping.ReuseBelow, s.Damping.SuppressAbove)
 	}
 	for from, tiers := range s.Tiers {
 		seen := []int{from}
@@ -101,112 +101,114 @@
 			}
 		}
 	}
-	return s.Ladder.validate()
+	return s.Shedding.validate()
 }
 
-// Sight is what a gateway sees of a zone, in cores.
-type Sight struct {
-	Listed  float64 // of all engines that the list has there, as if warm; 0: none
-	Dead    float64 // of these, in a zone that is lost, by the part of probes that nobody answered
-	Well    float64 // of those that serve and neither fail nor are silent, as if warm
-	Warm    float64 // the same, cold ones counted by what they can do now
-	Slow    float64 // times that queries take there of what they take alone; under 1: not known
-	Engines int
-	Silent  int // engines that owe us answers and have said nothing for longer than a connect time-out
+// Observation is what a gateway sees of a zone, in cores.
+type Observation struct {
+	ListedCores     float64 // of all engines that the list has there, as if warm; 0: none
+	UnansweredCores float64 // of these, in a zone that is lost, by the part of probes that nobody answered
+	HealthyCores    float64 // of those that serve and neither fail nor are silent, as if warm
+	WarmCores       float64 // the same, cold ones counted by what they can do now
+	Slowdown        float64 // times that queries take there of what they take alone; under 1: not known
+	ActiveEngines   int
+	SilentEngines   int // engines that owe us answers and have said nothing for longer than a connect time-out
 }
 
-// cut answers whether all that we have out in a zone is silent, on more than one engine: the way there is cut, or
+// unreachable answers whether all that we have out in a zone is silent, on more than one engine: the way there is cut, or
 // all of it is gone. That is one failure, not one of each engine.
-func (s Sight) cut() bool { return s.Silent > 1 && s.Silent == s.Engines }
+func (s Observation) unreachable() bool {
+	return s.SilentEngines > 1 && s.SilentEngines == s.ActiveEngines
+}
 
-// well is the part of a zone that is.
-func (s Sight) well() float64 {
-	if s.Listed <= 0 || s.cut() {
+// healthyFraction is the part of a zone that is.
+func (s Observation) healthyFraction() float64 {
+	if s.ListedCores <= 0 || s.unreachable() {
 		return 0
 	}
-	return min(s.Well/s.Listed, 1)
+	return min(s.HealthyCores/s.ListedCores, 1)
 }
 
-// zone is what is remembered of one.
-type zone struct {
-	state   State
-	since   rules.Time // when the state was entered
-	turning rules.Time // since when what would end the state has been seen; 0: it is not
-	from    float64    // the share at which a ramp or a drain began
-	begins  rules.Time // of the ramp, with our jitter
-	penalty float64
-	at      rules.Time // of the penalty
-	damped  bool
-	up      bool // while lost: it has been well again
-	losses  int
-	sight   Sight
-	seen    bool
-	usual   float64 // cores that were listed when most were
-	usualAt rules.Time
-	look    look
-	spill   spill
-	retries retries
+// zoneRecord is what is remembered of one.
+type zoneRecord struct {
+	state          State
+	since          rules.Time // when the state was entered
+	conditionSince rules.Time // since when what would end the state has been seen; 0: it is not
+	rampFrom       float64    // the share at which a ramp or a drain began
+	rampBegins     rules.Time // of the ramp, with our jitter
+	penalty        float64
+	penaltyAt      rules.Time // of the penalty
+	damped         bool
+	recovered      bool // while lost: it has been well again
+	losses         int
+	observation    Observation
+	observed       bool
+	usualCores     float64 // cores that were listed when most were
+	usualCoresAt   rules.Time
+	probes         probeState
+	spillover      spilloverState
+	retries        retryCounts
 }
 
 // Fleet is what a gateway is told of the fleet at its start.
 type Fleet struct {
-	Zones     int
-	Elsewhere bool // the last zone holds what belongs to none: nobody's clients are at home there
-	Own       int  // the gateway's zone
-	Gateways  int  // of all zones
-	Jitter    float64
-	Classes   []rules.Class
-	Tenants   []rules.Tenant
+	Zones             int
+	HasUnassignedZone bool // the last zone holds what belongs to none: nobody's clients are at home there
+	OwnZone           int  // the gateway's zone
+	Gateways          int  // of all zones
+	Jitter            float64
+	Classes           []rules.Class
+	Tenants           []rules.Tenant
 }
 
-// homes are the zones that have gateways.
-func (f Fleet) homes() int {
-	if f.Elsewhere {
+// gatewayZones are the zones that have gateways.
+func (f Fleet) gatewayZones() int {
+	if f.HasUnassignedZone {
 		return max(f.Zones-1, 1)
 	}
 	return max(f.Zones, 1)
 }
 
-// Zones are the zones of one gateway. It is a rules.ZonePlan.
-type Zones struct {
-	set    Settings
-	fleet  Fleet
-	own    int
-	jitter float64
-	all    []zone
-	now    rules.Time
-	split  Split // of the last look
-	shut   bool  // a draw found that limits keep a query waiting since the last look
-	demand demand
-	since  rules.Time // since when something has been shed or kept waiting; 0: nothing is
-	last   rules.Time // when something last was
-	count  Counts
+// Controller are the zones of one gateway. It is a rules.ZonePlan.
+type Controller struct {
+	settings     Settings
+	fleet        Fleet
+	ownZone      int
+	jitter       float64
+	zones        []zoneRecord
+	now          rules.Time
+	split        Split // of the last look
+	shut         bool  // a draw found that limits keep a query waiting since the last look
+	demand       demandState
+	limitedSince rules.Time // since when something has been shed or kept waiting; 0: nothing is
+	limitedLast  rules.Time // when something last was
+	counts       Counts
 }
 
 // Counts are of what limits did since the start.
 type Counts struct {
-	Spilled int // queries sent to zones that are not ours
-	Waited  int // draws that found no zone with room
-	Further int // further attempts
-	Spent   int // of these, kept from a zone by its budget of retries
-	Shed    [int(Cheap) + 1]int
+	Spillovers     int // queries sent to zones that are not ours
+	Blocked        int // draws that found no zone with room
+	Retries        int // further attempts
+	RetriesBlocked int // of these, kept from a zone by its budget of retries
+	Shed           [int(TierLowestValue) + 1]int
 }
 
 // New returns the zones of a gateway that has just started: all are taken for present until it sees otherwise, so
 // that one which starts in the middle of a loss does as it would without zones. The fleet's jitter is a number from 0
 // to 1 that differs from gateway to gateway.
-func New(set Settings, fleet Fleet, now rules.Time) *Zones {
+func New(set Settings, fleet Fleet, now rules.Time) *Controller {
 	fleet.Gateways = max(fleet.Gateways, 1)
-	z := &Zones{set: set, fleet: fleet, own: fleet.Own, jitter: fleet.Jitter, all: make([]zone, fleet.Zones), now: now,
-		demand: newDemand(fleet)}
-	for i := range z.all {
-		z.all[i].spill.sent.Span = spillSpan
+	controller := &Controller{settings: set, fleet: fleet, ownZone: fleet.OwnZone, jitter: fleet.Jitter, zones: make([]zoneRecord, fleet.Zones), now: now,
+		demand: newDemandState(fleet)}
+	for i := range controller.zones {
+		controller.zones[i].spillover.sent.Span = spilloverWindow
 	}
-	return z
+	return controller
 }
 
-// Retune goes over to other settings; states, ramps and penalties go on under them.
-func (z *Zones) Retune(set Settings) { z.set = set }
+// Reconfigure goes over to other settings; states, ramps and penalties go on under them.
+func (c *Controller) Reconfigure(set Settings) { c.settings = set }
 
 // Change is a state that a zone has entered.
 type Change struct {
@@ -215,180 +217,180 @@
 	Damped   bool // it is kept away because it flaps, whether it is well or not
 }
 
-// see takes what a gateway sees of all zones, and returns which states have changed.
-func (z *Zones) see(now rules.Time, sights []Sight) (changes []Change) {
-	z.now = max(z.now, now)
-	for i := range z.all {
-		e := &z.all[i]
-		if i < len(sights) {
-			usual := z.usual(e)
-			e.sight, e.seen = sights[i], true
-			e.usual, e.usualAt = max(usual, sights[i].Listed), z.now
+// updateZones takes what a gateway sees of all zones, and returns which states have changed.
+func (c *Controller) updateZones(now rules.Time, observations []Observation) (changes []Change) {
+	c.now = max(c.now, now)
+	for i := range c.zones {
+		zone := &c.zones[i]
+		if i < len(observations) {
+			usual := c.usualCores(zone)
+			zone.observation, zone.observed = observations[i], true
+			zone.usualCores, zone.usualCoresAt = max(usual, observations[i].ListedCores), c.now
 		}
-		before, damped := e.state, e.damped
-		z.turn(e)
-		if e.state != before || e.damped != damped {
-			changes = append(changes, Change{Zone: i, From: before, To: e.state, Damped: e.damped})
+		before, damped := zone.state, zone.damped
+		c.updateState(zone)
+		if zone.state != before || zone.damped != damped {
+			changes = append(changes, Change{Zone: i, From: before, To: zone.state, Damped: zone.damped})
 		}
 	}
 	return changes
 }
 
-// lasted answers whether something has been so for the settling time.
-func (z *Zones) lasted(e *zone, is bool) bool {
+// conditionLasted answers whether something has been so for the settling time.
+func (c *Controller) conditionLasted(zone *zoneRecord, is bool) bool {
 	if !is {
-		e.turning = 0
+		zone.conditionSince = 0
 		return false
 	}
-	if e.turning == 0 {
-		e.turning = max(z.now, 1)
+	if zone.conditionSince == 0 {
+		zone.conditionSince = max(c.now, 1)
 	}
-	return z.now-e.turning >= z.set.Settle
+	return c.now-zone.conditionSince >= c.settings.SettlingTime
 }
 
-func (z *Zones) enter(e *zone, s State) {
-	e.state, e.since, e.turning = s, z.now, 0
+func (c *Controller) enterState(zone *zoneRecord, s State) {
+	zone.state, zone.since, zone.conditionSince = s, c.now, 0
 }
 
-// turn moves one zone from state to state.
-func (z *Zones) turn(e *zone) {
-	if !e.seen || e.usual < leastCores { // it never had an engine
+// updateState moves one zone from state to state.
+func (c *Controller) updateState(zone *zoneRecord) {
+	if !zone.observed || zone.usualCores < minCores { // it never had an engine
 		return
 	}
-	well := e.sight.well()
-	switch e.state {
+	well := zone.observation.healthyFraction()
+	switch zone.state {
 	case Present, Returning:
-		if well < z.set.LostBelow {
-			e.from = z.share(e)
-			z.enter(e, Failing)
-			if e.look.failed >= doubtFails { // it has lasted for as long as we have doubted
-				e.turning = e.look.doubt
+		if well < c.settings.LostBelow {
+			zone.rampFrom = c.loadShare(zone)
+			c.enterState(zone, Failing)
+			if zone.probes.unanswered >= unansweredForSilence { // it has lasted for as long as we have doubted
+				zone.conditionSince = zone.probes.suspectedSince
 			}
-			z.turn(e)
-		} else if e.state == Returning && z.share(e) >= 1 {
-			z.enter(e, Present)
+			c.updateState(zone)
+		} else if zone.state == Returning && c.loadShare(zone) >= 1 {
+			c.enterState(zone, Present)
 		}
 	case Failing:
 		switch {
-		case well >= z.set.BackOver && e.from < 1:
-			z.back(e, e.from)
-		case well >= z.set.BackOver:
-			z.enter(e, Present)
-		case z.lasted(e, well < z.set.LostBelow):
-			z.lose(e)
+		case well >= c.settings.RecoverAbove && zone.rampFrom < 1:
+			c.beginRamp(zone, zone.rampFrom)
+		case well >= c.settings.RecoverAbove:
+			c.enterState(zone, Present)
+		case c.conditionLasted(zone, well < c.settings.LostBelow):
+			c.markLost(zone)
 		}
 	case Lost:
-		if e.up && well < z.set.LostBelow { // it flaps though it gets nothing
-			z.punish(e)
+		if zone.recovered && well < c.settings.LostBelow { // it flaps though it gets nothing
+			c.addPenalty(zone)
 		}
-		e.up = well >= z.set.BackOver || e.up && well >= z.set.LostBelow
-		e.damped = z.suppressed(e)
-		if z.lasted(e, well >= z.set.BackOver) && !e.damped {
-			z.back(e, 0)
+		zone.recovered = well >= c.settings.RecoverAbove || zone.recovered && well >= c.settings.LostBelow
+		zone.damped = c.suppressed(zone)
+		if c.conditionLasted(zone, well >= c.settings.RecoverAbove) && !zone.damped {
+			c.beginRamp(zone, 0)
 		}
 	case Draining:
-		if z.share(e) <= 0 {
-			z.enter(e, Drained)
+		if c.loadShare(zone) <= 0 {
+			c.enterState(zone, Drained)
 		}
 	}
 }
 
-func (z *Zones) lose(e *zone) {
-	z.punish(e)
-	e.up = false
-	e.losses++
-	z.enter(e, Lost)
+func (c *Controller) markLost(zone *zoneRecord) {
+	c.addPenalty(zone)
+	zone.recovered = false
+	zone.losses++
+	c.enterState(zone, Lost)
 }
 
-// punish counts a loss. The sum stays where it fades to reuse within the longest time that a zone is kept away.
-func (z *Zones) punish(e *zone) {
-	d := z.set.Damping
-	most := d.Reuse * math.Exp2(float64(d.Longest)/float64(d.HalfLife))
-	e.penalty, e.at = min(z.penalty(e)+d.Penalty, most), z.now
+// addPenalty counts a loss. The sum stays where it fades to reuse within the longest time that a zone is kept away.
+func (c *Controller) addPenalty(zone *zoneRecord) {
+	d := c.settings.Damping
+	most := d.ReuseBelow * math.Exp2(float64(d.MaxSuppression)/float64(d.HalfLife))
+	zone.penalty, zone.penaltyAt = min(c.penalty(zone)+d.Penalty, most), c.now
 }
 
-// back begins the ramp of a return. Gateways that see it together begin apart, and each the later the larger the
+// beginRamp begins the ramp of a return. Gateways that see it together begin apart, and each the later the larger the
 // part of the fleet's ramp that the jitter is.
-func (z *Zones) back(e *zone, from float64) {
-	e.from, e.begins = from, z.now+rules.Time(z.jitter*z.set.Jitter*float64(z.set.Ramp))
-	e.damped = false
-	z.enter(e, Returning)
+func (c *Controller) beginRamp(zone *zoneRecord, from float64) {
+	zone.rampFrom, zone.rampBegins = from, c.now+rules.Time(c.jitter*c.settings.RampJitter*float64(c.settings.RecoveryRamp))
+	zone.damped = false
+	c.enterState(zone, Returning)
 }
 
 // penalty is the sum of penalties as it has faded until now.
-func (z *Zones) penalty(e *zone) float64 {
-	return e.penalty * math.Exp2(-float64(z.now-e.at)/float64(z.set.Damping.HalfLife))
+func (c *Controller) penalty(zone *zoneRecord) float64 {
+	return zone.penalty * math.Exp2(-float64(c.now-zone.penaltyAt)/float64(c.settings.Damping.HalfLife))
 }
 
 // suppressed answers whether a zone flaps too much to be used. Once it does, it is kept away until the penalty
 // has faded to where it may be reused.
-func (z *Zones) suppressed(e *zone) bool {
-	if e.damped {
-		return z.penalty(e) > z.set.Damping.Reuse
+func (c *Controller) suppressed(zone *zoneRecord) bool {
+	if zone.damped {
+		return c.penalty(zone) > c.settings.Damping.ReuseBelow
 	}
-	return z.penalty(e) >= z.set.Damping.Suppress
+	return c.penalty(zone) >= c.settings.Damping.SuppressAbove
 }
 
-// share is the part of its ordinary use that a zone has now.
-func (z *Zones) share(e *zone) float64 {
+// loadShare is the part of its ordinary use that a zone has now.
+func (c *Controller) loadShare(zone *zoneRecord) float64 {
 	part := func(from rules.Time, over rules.Time) float64 {
-		return min(max(float64(z.now-from)/float64(over), 0), 1)
+		return min(max(float64(c.now-from)/float64(over), 0), 1)
 	}
-	switch e.state {
+	switch zone.state {
 	case Failing:
-		return e.from
+		return zone.rampFrom
 	case Returning:
-		return e.from + (1-e.from)*part(e.begins, z.set.Ramp)
+		return zone.rampFrom + (1-zone.rampFrom)*part(zone.rampBegins, c.settings.RecoveryRamp)
 	case Draining:
-		return e.from * (1 - part(e.since, z.set.Drain))
+		return zone.rampFrom * (1 - part(zone.since, c.settings.DrainTime))
 	case Lost, Drained:
 		return 0
 	}
 	return 1
 }
 
-// DrainZone begins or ends a drain on purpose. What comes back from one returns on the ramp.
-func (z *Zones) DrainZone(now rules.Time, i int, on bool) {
-	z.now = max(z.now, now)
-	if i < 0 || i >= len(z.all) {
+// SetDraining begins or ends a drain on purpose. What comes back from one returns on the ramp.
+func (c *Controller) SetDraining(now rules.Time, i int, on bool) {
+	c.now = max(c.now, now)
+	if i < 0 || i >= len(c.zones) {
 		return
 	}
-	e := &z.all[i]
-	drains := e.state == Draining || e.state == Drained
+	zone := &c.zones[i]
+	drains := zone.state == Draining || zone.state == Drained
 	switch {
 	case on && !drains:
-		e.from = z.share(e)
-		z.enter(e, Draining)
+		zone.rampFrom = c.loadShare(zone)
+		c.enterState(zone, Draining)
 	case !on && drains:
-		z.back(e, z.share(e))
+		c.beginRamp(zone, c.loadShare(zone))
 	}
 }
 
 // Status is what an operator hears of a zone.
 type Status struct {
-	State   State
-	Since   rules.Time
-	Share   float64 // of its ordinary use
-	Well    float64 // part of it
-	Penalty float64
-	Damped  bool
-	Losses  int
-	Part    float64 // of the gateway's load that goes there
-	Limit   float64 // cores of foreign load that the gateway may put there; under 0: no limit
+	State           State
+	Since           rules.Time
+	LoadShare       float64 // of its ordinary use
+	HealthyFraction float64 // part of it
+	Penalty         float64
+	Damped          bool
+	Losses          int
+	TrafficFraction float64 // of the gateway's load that goes there
+	SpilloverCores  float64 // cores of foreign load that the gateway may put there; under 0: no limit
 }
 
 // Status tells all zones.
-func (z *Zones) Status(now rules.Time) []Status {
-	z.now = max(z.now, now)
-	out := make([]Status, len(z.all))
-	for i := range z.all {
-		e := &z.all[i]
-		out[i] = Status{e.state, e.since, z.share(e), e.sight.well(), z.penalty(e), e.damped, e.losses, 0, -1}
-		if i < len(z.split.To) {
-			out[i].Part = z.split.To[i]
+func (c *Controller) Status(now rules.Time) []Status {
+	c.now = max(c.now, now)
+	out := make([]Status, len(c.zones))
+	for i := range c.zones {
+		zone := &c.zones[i]
+		out[i] = Status{zone.state, zone.since, c.loadShare(zone), zone.observation.healthyFraction(), c.penalty(zone), zone.damped, zone.losses, 0, -1}
+		if i < len(c.split.Fractions) {
+			out[i].TrafficFraction = c.split.Fractions[i]
 		}
-		if z.limited(i) {
-			out[i].Limit = e.spill.whole / float64(spillSpan)
+		if c.spilloverLimited(i) {
+			out[i].SpilloverCores = zone.spillover.allowance / float64(spilloverWindow)
 		}
 	}
 	return out
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,69 +14,69 @@
 	second = rules.Second
 )
 
-// hall is a zone of 100 cores of which a part is well, all of it warm.
-func hall(well float64) Sight {
-	return Sight{Listed: 100, Well: 100 * well, Warm: 100 * well, Engines: 4}
+// observedZone is a zone of 100 cores of which a part is well, all of it warm.
+func observedZone(well float64) Observation {
+	return Observation{ListedCores: 100, HealthyCores: 100 * well, WarmCores: 100 * well, ActiveEngines: 4}
 }
 
-// play shows the same sights for a while and returns the last of them.
-func (z *Zones) play(from, length rules.Time, sights ...Sight) rules.Time {
+// observeFor shows the same sights for a while and returns the last of them.
+func (c *Controller) observeFor(from, length rules.Time, observations ...Observation) rules.Time {
 	for now := from; now < from+length; now += 50 * ms {
-		z.see(now, sights)
+		c.updateZones(now, observations)
 	}
 	return from + length
 }
 
-func three() *Zones { return New(Defaults(), Fleet{Zones: 3, Jitter: 0.5}, 0) }
+func threeZones() *Controller { return New(Defaults(), Fleet{Zones: 3, Jitter: 0.5}, 0) }
 
 func TestLossAndReturn(t *testing.T) {
-	z := three()
-	now := z.play(1, second, hall(1), hall(1), hall(1))
-	z.see(now, []Sight{hall(0), hall(1), hall(1)})
-	if s := z.Status(now)[0]; s.State != Failing || s.Share != 1 {
-		t.Fatalf("at the first sign %v with a share of %v", s.State, s.Share)
-	}
-	now = z.play(now, second, hall(0), hall(1), hall(1))
-	if s := z.Status(now)[0]; s.State != Lost || s.Share != 0 || s.Losses != 1 {
+	controller := threeZones()
+	now := controller.observeFor(1, second, observedZone(1), observedZone(1), observedZone(1))
+	controller.updateZones(now, []Observation{observedZone(0), observedZone(1), observedZone(1)})
+	if s := controller.Status(now)[0]; s.State != Failing || s.LoadShare != 1 {
+		t.Fatalf("at the first sign %v with a share of %v", s.State, s.LoadShare)
+	}
+	now = controller.observeFor(now, second, observedZone(0), observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0]; s.State != Lost || s.LoadShare != 0 || s.Losses != 1 {
 		t.Fatalf("after a second %+v", s)
 	}
-	if to := z.Split(now).To; to[0] != 0 || math.Abs(to[1]-0.5) > 1e-9 || math.Abs(to[2]-0.5) > 1e-9 {
+	if to := controller.Split(now).Fractions; to[0] != 0 || math.Abs(to[1]-0.5) > 1e-9 || math.Abs(to[2]-0.5) > 1e-9 {
 		t.Fatalf("the lost zone's gateways send to %v", to)
 	}
-	now = z.play(now, 600*ms, hall(1), hall(1), hall(1))
-	if s := z.Status(now)[0]; s.State != Returning || s.Share != 0 {
+	now = controller.observeFor(now, 600*ms, observedZone(1), observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0]; s.State != Returning || s.LoadShare != 0 {
 		t.Fatalf("back for 0.6 s, our jitter not over: %+v", s)
 	}
 	last := 0.0
 	for range 30 {
-		now = z.play(now, 500*ms, hall(1), hall(1), hall(1))
-		s := z.Status(now)[0]
-		if s.Share < last || s.Share > last+0.05 {
-			t.Fatalf("the share went from %v to %v within half a second of a ramp of 15 s", last, s.Share)
+		now = controller.observeFor(now, 500*ms, observedZone(1), observedZone(1), observedZone(1))
+		s := controller.Status(now)[0]
+		if s.LoadShare < last || s.LoadShare > last+0.05 {
+			t.Fatalf("the share went from %v to %v within half a second of a ramp of 15 s", last, s.LoadShare)
 		}
-		last = s.Share
+		last = s.LoadShare
 	}
-	now = z.play(now, 5*second, hall(1), hall(1), hall(1))
-	if s := z.Status(now)[0]; s.State != Present || s.Share != 1 {
+	now = controller.observeFor(now, 5*second, observedZone(1), observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0]; s.State != Present || s.LoadShare != 1 {
 		t.Fatalf("in the end %+v", s)
 	}
 }
 
 // A zone that is half well stays as it is, whichever way it came there.
 func TestHysteresis(t *testing.T) {
-	z := three()
-	now := z.play(1, 5*second, hall(0.5), hall(1), hall(1))
-	if s := z.Status(now)[0].State; s != Present {
+	controller := threeZones()
+	now := controller.observeFor(1, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0].State; s != Present {
 		t.Errorf("present and half well: %v", s)
 	}
-	now = z.play(now, second, hall(0.2), hall(1), hall(1))
-	now = z.play(now, 5*second, hall(0.5), hall(1), hall(1))
-	if s := z.Status(now)[0].State; s != Lost {
+	now = controller.observeFor(now, second, observedZone(0.2), observedZone(1), observedZone(1))
+	now = controller.observeFor(now, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0].State; s != Lost {
 		t.Errorf("lost and half well: %v", s)
 	}
-	now = z.play(now, 400*ms, hall(0.8), hall(1), hall(1))
-	z.play(now, 100*ms, hall(0.5), hall(1), hall(1))
-	if s := z.Status(now + 600*ms)[0].State; s != Lost {
+	now = controller.observeFor(now, 400*ms, observedZone(0.8), observedZone(1), observedZone(1))
+	controller.observeFor(now, 100*ms, observedZone(0.5), observedZone(1), observedZone(1))
+	if s := controller.Status(now + 600*ms)[0].State; s != Lost {
 		t.Errorf("well for less than the settling time: %v", s)
 	}
 }
@@ -84,15 +84,15 @@
 // After its third loss a zone that flaps every 2 s is kept away until it has been still, and no longer than the longest.
 func TestFlapsAreDamped(t *testing.T) {
 	for _, every := range []rules.Time{2 * second, 10 * second, 60 * second} {
-		z := three()
-		z.set.Ramp = second
+		controller := threeZones()
+		controller.settings.RecoveryRamp = second
 		now, returns := rules.Time(1), 0
 		for flap := range 12 {
-			now = z.play(now, every, hall(0), hall(1), hall(1))
-			before := z.Status(now)[0].State
+			now = controller.observeFor(now, every, observedZone(0), observedZone(1), observedZone(1))
+			before := controller.Status(now)[0].State
 			for range every / (50 * ms) {
-				for _, c := range z.see(now, []Sight{hall(1), hall(1), hall(1)}) {
-					if c.Zone == 0 && c.To == Returning && flap >= 3 {
+				for _, change := range controller.updateZones(now, []Observation{observedZone(1), observedZone(1), observedZone(1)}) {
+					if change.Zone == 0 && change.To == Returning && flap >= 3 {
 						returns++
 					}
 				}
@@ -106,59 +106,59 @@
 		if every == 2*second && returns > 0 || every == 60*second && returns != 9 {
 			t.Errorf("flaps every %d s: %d returns in 9 flaps after the third", every/second, returns)
 		}
-		now = z.play(now, z.set.Damping.Longest+2*second, hall(1), hall(1), hall(1))
-		if s := z.Status(now)[0]; s.State != Present {
+		now = controller.observeFor(now, controller.settings.Damping.MaxSuppression+2*second, observedZone(1), observedZone(1), observedZone(1))
+		if s := controller.Status(now)[0]; s.State != Present {
 			t.Errorf("flaps every %d s, then still for the longest time: %+v", every/second, s)
 		}
 	}
 }
 
 // All that we have out in a zone is silent: that is a cut link at once, however well its engines are held to be.
-func TestSilenceOfAZoneIsACut(t *testing.T) {
-	z := three()
-	cut := hall(1)
-	cut.Silent = cut.Engines
-	now := z.play(1, second, cut, hall(1), hall(1))
-	if s := z.Status(now)[0]; s.State != Lost || s.Losses != 1 {
+func TestSilentZoneIsUnreachable(t *testing.T) {
+	controller := threeZones()
+	cut := observedZone(1)
+	cut.SilentEngines = cut.ActiveEngines
+	now := controller.observeFor(1, second, cut, observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0]; s.State != Lost || s.Losses != 1 {
 		t.Errorf("%+v", s)
 	}
-	one := Sight{Listed: 100, Well: 100, Warm: 100, Engines: 1, Silent: 1}
-	z = three()
-	now = z.play(1, second, one, hall(1), hall(1))
-	if s := z.Status(now)[0]; s.State != Present {
+	one := Observation{ListedCores: 100, HealthyCores: 100, WarmCores: 100, ActiveEngines: 1, SilentEngines: 1}
+	controller = threeZones()
+	now = controller.observeFor(1, second, one, observedZone(1), observedZone(1))
+	if s := controller.Status(now)[0]; s.State != Present {
 		t.Errorf("a zone of one engine, silent for a moment: %+v", s)
 	}
 }
 
 func TestDrainOnPurpose(t *testing.T) {
-	z := three()
-	all := []Sight{hall(1), hall(1), hall(1)}
-	now := z.play(1, second, all...)
-	z.DrainZone(now, 0, true)
-	now = z.play(now, 5*second, all...)
-	if s := z.Status(now)[0]; s.State != Draining || math.Abs(s.Share-0.5) > 0.02 {
+	controller := threeZones()
+	all := []Observation{observedZone(1), observedZone(1), observedZone(1)}
+	now := controller.observeFor(1, second, all...)
+	controller.SetDraining(now, 0, true)
+	now = controller.observeFor(now, 5*second, all...)
+	if s := controller.Status(now)[0]; s.State != Draining || math.Abs(s.LoadShare-0.5) > 0.02 {
 		t.Fatalf("half way %+v", s)
 	}
-	if to := z.Split(now).To; math.Abs(to[0]-0.7) > 0.02 {
+	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
 		t.Errorf("half drained, it keeps %v of its load: half of its capacity counts 1.4 times", to[0])
 	}
-	now = z.play(now, 6*second, all...)
-	if s := z.Status(now)[0]; s.State != Drained || s.Losses != 0 {
+	now = controller.observeFor(now, 6*second, all...)
+	if s := controller.Status(now)[0]; s.State != Drained || s.Losses != 0 {
 		t.Fatalf("in the end %+v", s)
 	}
-	z.DrainZone(now, 0, false)
-	now = z.play(now, 19*second, all...)
-	if s := z.Status(now)[0].State; s != Present {
+	controller.SetDraining(now, 0, false)
+	now = controller.observeFor(now, 19*second, all...)
+	if s := controller.Status(now)[0].State; s != Present {
 		t.Errorf("drained, then not: %v", s)
 	}
 }
 
 // Where too little is well to believe it, health is let pass: leaving so much out would push the rest over.
 func TestPanic(t *testing.T) {
-	z := three()
-	now := z.play(1, 2*second, hall(0), hall(0), hall(0.9))
-	s := z.Split(now)
-	if !s.Panic || math.Abs(s.To[0]-1.0/3) > 1e-9 {
+	controller := threeZones()
+	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(0), observedZone(0.9))
+	s := controller.Split(now)
+	if !s.Panic || math.Abs(s.Fractions[0]-1.0/3) > 1e-9 {
 		t.Errorf("two of three zones lost: %+v", s)
 	}
 }
@@ -166,48 +166,48 @@
 func TestTiersInOrder(t *testing.T) {
 	set := Defaults()
 	set.Tiers = map[int][][]int{0: {{2}}}
-	z := New(set, Fleet{Zones: 4}, 0)
-	now := z.play(1, 2*second, hall(0), hall(1), hall(1), hall(1))
-	if to := z.Split(now).To; to[2] != 1 {
+	controller := New(set, Fleet{Zones: 4}, 0)
+	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(1), observedZone(1), observedZone(1))
+	if to := controller.Split(now).Fractions; to[2] != 1 {
 		t.Errorf("lost, with zone 2 preferred: %v", to)
 	}
-	now = z.play(now, 2*second, hall(0), hall(1), hall(0.5), hall(1))
-	if to := z.Split(now).To; math.Abs(to[2]-0.7) > 1e-9 || math.Abs(to[1]-0.15) > 1e-9 {
+	now = controller.observeFor(now, 2*second, observedZone(0), observedZone(1), observedZone(0.5), observedZone(1))
+	if to := controller.Split(now).Fractions; math.Abs(to[2]-0.7) > 1e-9 || math.Abs(to[1]-0.15) > 1e-9 {
 		t.Errorf("and half of zone 2 gone: %v", to)
 	}
-	if s := z.Split(now + 1); s.Panic {
+	if s := controller.Split(now + 1); s.Panic {
 		t.Error("5 of 8 well is no panic")
 	}
 }
 
 // A zone whose engines have died and left the list is not taken for whole.
 func TestHalfOfAZoneLeavesTheList(t *testing.T) {
-	z := New(Defaults(), Fleet{Zones: 2}, 0)
-	now := z.play(1, 2*second, hall(1), hall(1))
-	half := Sight{Listed: 50, Well: 50, Warm: 50, Engines: 2}
-	now = z.play(now, second, half, hall(1))
-	if to := z.Split(now).To; math.Abs(to[0]-0.7) > 0.02 {
+	controller := New(Defaults(), Fleet{Zones: 2}, 0)
+	now := controller.observeFor(1, 2*second, observedZone(1), observedZone(1))
+	half := Observation{ListedCores: 50, HealthyCores: 50, WarmCores: 50, ActiveEngines: 2}
+	now = controller.observeFor(now, second, half, observedZone(1))
+	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
 		t.Errorf("half of it off the list: it keeps %v of its load, 0.7 wanted", to[0])
 	}
-	now = z.play(now, 5*z.set.Damping.Longest, half, hall(1))
-	if to := z.Split(now).To; to[0] < 0.99 {
+	now = controller.observeFor(now, 5*controller.settings.Damping.MaxSuppression, half, observedZone(1))
+	if to := controller.Split(now).Fractions; to[0] < 0.99 {
 		t.Errorf("half of it gone for long: it keeps %v of its load", to[0])
 	}
 }
 
-// limits are what tests of the limit of spill and of the ladder set.
-func limits(spill float64) Settings {
+// settingsWithSpillover are what tests of the limit of spill and of the ladder set.
+func settingsWithSpillover(spill float64) Settings {
 	s := Defaults()
-	s.Spill, s.Shed = spill, true
+	s.SpilloverLimit, s.SheddingEnabled = spill, true
 	return s
 }
 
-// engines are four of 25 cores in each zone, of which a part fails.
-func engines(well ...float64) (out []EngineSight) {
+// engineObservations are four of 25 cores in each zone, of which a part fails.
+func engineObservations(well ...float64) (out []EngineObservation) {
 	for zone, part := range well {
 		for i := range 4 {
-			out = append(out, EngineSight{Engine: rules.EngineID(10*zone + i + 1), Zone: zone, Cores: 25, Warm: 1, Slow: 1,
-				LeftOut: float64(i) >= 4*part})
+			out = append(out, EngineObservation{Engine: rules.EngineID(10*zone + i + 1), Zone: zone, Cores: 25, WarmFraction: 1, Slowdown: 1,
+				Excluded: float64(i) >= 4*part})
 		}
 	}
 	return out
@@ -215,30 +215,30 @@
 
 // Gateways that all see a zone's limit keep to it together within any second, with queries smaller and larger than their
 // part, and use most of it; those of zones that stay at home need none of it.
-func TestSpillStaysUnderItsLimit(t *testing.T) {
+func TestSpilloverStaysUnderItsLimit(t *testing.T) {
 	for _, work := range []rules.Time{5 * ms, 200 * ms, 2 * second} {
 		const gateways, length = 300, 40 * second
-		set := limits(0.3)
-		all := make([]*Zones, gateways)
+		set := settingsWithSpillover(0.3)
+		all := make([]*Controller, gateways)
 		for i := range all {
 			_, jitter := math.Modf(float64(i) * math.Phi)
-			all[i] = New(set, Fleet{Zones: 3, Own: i % 3, Gateways: gateways, Jitter: jitter}, 0)
+			all[i] = New(set, Fleet{Zones: 3, OwnZone: i % 3, Gateways: gateways, Jitter: jitter}, 0)
 		}
 		var sent [length / second]float64
 		waits := 0
 		for now := rules.Time(1); now < length; now += 100 * ms {
-			for _, z := range all {
-				z.Look(now, engines(0, 1, 1), rules.LoadSummary{Share: 1}, true)
-				if z.own != 0 {
+			for _, controller := range all {
+				controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{Share: 1}, true)
+				if controller.ownZone != 0 {
 					continue
 				}
 				for i := range 16 {
-					zone, ok := z.PickZone(now, 0.25+0.5*float64(i%2), float64(work), nil)
+					zone, ok := controller.PickZone(now, 0.25+0.5*float64(i%2), float64(work), nil)
 					if ok && zone != 0 {
-						z.RecordSend(now, zone, float64(work), false)
+						controller.RecordSend(now, zone, float64(work), false)
 						sent[now/second] += float64(work) / float64(second)
 					} else if !ok {
-						if waits++; z.Return(now) <= 0 {
+						if waits++; controller.RetryAfter(now) <= 0 {
 							t.Fatal("kept waiting without a time of return")
 						}
 					}
@@ -259,81 +259,81 @@
 }
 
 // A gateway without a zone of its own engines, engines that belong to no zone, and a single zone know no limit.
-func TestNoLimitWhereNobodySpills(t *testing.T) {
-	for name, z := range map[string]*Zones{
-		"no engine of its own zone": New(limits(0.01), Fleet{Zones: 3, Own: 2, Gateways: 9}, 0),
-		"one zone":                  New(limits(0.01), Fleet{Zones: 1, Gateways: 9}, 0),
-		"a zone that is not known":  New(limits(0.01), Fleet{Zones: 2, Own: 7, Gateways: 9}, 0),
+func TestNoSpilloverLimitWithoutAnOwnZone(t *testing.T) {
+	for name, controller := range map[string]*Controller{
+		"no engine of its own zone": New(settingsWithSpillover(0.01), Fleet{Zones: 3, OwnZone: 2, Gateways: 9}, 0),
+		"one zone":                  New(settingsWithSpillover(0.01), Fleet{Zones: 1, Gateways: 9}, 0),
+		"a zone that is not known":  New(settingsWithSpillover(0.01), Fleet{Zones: 2, OwnZone: 7, Gateways: 9}, 0),
 	} {
 		for now := rules.Time(1); now < 3*second; now += 200 * ms {
-			z.Look(now, engines(1, 1)[:4*min(len(z.all), 2)], rules.LoadSummary{Share: 1}, true)
+			controller.Observe(now, engineObservations(1, 1)[:4*min(len(controller.zones), 2)], rules.LoadSummary{Share: 1}, true)
 			for range 50 {
-				zone, ok := z.PickZone(now, 0.7, float64(second), nil)
+				zone, ok := controller.PickZone(now, 0.7, float64(second), nil)
 				if !ok {
 					t.Fatalf("%s: kept waiting", name)
 				}
-				z.RecordSend(now, zone, float64(second), false)
+				controller.RecordSend(now, zone, float64(second), false)
 			}
 		}
 	}
-	z := New(limits(0.01), Fleet{Zones: 2, Elsewhere: true, Gateways: 9}, 0)
-	z.Look(1, engines(1, 1), rules.LoadSummary{Share: 1}, true)
+	controller := New(settingsWithSpillover(0.01), Fleet{Zones: 2, HasUnassignedZone: true, Gateways: 9}, 0)
+	controller.Observe(1, engineObservations(1, 1), rules.LoadSummary{Share: 1}, true)
 	for range 50 {
-		if !z.Admits(1, 1, float64(second), false) {
+		if !controller.Admits(1, 1, float64(second), false) {
 			t.Fatal("engines of no zone are held for foreign ones")
 		}
-		z.RecordSend(1, 1, float64(second), false)
+		controller.RecordSend(1, 1, float64(second), false)
 	}
 }
 
 // Further attempts into a zone stay within a part of the first ones there; other zones keep their own budget.
 func TestRetriesByZone(t *testing.T) {
 	set := Defaults()
-	set.Retries = 0.2
-	z := New(set, Fleet{Zones: 3, Gateways: 1}, 0)
+	set.RetryBudget = 0.2
+	controller := New(set, Fleet{Zones: 3, Gateways: 1}, 0)
 	now, sent := rules.Time(second), 0
-	z.Look(now, engines(0, 1, 1), rules.LoadSummary{}, false)
+	controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{}, false)
 	for range 100 {
-		z.RecordSend(now, 1, float64(ms), false)
+		controller.RecordSend(now, 1, float64(ms), false)
 	}
-	for z.Admits(now, 1, float64(ms), true) {
-		z.RecordSend(now, 1, float64(ms), true)
+	for controller.Admits(now, 1, float64(ms), true) {
+		controller.RecordSend(now, 1, float64(ms), true)
 		if sent++; sent > 100 {
 			t.Fatal("no end of further attempts")
 		}
 	}
-	if sent != retryFree+20 {
+	if sent != freeRetries+20 {
 		t.Errorf("%d further attempts on 100 first ones", sent)
 	}
-	if !z.Admits(now, 2, float64(ms), true) || !z.Admits(now, 1, float64(ms), false) {
+	if !controller.Admits(now, 2, float64(ms), true) || !controller.Admits(now, 1, float64(ms), false) {
 		t.Error("the budget of one zone keeps another's, or first attempts, back")
 	}
-	if !z.Admits(now+3*retrySpan, 1, float64(ms), true) {
+	if !controller.Admits(now+3*retryWindow, 1, float64(ms), true) {
 		t.Error("the budget does not come back")
 	}
 }
 
 // Nothing is drawn in, or let into, a zone that is lost or drained while others are well; where none is believed any more all are open.
 func TestOpenZones(t *testing.T) {
-	z := New(Defaults(), Fleet{Zones: 3, Gateways: 1}, 0)
+	controller := New(Defaults(), Fleet{Zones: 3, Gateways: 1}, 0)
 	for now := rules.Time(1); now < 2*second; now += 200 * ms {
-		z.Look(now, engines(0, 1, 1), rules.LoadSummary{}, true)
+		controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{}, true)
 	}
-	if z.Admits(2*second, 0, 1, false) || !z.Admits(2*second, 1, 1, false) {
+	if controller.Admits(2*second, 0, 1, false) || !controller.Admits(2*second, 1, 1, false) {
 		t.Error("the lost zone is open, or another is not")
 	}
 	for drawn := 0.0; drawn < 1; drawn += 0.05 {
-		if zone, ok := z.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
+		if zone, ok := controller.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
 			t.Fatalf("after an attempt in zone 1, zone 0 lost: %d, %v", zone, ok)
 		}
 	}
-	if zone, ok := z.PickZone(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
+	if zone, ok := controller.PickZone(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
 		t.Errorf("all zones with a part had an attempt: %d, %v", zone, ok)
 	}
 	for now := 2 * second; now < 5*second; now += 200 * ms {
-		z.Look(now, engines(0, 0, 0), rules.LoadSummary{}, true)
+		controller.Observe(now, engineObservations(0, 0, 0), rules.LoadSummary{}, true)
 	}
-	if !z.Admits(5*second, 0, 1, false) {
+	if !controller.Admits(5*second, 0, 1, false) {
 		t.Error("nothing is well, and a zone is shut all the same")
 	}
 }
@@ -344,16 +344,16 @@
 	classes := []rules.Class{{PriorityWeight: 1, LatencyObjective: second}, {PriorityWeight: 20, LatencyObjective: second}}
 	const work = float64(second) / 2
 	for _, shed := range []bool{false, true} {
-		set := limits(1)
-		set.Shed = shed
-		z := New(set, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
+		set := settingsWithSpillover(1)
+		set.SheddingEnabled = shed
+		controller := New(set, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
 		held := 0.0
 		run := func(from, length rules.Time, load float64) (refused [2]int) {
 			due := 0.0
 			for now := from; now < from+length; now += 50 * ms {
-				z.Look(now, engines(1), rules.LoadSummary{Share: 1, QueuedWork: held, MeanWork: []float64{work, work}}, true)
+				controller.Observe(now, engineObservations(1), rules.LoadSummary{Share: 1, QueuedWork: held, MeanWork: []float64{work, work}}, true)
 				for due += load * 100 * float64(50*ms) / work; due >= 1; due-- { // 100 cores do their work
-					if refuse, _ := z.Arrive(now, Ask{Class: int(due) % 2, Work: work}); refuse {
+					if refuse, _ := controller.RequestArrived(now, Request{Class: int(due) % 2, DeclaredWork: work}); refuse {
 						refused[int(due)%2]++
 					} else {
 						held += work
@@ -361,7 +361,7 @@
 				}
 				for did := 0.0; did < 100*float64(50*ms) && held >= work; did += work {
 					held -= work
-					z.RecordSend(now, 0, work, false)
+					controller.RecordSend(now, 0, work, false)
 				}
 				held = min(held, 400*float64(second)) // the rest has become hopeless
 			}
@@ -376,17 +376,17 @@
 			t.Errorf("shedding %v, a load of 1.4: %v refused, %.3f of all; 0.286 is over", shed, got, part)
 		}
 		run(60*second, 60*second, 0.8)
-		if _, rungs, _ := z.Shedding(); rungs > 0.01 || z.Return(120*second) != 0 {
-			t.Errorf("shedding %v, after the pressure: %v shed, return %d", shed, rungs, z.Return(120*second))
+		if _, rungs, _ := controller.SheddingStatus(); rungs > 0.01 || controller.RetryAfter(120*second) != 0 {
+			t.Errorf("shedding %v, after the pressure: %v shed, return %d", shed, rungs, controller.RetryAfter(120*second))
 		}
 	}
 }
 
 // A tenant that asks for more than its agreed share is shed first.
-func TestOverShareGoesFirst(t *testing.T) {
-	z := New(limits(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerSecond: 20}, {QuotaPerSecond: 20}},
+func TestTenantsOverQuotaAreShedFirst(t *testing.T) {
+	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerSecond: 20}, {QuotaPerSecond: 20}},
 		Classes: []rules.Class{{PriorityWeight: 1, LatencyObjective: second}}}, 0)
-	z.demand.rungs[OverShare].part = 1
+	controller.demand.tiers[TierOverQuota].shedFraction = 1
 	refused := [2]int{}
 	for now := rules.Time(1); now < 20*second; now += 50 * ms {
 		for tenant, n := range []int{3, 0} { // 60 a second, and 5: our even part of the quota is 10
@@ -394,7 +394,7 @@
 				n = 1
 			}
 			for range n {
-				if refuse, _ := z.Arrive(now, Ask{Tenant: tenant, Work: float64(ms)}); refuse {
+				if refuse, _ := controller.RequestArrived(now, Request{Tenant: tenant, DeclaredWork: float64(ms)}); refuse {
 					refused[tenant]++
 				}
 			}
@@ -407,37 +407,37 @@
 
 // As much is shed as must be, from the first rung up, and of the last only a part: tenants over their share, repeats, then what
 // earns least for its work.
-func TestLadderShedsInOrder(t *testing.T) {
-	z := New(limits(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{PriorityWeight: 1}, {PriorityWeight: 16}}}, 0)
-	light, heavy := Cheap+Rung(WorthRung(1, float64(second))), Cheap+Rung(WorthRung(16, float64(second)))
-	if heavy-light != 4*perDouble {
+func TestTiersAreShedInOrder(t *testing.T) {
+	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{PriorityWeight: 1}, {PriorityWeight: 16}}}, 0)
+	light, heavy := TierLowestValue+PriorityTier(ValueTier(1, float64(second))), TierLowestValue+PriorityTier(ValueTier(16, float64(second)))
+	if heavy-light != 4*tiersPerDoubling {
 		t.Fatalf("16 times the worth is %d rungs up", heavy-light)
 	}
 	for _, c := range []struct{ part, over, again, less, more float64 }{{0, 0, 0, 0, 0}, {0.1, 1, 0, 0, 0}, {0.2, 1, 0.5, 0, 0},
 		{0.4, 1, 1, 1.0 / 3, 0}, {0.7, 1, 1, 1, 1.0 / 4}} {
-		for i := range z.demand.rungs {
-			z.demand.rungs[i].asked = fading{0, z.now}
+		for i := range controller.demand.tiers {
+			controller.demand.tiers[i].work = decayingSum{0, controller.now}
 		}
-		for rung, asked := range map[Rung]float64{OverShare: 10, Repeats: 20, light: 30, heavy: 40} {
-			z.demand.rungs[rung].asked.sum = asked
+		for tier, asked := range map[PriorityTier]float64{TierOverQuota: 10, TierRetries: 20, light: 30, heavy: 40} {
+			controller.demand.tiers[tier].work.sum = asked
 		}
-		z.shed(c.part)
-		for rung, want := range map[Rung]float64{OverShare: c.over, Repeats: c.again, light: c.less, heavy: c.more} {
-			if got := z.demand.rungs[rung].part; math.Abs(got-want) > 1e-9 {
-				t.Errorf("of %v of all, rung %d sheds %v, want %v", c.part, rung, got, want)
+		controller.distributeShedding(c.part)
+		for tier, want := range map[PriorityTier]float64{TierOverQuota: c.over, TierRetries: c.again, light: c.less, heavy: c.more} {
+			if got := controller.demand.tiers[tier].shedFraction; math.Abs(got-want) > 1e-9 {
+				t.Errorf("of %v of all, rung %d sheds %v, want %v", c.part, tier, got, want)
 			}
 		}
 	}
-	z.shed(0)
-	z.demand.rungs[light].part = 0.25
+	controller.distributeShedding(0)
+	controller.demand.tiers[light].shedFraction = 0.25
 	shed := 0
 	for range 100 {
-		if refuse, after := z.Arrive(second, Ask{Class: 0, Work: float64(second)}); refuse {
+		if refuse, after := controller.RequestArrived(second, Request{Class: 0, DeclaredWork: float64(second)}); refuse {
 			if shed++; after <= 0 {
 				t.Fatal("refused without a time of return")
 			}
 		}
-		if refuse, _ := z.Arrive(second, Ask{Class: 1, Work: float64(second)}); refuse {
+		if refuse, _ := controller.RequestArrived(second, Request{Class: 1, DeclaredWork: float64(second)}); refuse {
 			t.Fatal("what earns more is refused")
 		}
 	}
@@ -451,46 +451,46 @@
 func TestSplitIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "zones")
-		z := New(Defaults(), Fleet{Zones: n, Own: rapid.IntRange(0, n-1).Draw(t, "own"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}, 0)
+		controller := New(Defaults(), Fleet{Zones: n, OwnZone: rapid.IntRange(0, n-1).Draw(t, "own"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}, 0)
 		now := rules.Time(1)
-		before := z.Status(now)
+		before := controller.Status(now)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			gap := rules.Time(rapid.IntRange(1, 3000).Draw(t, "gap")) * ms
 			now += gap
-			sights := make([]Sight, n)
+			observations := make([]Observation, n)
 			listed := 0.0
-			for i := range sights {
-				s := Sight{Listed: rapid.Float64Range(0, 200).Draw(t, "listed"), Slow: rapid.Float64Range(0, 9).Draw(t, "slow"),
-					Engines: rapid.IntRange(0, 4).Draw(t, "engines")}
-				s.Well = s.Listed * rapid.Float64Range(0, 1.1).Draw(t, "well")
-				s.Warm = s.Well * rapid.Float64Range(0, 1).Draw(t, "warm")
-				s.Silent = rapid.IntRange(0, s.Engines).Draw(t, "silent")
-				sights[i] = s
-				listed += s.Listed
+			for i := range observations {
+				observation := Observation{ListedCores: rapid.Float64Range(0, 200).Draw(t, "listed"), Slowdown: rapid.Float64Range(0, 9).Draw(t, "slow"),
+					ActiveEngines: rapid.IntRange(0, 4).Draw(t, "engines")}
+				observation.HealthyCores = observation.ListedCores * rapid.Float64Range(0, 1.1).Draw(t, "well")
+				observation.WarmCores = observation.HealthyCores * rapid.Float64Range(0, 1).Draw(t, "warm")
+				observation.SilentEngines = rapid.IntRange(0, observation.ActiveEngines).Draw(t, "silent")
+				observations[i] = observation
+				listed += observation.ListedCores
 			}
 			if rapid.Bool().Draw(t, "drains") {
-				z.DrainZone(now, rapid.IntRange(0, n-1).Draw(t, "zone"), rapid.Bool().Draw(t, "on"))
+				controller.SetDraining(now, rapid.IntRange(0, n-1).Draw(t, "zone"), rapid.Bool().Draw(t, "on"))
 			}
-			z.see(now, sights)
-			status := z.Status(now)
+			controller.updateZones(now, observations)
+			status := controller.Status(now)
 			for i := range status {
-				if up := status[i].Share - before[i].Share; up > float64(gap)/float64(z.set.Ramp)+1e-9 {
+				if up := status[i].LoadShare - before[i].LoadShare; up > float64(gap)/float64(controller.settings.RecoveryRamp)+1e-9 {
 					t.Fatalf("the share of zone %d rose by %v in %d ms", i, up, gap/ms)
 				}
 			}
 			before = status
-			split, sum := z.Split(now), 0.0
-			for i, p := range split.To {
+			split, sum := controller.Split(now), 0.0
+			for i, p := range split.Fractions {
 				if math.IsNaN(p) || p < 0 || p > 1+1e-9 {
-					t.Fatalf("parts %v", split.To)
+					t.Fatalf("parts %v", split.Fractions)
 				}
-				if p > 0 && sights[i].Listed <= 0 {
+				if p > 0 && observations[i].ListedCores <= 0 {
 					t.Fatalf("zone %d lists nothing and gets %v", i, p)
 				}
 				sum += p
 			}
 			if listed > 0 && math.Abs(sum-1) > 1e-9 || listed == 0 && sum != 0 {
-				t.Fatalf("parts %v add up to %v, %v cores are listed", split.To, sum, listed)
+				t.Fatalf("parts %v add up to %v, %v cores are listed", split.Fractions, sum, listed)
 			}
 		}
 	})
@@ -499,102 +499,102 @@
 // A plan of three halls: the loss of one is taken by the others within the limit of spill, and its return is paced.
 func TestPlan(t *testing.T) {
 	sc := Scenario{
-		Zones:   []ZoneSpec{{"a", 100, 60}, {"b", 100, 60}, {"c", 100, 60}},
-		Classes: []ClassSpec{{"point", 0.1, 22}, {"report", 0.6, 10}, {"load", 0.3, 11}},
-		Lose:    []int{0}, At: 5 * second, Back: 30 * second, Unlisted: 3 * second, Notice: 2 * second,
-		ColdFrom: 0.33, ColdFor: 15 * second, Length: 60 * second,
+		Zones:     []ZoneSpec{{"a", 100, 60}, {"b", 100, 60}, {"c", 100, 60}},
+		Classes:   []ClassSpec{{"point", 0.1, 22}, {"report", 0.6, 10}, {"load", 0.3, 11}},
+		LostZones: []int{0}, LostAt: 5 * second, ReturnAt: 30 * second, UnlistAfter: 3 * second, ClientsMoveAfter: 2 * second,
+		ColdSpeed: 0.33, WarmupTime: 15 * second, Duration: 60 * second,
 	}
-	for _, m := range Play(limits(0.3), sc) {
+	for _, m := range Simulate(settingsWithSpillover(0.3), sc) {
 		at := int(m.At / second)
 		asked := 0.0
 		for _, z := range m.Zones {
-			asked += z.Own + z.Foreign + z.Held + z.Shed
-			if z.Foreign > 0.3*100+1e-9 {
-				t.Errorf("second %d: %v cores of foreign load", at, z.Foreign)
+			asked += z.OwnLoad + z.ForeignLoad + z.BlockedLoad + z.ShedLoad
+			if z.ForeignLoad > 0.3*100+1e-9 {
+				t.Errorf("second %d: %v cores of foreign load", at, z.ForeignLoad)
 			}
 		}
-		if math.Abs(asked-m.Asked) > 1e-6 {
-			t.Errorf("second %d: %v cores asked for, %v accounted for", at, m.Asked, asked)
+		if math.Abs(asked-m.Demand) > 1e-6 {
+			t.Errorf("second %d: %v cores asked for, %v accounted for", at, m.Demand, asked)
 		}
-		if (at < 5 || at > 55) && (m.Left > 1e-6 || m.Zones[0].Own < 59) {
+		if (at < 5 || at > 55) && (m.Unserved > 1e-6 || m.Zones[0].OwnLoad < 59) {
 			t.Errorf("second %d, all is well: %+v", at, m)
 		}
-		if at > 7 && at < 30 && (m.Zones[0].Own+m.Zones[0].Foreign > 1e-9 || m.Left > 1) {
+		if at > 7 && at < 30 && (m.Zones[0].OwnLoad+m.Zones[0].ForeignLoad > 1e-9 || m.Unserved > 1) {
 			t.Errorf("second %d, a is lost and its clients fit the others: %+v", at, m)
 		}
-		if at == 33 && (m.Zones[0].Own > 30 || m.Zones[0].State != Returning) {
+		if at == 33 && (m.Zones[0].OwnLoad > 30 || m.Zones[0].State != Returning) {
 			t.Errorf("second %d, a is back for 3 s: %+v", at, m.Zones[0])
 		}
 	}
 }
 
 // What the module leaves out for faults from before a return does not make the zone lost once more; faults from after it do.
-func TestFaultsFromBeforeAReturn(t *testing.T) {
-	z := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
+func TestFailuresFromBeforeARecovery(t *testing.T) {
+	controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 	look := func(from, length rules.Time, fault rules.Time, answers bool) rules.Time {
 		for now := from; now < from+length; now += 200 * ms {
-			list := engines(0, 1)
+			list := engineObservations(0, 1)
 			for i := range list {
-				list[i].Fault = fault
+				list[i].LastFailure = fault
 			}
-			for _, id := range z.Look(now, list, rules.LoadSummary{}, true).Ask {
+			for _, id := range controller.Observe(now, list, rules.LoadSummary{}, true).Probe {
 				if id < 10 {
-					z.Answered(0, answers)
+					controller.ProbeAnswered(0, answers)
 				}
 			}
 		}
 		return from + length
 	}
 	now := look(second, 3*second, second, false)
-	if s := z.Status(now)[0].State; s != Lost {
+	if s := controller.Status(now)[0].State; s != Lost {
 		t.Fatalf("all left out for 3 s: %v", s)
 	}
 	now = look(now, 7*second, second, true)
-	if s := z.Status(now)[0]; s.State != Returning || s.Losses != 1 {
+	if s := controller.Status(now)[0]; s.State != Returning || s.Losses != 1 {
 		t.Fatalf("its engines answer probes, and are still left out for what was before: %+v", s)
 	}
 	now = look(now, 2*second, now, true)
-	if s := z.Status(now)[0]; s.State != Lost || s.Losses != 2 {
+	if s := controller.Status(now)[0]; s.State != Lost || s.Losses != 2 {
 		t.Errorf("they have failed again since: %+v", s)
 	}
 }
 
 // Two engines of a zone that owe what is late, and none that has said a word since: the zone is asked, and lost within a second and a
 // half if nobody answers, long before any of its engines is left out. One late engine is no doubt; a word from any ends it.
-func TestSilentZoneIsDoubted(t *testing.T) {
+func TestSilentZoneIsSuspected(t *testing.T) {
 	type run struct {
 		late   int // engines of the first zone that owe something late
 		answer bool
 		word   rules.Time // when another engine there says something; 0: never
 	}
 	play := func(r run) (asked int, lostAt rules.Time) {
-		z := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
+		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 		const start = 10 * second
 		due := map[rules.Time]bool{}
 		for now := rules.Time(start); now < start+4*second; now += 50 * ms {
 			if answer, ok := due[now]; ok {
-				z.Answered(0, answer)
+				controller.ProbeAnswered(0, answer)
 			}
 			if now%(200*ms) != 0 {
 				continue
 			}
-			list := engines(1, 1)
+			list := engineObservations(1, 1)
 			for i := range list[:4] {
-				list[i].Heard = start - second
+				list[i].LastResponse = start - second
 				if i < r.late {
-					list[i].Asked, list[i].Late = start-100*ms, now > start
+					list[i].LastRequest, list[i].Overdue = start-100*ms, now > start
 				}
 			}
 			if r.word != 0 && now >= start+r.word {
-				list[3].Heard = start + r.word
+				list[3].LastResponse = start + r.word
 			}
-			for _, id := range z.Look(now, list, rules.LoadSummary{}, true).Ask {
+			for _, id := range controller.Observe(now, list, rules.LoadSummary{}, true).Probe {
 				if id < 10 {
 					asked++
 					due[now+250*ms] = r.answer
 				}
 			}
-			if z.Status(now)[0].State == Lost && lostAt == 0 {
+			if controller.Status(now)[0].State == Lost && lostAt == 0 {
 				lostAt = now - start
 			}
 		}
@@ -615,23 +615,23 @@
 }
 
 // A zone that others say is lost is asked, and stays as it is while it answers.
-func TestDoubtOnHearsay(t *testing.T) {
+func TestSuspicionFromPeers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		z := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
+		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 		asked := 0
 		for now := rules.Time(second); now < 4*second; now += 250 * ms {
 			if now == 2*second {
-				z.Doubt(0)
-				z.Doubt(7) // no such zone
+				controller.Suspect(0)
+				controller.Suspect(7) // no such zone
 			}
-			for _, id := range z.Look(now, engines(1, 1), rules.LoadSummary{}, true).Ask {
+			for _, id := range controller.Observe(now, engineObservations(1, 1), rules.LoadSummary{}, true).Probe {
 				if id < 10 {
 					asked++
-					z.Answered(0, answers)
+					controller.ProbeAnswered(0, answers)
 				}
 			}
 		}
-		if s := z.Status(4 * second)[0].State; asked == 0 || (s == Lost) == answers {
+		if s := controller.Status(4 * second)[0].State; asked == 0 || (s == Lost) == answers {
 			t.Errorf("answers %v: asked %d times, then %v", answers, asked, s)
 		}
 	}
