--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -51,7 +51,7 @@
 func directiveChange(op directives.Op, ask asker) *cobra.Command {
 	var by string
 	var value float64
-	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RefuseClass), string(directives.Spill)}, "|")
+	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RejectClass), string(directives.SpilloverLimit)}, "|")
 	cmd := &cobra.Command{
 		Use:   string(op) + " {" + kinds + "} [SUBJECT]",
 		Short: map[directives.Op]string{directives.Set: "Order something", directives.Unset: "Take an order back"}[op],
@@ -82,7 +82,7 @@
 	}
 	cmd.Flags().StringVar(&by, "by", who, "who orders it; only shown")
 	if op == directives.Set {
-		cmd.Flags().Float64Var(&value, "value", 0, "of "+string(directives.Spill)+": a part, 0 to 1")
+		cmd.Flags().Float64Var(&value, "value", 0, "of "+string(directives.SpilloverLimit)+": a part, 0 to 1")
 	}
 	return cmd
 }
--- a/internal/directives/directives.go
+++ b/internal/directives/directives.go
@@ -20,10 +20,10 @@
 
 // Kinds of directives.
 const (
-	DrainZone   Kind = "drain-zone"   // Subject: a zone
-	DrainEngine Kind = "drain-engine" // Subject: an engine's id
-	RefuseClass Kind = "refuse-class" // Subject: a class
-	Spill       Kind = "spill"        // Value: part of a zone that foreign load takes at most
+	DrainZone      Kind = "drain-zone"   // Subject: a zone
+	DrainEngine    Kind = "drain-engine" // Subject: an engine's id
+	RejectClass    Kind = "refuse-class" // Subject: a class
+	SpilloverLimit Kind = "spill"        // Value: part of a zone that foreign load takes at most
 )
 
 // Directive is one order.
@@ -52,37 +52,37 @@
 }
 
 const (
-	mostDirectives = 64
-	mostText       = 64
-	mostHistory    = 32
-	mostSeen       = 64
+	maxDirectives = 64
+	maxTextBytes  = 64
+	maxHistory    = 32
+	maxSeenIDs    = 64
 )
 
 // Errors of commands.
 var (
-	ErrTooMany = errors.New("directives: the book is full")
-	ErrNone    = errors.New("directives: there is no such directive")
+	ErrTooMany  = errors.New("directives: the book is full")
+	ErrNotFound = errors.New("directives: there is no such directive")
 )
 
 // Validate says what can't be ordered.
 func (c Command) Validate() error {
 	switch {
-	case c.ID == "" || len(c.ID) > mostText || len(c.Subject) > mostText || len(c.By) > mostText:
-		return fmt.Errorf("directives: id, subject and by may have %d bytes, and an id is needed", mostText)
+	case c.ID == "" || len(c.ID) > maxTextBytes || len(c.Subject) > maxTextBytes || len(c.By) > maxTextBytes:
+		return fmt.Errorf("directives: id, subject and by may have %d bytes, and an id is needed", maxTextBytes)
 	case c.Op != Set && c.Op != Unset:
 		return fmt.Errorf("directives: unknown op %q", c.Op)
 	}
 	switch c.Kind {
-	case DrainZone, DrainEngine, RefuseClass:
+	case DrainZone, DrainEngine, RejectClass:
 		if c.Subject == "" {
 			return fmt.Errorf("directives: %s needs a subject", c.Kind)
 		}
-	case Spill:
+	case SpilloverLimit:
 		if c.Subject != "" || c.Op == Set && !(c.Value >= 0 && c.Value <= 1) {
 			return errors.New("directives: spill is a part, 0 to 1, and has no subject")
 		}
 	default:
-		return fmt.Errorf("directives: unknown kind %q; there are %s, %s, %s and %s", c.Kind, DrainZone, DrainEngine, RefuseClass, Spill)
+		return fmt.Errorf("directives: unknown kind %q; there are %s, %s, %s and %s", c.Kind, DrainZone, DrainEngine, RejectClass, SpilloverLimit)
 	}
 	return nil
 }
@@ -94,12 +94,12 @@
 	Failed string `json:"failed,omitempty"`
 }
 
-// Book is what holds, as of an index of the log. Books of one index are the same everywhere.
-type Book struct {
-	Index   uint64      `json:"index"`
-	Held    []Directive `json:"held,omitempty"` // sorted by kind and subject
-	History []Change    `json:"history,omitempty"`
-	Seen    []string    `json:"seen,omitempty"` // ids of the latest commands
+// State is what holds, as of an index of the log. Books of one index are the same everywhere.
+type State struct {
+	Index      uint64      `json:"index"`
+	Directives []Directive `json:"held,omitempty"` // sorted by kind and subject
+	History    []Change    `json:"history,omitempty"`
+	SeenIDs    []string    `json:"seen,omitempty"` // ids of the latest commands
 }
 
 func compare(a, b Directive) int {
@@ -107,7 +107,7 @@
 }
 
 // apply takes the entry of an index. One that comes twice counts once; one that can't be done is in the history with its cause.
-func (b *Book) apply(index uint64, data []byte) (c Command, err error) {
+func (b *State) apply(index uint64, data []byte) (c Command, err error) {
 	b.Index = index
 	if len(data) == 0 { // a new leader's
 		return c, nil
@@ -115,44 +115,44 @@
 	if err := json.Unmarshal(data, &c); err != nil {
 		return c, err
 	}
-	if slices.Contains(b.Seen, c.ID) {
+	if slices.Contains(b.SeenIDs, c.ID) {
 		return c, nil
 	}
-	b.Seen = append(b.Seen, c.ID)
-	b.Seen = b.Seen[max(0, len(b.Seen)-mostSeen):]
+	b.SeenIDs = append(b.SeenIDs, c.ID)
+	b.SeenIDs = b.SeenIDs[max(0, len(b.SeenIDs)-maxSeenIDs):]
 	err = b.change(c)
 	ch := Change{Index: index, Command: c}
 	if err != nil {
 		ch.Failed = err.Error()
 	}
 	b.History = append(b.History, ch)
-	b.History = b.History[max(0, len(b.History)-mostHistory):]
+	b.History = b.History[max(0, len(b.History)-maxHistory):]
 	return c, err
 }
 
-func (b *Book) change(c Command) error {
+func (b *State) change(c Command) error {
 	if err := c.Validate(); err != nil {
 		return err
 	}
-	i, found := slices.BinarySearchFunc(b.Held, c.Directive, compare)
+	i, found := slices.BinarySearchFunc(b.Directives, c.Directive, compare)
 	switch {
 	case c.Op == Unset && !found:
-		return ErrNone
+		return ErrNotFound
 	case c.Op == Unset:
-		b.Held = slices.Delete(b.Held, i, i+1)
+		b.Directives = slices.Delete(b.Directives, i, i+1)
 	case found:
-		b.Held[i] = c.Directive
-	case len(b.Held) >= mostDirectives:
+		b.Directives[i] = c.Directive
+	case len(b.Directives) >= maxDirectives:
 		return ErrTooMany
 	default:
-		b.Held = slices.Insert(b.Held, i, c.Directive)
+		b.Directives = slices.Insert(b.Directives, i, c.Directive)
 	}
 	return nil
 }
 
-// Of are the subjects of a kind that hold.
-func (b *Book) Of(k Kind) (subjects []string) {
-	for _, d := range b.Held {
+// Subjects are the subjects of a kind that hold.
+func (b *State) Subjects(k Kind) (subjects []string) {
+	for _, d := range b.Directives {
 		if d.Kind == k {
 			subjects = append(subjects, d.Subject)
 		}
@@ -161,8 +161,8 @@
 }
 
 // Value is that of a kind without subjects.
-func (b *Book) Value(k Kind) (v float64, ok bool) {
-	for _, d := range b.Held {
+func (b *State) Value(k Kind) (v float64, ok bool) {
+	for _, d := range b.Directives {
 		if d.Kind == k {
 			return d.Value, true
 		}
@@ -170,7 +170,7 @@
 	return 0, false
 }
 
-func (b *Book) encode() []byte {
+func (b *State) encode() []byte {
 	raw, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // of plain values: it can't fail
@@ -178,8 +178,8 @@
 	return raw
 }
 
-func (b *Book) clone() Book {
+func (b *State) clone() State {
 	c := *b
-	c.Held, c.History, c.Seen = slices.Clone(b.Held), slices.Clone(b.History), slices.Clone(b.Seen)
+	c.Directives, c.History, c.SeenIDs = slices.Clone(b.Directives), slices.Clone(b.History), slices.Clone(b.SeenIDs)
 	return c
 }
--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -22,87 +22,87 @@
 )
 
 // disk is what a voter has kept: what is on its way is lost when it dies.
-type disk struct{ kept Kept }
+type disk struct{ state PersistedState }
 
-func (d *disk) keep(b Batch) {
-	if b.Snap != nil {
-		d.kept.Snap, d.kept.Entries = proto.Clone(b.Snap).(*pb.Snapshot), nil
+func (d *disk) persist(b Batch) {
+	if b.Snapshot != nil {
+		d.state.Snapshot, d.state.Entries = proto.Clone(b.Snapshot).(*pb.Snapshot), nil
 	}
 	for _, e := range b.Entries {
-		for len(d.kept.Entries) > 0 && d.kept.Entries[len(d.kept.Entries)-1].GetIndex() >= e.GetIndex() {
-			d.kept.Entries = d.kept.Entries[:len(d.kept.Entries)-1]
+		for len(d.state.Entries) > 0 && d.state.Entries[len(d.state.Entries)-1].GetIndex() >= e.GetIndex() {
+			d.state.Entries = d.state.Entries[:len(d.state.Entries)-1]
 		}
-		d.kept.Entries = append(d.kept.Entries, proto.Clone(e).(*pb.Entry))
+		d.state.Entries = append(d.state.Entries, proto.Clone(e).(*pb.Entry))
 	}
-	if b.Hard != nil {
-		d.kept.Hard = proto.Clone(b.Hard).(*pb.HardState)
+	if b.HardState != nil {
+		d.state.HardState = proto.Clone(b.HardState).(*pb.HardState)
 	}
 }
 
-func (d *disk) copy() Kept {
-	k := Kept{Born: d.kept.Born, Entries: slices.Clone(d.kept.Entries)}
-	if d.kept.Hard != nil {
-		k.Hard = proto.Clone(d.kept.Hard).(*pb.HardState)
+func (d *disk) copy() PersistedState {
+	k := PersistedState{Initialized: d.state.Initialized, Entries: slices.Clone(d.state.Entries)}
+	if d.state.HardState != nil {
+		k.HardState = proto.Clone(d.state.HardState).(*pb.HardState)
 	}
-	if d.kept.Snap != nil {
-		k.Snap = proto.Clone(d.kept.Snap).(*pb.Snapshot)
+	if d.state.Snapshot != nil {
+		k.Snapshot = proto.Clone(d.state.Snapshot).(*pb.Snapshot)
 	}
 	return k
 }
 
-// parliament is voters on a network that loses, delays and cuts.
-type parliament struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    rules.Time
-	names  []string
-	voters map[string]*Voter
-	disks  map[string]*disk
-	cut    map[[2]string]bool
-	loss   float64
-	queue  []letter
-	acks   map[string]bool // ids that were answered as holding
-	failed map[string]bool
-	asks   map[uint64]string
-	told   []string
-	full   map[string]bool // disks that fail
-	books  map[uint64]string
-	split  error
+// testCluster is voters on a network that loses, delays and cuts.
+type testCluster struct {
+	t            *testing.T
+	rng          *rand.Rand
+	now          rules.Time
+	names        []string
+	voters       map[string]*Voter
+	disks        map[string]*disk
+	cut          map[[2]string]bool
+	loss         float64
+	queue        []delivery
+	acks         map[string]bool // ids that were answered as holding
+	failed       map[string]bool
+	commandIDs   map[uint64]string
+	logged       []string
+	failingDisks map[string]bool // disks that fail
+	states       map[uint64]string
+	divergence   error
 }
 
-type letter struct {
-	at       rules.Time
-	from, to string
-	data     []byte
-	kept     bool // it is not a letter, but the word that a disk is done
-	ok       bool
-	life     *Voter
+type delivery struct {
+	at        rules.Time
+	from, to  string
+	data      []byte
+	persisted bool // it is not a letter, but the word that a disk is done
+	ok        bool
+	recipient *Voter
 }
 
-func newParliament(t *testing.T, n int, seed uint64) *parliament {
-	p := &parliament{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: map[string]*Voter{}, disks: map[string]*disk{}, cut: map[[2]string]bool{},
-		acks: map[string]bool{}, failed: map[string]bool{}, asks: map[uint64]string{}, full: map[string]bool{}, books: map[uint64]string{}}
+func newTestCluster(t *testing.T, n int, seed uint64) *testCluster {
+	p := &testCluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: map[string]*Voter{}, disks: map[string]*disk{}, cut: map[[2]string]bool{},
+		acks: map[string]bool{}, failed: map[string]bool{}, commandIDs: map[uint64]string{}, failingDisks: map[string]bool{}, states: map[uint64]string{}}
 	for i := range n {
 		p.names = append(p.names, fmt.Sprint("v", i))
 	}
 	for _, name := range p.names {
-		p.disks[name] = &disk{Kept{Born: true}}
+		p.disks[name] = &disk{PersistedState{Initialized: true}}
 		p.start(name)
 	}
 	return p
 }
 
-func (p *parliament) start(name string) {
-	v, err := NewVoter(Settings{Self: name, Voters: p.names, Tick: 100 * ms}, p.disks[name].copy(), p.now)
+func (p *testCluster) start(name string) {
+	v, err := NewVoter(Settings{Self: name, Voters: p.names, TickInterval: 100 * ms}, p.disks[name].copy(), p.now)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.voters[name] = v
 }
 
-func (p *parliament) kill(name string) { delete(p.voters, name) }
+func (p *testCluster) kill(name string) { delete(p.voters, name) }
 
-func (p *parliament) tell(name string, e Event) {
+func (p *testCluster) handle(name string, e Event) {
 	v := p.voters[name]
 	if v == nil {
 		return
@@ -111,42 +111,42 @@
 		switch f.Kind {
 		case Send:
 			if !p.cut[[2]string{name, f.To}] && p.rng.Float64() >= p.loss {
-				p.queue = append(p.queue, letter{at: p.now + rules.Time(1+p.rng.IntN(60))*ms, from: name, to: f.To, data: slices.Clone(f.Data)})
+				p.queue = append(p.queue, delivery{at: p.now + rules.Time(1+p.rng.IntN(60))*ms, from: name, to: f.To, data: slices.Clone(f.Data)})
 			}
 		case Persist:
-			ok := !p.full[name]
+			ok := !p.failingDisks[name]
 			if ok {
-				p.disks[name].keep(f.Batch)
+				p.disks[name].persist(f.Batch)
 			}
-			p.queue = append(p.queue, letter{at: p.now + 2*ms, to: name, kept: true, ok: ok, life: v})
-		case Answer:
-			if id := p.asks[f.Ask]; f.Err == nil {
+			p.queue = append(p.queue, delivery{at: p.now + 2*ms, to: name, persisted: true, ok: ok, recipient: v})
+		case Reply:
+			if id := p.commandIDs[f.RequestID]; f.Err == nil {
 				p.acks[id] = true
 			} else {
 				p.failed[id] = true
 			}
 		case Applied:
-			book := fmt.Sprint(v.book.Held)
-			if was, ok := p.books[f.Index]; ok && was != book {
-				p.split = fmt.Errorf("books of index %d differ: %s and %s", f.Index, was, book)
+			book := fmt.Sprint(v.state.Directives)
+			if was, ok := p.states[f.Index]; ok && was != book {
+				p.divergence = fmt.Errorf("books of index %d differ: %s and %s", f.Index, was, book)
 			}
-			p.books[f.Index] = book
-		case Told:
-			p.told = append(p.told, name+": "+f.Text)
+			p.states[f.Index] = book
+		case Log:
+			p.logged = append(p.logged, name+": "+f.Text)
 		}
 	}
 }
 
 // run goes on for a while.
-func (p *parliament) run(d rules.Time) {
+func (p *testCluster) run(d rules.Time) {
 	for until := p.now + d; p.now < until; p.now += ms {
 		if (p.now/ms)%100 == 0 {
 			for _, name := range p.names {
-				p.tell(name, Event{Kind: Tick})
+				p.handle(name, Event{Kind: Tick})
 			}
 		}
-		var due []letter
-		p.queue = slices.DeleteFunc(p.queue, func(l letter) bool {
+		var due []delivery
+		p.queue = slices.DeleteFunc(p.queue, func(l delivery) bool {
 			if l.at <= p.now {
 				due = append(due, l)
 				return true
@@ -156,31 +156,31 @@
 		for _, l := range due {
 			v := p.voters[l.to]
 			switch {
-			case v == nil || l.kept && v != l.life:
-			case l.kept:
-				p.tell(l.to, Event{Kind: Persisted, OK: l.ok})
-			case v.Forgotten(l.from, l.data):
-				p.tell(l.to, Event{})
+			case v == nil || l.persisted && v != l.recipient:
+			case l.persisted:
+				p.handle(l.to, Event{Kind: Persisted, OK: l.ok})
+			case v.HandleForgotten(l.from, l.data):
+				p.handle(l.to, Event{})
 			default:
-				p.tell(l.to, Event{Kind: Came, From: l.from, Data: l.data})
+				p.handle(l.to, Event{Kind: Received, From: l.from, Data: l.data})
 			}
 		}
 	}
 }
 
-var asks uint64
+var lastRequestID uint64
 
-func (p *parliament) ask(name string, c Command) {
-	asks++
-	p.asks[asks] = c.ID
-	p.tell(name, Event{Kind: Propose, Command: c, Ask: asks})
+func (p *testCluster) propose(name string, c Command) {
+	lastRequestID++
+	p.commandIDs[lastRequestID] = c.ID
+	p.handle(name, Event{Kind: Propose, Command: c, RequestID: lastRequestID})
 }
 
-func order(i int) Command {
+func testCommand(i int) Command {
 	return Command{ID: fmt.Sprint("c", i), Op: Set, Directive: Directive{Kind: DrainEngine, Subject: fmt.Sprint("e", i%40), Value: float64(i)}}
 }
 
-func (p *parliament) leader() string {
+func (p *testCluster) leader() string {
 	for _, n := range p.names {
 		if v := p.voters[n]; v != nil && v.Status().Leader == n {
 			return n
@@ -191,9 +191,9 @@
 
 // A command holds at all voters; a minority takes none and keeps what it has; healed, all have the same.
 func TestQuorum(t *testing.T) {
-	p := newParliament(t, 3, 1)
+	p := newTestCluster(t, 3, 1)
 	p.run(4 * second)
-	p.ask("v0", order(1))
+	p.propose("v0", testCommand(1))
 	p.run(2 * second)
 	if !p.acks["c1"] {
 		t.Fatal("no answer with all voters there")
@@ -204,24 +204,24 @@
 			p.cut[[2]string{lead, n}], p.cut[[2]string{n, lead}] = true, true
 		}
 	}
-	p.ask(lead, order(2))
+	p.propose(lead, testCommand(2))
 	p.run(8 * second)
 	if p.acks["c2"] || !p.failed["c2"] {
 		t.Error("a voter on its own has taken a command, or never answered")
 	}
 	other := p.names[(slices.Index(p.names, lead)+1)%3]
-	p.ask(other, order(3))
+	p.propose(other, testCommand(3))
 	p.run(3 * second)
 	if !p.acks["c3"] {
 		t.Error("the majority takes no command")
 	}
-	if got := p.voters[lead].Book().Of(DrainEngine); !reflect.DeepEqual(got, []string{"e1"}) {
+	if got := p.voters[lead].State().Subjects(DrainEngine); !reflect.DeepEqual(got, []string{"e1"}) {
 		t.Errorf("the minority holds %v", got)
 	}
 	clear(p.cut)
 	p.run(5 * second)
 	for _, n := range p.names {
-		if got := p.voters[n].Book().Of(DrainEngine); !slices.Contains(got, "e1") || !slices.Contains(got, "e3") {
+		if got := p.voters[n].State().Subjects(DrainEngine); !slices.Contains(got, "e1") || !slices.Contains(got, "e3") {
 			t.Errorf("healed, %s holds %v", n, got)
 		}
 	}
@@ -238,7 +238,7 @@
 		}
 	}()
 	for seed := range uint64(*schedules) {
-		p := newParliament(t, 3+2*int(seed%2), seed)
+		p := newTestCluster(t, 3+2*int(seed%2), seed)
 		p.run(2 * second)
 		for i := range 12 {
 			switch n := p.names[p.rng.IntN(len(p.names))]; p.rng.IntN(5) {
@@ -256,7 +256,7 @@
 			case 4:
 				p.loss = p.rng.Float64() * 0.3
 			}
-			p.ask(p.names[p.rng.IntN(len(p.names))], order(int(seed)*100+i))
+			p.propose(p.names[p.rng.IntN(len(p.names))], testCommand(int(seed)*100+i))
 			p.run(rules.Time(100+p.rng.IntN(1200)) * ms)
 		}
 		clear(p.cut)
@@ -267,13 +267,13 @@
 			}
 		}
 		p.run(8 * second)
-		if p.split != nil {
-			t.Errorf("seed %d: %v", seed, p.split)
+		if p.divergence != nil {
+			t.Errorf("seed %d: %v", seed, p.divergence)
 		}
 		acknowledged += len(p.acks)
 		for id := range p.acks {
 			for _, n := range p.names {
-				if !slices.Contains(p.voters[n].book.Seen, id) {
+				if !slices.Contains(p.voters[n].state.SeenIDs, id) {
 					t.Errorf("seed %d: %s was acknowledged, and %s does not have it", seed, id, n)
 				}
 			}
@@ -284,32 +284,32 @@
 // A voter whose disk is an old copy of itself, or is gone, listens before it votes, and has all again in the end.
 func TestVoterThatForgot(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		p := newParliament(t, 3, 5)
+		p := newTestCluster(t, 3, 5)
 		p.run(3 * second)
 		who := p.names[(slices.Index(p.names, p.leader())+1)%3]
-		old := Kept{}
+		old := PersistedState{}
 		for i := range 8 {
 			if i == 2 && !gone {
 				old = p.disks[who].copy()
 			}
-			p.ask("v0", order(i))
+			p.propose("v0", testCommand(i))
 			p.run(second)
 		}
 		p.kill(who)
 		p.disks[who] = &disk{old}
 		p.start(who)
 		p.run(25 * second)
-		if got := len(p.voters[who].book.Held); got != 8 {
-			t.Errorf("gone %v: it holds %d of 8 directives; told: %v", gone, got, p.told)
+		if got := len(p.voters[who].state.Directives); got != 8 {
+			t.Errorf("gone %v: it holds %d of 8 directives; told: %v", gone, got, p.logged)
 		}
 		if p.voters[who].Status().Listens {
 			t.Errorf("gone %v: it still listens", gone)
 		}
-		if p.split != nil {
-			t.Error(p.split)
+		if p.divergence != nil {
+			t.Error(p.divergence)
 		}
-		if !slices.ContainsFunc(p.told, func(s string) bool { return strings.HasPrefix(s, who+": directives: has listened long enough") }) {
-			t.Errorf("gone %v: it did not listen before it voted: %v", gone, p.told)
+		if !slices.ContainsFunc(p.logged, func(s string) bool { return strings.HasPrefix(s, who+": directives: has listened long enough") }) {
+			t.Errorf("gone %v: it did not listen before it voted: %v", gone, p.logged)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 // again it holds.
 func TestDiskFails(t *testing.T) {
 	for _, leads := range []bool{false, true} {
-		p := newParliament(t, 3, 2)
+		p := newTestCluster(t, 3, 2)
 		p.run(3 * second)
 		lead := p.leader()
 		i := slices.Index(p.names, lead)
@@ -330,14 +330,14 @@
 		if leads {
 			bad = lead
 		}
-		p.full[bad] = true
+		p.failingDisks[bad] = true
 		times := 1
 		if leads {
 			times = 4
 		}
 		for range times {
 			if !p.acks["c1"] {
-				p.ask(good, order(1))
+				p.propose(good, testCommand(1))
 				p.run(3 * second)
 			}
 		}
@@ -347,15 +347,15 @@
 		if !p.voters[bad].Status().Broken {
 			t.Fatalf("leads %v: the third does not say that its disk failed", leads)
 		}
-		p.ask(bad, order(2))
+		p.propose(bad, testCommand(2))
 		if !p.failed["c2"] {
 			t.Errorf("leads %v: a voter whose disk failed takes a command", leads)
 		}
-		delete(p.full, bad)
+		delete(p.failingDisks, bad)
 		p.kill(bad)
 		p.start(bad)
 		p.run(4 * second)
-		if !slices.Contains(p.voters[bad].book.Seen, "c1") {
+		if !slices.Contains(p.voters[bad].state.SeenIDs, "c1") {
 			t.Errorf("leads %v: after its restart it lacks what was committed", leads)
 		}
 	}
@@ -363,27 +363,27 @@
 
 // Long logs are compacted, and one that was away long takes a snapshot.
 func TestSnapshots(t *testing.T) {
-	p := newParliament(t, 3, 4)
+	p := newTestCluster(t, 3, 4)
 	p.run(3 * second)
 	p.kill("v1")
-	for i := range 2 * compactAfter {
-		p.ask("v0", order(i))
+	for i := range 2 * compactThreshold {
+		p.propose("v0", testCommand(i))
 		p.run(150 * ms)
 	}
 	for n, d := range p.disks {
-		if len(d.kept.Entries) > 2*compactAfter {
-			t.Errorf("%s keeps %d entries", n, len(d.kept.Entries))
+		if len(d.state.Entries) > 2*compactThreshold {
+			t.Errorf("%s keeps %d entries", n, len(d.state.Entries))
 		}
 	}
 	p.start("v1")
 	p.run(6 * second)
-	if a, b := p.voters["v0"].book, p.voters["v1"].book; a.Index != b.Index || !reflect.DeepEqual(a.Held, b.Held) {
-		t.Errorf("at index %d and %d, %d and %d directives", a.Index, b.Index, len(a.Held), len(b.Held))
+	if a, b := p.voters["v0"].state, p.voters["v1"].state; a.Index != b.Index || !reflect.DeepEqual(a.Directives, b.Directives) {
+		t.Errorf("at index %d and %d, %d and %d directives", a.Index, b.Index, len(a.Directives), len(b.Directives))
 	}
 }
 
-func TestBook(t *testing.T) {
-	var b Book
+func TestState(t *testing.T) {
+	var b State
 	put := func(i uint64, c Command) error {
 		raw := fmt.Sprintf(`{"id":%q,"op":%q,"kind":%q,"subject":%q,"value":%v}`, c.ID, c.Op, c.Kind, c.Subject, c.Value)
 		_, err := b.apply(i, []byte(raw))
@@ -395,31 +395,31 @@
 	}{
 		{Command{"a", Set, Directive{Kind: DrainZone, Subject: "hall-a"}}, nil},
 		{Command{"a", Unset, Directive{Kind: DrainZone, Subject: "hall-a"}}, nil}, // comes twice: counts once
-		{Command{"b", Set, Directive{Kind: Spill, Value: 0.3}}, nil},
-		{Command{"c", Unset, Directive{Kind: DrainZone, Subject: "hall-b"}}, ErrNone},
+		{Command{"b", Set, Directive{Kind: SpilloverLimit, Value: 0.3}}, nil},
+		{Command{"c", Unset, Directive{Kind: DrainZone, Subject: "hall-b"}}, ErrNotFound},
 	} {
 		if err := put(uint64(i+2), c.Command); !errors.Is(err, c.err) {
 			t.Errorf("%+v: %v", c.Command, err)
 		}
 	}
-	if v, ok := b.Value(Spill); !ok || v != 0.3 || !reflect.DeepEqual(b.Of(DrainZone), []string{"hall-a"}) || b.Index != 5 || len(b.History) != 3 {
+	if v, ok := b.Value(SpilloverLimit); !ok || v != 0.3 || !reflect.DeepEqual(b.Subjects(DrainZone), []string{"hall-a"}) || b.Index != 5 || len(b.History) != 3 {
 		t.Errorf("%+v", b)
 	}
-	for _, c := range []Command{{}, {ID: "x", Op: "do", Directive: Directive{Kind: Spill}}, {ID: "x", Op: Set, Directive: Directive{Kind: "dance", Subject: "y"}},
-		{ID: "x", Op: Set, Directive: Directive{Kind: DrainZone}}, {ID: "x", Op: Set, Directive: Directive{Kind: Spill, Value: 2}}} {
+	for _, c := range []Command{{}, {ID: "x", Op: "do", Directive: Directive{Kind: SpilloverLimit}}, {ID: "x", Op: Set, Directive: Directive{Kind: "dance", Subject: "y"}},
+		{ID: "x", Op: Set, Directive: Directive{Kind: DrainZone}}, {ID: "x", Op: Set, Directive: Directive{Kind: SpilloverLimit, Value: 2}}} {
 		if c.Validate() == nil {
 			t.Errorf("%+v passes", c)
 		}
 	}
-	for i := range 2 * mostDirectives {
-		_ = put(uint64(i+10), order(i))
+	for i := range 2 * maxDirectives {
+		_ = put(uint64(i+10), testCommand(i))
 	}
-	for i := range 2 * mostDirectives {
-		c := order(0)
+	for i := range 2 * maxDirectives {
+		c := testCommand(0)
 		c.ID, c.Subject = fmt.Sprint("m", i), fmt.Sprint("m", i)
 		_ = put(uint64(i+1000), c)
 	}
-	if len(b.Held) > mostDirectives || len(b.History) > mostHistory || len(b.Seen) > mostSeen {
-		t.Errorf("%d held, %d in the history, %d seen", len(b.Held), len(b.History), len(b.Seen))
+	if len(b.Directives) > maxDirectives || len(b.History) > maxHistory || len(b.SeenIDs) > maxSeenIDs {
+		t.Errorf("%d held, %d in the history, %d seen", len(b.Directives), len(b.History), len(b.SeenIDs))
 	}
 }
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -17,30 +17,30 @@
 
 // This file drives raft as a state machine: events in, effects out, one batch at a time.
 
-// Kept is what a voter's disk held at its start.
-type Kept struct {
-	Born    bool          // it was made a voter: without that it has forgotten, or is new
-	Hard    *pb.HardState // nil: none
-	Entries []*pb.Entry
-	Snap    *pb.Snapshot // nil: none
+// PersistedState is what a voter's disk held at its start.
+type PersistedState struct {
+	Initialized bool          // it was made a voter: without that it has forgotten, or is new
+	HardState   *pb.HardState // nil: none
+	Entries     []*pb.Entry
+	Snapshot    *pb.Snapshot // nil: none
 }
 
 // Settings say who votes.
 type Settings struct {
-	Self   string
-	Voters []string // names, ours among them; the same list at all
-	Tick   rules.Time
+	Self         string
+	Voters       []string // names, ours among them; the same list at all
+	TickInterval rules.Time
 }
 
 const (
-	electionTicks = 10
-	beatTicks     = 2
-	mostMessage   = 32 << 10
-	mostInFlight  = 16
-	compactAfter  = 128 // entries in the log
-	proposeWithin = 4 * rules.Second
-	listenFor     = 10 * electionTicks // ticks for which one that has forgotten listens to a leader before it votes
-	mostPending   = 16
+	electionTicks      = 10
+	heartbeatTicks     = 2
+	maxMessageBytes    = 32 << 10
+	maxInFlight        = 16
+	compactThreshold   = 128 // entries in the log
+	proposalTimeout    = 4 * rules.Second
+	listenTicks        = 10 * electionTicks // ticks for which one that has forgotten listens to a leader before it votes
+	maxPendingRequests = 16
 )
 
 // Validate says what can't be used.
@@ -48,7 +48,7 @@
 	switch {
 	case len(s.Voters) != 1 && len(s.Voters) != 3 && len(s.Voters) != 5:
 		return fmt.Errorf("directives: %d voters; 1, 3 or 5 are possible", len(s.Voters))
-	case s.Tick <= 0:
+	case s.TickInterval <= 0:
 		return errors.New("directives: tick must be over 0")
 	}
 	for i, v := range s.Voters {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func (s Settings) id(name string) uint64 { return uint64(slices.Index(s.Voters, name) + 1) }
+func (s Settings) voterID(name string) uint64 { return uint64(slices.Index(s.Voters, name) + 1) }
 
 // EventKind is what an Event tells.
 type EventKind int
@@ -67,19 +67,19 @@
 // Kinds of events.
 const (
 	Tick      EventKind = iota + 1
-	Came                // Data came from the voter From
+	Received            // Data came from the voter From
 	Propose             // Command is asked for; Ask names who asks
 	Persisted           // what Persist asked for is kept, or could not be: OK
 )
 
 // Event is something that happened.
 type Event struct {
-	Kind    EventKind
-	From    string
-	Data    []byte
-	Command Command
-	Ask     uint64
-	OK      bool
+	Kind      EventKind
+	From      string
+	Data      []byte
+	Command   Command
+	RequestID uint64
+	OK        bool
 }
 
 // EffectKind is what an Effect asks for.
@@ -90,117 +90,117 @@
 	Send    EffectKind = iota + 1 // Data to the voter To
 	Persist                       // Keep it on the disk, synced, and tell Persisted
 	Applied                       // the book has changed
-	Answer                        // of Ask: the command holds as of Index, or Err
-	Told                          // Text is for the log
+	Reply                         // of Ask: the command holds as of Index, or Err
+	Log                           // Text is for the log
 )
 
 // Batch is what is kept at once.
 type Batch struct {
-	Hard    *pb.HardState
-	Entries []*pb.Entry
-	Snap    *pb.Snapshot // takes the place of all before it
+	HardState *pb.HardState
+	Entries   []*pb.Entry
+	Snapshot  *pb.Snapshot // takes the place of all before it
 }
 
 // Effect is something to do.
 type Effect struct {
-	Kind  EffectKind
-	To    string
-	Data  []byte
-	Batch Batch
-	Ask   uint64
-	Index uint64
-	Err   error
-	Text  string
+	Kind      EffectKind
+	To        string
+	Data      []byte
+	Batch     Batch
+	RequestID uint64
+	Index     uint64
+	Err       error
+	Text      string
 }
 
 // Errors of proposals.
 var (
-	ErrNoQuorum = errors.New("directives: no quorum of voters answers: the command may or may not come to hold; ask for the list")
-	ErrBusy     = errors.New("directives: too many commands are on their way")
-	ErrBroken   = errors.New("directives: the disk failed, this voter takes part again after a restart")
+	ErrNoQuorum   = errors.New("directives: no quorum of voters answers: the command may or may not come to hold; ask for the list")
+	ErrBusy       = errors.New("directives: too many commands are on their way")
+	ErrDiskFailed = errors.New("directives: the disk failed, this voter takes part again after a restart")
 )
 
 // Voter is one of the voters.
 type Voter struct {
-	set     Settings
-	node    *raft.RawNode
-	store   *raft.MemoryStorage
-	conf    *pb.ConfState
-	book    Book
-	now     rules.Time
-	batch   *raft.Ready // on its way to the disk
-	acks    []bool      // what is on its way, in order: the batch, or else a snapshot of ours
-	pending []pendingAsk
-	forgot  int    // ticks for which it still listens; 0: it votes
-	heard   uint64 // highest term heard while it listens
-	floor   uint64 // it votes in later terms only
-	broken  bool
-	effects []Effect
+	settings         Settings
+	raftNode         *raft.RawNode
+	storage          *raft.MemoryStorage
+	confState        *pb.ConfState
+	state            State
+	now              rules.Time
+	pendingReady     *raft.Ready // on its way to the disk
+	inFlightPersists []bool      // what is on its way, in order: the batch, or else a snapshot of ours
+	pendingRequests  []pendingRequest
+	listenTicksLeft  int    // ticks for which it still listens; 0: it votes
+	highestTerm      uint64 // highest term heard while it listens
+	lastUnsafeTerm   uint64 // it votes in later terms only
+	diskFailed       bool
+	effects          []Effect
 }
 
-type pendingAsk struct {
-	ask   uint64
-	id    string
-	until rules.Time
+type pendingRequest struct {
+	requestID uint64
+	commandID string
+	deadline  rules.Time
 }
 
-var first = struct{ index, term uint64 }{1, 1} // where all logs begin
+var firstEntry = struct{ index, term uint64 }{1, 1} // where all logs begin
 
 // NewVoter returns a voter with what its disk held.
-func NewVoter(set Settings, kept Kept, now rules.Time) (*Voter, error) {
+func NewVoter(set Settings, kept PersistedState, now rules.Time) (*Voter, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	v := &Voter{set: set, store: raft.NewMemoryStorage(), now: now, conf: &pb.ConfState{}}
+	v := &Voter{settings: set, storage: raft.NewMemoryStorage(), now: now, confState: &pb.ConfState{}}
 	for i := range set.Voters {
-		v.conf.Voters = append(v.conf.Voters, uint64(i+1))
+		v.confState.Voters = append(v.confState.Voters, uint64(i+1))
 	}
-	if set.id(set.Self) == 0 {
+	if set.voterID(set.Self) == 0 {
 		return nil, fmt.Errorf("directives: %q is none of the voters", set.Self)
 	}
-	snap := kept.Snap
+	snap := kept.Snapshot
 	if snap == nil {
-		snap = &pb.Snapshot{Data: (&Book{}).encode(), Metadata: &pb.SnapshotMetadata{ConfState: v.conf, Index: proto.Uint64(first.index), Term: proto.Uint64(first.term)}}
+		snap = &pb.Snapshot{Data: (&State{}).encode(), Metadata: &pb.SnapshotMetadata{ConfState: v.confState, Index: proto.Uint64(firstEntry.index), Term: proto.Uint64(firstEntry.term)}}
 	}
-	if err := json.Unmarshal(snap.GetData(), &v.book); err != nil {
+	if err := json.Unmarshal(snap.GetData(), &v.state); err != nil {
 		return nil, fmt.Errorf("directives: the snapshot can't be read: %w", err)
 	}
-	if err := v.store.ApplySnapshot(snap); err != nil {
+	if err := v.storage.ApplySnapshot(snap); err != nil {
 		return nil, err
 	}
-	hard := kept.Hard
+	hard := kept.HardState
 	if hard == nil {
-		hard = &pb.HardState{Term: proto.Uint64(first.term), Commit: proto.Uint64(snap.GetMetadata().GetIndex())}
+		hard = &pb.HardState{Term: proto.Uint64(firstEntry.term), Commit: proto.Uint64(snap.GetMetadata().GetIndex())}
 	}
-	if err := v.store.Append(kept.Entries); err != nil {
+	if err := v.storage.Append(kept.Entries); err != nil {
 		return nil, err
 	}
-	last, err := v.store.LastIndex()
+	last, err := v.storage.LastIndex()
 	if err != nil {
 		return nil, err
 	}
 	if hard.GetCommit() > last { // entries that were committed are gone
-		kept.Born = false
+		kept.Initialized = false
 		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(last)}
 	}
 	if hard.GetCommit() < snap.GetMetadata().GetIndex() {
 		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(snap.GetMetadata().GetIndex())}
 	}
-	if err := v.store.SetHardState(hard); err != nil {
+	if err := v.storage.SetHardState(hard); err != nil {
 		return nil, err
 	}
-	if !kept.Born {
-		v.forgot = listenFor
+	if !kept.Initialized {
+		v.listenTicksLeft = listenTicks
 	}
 	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
-	v.node, err = raft.NewRawNode(&raft.Config{ID: set.id(set.Self), ElectionTick: electionTicks, HeartbeatTick: beatTicks, Storage: v.store,
-		Applied: snap.GetMetadata().GetIndex(), MaxSizePerMsg: mostMessage / 4, MaxInflightMsgs: mostInFlight, CheckQuorum: true, PreVote: true,
-		MaxUncommittedEntriesSize: mostMessage, Logger: quiet})
+	v.raftNode, err = raft.NewRawNode(&raft.Config{ID: set.voterID(set.Self), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: v.storage,
+		Applied: snap.GetMetadata().GetIndex(), MaxSizePerMsg: maxMessageBytes / 4, MaxInflightMsgs: maxInFlight, CheckQuorum: true, PreVote: true,
+		MaxUncommittedEntriesSize: maxMessageBytes, Logger: quiet})
 	return v, err
 }
 
-// Book is what holds here. It is not to be changed.
-func (v *Voter) Book() *Book { return &v.book }
+// State is what holds here. It is not to be changed.
+func (v *Voter) State() *State { return &v.state }
 
 // Status is what operators want to know of a voter.
 type Status struct {
@@ -213,61 +213,61 @@
 
 // Status tells how the voter stands.
 func (v *Voter) Status() Status {
-	b := v.node.BasicStatus()
-	s := Status{Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Listens: v.forgot > 0, Broken: v.broken}
-	if l := int(b.SoftState.Lead); l >= 1 && l <= len(v.set.Voters) {
-		s.Leader = v.set.Voters[l-1]
+	b := v.raftNode.BasicStatus()
+	s := Status{Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.diskFailed}
+	if l := int(b.SoftState.Lead); l >= 1 && l <= len(v.settings.Voters) {
+		s.Leader = v.settings.Voters[l-1]
 	}
 	return s
 }
 
-func (v *Voter) do(e Effect) { v.effects = append(v.effects, e) }
+func (v *Voter) emit(e Effect) { v.effects = append(v.effects, e) }
 
 // Handle takes one event and returns what to do. The result is valid until the next call.
 func (v *Voter) Handle(now rules.Time, e Event) []Effect {
 	v.effects = v.effects[:0]
 	v.now = max(v.now, now)
-	if v.broken {
+	if v.diskFailed {
 		if e.Kind == Propose {
-			v.do(Effect{Kind: Answer, Ask: e.Ask, Err: ErrBroken})
+			v.emit(Effect{Kind: Reply, RequestID: e.RequestID, Err: ErrDiskFailed})
 		}
 		return v.effects
 	}
 	switch e.Kind {
 	case Tick:
 		v.tick()
-	case Came:
-		v.came(e.From, e.Data)
+	case Received:
+		v.receive(e.From, e.Data)
 	case Propose:
 		v.propose(e)
 	case Persisted:
-		v.persisted(e.OK)
+		v.handlePersisted(e.OK)
 	}
-	v.pump()
+	v.collectReady()
 	return v.effects
 }
 
 func (v *Voter) tick() {
-	if v.forgot > 0 {
-		v.node.TickQuiesced()
+	if v.listenTicksLeft > 0 {
+		v.raftNode.TickQuiesced()
 		if v.Status().Leader != "" {
-			if v.forgot--; v.forgot == 0 {
-				v.floor = v.heard
-				v.do(Effect{Kind: Told, Text: "directives: has listened long enough, votes again"})
+			if v.listenTicksLeft--; v.listenTicksLeft == 0 {
+				v.lastUnsafeTerm = v.highestTerm
+				v.emit(Effect{Kind: Log, Text: "directives: has listened long enough, votes again"})
 			}
 		}
 	} else {
-		v.node.Tick()
+		v.raftNode.Tick()
 	}
-	kept := v.pending[:0]
-	for _, p := range v.pending {
-		if v.now < p.until {
+	kept := v.pendingRequests[:0]
+	for _, p := range v.pendingRequests {
+		if v.now < p.deadline {
 			kept = append(kept, p)
 			continue
 		}
-		v.do(Effect{Kind: Answer, Ask: p.ask, Err: ErrNoQuorum})
+		v.emit(Effect{Kind: Reply, RequestID: p.requestID, Err: ErrNoQuorum})
 	}
-	v.pending = kept
+	v.pendingRequests = kept
 }
 
 func (v *Voter) propose(e Event) {
@@ -278,172 +278,172 @@
 	}
 	switch {
 	case err != nil:
-	case len(v.pending) >= mostPending:
+	case len(v.pendingRequests) >= maxPendingRequests:
 		err = ErrBusy
 	default:
-		if err = v.node.Propose(raw); errors.Is(err, raft.ErrProposalDropped) {
+		if err = v.raftNode.Propose(raw); errors.Is(err, raft.ErrProposalDropped) {
 			err = ErrNoQuorum
 		}
 	}
 	if err != nil {
-		v.do(Effect{Kind: Answer, Ask: e.Ask, Err: err})
+		v.emit(Effect{Kind: Reply, RequestID: e.RequestID, Err: err})
 		return
 	}
-	v.pending = append(v.pending, pendingAsk{e.Ask, e.Command.ID, v.now + proposeWithin})
+	v.pendingRequests = append(v.pendingRequests, pendingRequest{e.RequestID, e.Command.ID, v.now + proposalTimeout})
 }
 
-// came takes a message of another voter.
-func (v *Voter) came(from string, data []byte) {
+// receive takes a message of another voter.
+func (v *Voter) receive(from string, data []byte) {
 	m := &pb.Message{}
-	if len(data) > 2*mostMessage || proto.Unmarshal(data, m) != nil || m.GetTo() != v.set.id(v.set.Self) || m.GetFrom() != v.set.id(from) || m.GetFrom() == 0 {
-		v.do(Effect{Kind: Told, Text: fmt.Sprintf("directives: a message of %q can't be used", from)})
+	if len(data) > 2*maxMessageBytes || proto.Unmarshal(data, m) != nil || m.GetTo() != v.settings.voterID(v.settings.Self) || m.GetFrom() != v.settings.voterID(from) || m.GetFrom() == 0 {
+		v.emit(Effect{Kind: Log, Text: fmt.Sprintf("directives: a message of %q can't be used", from)})
 		return
 	}
 	vote := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
-	if v.forgot > 0 {
-		v.heard = max(v.heard, m.GetTerm())
+	if v.listenTicksLeft > 0 {
+		v.highestTerm = max(v.highestTerm, m.GetTerm())
 	}
-	if vote && (v.forgot > 0 || m.GetTerm() <= v.floor) { // it may have voted in that term, and does not know
+	if vote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.lastUnsafeTerm) { // it may have voted in that term, and does not know
 		return
 	}
-	last, err := v.store.LastIndex()
-	if err == nil && m.GetType() == pb.MsgHeartbeat && m.GetCommit() > last && v.batch == nil {
+	last, err := v.storage.LastIndex()
+	if err == nil && m.GetType() == pb.MsgHeartbeat && m.GetCommit() > last && v.pendingReady == nil {
 		// The leader holds that we have kept more than we have: our disk is an old copy of itself.
-		if v.forgot == 0 {
-			v.do(Effect{Kind: Told, Text: "directives: this voter has forgotten what it had kept; it listens before it votes again"})
+		if v.listenTicksLeft == 0 {
+			v.emit(Effect{Kind: Log, Text: "directives: this voter has forgotten what it had kept; it listens before it votes again"})
 		}
-		v.forgot, v.heard = listenFor, max(v.heard, m.GetTerm())
-		v.do(Effect{Kind: Send, To: from, Data: []byte(forgotten + v.set.Self)})
+		v.listenTicksLeft, v.highestTerm = listenTicks, max(v.highestTerm, m.GetTerm())
+		v.emit(Effect{Kind: Send, To: from, Data: []byte(forgottenPrefix + v.settings.Self)})
 		return
 	}
-	_ = v.node.Step(m) // what can't be stepped is dropped, as if lost
+	_ = v.raftNode.Step(m) // what can't be stepped is dropped, as if lost
 }
 
-// forgotten begins what a voter says that has lost what it had acknowledged: the leader, who would send only what comes behind that,
+// forgottenPrefix begins what a voter says that has lost what it had acknowledged: the leader, who would send only what comes behind that,
 // hands over to another, who asks anew how far each has come.
-const forgotten = "forgotten "
+const forgottenPrefix = "forgotten "
 
-// Forgotten takes such a word. It answers whether data is one.
-func (v *Voter) Forgotten(from string, data []byte) bool {
-	if string(data) != forgotten+from {
+// HandleForgotten takes such a word. It answers whether data is one.
+func (v *Voter) HandleForgotten(from string, data []byte) bool {
+	if string(data) != forgottenPrefix+from {
 		return false
 	}
-	if v.broken || v.Status().Leader != v.set.Self {
+	if v.diskFailed || v.Status().Leader != v.settings.Self {
 		return true
 	}
-	for i, name := range v.set.Voters {
-		if name != from && name != v.set.Self {
-			v.node.TransferLeader(uint64(i + 1))
+	for i, name := range v.settings.Voters {
+		if name != from && name != v.settings.Self {
+			v.raftNode.TransferLeader(uint64(i + 1))
 			break
 		}
 	}
 	return true
 }
 
-// pump takes the next batch out of raft, unless one is on its way to the disk.
-func (v *Voter) pump() {
-	for v.batch == nil && !v.broken && v.node.HasReady() {
-		rd := v.node.Ready()
-		v.batch = &rd
-		b := Batch{Hard: rd.HardState, Entries: rd.Entries}
+// collectReady takes the next batch out of raft, unless one is on its way to the disk.
+func (v *Voter) collectReady() {
+	for v.pendingReady == nil && !v.diskFailed && v.raftNode.HasReady() {
+		rd := v.raftNode.Ready()
+		v.pendingReady = &rd
+		b := Batch{HardState: rd.HardState, Entries: rd.Entries}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			b.Snap = rd.Snapshot
+			b.Snapshot = rd.Snapshot
 		}
-		if b.Hard == nil && len(b.Entries) == 0 && b.Snap == nil {
-			v.finish()
+		if b.HardState == nil && len(b.Entries) == 0 && b.Snapshot == nil {
+			v.applyReady()
 			continue
 		}
-		v.acks = append(v.acks, true)
-		v.do(Effect{Kind: Persist, Batch: b})
+		v.inFlightPersists = append(v.inFlightPersists, true)
+		v.emit(Effect{Kind: Persist, Batch: b})
 	}
 }
 
-// persisted: what was to be kept is, or the disk has failed, and nothing is said that rests on it.
-func (v *Voter) persisted(ok bool) {
-	if len(v.acks) == 0 {
+// handlePersisted: what was to be kept is, or the disk has failed, and nothing is said that rests on it.
+func (v *Voter) handlePersisted(ok bool) {
+	if len(v.inFlightPersists) == 0 {
 		return
 	}
-	batch := v.acks[0]
-	v.acks = v.acks[1:]
+	batch := v.inFlightPersists[0]
+	v.inFlightPersists = v.inFlightPersists[1:]
 	if !ok {
-		v.broken = true
-		v.do(Effect{Kind: Told, Text: ErrBroken.Error()})
-		for _, p := range v.pending {
-			v.do(Effect{Kind: Answer, Ask: p.ask, Err: ErrBroken})
+		v.diskFailed = true
+		v.emit(Effect{Kind: Log, Text: ErrDiskFailed.Error()})
+		for _, p := range v.pendingRequests {
+			v.emit(Effect{Kind: Reply, RequestID: p.requestID, Err: ErrDiskFailed})
 		}
-		v.pending = nil
+		v.pendingRequests = nil
 		return
 	}
 	if batch {
-		v.finish()
+		v.applyReady()
 	}
 }
 
-// finish says and applies what a kept batch allows.
-func (v *Voter) finish() {
-	rd := *v.batch
-	v.batch = nil
+// applyReady says and applies what a kept batch allows.
+func (v *Voter) applyReady() {
+	rd := *v.pendingReady
+	v.pendingReady = nil
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.store.ApplySnapshot(rd.Snapshot); err == nil {
-			var b Book
+		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil {
+			var b State
 			if json.Unmarshal(rd.Snapshot.GetData(), &b) == nil {
-				v.book = b
-				v.do(Effect{Kind: Applied, Index: b.Index})
+				v.state = b
+				v.emit(Effect{Kind: Applied, Index: b.Index})
 			}
 		}
 	}
-	_ = v.store.Append(rd.Entries)
+	_ = v.storage.Append(rd.Entries)
 	if rd.HardState != nil {
-		_ = v.store.SetHardState(rd.HardState)
+		_ = v.storage.SetHardState(rd.HardState)
 	}
 	for _, m := range rd.Messages {
-		if to := int(m.GetTo()); to >= 1 && to <= len(v.set.Voters) {
+		if to := int(m.GetTo()); to >= 1 && to <= len(v.settings.Voters) {
 			if raw, err := proto.Marshal(m); err == nil {
-				v.do(Effect{Kind: Send, To: v.set.Voters[to-1], Data: raw})
+				v.emit(Effect{Kind: Send, To: v.settings.Voters[to-1], Data: raw})
 			}
 			if m.GetType() == pb.MsgSnap { // datagrams or connections: it is sent once, and asked for again
-				v.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+				v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
 	}
 	changed := false
 	for _, e := range rd.CommittedEntries {
-		if e.GetIndex() <= v.book.Index {
+		if e.GetIndex() <= v.state.Index {
 			continue
 		}
-		c, err := v.book.apply(e.GetIndex(), e.GetData())
+		c, err := v.state.apply(e.GetIndex(), e.GetData())
 		changed = true
-		v.pending = slices.DeleteFunc(v.pending, func(p pendingAsk) bool {
-			if p.id == c.ID && c.ID != "" {
-				v.do(Effect{Kind: Answer, Ask: p.ask, Index: e.GetIndex(), Err: err})
+		v.pendingRequests = slices.DeleteFunc(v.pendingRequests, func(p pendingRequest) bool {
+			if p.commandID == c.ID && c.ID != "" {
+				v.emit(Effect{Kind: Reply, RequestID: p.requestID, Index: e.GetIndex(), Err: err})
 				return true
 			}
 			return false
 		})
 	}
 	if changed {
-		v.do(Effect{Kind: Applied, Index: v.book.Index})
+		v.emit(Effect{Kind: Applied, Index: v.state.Index})
 	}
-	v.node.Advance(rd)
+	v.raftNode.Advance(rd)
 	v.compact()
 }
 
 // compact puts a snapshot in the place of a long log.
 func (v *Voter) compact() {
-	begin, err := v.store.FirstIndex()
-	if err != nil || v.book.Index < begin+compactAfter {
+	begin, err := v.storage.FirstIndex()
+	if err != nil || v.state.Index < begin+compactThreshold {
 		return
 	}
-	b := v.book.clone()
-	snap, err := v.store.CreateSnapshot(b.Index, v.conf, b.encode())
+	b := v.state.clone()
+	snap, err := v.storage.CreateSnapshot(b.Index, v.confState, b.encode())
 	if err != nil {
 		return
 	}
-	if err := v.store.Compact(b.Index); err == nil {
-		hard, _, _ := v.store.InitialState()
-		last, _ := v.store.LastIndex()
-		entries, _ := v.store.Entries(b.Index+1, last+1, ^uint64(0))
-		v.acks = append(v.acks, false)
-		v.do(Effect{Kind: Persist, Batch: Batch{Hard: hard, Entries: entries, Snap: snap}})
+	if err := v.storage.Compact(b.Index); err == nil {
+		hard, _, _ := v.storage.InitialState()
+		last, _ := v.storage.LastIndex()
+		entries, _ := v.storage.Entries(b.Index+1, last+1, ^uint64(0))
+		v.inFlightPersists = append(v.inFlightPersists, false)
+		v.emit(Effect{Kind: Persist, Batch: Batch{HardState: hard, Entries: entries, Snapshot: snap}})
 	}
 }
--- a/internal/directives/wal/wal_test.go
+++ b/internal/directives/wal/wal_test.go
@@ -17,12 +17,12 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(text)}
 }
 
-func hard(term, vote, commit uint64) *pb.HardState {
+func hardState(term, vote, commit uint64) *pb.HardState {
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
 }
 
-// texts is what is kept, for comparison.
-func texts(k directives.Kept) (out []string) {
+// entryTexts is what is kept, for comparison.
+func entryTexts(k directives.PersistedState) (out []string) {
 	for _, e := range k.Entries {
 		out = append(out, string(e.GetData()))
 	}
@@ -30,7 +30,7 @@
 }
 
 // What was kept is there after every kind of end; two processes can't have one folder; a folder is made a voter's once.
-func TestKeepAndOpen(t *testing.T) {
+func TestPersistAndOpen(t *testing.T) {
 	folder := t.TempDir()
 	if err := Init(folder); err != nil {
 		t.Fatal(err)
@@ -39,37 +39,37 @@
 		t.Errorf("made twice: %v", err)
 	}
 	l, kept, err := Open(folder)
-	if err != nil || !kept.Born {
+	if err != nil || !kept.Initialized {
 		t.Fatalf("%v, %+v", err, kept)
 	}
-	if _, _, err := Open(folder); !errors.Is(err, ErrInUse) {
+	if _, _, err := Open(folder); !errors.Is(err, ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	for _, b := range []directives.Batch{{Hard: hard(2, 1, 1), Entries: []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b")}},
-		{Entries: []*pb.Entry{entry(3, 3, "c"), entry(4, 3, "d")}}, {Hard: hard(3, 2, 4)}} {
-		if err := l.Keep(b); err != nil {
+	for _, b := range []directives.Batch{{HardState: hardState(2, 1, 1), Entries: []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b")}},
+		{Entries: []*pb.Entry{entry(3, 3, "c"), entry(4, 3, "d")}}, {HardState: hardState(3, 2, 4)}} {
+		if err := l.Persist(b); err != nil {
 			t.Fatal(err)
 		}
 	}
 	l.Close()
-	if l, kept, err = Open(folder); err != nil || !reflect.DeepEqual(texts(kept), []string{"a", "c", "d"}) || kept.Hard.GetTerm() != 3 || kept.Hard.GetVote() != 2 {
-		t.Fatalf("%v, %v, %v", err, texts(kept), kept.Hard)
+	if l, kept, err = Open(folder); err != nil || !reflect.DeepEqual(entryTexts(kept), []string{"a", "c", "d"}) || kept.HardState.GetTerm() != 3 || kept.HardState.GetVote() != 2 {
+		t.Fatalf("%v, %v, %v", err, entryTexts(kept), kept.HardState)
 	}
 	snap := &pb.Snapshot{Data: []byte("book"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(4), Term: proto.Uint64(3)}}
-	if err := l.Keep(directives.Batch{Hard: hard(3, 2, 4), Snap: snap, Entries: []*pb.Entry{entry(5, 3, "e")}}); err != nil {
+	if err := l.Persist(directives.Batch{HardState: hardState(3, 2, 4), Snapshot: snap, Entries: []*pb.Entry{entry(5, 3, "e")}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Keep(directives.Batch{Entries: []*pb.Entry{entry(6, 3, "f")}}); err != nil {
+	if err := l.Persist(directives.Batch{Entries: []*pb.Entry{entry(6, 3, "f")}}); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	l, kept, err = Open(folder)
-	if err != nil || !kept.Born || string(kept.Snap.GetData()) != "book" || !reflect.DeepEqual(texts(kept), []string{"e", "f"}) {
-		t.Errorf("%v, %+v, %v", err, kept, texts(kept))
+	if err != nil || !kept.Initialized || string(kept.Snapshot.GetData()) != "book" || !reflect.DeepEqual(entryTexts(kept), []string{"e", "f"}) {
+		t.Errorf("%v, %+v, %v", err, kept, entryTexts(kept))
 	}
 	l.Close()
 	empty, kept, err := Open(t.TempDir())
-	if err != nil || kept.Born {
+	if err != nil || kept.Initialized {
 		t.Errorf("a folder that nobody made a voter's: %v, %+v", err, kept)
 	} else {
 		empty.Close()
@@ -89,7 +89,7 @@
 	path := filepath.Join(folder, fileName)
 	ends := map[int]int{}
 	for i, text := range []string{"one", "two", "three"} {
-		if err := l.Keep(directives.Batch{Entries: []*pb.Entry{entry(uint64(i+2), 2, text)}}); err != nil {
+		if err := l.Persist(directives.Batch{Entries: []*pb.Entry{entry(uint64(i+2), 2, text)}}); err != nil {
 			t.Fatal(err)
 		}
 		info, err := os.Stat(path)
@@ -108,7 +108,7 @@
 		if k, ok := ends[n]; ok {
 			whole = k
 		}
-		kept, _, err := Read(raw[:n])
+		kept, _, err := Decode(raw[:n])
 		if err != nil || len(kept.Entries) != whole {
 			t.Fatalf("cut at %d of %d: %v, %d entries, %d were whole", n, len(raw), err, len(kept.Entries), whole)
 		}
@@ -116,13 +116,13 @@
 	for i := range raw {
 		bad := append([]byte(nil), raw...)
 		bad[i] ^= 0x10
-		kept, _, err := Read(bad)
-		for j, text := range texts(kept) {
+		kept, _, err := Decode(bad)
+		for j, text := range entryTexts(kept) {
 			if want := []string{"one", "two", "three"}[j]; text != want {
 				t.Fatalf("byte %d changed: entry %d is %q", i, j, text)
 			}
 		}
-		if err == nil && len(kept.Entries) == 3 && kept.Born {
+		if err == nil && len(kept.Entries) == 3 && kept.Initialized {
 			t.Fatalf("byte %d changed, and nobody noticed", i)
 		}
 	}
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	l.file.Close()
-	if l.Keep(directives.Batch{Hard: hard(2, 1, 1)}) == nil {
+	if l.Persist(directives.Batch{HardState: hardState(2, 1, 1)}) == nil {
 		t.Error("kept on a file that is closed")
 	}
 	l.lock.Close()
@@ -155,7 +155,7 @@
 	}
 	keep := func(b directives.Batch) {
 		t.Helper()
-		if err := l.Keep(b); err != nil {
+		if err := l.Persist(b); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	b := directives.Batch{Entries: []*pb.Entry{entry(3, 2, "b")}}
-	if l.Keep(b) == nil {
+	if l.Persist(b) == nil {
 		t.Fatal("kept on a file that takes no writes")
 	}
 	if err := l.Repair(); err != nil {
@@ -176,7 +176,7 @@
 	}
 	keep(b)
 	snap := &pb.Snapshot{Data: []byte("book"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(2)}}
-	if err := write(folder, append(append([]byte(magic), record(recordBorn, nil)...), encoded(t, snap)...)); err != nil { // and the rest of Keep failed
+	if err := replaceFile(folder, append(append([]byte(magic), encodeRecord(recordInitialized, nil)...), encodedSnapshot(t, snap)...)); err != nil { // and the rest of Keep failed
 		t.Fatal(err)
 	}
 	if err := l.Repair(); err != nil {
@@ -186,17 +186,17 @@
 	whole.Close()
 	l.Close()
 	l, kept, err := Open(folder)
-	if err != nil || string(kept.Snap.GetData()) != "book" || !reflect.DeepEqual(texts(kept), []string{"c"}) {
-		t.Fatalf("%v, %v, %v", err, kept.Snap, texts(kept))
+	if err != nil || string(kept.Snapshot.GetData()) != "book" || !reflect.DeepEqual(entryTexts(kept), []string{"c"}) {
+		t.Fatalf("%v, %v, %v", err, kept.Snapshot, entryTexts(kept))
 	}
 	l.Close()
 }
 
-func encoded(t *testing.T, snap *pb.Snapshot) []byte {
+func encodedSnapshot(t *testing.T, snap *pb.Snapshot) []byte {
 	t.Helper()
 	raw, err := proto.Marshal(snap)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return record(recordSnap, raw)
+	return encodeRecord(recordSnapshot, raw)
 }
--- a/internal/emulator/copies.go
+++ b/internal/emulator/copies.go
@@ -7,14 +7,14 @@
 
 // Copier is a member of a Talk that keeps copies.
 type Copier struct {
-	Replica *replica.Replica
+	Replica *replica.Store
 	Heard   func(now rules.Time, origin string, e replica.Entry) // nil: nobody listens
 	Refused []error
 }
 
 // Hear takes a datagram.
 func (c *Copier) Hear(now rules.Time, from string, data []byte, say func(string, []byte)) {
-	c.handle(now, replica.Event{Kind: replica.Came, Member: replica.Member{Name: from}, Data: data}, say)
+	c.handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data}, say)
 }
 
 // Tick lets time pass.
@@ -37,11 +37,11 @@
 		switch f.Kind {
 		case replica.Send:
 			say(f.To, f.Data)
-		case replica.Heard:
+		case replica.Updated:
 			if c.Heard != nil {
 				c.Heard(now, f.Origin, f.Entry)
 			}
-		case replica.Refuse:
+		case replica.Reject:
 			c.Refused = append(c.Refused, f.Err)
 		}
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -105,8 +105,8 @@
 	links    map[rules.EngineID]rules.Time // when a connection was last used
 	zones    *zones.Controller
 	letIn    letIn
-	copies   *replica.Replica
-	hearsay  *gossip.Hearsay
+	copies   *replica.Store
+	hearsay  *gossip.Observations
 	seen     map[rules.EngineID]*seen
 	listed   map[rules.EngineID]bool // serve, by the list as the gateway has it
 	stopping bool
--- a/internal/emulator/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -31,7 +31,7 @@
 		return
 	}
 	set := replica.Defaults()
-	set.Name, set.Zone, set.Life, set.Seed = memberName(g.index), fmt.Sprint("zone-", g.zone), uint64(f.now), f.rng.Uint64()
+	set.Name, set.Zone, set.Incarnation, set.Seed = memberName(g.index), fmt.Sprint("zone-", g.zone), uint64(f.now), f.rng.Uint64()
 	g.copies = replica.New(set, f.now)
 	g.hearsay = gossip.New(m.Hearsay, g.copies, f.now)
 	for _, o := range f.gateways {
@@ -46,10 +46,10 @@
 	tick = func() {
 		if g.up && g.life == life {
 			g.tickTalk()
-			f.after(set.Tick, tick)
+			f.after(set.GossipInterval, tick)
 		}
 	}
-	f.after(rules.Time(f.rng.Int64N(int64(set.Tick))), tick)
+	f.after(rules.Time(f.rng.Int64N(int64(set.GossipInterval))), tick)
 }
 
 // endTalk: a gateway has died, and the others find out.
@@ -72,7 +72,7 @@
 }
 
 func (g *gateway) view() gossip.View {
-	v := gossip.View{Engines: g.sights(), Learned: g.module.ClassEstimates(), Cold: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
+	v := gossip.View{Engines: g.sights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
 	if g.zones != nil {
 		v.Zones = g.zones.Status(g.f.now)
 	}
@@ -95,19 +95,19 @@
 		for i := range lie.Learned {
 			lie.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
 		}
-		g.hearsay.Tell(f.now, lie)
+		g.hearsay.Publish(f.now, lie)
 	} else {
-		g.hearsay.Tell(f.now, v)
+		g.hearsay.Publish(f.now, v)
 	}
 	g.talk(replica.Event{Kind: replica.Tick})
-	w := g.hearsay.Weigh(f.now, v)
-	for _, id := range w.Ask {
+	w := g.hearsay.Evaluate(f.now, v)
+	for _, id := range w.Probe {
 		g.probeFor(f.engine(id), true)
 	}
-	for _, zone := range w.Doubt {
+	for _, zone := range w.Suspect {
 		g.zones.Suspect(zone)
 	}
-	for _, lesson := range w.Lessons {
+	for _, lesson := range w.Events {
 		g.tell(lesson)
 	}
 }
@@ -134,7 +134,7 @@
 		life := o.life
 		f.after(m.Way.Least+rules.Time(f.rng.Float64()*float64(m.Way.Most-m.Way.Least)), func() {
 			if o.up && o.life == life && o.copies != nil {
-				o.talk(replica.Event{Kind: replica.Came, Member: replica.Member{Name: from}, Data: data})
+				o.talk(replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data})
 			}
 		})
 	}
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -15,7 +15,7 @@
 
 // directiveState is what is held of the directives.
 type directiveState struct {
-	proposer        *directives.Desk
+	proposer        *directives.Node
 	rejectedClasses []bool // by class
 	lastCommand     uint64
 	waiting         map[uint64]ConnID // operators' commands that wait, by ask
@@ -25,8 +25,8 @@
 	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
 		return nil
 	}
-	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, Tick: cfg.Site.Directives.Tick}
-	return &directiveState{proposer: directives.NewDesk(set, cfg.Seed), rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)), waiting: map[uint64]ConnID{}}
+	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.Tick}
+	return &directiveState{proposer: directives.NewNode(set, cfg.Seed), rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)), waiting: map[uint64]ConnID{}}
 }
 
 func (g *Gateway) startDirectives() {
@@ -36,11 +36,11 @@
 }
 
 // voterOpened: the voter's log was read at the start.
-func (g *Gateway) voterOpened(kept *directives.Kept) {
+func (g *Gateway) voterOpened(kept *directives.PersistedState) {
 	if g.directives == nil || kept == nil {
 		return
 	}
-	if err := g.directives.proposer.Open(g.now, *kept); err != nil {
+	if err := g.directives.proposer.StartVoter(g.now, *kept); err != nil {
 		g.log(Warn, "directives: this voter can't begin", Attr{"error", err.Error()})
 	}
 	g.applyDirectives()
@@ -62,23 +62,23 @@
 	g.runDirectiveOutcomes(g.directives.proposer.Tick(g.now, names))
 }
 
-func (g *Gateway) runDirectiveOutcomes(out []directives.Outcome) {
+func (g *Gateway) runDirectiveOutcomes(out []directives.ChannelEffect) {
 	for _, outcome := range out {
 		switch outcome.Kind {
 		case directives.Send:
 			channel := ChannelConsensus
-			if outcome.Channel == directives.ChannelBooks {
+			if outcome.Channel == directives.ChannelState {
 				channel = ChannelDirectives
 			}
 			g.emit(Effect{Kind: SendToMember, To: outcome.To, Channel: channel, Data: outcome.Data})
 		case directives.Persist:
 			g.emit(Effect{Kind: PersistVoterLog, Batch: outcome.Batch})
 		case directives.Applied:
-			g.log(Info, "directives: the book has changed", Attr{"index", outcome.Index}, Attr{"held", len(g.directives.proposer.Book().Held)})
+			g.log(Info, "directives: the book has changed", Attr{"index", outcome.Index}, Attr{"held", len(g.directives.proposer.State().Directives)})
 			g.applyDirectives()
-		case directives.Answer:
-			g.answerProposal(outcome.Ask, outcome.Index, outcome.Err)
-		case directives.Told:
+		case directives.Reply:
+			g.answerProposal(outcome.RequestID, outcome.Index, outcome.Err)
+		case directives.Log:
 			g.log(Warn, outcome.Text)
 		}
 	}
@@ -90,12 +90,12 @@
 	if state == nil {
 		return
 	}
-	inForce := state.proposer.Book()
-	refused := inForce.Of(directives.RefuseClass)
+	inForce := state.proposer.State()
+	refused := inForce.Subjects(directives.RejectClass)
 	for i, name := range g.cfg.Settings.ClassNames {
 		state.rejectedClasses[i] = slices.Contains(refused, name)
 	}
-	drains := inForce.Of(directives.DrainEngine)
+	drains := inForce.Subjects(directives.DrainEngine)
 	var news []rules.Engine
 	for _, eng := range g.engineOrder {
 		if ordered := slices.Contains(drains, eng.entry.ID); ordered != eng.drainedByDirective {
@@ -112,7 +112,7 @@
 
 // drained answers whether the book drains an engine.
 func (g *Gateway) drainsEngine(id string) bool {
-	return g.directives != nil && slices.Contains(g.directives.proposer.Book().Of(directives.DrainEngine), id)
+	return g.directives != nil && slices.Contains(g.directives.proposer.State().Subjects(directives.DrainEngine), id)
 }
 
 // rejectsClass answers whether the book refuses a class.
@@ -126,9 +126,9 @@
 	if state == nil {
 		return
 	}
-	inForce := state.proposer.Book()
-	attrs := []Attr{{"index", inForce.Index}, {"held", len(inForce.Held)}}
-	if age, ok := state.proposer.Age(g.now); ok {
+	inForce := state.proposer.State()
+	attrs := []Attr{{"index", inForce.Index}, {"held", len(inForce.Directives)}}
+	if age, ok := state.proposer.Staleness(g.now); ok {
 		attrs = append(attrs, Attr{"age_ms", int64(age / rules.Millisecond)})
 	}
 	if s, ok := state.proposer.Status(); ok {
@@ -155,9 +155,9 @@
 	if state == nil {
 		return map[string]string{"error": "directives are off"}
 	}
-	inForce := state.proposer.Book()
-	status := DirectiveStatus{Index: inForce.Index, InForce: inForce.Held, History: inForce.History, AgeMS: -1, IsVoter: state.proposer.Votes(), Voters: g.cfg.Site.Directives.Voters}
-	if age, ok := state.proposer.Age(g.now); ok {
+	inForce := state.proposer.State()
+	status := DirectiveStatus{Index: inForce.Index, InForce: inForce.Directives, History: inForce.History, AgeMS: -1, IsVoter: state.proposer.IsVoter(), Voters: g.cfg.Site.Directives.Voters}
+	if age, ok := state.proposer.Staleness(g.now); ok {
 		status.AgeMS = int64(age / rules.Millisecond)
 	}
 	if s, ok := state.proposer.Status(); ok {
@@ -174,7 +174,7 @@
 	switch {
 	case state == nil:
 		err = fmt.Errorf("directives are off")
-	case err == nil && !state.proposer.Votes():
+	case err == nil && !state.proposer.IsVoter():
 		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, g.cfg.Site.Directives.Voters)
 	case err == nil:
 		err = command.Validate()
@@ -185,7 +185,7 @@
 	}
 	state.lastCommand++
 	state.waiting[state.lastCommand] = conn
-	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, Ask: state.lastCommand}))
+	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, RequestID: state.lastCommand}))
 }
 
 func (g *Gateway) answerProposal(ask, index uint64, err error) {
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -16,7 +16,7 @@
 func TestDirectivesAreApplied(t *testing.T) {
 	text := membersText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	sim := newSimulationWith(t, 4, 0, withSite(t, text))
-	sim.step(Event{Kind: VoterLogOpened, VoterState: &directives.Kept{Born: true}})
+	sim.step(Event{Kind: VoterLogOpened, VoterState: &directives.PersistedState{Initialized: true}})
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,10 +67,10 @@
 	// With Datagram and Reload: by how much the wall clock is ahead of the time of events, since it was stepped.
 	ClockSkew rules.Time
 
-	Config     *config.Config   // with Reload: what holds from now on
-	Spool      []spool.Event    // with Shelved
-	Peer       *PeerEvent       // with Peer; Data is what a member said
-	VoterState *directives.Kept // with VoterOpened
+	Config     *config.Config             // with Reload: what holds from now on
+	Spool      []spool.Event              // with Shelved
+	Peer       *PeerEvent                 // with Peer; Data is what a member said
+	VoterState *directives.PersistedState // with VoterOpened
 }
 
 // EffectKind is what an Effect asks for.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -44,8 +44,8 @@
 
 // peerState is what is held of other gateways.
 type peerState struct {
-	replica    *replica.Replica
-	gossip     *gossip.Hearsay
+	replica    *replica.Store
+	gossip     *gossip.Observations
 	lastStats  replica.Stats
 	lastCounts gossip.Counts
 	oddTick    bool                  // ticks
@@ -58,7 +58,7 @@
 		return nil
 	}
 	set := cfg.Site.Members.Replica
-	set.Name, set.Life, set.Seed = cfg.Name, uint64(now), cfg.Seed
+	set.Name, set.Incarnation, set.Seed = cfg.Name, uint64(now), cfg.Seed
 	if i := cfg.Settings.Rules.Zone; i >= 0 && i < len(cfg.Settings.ZoneNames) {
 		set.Zone = cfg.Settings.ZoneNames[i]
 	}
@@ -85,7 +85,7 @@
 
 func (g *Gateway) startPeers() {
 	if g.peers = newPeers(&g.cfg, g.now); g.peers != nil {
-		g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.Tick, kind: timerPeers})
+		g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	}
 }
 
@@ -107,12 +107,12 @@
 	case PeerMessage:
 		switch {
 		case notice.Channel == ChannelReplica:
-			g.handleReplica(replica.Event{Kind: replica.Came, Member: replica.Member{Name: notice.Name}, Data: event.Data})
+			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: notice.Name}, Data: event.Data})
 		case g.directives == nil:
 		case notice.Channel == ChannelConsensus:
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Came, From: notice.Name, Data: event.Data}))
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Received, From: notice.Name, Data: event.Data}))
 		case notice.Channel == ChannelDirectives:
-			g.runDirectiveOutcomes(g.directives.proposer.Said(g.now, notice.Name, event.Data))
+			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, notice.Name, event.Data))
 		}
 	case PeerNameConflict:
 		g.log(Warn, "members: a name comes twice", Attr{"member", notice.Name}, Attr{"at", notice.Text})
@@ -125,7 +125,7 @@
 		switch effect.Kind {
 		case replica.Send:
 			g.emit(Effect{Kind: SendToMember, To: effect.To, Channel: ChannelReplica, Data: effect.Data})
-		case replica.Refuse:
+		case replica.Reject:
 			g.log(Warn, "members: message refused", Attr{"member", effect.Origin}, Attr{"error", effect.Err.Error()})
 		}
 	}
@@ -137,27 +137,27 @@
 	if peers == nil {
 		return
 	}
-	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.Tick, kind: timerPeers})
+	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	if peers.oddTick = !peers.oddTick; peers.oddTick { // what we hold changes slower than what is said
 		g.handleReplica(replica.Event{Kind: replica.Tick})
 		return
 	}
-	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), Cold: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
+	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
 	if g.zones != nil {
 		view.Zones = g.zones.router.Status(g.now)
 	}
-	peers.gossip.Tell(g.now, view)
+	peers.gossip.Publish(g.now, view)
 	g.handleReplica(replica.Event{Kind: replica.Tick})
-	weighed := peers.gossip.Weigh(g.now, view)
+	weighed := peers.gossip.Evaluate(g.now, view)
 	if g.cfg.Settings.Rules.Limits.Probes {
-		for _, id := range weighed.Ask {
+		for _, id := range weighed.Probe {
 			g.probeEngine(id, true)
 		}
 	}
-	for _, zone := range weighed.Doubt {
+	for _, zone := range weighed.Suspect {
 		g.zones.router.Suspect(zone)
 	}
-	for _, lesson := range weighed.Lessons {
+	for _, lesson := range weighed.Events {
 		g.tellModule(lesson)
 	}
 }
@@ -171,10 +171,10 @@
 	stats, last, counts := peers.replica.Stats(), peers.lastStats, peers.gossip.Counts()
 	lastCounts := peers.lastCounts
 	peers.lastStats, peers.lastCounts = stats, counts
-	g.log(Info, "copies", Attr{"members", stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries}, Attr{"sent_bytes", stats.Sent - last.Sent},
-		Attr{"received_bytes", stats.Received - last.Received}, Attr{"news", stats.New - last.New}, Attr{"known", stats.Old - last.Old}, Attr{"refused", stats.Refused - last.Refused},
-		Attr{"mended", stats.Mended - last.Mended}, Attr{"held_back", stats.Held - last.Held}, Attr{"lag_ms", int64(stats.Lag / rules.Millisecond)},
-		Attr{"engines_looked_at", counts.Asked - lastCounts.Asked}, Attr{"zones_doubted", counts.Doubted - lastCounts.Doubted}, Attr{"classes_taught", counts.Taught - lastCounts.Taught})
+	g.log(Info, "copies", Attr{"members", stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries}, Attr{"sent_bytes", stats.BytesSent - last.BytesSent},
+		Attr{"received_bytes", stats.BytesReceived - last.BytesReceived}, Attr{"news", stats.NewEntries - last.NewEntries}, Attr{"known", stats.KnownEntries - last.KnownEntries}, Attr{"refused", stats.Rejected - last.Rejected},
+		Attr{"mended", stats.Repaired - last.Repaired}, Attr{"held_back", stats.OverBudget - last.OverBudget}, Attr{"lag_ms", int64(stats.Lag / rules.Millisecond)},
+		Attr{"engines_looked_at", counts.EnginesProbed - lastCounts.EnginesProbed}, Attr{"zones_doubted", counts.ZonesSuspected - lastCounts.ZonesSuspected}, Attr{"classes_taught", counts.ClassesLearned - lastCounts.ClassesLearned})
 }
 
 // ---- operators' questions
@@ -237,15 +237,15 @@
 			continue
 		}
 		status := MemberStatus{Name: entries.Origin, Zone: zone[entries.Origin], Entries: len(entries.Entries), Counter: entries.Counter, NewestEntryMS: -1,
-			Incarnation: time.UnixMicro(int64(entries.Life)).UTC().Format(time.RFC3339), Self: us}
+			Incarnation: time.UnixMicro(int64(entries.Incarnation)).UTC().Format(time.RFC3339), Self: us}
 		for _, entry := range entries.Entries {
-			if age := int64((g.now - entry.Born) / rules.Millisecond); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
+			if age := int64((g.now - entry.WrittenAt) / rules.Millisecond); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
 				status.NewestEntryMS = age
 			}
 		}
 		if us {
-			status.SinceMS, status.LagMS = int64((g.now-rules.Time(entries.Life))/rules.Millisecond), int64(stats.Lag/rules.Millisecond)
-			status.SentBytesPerSecond = float64(stats.Sent) / max(float64(status.SinceMS)/1000, 1)
+			status.SinceMS, status.LagMS = int64((g.now-rules.Time(entries.Incarnation))/rules.Millisecond), int64(stats.Lag/rules.Millisecond)
+			status.SentBytesPerSecond = float64(stats.BytesSent) / max(float64(status.SinceMS)/1000, 1)
 		} else {
 			status.SinceMS = int64((g.now - peers.joinedAt[entries.Origin]) / rules.Millisecond)
 		}
@@ -271,8 +271,8 @@
 	set := &g.cfg.Site.Members.Replica
 	for _, entries := range g.peers.replica.Copies() {
 		for _, entry := range entries.Entries {
-			out = append(out, ReplicaEntry{entries.Origin, entries.Life, entry.Kind.String(), entry.Subject, entry.Counter, int64((g.now - entry.Born) / rules.Millisecond),
-				int64((entry.Born + set.Keep[entry.Kind] - g.now) / rules.Millisecond), entry.Value})
+			out = append(out, ReplicaEntry{entries.Origin, entries.Incarnation, entry.Kind.String(), entry.Subject, entry.Counter, int64((g.now - entry.WrittenAt) / rules.Millisecond),
+				int64((entry.WrittenAt + set.MaxAge[entry.Kind] - g.now) / rules.Millisecond), entry.Value})
 		}
 	}
 	return out
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -83,11 +83,11 @@
 	}
 	set, drained := g.cfg.Site.Sites.Resolve(g.cfg.Settings.ZoneNames)
 	if g.directives != nil {
-		inForce := g.directives.proposer.Book()
-		if v, ok := inForce.Value(directives.Spill); ok {
+		inForce := g.directives.proposer.State()
+		if v, ok := inForce.Value(directives.SpilloverLimit); ok {
 			set.SpilloverLimit = v
 		}
-		for _, name := range inForce.Of(directives.DrainZone) {
+		for _, name := range inForce.Subjects(directives.DrainZone) {
 			if i := slices.Index(g.cfg.Settings.ZoneNames, name); i >= 0 && !slices.Contains(drained, i) {
 				drained = append(drained, i)
 			}
--- a/internal/measure/replica.go
+++ b/internal/measure/replica.go
@@ -36,12 +36,12 @@
 
 func clubSettings(i int, life uint64) replica.Settings {
 	s := replica.Defaults()
-	s.Name, s.Zone, s.Life, s.Seed = clubName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
+	s.Name, s.Zone, s.Incarnation, s.Seed = clubName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
 	return s
 }
 
 func newClub(n int, m emulator.TalkModel, seed uint64, change func(*replica.Settings)) *club {
-	c := &club{Talk: emulator.NewTalk(m, replica.Defaults().Tick, copyStart, seed), all: make([]*emulator.Copier, n)}
+	c := &club{Talk: emulator.NewTalk(m, replica.Defaults().GossipInterval, copyStart, seed), all: make([]*emulator.Copier, n)}
 	for i := range n {
 		c.start(i, 1, change)
 	}
@@ -82,7 +82,7 @@
 	const warm, length, news = 5, 20, 20
 	for s := range warm + length {
 		for i, m := range c.all {
-			m.Replica.Put(c.Now, replica.Key{Kind: replica.Offered}, replica.Value{float32(s + i)})
+			m.Replica.Put(c.Now, replica.Key{Kind: replica.OfferedLoad}, replica.Value{float32(s + i)})
 		}
 		if s == warm {
 			clear(c.Sent)
@@ -115,7 +115,7 @@
 	write := func() {
 		for i, m := range c.all {
 			for s := range uint64(5) {
-				m.Replica.Put(c.Now, replica.Key{Kind: replica.TenantUse, Subject: s}, replica.Value{float32(c.Now / rules.Second % 1000), float32(i)})
+				m.Replica.Put(c.Now, replica.Key{Kind: replica.TenantUsage, Subject: s}, replica.Value{float32(c.Now / rules.Second % 1000), float32(i)})
 			}
 		}
 	}
@@ -161,8 +161,8 @@
 // diverges plays a random schedule of four members, heals it, and answers whether copies differ.
 func diverges(seed uint64) bool {
 	keep := func(s *replica.Settings) {
-		for k := range s.Keep {
-			s.Keep[k] = 120 * rules.Second
+		for k := range s.MaxAge {
+			s.MaxAge[k] = 120 * rules.Second
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -185,7 +185,7 @@
 			c.Freeze(clubName(i), rng.IntN(2) == 0)
 		}
 		for range 3 {
-			c.all[rng.IntN(4)].Replica.Put(c.Now, replica.Key{Kind: replica.Kind(1 + rng.IntN(int(replica.Kinds)-1)), Subject: uint64(rng.IntN(3))},
+			c.all[rng.IntN(4)].Replica.Put(c.Now, replica.Key{Kind: replica.Kind(1 + rng.IntN(int(replica.KindCount)-1)), Subject: uint64(rng.IntN(3))},
 				replica.Value{rng.Float32()})
 		}
 		c.Run(c.Now + rules.Time(rng.IntN(2500))*rules.Millisecond)
@@ -204,9 +204,9 @@
 	for _, m := range c.all {
 		mine := map[string]held{}
 		for _, cp := range m.Replica.Copies() {
-			mine[cp.Origin] = held{cp.Life, cp.Counter, replica.Value{}}
+			mine[cp.Origin] = held{cp.Incarnation, cp.Counter, replica.Value{}}
 			for _, e := range cp.Entries {
-				mine[fmt.Sprint(cp.Origin, e.Key)] = held{cp.Life, e.Counter, e.Value}
+				mine[fmt.Sprint(cp.Origin, e.Key)] = held{cp.Incarnation, e.Counter, e.Value}
 			}
 		}
 		if first == nil {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -26,24 +26,24 @@
 
 // Settings are how a member finds others.
 type Settings struct {
-	Name  string
-	Zone  string
-	Bind  netip.AddrPort                    // UDP and TCP; also what is told to others
-	Seeds []netip.AddrPort                  // members that are tried first
-	May   *netipx.IPSet                     // addresses that may speak; nil: any
-	Via   map[netip.AddrPort]netip.AddrPort // addresses that are reached by others, as behind a translation
-	Ring  int                               // events that wait
-	Fast  bool                              // for links of a millisecond: failures are told sooner
+	Name          string
+	Zone          string
+	Bind          netip.AddrPort                    // UDP and TCP; also what is told to others
+	Seeds         []netip.AddrPort                  // members that are tried first
+	Allowed       *netipx.IPSet                     // addresses that may speak; nil: any
+	DialAddrs     map[netip.AddrPort]netip.AddrPort // addresses that are reached by others, as behind a translation
+	QueueSize     int                               // events that wait
+	FastDetection bool                              // for links of a millisecond: failures are told sooner
 }
 
 const (
-	defaultRing = 1024
-	maxName     = 64
-	maxMessage  = 1400 // bytes of a datagram: what memberlist carries whole
-	maxLarge    = 64 << 10
-	rejoinLeast = 500 * time.Millisecond
-	rejoinMost  = 15 * time.Second
-	leaveWithin = 300 * time.Millisecond
+	defaultQueueSize   = 1024
+	maxName            = 64
+	maxDatagram        = 1400 // bytes of a datagram: what memberlist carries whole
+	maxReliableMessage = 64 << 10
+	minRejoinDelay     = 500 * time.Millisecond
+	maxRejoinDelay     = 15 * time.Second
+	leaveTimeout       = 300 * time.Millisecond
 )
 
 // Validate says what can't be used.
@@ -55,24 +55,24 @@
 		return errors.New("members: bind must be an address with a port")
 	case s.Bind.Addr().IsUnspecified():
 		return errors.New("members: bind must be one address, which others are told")
-	case s.May != nil && !s.May.Contains(s.Bind.Addr()):
+	case s.Allowed != nil && !s.Allowed.Contains(s.Bind.Addr()):
 		return fmt.Errorf("members: %s itself is not among the addresses that may speak", s.Bind.Addr())
 	}
 	return nil
 }
 
-// ErrNotBound is returned where the address can't be listened on, which may be so for a moment only.
-var ErrNotBound = errors.New("members: can't listen")
+// ErrListen is returned where the address can't be listened on, which may be so for a moment only.
+var ErrListen = errors.New("members: can't listen")
 
 // Kind is what an Event tells.
 type Kind int
 
 // Kinds of events.
 const (
-	Joined   Kind = iota + 1
-	Left          // it has left, or is held to be dead
-	Came          // Data came on Channel
-	Namesake      // another process has a member's name: Name, Text
+	Joined       Kind = iota + 1
+	Left              // it has left, or is held to be dead
+	Received          // Data came on Channel
+	NameConflict      // another process has a member's name: Name, Text
 )
 
 // Event is something that happened.
@@ -86,46 +86,46 @@
 	Text    string
 }
 
-// Members is one member.
-type Members struct {
-	set   Settings
-	list  *memberlist.Memberlist
-	ring  chan Event
-	ready func() // called when something was put into the ring
-	done  chan struct{}
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	nodes map[string]*memberlist.Node
-	stats struct{ lost, sent, received, strangers atomic.Int64 }
+// Membership is one member.
+type Membership struct {
+	settings Settings
+	list     *memberlist.Memberlist
+	queue    chan Event
+	notify   func() // called when something was put into the ring
+	done     chan struct{}
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	nodes    map[string]*memberlist.Node
+	stats    struct{ dropped, bytesSent, bytesReceived, rejected atomic.Int64 }
 }
 
 // Stats are counts since the start.
 type Stats struct {
-	Members   int
-	Lost      int64 // events that found the ring full
-	Sent      int64 // bytes
-	Received  int64
-	Strangers int64 // packets and connections of addresses that may not speak
+	Members       int
+	Dropped       int64 // events that found the ring full
+	BytesSent     int64 // bytes
+	BytesReceived int64
+	Rejected      int64 // packets and connections of addresses that may not speak
 }
 
 // Start begins to look for others. ready is called, from any goroutine, when Take has something.
-func Start(set Settings, ready func()) (*Members, error) {
+func Start(set Settings, ready func()) (*Membership, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	if set.Ring <= 0 {
-		set.Ring = defaultRing
+	if set.QueueSize <= 0 {
+		set.QueueSize = defaultQueueSize
 	}
-	m := &Members{set: set, ring: make(chan Event, set.Ring), ready: ready, done: make(chan struct{}), nodes: map[string]*memberlist.Node{}}
+	m := &Membership{settings: set, queue: make(chan Event, set.QueueSize), notify: ready, done: make(chan struct{}), nodes: map[string]*memberlist.Node{}}
 	quiet := log.New(io.Discard, "", 0)
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{set.Bind.Addr().String()},
 		BindPort: int(set.Bind.Port()), Logger: quiet})
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotBound, err)
+		return nil, fmt.Errorf("%w: %w", ErrListen, err)
 	}
-	t := newTransport(inner, set, &m.stats.strangers)
+	t := newTransport(inner, set, &m.stats.rejected)
 	c := memberlist.DefaultLANConfig()
-	if set.Fast {
+	if set.FastDetection {
 		c.ProbeInterval, c.ProbeTimeout = 300*time.Millisecond, 150*time.Millisecond
 		c.SuspicionMult, c.GossipInterval, c.PushPullInterval = 3, 200*time.Millisecond, 5*time.Second
 		c.TCPTimeout = time.Second
@@ -134,7 +134,7 @@
 	c.BindAddr, c.BindPort = set.Bind.Addr().String(), int(set.Bind.Port())
 	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
 	c.Delegate, c.Events, c.Conflict = delegate{m}, events{m}, conflicts{m}
-	c.EnableCompression, c.UDPBufferSize = false, maxMessage+128
+	c.EnableCompression, c.UDPBufferSize = false, maxDatagram+128
 	c.DeadNodeReclaimTime = time.Second // a process that comes back at another address has its name again
 	if m.list, err = memberlist.Create(c); err != nil {
 		_ = inner.Shutdown()
@@ -146,17 +146,17 @@
 }
 
 // rejoin looks for seeds: again and again while alone, and now and then for those that a partition has cut off.
-func (m *Members) rejoin() {
+func (m *Membership) rejoin() {
 	defer m.wg.Done()
-	wait := rejoinLeast
+	wait := minRejoinDelay
 	for {
-		if seeds := m.missing(); len(seeds) > 0 {
+		if seeds := m.missingSeeds(); len(seeds) > 0 {
 			if n, _ := m.list.Join(seeds[:1]); n > 0 {
-				wait = rejoinLeast
+				wait = minRejoinDelay
 			}
 		}
-		if wait = min(2*wait, rejoinMost); m.list.NumMembers() == 1 {
-			wait = min(wait, 4*rejoinLeast)
+		if wait = min(2*wait, maxRejoinDelay); m.list.NumMembers() == 1 {
+			wait = min(wait, 4*minRejoinDelay)
 		}
 		select {
 		case <-m.done:
@@ -166,14 +166,14 @@
 	}
 }
 
-// missing are seeds that are not among the members, in any order.
-func (m *Members) missing() (seeds []string) {
-	there := map[string]bool{m.set.Bind.String(): true}
+// missingSeeds are seeds that are not among the members, in any order.
+func (m *Membership) missingSeeds() (seeds []string) {
+	there := map[string]bool{m.settings.Bind.String(): true}
 	for _, n := range m.list.Members() {
 		there[netip.AddrPortFrom(addrOf(n.Addr), n.Port).String()] = true
 	}
-	for _, i := range rand.Perm(len(m.set.Seeds)) {
-		if s := m.set.Seeds[i].String(); !there[s] {
+	for _, i := range rand.Perm(len(m.settings.Seeds)) {
+		if s := m.settings.Seeds[i].String(); !there[s] {
 			seeds = append(seeds, s)
 		}
 	}
@@ -185,24 +185,24 @@
 	return a.Unmap()
 }
 
-// put adds an event. What members say gives way where there is no room; who comes and goes must not be lost, and
+// enqueue adds an event. What members say gives way where there is no room; who comes and goes must not be lost, and
 // takes the place of something older.
-func (m *Members) put(e Event) {
+func (m *Membership) enqueue(e Event) {
 	for {
 		select {
-		case m.ring <- e:
-			m.ready()
+		case m.queue <- e:
+			m.notify()
 			return
 		default:
 		}
-		if e.Kind == Came {
-			m.stats.lost.Add(1)
+		if e.Kind == Received {
+			m.stats.dropped.Add(1)
 			return
 		}
 		select {
-		case old := <-m.ring:
-			m.stats.lost.Add(1)
-			if old.Kind != Came { // the newest of it counts
+		case old := <-m.queue:
+			m.stats.dropped.Add(1)
+			if old.Kind != Received { // the newest of it counts
 				continue
 			}
 		default:
@@ -210,10 +210,10 @@
 	}
 }
 
-// Take returns the next event, if there is one.
-func (m *Members) Take() (e Event, ok bool) {
+// Next returns the next event, if there is one.
+func (m *Membership) Next() (e Event, ok bool) {
 	select {
-	case e = <-m.ring:
+	case e = <-m.queue:
 		return e, true
 	default:
 		return e, false
@@ -222,8 +222,8 @@
 
 // Send sends something to a member: a datagram, or over a connection where it is larger than one, for which it waits. It may be
 // lost; to one that is not there it is.
-func (m *Members) Send(to string, channel byte, data []byte) error {
-	if len(data) > maxLarge {
+func (m *Membership) Send(to string, channel byte, data []byte) error {
+	if len(data) > maxReliableMessage {
 		return fmt.Errorf("members: %d bytes are more than is sent at once", len(data))
 	}
 	m.mu.Lock()
@@ -232,76 +232,76 @@
 	if n == nil {
 		return fmt.Errorf("members: no member %q", to)
 	}
-	msg := make([]byte, 0, 2+len(m.set.Name)+len(data))
-	msg = append(msg, channel, byte(len(m.set.Name)))
-	msg = append(append(msg, m.set.Name...), data...)
-	m.stats.sent.Add(int64(len(msg)))
-	if len(msg) > maxMessage {
+	msg := make([]byte, 0, 2+len(m.settings.Name)+len(data))
+	msg = append(msg, channel, byte(len(m.settings.Name)))
+	msg = append(append(msg, m.settings.Name...), data...)
+	m.stats.bytesSent.Add(int64(len(msg)))
+	if len(msg) > maxDatagram {
 		return m.list.SendReliable(n, msg)
 	}
 	return m.list.SendBestEffort(n, msg)
 }
 
 // Stats tells what was done since the start.
-func (m *Members) Stats() Stats {
-	return Stats{Members: m.list.NumMembers(), Lost: m.stats.lost.Load(), Sent: m.stats.sent.Load(), Received: m.stats.received.Load(),
-		Strangers: m.stats.strangers.Load()}
+func (m *Membership) Stats() Stats {
+	return Stats{Members: m.list.NumMembers(), Dropped: m.stats.dropped.Load(), BytesSent: m.stats.bytesSent.Load(), BytesReceived: m.stats.bytesReceived.Load(),
+		Rejected: m.stats.rejected.Load()}
 }
 
 // Close leaves, within a bounded time, and ends all that runs here.
-func (m *Members) Close() {
+func (m *Membership) Close() {
 	close(m.done)
-	_ = m.list.Leave(leaveWithin)
+	_ = m.list.Leave(leaveTimeout)
 	_ = m.list.Shutdown()
 	m.wg.Wait()
 }
 
 // ---- what memberlist calls
 
-type delegate struct{ m *Members }
+type delegate struct{ m *Membership }
 
-func (d delegate) NodeMeta(int) []byte { return []byte(d.m.set.Zone) }
+func (d delegate) NodeMeta(int) []byte { return []byte(d.m.settings.Zone) }
 
 func (d delegate) NotifyMsg(msg []byte) {
 	if len(msg) < 2 || len(msg) < 2+int(msg[1]) {
 		return
 	}
-	d.m.stats.received.Add(int64(len(msg)))
+	d.m.stats.bytesReceived.Add(int64(len(msg)))
 	end := 2 + int(msg[1])
-	d.m.put(Event{Kind: Came, Channel: msg[0], Name: string(msg[2:end]), Data: append([]byte(nil), msg[end:]...)})
+	d.m.enqueue(Event{Kind: Received, Channel: msg[0], Name: string(msg[2:end]), Data: append([]byte(nil), msg[end:]...)})
 }
 
 func (delegate) GetBroadcasts(int, int) [][]byte { return nil }
 func (delegate) LocalState(bool) []byte          { return nil }
 func (delegate) MergeRemoteState([]byte, bool)   {}
 
-type events struct{ m *Members }
+type events struct{ m *Membership }
 
 func (e events) NotifyJoin(n *memberlist.Node) {
-	if n.Name == e.m.set.Name {
+	if n.Name == e.m.settings.Name {
 		return
 	}
 	e.m.mu.Lock()
 	e.m.nodes[n.Name] = n
 	e.m.mu.Unlock()
-	e.m.put(Event{Kind: Joined, Name: n.Name, Zone: string(n.Meta), Addr: netip.AddrPortFrom(addrOf(n.Addr), n.Port)})
+	e.m.enqueue(Event{Kind: Joined, Name: n.Name, Zone: string(n.Meta), Addr: netip.AddrPortFrom(addrOf(n.Addr), n.Port)})
 }
 
 func (e events) NotifyLeave(n *memberlist.Node) {
-	if n.Name == e.m.set.Name {
+	if n.Name == e.m.settings.Name {
 		return
 	}
 	e.m.mu.Lock()
 	delete(e.m.nodes, n.Name)
 	e.m.mu.Unlock()
-	e.m.put(Event{Kind: Left, Name: n.Name})
+	e.m.enqueue(Event{Kind: Left, Name: n.Name})
 }
 
 func (e events) NotifyUpdate(n *memberlist.Node) { e.NotifyJoin(n) }
 
-type conflicts struct{ m *Members }
+type conflicts struct{ m *Membership }
 
 // NotifyConflict: a name comes twice. The first one stays; it is told, not believed.
 func (c conflicts) NotifyConflict(has, other *memberlist.Node) {
-	c.m.put(Event{Kind: Namesake, Name: other.Name, Text: fmt.Sprintf("%s and %s", has.Address(), other.Address())})
+	c.m.enqueue(Event{Kind: NameConflict, Name: other.Name, Text: fmt.Sprintf("%s and %s", has.Address(), other.Address())})
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -15,8 +15,8 @@
 	"foxlane/internal/faultproxy"
 )
 
-// free is an address that nobody listens on, for TCP and UDP.
-func free(t *testing.T, i int) netip.AddrPort {
+// freeAddr is an address that nobody listens on, for TCP and UDP.
+func freeAddr(t *testing.T, i int) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.9.%d.1:0", i+1))
 	if err != nil {
@@ -28,42 +28,42 @@
 
 // member is one with what it has told.
 type member struct {
-	*Members
-	there []string
-	said  []string
-	twins int
+	*Membership
+	present   []string
+	messages  []string
+	conflicts int
 }
 
 func (m *member) drain() {
 	for {
-		e, ok := m.Take()
+		e, ok := m.Next()
 		if !ok {
 			return
 		}
 		switch e.Kind {
 		case Joined:
-			m.there = append(m.there, e.Name+"@"+e.Zone)
+			m.present = append(m.present, e.Name+"@"+e.Zone)
 		case Left:
-			m.there = slices.DeleteFunc(m.there, func(s string) bool { return strings.HasPrefix(s, e.Name+"@") })
-		case Came:
-			m.said = append(m.said, fmt.Sprintf("%s/%d %s", e.Name, e.Channel, e.Data))
-		case Namesake:
-			m.twins++
+			m.present = slices.DeleteFunc(m.present, func(s string) bool { return strings.HasPrefix(s, e.Name+"@") })
+		case Received:
+			m.messages = append(m.messages, fmt.Sprintf("%s/%d %s", e.Name, e.Channel, e.Data))
+		case NameConflict:
+			m.conflicts++
 		}
 	}
 }
 
-func begin(t *testing.T, s Settings) *member {
+func startMember(t *testing.T, s Settings) *member {
 	t.Helper()
-	s.Fast = true
+	s.FastDetection = true
 	m, err := Start(s, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &member{Members: m}
+	return &member{Membership: m}
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
@@ -74,26 +74,26 @@
 }
 
 // Three find one another by one seed, say something, one dies, and nothing of any is left behind.
-func TestFindAndLose(t *testing.T) {
+func TestJoinAndLeave(t *testing.T) {
 	before := runtime.NumGoroutine()
 	var at []netip.AddrPort
 	for i := range 3 {
-		at = append(at, free(t, i))
+		at = append(at, freeAddr(t, i))
 	}
 	var all []*member
 	for i := range 3 {
-		all = append(all, begin(t, Settings{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i), Bind: at[i], Seeds: at[:1]}))
+		all = append(all, startMember(t, Settings{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i), Bind: at[i], Seeds: at[:1]}))
 	}
-	until(t, "all know all", func() bool {
+	waitUntil(t, "all know all", func() bool {
 		for _, m := range all {
-			if m.drain(); len(m.there) != 2 {
+			if m.drain(); len(m.present) != 2 {
 				return false
 			}
 		}
 		return true
 	})
-	slices.Sort(all[0].there)
-	if got := fmt.Sprint(all[0].there); got != "[n1@z1 n2@z2]" {
+	slices.Sort(all[0].present)
+	if got := fmt.Sprint(all[0].present); got != "[n1@z1 n2@z2]" {
 		t.Errorf("the first knows %s", got)
 	}
 	if err := all[1].Send("n2", 7, []byte("hello")); err != nil {
@@ -102,28 +102,28 @@
 	if all[1].Send("nobody", 7, nil) == nil || all[1].Send("n2", 7, make([]byte, 100<<10)) == nil {
 		t.Error("what can't be sent is no error")
 	}
-	until(t, "a datagram", func() bool { all[2].drain(); return slices.Contains(all[2].said, "n1/7 hello") })
+	waitUntil(t, "a datagram", func() bool { all[2].drain(); return slices.Contains(all[2].messages, "n1/7 hello") })
 	if err := all[1].Send("n2", 8, make([]byte, 20<<10)); err != nil {
 		t.Error(err)
 	}
-	until(t, "more than a datagram", func() bool {
+	waitUntil(t, "more than a datagram", func() bool {
 		all[2].drain()
-		return slices.ContainsFunc(all[2].said, func(s string) bool { return len(s) > 20<<10 })
+		return slices.ContainsFunc(all[2].messages, func(s string) bool { return len(s) > 20<<10 })
 	})
 	all[1].Close()
-	until(t, "one that leaves is gone", func() bool {
+	waitUntil(t, "one that leaves is gone", func() bool {
 		all[0].drain()
 		all[2].drain()
-		return len(all[0].there) == 1 && len(all[2].there) == 1
+		return len(all[0].present) == 1 && len(all[2].present) == 1
 	})
 	all[0].Close()
 	all[2].Close()
-	until(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before+2 })
+	waitUntil(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before+2 })
 }
 
 // A name that comes twice is told; addresses that may not speak are not heard.
-func TestNamesakesAndStrangers(t *testing.T) {
-	at := []netip.AddrPort{free(t, 10), free(t, 11), free(t, 12)}
+func TestNameConflictsAndRejectedAddresses(t *testing.T) {
+	at := []netip.AddrPort{freeAddr(t, 10), freeAddr(t, 11), freeAddr(t, 12)}
 	var b netipx.IPSetBuilder
 	b.AddPrefix(netip.MustParsePrefix("127.9.0.0/16"))
 	b.Remove(at[2].Addr())
@@ -131,29 +131,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := begin(t, Settings{Name: "n0", Bind: at[0], May: may})
+	one := startMember(t, Settings{Name: "n0", Bind: at[0], Allowed: may})
 	defer one.Close()
-	two := begin(t, Settings{Name: "n0", Bind: at[1], Seeds: at[:1], May: may})
+	two := startMember(t, Settings{Name: "n0", Bind: at[1], Seeds: at[:1], Allowed: may})
 	defer two.Close()
-	third := begin(t, Settings{Name: "n1", Bind: free(t, 13), Seeds: at[:2], May: may})
+	third := startMember(t, Settings{Name: "n1", Bind: freeAddr(t, 13), Seeds: at[:2], Allowed: may})
 	defer third.Close()
-	until(t, "a namesake is told", func() bool { third.drain(); return third.twins > 0 })
-	odd := begin(t, Settings{Name: "n9", Bind: at[2], Seeds: at[:1]})
+	waitUntil(t, "a namesake is told", func() bool { third.drain(); return third.conflicts > 0 })
+	odd := startMember(t, Settings{Name: "n9", Bind: at[2], Seeds: at[:1]})
 	defer odd.Close()
-	until(t, "a stranger is counted", func() bool { return one.Stats().Strangers > 0 })
-	if one.drain(); slices.ContainsFunc(one.there, func(s string) bool { return strings.HasPrefix(s, "n9@") }) {
-		t.Errorf("a stranger is a member: %v", one.there)
+	waitUntil(t, "a stranger is counted", func() bool { return one.Stats().Rejected > 0 })
+	if one.drain(); slices.ContainsFunc(one.present, func(s string) bool { return strings.HasPrefix(s, "n9@") }) {
+		t.Errorf("a stranger is a member: %v", one.present)
 	}
-	if (Settings{Name: "x", Bind: at[2], May: may}).Validate() == nil {
+	if (Settings{Name: "x", Bind: at[2], Allowed: may}).Validate() == nil {
 		t.Error("a member that may not speak itself is valid")
 	}
 }
 
 // Through relays by pair and direction: datagrams are lost and late, all find one another all the same; cut off both ways one is
 // held to be dead, and found again.
-func TestThroughRelays(t *testing.T) {
+func TestThroughFaultProxy(t *testing.T) {
 	const n = 3
-	at := []netip.AddrPort{free(t, 20), free(t, 21), free(t, 22)}
+	at := []netip.AddrPort{freeAddr(t, 20), freeAddr(t, 21), freeAddr(t, 22)}
 	var ways []*faultproxy.Way
 	var all []*member
 	for i := range n {
@@ -174,48 +174,48 @@
 			}
 			there.Set(faultproxy.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
 		}
-		all = append(all, begin(t, Settings{Name: fmt.Sprint("n", i), Bind: at[i], Seeds: at, Via: via}))
+		all = append(all, startMember(t, Settings{Name: fmt.Sprint("n", i), Bind: at[i], Seeds: at, DialAddrs: via}))
 		defer all[i].Close()
 	}
 	know := func(counts ...int) func() bool {
 		return func() bool {
 			for i, m := range all {
-				if m.drain(); len(m.there) != counts[i] {
+				if m.drain(); len(m.present) != counts[i] {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	until(t, "all know all through relays", know(2, 2, 2))
+	waitUntil(t, "all know all through relays", know(2, 2, 2))
 	for _, w := range ways {
 		w.Set(faultproxy.Conditions{Cut: true})
 	}
-	until(t, "the third is cut off", know(1, 1, 0))
+	waitUntil(t, "the third is cut off", know(1, 1, 0))
 	for _, w := range ways {
 		w.Set(faultproxy.Conditions{})
 	}
-	until(t, "and found again", know(2, 2, 2))
+	waitUntil(t, "and found again", know(2, 2, 2))
 }
 
 // A ring that is full loses what members say, and keeps who comes and goes.
-func TestRingIsBounded(t *testing.T) {
-	m := &Members{ring: make(chan Event, 4), ready: func() {}}
+func TestQueueIsBounded(t *testing.T) {
+	m := &Membership{queue: make(chan Event, 4), notify: func() {}}
 	for i := range 20 {
-		m.put(Event{Kind: Came, Name: fmt.Sprint(i)})
+		m.enqueue(Event{Kind: Received, Name: fmt.Sprint(i)})
 	}
-	m.put(Event{Kind: Left, Name: "gone"})
+	m.enqueue(Event{Kind: Left, Name: "gone"})
 	got := 0
 	left := false
 	for {
-		e, ok := m.Take()
+		e, ok := m.Next()
 		if !ok {
 			break
 		}
 		got++
 		left = left || e.Kind == Left
 	}
-	if got != 4 || !left || m.stats.lost.Load() != 17 {
-		t.Errorf("%d events kept, %d lost, who left among them: %v", got, m.stats.lost.Load(), left)
+	if got != 4 || !left || m.stats.dropped.Load() != 17 {
+		t.Errorf("%d events kept, %d lost, who left among them: %v", got, m.stats.dropped.Load(), left)
 	}
 }
--- a/internal/members/transport.go
+++ b/internal/members/transport.go
@@ -13,17 +13,17 @@
 // transport lets only those speak who may, and reaches some by other addresses than they tell.
 type transport struct {
 	*memberlist.NetTransport
-	from      netip.Addr
-	may       *netipx.IPSet
-	via       map[netip.AddrPort]netip.AddrPort
-	strangers *atomic.Int64
+	localAddr netip.Addr
+	allowed   *netipx.IPSet
+	dialAddrs map[netip.AddrPort]netip.AddrPort
+	rejected  *atomic.Int64
 	packets   chan *memberlist.Packet
 	streams   chan net.Conn
 	done      chan struct{}
 }
 
 func newTransport(inner *memberlist.NetTransport, set Settings, strangers *atomic.Int64) *transport {
-	t := &transport{NetTransport: inner, from: set.Bind.Addr(), may: set.May, via: set.Via, strangers: strangers, packets: make(chan *memberlist.Packet),
+	t := &transport{NetTransport: inner, localAddr: set.Bind.Addr(), allowed: set.Allowed, dialAddrs: set.DialAddrs, rejected: strangers, packets: make(chan *memberlist.Packet),
 		streams: make(chan net.Conn), done: make(chan struct{})}
 	go t.filter()
 	return t
@@ -35,7 +35,7 @@
 		case <-t.done:
 			return
 		case p := <-t.NetTransport.PacketCh():
-			if !t.allowed(p.From) {
+			if !t.isAllowed(p.From) {
 				continue
 			}
 			select {
@@ -44,7 +44,7 @@
 				return
 			}
 		case c := <-t.NetTransport.StreamCh():
-			if !t.allowed(c.RemoteAddr()) {
+			if !t.isAllowed(c.RemoteAddr()) {
 				c.Close()
 				continue
 			}
@@ -58,23 +58,23 @@
 	}
 }
 
-// allowed answers whether an address may speak.
-func (t *transport) allowed(a net.Addr) bool {
-	if t.may == nil {
+// isAllowed answers whether an address may speak.
+func (t *transport) isAllowed(a net.Addr) bool {
+	if t.allowed == nil {
 		return true
 	}
 	at, err := netip.ParseAddrPort(a.String())
-	if err == nil && t.may.Contains(at.Addr().Unmap()) {
+	if err == nil && t.allowed.Contains(at.Addr().Unmap()) {
 		return true
 	}
-	t.strangers.Add(1)
+	t.rejected.Add(1)
 	return false
 }
 
-// to is the address at which another is reached.
-func (t *transport) to(addr string) string {
+// dialAddr is the address at which another is reached.
+func (t *transport) dialAddr(addr string) string {
 	if at, err := netip.ParseAddrPort(addr); err == nil {
-		if via, ok := t.via[at]; ok {
+		if via, ok := t.dialAddrs[at]; ok {
 			return via.String()
 		}
 	}
@@ -85,7 +85,7 @@
 func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.to(addr))
+	return t.NetTransport.WriteTo(b, t.dialAddr(addr))
 }
 
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
@@ -94,8 +94,8 @@
 
 // DialTimeout connects from the address that others are told: it is the one that may speak.
 func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.from.AsSlice()}}
-	return d.Dial("tcp", t.to(addr))
+	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.localAddr.AsSlice()}}
+	return d.Dial("tcp", t.dialAddr(addr))
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -21,7 +21,7 @@
 // membership is the way to other gateways: who is there, what is said, and the listener for operators' commands. What is sent goes through a
 // ring to a goroutine of its own; when it is full, it is lost.
 type membership struct {
-	members         *members.Members
+	members         *members.Membership
 	small           chan memberMessage // datagrams
 	large           chan memberMessage // what takes a connection: it may stand still, and must not hold the others up
 	leaving         atomic.Bool        // what still waits is not sent any more
@@ -38,7 +38,7 @@
 	log       VoterLog
 	batches   chan directives.Batch
 	wg        sync.WaitGroup
-	recovered directives.Kept // at the start, until the reducer has it
+	recovered directives.PersistedState // at the start, until the reducer has it
 }
 
 // openVoterLog reads the voter's log, if we are one, before anything else: another process that uses its folder ends this one.
@@ -61,7 +61,7 @@
 		}
 	})
 	e.voter = v
-	e.log.Info("directives: voter's log opened", zap.Bool("made", kept.Born), zap.Int("entries", len(kept.Entries)), zap.Bool("snapshot", kept.Snap != nil))
+	e.log.Info("directives: voter's log opened", zap.Bool("made", kept.Initialized), zap.Int("entries", len(kept.Entries)), zap.Bool("snapshot", kept.Snapshot != nil))
 	return nil
 }
 
@@ -72,7 +72,7 @@
 // that rests on it meanwhile: a voter whose disk fails is one that is slow.
 func (e *Server) persistWithRetry(l VoterLog, b directives.Batch) error {
 	for failed := false; ; failed = true {
-		err := l.Keep(b)
+		err := l.Persist(b)
 		if err == nil {
 			if failed {
 				e.log.Info("directives: the voter's disk works again")
@@ -175,8 +175,8 @@
 		default:
 		}
 	}
-	if t.members, err = members.Start(members.Settings{Name: e.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, May: may, Via: set.Via,
-		Fast: set.Fast}, poke); err != nil {
+	if t.members, err = members.Start(members.Settings{Name: e.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.Via,
+		FastDetection: set.Fast}, poke); err != nil {
 		return err
 	}
 	if set.Control.IsValid() {
@@ -271,7 +271,7 @@
 }
 
 var peerKinds = map[members.Kind]gateway.PeerKind{members.Joined: gateway.PeerJoined, members.Left: gateway.PeerLeft,
-	members.Came: gateway.PeerMessage, members.Namesake: gateway.PeerNameConflict}
+	members.Received: gateway.PeerMessage, members.NameConflict: gateway.PeerNameConflict}
 
 // stepMemberEvents hands what has happened among the members to the reducer, a bounded part in each turn.
 func (e *Server) stepMemberEvents(now rules.Time, g Reducer) {
@@ -280,7 +280,7 @@
 		return
 	}
 	for range maxMemberEventsPerStep {
-		x, ok := t.members.Take()
+		x, ok := t.members.Next()
 		if !ok {
 			return
 		}
--- a/internal/net/platform.go
+++ b/internal/net/platform.go
@@ -31,7 +31,7 @@
 
 // VoterLog keeps what a voter on directives has promised.
 type VoterLog interface {
-	Keep(batch directives.Batch) error
+	Persist(batch directives.Batch) error
 	Repair() error // after Keep has failed, ahead of the next call
 	Close()
 }
@@ -43,7 +43,7 @@
 	Dial         func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error)
 	DialUDP      func(addr netip.AddrPort) (stdnet.Conn, error)
 	OpenFolder   func(path string) (Folder, error)
-	OpenVoterLog func(path string) (VoterLog, directives.Kept, error)
+	OpenVoterLog func(path string) (VoterLog, directives.PersistedState, error)
 	Reducer      func(cfg config.Config, now rules.Time) Reducer
 }
 
@@ -61,7 +61,7 @@
 			}
 			return folder, nil
 		},
-		OpenVoterLog: func(path string) (VoterLog, directives.Kept, error) {
+		OpenVoterLog: func(path string) (VoterLog, directives.PersistedState, error) {
 			log, kept, err := wal.Open(path)
 			if err != nil {
 				return nil, kept, err
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -186,7 +186,7 @@
 }
 
 // transient answers whether what failed may work a moment later.
-func transient(err error) bool { return syserr.Transient(err) || errors.Is(err, members.ErrNotBound) }
+func transient(err error) bool { return syserr.Transient(err) || errors.Is(err, members.ErrListen) }
 
 // startPoller begins to listen, and to read and write connections.
 func (e *Server) startPoller() error {
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -191,7 +191,7 @@
 	kept, repaired atomic.Int64
 }
 
-func (l *brokenLog) Keep(directives.Batch) error {
+func (l *brokenLog) Persist(directives.Batch) error {
 	if err := l.next(); err != nil {
 		return err
 	}
@@ -206,7 +206,9 @@
 func TestVoterDiskRetried(t *testing.T) {
 	p := System()
 	log := &brokenLog{transientFault: transientFault{err: syscall.EIO}}
-	p.OpenVoterLog = func(string) (VoterLog, directives.Kept, error) { return log, directives.Kept{}, nil }
+	p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
+		return log, directives.PersistedState{}, nil
+	}
 	e := newBareServerOn(t, p)
 	e.cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{e.cfg.Name}, Folder: t.TempDir()}}
 	if err := e.openVoterLog(); err != nil {
@@ -238,7 +240,9 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as the program has it
 	for range 20 {
 		p := System()
-		p.OpenVoterLog = func(string) (VoterLog, directives.Kept, error) { return nil, directives.Kept{}, errDamaged }
+		p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
+			return nil, directives.PersistedState{}, errDamaged
+		}
 		cfg := loopbackConfig(t)
 		cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{cfg.Name}, Folder: t.TempDir()}}
 		ended := make(chan error, 1)
--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -22,15 +22,15 @@
 // Numbers are uvarints. Ages are in hundredths of a second since the origin wrote the entry.
 
 const (
-	magic      = "fxr"
-	version    = 1
-	oldest     = 1 // version that is understood
-	maxName    = 64
-	maxMessage = 8 << 10
-	maxEntries = 1024 // of a block
-	ageUnit    = 10 * rules.Millisecond
-	mostAge    = 1 << 20
-	sumSize    = 4
+	magic           = "fxr"
+	version         = 1
+	minVersion      = 1 // version that is understood
+	maxName         = 64
+	maxMessage      = 8 << 10
+	maxBlockEntries = 1024 // of a block
+	ageUnit         = 10 * rules.Millisecond
+	maxAgeUnits     = 1 << 20
+	checksumSize    = 4
 )
 
 type messageType uint8
@@ -38,28 +38,28 @@
 const (
 	typeDelta messageType = iota + 1
 	typeDigest
-	typeAsk
-	typeDone // a part of a snapshot has been given
+	typeSnapshotRequest
+	typeSnapshotEnd // a part of a snapshot has been given
 )
 
 // Errors of messages that can't be used.
 var (
-	ErrShort   = errors.New("replica: a message is cut short")
-	ErrSum     = errors.New("replica: the sum of a message does not fit it")
-	ErrForeign = errors.New("replica: not a message of ours")
-	ErrRange   = errors.New("replica: a value is out of range")
+	ErrTruncated      = errors.New("replica: a message is cut short")
+	ErrChecksum       = errors.New("replica: the sum of a message does not fit it")
+	ErrForeignMessage = errors.New("replica: not a message of ours")
+	ErrOutOfRange     = errors.New("replica: a value is out of range")
 )
 
 // VersionError tells of a peer that speaks a version which is not understood here.
 type VersionError struct{ Version int }
 
 func (e VersionError) Error() string {
-	return fmt.Sprintf("replica: a peer speaks version %d, versions %d to %d are understood", e.Version, oldest, version+1)
+	return fmt.Sprintf("replica: a peer speaks version %d, versions %d to %d are understood", e.Version, minVersion, version+1)
 }
 
 // sum of an entry, with whose it is: a copy that has flipped bits does not fit it.
-func (e *Entry) sumOf(origin string) uint32 {
-	var b [1 + 8 + 8 + 4*Values]byte
+func (e *Entry) checksumFor(origin string) uint32 {
+	var b [1 + 8 + 8 + 4*ValueCount]byte
 	b[0] = byte(e.Kind)
 	binary.LittleEndian.PutUint64(b[1:], e.Subject)
 	binary.LittleEndian.PutUint64(b[9:], e.Counter)
@@ -72,89 +72,89 @@
 func hashName(name string) uint64 { return xxh3.HashString(name) }
 
 // writer appends to a message.
-type writer struct{ b []byte }
+type writer struct{ buf []byte }
 
 func (w *writer) begin(t messageType, sender string, life uint64) {
-	w.b = append(w.b[:0], magic...)
-	w.b = append(w.b, version, byte(t))
+	w.buf = append(w.buf[:0], magic...)
+	w.buf = append(w.buf, version, byte(t))
 	w.text(sender)
-	w.number(life)
+	w.uvarint(life)
 }
 
-func (w *writer) number(n uint64) { w.b = binary.AppendUvarint(w.b, n) }
+func (w *writer) uvarint(n uint64) { w.buf = binary.AppendUvarint(w.buf, n) }
 
 func (w *writer) text(s string) {
-	w.number(uint64(len(s)))
-	w.b = append(w.b, s...)
+	w.uvarint(uint64(len(s)))
+	w.buf = append(w.buf, s...)
 }
 
-// end closes a message.
-func (w *writer) end() []byte {
-	return binary.LittleEndian.AppendUint32(w.b, uint32(xxh3.Hash(w.b)))
+// finish closes a message.
+func (w *writer) finish() []byte {
+	return binary.LittleEndian.AppendUint32(w.buf, uint32(xxh3.Hash(w.buf)))
 }
 
 // entry appends one, with its age now.
 func (w *writer) entry(e *Entry, sum uint32, now rules.Time) {
-	w.b = append(w.b, byte(e.Kind))
-	w.number(e.Subject)
-	w.number(e.Counter)
-	w.number(uint64(min(max(now-e.Born, 0)/ageUnit, mostAge)))
+	w.buf = append(w.buf, byte(e.Kind))
+	w.uvarint(e.Subject)
+	w.uvarint(e.Counter)
+	w.uvarint(uint64(min(max(now-e.WrittenAt, 0)/ageUnit, maxAgeUnits)))
 	mask := byte(0)
 	for i, v := range e.Value {
 		if v != 0 {
 			mask |= 1 << i
 		}
 	}
-	w.b = append(w.b, mask)
+	w.buf = append(w.buf, mask)
 	for _, v := range e.Value {
 		if v != 0 {
-			w.b = binary.LittleEndian.AppendUint32(w.b, math.Float32bits(v))
+			w.buf = binary.LittleEndian.AppendUint32(w.buf, math.Float32bits(v))
 		}
 	}
-	w.b = binary.LittleEndian.AppendUint32(w.b, sum)
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, sum)
 }
 
-const entryMost = 1 + 10 + 10 + 5 + 1 + 4*Values + 4
+const maxEntryBytes = 1 + 10 + 10 + 5 + 1 + 4*ValueCount + 4
 
 // reader takes a message apart. After an error it returns zeros.
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 func (r *reader) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
-	r.b = nil
+	r.rest = nil
 }
 
-func (r *reader) number() uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *reader) uvarint() uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
-		r.fail(ErrShort)
+		r.fail(ErrTruncated)
 		return 0
 	}
-	r.b = r.b[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
 func (r *reader) count(most int) int {
-	n := r.number()
+	n := r.uvarint()
 	if n > uint64(most) {
-		r.fail(ErrRange)
+		r.fail(ErrOutOfRange)
 		return 0
 	}
 	return int(n)
 }
 
 func (r *reader) bytes(n int) []byte {
-	if n > len(r.b) {
-		r.fail(ErrShort)
+	if n > len(r.rest) {
+		r.fail(ErrTruncated)
 		return make([]byte, n)
 	}
-	b := r.b[:n]
-	r.b = r.b[n:]
+	b := r.rest[:n]
+	r.rest = r.rest[n:]
 	return b
 }
 
@@ -168,17 +168,17 @@
 
 func (r *reader) entry(now rules.Time) (e Entry, sum uint32) {
 	e.Kind = Kind(r.bytes(1)[0])
-	e.Subject = r.number()
-	e.Counter = r.number()
-	age := r.number()
-	if age > mostAge {
-		r.fail(ErrRange)
+	e.Subject = r.uvarint()
+	e.Counter = r.uvarint()
+	age := r.uvarint()
+	if age > maxAgeUnits {
+		r.fail(ErrOutOfRange)
 		return e, 0
 	}
-	e.Born = now - rules.Time(age)*ageUnit
+	e.WrittenAt = now - rules.Time(age)*ageUnit
 	mask := r.bytes(1)[0]
-	if mask>>Values != 0 {
-		r.fail(ErrRange)
+	if mask>>ValueCount != 0 {
+		r.fail(ErrOutOfRange)
 		return e, 0
 	}
 	for i := range e.Value {
@@ -187,7 +187,7 @@
 		}
 		v := math.Float32frombits(binary.LittleEndian.Uint32(r.bytes(4)))
 		if r.err == nil && (v == 0 || math.IsNaN(float64(v)) || math.IsInf(float64(v), 0)) {
-			r.fail(ErrRange)
+			r.fail(ErrOutOfRange)
 		}
 		e.Value[i] = v
 	}
@@ -195,37 +195,37 @@
 	return e, sum
 }
 
-// head is how each message begins.
-type head struct {
-	kind   messageType
-	sender string
-	life   uint64
+// header is how each message begins.
+type header struct {
+	kind        messageType
+	sender      string
+	incarnation uint64
 }
 
-// open checks a message's frame and returns a reader of its body.
-func open(msg []byte) (h head, r reader, err error) {
+// decodeHeader checks a message's frame and returns a reader of its body.
+func decodeHeader(msg []byte) (h header, r reader, err error) {
 	if len(msg) > maxMessage {
-		return h, r, ErrRange
+		return h, r, ErrOutOfRange
 	}
-	if len(msg) < len(magic)+2+sumSize {
-		return h, r, ErrShort
+	if len(msg) < len(magic)+2+checksumSize {
+		return h, r, ErrTruncated
 	}
 	if string(msg[:len(magic)]) != magic {
-		return h, r, ErrForeign
+		return h, r, ErrForeignMessage
 	}
-	if v := int(msg[len(magic)]); v < oldest || v > version+1 { // the next one keeps this form, or it could not roll
+	if v := int(msg[len(magic)]); v < minVersion || v > version+1 { // the next one keeps this form, or it could not roll
 		return h, r, VersionError{v}
 	}
-	body, sum := msg[:len(msg)-sumSize], binary.LittleEndian.Uint32(msg[len(msg)-sumSize:])
+	body, sum := msg[:len(msg)-checksumSize], binary.LittleEndian.Uint32(msg[len(msg)-checksumSize:])
 	if uint32(xxh3.Hash(body)) != sum {
-		return h, r, ErrSum
+		return h, r, ErrChecksum
 	}
 	h.kind = messageType(body[len(magic)+1])
-	r.b = body[len(magic)+2:]
+	r.rest = body[len(magic)+2:]
 	h.sender = r.text()
-	h.life = r.number()
+	h.incarnation = r.uvarint()
 	if r.err == nil && h.sender == "" {
-		r.fail(ErrRange)
+		r.fail(ErrOutOfRange)
 	}
 	return h, r, r.err
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -20,31 +20,31 @@
 	start  = 1000 * second
 )
 
-// keep is how old copies may get in tests: those that compare copies end before any is old.
-var keep = func() (k [Kinds]rules.Time) {
+// longMaxAge is how old copies may get in tests: those that compare copies end before any is old.
+var longMaxAge = func() (k [KindCount]rules.Time) {
 	for i := range k {
 		k[i] = 50 * second
 	}
 	return k
 }()
 
-// club is some members that know one another.
-type club struct {
+// testCluster is some members that know one another.
+type testCluster struct {
 	*emulator.Talk
-	all map[string]*emulator.Copier
+	members map[string]*emulator.Copier
 }
 
-func name(i int) string { return fmt.Sprintf("n%03d", i) }
+func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func set(i int, life uint64) Settings {
+func settingsOf(i int, life uint64) Settings {
 	s := Defaults()
-	s.Name, s.Zone, s.Life, s.Seed = name(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
-	s.Keep = keep
+	s.Name, s.Zone, s.Incarnation, s.Seed = memberName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
+	s.MaxAge = longMaxAge
 	return s
 }
 
-func newClub(n int, m emulator.TalkModel, seed uint64) *club {
-	c := &club{Talk: emulator.NewTalk(m, Defaults().Tick, start, seed), all: map[string]*emulator.Copier{}}
+func newTestCluster(n int, m emulator.TalkModel, seed uint64) *testCluster {
+	c := &testCluster{Talk: emulator.NewTalk(m, Defaults().GossipInterval, start, seed), members: map[string]*emulator.Copier{}}
 	for i := range n {
 		c.start(i, 1)
 	}
@@ -52,28 +52,28 @@
 }
 
 // start starts a member, or starts it again: all hear of it, and it of all.
-func (c *club) start(i int, life uint64) {
-	s := set(i, life)
+func (c *testCluster) start(i int, life uint64) {
+	s := settingsOf(i, life)
 	m := &emulator.Copier{Replica: New(s, c.Now)}
 	for _, n := range c.Names() {
-		if o := c.all[n]; n != s.Name && o != nil {
+		if o := c.members[n]; n != s.Name && o != nil {
 			o.Meet(c.Now, Member{Name: s.Name, Zone: s.Zone})
 			m.Meet(c.Now, Member{Name: n, Zone: "hall-x"})
 		}
 	}
-	c.all[s.Name] = m
+	c.members[s.Name] = m
 	c.Add(s.Name, m)
 }
 
-func (c *club) put(i int, k Kind, subject uint64, v float32) {
-	c.all[name(i)].Replica.Put(c.Now, Key{Kind: k, Subject: subject}, Value{v})
+func (c *testCluster) put(i int, k Kind, subject uint64, v float32) {
+	c.members[memberName(i)].Replica.Put(c.Now, Key{Kind: k, Subject: subject}, Value{v})
 }
 
-// knows answers how many members hold a value of a member's.
-func (c *club) knows(of int, k Kind, subject uint64, v float32) (n int) {
-	for _, m := range c.all {
+// countKnowing answers how many members hold a value of a member's.
+func (c *testCluster) countKnowing(of int, k Kind, subject uint64, v float32) (n int) {
+	for _, m := range c.members {
 		m.Replica.Each(k, func(origin string, e *Entry) {
-			if origin == name(of) && e.Subject == subject && e.Value[0] == v {
+			if origin == memberName(of) && e.Subject == subject && e.Value[0] == v {
 				n++
 			}
 		})
@@ -81,8 +81,8 @@
 	return n
 }
 
-// agree answers which two members hold differing copies, by life, counter and value.
-func (c *club) agree() error {
+// checkAgreement answers which two members hold differing copies, by life, counter and value.
+func (c *testCluster) checkAgreement() error {
 	type held struct {
 		life, counter uint64
 		value         Value
@@ -90,10 +90,10 @@
 	var first map[string]held
 	for _, n := range c.Names() {
 		mine := map[string]held{}
-		for _, cp := range c.all[n].Replica.Copies() {
-			mine[cp.Origin] = held{cp.Life, cp.Counter, Value{}}
+		for _, cp := range c.members[n].Replica.Copies() {
+			mine[cp.Origin] = held{cp.Incarnation, cp.Counter, Value{}}
 			for _, e := range cp.Entries {
-				mine[fmt.Sprint(cp.Origin, e.Key)] = held{cp.Life, e.Counter, e.Value}
+				mine[fmt.Sprint(cp.Origin, e.Key)] = held{cp.Incarnation, e.Counter, e.Value}
 			}
 		}
 		if first == nil {
@@ -111,13 +111,13 @@
 }
 
 // News reach all, through losses, delays, doubles and the wrong order.
-func TestNewsReachAll(t *testing.T) {
+func TestUpdatesReachAll(t *testing.T) {
 	for _, m := range []emulator.TalkModel{{Least: ms, Most: 5 * ms}, {Loss: 0.3, Double: 0.2, Least: ms, Most: 300 * ms}} {
-		c := newClub(5, m, 3)
+		c := newTestCluster(5, m, 3)
 		c.Run(start + 3*second)
 		c.put(2, EngineFault, 77, 1)
 		c.Run(c.Now + 2*second)
-		if n := c.knows(2, EngineFault, 77, 1); n != 4 {
+		if n := c.countKnowing(2, EngineFault, 77, 1); n != 4 {
 			t.Errorf("%+v: %d of 4 know after 2 s", m, n)
 		}
 	}
@@ -127,7 +127,7 @@
 func TestCopiesAgreeAfterHealing(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := newClub(6, emulator.TalkModel{Loss: 0.2, Double: 0.1, Least: ms, Most: 2 * second}, seed)
+		c := newTestCluster(6, emulator.TalkModel{Loss: 0.2, Double: 0.1, Least: ms, Most: 2 * second}, seed)
 		lives := map[int]uint64{}
 		for range 12 {
 			switch rng.IntN(6) {
@@ -136,34 +136,34 @@
 			case 1:
 				c.Split(func(n string) int { return int(n[3]) % 3 })
 			case 2:
-				c.Cut(name(rng.IntN(6)), name(rng.IntN(6)), true)
+				c.Cut(memberName(rng.IntN(6)), memberName(rng.IntN(6)), true)
 			case 3:
 				i := rng.IntN(6)
 				lives[i]++
-				c.Remove(name(i))
+				c.Remove(memberName(i))
 				c.start(i, 1+lives[i])
 			case 4:
-				c.Freeze(name(rng.IntN(6)), rng.IntN(2) == 0)
+				c.Freeze(memberName(rng.IntN(6)), rng.IntN(2) == 0)
 			}
 			for range 4 {
-				c.put(rng.IntN(6), Kind(1+rng.IntN(int(Kinds)-1)), uint64(rng.IntN(4)), rng.Float32())
+				c.put(rng.IntN(6), Kind(1+rng.IntN(int(KindCount)-1)), uint64(rng.IntN(4)), rng.Float32())
 			}
 			c.Run(c.Now + rules.Time(rng.IntN(3000))*ms)
 		}
 		for i := range 6 {
-			c.Freeze(name(i), false)
+			c.Freeze(memberName(i), false)
 		}
 		c.Split(func(string) int { return 0 })
 		c.Model = emulator.TalkModel{Least: ms, Most: 20 * ms}
 		c.Run(c.Now + 8*second)
-		if err := c.agree(); err != nil {
+		if err := c.checkAgreement(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
 }
 
 // Joining is commutative, associative and idempotent: whatever order messages come in, and however often, the copies are the same.
-func TestJoinIsALattice(t *testing.T) {
+func TestMergeIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Messages of three writers, of two lives each, recorded as they were sent.
 		var sent [][2]any
@@ -172,24 +172,24 @@
 		}
 		for i := range 3 {
 			for life := range uint64(2) {
-				w := &emulator.Copier{Replica: New(set(i, life+1), start)}
+				w := &emulator.Copier{Replica: New(settingsOf(i, life+1), start)}
 				w.Meet(start, Member{Name: "reader"})
 				now := rules.Time(start)
 				for range rapid.IntRange(0, 5).Draw(t, "writes") {
 					w.Replica.Put(now, Key{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Subject: uint64(rapid.IntRange(0, 2).Draw(t, "subject"))},
 						Value{float32(rapid.IntRange(1, 99).Draw(t, "value"))})
 					now += 200 * ms
-					w.Tick(now, say(name(i)))
+					w.Tick(now, say(memberName(i)))
 				}
 			}
 		}
 		read := func(order []int) []Copy {
 			r := &emulator.Copier{Replica: New(Settings{}, start)}
-			s := set(9, 1)
+			s := settingsOf(9, 1)
 			s.Name = "reader"
 			r.Replica = New(s, start)
 			for i := range 3 {
-				r.Meet(start, Member{Name: name(i)})
+				r.Meet(start, Member{Name: memberName(i)})
 			}
 			for _, i := range order {
 				r.Hear(start+2*second, sent[i][0].(string), sent[i][1].([]byte), func(string, []byte) {})
@@ -218,11 +218,11 @@
 
 // A member that was away for a minute, or starts anew, has all within 3 s, and nobody sends more than the budget within a second.
 func TestCatchUp(t *testing.T) {
-	c := newClub(40, emulator.TalkModel{Loss: 0.05, Least: ms, Most: 20 * ms}, 5)
+	c := newTestCluster(40, emulator.TalkModel{Loss: 0.05, Least: ms, Most: 20 * ms}, 5)
 	write := func() {
 		for i := range 40 {
 			for s := range 6 {
-				c.put(i, TenantUse, uint64(s), float32(c.Now/second%1000))
+				c.put(i, TenantUsage, uint64(s), float32(c.Now/second%1000))
 			}
 		}
 	}
@@ -230,25 +230,25 @@
 		write()
 		c.Run(c.Now + second)
 	}
-	c.Freeze(name(7), true)
+	c.Freeze(memberName(7), true)
 	for range 60 {
 		write()
 		c.Run(c.Now + second)
 	}
-	held := c.all[name(1)].Replica.Copies()
-	c.Freeze(name(7), false)
-	c.Remove(name(8))
+	held := c.members[memberName(1)].Replica.Copies()
+	c.Freeze(memberName(7), false)
+	c.Remove(memberName(8))
 	c.start(8, 2)
 	c.Run(c.Now + 3*second)
 	for _, i := range []int{7, 8} {
 		have, all := 0, 0
 		for _, cp := range held {
 			for _, e := range cp.Entries {
-				if cp.Origin == name(7) || cp.Origin == name(8) || e.Kind != TenantUse {
+				if cp.Origin == memberName(7) || cp.Origin == memberName(8) || e.Kind != TenantUsage {
 					continue
 				}
 				all++
-				c.all[name(i)].Replica.Each(TenantUse, func(origin string, o *Entry) {
+				c.members[memberName(i)].Replica.Each(TenantUsage, func(origin string, o *Entry) {
 					if origin == cp.Origin && o.Subject == e.Subject && o.Counter >= e.Counter {
 						have++
 					}
@@ -256,7 +256,7 @@
 			}
 		}
 		if all < 200 || have < all*95/100 {
-			t.Errorf("%s has %d of %d entries 3 s after it came back", name(i), have, all)
+			t.Errorf("%s has %d of %d entries 3 s after it came back", memberName(i), have, all)
 		}
 	}
 	for n, peak := range c.Peak {
@@ -267,14 +267,14 @@
 }
 
 // What has grown old is gone before anything else is done: a process that stood still acts on nothing old.
-func TestNothingOldAfterAFreeze(t *testing.T) {
-	c := newClub(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
+func TestExpiredEntriesAreDroppedFirst(t *testing.T) {
+	c := newTestCluster(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
 	c.put(0, EngineFault, 5, 1)
 	c.Run(start + 2*second)
-	if c.knows(0, EngineFault, 5, 1) != 2 {
+	if c.countKnowing(0, EngineFault, 5, 1) != 2 {
 		t.Fatal("not known at first")
 	}
-	r := c.all[name(1)].Replica
+	r := c.members[memberName(1)].Replica
 	acted := 0
 	r.Handle(c.Now+60*second, Event{Kind: Tick})
 	r.Each(EngineFault, func(string, *Entry) { acted++ })
@@ -287,20 +287,20 @@
 }
 
 // A later life of a member takes the place of an earlier one, and messages of the earlier one that come late change nothing.
-func TestLaterLifeWins(t *testing.T) {
+func TestLaterIncarnationWins(t *testing.T) {
 	var late [][]byte
-	old := &emulator.Copier{Replica: New(set(1, 1), start)}
-	old.Meet(start, Member{Name: name(0)})
+	old := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
+	old.Meet(start, Member{Name: memberName(0)})
 	old.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{1})
 	old.Tick(start+ms, func(_ string, d []byte) { late = append(late, append([]byte(nil), d...)) })
-	r := &emulator.Copier{Replica: New(set(0, 1), start)}
-	r.Meet(start, Member{Name: name(1)})
-	again := &emulator.Copier{Replica: New(set(1, 2), start)}
-	again.Meet(start, Member{Name: name(0)})
+	r := &emulator.Copier{Replica: New(settingsOf(0, 1), start)}
+	r.Meet(start, Member{Name: memberName(1)})
+	again := &emulator.Copier{Replica: New(settingsOf(1, 2), start)}
+	again.Meet(start, Member{Name: memberName(0)})
 	again.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{2})
-	again.Tick(start+ms, func(_ string, d []byte) { r.Hear(start+ms, name(1), d, func(string, []byte) {}) })
+	again.Tick(start+ms, func(_ string, d []byte) { r.Hear(start+ms, memberName(1), d, func(string, []byte) {}) })
 	for _, d := range late {
-		r.Hear(start+2*ms, name(1), d, func(string, []byte) {})
+		r.Hear(start+2*ms, memberName(1), d, func(string, []byte) {})
 	}
 	if len(late) == 0 {
 		t.Fatal("the earlier life said nothing")
@@ -317,14 +317,14 @@
 }
 
 // Another process with our name is told, not believed; strangers, garbage and what was changed on its way count for nothing.
-func TestRefused(t *testing.T) {
-	r := &emulator.Copier{Replica: New(set(0, 5), start)}
-	r.Meet(start, Member{Name: name(1)})
-	r.Replica.Put(start, Key{Kind: Offered}, Value{3})
+func TestMessagesRejected(t *testing.T) {
+	r := &emulator.Copier{Replica: New(settingsOf(0, 5), start)}
+	r.Meet(start, Member{Name: memberName(1)})
+	r.Replica.Put(start, Key{Kind: OfferedLoad}, Value{3})
 	var msg []byte
-	w := &emulator.Copier{Replica: New(set(1, 1), start)}
-	w.Meet(start, Member{Name: name(0)})
-	w.Replica.Put(start, Key{Kind: Offered}, Value{4})
+	w := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
+	w.Meet(start, Member{Name: memberName(0)})
+	w.Replica.Put(start, Key{Kind: OfferedLoad}, Value{4})
 	w.Tick(start+ms, func(_ string, d []byte) {
 		if msg == nil {
 			msg = append([]byte(nil), d...)
@@ -335,11 +335,11 @@
 	for i := range msg {
 		bad := append([]byte(nil), msg...)
 		bad[i] ^= 1 << rng.IntN(8)
-		r.Hear(start, name(1), bad, say)
-		r.Hear(start, name(1), msg[:i], say)
+		r.Hear(start, memberName(1), bad, say)
+		r.Hear(start, memberName(1), msg[:i], say)
 	}
-	r.Hear(start, name(2), msg, say)
-	r.Hear(start, name(1), make([]byte, 64<<10), say)
+	r.Hear(start, memberName(2), msg, say)
+	r.Hear(start, memberName(1), make([]byte, 64<<10), say)
 	if got := r.Replica.Stats().Entries; got != 1 {
 		t.Errorf("%d entries held, of which one is ours", got)
 	}
@@ -349,7 +349,7 @@
 	future := append([]byte(nil), msg...)
 	future[3] = 9
 	r.Refused = nil
-	r.Hear(start, name(1), future, say)
+	r.Hear(start, memberName(1), future, say)
 	var v VersionError
 	if len(r.Refused) != 1 || !errors.As(r.Refused[0], &v) || v.Version != 9 {
 		t.Errorf("a peer of version 9: %v", r.Refused)
@@ -358,34 +358,34 @@
 
 // A member whose clock has stepped back since its last life takes a later one than others hold, and is heard again; two processes of
 // one name tell of each other in the end.
-func TestNameThatComesTwice(t *testing.T) {
-	back := newClub(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
-	back.Remove(name(0))
+func TestNameConflict(t *testing.T) {
+	back := newTestCluster(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
+	back.Remove(memberName(0))
 	back.start(0, 50)
-	back.put(0, Offered, 0, 7)
+	back.put(0, OfferedLoad, 0, 7)
 	back.Run(start + 5*second)
-	back.Remove(name(0))
+	back.Remove(memberName(0))
 	back.start(0, 20) // earlier, by the clock
-	back.put(0, Offered, 0, 8)
+	back.put(0, OfferedLoad, 0, 8)
 	back.Run(back.Now + 6*second)
-	if n := back.knows(0, Offered, 0, 8); n != 2 {
+	if n := back.countKnowing(0, OfferedLoad, 0, 8); n != 2 {
 		t.Errorf("%d of 2 hear the member whose clock stepped back", n)
 	}
-	one, two, reader := &emulator.Copier{Replica: New(set(0, 5), start)}, &emulator.Copier{Replica: New(set(0, 6), start)}, &emulator.Copier{Replica: New(set(1, 1), start)}
-	one.Meet(start, Member{Name: name(1)})
-	two.Meet(start, Member{Name: name(1)})
-	reader.Meet(start, Member{Name: name(0)})
+	one, two, reader := &emulator.Copier{Replica: New(settingsOf(0, 5), start)}, &emulator.Copier{Replica: New(settingsOf(0, 6), start)}, &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
+	one.Meet(start, Member{Name: memberName(1)})
+	two.Meet(start, Member{Name: memberName(1)})
+	reader.Meet(start, Member{Name: memberName(0)})
 	say := func(string, []byte) {}
 	told := false
 	for tick := range rules.Time(60) {
 		now := start + tick*second
 		for i, m := range []*emulator.Copier{one, two} {
-			m.Replica.Put(now, Key{Kind: Offered}, Value{float32(i + 1)})
-			m.Tick(now, func(_ string, d []byte) { reader.Hear(now, name(0), d, say) })
+			m.Replica.Put(now, Key{Kind: OfferedLoad}, Value{float32(i + 1)})
+			m.Tick(now, func(_ string, d []byte) { reader.Hear(now, memberName(0), d, say) })
 		}
 		reader.Tick(now, func(_ string, d []byte) {
-			one.Hear(now, name(1), d, say)
-			two.Hear(now, name(1), d, say)
+			one.Hear(now, memberName(1), d, say)
+			two.Hear(now, memberName(1), d, say)
 		})
 		for _, m := range []*emulator.Copier{one, two} {
 			for _, err := range m.Refused {
@@ -399,21 +399,21 @@
 }
 
 // Whatever comes, nothing panics, and what is held stays within its bounds.
-func FuzzCame(f *testing.F) {
-	w := &emulator.Copier{Replica: New(set(1, 1), start)}
-	w.Meet(start, Member{Name: name(0)})
+func FuzzReceive(f *testing.F) {
+	w := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
+	w.Meet(start, Member{Name: memberName(0)})
 	for s := range 5 {
-		w.Replica.Put(start, Key{Kind: TenantUse, Subject: uint64(s)}, Value{4, 5})
+		w.Replica.Put(start, Key{Kind: TenantUsage, Subject: uint64(s)}, Value{4, 5})
 	}
 	for tick := range rules.Time(8) {
 		w.Tick(start+tick*second, func(_ string, d []byte) { f.Add(append([]byte(nil), d...)) })
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := set(0, 1)
-		s.Most, s.Origins = 4, 3
+		s := settingsOf(0, 1)
+		s.MaxEntries, s.MaxOrigins = 4, 3
 		r := New(s, start)
-		r.Handle(start, Event{Kind: Joined, Member: Member{Name: name(1)}})
-		r.Handle(start, Event{Kind: Came, Member: Member{Name: name(1)}, Data: data})
+		r.Handle(start, Event{Kind: Joined, Member: Member{Name: memberName(1)}})
+		r.Handle(start, Event{Kind: Received, Member: Member{Name: memberName(1)}, Data: data})
 		r.Handle(start+second, Event{Kind: Tick})
 		if st := r.Stats(); st.Entries > 12 || st.Origins > 3 {
 			t.Errorf("%+v", st)
@@ -422,21 +422,21 @@
 }
 
 // Nothing is left of members that have gone, once all copies of theirs must have faded; sizes stay bounded under constant churn.
-func TestNothingIsLeftOfWhoHasGone(t *testing.T) {
-	s := set(0, 1)
-	for k := range s.Keep {
-		s.Keep[k] = 2 * second
+func TestDepartedMembersAreDropped(t *testing.T) {
+	s := settingsOf(0, 1)
+	for k := range s.MaxAge {
+		s.MaxAge[k] = 2 * second
 	}
-	s.Origins = 20
+	s.MaxOrigins = 20
 	r := &emulator.Copier{Replica: New(s, start)}
 	now := rules.Time(start)
 	for i := 1; i < 400; i++ {
-		w := &emulator.Copier{Replica: New(set(i, 1), now)}
-		w.Meet(now, Member{Name: name(0)})
-		r.Meet(now, Member{Name: name(i)})
-		w.Replica.Put(now, Key{Kind: Offered}, Value{4})
-		w.Tick(now, func(_ string, d []byte) { r.Hear(now, name(i), d, func(string, []byte) {}) })
-		r.Part(now, name(i))
+		w := &emulator.Copier{Replica: New(settingsOf(i, 1), now)}
+		w.Meet(now, Member{Name: memberName(0)})
+		r.Meet(now, Member{Name: memberName(i)})
+		w.Replica.Put(now, Key{Kind: OfferedLoad}, Value{4})
+		w.Tick(now, func(_ string, d []byte) { r.Hear(now, memberName(i), d, func(string, []byte) {}) })
+		r.Part(now, memberName(i))
 		now += 300 * ms
 		if st := r.Replica.Stats(); st.Origins > 20 || st.Entries > 20 {
 			t.Fatalf("after %d came and went: %+v", i, st)
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -94,11 +94,11 @@
 		}
 	}
 	r.flag(b.Fast, &m.Fast)
-	budget, observers := float64(m.Replica.Budget), float64(m.Hearsay.Observers)
+	budget, observers := float64(m.Replica.Budget), float64(m.Hearsay.MinObservers)
 	r.number(b.Budget, leastBudget, mostBudget, &budget)
 	r.number(b.Observers, 1, mostObservers, &observers)
-	m.Replica.Budget, m.Hearsay.Observers = int(budget), int(observers)
-	r.duration(b.Fresh, &m.Hearsay.Fresh)
+	m.Replica.Budget, m.Hearsay.MinObservers = int(budget), int(observers)
+	r.duration(b.Fresh, &m.Hearsay.MaxReportAge)
 	if !r.diags.HasErrors() && m.May != nil {
 		if set, err := m.Set(); err != nil || !set.Contains(m.Bind.Addr()) {
 			r.diags = append(r.diags, wrong(b.Range, "members: %s itself is not among the addresses that may speak", m.Bind.Addr()))
@@ -153,8 +153,8 @@
 	}
 	list("seeds    ", seeds)
 	list("may      ", may)
-	fmt.Fprintf(b, "  fast      = %v\n  budget    = %d\n  observers = %d\n  fresh     = %q\n", m.Fast, m.Replica.Budget, m.Hearsay.Observers,
-		timeText(m.Hearsay.Fresh))
+	fmt.Fprintf(b, "  fast      = %v\n  budget    = %d\n  observers = %d\n  fresh     = %q\n", m.Fast, m.Replica.Budget, m.Hearsay.MinObservers,
+		timeText(m.Hearsay.MaxReportAge))
 	froms := make([]netip.AddrPort, 0, len(m.Via))
 	for from := range m.Via {
 		froms = append(froms, from)
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	m := s.Members
-	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.Budget != 40000 || m.Hearsay.Observers != 3 ||
-		m.Hearsay.Fresh != 2*rules.Second || m.Via[netip.MustParseAddrPort("10.0.0.6:7946")].Port() != 9000 {
+	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.Budget != 40000 || m.Hearsay.MinObservers != 3 ||
+		m.Hearsay.MaxReportAge != 2*rules.Second || m.Via[netip.MustParseAddrPort("10.0.0.6:7946")].Port() != 9000 {
 		t.Errorf("got %+v", m)
 	}
 	if d := s.Directives; len(d.Voters) != 3 || d.Folder != "/var/lib/foxlane" || d.Tick != 100*rules.Millisecond {
