--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -163,13 +163,13 @@
 			if err != nil {
 				return err
 			}
-			if s.Directives == nil || s.Directives.Folder == "" {
+			if s.Directives == nil || s.Directives.LogFolder == "" {
 				return fmt.Errorf("%s has no block directives with a folder", *sitePath)
 			}
-			if err := wal.Init(s.Directives.Folder); err != nil {
+			if err := wal.Init(s.Directives.LogFolder); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is a new voter's\n", s.Directives.Folder)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is a new voter's\n", s.Directives.LogFolder)
 			return err
 		},
 	}
--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -110,7 +110,7 @@
 func serve(cfg config.Config, verbose bool, signals net.Signals) error {
 	setRuntime(cfg.Limits)
 	cfg.Trace = verbose
-	lines := asynclog.New(os.Stderr, cfg.Limits.LogBytes, lostLines)
+	lines := asynclog.New(os.Stderr, cfg.Limits.LogBufferBytes, lostLines)
 	defer lines.Close(logCloses)
 	return net.Run(cfg, newLog(lines, verbose), signals)
 }
@@ -171,10 +171,10 @@
 			_, err = fmt.Fprintf(cmd.OutOrStdout(),
 				"%s listens on %s, name service at %s\n%d classes, %d engines known at event %d\n"+
 					"at most %d clients, %d connections to engines, %d open requests, %d MB of heap\n",
-				c.Name, c.Listen, c.DNS, len(c.Settings.ClassNames), len(c.Known.Engines), c.Known.Seq,
-				l.Clients, l.AllLinks, l.Requests, l.MemoryBytes>>20)
+				c.Name, c.Listen, c.DNS, len(c.Settings.ClassNames), len(c.InitialList.Engines), c.InitialList.Seq,
+				l.MaxClients, l.MaxConns, l.MaxRequests, l.MemoryBytes>>20)
 			if err == nil && c.Site != nil {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "the operator's own file, %d bytes for the door to remember:\n%s", l.DoorState, c.Site)
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "the operator's own file, %d bytes for the door to remember:\n%s", l.AdmissionStateBytes, c.Site)
 			}
 			return err
 		},
--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -115,14 +115,14 @@
 }
 
 func (f *planFlags) plan(cfg config.Config) (*plan, error) {
-	sites := &site.Sites{Zones: zones.Defaults()}
+	sites := &site.Zones{Settings: zones.Defaults()}
 	if f.site != "" {
 		s, err := site.LoadFile(f.site)
 		if err != nil {
 			return nil, err
 		}
-		if s.Sites != nil {
-			sites = s.Sites
+		if s.Zones != nil {
+			sites = s.Zones
 		}
 	}
 	if !(f.load > 0) || f.at < 0 || f.after <= 0 || f.length <= 0 || f.length > time.Hour {
@@ -138,7 +138,7 @@
 		ColdSpeed: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, WarmupTime: cfg.Settings.Rules.Constraints.SlowStartPeriod,
 	}
 	cores := make([]float64, len(names))
-	for _, e := range cfg.Known.Engines {
+	for _, e := range cfg.InitialList.Engines {
 		z, k := slices.Index(names, e.Zone), slices.Index(cfg.Settings.KindNames, e.Kind)
 		if z >= 0 && k >= 0 && k < len(cfg.Settings.Rules.Kinds) && e.State == config.StateActive {
 			cores[z] += cfg.Settings.Rules.Kinds[k].Cores
@@ -181,7 +181,7 @@
 func span(d time.Duration) rules.Time { return rules.Time(d / time.Microsecond) }
 
 // classSpecs are the classes by their part of the work, and by what they earn for it.
-func classSpecs(cfg config.Config, sites *site.Sites) []zones.ClassSpec {
+func classSpecs(cfg config.Config, sites *site.Zones) []zones.ClassSpec {
 	n := len(cfg.Settings.ClassNames)
 	out := make([]zones.ClassSpec, n)
 	total := 0.0
@@ -190,7 +190,7 @@
 		part, work := 1.0, float64(c.LatencyObjective)*float64(max(1, c.Threads))
 		for _, k := range sites.Classes {
 			if k.Name == name {
-				part, work = k.Requests*float64(k.Work), float64(k.Work)
+				part, work = k.RequestWeight*float64(k.MeanWork), float64(k.MeanWork)
 			}
 		}
 		out[i] = zones.ClassSpec{Name: name, DemandFraction: part, ValuePerCoreSecond: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
--- a/cmd/foxlane/spool.go
+++ b/cmd/foxlane/spool.go
@@ -74,14 +74,14 @@
 		return err
 	}
 	defer folder.Close()
-	store, rec, err := disk.Open(folder, disk.Options{Segment: 64 << 20, ReadOnly: readOnly})
+	store, rec, err := disk.Open(folder, disk.Options{SegmentBytes: 64 << 20, ReadOnly: readOnly})
 	if err != nil {
 		return err
 	}
 	return errors.Join(do(store, rec), store.Close())
 }
 
-func size(places []spool.Place) (n int64) {
+func size(places []spool.Location) (n int64) {
 	for _, p := range places {
 		n += int64(p.Size)
 	}
@@ -93,19 +93,19 @@
 func spoolList(out io.Writer, rec *disk.Recovery, now time.Time) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "id\ttenant\tclass\tchunks\tbytes\tcreated\tlease\t")
-	for _, f := range rec.Found {
+	for _, f := range rec.Results {
 		state := ""
-		if f.Meta.Lease < now.UnixMicro() {
+		if f.Meta.LeaseEnd < now.UnixMicro() {
 			state = "over"
 		}
-		fmt.Fprintf(t, "%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", f.ID[:], f.Meta.Tenant, f.Meta.Class, len(f.Places), size(f.Places),
-			at(f.Meta.Created), at(f.Meta.Lease), state)
+		fmt.Fprintf(t, "%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", f.ID[:], f.Meta.Tenant, f.Meta.Class, len(f.Locations), size(f.Locations),
+			at(f.Meta.Created), at(f.Meta.LeaseEnd), state)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Found), len(rec.Lost),
-		rec.Partial, rec.Torn)
+	_, err := fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
+		rec.Unfinished, rec.TornBytes)
 	return err
 }
 
@@ -114,12 +114,12 @@
 	if err != nil || len(raw) != len(spool.ID{}) {
 		return fmt.Errorf("spool: %.40q is no id; it has 32 hex digits, as ls prints them", name)
 	}
-	for _, f := range rec.Found {
+	for _, f := range rec.Results {
 		if string(f.ID[:]) != string(raw) {
 			continue
 		}
-		fmt.Fprintf(out, "created %s, lease until %s\n", at(f.Meta.Created), at(f.Meta.Lease))
-		for n, p := range f.Places {
+		fmt.Fprintf(out, "created %s, lease until %s\n", at(f.Meta.Created), at(f.Meta.LeaseEnd))
+		for n, p := range f.Locations {
 			fmt.Fprintf(out, "chunk %d: segment %d at %d, %d bytes\n", n, p.Segment, p.Offset, p.Size)
 		}
 		return nil
@@ -138,19 +138,19 @@
 		if d.Known {
 			whose = fmt.Sprintf("of result %x", d.ID[:])
 		}
-		fmt.Fprintf(out, "segment %d: %d bytes at %d are damaged, %s\n", d.Segment, d.Size, d.From, whose)
+		fmt.Fprintf(out, "segment %d: %d bytes at %d are damaged, %s\n", d.Segment, d.Size, d.Offset, whose)
 	}
 	bad := 0
-	for _, f := range rec.Found {
-		for n, p := range f.Places {
+	for _, f := range rec.Results {
+		for n, p := range f.Locations {
 			if _, err := s.Read(f.ID, n, p); err != nil {
 				bad++
 				fmt.Fprintf(out, "result %x, chunk %d: %v\n", f.ID[:], n, err)
 			}
 		}
 	}
-	fmt.Fprintf(out, "%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Found), len(rec.Lost),
-		rec.Partial, rec.Torn)
+	fmt.Fprintf(out, "%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
+		rec.Unfinished, rec.TornBytes)
 	if len(rec.Damage) > 0 || bad > 0 {
 		return fmt.Errorf("spool: %d stretches are damaged, %d chunks can't be read", len(rec.Damage), bad)
 	}
@@ -160,18 +160,18 @@
 func spoolGC(out io.Writer, s *disk.Store, rec *disk.Recovery, now time.Time, yes bool) error {
 	var over []spool.ID
 	bytes := int64(0)
-	for _, f := range rec.Found {
-		if f.Meta.Lease < now.UnixMicro() {
+	for _, f := range rec.Results {
+		if f.Meta.LeaseEnd < now.UnixMicro() {
 			over = append(over, f.ID)
-			bytes += size(f.Places)
+			bytes += size(f.Locations)
 		}
 	}
 	if !yes {
-		_, err := fmt.Fprintf(out, "%d of %d results are over, %d bytes; --yes drops them\n", len(over), len(rec.Found), bytes)
+		_, err := fmt.Fprintf(out, "%d of %d results are over, %d bytes; --yes drops them\n", len(over), len(rec.Results), bytes)
 		return err
 	}
 	before := s.Bytes()
-	for _, d := range s.Commit(disk.Drops(over)) {
+	for _, d := range s.Commit(disk.DropEffects(over)) {
 		if d.Err != nil {
 			return d.Err
 		}
@@ -181,7 +181,7 @@
 		if _, err := s.Compact(); err != nil {
 			return err
 		}
-		if s.Waste() < last/10 {
+		if s.WastedBytes() < last/10 {
 			break
 		}
 	}
--- a/cmd/foxlane/spool_test.go
+++ b/cmd/foxlane/spool_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := disk.Open(folder, disk.Options{Segment: 4000, Salt: 5})
+	s, _, err := disk.Open(folder, disk.Options{SegmentBytes: 4000, Salt: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,9 +28,9 @@
 		id := spool.ID{byte(k + 1)}
 		rows := strings.Repeat("a\tb\tc\n", 100)
 		for _, d := range s.Commit([]spool.Effect{
-			{ID: id, Record: segment.Open, Data: segment.AppendMeta(nil, segment.Meta{Tenant: 7, Created: 1, Lease: lease.UnixMicro()})},
-			{ID: id, Record: segment.Page, Data: []byte(rows)},
-			{ID: id, Record: segment.Seal, N: 1, Data: segment.AppendSum(nil, segment.Sum{Pages: 1, Bytes: uint64(len(rows))})},
+			{ID: id, Record: segment.Open, Data: segment.AppendMeta(nil, segment.Meta{Tenant: 7, Created: 1, LeaseEnd: lease.UnixMicro()})},
+			{ID: id, Record: segment.Chunk, Data: []byte(rows)},
+			{ID: id, Record: segment.Seal, Index: 1, Data: segment.AppendSummary(nil, segment.Summary{Chunks: 1, Bytes: uint64(len(rows))})},
 		}) {
 			if d.Err != nil {
 				t.Fatal(d.Err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,21 +27,21 @@
 
 // Config is all that a gateway is told.
 type Config struct {
-	Name     string
-	Listen   netip.AddrPort
-	Seed     uint64
-	DNS      netip.AddrPort
-	Known    Known
-	Settings settings.Settings
-	Limits   Limits
-	SitePath string     // of the operator's own file; empty: none
-	Site     *site.Site // nil: none
-	Trace    bool       // the life of each request goes to the log; set by who starts the gateway
-	Entropy  [32]byte   // of the system, for what nobody may guess; set by who starts the gateway
+	Name        string
+	Listen      netip.AddrPort
+	Seed        uint64
+	DNS         netip.AddrPort
+	InitialList EngineList
+	Settings    settings.Settings
+	Limits      Limits
+	SitePath    string       // of the operator's own file; empty: none
+	Site        *site.Config // nil: none
+	Trace       bool         // the life of each request goes to the log; set by who starts the gateway
+	Entropy     [32]byte     // of the system, for what nobody may guess; set by who starts the gateway
 }
 
-// Known is the list of engines at the start.
-type Known struct {
+// EngineList is the list of engines at the start.
+type EngineList struct {
 	Seq     uint32
 	Engines []Engine
 }
@@ -60,12 +60,12 @@
 
 // States of an Engine.
 const (
-	StateActive  = "active"
-	StateLeaving = "leaving"
-	StateLeft    = "left"
+	StateActive   = "active"
+	StateDraining = "leaving"
+	StateRemoved  = "left"
 )
 
-type fileEngine struct {
+type wireEngine struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -76,15 +76,15 @@
 	Started int64   `json:"started_ms"`
 }
 
-type fileEvent struct {
+type wireListEvent struct {
 	Seq   uint32 `json:"seq"`
 	Fleet *struct {
 		Full    bool         `json:"full"`
-		Servers []fileEngine `json:"servers"`
+		Servers []wireEngine `json:"servers"`
 	} `json:"fleet"`
 }
 
-type file struct {
+type wireConfig struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -95,8 +95,8 @@
 	} `json:"limits"`
 	DNS   string `json:"dns"`
 	Known struct {
-		Seq     uint32      `json:"seq"`
-		Results []fileEvent `json:"results"`
+		Seq     uint32          `json:"seq"`
+		Results []wireListEvent `json:"results"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
@@ -129,26 +129,26 @@
 	if err != nil {
 		return c, err
 	}
-	if c.SitePath, c.Site = path, s; s.Fair != nil && s.Fair.State > 0 {
-		c.Limits.DoorState = int(s.Fair.State)
+	if c.SitePath, c.Site = path, s; s.Admission != nil && s.Admission.StateBytes > 0 {
+		c.Limits.AdmissionStateBytes = int(s.Admission.StateBytes)
 	}
-	if s.Fair != nil && int64(c.Limits.DoorState) > c.Limits.MemoryBytes/4 {
-		return c, fmt.Errorf("site %s: state is %d bytes, over a quarter of the %d that the gateway may use", path, c.Limits.DoorState,
+	if s.Admission != nil && int64(c.Limits.AdmissionStateBytes) > c.Limits.MemoryBytes/4 {
+		return c, fmt.Errorf("site %s: state is %d bytes, over a quarter of the %d that the gateway may use", path, c.Limits.AdmissionStateBytes,
 			c.Limits.MemoryBytes)
 	}
 	return c, nil
 }
 
-// spooling answers whether results are kept, and where.
-func (c Config) spooling() (on bool, folder string) {
+// spoolFolder answers whether results are kept, and where.
+func (c Config) spoolFolder() (on bool, folder string) {
 	if c.Site == nil || c.Site.Spool == nil {
 		return false, ""
 	}
 	return true, c.Site.Spool.Folder
 }
 
-// fair answers whether the door is on.
-func (c Config) fair() bool { return c.Site != nil && c.Site.Fair != nil }
+// admissionEnabled answers whether the door is on.
+func (c Config) admissionEnabled() bool { return c.Site != nil && c.Site.Admission != nil }
 
 // Reload reads the configuration again for a gateway that serves. The name
 // service's address and what it is known to have told may change, the seed is
@@ -163,11 +163,11 @@
 	if next, err = next.WithSite(c.SitePath); err != nil {
 		return c, err
 	}
-	if c.fair() != next.fair() {
+	if c.admissionEnabled() != next.admissionEnabled() {
 		return c, errors.New("the block fair can't come or go while the gateway serves")
 	}
-	on, folder := c.spooling()
-	if nextOn, nextFolder := next.spooling(); on != nextOn || folder != nextFolder {
+	on, folder := c.spoolFolder()
+	if nextOn, nextFolder := next.spoolFolder(); on != nextOn || folder != nextFolder {
 		return c, errors.New("the block spool can't come or go, nor its folder change, while the gateway serves")
 	}
 	for _, fixed := range []struct {
@@ -183,7 +183,7 @@
 			return c, fmt.Errorf("%s can't change while the gateway serves", fixed.name)
 		}
 	}
-	c.DNS, c.Known, c.Site = next.DNS, next.Known, next.Site
+	c.DNS, c.InitialList, c.Site = next.DNS, next.InitialList, next.Site
 	return c, nil
 }
 
@@ -202,7 +202,7 @@
 
 // Parse reads a configuration.
 func Parse(raw []byte) (c Config, err error) {
-	var f file
+	var f wireConfig
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return c, err
 	}
@@ -225,18 +225,18 @@
 	if err := uniqueNames(c.Settings.ClassNames); err != nil {
 		return c, err
 	}
-	if c.Known, err = replay(f.Known.Seq, f.Known.Results); err != nil {
+	if c.InitialList, err = replay(f.Known.Seq, f.Known.Results); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
-	if c.Limits, err = newLimits(f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets, c.Settings); err != nil {
+	if c.Limits, err = deriveLimits(f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets, c.Settings); err != nil {
 		return c, err
 	}
 	// What the module reckons with is what a dial may take here.
-	c.Settings.Rules.Limits.ConnectTimeout = c.Limits.Connect
+	c.Settings.Rules.Limits.ConnectTimeout = c.Limits.ConnectTimeout
 	// On sockets, clients can have no more requests open than they have connections.
 	open := &c.Settings.Rules.Limits.MaxOpenRequests
-	if *open <= 0 || *open > c.Limits.ClientShare {
-		*open = c.Limits.ClientShare
+	if *open <= 0 || *open > c.Limits.ClientQuota {
+		*open = c.Limits.ClientQuota
 	}
 	return c, nil
 }
@@ -256,7 +256,7 @@
 }
 
 // replay follows the events of the list up to the start.
-func replay(last uint32, events []fileEvent) (k Known, err error) {
+func replay(last uint32, events []wireListEvent) (k EngineList, err error) {
 	k.Seq = last
 	at := map[string]int{}
 	for _, e := range events {
@@ -286,7 +286,7 @@
 	}
 	listed := k.Engines[:0]
 	for _, e := range k.Engines {
-		if e.State != StateLeft {
+		if e.State != StateRemoved {
 			listed = append(listed, e)
 		}
 	}
@@ -294,17 +294,17 @@
 	return k, nil
 }
 
-func (s fileEngine) engine() (Engine, error) {
+func (s wireEngine) engine() (Engine, error) {
 	e := Engine{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: s.Weight, Started: s.Started}
 	if s.ID == "" || s.Cell < 0 || s.Started < 0 {
 		return e, errors.New("an unusable value")
 	}
 	switch s.State {
-	case StateActive, StateLeaving:
+	case StateActive, StateDraining:
 		addr, err := netip.ParseAddrPort(s.Addr)
 		e.Addr = addr
 		return e, err
-	case StateLeft:
+	case StateRemoved:
 		return e, nil
 	}
 	return e, fmt.Errorf("unknown state %q", s.State)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,20 +25,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.DNS.Port() != 5300 || c.Known.Seq != 3 {
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.DNS.Port() != 5300 || c.InitialList.Seq != 3 {
 		t.Errorf("got %+v", c)
 	}
-	if len(c.Known.Engines) != 1 || c.Known.Engines[0].ID != "a" || c.Known.Engines[0].State != StateLeaving || c.Known.Engines[0].Started != 5 {
-		t.Errorf("engines: %+v", c.Known.Engines)
+	if len(c.InitialList.Engines) != 1 || c.InitialList.Engines[0].ID != "a" || c.InitialList.Engines[0].State != StateDraining || c.InitialList.Engines[0].Started != 5 {
+		t.Errorf("engines: %+v", c.InitialList.Engines)
 	}
 	l := c.Limits
-	if c.Settings.Rules.Limits.MaxOpenRequests != 341 || l.Multiplex != 32 || l.LinkIdle != 13*rules.Second || l.StopWithin != 2800*rules.Millisecond {
+	if c.Settings.Rules.Limits.MaxOpenRequests != 341 || l.Multiplex != 32 || l.EngineIdleTimeout != 13*rules.Second || l.ShutdownTimeout != 2800*rules.Millisecond {
 		t.Errorf("limits: %+v, open %d", l, c.Settings.Rules.Limits.MaxOpenRequests)
 	}
-	if sum := l.Clients + l.AllLinks + reserve; sum > l.Sockets {
+	if sum := l.MaxClients + l.MaxConns + reservedDescriptors; sum > l.Sockets {
 		t.Errorf("%d descriptors are shared out of %d", sum, l.Sockets)
 	}
-	if sum := int64(l.InputBytes+l.ResultBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
+	if sum := int64(l.MaxInputBytes+l.ResultBufferBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
 		t.Errorf("%d bytes are shared out of %d", sum, l.MemoryBytes)
 	}
 }
@@ -114,8 +114,8 @@
 		`8c1f30d27a5be964`, `01`).Replace(sample)
 	write(moved)
 	next, err := first.Reload()
-	if err != nil || next.DNS.String() != "10.2.0.9:5301" || next.Known.Seq != 4 || next.Seed != first.Seed {
-		t.Errorf("a new name service: %v, %v, known up to %d", err, next.DNS, next.Known.Seq)
+	if err != nil || next.DNS.String() != "10.2.0.9:5301" || next.InitialList.Seq != 4 || next.Seed != first.Seed {
+		t.Errorf("a new name service: %v, %v, known up to %d", err, next.DNS, next.InitialList.Seq)
 	}
 	for name, text := range map[string]string{
 		"half written":     moved[:len(moved)/2],
@@ -126,8 +126,8 @@
 		"another deadline": strings.Replace(moved, `2500000`, `2600000`, 1),
 	} {
 		write(text)
-		if kept, err := first.Reload(); err == nil || kept.DNS != first.DNS || kept.Known.Seq != 3 {
-			t.Errorf("%s: %v, name service %v, known up to %d", name, err, kept.DNS, kept.Known.Seq)
+		if kept, err := first.Reload(); err == nil || kept.DNS != first.DNS || kept.InitialList.Seq != 3 {
+			t.Errorf("%s: %v, name service %v, known up to %d", name, err, kept.DNS, kept.InitialList.Seq)
 		}
 	}
 	if err := os.Remove(path); err != nil {
@@ -155,13 +155,13 @@
 	if err == nil {
 		first, err = first.WithSite(own)
 	}
-	if err != nil || first.Site.Fair == nil || first.Limits.DoorState != 2<<20 {
+	if err != nil || first.Site.Admission == nil || first.Limits.AdmissionStateBytes != 2<<20 {
 		t.Fatalf("%v, %+v", err, first.Site)
 	}
 	write(own, "fair {\n state = \"2MB\"\n ahead = 7\n}\n")
 	write(path, strings.Replace(sample, "10.2.0.1:5300", "10.2.0.9:5300", 1))
 	next, err := first.Reload()
-	if err != nil || next.Site.Fair.Door.ModuleQueueDepth != 7 || next.DNS.String() != "10.2.0.9:5300" {
+	if err != nil || next.Site.Admission.Settings.ModuleQueueDepth != 7 || next.DNS.String() != "10.2.0.9:5300" {
 		t.Errorf("%v, %+v", err, next.Site)
 	}
 	for name, text := range map[string]string{
@@ -190,10 +190,10 @@
 			continue
 		}
 		l := c.Limits
-		if sum := l.Clients + l.AllLinks + reserve; sum > l.Sockets || l.ClientShare > l.Clients {
-			t.Errorf("%+v: %d descriptors are shared out, %d of %d clients' connections are used", m, sum, l.ClientShare, l.Clients)
+		if sum := l.MaxClients + l.MaxConns + reservedDescriptors; sum > l.Sockets || l.ClientQuota > l.MaxClients {
+			t.Errorf("%+v: %d descriptors are shared out, %d of %d clients' connections are used", m, sum, l.ClientQuota, l.MaxClients)
 		}
-		if sum := int64(l.InputBytes+l.ResultBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
+		if sum := int64(l.MaxInputBytes+l.ResultBufferBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
 			t.Errorf("%+v: %d bytes are shared out of %d", m, sum, l.MemoryBytes)
 		}
 	}
@@ -203,15 +203,15 @@
 // ones that linger among them, connections to engines, and what the process needs for itself, a reload included.
 func TestDescriptorsAddUp(t *testing.T) {
 	const own = 3 + 4 + 1 + 2 + 1 + 1 + 2 // streams, pollers and their wakes, listener, name service, a file, what plugs, connections being handed over
-	for sockets := minFDs; sockets <= 1024; sockets++ {
-		l, err := newLimits(0.25, minMemory, sockets, settings.Settings{})
+	for sockets := minSockets; sockets <= 1024; sockets++ {
+		l, err := deriveLimits(0.25, minMemoryMB, sockets, settings.Settings{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := l.Clients + l.AcceptAhead + l.AllLinks + l.Plugs + own; n > sockets {
+		if n := l.MaxClients + l.AcceptOverflow + l.MaxConns + l.MaxReservedDescriptors + own; n > sockets {
 			t.Fatalf("%d descriptors at a time, %d are allowed", n, sockets)
 		}
-		if l.Lingering >= l.AcceptAhead || l.ListSilent >= l.ListTold {
+		if l.MaxLingering >= l.AcceptOverflow || l.ResolverTimeout >= l.MaxListDelay {
 			t.Fatalf("%d sockets: %+v", sockets, l)
 		}
 	}
@@ -220,7 +220,7 @@
 		sockets       int
 		key           string
 	}{{0, 64, 256, "cores"}, {1, 0, 256, "memory_mb"}, {1, 64, 0, "sockets"}} {
-		if _, err := newLimits(bad.cores, bad.memory, bad.sockets, settings.Settings{}); err == nil || !strings.Contains(err.Error(), bad.key) {
+		if _, err := deriveLimits(bad.cores, bad.memory, bad.sockets, settings.Settings{}); err == nil || !strings.Contains(err.Error(), bad.key) {
 			t.Errorf("%+v: got %v", bad, err)
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -80,7 +80,7 @@
 	list.adopt(serial, engines)
 	list.support = maxSupport
 	for i := range engines {
-		if engines[i].State == config.StateLeaving {
+		if engines[i].State == config.StateDraining {
 			list.restrict(engines[i].ID, engines[i].Started)
 		}
 	}
@@ -100,7 +100,7 @@
 	engines = slices.Clone(l.engines)
 	for i := range engines {
 		if rec := l.records[engines[i].ID]; rec != nil && rec.restricted {
-			engines[i].State = config.StateLeaving
+			engines[i].State = config.StateDraining
 		}
 	}
 	return engines, true
@@ -189,7 +189,7 @@
 	for id, rec := range l.records {
 		at, held := l.index[id]
 		switch {
-		case held && l.engines[at].State != config.StateLeaving:
+		case held && l.engines[at].State != config.StateDraining:
 			l.confirm(&l.engines[at], Confirmed)
 		default:
 			rec.confirmations = 0
@@ -206,7 +206,7 @@
 		named[entry.ID] = true
 		_, known := l.index[entry.ID]
 		switch {
-		case entry.State != config.StateLeaving:
+		case entry.State != config.StateDraining:
 			l.confirm(entry, verdict)
 		case known || l.records[entry.ID] != nil || verdict != Unordered:
 			l.restrict(entry.ID, entry.Started)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -73,7 +73,7 @@
 
 const (
 	on  = config.StateActive
-	off = config.StateLeaving
+	off = config.StateDraining
 )
 
 func TestNewerListHoldsAtOnce(t *testing.T) {
--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -15,7 +15,7 @@
 var (
 	ErrShort     = errors.New("dns: the answer ends early")
 	ErrName      = errors.New("dns: a name is malformed or loops")
-	ErrNotOurs   = errors.New("dns: not an answer to this query")
+	ErrMismatch  = errors.New("dns: not an answer to this query")
 	ErrTruncated = errors.New("dns: the answer is truncated")
 	ErrRefused   = errors.New("dns: the name service reports an error")
 	ErrRecord    = errors.New("dns: a record is malformed")
@@ -23,16 +23,16 @@
 )
 
 const (
-	headerSize = 12
-	nameMost   = 255
-	labelMost  = 63
-	jumpsMost  = 32
-	classIN    = 1
-	typeA      = 1
-	typeSOA    = 6
-	typeTXT    = 16
-	typeSRV    = 33
-	soaFixed   = 20 // five numbers behind the two names
+	headerSize    = 12
+	maxNameBytes  = 255
+	maxLabelBytes = 63
+	maxJumps      = 32
+	classIN       = 1
+	typeA         = 1
+	typeSOA       = 6
+	typeTXT       = 16
+	typeSRV       = 33
+	soaFixed      = 20 // five numbers behind the two names
 
 	flagAnswer    = 1 << 15
 	flagTruncated = 1 << 9
@@ -111,10 +111,10 @@
 				r.at, jumped = at+2, true
 			}
 			at = n&0x3f<<8 | int(r.msg[at+1])
-			if jumps++; jumps > jumpsMost {
+			if jumps++; jumps > maxJumps {
 				return "", ErrName
 			}
-		case n > labelMost:
+		case n > maxLabelBytes:
 			return "", ErrName
 		default:
 			if at+1+n > len(r.msg) {
@@ -124,7 +124,7 @@
 				out.WriteByte('.')
 			}
 			out.Write(r.msg[at+1 : at+1+n])
-			if out.Len() > nameMost {
+			if out.Len() > maxNameBytes {
 				return "", ErrName
 			}
 			at += 1 + n
@@ -160,7 +160,7 @@
 	return rec, nil
 }
 
-type details struct {
+type hostDetails struct {
 	addr    netip.Addr
 	kind    string
 	cell    int
@@ -172,12 +172,12 @@
 func Parse(msg []byte, id uint16, name string) (Answer, error) {
 	var a Answer
 	if got, ok := ID(msg); !ok || got != id {
-		return a, ErrNotOurs
+		return a, ErrMismatch
 	}
 	flags := binary.BigEndian.Uint16(msg[2:])
 	switch {
 	case flags&flagAnswer == 0 || flags&maskOpcode != 0:
-		return a, ErrNotOurs
+		return a, ErrMismatch
 	case flags&flagTruncated != 0:
 		return a, ErrTruncated
 	case flags&maskCode != 0:
@@ -192,7 +192,7 @@
 
 func (r *reader) question(name string) error {
 	if binary.BigEndian.Uint16(r.msg[4:]) != 1 {
-		return ErrNotOurs
+		return ErrMismatch
 	}
 	asked, err := r.name()
 	if err != nil {
@@ -204,7 +204,7 @@
 		return ErrShort
 	}
 	if !strings.EqualFold(asked, strings.TrimSuffix(name, ".")) || kind != typeSRV || class != classIN {
-		return ErrNotOurs
+		return ErrMismatch
 	}
 	return nil
 }
@@ -214,7 +214,7 @@
 	for i := 6; i < headerSize; i += 2 {
 		count += int(binary.BigEndian.Uint16(r.msg[i:]))
 	}
-	of := map[string]*details{}
+	of := map[string]*hostDetails{}
 	var targets []string
 	serial := false
 	for range count {
@@ -235,10 +235,10 @@
 		case typeA, typeTXT:
 			d := of[rec.name]
 			if d == nil {
-				d = &details{}
+				d = &hostDetails{}
 				of[rec.name] = d
 			}
-			if err := rec.detail(d); err != nil {
+			if err := rec.hostDetail(d); err != nil {
 				return err
 			}
 		case typeSOA:
@@ -282,7 +282,7 @@
 	return h, target, nil
 }
 
-func (rec *record) detail(d *details) error {
+func (rec *record) hostDetail(d *hostDetails) error {
 	data := rec.data.msg[rec.data.at:]
 	if rec.kind == typeA {
 		addr, ok := netip.AddrFromSlice(data)
--- a/internal/dns/dns_test.go
+++ b/internal/dns/dns_test.go
@@ -83,14 +83,14 @@
 		msg  []byte
 		want error
 	}{
-		"another id":       {change(1, 8), ErrNotOurs},
-		"a query":          {change(2, 0), ErrNotOurs},
+		"another id":       {change(1, 8), ErrMismatch},
+		"a query":          {change(2, 0), ErrMismatch},
 		"truncated flag":   {change(2, 0x86), ErrTruncated},
 		"server failure":   {change(3, 2), ErrRefused},
-		"another question": {change(14, 'x'), ErrNotOurs},
+		"another question": {change(14, 'x'), ErrMismatch},
 		"a looping name":   {loop, ErrName},
 		"a record too few": {change(11, 3), ErrMissing},
-		"empty":            {nil, ErrNotOurs},
+		"empty":            {nil, ErrMismatch},
 	} {
 		if _, err := Parse(c.msg, 7, name); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", what, err, c.want)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,53 +17,53 @@
 	ErrLineTooLong = errors.New("engine: line is too long")
 	ErrBodyTooLong = errors.New("engine: body is too long")
 	ErrMalformed   = errors.New("engine: malformed answer")
-	ErrUnknownWord = errors.New("engine: unknown word")
+	ErrUnknownKind = errors.New("engine: unknown word")
 	ErrBadField    = errors.New("engine: unusable field")
 )
 
-// Word is what an answer says.
-type Word int
+// Kind is what an answer says.
+type Kind int
 
 // Words.
 const (
-	Served Word = iota + 1
-	Overload
-	Crashed
-	Nobody
-	Rows
-	Green
-	Red
-	Update // how a request that runs gets on; no end of it
+	Served Kind = iota + 1
+	Overloaded
+	Errored
+	NotExecuted
+	FurtherPage
+	Healthy
+	Unhealthy
+	Progress // how a request that runs gets on; no end of it
 )
 
-var words = map[string]Word{
-	"served": Served, "overload": Overload, "crashed": Crashed, "nobody": Nobody, "rows": Rows, "green": Green, "red": Red, "update": Update,
+var kindOf = map[string]Kind{
+	"served": Served, "overload": Overloaded, "crashed": Errored, "nobody": NotExecuted, "rows": FurtherPage, "green": Healthy, "red": Unhealthy, "update": Progress,
 }
 
 // Answer is one answer. Its bytes are valid until the next Feed.
 type Answer struct {
-	ID      []byte
-	Word    Word
-	Total   int     // pages of the result, with Served
-	Index   int     // number of the page, with Rows
-	Elapsed float64 // work in milliseconds; 0: not told
-	RSS     float64 // memory in MB; 0: not told
-	Report  []byte  // load report, as it came; nil: none
-	Body    []byte
+	ID        []byte
+	Kind      Kind
+	PageCount int     // pages of the result, with Served
+	Page      int     // number of the page, with Rows
+	WorkMS    float64 // work in milliseconds; 0: not told
+	MemoryMB  float64 // memory in MB; 0: not told
+	Report    []byte  // load report, as it came; nil: none
+	Body      []byte
 }
 
 // Decoder cuts an engine's stream into answers.
 type Decoder struct {
-	MaxLine int
-	MaxBody int
-	in      framebuf.Buffer
+	MaxLineBytes int
+	MaxBodyBytes int
+	in           framebuf.Buffer
 }
 
 // Feed adds bytes that have come; they are copied.
 func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
 
-// Held is how many bytes wait for the rest of their answer.
-func (d *Decoder) Held() int { return d.in.Len() }
+// Buffered is how many bytes wait for the rest of their answer.
+func (d *Decoder) Buffered() int { return d.in.Len() }
 
 var crlf = []byte("\r\n")
 
@@ -71,9 +71,9 @@
 // After an error the stream can't be read on.
 func (d *Decoder) Next() (a Answer, ok bool, err error) {
 	b := d.in.Bytes()
-	end := bytes.Index(b[:min(len(b), d.MaxLine)], crlf)
+	end := bytes.Index(b[:min(len(b), d.MaxLineBytes)], crlf)
 	if end < 0 {
-		if len(b) >= d.MaxLine {
+		if len(b) >= d.MaxLineBytes {
 			return a, false, ErrLineTooLong
 		}
 		if !printable(bytes.TrimSuffix(b, crlf[:1])) {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return a, false, err
 	}
-	if size > d.MaxBody {
+	if size > d.MaxBodyBytes {
 		return a, false, ErrBodyTooLong
 	}
 	whole := end + len(crlf) + size + len(crlf)
@@ -121,8 +121,8 @@
 		return a, 0, ErrMalformed
 	}
 	a.ID = id
-	if a.Word = words[string(word)]; a.Word == 0 {
-		return a, 0, ErrUnknownWord
+	if a.Kind = kindOf[string(word)]; a.Kind == 0 {
+		return a, 0, ErrUnknownKind
 	}
 	return a, size, a.fields(fields)
 }
@@ -153,13 +153,13 @@
 		}
 		switch string(name) {
 		case "total":
-			a.Total, ok = number(value)
+			a.PageCount, ok = number(value)
 		case "index":
-			a.Index, ok = number(value)
+			a.Page, ok = number(value)
 		case "elapsed":
-			a.Elapsed, ok = decimal(value)
+			a.WorkMS, ok = decimal(value)
 		case "rss":
-			a.RSS, ok = decimal(value)
+			a.MemoryMB, ok = decimal(value)
 		case "rep":
 			a.Report = value
 		}
@@ -170,13 +170,13 @@
 	return nil
 }
 
-// mostFigure is over all that milliseconds, megabytes or a report can be.
-const mostFigure = 1e9
+// maxFigure is over all that milliseconds, megabytes or a report can be.
+const maxFigure = 1e9
 
 // decimal reads a figure that is not negative and within bounds.
 func decimal(b []byte) (float64, bool) {
 	f, err := strconv.ParseFloat(string(b), 64)
-	return f, err == nil && f >= 0 && f < mostFigure
+	return f, err == nil && f >= 0 && f < maxFigure
 }
 
 // ParseReport reads a load report such as inflight:7;util:0.61. What can't be read is left out.
@@ -197,33 +197,33 @@
 	return out
 }
 
-// Ask is a request.
-type Ask struct {
-	ID        string
-	Class     string
-	TTL       int64 // milliseconds
-	MemoryMB  int64 // 0: the engine chooses
-	Priority  int
-	Once      string // the key by which engines drop repeats, as the client sent it; empty: none
-	Statement []byte
+// Request is a request.
+type Request struct {
+	ID             string
+	Class          string
+	TimeoutMS      int64 // milliseconds
+	MemoryMB       int64 // 0: the engine chooses
+	Priority       int
+	IdempotencyKey string // the key by which engines drop repeats, as the client sent it; empty: none
+	Statement      []byte
 }
 
 // DefaultPriority is that of a request that names none.
 const DefaultPriority = 1
 
-// AppendAsk appends a request.
-func AppendAsk(dst []byte, a Ask) []byte {
+// AppendRequest appends a request.
+func AppendRequest(dst []byte, a Request) []byte {
 	dst = append(append(dst, "ASK "...), a.ID...)
 	dst = append(append(dst, " lane="...), a.Class...)
-	dst = strconv.AppendInt(append(dst, ",ttl="...), a.TTL, 10)
+	dst = strconv.AppendInt(append(dst, ",ttl="...), a.TimeoutMS, 10)
 	if a.MemoryMB > 0 {
 		dst = strconv.AppendInt(append(dst, ",pool="...), a.MemoryMB, 10)
 	}
 	if a.Priority != DefaultPriority {
 		dst = strconv.AppendInt(append(dst, ",band="...), int64(a.Priority), 10)
 	}
-	if a.Once != "" {
-		dst = append(append(dst, ",dedupe="...), a.Once...)
+	if a.IdempotencyKey != "" {
+		dst = append(append(dst, ",dedupe="...), a.IdempotencyKey...)
 	}
 	dst = strconv.AppendInt(append(dst, ' '), int64(len(a.Statement)), 10)
 	dst = append(append(dst, crlf...), a.Statement...)
@@ -239,19 +239,23 @@
 	return append(strconv.AppendInt(dst, int64(n), 10), crlf...)
 }
 
-// AppendQuit gives a request up.
-func AppendQuit(dst []byte, id string) []byte { return append(appendCommand(dst, "QUIT", id), crlf...) }
+// AppendCancel gives a request up.
+func AppendCancel(dst []byte, id string) []byte {
+	return append(appendCommand(dst, "QUIT", id), crlf...)
+}
 
-// AppendFree says that no more pages are wanted.
-func AppendFree(dst []byte, id string) []byte { return append(appendCommand(dst, "FREE", id), crlf...) }
+// AppendRelease says that no more pages are wanted.
+func AppendRelease(dst []byte, id string) []byte {
+	return append(appendCommand(dst, "FREE", id), crlf...)
+}
 
 // AppendPriority names a new priority.
 func AppendPriority(dst []byte, id string, n int) []byte { return appendNumbered(dst, "PRIO", id, n) }
 
-// AppendNext asks for a page.
-func AppendNext(dst []byte, id string, n int) []byte { return appendNumbered(dst, "NEXT", id, n) }
+// AppendFetchPage asks for a page.
+func AppendFetchPage(dst []byte, id string, n int) []byte { return appendNumbered(dst, "NEXT", id, n) }
 
-// AppendInfo asks for health and load.
-func AppendInfo(dst []byte, tag string) []byte {
+// AppendProbe asks for health and load.
+func AppendProbe(dst []byte, tag string) []byte {
 	return append(appendCommand(dst, "INFO", tag), crlf...)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -11,7 +11,7 @@
 	stream := "9b served total=2,elapsed=12.5,rss=96,rep=inflight:7;util:0.61,new=1 4\r\na\tb\n\r\n" +
 		"9b rows index=1 2\r\n\r\n\r\n" + "x overload - 0\r\n\r\n" + "t1 green - 0\r\n\r\n"
 	for size := 1; size <= len(stream); size++ {
-		d := Decoder{MaxLine: 100, MaxBody: 10}
+		d := Decoder{MaxLineBytes: 100, MaxBodyBytes: 10}
 		var got []string
 		for rest := stream; rest != ""; {
 			n := min(size, len(rest))
@@ -26,11 +26,11 @@
 					break
 				}
 				got = append(got, string(a.ID)+"="+string(a.Body))
-				if a.Word == Served && (a.Total != 2 || a.Elapsed != 12.5 || a.RSS != 96 ||
+				if a.Kind == Served && (a.PageCount != 2 || a.WorkMS != 12.5 || a.MemoryMB != 96 ||
 					!maps.Equal(ParseReport(a.Report), map[string]float64{"inflight": 7, "util": 0.61})) {
 					t.Fatalf("got %+v", a)
 				}
-				if a.Word == Rows && a.Index != 1 {
+				if a.Kind == FurtherPage && a.Page != 1 {
 					t.Fatalf("got %+v", a)
 				}
 			}
@@ -53,13 +53,13 @@
 		{" served - 0\r\n", ErrMalformed},
 		{"a served - -1\r\n", ErrMalformed},
 		{"a served - 1\r\nabc", ErrMalformed},
-		{"a dance - 0\r\n\r\n", ErrUnknownWord},
+		{"a dance - 0\r\n\r\n", ErrUnknownKind},
 		{"a served total=x 0\r\n\r\n", ErrBadField},
 		{"a served total 0\r\n\r\n", ErrBadField},
 		{"a served elapsed=NaN 0\r\n\r\n", ErrBadField},
 		{"a rows index=-1 0\r\n\r\n", ErrBadField},
 	} {
-		d := Decoder{MaxLine: 100, MaxBody: 10}
+		d := Decoder{MaxLineBytes: 100, MaxBodyBytes: 10}
 		d.Feed([]byte(c.in))
 		if _, _, err := d.Next(); !errors.Is(err, c.want) {
 			t.Errorf("%.40q: got %v, want %v", c.in, err, c.want)
@@ -68,10 +68,10 @@
 }
 
 func TestCommands(t *testing.T) {
-	b := AppendAsk(nil, Ask{ID: "9b", Class: "point", TTL: 1500, MemoryMB: 96, Priority: 3, Statement: []byte("SELECT 1")})
-	b = AppendAsk(b, Ask{ID: "9c", Class: "point", TTL: 1, Priority: DefaultPriority})
-	b = AppendFree(AppendNext(AppendPriority(AppendQuit(b, "9b"), "9b", 2), "9b", 1), "9b")
-	b = AppendInfo(b, "t1")
+	b := AppendRequest(nil, Request{ID: "9b", Class: "point", TimeoutMS: 1500, MemoryMB: 96, Priority: 3, Statement: []byte("SELECT 1")})
+	b = AppendRequest(b, Request{ID: "9c", Class: "point", TimeoutMS: 1, Priority: DefaultPriority})
+	b = AppendRelease(AppendFetchPage(AppendPriority(AppendCancel(b, "9b"), "9b", 2), "9b", 1), "9b")
+	b = AppendProbe(b, "t1")
 	want := "ASK 9b lane=point,ttl=1500,pool=96,band=3 8\r\nSELECT 1\r\n" + "ASK 9c lane=point,ttl=1 0\r\n\r\n" +
 		"QUIT 9b\r\nPRIO 9b 2\r\nNEXT 9b 1\r\nFREE 9b\r\nINFO t1\r\n"
 	if string(b) != want {
@@ -87,7 +87,7 @@
 	f.Add("\x00\x17\xff\x80 served", 2)
 	f.Add("9b served total=1 0\r\n\r\n9b served total=1 0\r\n\r\n", 9)
 	f.Fuzz(func(t *testing.T, in string, cut int) {
-		d := Decoder{MaxLine: 100, MaxBody: 50}
+		d := Decoder{MaxLineBytes: 100, MaxBodyBytes: 50}
 		cut = max(0, min(cut, len(in)))
 		for _, part := range []string{in[:cut], in[cut:]} {
 			d.Feed([]byte(part))
--- a/internal/faultgateway/plants.go
+++ b/internal/faultgateway/plants.go
@@ -66,7 +66,7 @@
 	p.Reducer = func(cfg config.Config, now rules.Time) net.Reducer {
 		return &planted{Reducer: make(cfg, now), name: name, clock: clock, engines: map[gateway.ConnID]bool{}, clients: map[gateway.ConnID]string{},
 			asks: map[string]ask{}, dials: map[gateway.ConnID]netip.AddrPort{}, cold: map[netip.AddrPort]rules.Time{},
-			highest: cfg.Known.Seq, began: now, draining: map[netip.AddrPort]bool{}}
+			highest: cfg.InitialList.Seq, began: now, draining: map[netip.AddrPort]bool{}}
 	}
 	return p, nil
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -52,14 +52,14 @@
 
 // newAdmission returns the door that the operator has set, or nil.
 func newAdmission(cfg *config.Config) *admissionControl {
-	if cfg.Site == nil || cfg.Site.Fair == nil {
+	if cfg.Site == nil || cfg.Site.Admission == nil {
 		return nil
 	}
 	limits := cfg.Limits
-	sizes := admission.Limits{ConnectionSlots: limits.Clients + limits.AcceptAhead/2 + 1, Connections: limits.Clients, Requests: limits.Requests + 1, StatementBytes: limits.InputBytes, InputBytes: limits.InputBytes,
-		StateBytes: limits.DoorState}
+	sizes := admission.Limits{ConnectionSlots: limits.MaxClients + limits.AcceptOverflow/2 + 1, Connections: limits.MaxClients, Requests: limits.MaxRequests + 1, StatementBytes: limits.MaxInputBytes, InputBytes: limits.MaxInputBytes,
+		StateBytes: limits.AdmissionStateBytes}
 	return &admissionControl{
-		controller: admission.New(admissionSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.Tenants, cfg.Seed),
+		controller: admission.New(admissionSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.TenantNames, cfg.Seed),
 		conns:      newSlotTable[clientConn](sizes.ConnectionSlots),
 		requests:   newSlotTable[queryRequest](sizes.Requests),
 	}
@@ -67,7 +67,7 @@
 
 // admissionSettings are the operator's, within what the site allows: times of return only where clients may be told.
 func admissionSettings(cfg *config.Config) admission.Settings {
-	settings := cfg.Site.Fair.Door
+	settings := cfg.Site.Admission.Settings
 	switch limits := cfg.Settings.Rules.Limits; {
 	case !limits.RetryAfter:
 		settings.MaxRetryAfter = 0
@@ -127,7 +127,7 @@
 		}
 	case admission.AbortInput:
 		if client := control.conns.entries[effect.Conn]; client != nil && !client.closed {
-			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
+			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "too much input is unfinished"})
 		}
 	case admission.SetTimer:
 		control.wakeAt = effect.At
@@ -181,7 +181,7 @@
 		return
 	}
 	set := admissionSettings(&g.cfg)
-	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &set, DeclaredTenants: g.cfg.Settings.Tenants})
+	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &set, DeclaredTenants: g.cfg.Settings.TenantNames})
 }
 
 func (g *Gateway) wakeAdmission() {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -20,7 +20,7 @@
 	}
 	return func(cfg *config.Config) {
 		cfg.Site = s
-		cfg.Limits.Clients, cfg.Limits.Requests, cfg.Limits.ClientShare = conns, asks, conns
+		cfg.Limits.MaxClients, cfg.Limits.MaxRequests, cfg.Limits.ClientQuota = conns, asks, conns
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-func parseSite(t testing.TB, text string) *site.Site {
+func parseSite(t testing.TB, text string) *site.Config {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -17,7 +17,7 @@
 
 const serverVersion = "8.0.0-foxlane"
 
-var errAnswersUnread = &mysql.Error{Code: mysql.CodeTooLarge, Text: "answers are not read"}
+var errAnswersUnread = &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "answers are not read"}
 
 const (
 	clientUser     = "app"
@@ -46,10 +46,10 @@
 }
 
 func (g *Gateway) acceptClient(id ConnID, from netip.Addr) {
-	client := &clientConn{outputBuffer: outputBuffer{id: id}, loginPending: true, lastActive: g.now, openedAt: g.now, decoder: mysql.Decoder{Max: g.limits.Login}}
-	if g.stopped || g.admission == nil && len(g.clients) >= g.limits.Clients && !g.evictOne() {
+	client := &clientConn{outputBuffer: outputBuffer{id: id}, loginPending: true, lastActive: g.now, openedAt: g.now, decoder: mysql.Decoder{MaxPayload: g.limits.MaxLoginBytes}}
+	if g.stopped || g.admission == nil && len(g.clients) >= g.limits.MaxClients && !g.evictOne() {
 		g.log(Warn, "client: too many connections", Attr{"clients", len(g.clients)}, Attr{"stopped", g.stopped})
-		client.output = mysql.AppendErr(nil, 0, mysql.CodeTooMany, "Too many connections")
+		client.output = mysql.AppendErr(nil, 0, mysql.CodeTooManyConnections, "Too many connections")
 		g.countClose(client, CloseTooManyClients)
 		g.closeAfterWrites(&client.outputBuffer)
 		return
@@ -98,7 +98,7 @@
 		seq = 2
 	}
 	g.log(Info, "client: turned out", Attr{"session", client.session}, Attr{"login", client.loginPending}, Attr{"why", why})
-	client.output = mysql.AppendErr(client.output, seq, mysql.CodeTooMany, why)
+	client.output = mysql.AppendErr(client.output, seq, mysql.CodeTooManyConnections, why)
 	g.closeClient(client, reason)
 }
 
@@ -158,7 +158,7 @@
 	} else {
 		g.idleClients.MoveToBack(client.idleElement)
 	}
-	for g.idleClients.Len() > g.limits.ClientShare {
+	for g.idleClients.Len() > g.limits.ClientQuota {
 		g.closeClient(g.idleClients.Front().Value.(*clientConn), CloseIdleQuota)
 	}
 }
@@ -168,31 +168,31 @@
 func (g *Gateway) sweepClients() {
 	for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
 		client := element.Value.(*clientConn)
-		if g.now-client.lastActive < g.limits.LoginWithin {
+		if g.now-client.lastActive < g.limits.LoginTimeout {
 			break
 		}
 		g.evictWithError(client, CloseNoCommand, "nothing was asked in time")
 	}
 	for element := g.idleClients.Front(); element != nil; element = g.idleClients.Front() {
 		client := element.Value.(*clientConn)
-		if g.now-client.lastActive < g.limits.IdleFor {
+		if g.now-client.lastActive < g.limits.ClientIdleTimeout {
 			break
 		}
 		g.closeClient(client, CloseIdle)
 	}
 	for _, client := range g.clients {
 		switch {
-		case client.killed && g.now-client.lastActive >= g.limits.LoginWithin:
+		case client.killed && g.now-client.lastActive >= g.limits.LoginTimeout:
 			g.closeClient(client, CloseQueryKilled)
-		case client.partialBytes > 0 && g.now-client.partialSince >= g.limits.LoginWithin:
-			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a packet never ends"})
+		case client.partialBytes > 0 && g.now-client.partialSince >= g.limits.LoginTimeout:
+			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a packet never ends"})
 		}
 	}
 }
 
 // rejectCommand answers a command that can't be used. Whoever goes on sending such is not listened to any more.
 func (g *Gateway) rejectCommand(client *clientConn, code uint16, text string) {
-	if client.badCommands++; client.badCommands > g.limits.Faults {
+	if client.badCommands++; client.badCommands > g.limits.MaxSessionErrors {
 		g.protocolError(client, 1, &mysql.Error{Code: code, Text: text})
 		return
 	}
@@ -222,7 +222,7 @@
 		} else {
 			g.handleCommand(client, payload, seq)
 		}
-		if len(client.output) > g.limits.ClientOut && !client.closed { // commands without end, and their answers unread
+		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands without end, and their answers unread
 			client.output = client.output[:0]
 			g.protocolError(client, 1, errAnswersUnread)
 		}
@@ -231,7 +231,7 @@
 
 // countPartial keeps unfinished packets of all clients together within bounds.
 func (g *Gateway) countPartial(client *clientConn) {
-	held := client.decoder.Held()
+	held := client.decoder.Buffered()
 	if client.closed {
 		held = 0
 	}
@@ -244,20 +244,20 @@
 	if changed && !client.closed {
 		g.handleAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: held})
 	}
-	for g.partialBytes > g.limits.InputBytes {
+	for g.partialBytes > g.limits.MaxInputBytes {
 		most := client
 		for _, other := range g.clients {
 			if other.partialBytes > most.partialBytes {
 				most = other
 			}
 		}
-		g.protocolError(most, 1, &mysql.Error{Code: mysql.CodeTooLarge, Text: "too much input is unfinished"})
+		g.protocolError(most, 1, &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "too much input is unfinished"})
 	}
 }
 
 // protocolError ends a session that breaks the protocol.
 func (g *Gateway) protocolError(client *clientConn, seq byte, err error) {
-	code := uint16(mysql.CodeFailed)
+	code := uint16(mysql.CodeUnknownError)
 	var known *mysql.Error
 	if errors.As(err, &known) {
 		code = known.Code
@@ -274,17 +274,17 @@
 	switch {
 	case err != nil:
 	case seq != 1:
-		err = &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "login: wrong sequence number"}
+		err = &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "login: wrong sequence number"}
 	case login.User != clientUser || login.Password:
-		err = &mysql.Error{Code: mysql.CodeDenied, Text: "login: access denied"}
+		err = &mysql.Error{Code: mysql.CodeAccessDenied, Text: "login: access denied"}
 	case login.Database != "" && login.Database != clientDatabase:
-		err = &mysql.Error{Code: mysql.CodeUnknownDB, Text: "login: unknown database"}
+		err = &mysql.Error{Code: mysql.CodeUnknownDatabase, Text: "login: unknown database"}
 	}
 	if err != nil {
 		g.protocolError(client, seq+1, err)
 		return
 	}
-	client.loginPending, client.decoder.Max = false, g.limits.Statement
+	client.loginPending, client.decoder.MaxPayload = false, g.limits.MaxStatementBytes
 	client.output = mysql.AppendOK(client.output, seq+1)
 	g.markDirty(&client.outputBuffer)
 }
@@ -292,13 +292,13 @@
 func (g *Gateway) handleCommand(client *clientConn, payload []byte, seq byte) {
 	switch {
 	case client.request != nil || client.killed || client.reader != nil:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "a command while a query is open"})
+		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a command while a query is open"})
 		return
 	case seq != 0:
-		g.protocolError(client, seq+1, &mysql.Error{Code: mysql.CodeOutOfOrder, Text: "wrong sequence number"})
+		g.protocolError(client, seq+1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "wrong sequence number"})
 		return
 	case len(payload) == 0:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCom, Text: "empty command"})
+		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCommand, Text: "empty command"})
 		return
 	}
 	g.unlistClient(client)
@@ -313,13 +313,13 @@
 		g.writeOK(client)
 	case mysql.ComInitDB:
 		if string(payload[1:]) != clientDatabase {
-			g.rejectCommand(client, mysql.CodeUnknownDB, "unknown database")
+			g.rejectCommand(client, mysql.CodeUnknownDatabase, "unknown database")
 		} else {
 			g.writeOK(client)
 		}
 	default:
 		g.log(Info, "client: unknown command", Attr{"session", client.session}, Attr{"command", int(com)})
-		g.rejectCommand(client, mysql.CodeUnknownCom, "unknown command")
+		g.rejectCommand(client, mysql.CodeUnknownCommand, "unknown command")
 	}
 	if client.request == nil && client.reader == nil {
 		g.clientBecameIdle(client)
@@ -364,7 +364,7 @@
 		if bytes.Contains(text, []byte("@@")) { // clients ask for one before anything else
 			value := "foxlane"
 			if bytes.Contains(text, []byte("max_allowed_packet")) {
-				value = strconv.Itoa(g.limits.Statement)
+				value = strconv.Itoa(g.limits.MaxStatementBytes)
 			}
 			out, seq := mysql.AppendColumns(client.output, 1, []string{"value"})
 			out, seq, _ = mysql.AppendRow(out, seq, []byte(value), 1)
@@ -382,7 +382,7 @@
 func (g *Gateway) kill(client *clientConn, session uint32, query bool) {
 	target := g.sessions[session]
 	if target == nil {
-		g.rejectCommand(client, mysql.CodeNoThread, "unknown session")
+		g.rejectCommand(client, mysql.CodeNoSuchThread, "unknown session")
 		return
 	}
 	g.writeOK(client)
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -25,13 +25,13 @@
 	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
 		return nil
 	}
-	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.Tick}
+	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.TickInterval}
 	return &directiveState{proposer: directives.NewNode(set, cfg.Seed), rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)), waiting: map[uint64]ConnID{}}
 }
 
 func (g *Gateway) startDirectives() {
 	if g.directives = newDirectives(&g.cfg); g.directives != nil {
-		g.timers.add(timer{at: g.now + g.cfg.Site.Directives.Tick, kind: timerDirectives})
+		g.timers.add(timer{at: g.now + g.cfg.Site.Directives.TickInterval, kind: timerDirectives})
 	}
 }
 
@@ -51,7 +51,7 @@
 	if g.directives == nil {
 		return
 	}
-	g.timers.add(timer{at: g.now + g.cfg.Site.Directives.Tick, kind: timerDirectives})
+	g.timers.add(timer{at: g.now + g.cfg.Site.Directives.TickInterval, kind: timerDirectives})
 	if g.peers == nil { // talk is switched off: the book stays as it is, and grows old
 		return
 	}
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -85,7 +85,7 @@
 	sim.reloadChange = func(cfg *config.Config) {
 		if n++; n%2 == 1 {
 			cfg.Site = parseSite(t, "fair {}\n")
-			cfg.Site.Fair = nil
+			cfg.Site.Admission = nil
 		} else {
 			cfg.Site = parseSite(t, membersText)
 		}
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -57,7 +57,7 @@
 // that that may be about to close it.
 func (g *Gateway) connUsable(conn *engineConn, req *queryRequest) bool {
 	return !conn.retired && conn.blockedSince == 0 && conn.load() < g.limits.Multiplex && !conn.hadAttemptOf(req) &&
-		(!conn.up || conn.load() > 0 || g.now-conn.lastUsed < g.limits.LinkIdle)
+		(!conn.up || conn.load() > 0 || g.now-conn.lastUsed < g.limits.EngineIdleTimeout)
 }
 
 // connFor finds the connection for an attempt, or dials one. Each class has connections of its own:
@@ -97,15 +97,15 @@
 		idle.class = class
 		return idle
 	}
-	if n >= g.limits.Links || len(g.engineConns) >= g.limits.AllLinks {
+	if n >= g.limits.MaxEngineConns || len(g.engineConns) >= g.limits.MaxConns {
 		return other
 	}
 	g.lastConn++
 	conn := &engineConn{outputBuffer: outputBuffer{id: dialledBit | g.lastConn}, engine: eng, class: class, inFlight: map[string]*engineAttempt{}, probes: map[string]*healthProbe{},
-		decoder: engine.Decoder{MaxLine: g.limits.Line, MaxBody: g.limits.Page}, lastUsed: g.now, dialledAt: g.now}
+		decoder: engine.Decoder{MaxLineBytes: g.limits.MaxLineBytes, MaxBodyBytes: g.limits.MaxPageBytes}, lastUsed: g.now, dialledAt: g.now}
 	eng.conns = append(eng.conns, conn)
 	g.engineConns[conn.id] = conn
-	g.emit(Effect{Kind: Dial, Conn: conn.id, Addr: eng.entry.Addr, Timeout: g.limits.Connect})
+	g.emit(Effect{Kind: Dial, Conn: conn.id, Addr: eng.entry.Addr, Timeout: g.limits.ConnectTimeout})
 	return conn
 }
 
@@ -134,14 +134,14 @@
 func (g *Gateway) writeAttempt(attempt *engineAttempt) {
 	req, conn := attempt.request, attempt.conn
 	g.checkSend(attempt)
-	ask := engine.Ask{
-		ID: string(req.id), Class: g.cfg.Settings.ClassNames[req.class], TTL: max(int64((attempt.deadline-g.now)/rules.Millisecond), 1),
-		MemoryMB: req.memoryMB, Priority: attempt.priority, Once: req.idempotencyKey, Statement: req.statement,
+	ask := engine.Request{
+		ID: string(req.id), Class: g.cfg.Settings.ClassNames[req.class], TimeoutMS: max(int64((attempt.deadline-g.now)/rules.Millisecond), 1),
+		MemoryMB: req.memoryMB, Priority: attempt.priority, IdempotencyKey: req.idempotencyKey, Statement: req.statement,
 	}
 	if g.cfg.Trace {
 		g.traceAttemptSent(attempt, &ask)
 	}
-	conn.output = engine.AppendAsk(conn.output, ask)
+	conn.output = engine.AppendRequest(conn.output, ask)
 	attempt.sent, attempt.endOffset = true, conn.handedOut+int64(len(conn.output))
 	conn.inFlight[string(req.id)] = attempt
 	conn.lastUsed = g.now
@@ -153,7 +153,7 @@
 	conn.up, conn.lastUsed, conn.dialTime = true, g.now, g.now-conn.dialledAt
 	g.writeWaiting(conn)
 	for _, probe := range conn.probes {
-		conn.output = engine.AppendInfo(conn.output, probe.tag)
+		conn.output = engine.AppendProbe(conn.output, probe.tag)
 		g.markDirty(&conn.outputBuffer)
 	}
 	g.closeIfDrained(conn)
@@ -167,7 +167,7 @@
 	for _, attempt := range waiting {
 		switch {
 		case attempt.done:
-		case attempt.request.answered || conn.engine.state != rules.EngineServing || g.now-attempt.startedAt > g.limits.Connect:
+		case attempt.request.answered || conn.engine.state != rules.EngineServing || g.now-attempt.startedAt > g.limits.ConnectTimeout:
 			g.concludeAttempt(attempt, rules.StatusSuperseded)
 		case g.catchingUp():
 			conn.waiting = append(conn.waiting, attempt)
@@ -193,7 +193,7 @@
 // since: its machine may have vanished without a word. What comes next dials anew, and if the machine
 // is gone, that fails soon and proves that nothing ran.
 func (g *Gateway) retireIfSilent(attempt *engineAttempt) {
-	if conn := attempt.conn; attempt.sent && conn.lastRead <= attempt.startedAt && g.now-attempt.startedAt > g.limits.Connect {
+	if conn := attempt.conn; attempt.sent && conn.lastRead <= attempt.startedAt && g.now-attempt.startedAt > g.limits.ConnectTimeout {
 		conn.retire(CloseEngineRetired)
 	}
 }
@@ -356,7 +356,7 @@
 func (g *Gateway) sweepEngineConns() {
 	for _, eng := range g.engineOrder {
 		for _, conn := range slices.Clone(eng.conns) {
-			if conn.up && conn.load() == 0 && g.now-conn.lastUsed >= g.limits.LinkIdle {
+			if conn.up && conn.load() == 0 && g.now-conn.lastUsed >= g.limits.EngineIdleTimeout {
 				conn.retire(CloseEngineIdle)
 				g.closeIfDrained(conn)
 			}
@@ -382,7 +382,7 @@
 			g.receiveAnswer(attempt, &answer)
 		} else if probe := conn.probes[string(answer.ID)]; probe != nil {
 			status := rules.StatusError
-			if answer.Word == engine.Green {
+			if answer.Kind == engine.Healthy {
 				status = rules.StatusOK
 			}
 			g.finishProbe(probe, status, answer.Report)
@@ -399,7 +399,7 @@
 	conn.output = nil // with what was not written yet nothing has run
 	for _, id := range slices.Sorted(maps.Keys(conn.inFlight)) {
 		if conn.inFlight[id].endOffset <= conn.handedOut { // given up here, whatever becomes of the close
-			conn.output = engine.AppendQuit(conn.output, id)
+			conn.output = engine.AppendCancel(conn.output, id)
 		}
 	}
 	given := conn.handedOut
@@ -412,17 +412,17 @@
 // awaitCompletion looks later whether an answer that has begun is whole: one that stops short would leave all
 // requests on its connection waiting, and swallow what comes behind it.
 func (g *Gateway) awaitCompletion(conn *engineConn) {
-	if conn.decoder.Held() > 0 && !conn.completionTimerSet {
+	if conn.decoder.Buffered() > 0 && !conn.completionTimerSet {
 		conn.completionTimerSet = true
-		g.timers.add(timer{at: conn.lastRead + g.limits.AnswerWhole, kind: timerAnswerComplete, conn: conn})
+		g.timers.add(timer{at: conn.lastRead + g.limits.AnswerStallTimeout, kind: timerAnswerComplete, conn: conn})
 	}
 }
 
 func (g *Gateway) checkCompletion(conn *engineConn) {
 	conn.completionTimerSet = false
 	switch {
-	case conn.closed || conn.decoder.Held() == 0:
-	case g.now-conn.lastRead < g.limits.AnswerWhole:
+	case conn.closed || conn.decoder.Buffered() == 0:
+	case g.now-conn.lastRead < g.limits.AnswerStallTimeout:
 		g.awaitCompletion(conn)
 	default:
 		g.breakEngineConn(conn, errAnswerIncomplete)
@@ -447,9 +447,9 @@
 		return
 	}
 	probe.link.probes[probe.tag] = probe
-	g.timers.add(timer{at: g.now + g.limits.ProbeWithin, kind: timerProbe, probe: probe})
+	g.timers.add(timer{at: g.now + g.limits.ProbeTimeout, kind: timerProbe, probe: probe})
 	if probe.link.up {
-		probe.link.output = engine.AppendInfo(probe.link.output, probe.tag)
+		probe.link.output = engine.AppendProbe(probe.link.output, probe.tag)
 		probe.link.lastUsed = g.now
 		g.markDirty(&probe.link.outputBuffer)
 	}
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -58,7 +58,7 @@
 		before := eng.state
 		g.setEntry(eng, entry)
 		eng.state, eng.drainedByDirective = rules.EngineServing, g.drainsEngine(entry.ID)
-		if entry.State == config.StateLeaving {
+		if entry.State == config.StateDraining {
 			eng.state = rules.EngineDraining
 		}
 		if eng.state != before {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -224,8 +224,8 @@
 		classIndex:  map[string]int{},
 		engines:     map[rules.EngineID]*engineState{},
 		engineConns: map[ConnID]*engineConn{},
-		list:        discovery.New(cfg.Known.Seq, cfg.Known.Engines),
-		nameService: nameService{lastAnswer: now, listAsOf: now, renewAfter: cfg.Limits.ListSilent},
+		list:        discovery.New(cfg.InitialList.Seq, cfg.InitialList.Engines),
+		nameService: nameService{lastAnswer: now, listAsOf: now, renewAfter: cfg.Limits.ResolverTimeout},
 	}
 	g.lastSession = g.rng.Uint32() >> 1
 	for i, name := range cfg.Settings.ClassNames {
@@ -241,8 +241,8 @@
 	engines, _ := g.list.Changed()
 	g.applyList(engines, rules.UpdateCached)
 	g.poll()
-	g.timers.add(timer{at: now + g.limits.Sweep, kind: timerSweep})
-	g.timers.add(timer{at: now + g.limits.StatsEvery, kind: timerStats})
+	g.timers.add(timer{at: now + g.limits.SweepInterval, kind: timerSweep})
+	g.timers.add(timer{at: now + g.limits.StatsInterval, kind: timerStats})
 	g.stats.classes = make([]classStats, len(cfg.Settings.ClassNames))
 	return g
 }
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -98,7 +98,7 @@
 		return
 	}
 	due := req.dueAt
-	if req.arrivedAt <= g.lastStall.resumedAt+g.limits.SettleLong+g.limits.SettleMost { // a process that does not run can't answer
+	if req.arrivedAt <= g.lastStall.resumedAt+g.limits.LongSettleTime+g.limits.MaxSettleTime { // a process that does not run can't answer
 		due = max(due, g.lastStall.resumedAt)
 	}
 	answer := guard.Answer{Now: g.now, ClientDeadline: due, Answered: req.answered, Rejection: how == outcomeRejected,
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -336,17 +336,17 @@
 	gw := newTestGateway(t)
 	gw.client(1)
 	gw.step(DataReceived, 1, askText("note", idA))
-	gw.now += gw.g.limits.Connect + rules.Millisecond // frozen: no timer rang
+	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // frozen: no timer rang
 	gw.step(DialSucceeded, gw.dials[0], "")
 	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
-		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.Connect+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
+		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.ConnectTimeout+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
 	}
 }
 
 // No connection is left for an attempt: that tells nothing of its engine.
 func TestConnectionLimitBlamesNoEngine(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.g.limits.AllLinks = 0
+	gw.g.limits.MaxConns = 0
 	gw.client(1)
 	for i := range 12 {
 		gw.step(DataReceived, 1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
@@ -392,7 +392,7 @@
 	gw.client(1)
 	gw.step(DataReceived, 1, string(packet(0, []byte{14}))) // a ping: it rests
 	gw.step(ShutdownRequested, 0, "")
-	gw.advance(gw.g.limits.StopLinger - 10*rules.Millisecond)
+	gw.advance(gw.g.limits.MinDrainPeriod - 10*rules.Millisecond)
 	gw.client(2) // asks for nothing
 	gw.step(ConnectionAccepted, 3, "")
 	gw.takeOutput(2)
@@ -431,7 +431,7 @@
 	gw := newTestGateway(t)
 	gw.client(1)
 	gw.step(DataReceived, 1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
-	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientOut {
+	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientSendBuffer {
 		t.Errorf("closed %v, %d bytes were written to it", gw.closed[1], got)
 	}
 }
@@ -503,7 +503,7 @@
 // Behind many reloads, each of which asks as well, an answer that is seconds late still counts.
 func TestLateListBehindManyReloads(t *testing.T) {
 	gw := newTestGateway(t)
-	if polls := int(gw.g.limits.ListTold / gw.g.limits.PollEvery); maxQueries < 2*polls {
+	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); maxQueries < 2*polls {
 		t.Errorf("%d queries are remembered, %d are sent while an answer may come", maxQueries, polls)
 	}
 	id := gw.g.queryIDs[0]
@@ -525,7 +525,7 @@
 // to the first address asks there again, on a new socket each time.
 func TestReloadBackAndForth(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.g.list = discovery.New(9, gw.g.cfg.Known.Engines)
+	gw.g.list = discovery.New(9, gw.g.cfg.InitialList.Engines)
 	first := gw.g.cfg.DNS
 	second := netip.MustParseAddrPort("127.0.0.9:5301")
 	for i, c := range []struct {
@@ -534,7 +534,7 @@
 		engines int
 	}{{second, 4, 1}, {first, 12, 0}, {second, 11, 0}} {
 		cfg := gw.g.cfg
-		cfg.DNS, cfg.Known = c.dns, config.Known{Seq: c.seq}
+		cfg.DNS, cfg.InitialList = c.dns, config.EngineList{Seq: c.seq}
 		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
 		moved := 0
 		for _, effect := range gw.g.Flush() {
@@ -679,7 +679,7 @@
 		}
 	}
 	x := start(2000, 240*rules.Millisecond)
-	if x.advance(x.g.limits.WayMost - rules.Millisecond); len(x.dials) > 1 {
+	if x.advance(x.g.limits.MaxNetworkMargin - rules.Millisecond); len(x.dials) > 1 {
 		t.Error("another attempt began while the end of the first was on its way")
 	}
 	if x.advance(2 * rules.Millisecond); len(x.dials) < 2 {
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -130,13 +130,13 @@
 				"told by a reload": func(change *listChange, tell func()) {
 					change.sendRequest(idA)
 					cfg := change.g.cfg
-					cfg.Known.Seq, cfg.Known.Engines = 9, nil
+					cfg.InitialList.Seq, cfg.InitialList.Engines = 9, nil
 					for _, host := range leaving() {
 						entry := config.Engine{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind, State: config.StateActive, Weight: 4, Started: host.Started}
 						if host.Draining {
-							entry.State = config.StateLeaving
+							entry.State = config.StateDraining
 						}
-						cfg.Known.Engines = append(cfg.Known.Engines, entry)
+						cfg.InitialList.Engines = append(cfg.InitialList.Engines, entry)
 					}
 					change.observe()
 					change.g.Step(change.now, Event{Kind: ConfigReloaded, Config: &cfg})
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -332,7 +332,7 @@
 	gw.step(DialSucceeded, gw.dials[0], "")
 	gw.takeOutput(1)
 	gw.step(ShutdownRequested, 0, "")
-	gw.advance(gw.g.limits.StopWithin - rules.Millisecond)
+	gw.advance(gw.g.limits.ShutdownTimeout - rules.Millisecond)
 	if gw.exited || gw.takeOutput(1) != "" {
 		t.Fatal("ended before its time")
 	}
@@ -349,8 +349,8 @@
 	gw.step(DataReceived, 1, askText("point", idA))
 	gw.step(DialSucceeded, gw.dials[0], "")
 	gw.step(DataReceived, gw.dials[0], idA+" served total=1 0\r\n\r\n")
-	gw.now += gw.g.limits.LinkIdle // before the sweep has seen it
-	gw.g.armedAt = gw.now          // and no timer is late: the process did not stand still
+	gw.now += gw.g.limits.EngineIdleTimeout // before the sweep has seen it
+	gw.g.armedAt = gw.now                   // and no timer is late: the process did not stand still
 	gw.step(DataReceived, 1, askText("load", idB))
 	if len(gw.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(gw.dials))
@@ -385,15 +385,15 @@
 // Unfinished packets of all clients together stay within bounds.
 func TestUnfinishedInputIsBounded(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.g.limits.InputBytes = 20 * gw.g.limits.Statement
+	gw.g.limits.MaxInputBytes = 20 * gw.g.limits.MaxStatementBytes
 	gw.client(99)
 	gw.step(DataReceived, 99, string(queryPacket(askText("point", idA)))[:40])
 	piece := "\xff\xff\x00\x00" + strings.Repeat("x", 0xff00)
 	for id := ConnID(1); id <= 40; id++ {
 		gw.client(id)
 		gw.step(DataReceived, id, piece)
-		if gw.g.partialBytes > gw.g.limits.InputBytes {
-			t.Fatalf("%d bytes are held, %d at most", gw.g.partialBytes, gw.g.limits.InputBytes)
+		if gw.g.partialBytes > gw.g.limits.MaxInputBytes {
+			t.Fatalf("%d bytes are held, %d at most", gw.g.partialBytes, gw.g.limits.MaxInputBytes)
 		}
 	}
 	out := 0
@@ -488,12 +488,12 @@
 		}
 		return moved, asked
 	}
-	cfg.Known.Seq = gw.g.list.Serial()
+	cfg.InitialList.Seq = gw.g.list.Serial()
 	if moved, asked := reload(); !moved || !asked || len(gw.g.engines) != 1 {
 		t.Errorf("moved %v, asked there %v, %d engines", moved, asked, len(gw.g.engines))
 	}
-	cfg.Known.Seq++
-	if reload(); len(gw.g.engines) != 2 || gw.g.list.Serial() != cfg.Known.Seq {
+	cfg.InitialList.Seq++
+	if reload(); len(gw.g.engines) != 2 || gw.g.list.Serial() != cfg.InitialList.Seq {
 		t.Errorf("a newer list in the file: %d engines, at event %d", len(gw.g.engines), gw.g.list.Serial())
 	}
 	gw.client(1)
@@ -511,12 +511,12 @@
 	gw.step(DataReceived, 1, askText("point", idA))
 	gw.client(2)
 	gw.step(DataReceived, 2, string(packet(0, []byte{14}))) // idle after a ping
-	most := ConnID(gw.g.limits.Clients)
+	most := ConnID(gw.g.limits.MaxClients)
 	for id := ConnID(100); id < 100+2*most; id++ {
 		gw.step(ConnectionAccepted, id, "")
 	}
-	if len(gw.g.clients) > gw.g.limits.Clients {
-		t.Fatalf("%d connections are held, %d at most", len(gw.g.clients), gw.g.limits.Clients)
+	if len(gw.g.clients) > gw.g.limits.MaxClients {
+		t.Fatalf("%d connections are held, %d at most", len(gw.g.clients), gw.g.limits.MaxClients)
 	}
 	gw.takeOutput(3)
 	gw.client(3)
@@ -568,13 +568,13 @@
 		"timeout=2000,ms=1e12", "timeout=2000,need_mb=Inf", "timeout=2000,need_mb=1e300", "timeout=2000,need_mb=x"} {
 		gw := newTestGateway(t)
 		gw.client(1)
-		for i := range gw.g.limits.Faults + 1 {
+		for i := range gw.g.limits.MaxSessionErrors + 1 {
 			gw.takeOutput(1)
 			gw.step(DataReceived, 1, string(queryPacket("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
 			if got := gw.takeOutput(1); !strings.Contains(got, "unusable") && !strings.Contains(got, "out of range") {
 				t.Fatalf("%s: got %q", fields, got)
 			}
-			if gw.closed[1] != (i == gw.g.limits.Faults) {
+			if gw.closed[1] != (i == gw.g.limits.MaxSessionErrors) {
 				t.Fatalf("%s: closed %v after %d times", fields, gw.closed[1], i+1)
 			}
 		}
@@ -598,7 +598,7 @@
 		link := gw.dials[0]
 		gw.step(DialSucceeded, link, "")
 		gw.step(DataReceived, link, piece)
-		gw.advance(gw.g.limits.AnswerWhole - rules.Millisecond)
+		gw.advance(gw.g.limits.AnswerStallTimeout - rules.Millisecond)
 		if gw.closed[link] {
 			t.Errorf("%s: ended too early", name)
 		}
@@ -690,7 +690,7 @@
 // Where no more connections may be made, requests share the ones that are there.
 func TestConnectionsAreShared(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.g.limits.AllLinks = 1
+	gw.g.limits.MaxConns = 1
 	for i := range 6 {
 		id := ConnID(i + 1)
 		gw.client(id)
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -17,17 +17,17 @@
 // Its numbers continue those of the last one, so the list stays until a later
 // one is told, by the file or by the name service.
 func (g *Gateway) reconfigure(cfg *config.Config) {
-	g.log(Info, "configuration read again", Attr{"dns", cfg.DNS.String()}, Attr{"seq", cfg.Known.Seq})
+	g.log(Info, "configuration read again", Attr{"dns", cfg.DNS.String()}, Attr{"seq", cfg.InitialList.Seq})
 	g.cfg = *cfg
 	g.reconfigureAdmission()
 	g.reconfigureZones()
 	g.reconfigurePeers()
 	if g.results != nil {
 		budget := cfg.Site.Spool.Budget
-		g.handleSpool(spool.Event{Kind: spool.Retune, Budget: &budget})
+		g.handleSpool(spool.Event{Kind: spool.SetBudget, Budget: &budget})
 	}
 	g.renewSocket(cfg.DNS)
-	g.list.Reload(g.now, cfg.Known.Seq, cfg.Known.Engines)
+	g.list.Reload(g.now, cfg.InitialList.Seq, cfg.InitialList.Engines)
 	g.applyChanged()
 	g.sendQuery()
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	g.log(Warn, "name service: silent, asked from a new socket", Attr{"silent_ms", int64((g.now - service.lastAnswer) / rules.Millisecond)})
-	service.renewAfter = min(2*service.renewAfter, g.limits.ListTold)
+	service.renewAfter = min(2*service.renewAfter, g.limits.MaxListDelay)
 	g.renewSocket(g.cfg.DNS)
 }
 
@@ -77,7 +77,7 @@
 	g.applyChanged()
 	g.renewSocketIfSilent()
 	g.sendQuery()
-	g.timers.add(timer{at: g.now + g.limits.PollEvery, kind: timerPoll})
+	g.timers.add(timer{at: g.now + g.limits.PollInterval, kind: timerPoll})
 }
 
 func (g *Gateway) sendQuery() {
@@ -95,7 +95,7 @@
 		g.log(Warn, "name service: answer to nothing that was asked", Attr{"bytes", len(msg)})
 		return
 	}
-	g.nameService.lastAnswer, g.nameService.renewAfter = g.now, g.limits.ListSilent
+	g.nameService.lastAnswer, g.nameService.renewAfter = g.now, g.limits.ResolverTimeout
 	answer, err := dns.Parse(msg, id, listName)
 	if err != nil {
 		g.log(Warn, "name service: unusable answer", Attr{"error", err.Error()})
@@ -128,7 +128,7 @@
 		entry := config.Engine{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind, Cell: host.Cell,
 			State: config.StateActive, Weight: float64(host.Weight) / weightScale, Started: host.Started}
 		if host.Priority > 0 {
-			entry.State = config.StateLeaving
+			entry.State = config.StateDraining
 		}
 		engines = append(engines, entry)
 	}
@@ -139,7 +139,7 @@
 func (g *Gateway) findQuery(id uint16) (query int, ok bool) {
 	for i := range min(g.queryCount, len(g.queryIDs)) {
 		query = g.queryCount - 1 - i
-		if g.now-g.queryTimes[query%len(g.queryIDs)] > g.limits.ListTold {
+		if g.now-g.queryTimes[query%len(g.queryIDs)] > g.limits.MaxListDelay {
 			return 0, false // what it could tell counts as told
 		}
 		if g.queryIDs[query%len(g.queryIDs)] == id {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -63,7 +63,7 @@
 		set.Zone = cfg.Settings.ZoneNames[i]
 	}
 	peers := &peerState{replica: replica.New(set, now), joinedAt: map[string]rules.Time{}}
-	peers.gossip = gossip.New(cfg.Site.Members.Hearsay, peers.replica, now)
+	peers.gossip = gossip.New(cfg.Site.Members.Gossip, peers.replica, now)
 	return peers
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -81,7 +81,7 @@
 	}
 	tenant := 0
 	if query.Fields.Tenant != "" {
-		if tenant = slices.Index(g.cfg.Settings.Tenants, query.Fields.Tenant); tenant < 0 && g.admission.knowsTenant(query.Fields.Tenant) {
+		if tenant = slices.Index(g.cfg.Settings.TenantNames, query.Fields.Tenant); tenant < 0 && g.admission.knowsTenant(query.Fields.Tenant) {
 			tenant = 0
 		}
 		if tenant < 0 {
@@ -90,25 +90,25 @@
 		}
 	}
 	patience := rules.Time(query.Fields.TimeoutMS) * rules.Millisecond
-	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.limits.Patience; most > 0 && patience > most {
+	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.limits.MaxTimeoutFactor; most > 0 && patience > most {
 		g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("a timeout of %d ms is out of range", query.Fields.TimeoutMS))
 		return
 	}
 	id := rules.RequestID(query.Fields.ID)
 	if g.requests[id] != nil {
-		g.rejectCommand(client, mysql.CodeFailed, "a request with this id is open")
+		g.rejectCommand(client, mysql.CodeUnknownError, "a request with this id is open")
 		return
 	}
-	if g.admission == nil && (len(g.requests) >= g.limits.Requests || g.statementBytes+len(query.Statement) > g.limits.InputBytes) {
+	if g.admission == nil && (len(g.requests) >= g.limits.MaxRequests || g.statementBytes+len(query.Statement) > g.limits.MaxInputBytes) {
 		g.log(Warn, "client: too much is open, request refused", Attr{"requests", len(g.requests)})
-		g.writeErr(client, mysql.CodeLimitReached, "too much is open")
+		g.writeErr(client, mysql.CodeUserLimitReached, "too much is open")
 		return
 	}
 	// The client counts from when it sent the request and until it has the answer. Both ways take time,
 	// more where machines are busy, so its answer must leave earlier.
-	due := g.now + patience - min(patience/g.limits.WayPart, g.limits.WayMost) - g.inputDelay()
+	due := g.now + patience - min(patience/g.limits.NetworkMarginDivisor, g.limits.MaxNetworkMargin) - g.inputDelay()
 	req := &queryRequest{id: id, client: client, class: class, stats: &g.stats.classes[class], arrivedAt: g.now, dueAt: due,
-		statement: bytes.Clone(query.Statement), idempotencyKey: query.Fields.Once, priority: engine.DefaultPriority}
+		statement: bytes.Clone(query.Statement), idempotencyKey: query.Fields.IdempotencyKey, priority: engine.DefaultPriority}
 	g.checkStart(req)
 	if g.cfg.Trace {
 		g.traceRequest(req)
@@ -122,8 +122,8 @@
 	work := rules.Time(query.Fields.WorkMS * float64(rules.Millisecond))
 	req.work = work
 	arrival := rules.Request{
-		ID: id, Class: class, Tenant: tenant, OrderKey: query.Fields.Key, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
-		EstimatedMemoryMB: query.Fields.MemoryMB, DataSet: query.Group, IsRetry: query.Fields.Repeat, IsWrite: query.Write,
+		ID: id, Class: class, Tenant: tenant, OrderKey: query.Fields.OrderKey, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
+		EstimatedMemoryMB: query.Fields.MemoryMB, DataSet: query.TableGroup, IsRetry: query.Fields.IsRetry, IsWrite: query.Write,
 	}
 	if g.admission == nil && g.results == nil && g.zones == nil && g.directives == nil {
 		req.submitted = true
@@ -135,7 +135,7 @@
 	}
 	req.pending = &arrival
 	if g.results != nil {
-		req.resultOwner, req.statementShape, req.result.resumable = tenantKey(query.Fields.Tenant), 0, query.Fields.Spool
+		req.resultOwner, req.statementShape, req.result.resumable = tenantKey(query.Fields.Tenant), 0, query.Fields.WantsHandle
 	}
 	if g.admission != nil {
 		g.requestAdmission(req, query.Fields.Tenant)
@@ -230,7 +230,7 @@
 	if holdOff > 0 {
 		text = fmt.Sprintf("the query was refused; holdoff=%d", int64(holdOff/rules.Millisecond))
 	}
-	g.writeErr(req.client, mysql.CodeLimitReached, text)
+	g.writeErr(req.client, mysql.CodeUserLimitReached, text)
 	g.finishRequest(req, outcomeRejected)
 }
 
@@ -240,7 +240,7 @@
 	}
 	req.endReason = why
 	req.stats.failed++
-	g.writeErr(req.client, mysql.CodeFailed, "the query failed")
+	g.writeErr(req.client, mysql.CodeUnknownError, "the query failed")
 	g.finishRequest(req, outcomeFailed)
 }
 
@@ -309,9 +309,9 @@
 	if attempt.sent && !attempt.terminating && !attempt.conn.closed {
 		id := string(attempt.request.id)
 		if attempt.firstPageReceived {
-			attempt.conn.output = engine.AppendFree(attempt.conn.output, id)
+			attempt.conn.output = engine.AppendRelease(attempt.conn.output, id)
 		} else {
-			attempt.conn.output = engine.AppendQuit(attempt.conn.output, id)
+			attempt.conn.output = engine.AppendCancel(attempt.conn.output, id)
 		}
 		g.flushNow(&attempt.conn.outputBuffer) // ahead of another attempt, which may go out on a connection that was written to before
 		g.retireIfSilent(attempt)
@@ -339,7 +339,7 @@
 	g.detachAttempt(attempt.conn, attempt)
 	g.releasePages(attempt)
 	g.stopFilling(attempt)
-	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.WayMost), kind: timerTerminated, attempt: attempt, status: status})
+	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.MaxNetworkMargin), kind: timerTerminated, attempt: attempt, status: status})
 }
 
 // concludeAttempt ends an attempt and tells the module.
@@ -388,7 +388,7 @@
 func (g *Gateway) stopFilling(attempt *engineAttempt) {
 	if result := &attempt.request.result; result.source == attempt {
 		result.source = nil
-		g.handleSpool(spool.Event{Kind: spool.Broke, ID: result.handle.ID})
+		g.handleSpool(spool.Event{Kind: spool.AttemptFailed, ID: result.handle.ID})
 	}
 }
 
@@ -411,13 +411,13 @@
 	if answer.Report != nil {
 		attempt.loadReport = bytes.Clone(answer.Report)
 	}
-	switch answer.Word {
-	case engine.Update: // the module asks for no notes of progress
-	case engine.Overload:
+	switch answer.Kind {
+	case engine.Progress: // the module asks for no notes of progress
+	case engine.Overloaded:
 		g.concludeAttempt(attempt, rules.StatusRejected)
-	case engine.Nobody:
+	case engine.NotExecuted:
 		g.concludeAttempt(attempt, rules.StatusSuperseded)
-	case engine.Crashed:
+	case engine.Errored:
 		// Engines answer an error to what bad clients ask, too: it tells of the engine if nothing good
 		// came from that since the last one.
 		attempt.blameless = attempt.engine.lastServed > attempt.engine.lastError
@@ -426,11 +426,11 @@
 	case engine.Served:
 		attempt.engine.lastServed = g.now
 		g.receiveFirstPage(attempt, answer)
-	case engine.Rows:
+	case engine.FurtherPage:
 		if g.results != nil {
-			g.spoolPage(attempt, answer.Index, answer.Body)
+			g.spoolPage(attempt, answer.Page, answer.Body)
 		} else {
-			g.receivePage(attempt, answer.Index, answer.Body)
+			g.receivePage(attempt, answer.Page, answer.Body)
 		}
 	default:
 		g.malformedAnswer(attempt, "health for a request")
@@ -446,7 +446,7 @@
 }
 
 func (g *Gateway) receiveFirstPage(attempt *engineAttempt, answer *engine.Answer) {
-	total := max(answer.Total, 1)
+	total := max(answer.PageCount, 1)
 	if g.results != nil {
 		if attempt.firstPageReceived { // a second copy
 			return
@@ -458,12 +458,12 @@
 		g.receivePage(attempt, 0, answer.Body) // a second copy, unless its rows are others
 		return
 	}
-	if attempt.firstPageReceived || total > g.limits.Pages {
+	if attempt.firstPageReceived || total > g.limits.MaxPages {
 		g.malformedAnswer(attempt, "served twice, or too many pages")
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
-	attempt.workMS, attempt.memoryMB = answer.Elapsed, answer.RSS
+	attempt.workMS, attempt.memoryMB = answer.WorkMS, answer.MemoryMB
 	attempt.pages, attempt.pagesMissing = make([][]byte, total), total
 	if g.receivePage(attempt, 0, answer.Body); !attempt.done && !attempt.terminating {
 		g.pageQueue = append(g.pageQueue, attempt)
@@ -476,13 +476,13 @@
 	for len(g.pageQueue) > 0 {
 		attempt := g.pageQueue[0]
 		if !attempt.done && !attempt.terminating {
-			if g.resultBytes+g.limits.Result > g.limits.ResultBytes {
+			if g.resultBytes+g.limits.MaxResultBytes > g.limits.ResultBufferBytes {
 				return
 			}
-			g.resultBytes += g.limits.Result
+			g.resultBytes += g.limits.MaxResultBytes
 			attempt.pagesRequested = true
 			for n := 1; n < len(attempt.pages); n++ {
-				attempt.conn.output = engine.AppendNext(attempt.conn.output, string(attempt.request.id), n)
+				attempt.conn.output = engine.AppendFetchPage(attempt.conn.output, string(attempt.request.id), n)
 			}
 			g.markDirty(&attempt.conn.outputBuffer)
 		}
@@ -497,7 +497,7 @@
 	attempt.pages = nil
 	if attempt.pagesRequested {
 		attempt.pagesRequested = false
-		g.resultBytes -= g.limits.Result
+		g.resultBytes -= g.limits.MaxResultBytes
 		g.requestPages()
 	}
 }
@@ -512,7 +512,7 @@
 			g.malformedAnswer(attempt, "a page that comes twice, each time another")
 		}
 		return
-	case attempt.pageBytes+len(body) > g.limits.Result:
+	case attempt.pageBytes+len(body) > g.limits.MaxResultBytes:
 		g.malformedAnswer(attempt, "the result is too large")
 		return
 	case len(body) > 0 && body[len(body)-1] != '\n':
@@ -550,7 +550,7 @@
 		g.finishRequest(req, outcomeServed)
 	}
 	if len(attempt.pages) > 1 { // of a single page the engine keeps nothing
-		attempt.conn.output = engine.AppendFree(attempt.conn.output, string(req.id))
+		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
 	g.concludeAttempt(attempt, rules.StatusOK)
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -22,7 +22,7 @@
 
 // resultStore is the spool with what names its results and readers here.
 type resultStore struct {
-	spool     *spool.Spool
+	spool     *spool.Store
 	inbox     []spool.Event
 	handling  bool
 	wakeAt    rules.Time // 0: none
@@ -58,7 +58,7 @@
 		return nil
 	}
 	return &resultStore{spool: spool.New(cfg.Site.Spool.Budget, cfg.Seed), random: rand.NewChaCha8(cfg.Entropy),
-		filling: map[spool.ID]*queryRequest{}, readers: newSlotTable[clientConn](cfg.Limits.Clients + cfg.Limits.AcceptAhead)}
+		filling: map[spool.ID]*queryRequest{}, readers: newSlotTable[clientConn](cfg.Limits.MaxClients + cfg.Limits.AcceptOverflow)}
 }
 
 // newHandle draws a new one. The generator is cryptographically strong, and its seed the system's entropy.
@@ -93,23 +93,23 @@
 func (g *Gateway) runSpoolEffect(effect spool.Effect) {
 	store := g.results
 	switch effect.Kind {
-	case spool.Write, spool.Load, spool.Gone:
+	case spool.WriteRecord, spool.LoadChunk, spool.DiscardRecords:
 		g.emit(Effect{Kind: SubmitSpool, Spool: effect})
-	case spool.Wake:
+	case spool.SetTimer:
 		store.wakeAt = effect.At
-	case spool.Give:
+	case spool.DeliverChunk:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.writeChunk(client, effect)
 		}
 	case spool.Deny:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.removeReader(client)
-			g.rejectCommand(client, mysql.CodeFailed, "no such result")
+			g.rejectCommand(client, mysql.CodeUnknownError, "no such result")
 			g.clientBecameIdle(client)
 		}
-	case spool.Cut:
+	case spool.AbortRead:
 		if client := store.readers.entries[effect.Reader]; client != nil {
-			g.abortReader(client, effect.Why)
+			g.abortReader(client, effect.Reason)
 		}
 	default:
 		if req := store.filling[effect.ID]; req != nil {
@@ -128,40 +128,40 @@
 			return
 		}
 		g.startFilling(req)
-	case spool.Refused:
+	case spool.Rejected:
 		delete(g.results.filling, effect.ID)
 		req.result.reserved = false
-		g.log(Info, "spool: no room for a result", Attr{"why", effect.Why.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
+		g.log(Info, "spool: no room for a result", Attr{"why", effect.Reason.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
 		switch {
 		case req.answered:
 		case !req.submitted: // nothing ran
 			req.endReason = EndNoResultCapacity
-			g.writeRejection(req, g.capRetryAfter(effect.After))
+			g.writeRejection(req, g.capRetryAfter(effect.RetryAfter))
 		default:
-			g.resultLost(req, effect.Why)
+			g.resultLost(req, effect.Reason)
 		}
-	case spool.Fetch:
+	case spool.FetchPages:
 		if attempt := req.result.source; attempt != nil {
-			for n := effect.N; n < effect.To; n++ {
-				attempt.conn.output = engine.AppendNext(attempt.conn.output, string(req.id), n)
+			for n := effect.Index; n < effect.End; n++ {
+				attempt.conn.output = engine.AppendFetchPage(attempt.conn.output, string(req.id), n)
 			}
 			g.markDirty(&attempt.conn.outputBuffer)
 		}
-	case spool.Free:
+	case spool.ReleaseEngine:
 		g.resultReceived(req)
-	case spool.Whole:
+	case spool.Completed:
 		g.serveStored(req)
 	case spool.Failed:
 		delete(g.results.filling, effect.ID)
 		req.result.reserved = false
-		if effect.Why == spool.ForBroken { // another attempt may follow, and needs room of its own
+		if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs room of its own
 			if !req.answered && !req.result.engineDone {
 				g.reserveResult(req)
 			}
 			return
 		}
-		g.log(Warn, "spool: a result can't be kept", Attr{"why", effect.Why.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
-		g.resultLost(req, effect.Why)
+		g.log(Warn, "spool: a result can't be kept", Attr{"why", effect.Reason.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
+		g.resultLost(req, effect.Reason)
 	}
 }
 
@@ -170,7 +170,7 @@
 	req.result.handle = g.results.newHandle()
 	g.results.filling[req.result.handle.ID] = req
 	g.handleSpool(spool.Event{Kind: spool.Reserve, ID: req.result.handle.ID, Secret: req.result.handle.Secret(), Tenant: req.resultOwner, Class: req.class,
-		Shape: req.statementShape, Lasting: req.result.resumable})
+		Shape: req.statementShape, Durable: req.result.resumable})
 }
 
 // releaseResult lets go of what is kept for a request that is over.
@@ -212,7 +212,7 @@
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
-	attempt.workMS, attempt.memoryMB = answer.Elapsed, answer.RSS
+	attempt.workMS, attempt.memoryMB = answer.WorkMS, answer.MemoryMB
 	attempt.totalPages, attempt.firstPage = total, bytes.Clone(answer.Body)
 	if attempt.firstPage == nil {
 		attempt.firstPage = []byte{}
@@ -230,7 +230,7 @@
 			req.result.source = attempt
 			first := attempt.firstPage
 			attempt.firstPage = nil
-			g.handleSpool(spool.Event{Kind: spool.Came, ID: req.result.handle.ID, Total: attempt.totalPages, Data: first})
+			g.handleSpool(spool.Event{Kind: spool.PageArrived, ID: req.result.handle.ID, PageCount: attempt.totalPages, Data: first})
 			return
 		}
 	}
@@ -246,7 +246,7 @@
 		g.malformedAnswer(attempt, "a row has not three columns, or a page ends within one")
 	default:
 		data := append(make([]byte, 0, len(body)), body...)
-		g.handleSpool(spool.Event{Kind: spool.Came, ID: req.result.handle.ID, N: n, Total: attempt.totalPages, Data: data})
+		g.handleSpool(spool.Event{Kind: spool.PageArrived, ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
 	}
 }
 
@@ -270,7 +270,7 @@
 		return
 	}
 	if attempt.totalPages > 1 { // of a single page the engine keeps nothing
-		attempt.conn.output = engine.AppendFree(attempt.conn.output, string(req.id))
+		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
 	g.concludeAttempt(attempt, rules.StatusOK)
@@ -290,13 +290,13 @@
 	}
 	slices.SortFunc(waiting, func(left, right *queryRequest) int { return cmp.Compare(left.id, right.id) })
 	for _, req := range waiting {
-		g.timers.add(timer{at: g.now + g.limits.StopWithin, kind: timerResultStored, request: req})
+		g.timers.add(timer{at: g.now + g.limits.ShutdownTimeout, kind: timerResultStored, request: req})
 	}
 }
 
 // resultLost answers a request whose result can't be kept. It has run: only of what may be repeated freely
 // the client hears that asking again is harmless.
-func (g *Gateway) resultLost(req *queryRequest, why spool.Why) {
+func (g *Gateway) resultLost(req *queryRequest, why spool.Reason) {
 	if req.answered {
 		return
 	}
@@ -306,11 +306,11 @@
 		attempt.blameless = true
 		g.abandonAttempt(attempt, rules.StatusCancelled)
 	}
-	if safe := g.cfg.Settings.Rules.Classes[req.class].Idempotency == rules.Idempotent; safe && why != spool.ForSize {
+	if safe := g.cfg.Settings.Rules.Classes[req.class].Idempotency == rules.Idempotent; safe && why != spool.ReasonTooLarge {
 		g.writeRejection(req, 0)
 	} else {
 		req.stats.failed++
-		g.writeErr(req.client, mysql.CodeFailed, "the result could not be kept: "+why.String())
+		g.writeErr(req.client, mysql.CodeUnknownError, "the result could not be kept: "+why.String())
 		g.finishRequest(req, outcomeFailed)
 	}
 	g.tellModule(rules.ClientGone{ID: req.id})
@@ -338,29 +338,29 @@
 func (g *Gateway) attachReader(client *clientConn, owner uint64, from int) {
 	reader := client.reader
 	reader.slot = g.results.readers.allocate(client)
-	g.handleSpool(spool.Event{Kind: spool.Attach, Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, N: from})
+	g.handleSpool(spool.Event{Kind: spool.Attach, Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
 }
 
 // resumeResult takes a client's wish to read a result again, or to be done with it.
 func (g *Gateway) resumeResult(client *clientConn, resume *mysql.Resume) {
 	handle, err := spool.ParseHandle([]byte(resume.Handle))
 	if g.results == nil || err != nil {
-		g.rejectCommand(client, mysql.CodeFailed, "no such result") // the same words for whatever is wrong with a handle
+		g.rejectCommand(client, mysql.CodeUnknownError, "no such result") // the same words for whatever is wrong with a handle
 		return
 	}
 	client.reader = &resultReader{id: handle.ID, nextSeq: 1, resumable: true, handle: handle}
-	if resume.Done {
+	if resume.Release {
 		client.reader.slot = g.results.readers.allocate(client)
-		g.handleSpool(spool.Event{Kind: spool.Acked, Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
+		g.handleSpool(spool.Event{Kind: spool.Acknowledge, Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
 		return
 	}
-	g.attachReader(client, tenantKey(resume.Tenant), resume.Page)
+	g.attachReader(client, tenantKey(resume.Tenant), resume.FromChunk)
 }
 
 // writeChunk writes a chunk, and asks to be told once the client's connection has taken it.
 func (g *Gateway) writeChunk(client *clientConn, effect spool.Effect) {
 	reader := client.reader
-	if effect.Data == nil && effect.Last && effect.N < 0 { // an acknowledgement
+	if effect.Data == nil && effect.Last && effect.Index < 0 { // an acknowledgement
 		g.removeReader(client)
 		g.writeOK(client)
 		g.clientBecameIdle(client)
@@ -370,7 +370,7 @@
 		reader.headerWritten = true
 		client.output, reader.nextSeq = mysql.AppendColumns(client.output, reader.nextSeq, columnNames)
 		if reader.resumable {
-			client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#handle\t"+reader.handle.String()+"\t"+strconv.Itoa(effect.To)), columnCount)
+			client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#handle\t"+reader.handle.String()+"\t"+strconv.Itoa(effect.End)), columnCount)
 		}
 	}
 	for page := effect.Data; len(page) > 0; {
@@ -379,9 +379,9 @@
 		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, row, columnCount) // it was checked when it came
 	}
 	if reader.resumable {
-		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#page\t"+strconv.Itoa(effect.N)+"\t"+strconv.Itoa(effect.To)), columnCount)
+		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#page\t"+strconv.Itoa(effect.Index)+"\t"+strconv.Itoa(effect.End)), columnCount)
 	}
-	reader.lastChunk, reader.complete = effect.N, effect.Last
+	reader.lastChunk, reader.complete = effect.Index, effect.Last
 	g.markDirty(&client.outputBuffer)
 	if !effect.Last {
 		g.watchClient(client)
@@ -391,7 +391,7 @@
 	if reader.resumable { // kept until it is acknowledged, or its lease is over
 		g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
 	} else {
-		g.handleSpool(spool.Event{Kind: spool.Next, Reader: reader.slot, N: effect.N + 1})
+		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: effect.Index + 1})
 	}
 	g.removeReader(client)
 	g.clientBecameIdle(client)
@@ -406,7 +406,7 @@
 // clientDrained: the client has taken a chunk and gets the next.
 func (g *Gateway) clientDrained(client *clientConn) {
 	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
-		g.handleSpool(spool.Event{Kind: spool.Next, Reader: reader.slot, N: reader.lastChunk + 1})
+		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: reader.lastChunk + 1})
 	}
 }
 
@@ -432,10 +432,10 @@
 }
 
 // abortReader ends an answer that can't go on, so that its client can tell it from a whole one.
-func (g *Gateway) abortReader(client *clientConn, why spool.Why) {
+func (g *Gateway) abortReader(client *clientConn, why spool.Reason) {
 	reader := client.reader
 	g.log(Warn, "spool: a result was lost while it was read", Attr{"session", client.session}, Attr{"why", why.String()})
-	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeFailed, "the result was lost: "+why.String())
+	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeUnknownError, "the result was lost: "+why.String())
 	g.markDirty(&client.outputBuffer)
 	g.removeReader(client)
 	g.clientBecameIdle(client)
@@ -451,7 +451,7 @@
 func (g *Gateway) wakeSpool() {
 	if store := g.results; store != nil && store.wakeAt != 0 && store.wakeAt <= g.now {
 		store.wakeAt = 0
-		g.handleSpool(spool.Event{Kind: spool.Tick})
+		g.handleSpool(spool.Event{Kind: spool.TimerFired})
 	}
 }
 
@@ -463,8 +463,8 @@
 	}
 	stats, last := store.spool.Stats(), store.lastStats
 	store.lastStats = stats
-	g.log(Info, "spool", Attr{"results", stats.Results}, Attr{"readers", stats.Readers}, Attr{"disk_bytes", stats.Disk}, Attr{"memory_bytes", stats.Memory},
-		Attr{"reserved", stats.Reserved - last.Reserved}, Attr{"refused", stats.Refused - last.Refused}, Attr{"whole", stats.Whole - last.Whole},
-		Attr{"failed", stats.Failed - last.Failed}, Attr{"given", stats.Given - last.Given}, Attr{"denied", stats.Denied - last.Denied},
-		Attr{"expired", stats.Expired - last.Expired}, Attr{"gave_way", stats.GaveWay - last.GaveWay})
+	g.log(Info, "spool", Attr{"results", stats.Results}, Attr{"readers", stats.Readers}, Attr{"disk_bytes", stats.DiskBytes}, Attr{"memory_bytes", stats.MemoryBytes},
+		Attr{"reserved", stats.Reserved - last.Reserved}, Attr{"refused", stats.Rejected - last.Rejected}, Attr{"whole", stats.Completed - last.Completed},
+		Attr{"failed", stats.Failed - last.Failed}, Attr{"given", stats.Delivered - last.Delivered}, Attr{"denied", stats.Denied - last.Denied},
+		Attr{"expired", stats.Expired - last.Expired}, Attr{"gave_way", stats.Evicted - last.Evicted})
 }
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -41,7 +41,7 @@
 						t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
 					}
 					stats := sim.g.results.spool.Stats()
-					if stats.Whole < 100 || stats.Results != 0 || stats.Readers != 0 || stats.Memory != 0 || stats.Disk != 0 || len(sim.g.results.filling) != 0 {
+					if stats.Completed < 100 || stats.Results != 0 || stats.Readers != 0 || stats.MemoryBytes != 0 || stats.DiskBytes != 0 || len(sim.g.results.filling) != 0 {
 						t.Errorf("left on the shelf: %+v, %d on their way", stats, len(sim.g.results.filling))
 					}
 				})
@@ -106,15 +106,15 @@
 	for _, effect := range held {
 		var events []spool.Event
 		switch effect.Kind {
-		case spool.Write:
-			place := spool.Place{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.Size(len(effect.Data)))}
+		case spool.WriteRecord:
+			place := spool.Location{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			gw.records = append(gw.records, bytes.Clone(effect.Data))
-			events = append(events, spool.Event{Kind: spool.Written, ID: effect.ID, Record: effect.Record, N: effect.N, Place: place, Err: gw.diskFails})
+			events = append(events, spool.Event{Kind: spool.RecordWritten, ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: gw.diskFails})
 			if effect.Record == segment.Seal && !gw.diskFails {
-				events = append(events, spool.Event{Kind: spool.Synced, ID: effect.ID})
+				events = append(events, spool.Event{Kind: spool.ResultSynced, ID: effect.ID})
 			}
-		case spool.Load:
-			events = append(events, spool.Event{Kind: spool.Read, ID: effect.ID, Reader: effect.Reader, N: effect.N, Data: gw.records[effect.Place.Offset], Err: gw.diskFails})
+		case spool.LoadChunk:
+			events = append(events, spool.Event{Kind: spool.ChunkLoaded, ID: effect.ID, Reader: effect.Reader, Index: effect.Index, Data: gw.records[effect.Location.Offset], Failed: gw.diskFails})
 		default:
 			continue
 		}
@@ -258,7 +258,7 @@
 		if end != "end" || !slices.Equal(rows, wantRows(0, 150)) {
 			t.Errorf("%s: %d rows of %d, %s", name, len(rows), len(wantRows(0, 150)), end)
 		}
-		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Memory != 0 {
+		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.MemoryBytes != 0 {
 			t.Errorf("%s: left %+v", name, stats)
 		}
 		gw.send(1, string(queryPacket("SET x = 1"))) // and the session goes on
@@ -310,7 +310,7 @@
 	if out := gw.takeOutput(2); len(out) < 5 || out[4] != 0 {
 		t.Errorf("release: %q", out)
 	}
-	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Disk != 0 {
+	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.DiskBytes != 0 {
 		t.Errorf("left %+v", stats)
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -14,10 +14,10 @@
 	}
 	g.stopping = true
 	g.log(Info, "stopping", Attr{"open", g.unanswered})
-	g.timers.add(timer{at: g.now + g.limits.StopLinger, kind: timerStop})
+	g.timers.add(timer{at: g.now + g.limits.MinDrainPeriod, kind: timerStop})
 	g.shortenStoreDeadlines()
-	g.handleAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.StopWithin})
-	g.tellModule(rules.ShutdownStarted{Deadline: g.now + g.limits.StopWithin})
+	g.handleAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.ShutdownTimeout})
+	g.tellModule(rules.ShutdownStarted{Deadline: g.now + g.limits.ShutdownTimeout})
 }
 
 // exitWhenDone ends the process once all is answered. It asks for that again and again: what is read while the end is
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -336,15 +336,15 @@
 	sim.schedule(sim.latency(), func() {
 		var events []spool.Event
 		switch effect.Kind {
-		case spool.Write:
-			place := spool.Place{Segment: 1, Offset: int64(len(sim.diskRecords)), Size: int32(segment.Size(len(effect.Data)))}
+		case spool.WriteRecord:
+			place := spool.Location{Segment: 1, Offset: int64(len(sim.diskRecords)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			sim.diskRecords = append(sim.diskRecords, bytes.Clone(effect.Data))
-			events = append(events, spool.Event{Kind: spool.Written, ID: effect.ID, Record: effect.Record, N: effect.N, Place: place, Err: fails})
+			events = append(events, spool.Event{Kind: spool.RecordWritten, ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: fails})
 			if effect.Record == segment.Seal && !fails {
-				events = append(events, spool.Event{Kind: spool.Synced, ID: effect.ID})
+				events = append(events, spool.Event{Kind: spool.ResultSynced, ID: effect.ID})
 			}
-		case spool.Load:
-			events = append(events, spool.Event{Kind: spool.Read, ID: effect.ID, Reader: effect.Reader, N: effect.N, Data: sim.diskRecords[effect.Place.Offset], Err: fails})
+		case spool.LoadChunk:
+			events = append(events, spool.Event{Kind: spool.ChunkLoaded, ID: effect.ID, Reader: effect.Reader, Index: effect.Index, Data: sim.diskRecords[effect.Location.Offset], Failed: fails})
 		default:
 			return
 		}
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -16,7 +16,7 @@
 // detectStall looks whether the reducer runs again after a stall.
 func (g *Gateway) detectStall() {
 	late := g.now - g.armedAt
-	if g.armedAt == 0 || late < g.limits.StallFrom || g.now < g.lastStall.holdUntil {
+	if g.armedAt == 0 || late < g.limits.StallThreshold || g.now < g.lastStall.holdUntil {
 		return
 	}
 	g.log(Info, "stalled: what came meanwhile is read first", Attr{"late_ms", int64(late / rules.Millisecond)})
@@ -27,10 +27,10 @@
 // catchUpTime is how long nothing is sent at least. Behind a long stall reading takes longer, since others may come out of it at
 // the same time, and who has left meanwhile has left for longer than may be in any case.
 func (g *Gateway) catchUpTime(late rules.Time) rules.Time {
-	if late >= g.limits.StallLong {
-		return g.limits.SettleLong
+	if late >= g.limits.LongStallThreshold {
+		return g.limits.LongSettleTime
 	}
-	return g.limits.SettleFor
+	return g.limits.SettleTime
 }
 
 // catchingUp answers whether what came during a stall is still being read.
@@ -39,7 +39,7 @@
 // extendCatchUp notes that a client's connection said something: more of what came during the stall may lie behind it.
 func (g *Gateway) extendCatchUp() {
 	if g.catchingUp() {
-		g.lastStall.holdUntil = max(g.lastStall.holdUntil, min(g.now+g.catchUpTime(g.lastStall.lateBy), g.lastStall.resumedAt+g.catchUpTime(g.lastStall.lateBy)+g.limits.SettleMost))
+		g.lastStall.holdUntil = max(g.lastStall.holdUntil, min(g.now+g.catchUpTime(g.lastStall.lateBy), g.lastStall.resumedAt+g.catchUpTime(g.lastStall.lateBy)+g.limits.MaxSettleTime))
 	}
 }
 
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -56,7 +56,7 @@
 
 // logStats notes the last while, a line a class.
 func (g *Gateway) logStats() {
-	g.timers.add(timer{at: g.now + g.limits.StatsEvery, kind: timerStats})
+	g.timers.add(timer{at: g.now + g.limits.StatsInterval, kind: timerStats})
 	for i := range g.stats.classes {
 		stats := &g.stats.classes[i]
 		mean := 0.0
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -105,7 +105,7 @@
 			g.sweepClients()
 			g.sweepEngineConns()
 			g.sweepZones()
-			g.timers.add(timer{at: g.now + g.limits.Sweep, kind: timerSweep})
+			g.timers.add(timer{at: g.now + g.limits.SweepInterval, kind: timerSweep})
 		case timerPoll:
 			g.poll()
 		case timerPeers:
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -32,9 +32,9 @@
 		Attr{"left_ms", int64((attempt.deadline - g.now) / 1000)})
 }
 
-func (g *Gateway) traceAttemptSent(attempt *engineAttempt, ask *engine.Ask) {
+func (g *Gateway) traceAttemptSent(attempt *engineAttempt, ask *engine.Request) {
 	g.log(Debug, "attempt: sent", Attr{"request", string(attempt.request.id)}, Attr{"attempt", attempt.index}, Attr{"engine", attempt.engine.entry.ID},
-		Attr{"connection", uint64(attempt.conn.id &^ dialledBit)}, Attr{"ttl_ms", ask.TTL}, Attr{"waited_us", int64(g.now - attempt.startedAt)})
+		Attr{"connection", uint64(attempt.conn.id &^ dialledBit)}, Attr{"ttl_ms", ask.TimeoutMS}, Attr{"waited_us", int64(g.now - attempt.startedAt)})
 }
 
 func (g *Gateway) traceAttemptEnd(attempt *engineAttempt) {
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -25,10 +25,10 @@
 
 // newZoneRouting returns the zones that the operator has set, or nil.
 func newZoneRouting(cfg *config.Config, rng *rand.Rand, now rules.Time) *zoneRouting {
-	if cfg.Site == nil || cfg.Site.Sites == nil || len(cfg.Settings.ZoneNames) == 0 {
+	if cfg.Site == nil || cfg.Site.Zones == nil || len(cfg.Settings.ZoneNames) == 0 {
 		return nil
 	}
-	set, drained := cfg.Site.Sites.Resolve(cfg.Settings.ZoneNames)
+	set, drained := cfg.Site.Zones.Resolve(cfg.Settings.ZoneNames)
 	settings := &cfg.Settings.Rules
 	routing := &zoneRouting{names: append(slices.Clone(cfg.Settings.ZoneNames), "elsewhere")}
 	routing.router = zones.New(set, zones.Fleet{Zones: len(routing.names), HasUnassignedZone: true, OwnZone: settings.Zone, Gateways: settings.Gateways, Jitter: rng.Float64(),
@@ -63,7 +63,7 @@
 
 // reconfigureZones goes over to what the operator's file says now; the block may come and go.
 func (g *Gateway) reconfigureZones() {
-	on := g.cfg.Site != nil && g.cfg.Site.Sites != nil
+	on := g.cfg.Site != nil && g.cfg.Site.Zones != nil
 	switch {
 	case !on && g.zones != nil:
 		g.zones = nil
@@ -81,7 +81,7 @@
 	if g.zones == nil {
 		return
 	}
-	set, drained := g.cfg.Site.Sites.Resolve(g.cfg.Settings.ZoneNames)
+	set, drained := g.cfg.Site.Zones.Resolve(g.cfg.Settings.ZoneNames)
 	if g.directives != nil {
 		inForce := g.directives.proposer.State()
 		if v, ok := inForce.Value(directives.SpilloverLimit); ok {
--- a/internal/mysql/mysql_test.go
+++ b/internal/mysql/mysql_test.go
@@ -37,7 +37,7 @@
 		{"SELECT * FROM sales_12.orders /* never ends", 12, false},
 		{"SELECT 'never ends FROM sales_1.x", 0, false},
 	} {
-		if group, write := scan([]byte(c.text)); group != c.group || write != c.write {
+		if group, write := scanTables([]byte(c.text)); group != c.group || write != c.write {
 			t.Errorf("%s: got %d, %v, want %d, %v", c.text, group, write, c.group, c.write)
 		}
 	}
@@ -47,7 +47,7 @@
 	const id = "9b1f03aa5c7e2d41"
 	q, err := ParseQuery([]byte(" /* kind=report,req=" + id + ",timeout=1500,ms=820.0,need_mb=96,later=x */ SELECT 'a''b'  FROM s_3.t "))
 	want := Fields{Class: "report", ID: id, TimeoutMS: 1500, WorkMS: 820, MemoryMB: 96}
-	if err != nil || q.Fields != want || q.Group != 3 || string(q.Statement) != "SELECT 'a''b'  FROM s_3.t " {
+	if err != nil || q.Fields != want || q.TableGroup != 3 || string(q.Statement) != "SELECT 'a''b'  FROM s_3.t " {
 		t.Fatalf("got %+v, %v", q, err)
 	}
 	for name, text := range map[string]string{
@@ -91,7 +91,7 @@
 func TestDecoder(t *testing.T) {
 	stream := append([]byte{3, 0, 0, 7, 'a', 'b', 'c'}, 0, 0, 0, 8, 1, 0, 0, 9, 'd')
 	for size := 1; size <= len(stream); size++ {
-		d := Decoder{Max: 10}
+		d := Decoder{MaxPayload: 10}
 		var got []string
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
@@ -112,10 +112,10 @@
 			t.Errorf("cut at %d: %s", size, s)
 		}
 	}
-	d := Decoder{Max: 10}
+	d := Decoder{MaxPayload: 10}
 	d.Feed([]byte{11, 0, 0, 0})
 	var e *Error
-	if _, _, _, err := d.Next(); !errors.As(err, &e) || e.Code != CodeTooLarge {
+	if _, _, _, err := d.Next(); !errors.As(err, &e) || e.Code != CodePacketTooLarge {
 		t.Errorf("a packet of 11 bytes: %v", err)
 	}
 }
@@ -182,7 +182,7 @@
 	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d4")) // half a request
 	f.Add([]byte("KILL QUERY 99999999999999999999"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d := Decoder{Max: 1 << 10}
+		d := Decoder{MaxPayload: 1 << 10}
 		d.Feed(b)
 		for {
 			p, _, ok, err := d.Next()
@@ -194,7 +194,7 @@
 		if q, err := ParseQuery(b); err == nil && !bytes.HasSuffix(b, q.Statement) {
 			t.Errorf("the statement %q is not what came", q.Statement)
 		}
-		scan(b)
+		scanTables(b)
 		ParseKill(b)
 		FirstWord(b)
 	})
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -23,22 +23,22 @@
 
 // Codes of errors, as MySQL numbers them.
 const (
-	CodeHandshake    = 1043 // malformed login
-	CodeDenied       = 1045
-	CodeUnknownDB    = 1049
-	CodeUnknownCom   = 1047
-	CodeParse        = 1064
-	CodeNoThread     = 1094 // KILL of a session that is not there
-	CodeFailed       = 1105
-	CodeTooLarge     = 1153
-	CodeOutOfOrder   = 1156
-	CodeTooMany      = 1040
-	CodeLimitReached = 1226
+	CodeBadHandshake       = 1043 // malformed login
+	CodeAccessDenied       = 1045
+	CodeUnknownDatabase    = 1049
+	CodeUnknownCommand     = 1047
+	CodeParse              = 1064
+	CodeNoSuchThread       = 1094 // KILL of a session that is not there
+	CodeUnknownError       = 1105
+	CodePacketTooLarge     = 1153
+	CodePacketsOutOfOrder  = 1156
+	CodeTooManyConnections = 1040
+	CodeUserLimitReached   = 1226
 )
 
-var states = map[uint16]string{
-	CodeHandshake: "08S01", CodeDenied: "28000", CodeUnknownDB: "42000", CodeUnknownCom: "08S01", CodeParse: "42000",
-	CodeTooLarge: "08S01", CodeOutOfOrder: "08S01", CodeTooMany: "08004", CodeLimitReached: "42000",
+var sqlStates = map[uint16]string{
+	CodeBadHandshake: "08S01", CodeAccessDenied: "28000", CodeUnknownDatabase: "42000", CodeUnknownCommand: "08S01", CodeParse: "42000",
+	CodePacketTooLarge: "08S01", CodePacketsOutOfOrder: "08S01", CodeTooManyConnections: "08004", CodeUserLimitReached: "42000",
 }
 
 const (
@@ -48,15 +48,15 @@
 
 // Decoder cuts a client's stream into packets. Payloads of up to Max bytes pass.
 type Decoder struct {
-	Max int
-	in  framebuf.Buffer
+	MaxPayload int
+	in         framebuf.Buffer
 }
 
 // Feed adds bytes that have come; they are copied.
 func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
 
-// Held is how many bytes wait for the rest of their packet.
-func (d *Decoder) Held() int { return d.in.Len() }
+// Buffered is how many bytes wait for the rest of their packet.
+func (d *Decoder) Buffered() int { return d.in.Len() }
 
 // Next returns the next whole packet, or ok false if there is none yet. The
 // payload is valid until the next Feed.
@@ -66,8 +66,8 @@
 		return nil, 0, false, nil
 	}
 	n := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
-	if n > d.Max || n == maxPacket {
-		return nil, 0, false, &Error{CodeTooLarge, fmt.Sprintf("packet of %d bytes, %d at most", n, d.Max)}
+	if n > d.MaxPayload || n == maxPacket {
+		return nil, 0, false, &Error{CodePacketTooLarge, fmt.Sprintf("packet of %d bytes, %d at most", n, d.MaxPayload)}
 	}
 	if len(b) < headerSize+n {
 		return nil, 0, false, nil
@@ -78,35 +78,35 @@
 
 // Capabilities.
 const (
-	capLongPassword   = 1 << 0
-	capConnectWithDB  = 1 << 3
-	capProtocol41     = 1 << 9
-	capTransactions   = 1 << 13
-	capSecureConn     = 1 << 15
-	capSSL            = 1 << 11
-	capPluginAuth     = 1 << 19
-	capConnectAttrs   = 1 << 20
-	capLenencAuth     = 1 << 21
-	serverCaps        = capLongPassword | capConnectWithDB | capProtocol41 | capTransactions | capSecureConn | capPluginAuth
-	statusAutocommit  = 2
-	charsetUTF8MB4    = 45
-	authPlugin        = "mysql_native_password"
-	scrambleSize      = 20
-	protocolVersion   = 10
-	typeVarString     = 253
-	columnLength      = 1024
-	loginFixed        = 32
-	packetOK          = 0x00
-	packetEOF         = 0xfe
-	packetErr         = 0xff
-	lenencTwo         = 0xfc
-	lenencThree       = 0xfd
-	lenencEight       = 0xfe
-	lenencOneByteMost = 250
+	capLongPassword  = 1 << 0
+	capConnectWithDB = 1 << 3
+	capProtocol41    = 1 << 9
+	capTransactions  = 1 << 13
+	capSecureConn    = 1 << 15
+	capSSL           = 1 << 11
+	capPluginAuth    = 1 << 19
+	capConnectAttrs  = 1 << 20
+	capLenencAuth    = 1 << 21
+	serverCaps       = capLongPassword | capConnectWithDB | capProtocol41 | capTransactions | capSecureConn | capPluginAuth
+	statusAutocommit = 2
+	charsetUTF8MB4   = 45
+	authPlugin       = "mysql_native_password"
+	scrambleSize     = 20
+	protocolVersion  = 10
+	typeVarString    = 253
+	columnLength     = 1024
+	loginFixed       = 32
+	packetOK         = 0x00
+	packetEOF        = 0xfe
+	packetErr        = 0xff
+	lenencTwo        = 0xfc
+	lenencThree      = 0xfd
+	lenencEight      = 0xfe
+	lenencOneByteMax = 250
 )
 
-// open appends a packet header whose length close fills in.
-func open(dst []byte, seq byte) ([]byte, int) {
+// openPacket appends a packet header whose length close fills in.
+func openPacket(dst []byte, seq byte) ([]byte, int) {
 	at := len(dst)
 	return append(dst, 0, 0, 0, seq), at
 }
@@ -119,7 +119,7 @@
 
 // AppendGreeting appends the packet that opens a session.
 func AppendGreeting(dst []byte, session uint32, scramble [scrambleSize]byte, version string) []byte {
-	dst, at := open(dst, 0)
+	dst, at := openPacket(dst, 0)
 	dst = append(dst, protocolVersion)
 	dst = append(append(dst, version...), 0)
 	dst = binary.LittleEndian.AppendUint32(dst, session)
@@ -144,7 +144,7 @@
 
 // ParseLogin reads a HandshakeResponse41.
 func ParseLogin(p []byte) (l Login, err error) {
-	bad := func(what string) (Login, error) { return Login{}, &Error{CodeHandshake, "login: " + what} }
+	bad := func(what string) (Login, error) { return Login{}, &Error{CodeBadHandshake, "login: " + what} }
 	if len(p) < loginFixed {
 		return bad("too short")
 	}
@@ -202,7 +202,7 @@
 	case lenencEight:
 		width = 9
 	}
-	if len(p) < width || p[0] > lenencOneByteMost && width == 1 {
+	if len(p) < width || p[0] > lenencOneByteMax && width == 1 {
 		return nil, nil, false
 	}
 	if width > 1 {
@@ -232,18 +232,18 @@
 
 // AppendOK appends the packet that says that a command is done.
 func AppendOK(dst []byte, seq byte) []byte {
-	dst, at := open(dst, seq)
+	dst, at := openPacket(dst, seq)
 	dst = append(dst, packetOK, 0, 0, statusAutocommit, 0, 0, 0)
 	return closePacket(dst, at)
 }
 
 // AppendErr appends an error.
 func AppendErr(dst []byte, seq byte, code uint16, text string) []byte {
-	state := states[code]
+	state := sqlStates[code]
 	if state == "" {
 		state = "HY000"
 	}
-	dst, at := open(dst, seq)
+	dst, at := openPacket(dst, seq)
 	dst = append(dst, packetErr)
 	dst = binary.LittleEndian.AppendUint16(dst, code)
 	dst = append(append(append(dst, '#'), state...), text...)
@@ -252,7 +252,7 @@
 
 func appendLenencInt(dst []byte, n int) []byte {
 	switch {
-	case n <= lenencOneByteMost:
+	case n <= lenencOneByteMax:
 		return append(dst, byte(n))
 	case n < 1<<16:
 		return append(dst, lenencTwo, byte(n), byte(n>>8))
@@ -266,18 +266,18 @@
 }
 
 func appendEOF(dst []byte, seq byte) []byte {
-	dst, at := open(dst, seq)
+	dst, at := openPacket(dst, seq)
 	dst = append(dst, packetEOF, 0, 0, statusAutocommit, 0)
 	return closePacket(dst, at)
 }
 
 // AppendColumns opens a result set of text columns. It returns the next sequence number.
 func AppendColumns(dst []byte, seq byte, names []string) ([]byte, byte) {
-	dst, at := open(dst, seq)
+	dst, at := openPacket(dst, seq)
 	dst = closePacket(appendLenencInt(dst, len(names)), at)
 	for _, name := range names {
 		seq++
-		dst, at = open(dst, seq)
+		dst, at = openPacket(dst, seq)
 		dst = appendLenenc(dst, "def")
 		dst = appendLenenc(appendLenenc(appendLenenc(dst, ""), ""), "")
 		dst = appendLenenc(appendLenenc(dst, name), name)
@@ -293,7 +293,7 @@
 // AppendRow appends one row: a line of text with tabs between the columns. It
 // returns the next sequence number, and ok false if the row has not that many columns.
 func AppendRow(dst []byte, seq byte, line []byte, columns int) (out []byte, next byte, ok bool) {
-	dst, at := open(dst, seq)
+	dst, at := openPacket(dst, seq)
 	for i := range columns {
 		cell, rest, more := bytes.Cut(line, []byte{'\t'})
 		if more != (i < columns-1) {
--- a/internal/mysql/sql.go
+++ b/internal/mysql/sql.go
@@ -13,30 +13,30 @@
 
 // Query is a statement with what was found in it.
 type Query struct {
-	Fields    Fields
-	Statement []byte // without the comment that holds the fields
-	Group     int    // number of the group of tables
-	Write     bool
+	Fields     Fields
+	Statement  []byte // without the comment that holds the fields
+	TableGroup int    // number of the group of tables
+	Write      bool
 }
 
 // Fields are those of the leading comment.
 type Fields struct {
-	Class     string
-	ID        string
-	TimeoutMS int64
-	WorkMS    float64 // 0: not told
-	MemoryMB  float64 // 0: not told
-	Repeat    bool
-	Tenant    string // empty: none
-	Key       string // of a class that keeps its order; empty: none
-	Once      string // by which engines drop repeats; empty: none
-	Spool     bool   // a handle to the result is asked for
+	Class          string
+	ID             string
+	TimeoutMS      int64
+	WorkMS         float64 // 0: not told
+	MemoryMB       float64 // 0: not told
+	IsRetry        bool
+	Tenant         string // empty: none
+	OrderKey       string // of a class that keeps its order; empty: none
+	IdempotencyKey string // by which engines drop repeats; empty: none
+	WantsHandle    bool   // a handle to the result is asked for
 }
 
 const (
-	idDigits    = 16
-	mostTimeout = 1 << 40 // ms; more can't be a client's patience
-	mostAmount  = 1e9     // ms or MB
+	idDigits     = 16
+	maxTimeoutMS = 1 << 40 // ms; more can't be a client's patience
+	maxAmount    = 1e9     // ms or MB
 )
 
 // HasFields answers whether a statement opens with a comment.
@@ -64,7 +64,7 @@
 	if len(q.Statement) == 0 {
 		return bad("no statement behind the fields")
 	}
-	q.Group, q.Write = scan(q.Statement)
+	q.TableGroup, q.Write = scanTables(q.Statement)
 	return q, nil
 }
 
@@ -101,50 +101,50 @@
 		f.ID, ok = value, isID(value)
 	case "timeout":
 		n, err := strconv.ParseInt(value, 10, 64)
-		f.TimeoutMS, ok = n, err == nil && n > 0 && n < mostTimeout
+		f.TimeoutMS, ok = n, err == nil && n > 0 && n < maxTimeoutMS
 	case "ms":
-		f.WorkMS, ok = amount(value)
+		f.WorkMS, ok = parseAmount(value)
 	case "need_mb":
-		f.MemoryMB, ok = amount(value)
+		f.MemoryMB, ok = parseAmount(value)
 	case "owner":
 		f.Tenant, ok = value, true
 	case "subject":
-		f.Key, ok = value, true
+		f.OrderKey, ok = value, true
 	case "opkey":
-		f.Once, ok = value, sendable(value)
+		f.IdempotencyKey, ok = value, isForwardable(value)
 	case "spool":
-		f.Spool, ok = value == "1", value == "0" || value == "1"
+		f.WantsHandle, ok = value == "1", value == "0" || value == "1"
 	case "resent":
-		f.Repeat, ok = value != "0", true
+		f.IsRetry, ok = value != "0", true
 	default:
 		ok = true // other fields are let pass
 	}
 	return ok
 }
 
-// mostWord is more than any key or name has.
-const mostWord = 128
+// maxTokenBytes is more than any key or name has.
+const maxTokenBytes = 128
 
-// sendable answers whether a value can go on to an engine as it is: a word of its own, in a list of fields.
-func sendable(value string) bool {
+// isForwardable answers whether a value can go on to an engine as it is: a word of its own, in a list of fields.
+func isForwardable(value string) bool {
 	for _, c := range []byte(value) {
 		if c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
 			return false
 		}
 	}
-	return value != "" && len(value) <= mostWord
+	return value != "" && len(value) <= maxTokenBytes
 }
 
 // Resume is a client's wish to read a spooled result again.
 type Resume struct {
-	Handle string
-	Page   int    // from here on; 0: all
-	Done   bool   // it is done with the result
-	Tenant string // empty: none
+	Handle    string
+	FromChunk int    // from here on; 0: all
+	Release   bool   // it is done with the result
+	Tenant    string // empty: none
 }
 
-// mostPage is more than any result has.
-const mostPage = 1 << 30
+// maxChunk is more than any result has.
+const maxChunk = 1 << 30
 
 // ParseResume reads a comment that opens with resume=HANDLE or release=HANDLE; what stands behind the comment
 // is let pass. It answers false if the comment is of another sort.
@@ -168,13 +168,13 @@
 			if r.Handle != "" {
 				return r, true, &Error{CodeParse, "resume and release in one"}
 			}
-			r.Handle, r.Done = value, name == "release"
+			r.Handle, r.Release = value, name == "release"
 		case "page":
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || n > mostPage {
+			if err != nil || n > maxChunk {
 				return r, true, &Error{CodeParse, fmt.Sprintf("field page has the unusable value %.40q", value)}
 			}
-			r.Page = int(n)
+			r.FromChunk = int(n)
 		case "owner":
 			r.Tenant = value
 		}
@@ -194,9 +194,9 @@
 	return true
 }
 
-func amount(s string) (float64, bool) {
+func parseAmount(s string) (float64, bool) {
 	f, err := strconv.ParseFloat(s, 64)
-	return f, err == nil && f >= 0 && f < mostAmount
+	return f, err == nil && f >= 0 && f < maxAmount
 }
 
 // tokenKind is what a token of a statement is.
@@ -282,15 +282,15 @@
 func (t token) is(word string) bool {
 	return t.kind == tokenWord && bytes.EqualFold(t.text, []byte(word))
 }
-func (t token) sign(c byte) bool {
+func (t token) isPunctuation(c byte) bool {
 	return t.kind == tokenOther && len(t.text) == 1 && t.text[0] == c
 }
-func (t token) name() bool { return t.kind == tokenWord || t.kind == tokenQuoted }
+func (t token) isName() bool { return t.kind == tokenWord || t.kind == tokenQuoted }
 
-var tableWords = []string{"FROM", "JOIN", "INTO", "UPDATE", "TABLE"}
-var writeWords = []string{"INSERT", "UPDATE", "DELETE", "REPLACE", "LOAD", "COPY", "MERGE", "TRUNCATE", "CREATE", "ALTER", "DROP"}
+var tableKeywords = []string{"FROM", "JOIN", "INTO", "UPDATE", "TABLE"}
+var writeKeywords = []string{"INSERT", "UPDATE", "DELETE", "REPLACE", "LOAD", "COPY", "MERGE", "TRUNCATE", "CREATE", "ALTER", "DROP"}
 
-func (t token) oneOf(words []string) bool {
+func (t token) isAnyOf(words []string) bool {
 	for _, w := range words {
 		if t.is(w) {
 			return true
@@ -299,38 +299,38 @@
 	return false
 }
 
-// scan finds the number of the group of tables: that in the name of a schema
+// scanTables finds the number of the group of tables: that in the name of a schema
 // behind FROM, JOIN, INTO, UPDATE or TABLE, or a comma in their list; failing
 // that, of any qualified name. It also tells whether the statement writes.
-func scan(statement []byte) (group int, write bool) {
+func scanTables(statement []byte) (group int, write bool) {
 	s := scanner{statement}
 	any, found := 0, false
 	list, place := false, false // in a list of tables; a table comes next
 	t := s.next()
-	write = t.oneOf(writeWords)
+	write = t.isAnyOf(writeKeywords)
 	for t.kind != tokenEnd {
 		next := s.next()
 		switch {
-		case t.name() && next.sign('.'):
-			n, ok := groupOf(t.text)
+		case t.isName() && next.isPunctuation('.'):
+			n, ok := tableGroup(t.text)
 			if ok && place {
 				return n, write
 			}
 			if ok && !found {
 				any, found = n, true
 			}
-			for next.sign('.') { // the rest of the qualified name
+			for next.isPunctuation('.') { // the rest of the qualified name
 				s.next()
 				next = s.next()
 			}
 			place = false
-		case t.oneOf(tableWords):
+		case t.isAnyOf(tableKeywords):
 			list, place = true, true
-		case t.sign(','):
+		case t.isPunctuation(','):
 			place = list
-		case t.sign('('), t.sign(')'), t.is("WHERE"), t.is("SELECT"), t.is("SET"), t.is("ON"), t.is("GROUP"), t.is("ORDER"), t.is("VALUES"):
+		case t.isPunctuation('('), t.isPunctuation(')'), t.is("WHERE"), t.is("SELECT"), t.is("SET"), t.is("ON"), t.is("GROUP"), t.is("ORDER"), t.is("VALUES"):
 			list, place = false, false
-		case t.name():
+		case t.isName():
 			place = place && t.is("ONLY")
 		}
 		t = next
@@ -338,8 +338,8 @@
 	return any, write
 }
 
-// groupOf is the number behind the last underscore of a schema's name.
-func groupOf(schema []byte) (int, bool) {
+// tableGroup is the number behind the last underscore of a schema's name.
+func tableGroup(schema []byte) (int, bool) {
 	i := bytes.LastIndexByte(schema, '_')
 	if i < 0 || bytes.EqualFold(schema, []byte("staging")) {
 		return 0, false
@@ -360,7 +360,7 @@
 	}
 	n, err := strconv.ParseUint(string(t.text), 10, 32)
 	end := s.next()
-	if end.sign(';') {
+	if end.isPunctuation(';') {
 		end = s.next()
 	}
 	return uint32(n), query, t.kind == tokenWord && err == nil && end.kind == tokenEnd
--- a/internal/net/close.go
+++ b/internal/net/close.go
@@ -30,14 +30,14 @@
 	}
 	e.mu.Lock()
 	var oldest *conn
-	if known := e.conns[c.id] == c && e.closeWrite(c); known && len(e.lingering) > e.limits.Lingering {
+	if known := e.conns[c.id] == c && e.closeWrite(c); known && len(e.lingering) > e.limits.MaxLingering {
 		oldest = e.lingering[0]
 	}
 	e.mu.Unlock()
 	if oldest != nil {
 		e.shutdownConn(oldest, errClosedHere)
 	}
-	e.after(e.limits.FlushWithin, func() { e.shutdownConn(c, errClosedHere) })
+	e.after(e.limits.FlushTimeout, func() { e.shutdownConn(c, errClosedHere) })
 }
 
 var errClosedHere = errors.New("done with")
@@ -55,7 +55,7 @@
 	if c.ownsDescriptor() {
 		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR)
 	}
-	e.after(e.limits.FlushWithin, func() { // should the system tell the poller nothing
+	e.after(e.limits.FlushTimeout, func() { // should the system tell the poller nothing
 		if e.connByID(c.id) == c {
 			_ = c.nb.Close()
 			e.reserveDescriptor(c.nb.Hash())
@@ -125,12 +125,12 @@
 		case n == fd:
 			e.mu.Lock()
 			e.reserved = append(e.reserved, n)
-			if len(e.reserved) > e.limits.Plugs {
+			if len(e.reserved) > e.limits.MaxReservedDescriptors {
 				syscall.Close(e.reserved[0])
 				e.reserved = e.reserved[1:]
 			}
 			e.mu.Unlock()
-			e.after(e.limits.FlushWithin, func() { e.releaseDescriptor(n) })
+			e.after(e.limits.FlushTimeout, func() { e.releaseDescriptor(n) })
 			return
 		case n > fd: // somebody has it
 			syscall.Close(n)
@@ -214,7 +214,7 @@
 // all of them have ended, or the time for it is over.
 func (e *Server) advanceShutdown(s *shutdownState) bool {
 	if s.deadline.IsZero() {
-		s.deadline = time.Now().Add(time.Duration(e.limits.FlushWithin) * time.Microsecond)
+		s.deadline = time.Now().Add(time.Duration(e.limits.FlushTimeout) * time.Microsecond)
 		e.shuttingDown.Store(true)
 		e.listener.Close()
 	}
--- a/internal/net/close_test.go
+++ b/internal/net/close_test.go
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	e.startDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), e.limits.Connect)
+	e.startDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), e.limits.ConnectTimeout)
 	waitFor(t, "the dial", func() bool { return e.connByID(1<<63|1) != nil })
 	for name, c := range map[string]*conn{"accepted": accepted, "dialled": e.connByID(1<<63 | 1)} {
 		if on, err := syscall.GetsockoptInt(c.nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
--- a/internal/net/connections.go
+++ b/internal/net/connections.go
@@ -23,12 +23,12 @@
 	e.mu.Lock()
 	c, kind := e.connsByNB[nb], gateway.DialSucceeded
 	if c == nil {
-		for e.clientCount >= e.limits.Clients+e.limits.AcceptAhead && !e.shuttingDown.Load() {
+		for e.clientCount >= e.limits.MaxClients+e.limits.AcceptOverflow && !e.shuttingDown.Load() {
 			e.clientClosed.Wait()
 		}
 		e.lastAccepted++
 		e.clientCount++
-		c, kind = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientOut), accepted: true}, gateway.ConnectionAccepted
+		c, kind = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientSendBuffer), accepted: true}, gateway.ConnectionAccepted
 		e.connsByNB[nb] = c
 	}
 	e.conns[c.id] = c
@@ -122,7 +122,7 @@
 		_ = nb.Close()
 		return nil, errDialCancelled
 	}
-	c := &conn{id: id, nb: nb, maxPending: int64(e.limits.LinkOut)}
+	c := &conn{id: id, nb: nb, maxPending: int64(e.limits.EngineSendBuffer)}
 	e.connsByNB[nb], e.conns[id] = c, c // from here on the reducer's close finds it
 	return c, nil
 }
--- a/internal/net/dns.go
+++ b/internal/net/dns.go
@@ -65,7 +65,7 @@
 
 func (e *Server) readDNS(udp stdnet.Conn) {
 	defer e.dnsReaders.Done()
-	buf := make([]byte, e.limits.Datagram)
+	buf := make([]byte, e.limits.MaxDatagramBytes)
 	for {
 		n, err := udp.Read(buf)
 		switch {
--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -43,12 +43,12 @@
 
 // openVoterLog reads the voter's log, if we are one, before anything else: another process that uses its folder ends this one.
 func (e *Server) openVoterLog() error {
-	if e.cfg.Site == nil || e.cfg.Site.Directives == nil || e.cfg.Site.Members == nil || e.cfg.Site.Directives.Folder == "" ||
+	if e.cfg.Site == nil || e.cfg.Site.Directives == nil || e.cfg.Site.Members == nil || e.cfg.Site.Directives.LogFolder == "" ||
 		!slices.Contains(e.cfg.Site.Directives.Voters, e.cfg.Name) {
 		return nil
 	}
 	v, err := retryStart(e, "voter's log", func() (*voterWorker, error) {
-		l, kept, err := e.platform.OpenVoterLog(e.cfg.Site.Directives.Folder)
+		l, kept, err := e.platform.OpenVoterLog(e.cfg.Site.Directives.LogFolder)
 		return &voterWorker{log: l, batches: make(chan directives.Batch, maxQueuedBatches), recovered: kept}, err
 	})
 	if err != nil {
@@ -157,7 +157,7 @@
 		return nil
 	}
 	set := e.cfg.Site.Members
-	may, err := set.Set()
+	may, err := set.AllowedSet()
 	if err != nil {
 		return err
 	}
@@ -175,8 +175,8 @@
 		default:
 		}
 	}
-	if t.members, err = members.Start(members.Settings{Name: e.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.Via,
-		FastDetection: set.Fast}, poke); err != nil {
+	if t.members, err = members.Start(members.Settings{Name: e.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.AddressMap,
+		FastDetection: set.FastTimers}, poke); err != nil {
 		return err
 	}
 	if set.Control.IsValid() {
--- a/internal/net/queue.go
+++ b/internal/net/queue.go
@@ -27,7 +27,7 @@
 }
 
 func newEventQueue(l config.Limits) *eventQueue {
-	m := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.Mailbox, maxArena: l.Arena}
+	m := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.EventQueueBytes, maxArena: l.EventBufferBytes}
 	m.notFull.L = &m.mu
 	return m
 }
--- a/internal/net/resultstore.go
+++ b/internal/net/resultstore.go
@@ -16,7 +16,7 @@
 // resultStore is the folder in which results are kept, and the goroutine that writes to it.
 type resultStore struct {
 	folder    Folder
-	runner    *disk.Runner
+	runner    *disk.Worker
 	recovered []spool.Event // at the start, until the reducer has them
 }
 
@@ -44,7 +44,7 @@
 	start := e.now()
 	var rec *disk.Recovery
 	store, err := retryStart(e, "spool", func() (store *disk.Store, err error) {
-		store, rec, err = disk.Open(folder, disk.Options{Segment: segmentSize, Salt: binary.LittleEndian.Uint64(salt[:])})
+		store, rec, err = disk.Open(folder, disk.Options{SegmentBytes: segmentSize, Salt: binary.LittleEndian.Uint64(salt[:])})
 		return store, err
 	})
 	if err != nil {
@@ -52,17 +52,17 @@
 		return err
 	}
 	e.results = &resultStore{folder: folder}
-	for _, f := range rec.Found {
-		e.results.recovered = append(e.results.recovered, spool.Event{Kind: spool.Recovered, ID: f.ID, Secret: f.Meta.Secret, Tenant: f.Meta.Tenant,
-			Class: int(f.Meta.Class), Created: rules.Time(f.Meta.Created), Lease: rules.Time(f.Meta.Lease), Places: f.Places})
+	for _, f := range rec.Results {
+		e.results.recovered = append(e.results.recovered, spool.Event{Kind: spool.ResultRecovered, ID: f.ID, Secret: f.Meta.Secret, Tenant: f.Meta.Tenant,
+			Class: int(f.Meta.Class), Created: rules.Time(f.Meta.Created), LeaseEnd: rules.Time(f.Meta.LeaseEnd), Locations: f.Locations})
 	}
-	e.log.Info("spool opened", zap.String("folder", set.Folder), zap.Int("results", len(rec.Found)), zap.Int("damaged", len(rec.Lost)),
-		zap.Int("unfinished", rec.Partial), zap.Int64("torn_bytes", rec.Torn), zap.Int64("took_ms", int64((e.now()-start)/rules.Millisecond)))
+	e.log.Info("spool opened", zap.String("folder", set.Folder), zap.Int("results", len(rec.Results)), zap.Int("damaged", len(rec.Lost)),
+		zap.Int("unfinished", rec.Unfinished), zap.Int64("torn_bytes", rec.TornBytes), zap.Int64("took_ms", int64((e.now()-start)/rules.Millisecond)))
 	for _, d := range rec.Damage {
-		e.log.Warn("spool: damaged", zap.Uint32("segment", d.Segment), zap.Int64("at", d.From), zap.Int64("bytes", d.Size),
+		e.log.Warn("spool: damaged", zap.Uint32("segment", d.Segment), zap.Int64("at", d.Offset), zap.Int64("bytes", d.Size),
 			zap.String("result", fmt.Sprintf("%x", d.ID[:])))
 	}
-	e.results.runner = disk.NewRunner(store, maxQueuedDiskEffects, set.Budget.Disk/wasteDivisor,
+	e.results.runner = disk.NewWorker(store, maxQueuedDiskEffects, set.Budget.DiskBytes/wasteDivisor,
 		func(events []spool.Event) {
 			e.queue.enqueue(gateway.Event{Kind: gateway.SpoolCompleted, Spool: events})
 		},
@@ -91,12 +91,12 @@
 	if e.results != nil && e.results.runner.Submit(*s) == nil {
 		return
 	}
-	ev := spool.Event{ID: s.ID, N: s.N, Err: true}
+	ev := spool.Event{ID: s.ID, Index: s.Index, Failed: true}
 	switch s.Kind {
-	case spool.Write:
-		ev.Kind, ev.Record = spool.Written, s.Record
-	case spool.Load:
-		ev.Kind, ev.Reader = spool.Read, s.Reader
+	case spool.WriteRecord:
+		ev.Kind, ev.Record = spool.RecordWritten, s.Record
+	case spool.LoadChunk:
+		ev.Kind, ev.Reader = spool.ChunkLoaded, s.Reader
 	default:
 		return
 	}
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -134,7 +134,7 @@
 	}
 	defer e.close()
 	log.Info("serving", zap.String("name", cfg.Name), zap.Stringer("listen", cfg.Listen),
-		zap.Int("engines", len(cfg.Known.Engines)))
+		zap.Int("engines", len(cfg.InitialList.Engines)))
 	e.run(signals)
 	return nil
 }
@@ -326,7 +326,7 @@
 	var arena []byte
 	var end shutdownState
 	reading := newReloadState()
-	armed, turns := rules.Time(0), pacer{interval: e.limits.Turn}
+	armed, turns := rules.Time(0), pacer{interval: e.limits.MinBatchInterval}
 	for {
 		over := false
 		for _, f := range g.Flush() {
@@ -429,7 +429,7 @@
 				e.closeGracefully(c)
 				return
 			}
-			e.after(e.limits.FlushWithin, func() { e.shutdownConn(c, errPeerNotReading) })
+			e.after(e.limits.FlushTimeout, func() { e.shutdownConn(c, errPeerNotReading) })
 		} else {
 			e.cancelDial(f.Conn)
 		}
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -210,7 +210,7 @@
 		return log, directives.PersistedState{}, nil
 	}
 	e := newBareServerOn(t, p)
-	e.cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{e.cfg.Name}, Folder: t.TempDir()}}
+	e.cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{e.cfg.Name}, LogFolder: t.TempDir()}}
 	if err := e.openVoterLog(); err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 			return nil, directives.PersistedState{}, errDamaged
 		}
 		cfg := loopbackConfig(t)
-		cfg.Site = &site.Site{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{cfg.Name}, Folder: t.TempDir()}}
+		cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{cfg.Name}, LogFolder: t.TempDir()}}
 		ended := make(chan error, 1)
 		go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{}) }()
 		select {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,11 +15,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual([][]string{s.ClassNames, s.ZoneNames, s.KindNames, s.Tenants},
+	if !reflect.DeepEqual([][]string{s.ClassNames, s.ZoneNames, s.KindNames, s.TenantNames},
 		[][]string{{"point", "load"}, {"a", "b"}, {"std"}, {"acme"}}) {
 		t.Errorf("names: %+v", s)
 	}
-	if s.ConnIdle != 15*rules.Second || s.Multiplex != 32 || s.Rules.Limits.MaxOpenRequests != 7 {
+	if s.EngineIdleTimeout != 15*rules.Second || s.Multiplex != 32 || s.Rules.Limits.MaxOpenRequests != 7 {
 		t.Errorf("figures: %+v", s)
 	}
 	if c := s.Rules.Classes[1]; c.Threads != 4 || !c.IsDataLoad || c.Idempotency != rules.NotIdempotent || c.AllowedZones[0] != 1 {
--- a/internal/simprotocol/codec_test.go
+++ b/internal/simprotocol/codec_test.go
@@ -30,11 +30,11 @@
 		{rules.Log{Text: "two servers known"}, `{"cmd":"Remark","msg":"two servers known"}`},
 	} {
 		var e encoder
-		e.open()
+		e.openReply()
 		e.openGroup(3)
 		e.action(c.action)
 		e.closeGroup()
-		got, want := string(e.close()), `{"managers":[{"who":3,"cmds":[`+c.want+"]}]}\n"
+		got, want := string(e.closeReply()), `{"managers":[{"who":3,"cmds":[`+c.want+"]}]}\n"
 		if got != want {
 			t.Errorf("%T: got %s, want %s", c.action, got, want)
 		}
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -11,71 +11,71 @@
 
 // batch is one line of input.
 type batch struct {
-	TS       *int64       `json:"ts"`
-	Managers []batchGroup `json:"managers"`
+	Timestamp *int64       `json:"ts"`
+	Groups    []batchGroup `json:"managers"`
 }
 
 type batchGroup struct {
-	Who   *int        `json:"who"`
-	Input []wireEvent `json:"input"`
+	Instance *int        `json:"who"`
+	Events   []wireEvent `json:"input"`
 }
 
 // wireEvent holds the fields of every event; which of them count depends on Cmd.
 type wireEvent struct {
-	Cmd         string             `json:"cmd"`
-	RandomSeed  json.Number        `json:"randomSeed"`
-	BootInfo    json.RawMessage    `json:"bootInfo"`
-	Kind        string             `json:"kind"`
-	Sheet       int                `json:"sheet"`
-	Lines       []wireEngine       `json:"lines"`
-	XID         string             `json:"xid"`
-	Cls         int                `json:"cls"`
-	Owner       int                `json:"owner"`
-	OrderKey    string             `json:"orderKey"`
-	Due         *int64             `json:"due"`
-	Estimate    int64              `json:"estimate"`
-	FootprintMB float64            `json:"footprintMb"`
-	Dataset     float64            `json:"dataset"`
-	Bitmap      int64              `json:"bitmap"`
-	Leg         int                `json:"leg"`
-	Engine      *int64             `json:"engine"`
-	Lag         int64              `json:"lag"`
-	Sort        int                `json:"sort"`
-	X           float64            `json:"x"`
-	Verdict     string             `json:"verdict"`
-	DoneFlag    bool               `json:"doneFlag"`
-	TrueCost    int64              `json:"trueCost"`
-	Pressure    map[string]float64 `json:"pressure"`
-	Handle      string             `json:"handle"`
-	SrcPeer     int                `json:"srcPeer"`
-	Content     string             `json:"content"`
+	Command           string             `json:"cmd"`
+	Seed              json.Number        `json:"randomSeed"`
+	Settings          json.RawMessage    `json:"bootInfo"`
+	ListMode          string             `json:"kind"`
+	ListNumber        int                `json:"sheet"`
+	Engines           []wireEngine       `json:"lines"`
+	RequestID         string             `json:"xid"`
+	Class             int                `json:"cls"`
+	Tenant            int                `json:"owner"`
+	OrderKey          string             `json:"orderKey"`
+	Deadline          *int64             `json:"due"`
+	EstimatedWork     int64              `json:"estimate"`
+	EstimatedMemoryMB float64            `json:"footprintMb"`
+	DataSet           float64            `json:"dataset"`
+	Flags             int64              `json:"bitmap"`
+	Attempt           int                `json:"leg"`
+	Engine            *int64             `json:"engine"`
+	Latency           int64              `json:"lag"`
+	ProgressKind      int                `json:"sort"`
+	ProgressValue     float64            `json:"x"`
+	Status            string             `json:"verdict"`
+	Closed            bool               `json:"doneFlag"`
+	MeasuredCost      int64              `json:"trueCost"`
+	Load              map[string]float64 `json:"pressure"`
+	TimerToken        string             `json:"handle"`
+	Peer              int                `json:"srcPeer"`
+	Payload           string             `json:"content"`
 }
 
 type wireEngine struct {
-	Cluster   int     `json:"cluster"`
-	Campus    int     `json:"campus"`
+	Cell      int     `json:"cluster"`
+	Zone      int     `json:"campus"`
 	StartedAt int64   `json:"startedAt"`
-	Engine    *int64  `json:"engine"`
-	Machine   int     `json:"machine"`
-	Health    string  `json:"health"`
+	ID        *int64  `json:"engine"`
+	Kind      int     `json:"machine"`
+	State     string  `json:"health"`
 	Scale     float64 `json:"scale"`
 }
 
 // Bits of wireEvent.Bitmap, and units of wireEvent.TrueCost.
 const (
-	bitHint      = 1
-	bitRepeat    = 2
-	bitWrite     = 4
-	costMSFactor = 4096
-	costMemoryMB = 4
+	flagHasWork      = 1
+	flagRetry        = 2
+	flagWrite        = 4
+	costMSUnit       = 4096
+	costMemoryUnitMB = 4
 )
 
-var verdicts = map[string]rules.Status{
+var statuses = map[string]rules.Status{
 	"S": rules.StatusOK, "E": rules.StatusError, "F": rules.StatusRejected, "T": rules.StatusTimeout,
 	"C": rules.StatusConnectFailed, "R": rules.StatusReset, "X": rules.StatusCancelled, "N": rules.StatusSuperseded,
 }
 
-var healths = map[string]rules.EngineState{
+var engineStates = map[string]rules.EngineState{
 	"SERVING": rules.EngineServing, "DRAINING": rules.EngineDraining, "DELETED": rules.EngineGone,
 }
 
@@ -83,7 +83,7 @@
 	"INCREMENTAL": rules.UpdateDelta, "FULL": rules.UpdateFull, "SAVED": rules.UpdateCached, "FAILED": rules.UpdateFailed,
 }
 
-func word[T any](what, word string, words map[string]T) (T, error) {
+func lookUp[T any](what, word string, words map[string]T) (T, error) {
 	v, ok := words[word]
 	if !ok {
 		return v, fmt.Errorf("unknown %s %q", what, word)
@@ -104,19 +104,19 @@
 func decodeEngines(lines []wireEngine) ([]rules.Engine, error) {
 	out := make([]rules.Engine, 0, len(lines))
 	for i, l := range lines {
-		id, err := engineID(l.Engine)
+		id, err := engineID(l.ID)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i, err)
 		}
-		state, err := word("health", l.Health, healths)
+		state, err := lookUp("health", l.State, engineStates)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i, err)
 		}
-		if l.Campus < 0 || l.Machine < 0 || l.Cluster < 0 || l.Scale < 0 {
+		if l.Zone < 0 || l.Kind < 0 || l.Cell < 0 || l.Scale < 0 {
 			return nil, fmt.Errorf("line %d: a negative value", i)
 		}
 		out = append(out, rules.Engine{
-			ID: id, Cell: l.Cluster, Zone: l.Campus, Kind: l.Machine,
+			ID: id, Cell: l.Cell, Zone: l.Zone, Kind: l.Kind,
 			StartedAt: rules.Time(l.StartedAt), State: state, Scale: l.Scale,
 		})
 	}
@@ -124,43 +124,43 @@
 }
 
 func (w *wireEvent) requestID() (rules.RequestID, error) {
-	if w.XID == "" {
+	if w.RequestID == "" {
 		return "", errors.New("no xid")
 	}
-	return rules.RequestID(w.XID), nil
+	return rules.RequestID(w.RequestID), nil
 }
 
 // decode translates the events that concern only one instance's module.
 func (w *wireEvent) decode(s *rules.Settings) (rules.Event, error) {
-	switch w.Cmd {
+	switch w.Command {
 	case "Accept":
 		return w.decodeAccept(s)
 	case "Resolved":
 		return w.decodeResolved()
 	case "Opened":
 		id, err := w.requestID()
-		return rules.StreamOpened{ID: id, Attempt: w.Leg}, err
+		return rules.StreamOpened{ID: id, Attempt: w.Attempt}, err
 	case "Heartbeat":
 		id, err := w.requestID()
-		if err == nil && (w.Sort < 1 || w.Sort > 3) {
-			err = fmt.Errorf("sort %d is out of range", w.Sort)
+		if err == nil && (w.ProgressKind < 1 || w.ProgressKind > 3) {
+			err = fmt.Errorf("sort %d is out of range", w.ProgressKind)
 		}
-		return rules.Progress{ID: id, Attempt: w.Leg, Kind: rules.ProgressKind(w.Sort), Value: w.X}, err
+		return rules.Progress{ID: id, Attempt: w.Attempt, Kind: rules.ProgressKind(w.ProgressKind), Value: w.ProgressValue}, err
 	case "Gone":
 		id, err := w.requestID()
 		return rules.ClientGone{ID: id}, err
 	case "Bell":
-		return rules.TimerFired{Token: w.Handle}, nil
+		return rules.TimerFired{Token: w.TimerToken}, nil
 	case "HealthResult":
 		return w.decodeHealth()
 	case "FromPeer":
-		payload, err := base64.StdEncoding.DecodeString(w.Content)
+		payload, err := base64.StdEncoding.DecodeString(w.Payload)
 		if err != nil {
 			err = fmt.Errorf("content: %w", err)
 		}
-		return rules.PeerMessage{From: w.SrcPeer, Payload: payload}, err
+		return rules.PeerMessage{From: w.Peer, Payload: payload}, err
 	}
-	return nil, fmt.Errorf("unknown command %q", w.Cmd)
+	return nil, fmt.Errorf("unknown command %q", w.Command)
 }
 
 func (w *wireEvent) decodeAccept(s *rules.Settings) (rules.Event, error) {
@@ -168,23 +168,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if w.Cls < 0 || w.Cls >= len(s.Classes) {
-		return nil, fmt.Errorf("cls %d is out of range", w.Cls)
+	if w.Class < 0 || w.Class >= len(s.Classes) {
+		return nil, fmt.Errorf("cls %d is out of range", w.Class)
 	}
-	if w.Owner < 0 || w.Owner > 0 && w.Owner >= len(s.Tenants) {
-		return nil, fmt.Errorf("owner %d is out of range", w.Owner)
+	if w.Tenant < 0 || w.Tenant > 0 && w.Tenant >= len(s.Tenants) {
+		return nil, fmt.Errorf("owner %d is out of range", w.Tenant)
 	}
-	if w.Due == nil {
+	if w.Deadline == nil {
 		return nil, errors.New("no due")
 	}
-	if w.Estimate < 0 || w.FootprintMB < 0 {
+	if w.EstimatedWork < 0 || w.EstimatedMemoryMB < 0 {
 		return nil, errors.New("a negative estimate")
 	}
 	return rules.Arrival{Request: rules.Request{
-		ID: id, Class: w.Cls, Tenant: w.Owner, OrderKey: w.OrderKey, Deadline: rules.Time(*w.Due),
-		EstimatedWork: rules.Time(w.Estimate), HasEstimate: w.Bitmap&bitHint != 0 && w.Estimate > 0,
-		EstimatedMemoryMB: w.FootprintMB, DataSet: int(w.Dataset),
-		IsRetry: w.Bitmap&bitRepeat != 0, IsWrite: w.Bitmap&bitWrite != 0,
+		ID: id, Class: w.Class, Tenant: w.Tenant, OrderKey: w.OrderKey, Deadline: rules.Time(*w.Deadline),
+		EstimatedWork: rules.Time(w.EstimatedWork), HasEstimate: w.Flags&flagHasWork != 0 && w.EstimatedWork > 0,
+		EstimatedMemoryMB: w.EstimatedMemoryMB, DataSet: int(w.DataSet),
+		IsRetry: w.Flags&flagRetry != 0, IsWrite: w.Flags&flagWrite != 0,
 	}}, nil
 }
 
@@ -197,18 +197,18 @@
 	if err != nil {
 		return nil, err
 	}
-	verdict, err := word("verdict", w.Verdict, verdicts)
+	verdict, err := lookUp("verdict", w.Status, statuses)
 	if err != nil {
 		return nil, err
 	}
-	if w.Leg < 0 || w.Lag < 0 || w.TrueCost < 0 {
+	if w.Attempt < 0 || w.Latency < 0 || w.MeasuredCost < 0 {
 		return nil, errors.New("a negative value")
 	}
 	return rules.Outcome{
-		ID: id, Attempt: w.Leg, Engine: engine, Status: verdict, Latency: rules.Time(w.Lag), Closed: w.DoneFlag,
-		MeasuredWork:     rules.Time(w.TrueCost/costMSFactor) * rules.Millisecond,
-		MeasuredMemoryMB: float64(w.TrueCost%costMSFactor) * costMemoryMB,
-		Load:             w.Pressure,
+		ID: id, Attempt: w.Attempt, Engine: engine, Status: verdict, Latency: rules.Time(w.Latency), Closed: w.Closed,
+		MeasuredWork:     rules.Time(w.MeasuredCost/costMSUnit) * rules.Millisecond,
+		MeasuredMemoryMB: float64(w.MeasuredCost%costMSUnit) * costMemoryUnitMB,
+		Load:             w.Load,
 	}, nil
 }
 
@@ -217,9 +217,9 @@
 	if err != nil {
 		return nil, err
 	}
-	verdict, err := word("verdict", w.Verdict, verdicts)
+	verdict, err := lookUp("verdict", w.Status, statuses)
 	if err != nil {
 		return nil, err
 	}
-	return rules.ProbeResult{Engine: engine, Status: verdict, Latency: rules.Time(w.Lag), Load: w.Pressure}, nil
+	return rules.ProbeResult{Engine: engine, Status: verdict, Latency: rules.Time(w.Latency), Load: w.Load}, nil
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -23,7 +23,7 @@
 type instance struct {
 	module   *rules.Module
 	settings rules.Settings
-	crashed  bool
+	panicked bool
 }
 
 // Host runs the instances of one adapter process.
@@ -87,46 +87,46 @@
 	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("malformed: %w", err)
 	}
-	if b.TS == nil {
+	if b.Timestamp == nil {
 		return nil, errors.New("no ts")
 	}
-	if b.Managers == nil {
+	if b.Groups == nil {
 		return nil, errors.New("no managers")
 	}
-	if h.started && *b.TS < h.clock {
-		return nil, fmt.Errorf("ts %d is before %d", *b.TS, h.clock)
+	if h.started && *b.Timestamp < h.clock {
+		return nil, fmt.Errorf("ts %d is before %d", *b.Timestamp, h.clock)
 	}
-	h.clock, h.started = *b.TS, true
-	h.reply.open()
-	for i := range b.Managers {
-		if err := h.group(&b.Managers[i]); err != nil {
+	h.clock, h.started = *b.Timestamp, true
+	h.reply.openReply()
+	for i := range b.Groups {
+		if err := h.handleGroup(&b.Groups[i]); err != nil {
 			return nil, err
 		}
 	}
-	return h.reply.close(), nil
+	return h.reply.closeReply(), nil
 }
 
-func (h *Host) group(g *batchGroup) error {
-	if g.Who == nil {
+func (h *Host) handleGroup(g *batchGroup) error {
+	if g.Instance == nil {
 		return errors.New("no who")
 	}
-	who := *g.Who
+	who := *g.Instance
 	h.reply.openGroup(who)
-	for i := range g.Input {
-		if err := h.event(who, &g.Input[i]); err != nil {
-			return fmt.Errorf("manager %d, event %d (%s): %w", who, i, g.Input[i].Cmd, err)
+	for i := range g.Events {
+		if err := h.handleEvent(who, &g.Events[i]); err != nil {
+			return fmt.Errorf("manager %d, event %d (%s): %w", who, i, g.Events[i].Command, err)
 		}
 	}
 	h.reply.closeGroup()
 	return nil
 }
 
-func (h *Host) event(who int, w *wireEvent) error {
-	switch w.Cmd {
+func (h *Host) handleEvent(who int, w *wireEvent) error {
+	switch w.Command {
 	case "Register":
-		return h.register(w)
+		return h.registerList(w)
 	case "Init":
-		return h.start(who, w)
+		return h.startInstance(who, w)
 	case "Teardown":
 		if h.instances[who] == nil {
 			return errors.New("no such instance")
@@ -141,8 +141,8 @@
 	}
 	var event rules.Event
 	var err error
-	if w.Cmd == "BackendsChanged" {
-		event, err = h.fleet(w)
+	if w.Command == "BackendsChanged" {
+		event, err = h.listChange(w)
 	} else {
 		event, err = w.decode(&inst.settings)
 	}
@@ -153,28 +153,28 @@
 	return nil
 }
 
-func (h *Host) register(w *wireEvent) error {
-	if w.Sheet < 0 || w.Sheet >= listCount {
-		return fmt.Errorf("sheet %d is out of range", w.Sheet)
+func (h *Host) registerList(w *wireEvent) error {
+	if w.ListNumber < 0 || w.ListNumber >= listCount {
+		return fmt.Errorf("sheet %d is out of range", w.ListNumber)
 	}
-	engines, err := decodeEngines(w.Lines)
+	engines, err := decodeEngines(w.Engines)
 	if err != nil {
 		return err
 	}
-	h.lists[w.Sheet], h.listSet[w.Sheet] = engines, true
+	h.lists[w.ListNumber], h.listSet[w.ListNumber] = engines, true
 	return nil
 }
 
-func (h *Host) start(who int, w *wireEvent) error {
-	seed, err := strconv.ParseUint(w.RandomSeed.String(), 10, 64)
+func (h *Host) startInstance(who int, w *wireEvent) error {
+	seed, err := strconv.ParseUint(w.Seed.String(), 10, 64)
 	if err != nil {
-		signed, err := strconv.ParseInt(w.RandomSeed.String(), 10, 64)
+		signed, err := strconv.ParseInt(w.Seed.String(), 10, 64)
 		if err != nil {
 			return fmt.Errorf("randomSeed: %w", err)
 		}
 		seed = uint64(signed)
 	}
-	told, err := settings.Decode(w.BootInfo)
+	told, err := settings.Decode(w.Settings)
 	if err != nil {
 		return err
 	}
@@ -183,30 +183,30 @@
 	return nil
 }
 
-func (h *Host) fleet(w *wireEvent) (rules.Event, error) {
-	mode, err := word("kind", w.Kind, listModes)
+func (h *Host) listChange(w *wireEvent) (rules.Event, error) {
+	mode, err := lookUp("kind", w.ListMode, listModes)
 	if err != nil {
 		return nil, err
 	}
 	if mode == rules.UpdateFailed {
 		return rules.FleetUpdate{Mode: mode}, nil
 	}
-	if w.Sheet < 0 || w.Sheet >= listCount || !h.listSet[w.Sheet] {
-		return nil, fmt.Errorf("sheet %d was never registered", w.Sheet)
+	if w.ListNumber < 0 || w.ListNumber >= listCount || !h.listSet[w.ListNumber] {
+		return nil, fmt.Errorf("sheet %d was never registered", w.ListNumber)
 	}
-	return rules.FleetUpdate{Mode: mode, Engines: h.lists[w.Sheet]}, nil
+	return rules.FleetUpdate{Mode: mode, Engines: h.lists[w.ListNumber]}, nil
 }
 
 // decide hands an event to the module. A panic there is answered with a crash
 // report, and the instance is not asked again: its state can't be trusted.
 func (h *Host) decide(inst *instance, event rules.Event) {
-	if inst.crashed {
+	if inst.panicked {
 		return
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			inst.crashed = true
-			h.reply.crash(fmt.Sprint(r))
+			inst.panicked = true
+			h.reply.panicReport(fmt.Sprint(r))
 		}
 	}()
 	for _, a := range inst.module.Handle(rules.Time(h.clock), event) {
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -12,14 +12,14 @@
 // encoder builds a reply line. Replies are written once for every batch and
 // billed as CPU, so it appends text instead of going through reflection.
 type encoder struct {
-	buf        []byte
-	groupStart int // where the open group begins
-	cmdsStart  int // where its commands begin
+	buf           []byte
+	groupStart    int // where the open group begins
+	commandsStart int // where its commands begin
 }
 
-func (e *encoder) open() { e.buf = append(e.buf[:0], `{"managers":[`...) }
+func (e *encoder) openReply() { e.buf = append(e.buf[:0], `{"managers":[`...) }
 
-func (e *encoder) close() []byte {
+func (e *encoder) closeReply() []byte {
 	e.buf = append(e.buf, "]}\n"...)
 	return e.buf
 }
@@ -32,12 +32,12 @@
 	e.buf = append(e.buf, `{"who":`...)
 	e.buf = strconv.AppendInt(e.buf, int64(who), 10)
 	e.buf = append(e.buf, `,"cmds":[`...)
-	e.cmdsStart = len(e.buf)
+	e.commandsStart = len(e.buf)
 }
 
 // closeGroup ends the group; a group without commands is left out.
 func (e *encoder) closeGroup() {
-	if len(e.buf) == e.cmdsStart {
+	if len(e.buf) == e.commandsStart {
 		e.buf = e.buf[:e.groupStart]
 		return
 	}
@@ -46,10 +46,10 @@
 
 // dropGroup forgets the commands of the open group: they were those of an
 // instance that has ended within this batch.
-func (e *encoder) dropGroup() { e.buf = e.buf[:e.cmdsStart] }
+func (e *encoder) dropGroup() { e.buf = e.buf[:e.commandsStart] }
 
-func (e *encoder) cmd(name string) {
-	if len(e.buf) > e.cmdsStart {
+func (e *encoder) openCommand(name string) {
+	if len(e.buf) > e.commandsStart {
 		e.buf = append(e.buf, ',')
 	}
 	e.buf = append(e.buf, `{"cmd":"`...)
@@ -77,68 +77,68 @@
 	e.buf = append(e.buf, '"', ':')
 }
 
-func (e *encoder) end() { e.buf = append(e.buf, '}') }
+func (e *encoder) closeCommand() { e.buf = append(e.buf, '}') }
 
-func (e *encoder) crash(reason string) {
-	e.cmd("Crash")
+func (e *encoder) panicReport(reason string) {
+	e.openCommand("Crash")
 	e.text("msg", reason)
-	e.end()
+	e.closeCommand()
 }
 
 // action appends one action of the module.
 func (e *encoder) action(a rules.Action) {
 	switch a := a.(type) {
 	case rules.Send:
-		e.cmd("Dispatch")
+		e.openCommand("Dispatch")
 		e.text("xid", string(a.ID))
 		e.int("engine", int64(a.Engine))
 		if a.Timeout != 0 {
 			e.int("tryFor", int64(a.Timeout))
 		}
 	case rules.SetAttemptOptions:
-		e.cmd("GrantAndRank")
+		e.openCommand("GrantAndRank")
 		e.text("xid", string(a.ID))
 		e.key("workspaceMb")
 		e.buf = strconv.AppendFloat(e.buf, a.MemoryMB, 'f', -1, 64)
 		e.int("priority", int64(a.Priority))
 	case rules.Cancel:
-		e.cmd("Abandon")
+		e.openCommand("Abandon")
 		e.text("xid", string(a.ID))
 		e.int("leg", int64(a.Attempt))
 	case rules.Reject:
-		e.cmd("Busy")
+		e.openCommand("Busy")
 		e.text("xid", string(a.ID))
 		if a.RetryAfter > 0 {
 			e.int("holdOff", int64(a.RetryAfter))
 		}
 	case rules.Fail:
-		e.cmd("ReportFailure")
+		e.openCommand("ReportFailure")
 		e.text("xid", string(a.ID))
 	case rules.SetTimer:
-		e.cmd("Arm")
+		e.openCommand("Arm")
 		e.int("at", int64(a.At))
 		e.text("handle", a.Token)
 	case rules.Probe:
-		e.cmd("Poll")
+		e.openCommand("Poll")
 		e.int("engine", int64(a.Engine))
 	case rules.CloseIdle:
-		e.cmd("DropConns")
+		e.openCommand("DropConns")
 		e.int("engine", int64(a.Engine))
 	case rules.Broadcast:
-		e.cmd("Signal")
+		e.openCommand("Signal")
 		e.text("whom", "all")
 		e.text("content", base64.StdEncoding.EncodeToString(a.Payload))
 	case rules.Subscribe:
-		e.cmd("Listen")
+		e.openCommand("Listen")
 		e.key("active")
 		e.buf = strconv.AppendBool(e.buf, a.On)
 	case rules.FetchFleet:
-		e.cmd("GetList")
+		e.openCommand("GetList")
 	case rules.Log:
-		e.cmd("Remark")
+		e.openCommand("Remark")
 		e.text("msg", a.Text)
 	default:
 		panic(fmt.Sprintf("no wire form for %T", a))
 	}
-	e.end()
+	e.closeCommand()
 }
--- a/internal/site/fair.go
+++ b/internal/site/admission.go
@@ -15,7 +15,7 @@
 
 // This file owns the block `fair`: who shares the door, with what weights.
 
-type fairBlock struct {
+type admissionBlock struct {
 	AnyTenant *hcl.Attribute `hcl:"any_tenant,optional"`
 	Weight    *hcl.Attribute `hcl:"weight,optional"`
 	Ahead     *hcl.Attribute `hcl:"ahead,optional"`
@@ -45,55 +45,55 @@
 
 // Bounds of what may be written. State of under 16 KB would remember nobody.
 const (
-	leastWeight = 1e-6
-	mostWeight  = 1e6
-	mostAhead   = 1024
-	mostIgnored = 250
-	leastState  = 16 << 10
-	mostState   = 1 << 30
+	minWeight     = 1e-6
+	maxWeight     = 1e6
+	maxAhead      = 1024
+	maxIgnored    = 250
+	minStateBytes = 16 << 10
+	maxStateBytes = 1 << 30
 )
 
-func (b *fairBlock) decode() (*Fair, hcl.Diagnostics) {
-	f := &Fair{Door: admission.Defaults()}
-	s := &f.Door
-	var r reader
+func (b *admissionBlock) decode() (*Admission, hcl.Diagnostics) {
+	f := &Admission{Settings: admission.Defaults()}
+	s := &f.Settings
+	var r attributeReader
 	r.flag(b.AnyTenant, &s.AnyTenant)
-	r.number(b.Weight, leastWeight, mostWeight, &s.UnlistedWeight)
-	r.count(b.Ahead, 1, mostAhead, &s.ModuleQueueDepth)
+	r.number(b.Weight, minWeight, maxWeight, &s.UnlistedWeight)
+	r.count(b.Ahead, 1, maxAhead, &s.ModuleQueueDepth)
 	r.duration(b.Burst, &s.Burst)
 	r.duration(b.Longest, &s.MaxRetryAfter)
-	r.count(b.Ignored, 1, mostIgnored, &s.MaxEarlyReturns)
-	r.size(b.State, leastState, mostState, &f.State)
+	r.count(b.Ignored, 1, maxIgnored, &s.MaxEarlyReturns)
+	r.size(b.State, minStateBytes, maxStateBytes, &f.StateBytes)
 	var names []string
 	for _, n := range b.Networks {
 		if slices.Contains(names, n.Name) {
-			r.diags = append(r.diags, wrong(n.Range, "network %q comes twice", n.Name))
+			r.diags = append(r.diags, errorAt(n.Range, "network %q comes twice", n.Name))
 		}
-		r.name(n.Name, "network", n.Range)
+		r.checkName(n.Name, "network", n.Range)
 		names = append(names, n.Name)
 		s.Networks = append(s.Networks, n.decode(&r))
 	}
 	seen := map[string]bool{}
 	for _, t := range b.Tenants {
-		r.name(t.Name, "tenant", t.Range)
+		r.checkName(t.Name, "tenant", t.Range)
 		if seen[t.Name] {
-			r.diags = append(r.diags, wrong(t.Range, "tenant %q has no name of its own", t.Name))
+			r.diags = append(r.diags, errorAt(t.Range, "tenant %q has no name of its own", t.Name))
 		}
 		seen[t.Name] = true
 		out := admission.Tenant{Name: t.Name, Weight: 1}
-		r.number(t.Weight, leastWeight, mostWeight, &out.Weight)
-		for _, w := range r.words(t.Networks) {
+		r.number(t.Weight, minWeight, maxWeight, &out.Weight)
+		for _, w := range r.stringList(t.Networks) {
 			if !slices.Contains(names, w.text) {
 				hint := ""
-				if near := nearest(w.text, names); near != "" {
+				if near := closestName(w.text, names); near != "" {
 					hint = fmt.Sprintf("; did you mean %q?", near)
 				}
-				r.diags = append(r.diags, wrong(w.at, "no network %q is declared%s", w.text, hint))
+				r.diags = append(r.diags, errorAt(w.at, "no network %q is declared%s", w.text, hint))
 			}
 			out.Networks = append(out.Networks, w.text)
 		}
 		if t.Networks != nil && len(out.Networks) == 0 && !r.diags.HasErrors() {
-			r.diags = append(r.diags, wrong(t.Networks.Range, "tenant %q may be told nowhere: name a network, or leave networks out", t.Name))
+			r.diags = append(r.diags, errorAt(t.Networks.Range, "tenant %q may be told nowhere: name a network, or leave networks out", t.Name))
 		}
 		s.Tenants = append(s.Tenants, out)
 	}
@@ -105,31 +105,31 @@
 	return f, r.diags
 }
 
-func (b *networkBlock) decode(r *reader) admission.Network {
+func (b *networkBlock) decode(r *attributeReader) admission.Network {
 	n := admission.Network{Name: b.Name, Weight: 1}
-	r.number(b.Weight, leastWeight, mostWeight, &n.Weight)
+	r.number(b.Weight, minWeight, maxWeight, &n.Weight)
 	r.flag(b.Together, &n.SharedTenant)
 	r.flag(b.Trusted, &n.Trusted)
 	var set netipx.IPSetBuilder
-	words := r.words(b.Addresses)
+	words := r.stringList(b.Addresses)
 	for _, w := range words {
-		if err := addTo(&set, w.text); err != nil {
-			r.diags = append(r.diags, wrong(w.at, "%v", err))
+		if err := addAddresses(&set, w.text); err != nil {
+			r.diags = append(r.diags, errorAt(w.at, "%v", err))
 		}
 	}
 	if len(words) == 0 && !r.diags.HasErrors() {
-		r.diags = append(r.diags, wrong(b.Range, "network %q holds no address", b.Name))
+		r.diags = append(r.diags, errorAt(b.Range, "network %q holds no address", b.Name))
 	}
 	all, err := set.IPSet()
 	if err != nil {
-		r.diags = append(r.diags, wrong(b.Range, "network %q: %v", b.Name, err))
+		r.diags = append(r.diags, errorAt(b.Range, "network %q: %v", b.Name, err))
 	}
 	n.Addresses = all
 	return n
 }
 
-// addTo adds an address, a prefix or a range, or takes one out that stands behind "!".
-func addTo(set *netipx.IPSetBuilder, text string) error {
+// addAddresses adds an address, a prefix or a range, or takes one out that stands behind "!".
+func addAddresses(set *netipx.IPSetBuilder, text string) error {
 	text, without := strings.CutPrefix(text, "!")
 	if p, err := netip.ParsePrefix(text); err == nil {
 		if p != p.Masked() {
@@ -165,12 +165,12 @@
 	return nil
 }
 
-func (f *Fair) write(b *bytes.Buffer) {
-	s := f.Door
+func (f *Admission) write(b *bytes.Buffer) {
+	s := f.Settings
 	fmt.Fprintf(b, "fair {\n  any_tenant = %v\n  weight     = %v\n  ahead      = %d\n  burst      = %q\n  longest    = %q\n  ignored    = %d\n",
-		s.AnyTenant, s.UnlistedWeight, s.ModuleQueueDepth, timeText(s.Burst), timeText(s.MaxRetryAfter), s.MaxEarlyReturns)
-	if f.State > 0 {
-		fmt.Fprintf(b, "  state      = %q\n", sizeText(f.State))
+		s.AnyTenant, s.UnlistedWeight, s.ModuleQueueDepth, formatTime(s.Burst), formatTime(s.MaxRetryAfter), s.MaxEarlyReturns)
+	if f.StateBytes > 0 {
+		fmt.Fprintf(b, "  state      = %q\n", formatSize(f.StateBytes))
 	} else {
 		fmt.Fprintf(b, "  # state follows from the machine: a 32nd of its memory\n")
 	}
--- a/internal/site/values.go
+++ b/internal/site/attributes.go
@@ -19,10 +19,10 @@
 // This file owns the values that more than one block has: times and sizes
 // with their units, numbers within bounds.
 
-// reader reads attributes of a block and gathers what is wrong with them.
-type reader struct{ diags hcl.Diagnostics }
+// attributeReader reads attributes of a block and gathers what is wrong with them.
+type attributeReader struct{ diags hcl.Diagnostics }
 
-func (r *reader) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
+func (r *attributeReader) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
 	if a == nil {
 		return cty.NilVal, false
 	}
@@ -32,33 +32,33 @@
 		return v, false
 	}
 	if !v.IsWhollyKnown() || v.IsNull() || !v.Type().Equals(want) {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s must be a %s", a.Name, want.FriendlyName()))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s must be a %s", a.Name, want.FriendlyName()))
 		return v, false
 	}
 	return v, true
 }
 
 // duration reads a time such as "250ms" or "1m30s" of at least 0.
-func (r *reader) duration(a *hcl.Attribute, to *rules.Time) {
+func (r *attributeReader) duration(a *hcl.Attribute, to *rules.Time) {
 	v, ok := r.value(a, cty.String)
 	if !ok {
 		return
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil || d < 0 || d != d.Truncate(time.Microsecond) {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s: %q is no time; a number with a unit is: us, ms, s, m, h", a.Name, v.AsString()))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s: %q is no time; a number with a unit is: us, ms, s, m, h", a.Name, v.AsString()))
 		return
 	}
 	*to = rules.Time(d / time.Microsecond)
 }
 
-var units = []struct {
+var sizeUnits = []struct {
 	name string
 	n    float64
 }{{"GB", 1 << 30}, {"MB", 1 << 20}, {"KB", 1 << 10}, {"B", 1}}
 
 // size reads a number of bytes such as "64KB" or "1.5MB", in powers of 1,024.
-func (r *reader) size(a *hcl.Attribute, least, most int64, to *int64) {
+func (r *attributeReader) size(a *hcl.Attribute, least, most int64, to *int64) {
 	v, ok := r.value(a, cty.String)
 	if !ok {
 		return
@@ -66,16 +66,16 @@
 	n, err := parseSize(v.AsString())
 	switch {
 	case err != nil:
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s: %v", a.Name, err))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s: %v", a.Name, err))
 	case n < least || n > most:
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s: %s is not within %s and %s", a.Name, v.AsString(), sizeText(least), sizeText(most)))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s: %s is not within %s and %s", a.Name, v.AsString(), formatSize(least), formatSize(most)))
 	default:
 		*to = n
 	}
 }
 
 func parseSize(text string) (int64, error) {
-	for _, u := range units {
+	for _, u := range sizeUnits {
 		number, ok := strings.CutSuffix(text, u.name)
 		if !ok {
 			continue
@@ -89,8 +89,8 @@
 	return 0, fmt.Errorf("%q is no size; a number with a unit is: B, KB, MB, GB", text)
 }
 
-func sizeText(n int64) string {
-	for _, u := range units {
+func formatSize(n int64) string {
+	for _, u := range sizeUnits {
 		if f := float64(n) / u.n; f >= 1 && f == math.Trunc(f) {
 			return strconv.FormatFloat(f, 'f', -1, 64) + u.name
 		}
@@ -98,103 +98,103 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-func timeText(t rules.Time) string { return (time.Duration(t) * time.Microsecond).String() }
+func formatTime(t rules.Time) string { return (time.Duration(t) * time.Microsecond).String() }
 
 // number reads a number within bounds.
-func (r *reader) number(a *hcl.Attribute, least, most float64, to *float64) {
+func (r *attributeReader) number(a *hcl.Attribute, least, most float64, to *float64) {
 	v, ok := r.value(a, cty.Number)
 	if !ok {
 		return
 	}
 	f, _ := v.AsBigFloat().Float64()
 	if !(f >= least && f <= most) {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s: %v is not within %v and %v", a.Name, f, least, most))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s: %v is not within %v and %v", a.Name, f, least, most))
 		return
 	}
 	*to = f
 }
 
 // count reads a whole number within bounds.
-func (r *reader) count(a *hcl.Attribute, least, most int, to *int) {
+func (r *attributeReader) count(a *hcl.Attribute, least, most int, to *int) {
 	v, ok := r.value(a, cty.Number)
 	if !ok {
 		return
 	}
 	n, accuracy := v.AsBigFloat().Int64()
 	if accuracy != big.Exact || n < int64(least) || n > int64(most) {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s: %s is no whole number within %d and %d", a.Name, v.AsBigFloat().Text('g', 10), least, most))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s: %s is no whole number within %d and %d", a.Name, v.AsBigFloat().Text('g', 10), least, most))
 		return
 	}
 	*to = int(n)
 }
 
-func (r *reader) flag(a *hcl.Attribute, to *bool) {
+func (r *attributeReader) flag(a *hcl.Attribute, to *bool) {
 	if v, ok := r.value(a, cty.Bool); ok {
 		*to = v.True()
 	}
 }
 
 // text reads a string without what HCL would expand.
-func (r *reader) text(a *hcl.Attribute, to *string) {
+func (r *attributeReader) text(a *hcl.Attribute, to *string) {
 	if v, ok := r.value(a, cty.String); ok {
 		*to = v.AsString()
 		if strings.ContainsAny(*to, "\"\\$%\n") {
-			r.diags = append(r.diags, wrong(a.Expr.Range(), "%s holds quotes, backslashes, $ or %%", a.Name))
+			r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s holds quotes, backslashes, $ or %%", a.Name))
 		}
 	}
 }
 
-// words reads a list of strings, each with its place.
-func (r *reader) words(a *hcl.Attribute) (out []word) {
+// stringList reads a list of strings, each with its place.
+func (r *attributeReader) stringList(a *hcl.Attribute) (out []stringAt) {
 	if a == nil {
 		return nil
 	}
 	list, diags := hcl.ExprList(a.Expr)
 	if diags.HasErrors() {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s must be a list of strings", a.Name))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s must be a list of strings", a.Name))
 		return nil
 	}
-	out = []word{}
+	out = []stringAt{}
 	for _, e := range list {
 		v, diags := e.Value(nil)
 		if diags.HasErrors() || v.IsNull() || v.Type() != cty.String {
-			r.diags = append(r.diags, wrong(e.Range(), "%s holds something that is no string", a.Name))
+			r.diags = append(r.diags, errorAt(e.Range(), "%s holds something that is no string", a.Name))
 			continue
 		}
-		out = append(out, word{v.AsString(), e.Range()})
+		out = append(out, stringAt{v.AsString(), e.Range()})
 	}
 	return out
 }
 
-// name checks a name that the file gives to something. Quotes and what HCL would expand stay out, so that
+// checkName checks a name that the file gives to something. Quotes and what HCL would expand stay out, so that
 // what check prints can be read again.
-func (r *reader) name(name, what string, at hcl.Range) {
+func (r *attributeReader) checkName(name, what string, at hcl.Range) {
 	bad := func(c rune) bool { return !unicode.IsPrint(c) || strings.ContainsRune("\"\\$%", c) }
-	if name == "" || len(name) > mostName || !utf8.ValidString(name) || strings.ContainsFunc(name, bad) {
-		r.diags = append(r.diags, wrong(at, "%s %.40q: a name holds 1 to %d bytes of text without quotes, backslashes, $ and %%", what, name, mostName))
+	if name == "" || len(name) > maxNameBytes || !utf8.ValidString(name) || strings.ContainsFunc(name, bad) {
+		r.diags = append(r.diags, errorAt(at, "%s %.40q: a name holds 1 to %d bytes of text without quotes, backslashes, $ and %%", what, name, maxNameBytes))
 	}
 }
 
-const mostName = 128
+const maxNameBytes = 128
 
-type word struct {
+type stringAt struct {
 	text string
 	at   hcl.Range
 }
 
-// nearest is the name that a wrong one was probably meant to be, or nothing.
-func nearest(name string, of []string) string {
+// closestName is the name that a wrong one was probably meant to be, or nothing.
+func closestName(name string, of []string) string {
 	best, least := "", max(len(name)/3, 1)+1
 	for _, o := range of {
-		if n := distance(strings.ToLower(name), strings.ToLower(o)); n < least {
+		if n := editDistance(strings.ToLower(name), strings.ToLower(o)); n < least {
 			best, least = o, n
 		}
 	}
 	return best
 }
 
-// distance is the number of letters to insert, drop or change (Levenshtein).
-func distance(a, b string) int {
+// editDistance is the number of letters to insert, drop or change (Levenshtein).
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/site/directives.go
+++ b/internal/site/directives.go
@@ -14,9 +14,9 @@
 
 // Directives are the settings of the book of directives.
 type Directives struct {
-	Voters []string // names of gateways
-	Folder string   // of a voter's log; used on voters only
-	Tick   rules.Time
+	Voters       []string // names of gateways
+	LogFolder    string   // of a voter's log; used on voters only
+	TickInterval rules.Time
 }
 
 type directivesBlock struct {
@@ -26,27 +26,27 @@
 	Tick   *hcl.Attribute `hcl:"tick,optional"`
 }
 
-const defaultVoteTick = 100 * rules.Millisecond
+const defaultTickInterval = 100 * rules.Millisecond
 
 func (b *directivesBlock) decode(members *Members) (*Directives, hcl.Diagnostics) {
-	d := &Directives{Tick: defaultVoteTick}
-	var r reader
-	for _, w := range r.words(b.Voters) {
+	d := &Directives{TickInterval: defaultTickInterval}
+	var r attributeReader
+	for _, w := range r.stringList(b.Voters) {
 		if slices.Contains(d.Voters, w.text) {
-			r.diags = append(r.diags, wrong(w.at, "voters: %q comes twice", w.text))
+			r.diags = append(r.diags, errorAt(w.at, "voters: %q comes twice", w.text))
 		}
 		d.Voters = append(d.Voters, w.text)
 	}
 	if n := len(d.Voters); !r.diags.HasErrors() && n != 1 && n != 3 && n != 5 {
-		r.diags = append(r.diags, wrong(b.Voters.Range, "voters: %d are named; 1, 3 or 5 are possible", n))
+		r.diags = append(r.diags, errorAt(b.Voters.Range, "voters: %d are named; 1, 3 or 5 are possible", n))
 	}
-	r.text(b.Folder, &d.Folder)
-	r.duration(b.Tick, &d.Tick)
-	if !r.diags.HasErrors() && (d.Tick < 10*rules.Millisecond || d.Tick > 10*rules.Second) {
-		r.diags = append(r.diags, wrong(b.Tick.Range, "tick: within 10ms and 10s is possible"))
+	r.text(b.Folder, &d.LogFolder)
+	r.duration(b.Tick, &d.TickInterval)
+	if !r.diags.HasErrors() && (d.TickInterval < 10*rules.Millisecond || d.TickInterval > 10*rules.Second) {
+		r.diags = append(r.diags, errorAt(b.Tick.Range, "tick: within 10ms and 10s is possible"))
 	}
 	if members == nil {
-		r.diags = append(r.diags, wrong(b.Range, "directives needs the block members"))
+		r.diags = append(r.diags, errorAt(b.Range, "directives needs the block members"))
 	}
 	return d, r.diags
 }
@@ -60,8 +60,8 @@
 		fmt.Fprintf(b, "%q", v)
 	}
 	b.WriteString("]\n")
-	if d.Folder != "" {
-		fmt.Fprintf(b, "  folder = %q\n", d.Folder)
+	if d.LogFolder != "" {
+		fmt.Fprintf(b, "  folder = %q\n", d.LogFolder)
 	}
-	fmt.Fprintf(b, "  tick   = %q\n}\n", timeText(d.Tick))
+	fmt.Fprintf(b, "  tick   = %q\n}\n", formatTime(d.TickInterval))
 }
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -33,14 +33,14 @@
 		t.Fatal(err)
 	}
 	m := s.Members
-	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.Budget != 40000 || m.Hearsay.MinObservers != 3 ||
-		m.Hearsay.MaxReportAge != 2*rules.Second || m.Via[netip.MustParseAddrPort("10.0.0.6:7946")].Port() != 9000 {
+	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.Budget != 40000 || m.Gossip.MinObservers != 3 ||
+		m.Gossip.MaxReportAge != 2*rules.Second || m.AddressMap[netip.MustParseAddrPort("10.0.0.6:7946")].Port() != 9000 {
 		t.Errorf("got %+v", m)
 	}
-	if d := s.Directives; len(d.Voters) != 3 || d.Folder != "/var/lib/foxlane" || d.Tick != 100*rules.Millisecond {
+	if d := s.Directives; len(d.Voters) != 3 || d.LogFolder != "/var/lib/foxlane" || d.TickInterval != 100*rules.Millisecond {
 		t.Errorf("got %+v", d)
 	}
-	set, err := m.Set()
+	set, err := m.AllowedSet()
 	if err != nil || !set.Contains(netip.MustParseAddr("10.0.0.9")) || set.Contains(netip.MustParseAddr("10.0.1.9")) {
 		t.Errorf("%v, %v", set, err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // What is wrong is told with its place.
-func TestMembersThatAreNone(t *testing.T) {
+func TestInvalidMembers(t *testing.T) {
 	for text, want := range map[string]string{
 		"members {\n}":                                                                "1:1: members needs bind",
 		"members {\n  bind = \"somewhere\"\n}":                                        "2:10: bind: \"somewhere\" is no address",
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -17,102 +17,102 @@
 	"foxlane/internal/files"
 )
 
-// mostBytes bounds a file: a larger one is no operator's.
-const mostBytes = 4 << 20
+// maxFileBytes bounds a file: a larger one is no operator's.
+const maxFileBytes = 4 << 20
 
-// Site is what the operator has set. A subsystem without a block is nil and off.
-type Site struct {
-	Fair  *Fair
-	Spool *Spool
-	Sites *Sites
+// Config is what the operator has set. A subsystem without a block is nil and off.
+type Config struct {
+	Admission *Admission
+	Spool     *Spool
+	Zones     *Zones
 
 	Members    *Members
 	Directives *Directives
 }
 
-// Fair are the settings of the admission.
-type Fair struct {
-	Door  admission.Settings
-	State int64 // bytes that remember principals; 0: what follows from the machine
+// Admission are the settings of the admission.
+type Admission struct {
+	Settings   admission.Settings
+	StateBytes int64 // bytes that remember principals; 0: what follows from the machine
 }
 
-type document struct {
-	Fair  *fairBlock  `hcl:"fair,block"`
-	Spool *spoolBlock `hcl:"spool,block"`
-	Sites *sitesBlock `hcl:"sites,block"`
+type fileBlocks struct {
+	Admission *admissionBlock `hcl:"fair,block"`
+	Spool     *spoolBlock     `hcl:"spool,block"`
+	Zones     *zonesBlock     `hcl:"sites,block"`
 
 	Members    *membersBlock    `hcl:"members,block"`
 	Directives *directivesBlock `hcl:"directives,block"`
 }
 
 // LoadFile reads the operator's file.
-func LoadFile(path string) (*Site, error) {
+func LoadFile(path string) (*Config, error) {
 	text, err := files.Read(path)
 	if err != nil {
 		return nil, fmt.Errorf("site: %w", err)
 	}
-	if len(text) > mostBytes {
-		return nil, fmt.Errorf("site: %s holds %d bytes, %d at most", path, len(text), mostBytes)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("site: %s holds %d bytes, %d at most", path, len(text), maxFileBytes)
 	}
 	return Parse(text, path)
 }
 
 // Parse reads the text of a file; the name stands in errors.
-func Parse(text []byte, name string) (*Site, error) {
+func Parse(text []byte, name string) (*Config, error) {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
-		return nil, problem(diags)
+		return nil, newParseError(diags)
 	}
-	var d document
+	var d fileBlocks
 	if diags = gohcl.DecodeBody(f.Body, nil, &d); diags.HasErrors() {
-		return nil, problem(diags)
+		return nil, newParseError(diags)
 	}
-	s := &Site{}
-	if d.Fair != nil {
-		fair, diags := d.Fair.decode()
+	s := &Config{}
+	if d.Admission != nil {
+		fair, diags := d.Admission.decode()
 		if diags.HasErrors() {
-			return nil, problem(diags)
+			return nil, newParseError(diags)
 		}
-		s.Fair = fair
+		s.Admission = fair
 	}
 	if d.Spool != nil {
 		sp, diags := d.Spool.decode()
 		if diags.HasErrors() {
-			return nil, problem(diags)
+			return nil, newParseError(diags)
 		}
 		s.Spool = sp
 	}
-	if d.Sites != nil {
-		sites, diags := d.Sites.decode()
+	if d.Zones != nil {
+		sites, diags := d.Zones.decode()
 		if diags.HasErrors() {
-			return nil, problem(diags)
+			return nil, newParseError(diags)
 		}
-		s.Sites = sites
+		s.Zones = sites
 	}
 	if d.Members != nil {
 		m, diags := d.Members.decode()
 		if diags.HasErrors() {
-			return nil, problem(diags)
+			return nil, newParseError(diags)
 		}
 		s.Members = m
 	}
 	if d.Directives != nil {
 		x, diags := d.Directives.decode(s.Members)
 		if diags.HasErrors() {
-			return nil, problem(diags)
+			return nil, newParseError(diags)
 		}
 		s.Directives = x
 	}
 	return s, nil
 }
 
-// Problem is all that is wrong with a file, a line each: place and cause.
-type Problem struct{ Lines []string }
+// ParseError is all that is wrong with a file, a line each: place and cause.
+type ParseError struct{ Lines []string }
 
-func (p *Problem) Error() string { return strings.Join(p.Lines, "\n") }
+func (p *ParseError) Error() string { return strings.Join(p.Lines, "\n") }
 
-func problem(diags hcl.Diagnostics) error {
-	p := &Problem{}
+func newParseError(diags hcl.Diagnostics) error {
+	p := &ParseError{}
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
 			continue
@@ -129,28 +129,28 @@
 	return p
 }
 
-// wrong is an error about a place of the file.
-func wrong(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
+// errorAt is an error about a place of the file.
+func errorAt(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
 	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at}
 }
 
 // String says what holds, defaults included, as a file would.
-func (s *Site) String() string {
+func (s *Config) String() string {
 	var b bytes.Buffer
-	if s == nil || s.Fair == nil {
+	if s == nil || s.Admission == nil {
 		b.WriteString("# fair: off\n")
 	} else {
-		s.Fair.write(&b)
+		s.Admission.write(&b)
 	}
 	if s == nil || s.Spool == nil {
 		b.WriteString("# spool: off\n")
 	} else {
 		s.Spool.write(&b)
 	}
-	if s == nil || s.Sites == nil {
+	if s == nil || s.Zones == nil {
 		b.WriteString("# sites: off\n")
 	} else {
-		s.Sites.write(&b)
+		s.Zones.write(&b)
 	}
 	if s == nil || s.Members == nil {
 		b.WriteString("# members: off\n")
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -39,9 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := s.Fair.Door
-	if !d.AnyTenant || d.ModuleQueueDepth != 6 || d.Burst != 250*rules.Millisecond || d.MaxRetryAfter != 90*rules.Second || s.Fair.State != 3<<19 || d.MaxEarlyReturns != 8 {
-		t.Errorf("got %+v, state %d", d, s.Fair.State)
+	d := s.Admission.Settings
+	if !d.AnyTenant || d.ModuleQueueDepth != 6 || d.Burst != 250*rules.Millisecond || d.MaxRetryAfter != 90*rules.Second || s.Admission.StateBytes != 3<<19 || d.MaxEarlyReturns != 8 {
+		t.Errorf("got %+v, state %d", d, s.Admission.StateBytes)
 	}
 	offices := d.Networks[0].Addresses
 	for addr, in := range map[string]bool{"10.1.2.3": true, "10.1.9.3": false, "10.2.0.9": true, "10.2.0.10": false, "2001:db8::1": true} {
@@ -61,11 +61,11 @@
 
 func TestWithoutBlocksAllIsOff(t *testing.T) {
 	s, err := Parse([]byte("# nothing\n"), "site.hcl")
-	if err != nil || s.Fair != nil || s.String() != "# fair: off\n# spool: off\n# sites: off\n# members: off\n# directives: off\n" {
+	if err != nil || s.Admission != nil || s.String() != "# fair: off\n# spool: off\n# sites: off\n# members: off\n# directives: off\n" {
 		t.Errorf("got %+v, %v", s, err)
 	}
 	s, err = Parse([]byte("fair {}\n"), "site.hcl")
-	if err != nil || s.Fair == nil {
+	if err != nil || s.Admission == nil {
 		t.Errorf("got %+v, %v", s, err)
 	}
 }
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	u := s.Spool.Budget
-	if s.Spool.Folder != "/var/spool/fox" || u.Disk != 10<<30 || u.Result != 1<<30 || u.Tenant != 5<<30 || u.Lease != 300*rules.Second || u.Pages < 1<<30/enginePage {
+	if s.Spool.Folder != "/var/spool/fox" || u.DiskBytes != 10<<30 || u.MaxResultBytes != 1<<30 || u.MaxTenantBytes != 5<<30 || u.LeaseTime != 300*rules.Second || u.MaxPages < 1<<30/enginePageBytes {
 		t.Errorf("got %+v", s.Spool)
 	}
 	again, err := Parse([]byte(s.String()), "again.hcl")
@@ -138,7 +138,7 @@
 	if _, err := LoadFile(path); err == nil {
 		t.Error("a file that is not there passed")
 	}
-	if err := os.WriteFile(path, make([]byte, mostBytes+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadFile(path); err == nil || !strings.Contains(err.Error(), "at most") {
@@ -147,7 +147,7 @@
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := LoadFile(path); err != nil || s.Fair == nil {
+	if s, err := LoadFile(path); err != nil || s.Admission == nil {
 		t.Errorf("got %+v, %v", s, err)
 	}
 }
--- a/internal/site/spool.go
+++ b/internal/site/spool.go
@@ -34,37 +34,37 @@
 // Figures that follow from the protocols: chunks that fit a connection's room with the overhead of rows, and
 // pages of the engines' size.
 const (
-	spoolChunk  = 32 << 10
-	enginePage  = 6000
-	leastPages  = 256
-	spoolWindow = 16
+	chunkBytes      = 32 << 10
+	enginePageBytes = 6000
+	minPages        = 256
+	fetchWindow     = 16
 )
 
 func (b *spoolBlock) decode() (*Spool, hcl.Diagnostics) {
-	s := &Spool{Budget: spool.Budget{Memory: 4 << 20, Results: 10_000, Threshold: 256 << 10, Lease: 10 * 60 * rules.Second,
-		Chunk: spoolChunk, Window: spoolWindow}}
+	s := &Spool{Budget: spool.Budget{MemoryBytes: 4 << 20, MaxResults: 10_000, DiskThreshold: 256 << 10, LeaseTime: 10 * 60 * rules.Second,
+		ChunkBytes: chunkBytes, FetchWindow: fetchWindow}}
 	u := &s.Budget
-	var r reader
+	var r attributeReader
 	if r.text(b.Folder, &s.Folder); s.Folder != "" {
-		u.Disk = 1 << 30
+		u.DiskBytes = 1 << 30
 	}
-	r.size(b.Memory, 4*spoolChunk, 1<<40, &u.Memory)
+	r.size(b.Memory, 4*chunkBytes, 1<<40, &u.MemoryBytes)
 	if b.Disk != nil && s.Folder == "" {
-		r.diags = append(r.diags, wrong(b.Disk.Range, "disk is set, but no folder"))
+		r.diags = append(r.diags, errorAt(b.Disk.Range, "disk is set, but no folder"))
 	}
-	r.size(b.Disk, 1<<20, 1<<50, &u.Disk)
-	most := max(u.Disk, u.Memory)
-	u.Result, u.Tenant = most/4, most/2
-	r.size(b.Result, spoolChunk, 1<<50, &u.Result)
-	r.size(b.Tenant, spoolChunk, 1<<50, &u.Tenant)
-	r.size(b.Threshold, 0, 1<<40, &u.Threshold)
-	r.count(b.Results, 1, 10_000_000, &u.Results)
-	r.duration(b.Lease, &u.Lease)
-	u.Behind = u.Memory / 2
-	u.Pages = max(leastPages, int(u.Result/enginePage*4))
+	r.size(b.Disk, 1<<20, 1<<50, &u.DiskBytes)
+	most := max(u.DiskBytes, u.MemoryBytes)
+	u.MaxResultBytes, u.MaxTenantBytes = most/4, most/2
+	r.size(b.Result, chunkBytes, 1<<50, &u.MaxResultBytes)
+	r.size(b.Tenant, chunkBytes, 1<<50, &u.MaxTenantBytes)
+	r.size(b.Threshold, 0, 1<<40, &u.DiskThreshold)
+	r.count(b.Results, 1, 10_000_000, &u.MaxResults)
+	r.duration(b.Lease, &u.LeaseTime)
+	u.MaxUnwritten = u.MemoryBytes / 2
+	u.MaxPages = max(minPages, int(u.MaxResultBytes/enginePageBytes*4))
 	if !r.diags.HasErrors() {
 		if err := u.Validate(); err != nil {
-			r.diags = append(r.diags, wrong(b.Range, "%v", err))
+			r.diags = append(r.diags, errorAt(b.Range, "%v", err))
 		}
 	}
 	return s, r.diags
@@ -74,8 +74,8 @@
 	u := s.Budget
 	b.WriteString("spool {\n")
 	if s.Folder != "" {
-		fmt.Fprintf(b, "  folder    = %q\n  disk      = %q\n", s.Folder, sizeText(u.Disk))
+		fmt.Fprintf(b, "  folder    = %q\n  disk      = %q\n", s.Folder, formatSize(u.DiskBytes))
 	}
 	fmt.Fprintf(b, "  memory    = %q\n  result    = %q\n  tenant    = %q\n  results   = %d\n  threshold = %q\n  lease     = %q\n}\n",
-		sizeText(u.Memory), sizeText(u.Result), sizeText(u.Tenant), u.Results, sizeText(u.Threshold), timeText(u.Lease))
+		formatSize(u.MemoryBytes), formatSize(u.MaxResultBytes), formatSize(u.MaxTenantBytes), u.MaxResults, formatSize(u.DiskThreshold), formatTime(u.LeaseTime))
 }
--- a/internal/site/sites.go
+++ b/internal/site/zones.go
@@ -14,28 +14,28 @@
 
 // This file owns the block `sites`: what becomes of the load of a zone that is lost, comes back or is drained.
 
-// Sites are the settings of the zones, by name.
-type Sites struct {
-	Zones   zones.Settings // but for its tiers, which Resolve fills in
-	Named   []SiteZone
-	Classes []SiteClass
+// Zones are the settings of the zones, by name.
+type Zones struct {
+	Settings zones.Settings // but for its tiers, which Resolve fills in
+	Zones    []Zone
+	Classes  []PlanClass
 }
 
-// SiteZone is a zone that the file names.
-type SiteZone struct {
-	Name    string
-	Prefers [][]string // tiers beyond itself, nearest first
-	Drain   bool
+// Zone is a zone that the file names.
+type Zone struct {
+	Name          string
+	FailoverTiers [][]string // tiers beyond itself, nearest first
+	Drain         bool
 }
 
-// SiteClass is what a plan takes a class for. At run time both figures are learned.
-type SiteClass struct {
-	Name     string
-	Requests float64    // part of all requests, in any unit
-	Work     rules.Time // mean of one, all threads together
+// PlanClass is what a plan takes a class for. At run time both figures are learned.
+type PlanClass struct {
+	Name          string
+	RequestWeight float64    // part of all requests, in any unit
+	MeanWork      rules.Time // mean of one, all threads together
 }
 
-type sitesBlock struct {
+type zonesBlock struct {
 	Range         hcl.Range        `hcl:",def_range"`
 	Overprovision *hcl.Attribute   `hcl:"overprovision,optional"`
 	Panic         *hcl.Attribute   `hcl:"panic,optional"`
@@ -50,7 +50,7 @@
 	Damping       *dampingBlock    `hcl:"damping,block"`
 	Shedding      *sheddingBlock   `hcl:"shedding,block"`
 	Zones         []zoneBlock      `hcl:"zone,block"`
-	Classes       []siteClassBlock `hcl:"class,block"`
+	Classes       []planClassBlock `hcl:"class,block"`
 }
 
 type dampingBlock struct {
@@ -74,20 +74,20 @@
 	Drain   *hcl.Attribute `hcl:"drain,optional"`
 }
 
-type siteClassBlock struct {
+type planClassBlock struct {
 	Name     string         `hcl:"name,label"`
 	Range    hcl.Range      `hcl:",def_range"`
 	Requests *hcl.Attribute `hcl:"requests,optional"`
 	Work     *hcl.Attribute `hcl:"work,optional"`
 }
 
-// mostPenalty bounds figures of damping and shedding: more is a slip of the pen.
-const mostPenalty = 1000
+// maxDampingFigure bounds figures of damping and shedding: more is a slip of the pen.
+const maxDampingFigure = 1000
 
-func (b *sitesBlock) decode() (*Sites, hcl.Diagnostics) {
-	s := &Sites{Zones: zones.Defaults()}
-	z := &s.Zones
-	var r reader
+func (b *zonesBlock) decode() (*Zones, hcl.Diagnostics) {
+	s := &Zones{Settings: zones.Defaults()}
+	z := &s.Settings
+	var r attributeReader
 	r.number(b.Overprovision, 1, 10, &z.Overprovision)
 	r.number(b.Panic, 0, 1, &z.PanicThreshold)
 	r.number(b.Spill, 0, 1, &z.SpilloverLimit)
@@ -99,88 +99,88 @@
 	r.number(b.Jitter, 0, 1, &z.RampJitter)
 	r.duration(b.DrainOver, &z.DrainTime)
 	if d := b.Damping; d != nil {
-		r.number(d.Penalty, 0, mostPenalty, &z.Damping.Penalty)
+		r.number(d.Penalty, 0, maxDampingFigure, &z.Damping.Penalty)
 		r.duration(d.HalfLife, &z.Damping.HalfLife)
-		r.number(d.Suppress, 0, mostPenalty, &z.Damping.SuppressAbove)
-		r.number(d.Reuse, 0, mostPenalty, &z.Damping.ReuseBelow)
+		r.number(d.Suppress, 0, maxDampingFigure, &z.Damping.SuppressAbove)
+		r.number(d.Reuse, 0, maxDampingFigure, &z.Damping.ReuseBelow)
 		r.duration(d.Longest, &z.Damping.MaxSuppression)
 	}
 	if l := b.Shedding; l != nil {
 		z.SheddingEnabled = true
-		r.number(l.Up, 0, mostPenalty, &z.Shedding.Threshold)
-		r.number(l.Slack, 0, mostPenalty, &z.Shedding.Hysteresis)
+		r.number(l.Up, 0, maxDampingFigure, &z.Shedding.Threshold)
+		r.number(l.Slack, 0, maxDampingFigure, &z.Shedding.Hysteresis)
 		r.duration(l.Settle, &z.Shedding.SettlingTime)
 	}
 	for _, zb := range b.Zones {
-		s.Named = append(s.Named, zb.decode(&r, s.Named))
+		s.Zones = append(s.Zones, zb.decode(&r, s.Zones))
 	}
 	for _, c := range b.Classes {
-		out := SiteClass{Name: c.Name}
-		r.name(c.Name, "class", c.Range)
+		out := PlanClass{Name: c.Name}
+		r.checkName(c.Name, "class", c.Range)
 		if c.Requests == nil || c.Work == nil {
-			r.diags = append(r.diags, wrong(c.Range, "class %q needs both requests and work", c.Name))
+			r.diags = append(r.diags, errorAt(c.Range, "class %q needs both requests and work", c.Name))
 		}
-		r.number(c.Requests, 0, 1e9, &out.Requests)
-		if r.duration(c.Work, &out.Work); c.Work != nil && out.Work <= 0 && !r.diags.HasErrors() {
-			r.diags = append(r.diags, wrong(c.Work.Range, "class %q: work must be over 0", c.Name))
+		r.number(c.Requests, 0, 1e9, &out.RequestWeight)
+		if r.duration(c.Work, &out.MeanWork); c.Work != nil && out.MeanWork <= 0 && !r.diags.HasErrors() {
+			r.diags = append(r.diags, errorAt(c.Work.Range, "class %q: work must be over 0", c.Name))
 		}
-		if slices.ContainsFunc(s.Classes, func(o SiteClass) bool { return o.Name == c.Name }) {
-			r.diags = append(r.diags, wrong(c.Range, "class %q comes twice", c.Name))
+		if slices.ContainsFunc(s.Classes, func(o PlanClass) bool { return o.Name == c.Name }) {
+			r.diags = append(r.diags, errorAt(c.Range, "class %q comes twice", c.Name))
 		}
 		s.Classes = append(s.Classes, out)
 	}
 	if !r.diags.HasErrors() {
 		if err := z.Validate(); err != nil {
-			r.diags = append(r.diags, wrong(b.Range, "sites: %v", err))
+			r.diags = append(r.diags, errorAt(b.Range, "sites: %v", err))
 		}
 	}
 	return s, r.diags
 }
 
-func (b *zoneBlock) decode(r *reader, before []SiteZone) SiteZone {
-	z := SiteZone{Name: b.Name}
-	r.name(b.Name, "zone", b.Range)
-	if slices.ContainsFunc(before, func(o SiteZone) bool { return o.Name == b.Name }) {
-		r.diags = append(r.diags, wrong(b.Range, "zone %q comes twice", b.Name))
+func (b *zoneBlock) decode(r *attributeReader, before []Zone) Zone {
+	z := Zone{Name: b.Name}
+	r.checkName(b.Name, "zone", b.Range)
+	if slices.ContainsFunc(before, func(o Zone) bool { return o.Name == b.Name }) {
+		r.diags = append(r.diags, errorAt(b.Range, "zone %q comes twice", b.Name))
 	}
 	r.flag(b.Drain, &z.Drain)
 	seen := []string{b.Name}
-	for _, tier := range r.lists(b.Prefers) {
+	for _, tier := range r.stringLists(b.Prefers) {
 		var names []string
 		for _, w := range tier {
 			if slices.Contains(seen, w.text) {
-				r.diags = append(r.diags, wrong(w.at, "zone %q: %q comes twice, or is the zone itself", b.Name, w.text))
+				r.diags = append(r.diags, errorAt(w.at, "zone %q: %q comes twice, or is the zone itself", b.Name, w.text))
 			}
 			seen = append(seen, w.text)
 			names = append(names, w.text)
 		}
-		z.Prefers = append(z.Prefers, names)
+		z.FailoverTiers = append(z.FailoverTiers, names)
 	}
 	return z
 }
 
-// lists reads a list of lists of strings.
-func (r *reader) lists(a *hcl.Attribute) (out [][]word) {
+// stringLists reads a list of lists of strings.
+func (r *attributeReader) stringLists(a *hcl.Attribute) (out [][]stringAt) {
 	if a == nil {
 		return nil
 	}
 	outer, diags := hcl.ExprList(a.Expr)
 	if diags.HasErrors() {
-		r.diags = append(r.diags, wrong(a.Expr.Range(), "%s must be a list of lists, a tier each: [[\"near\"], [\"far\", \"farther\"]]", a.Name))
+		r.diags = append(r.diags, errorAt(a.Expr.Range(), "%s must be a list of lists, a tier each: [[\"near\"], [\"far\", \"farther\"]]", a.Name))
 		return nil
 	}
 	for _, e := range outer {
-		out = append(out, r.words(&hcl.Attribute{Name: a.Name + ": each tier", Expr: e, Range: e.Range()}))
+		out = append(out, r.stringList(&hcl.Attribute{Name: a.Name + ": each tier", Expr: e, Range: e.Range()}))
 	}
 	return out
 }
 
 // Resolve returns the settings for a gateway that knows the zones by these names, and which of them are drained.
 // A zone of the file that no list names is let pass: it may come later, under another configuration.
-func (s *Sites) Resolve(names []string) (set zones.Settings, drained []int) {
-	set = s.Zones
+func (s *Zones) Resolve(names []string) (set zones.Settings, drained []int) {
+	set = s.Settings
 	set.Tiers = map[int][][]int{}
-	for _, z := range s.Named {
+	for _, z := range s.Zones {
 		from := slices.Index(names, z.Name)
 		if from < 0 {
 			continue
@@ -188,7 +188,7 @@
 		if z.Drain {
 			drained = append(drained, from)
 		}
-		for _, tier := range z.Prefers {
+		for _, tier := range z.FailoverTiers {
 			var level []int
 			for _, name := range tier {
 				if i := slices.Index(names, name); i >= 0 {
@@ -203,22 +203,22 @@
 	return set, drained
 }
 
-func (s *Sites) write(b *bytes.Buffer) {
-	z := s.Zones
+func (s *Zones) write(b *bytes.Buffer) {
+	z := s.Settings
 	fmt.Fprintf(b, "sites {\n  overprovision = %v\n  panic         = %v\n  spill         = %v\n  retries       = %v\n  lost_below    = %v\n  back_over     = %v\n"+
 		"  settle        = %q\n  ramp          = %q\n  jitter        = %v\n  drain_over    = %q\n",
-		z.Overprovision, z.PanicThreshold, z.SpilloverLimit, z.RetryBudget, z.LostBelow, z.RecoverAbove, timeText(z.SettlingTime), timeText(z.RecoveryRamp), z.RampJitter, timeText(z.DrainTime))
+		z.Overprovision, z.PanicThreshold, z.SpilloverLimit, z.RetryBudget, z.LostBelow, z.RecoverAbove, formatTime(z.SettlingTime), formatTime(z.RecoveryRamp), z.RampJitter, formatTime(z.DrainTime))
 	d, l := z.Damping, z.Shedding
 	fmt.Fprintf(b, "\n  damping {\n    penalty   = %v\n    half_life = %q\n    suppress  = %v\n    reuse     = %v\n    longest   = %q\n  }\n",
-		d.Penalty, timeText(d.HalfLife), d.SuppressAbove, d.ReuseBelow, timeText(d.MaxSuppression))
+		d.Penalty, formatTime(d.HalfLife), d.SuppressAbove, d.ReuseBelow, formatTime(d.MaxSuppression))
 	if z.SheddingEnabled {
-		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", l.Threshold, l.Hysteresis, timeText(l.SettlingTime))
+		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", l.Threshold, l.Hysteresis, formatTime(l.SettlingTime))
 	}
-	for _, n := range s.Named {
+	for _, n := range s.Zones {
 		fmt.Fprintf(b, "\n  zone %q {\n    drain   = %v\n", n.Name, n.Drain)
-		if n.Prefers != nil {
+		if n.FailoverTiers != nil {
 			var tiers []string
-			for _, t := range n.Prefers {
+			for _, t := range n.FailoverTiers {
 				var names []string
 				for _, name := range t {
 					names = append(names, fmt.Sprintf("%q", name))
@@ -230,7 +230,7 @@
 		b.WriteString("  }\n")
 	}
 	for _, c := range s.Classes {
-		fmt.Fprintf(b, "\n  class %q {\n    requests = %v\n    work     = %q\n  }\n", c.Name, c.Requests, timeText(c.Work))
+		fmt.Fprintf(b, "\n  class %q {\n    requests = %v\n    work     = %q\n  }\n", c.Name, c.RequestWeight, formatTime(c.MeanWork))
 	}
 	b.WriteString("}\n")
 }
--- a/internal/site/sites_test.go
+++ b/internal/site/zones_test.go
@@ -9,7 +9,7 @@
 	"foxlane/rules"
 )
 
-const sitesSample = `
+const zonesSample = `
 sites {
   overprovision = 1.2
   spill         = 0.25
@@ -33,12 +33,12 @@
 }
 `
 
-func TestSites(t *testing.T) {
-	s, err := Parse([]byte(sitesSample), "site.hcl")
+func TestZones(t *testing.T) {
+	s, err := Parse([]byte(zonesSample), "site.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, drained := s.Sites.Resolve([]string{"hall-a", "hall-b", "hall-c"})
+	set, drained := s.Zones.Resolve([]string{"hall-a", "hall-b", "hall-c"})
 	if set.Overprovision != 1.2 || set.SpilloverLimit != 0.25 || set.RecoveryRamp != 20*rules.Second || set.Damping.HalfLife != 30*rules.Second ||
 		set.Damping.SuppressAbove != zones.Defaults().Damping.SuppressAbove || set.Shedding.Threshold != 1.2 || set.PanicThreshold != zones.Defaults().PanicThreshold {
 		t.Errorf("got %+v", set)
@@ -46,7 +46,7 @@
 	if !reflect.DeepEqual(set.Tiers, map[int][][]int{0: {{1}, {2}}}) || !reflect.DeepEqual(drained, []int{2}) {
 		t.Errorf("tiers %v, drained %v; a zone that no list names is let pass", set.Tiers, drained)
 	}
-	if c := s.Sites.Classes; len(c) != 1 || c[0] != (SiteClass{"report", 2.4, 2 * rules.Second}) {
+	if c := s.Zones.Classes; len(c) != 1 || c[0] != (PlanClass{"report", 2.4, 2 * rules.Second}) {
 		t.Errorf("classes %+v", c)
 	}
 	again, err := Parse([]byte(s.String()), "again.hcl")
@@ -56,7 +56,7 @@
 }
 
 // What is wrong is told with its place.
-func TestSitesThatAreNone(t *testing.T) {
+func TestInvalidZones(t *testing.T) {
 	for text, want := range map[string]string{
 		"sites {\n  spill = 2\n}":                                               "2:11: spill: 2 is not within 0 and 1",
 		"sites {\n  lost_below = 0.8\n}":                                        "lost_below is 0.8 and back_over 0.7",
