--- a/internal/spool/disk/disk.go
+++ b/internal/spool/disk/disk.go
@@ -23,83 +23,83 @@
 
 // Options bound a Store.
 type Options struct {
-	Segment  int64  // bytes from which a segment is followed by the next
-	ReadOnly bool   // nothing is cut or removed; Commit and Compact are not to be called
-	Salt     uint64 // random; used where the folder has no segment yet
+	SegmentBytes int64  // bytes from which a segment is followed by the next
+	ReadOnly     bool   // nothing is cut or removed; Commit and Compact are not to be called
+	Salt         uint64 // random; used where the folder has no segment yet
 }
 
 // Damage is a stretch of a segment that could not be read.
 type Damage struct {
 	Segment uint32
-	From    int64
+	Offset  int64
 	Size    int64
 	ID      spool.ID // of the result that it is of, if Known
 	Known   bool
 }
 
-// Found is a result that was whole and sealed when the folder was opened.
-type Found struct {
-	ID     spool.ID
-	Meta   segment.Meta
-	Places []spool.Place
+// RecoveredResult is a result that was whole and sealed when the folder was opened.
+type RecoveredResult struct {
+	ID        spool.ID
+	Meta      segment.Meta
+	Locations []spool.Location
 }
 
 // Recovery is what the folder held.
 type Recovery struct {
-	Found   []Found
-	Lost    []spool.ID // sealed, but not whole: damaged
-	Partial int        // never sealed: gone without a trace
-	Damage  []Damage
-	Torn    int64 // bytes cut behind the last whole record
+	Results    []RecoveredResult
+	Lost       []spool.ID // sealed, but not whole: damaged
+	Unfinished int        // never sealed: gone without a trace
+	Damage     []Damage
+	TornBytes  int64 // bytes cut behind the last whole record
 }
 
 // entry is where the records of a result lie.
 type entry struct {
-	meta   segment.Meta
-	open   spool.Place
-	pages  map[int]spool.Place
-	sum    segment.Sum
-	seal   spool.Place // Size 0: none
-	broken bool
-	copy   *entry // while a scan reads one that a compaction made: it counts once it is whole
+	meta        segment.Meta
+	openRecord  spool.Location
+	chunks      map[int]spool.Location
+	summary     segment.Summary
+	sealRecord  spool.Location // Size 0: none
+	broken      bool
+	replacement *entry // while a scan reads one that a compaction made: it counts once it is whole
 }
 
-type seg struct {
-	number uint32
-	file   File
-	header segment.Header
-	size   int64
-	synced int64 // up to here it outlasts a crash
-	live   int64 // bytes of records that are wanted
-	full   bool  // takes nothing more
+type segmentFile struct {
+	number      uint32
+	file        File
+	header      segment.Header
+	size        int64
+	syncedBytes int64 // up to here it outlasts a crash
+	liveBytes   int64 // bytes of records that are wanted
+	full        bool  // takes nothing more
 }
 
 // Store is a folder of segments.
 type Store struct {
-	fs      FS
-	opt     Options
-	salt    uint64
-	segs    []*seg // oldest first; the last one is written to
-	entries map[spool.ID]*entry
-	buf     []byte
-	partial string // a segment that could not be made, and not be removed either; empty: none
-	bad     []Done // what a failed sync made unknown, not yet told
+	fs           FS
+	options      Options
+	salt         uint64
+	segments     []*segmentFile // oldest first; the last one is written to
+	entries      map[spool.ID]*entry
+	buf          []byte
+	unfinished   string       // a segment that could not be made, and not be removed either; empty: none
+	syncFailures []Completion // what a failed sync made unknown, not yet told
 }
 
-func segName(n uint32) string { return fmt.Sprintf("%08d.seg", n) }
+func segmentName(n uint32) string { return fmt.Sprintf("%08d.seg", n) }
 
-func segNumber(name string) (uint32, bool) {
+func segmentNumber(name string) (uint32, bool) {
 	digits, ok := strings.CutSuffix(name, ".seg")
 	n, err := strconv.ParseUint(digits, 10, 32)
-	return uint32(n), ok && err == nil && segName(uint32(n)) == name
+	return uint32(n), ok && err == nil && segmentName(uint32(n)) == name
 }
 
-const scanPiece = 256 << 10
+const scanBufferSize = 256 << 10
 
 // Open reads a folder. What was sealed is told if it is whole; a torn tail is cut, and damage costs the
 // results that it lies in alone.
 func Open(fs FS, opt Options) (*Store, *Recovery, error) {
-	s := &Store{fs: fs, opt: opt, salt: max(opt.Salt, 1), entries: map[spool.ID]*entry{}}
+	s := &Store{fs: fs, options: opt, salt: max(opt.Salt, 1), entries: map[spool.ID]*entry{}}
 	rec := &Recovery{}
 	names, err := fs.List()
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 	var numbers []uint32
 	for _, name := range names {
-		if n, ok := segNumber(name); ok {
+		if n, ok := segmentNumber(name); ok {
 			numbers = append(numbers, n)
 		}
 	}
@@ -118,97 +118,97 @@
 			return nil, nil, err
 		}
 	}
-	s.conclude(rec)
+	s.finishRecovery(rec)
 	return s, rec, nil
 }
 
 // scan reads one segment.
 func (s *Store) scan(n uint32, last bool, rec *Recovery, dropped map[spool.ID]bool) error {
-	f, err := s.fs.Open(segName(n), false)
+	f, err := s.fs.Open(segmentName(n), false)
 	if err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
 	size, err := f.Size()
 	if err != nil {
-		return fmt.Errorf("disk: %s: %w", segName(n), err)
+		return fmt.Errorf("disk: %s: %w", segmentName(n), err)
 	}
-	g := &seg{number: n, file: f, size: size}
+	g := &segmentFile{number: n, file: f, size: size}
 	head := make([]byte, min(size, segment.HeaderSize))
 	if _, err := f.ReadAt(head, 0); err != nil && !errors.Is(err, io.EOF) {
-		return fmt.Errorf("disk: %s: %w", segName(n), err)
+		return fmt.Errorf("disk: %s: %w", segmentName(n), err)
 	}
 	g.header, err = segment.ParseHeader(head)
 	if errors.Is(err, segment.ErrVersion) {
-		return fmt.Errorf("disk: %s: %w", segName(n), err)
+		return fmt.Errorf("disk: %s: %w", segmentName(n), err)
 	}
 	if err != nil || g.header.Number != n {
 		if last && size < segment.HeaderSize || size == 0 { // it was being made when the process ended
-			rec.Torn += size
+			rec.TornBytes += size
 			f.Close()
-			if s.opt.ReadOnly {
+			if s.options.ReadOnly {
 				return nil
 			}
-			return s.fs.Remove(segName(n))
+			return s.fs.Remove(segmentName(n))
 		}
 		rec.Damage = append(rec.Damage, Damage{Segment: n, Size: size})
 		g.full = true
-		s.segs = append(s.segs, g) // nothing of it is used; it goes in its turn
+		s.segments = append(s.segments, g) // nothing of it is used; it goes in its turn
 		return nil
 	}
 	s.salt = g.header.Salt
 	sc := segment.NewScanner(g.header)
-	piece := make([]byte, scanPiece)
+	piece := make([]byte, scanBufferSize)
 	for at := int64(segment.HeaderSize); ; {
 		for {
 			item, ok := sc.Next()
 			if !ok {
 				break
 			}
-			s.take(g, item, rec, dropped)
+			s.applyItem(g, item, rec, dropped)
 		}
 		if at >= size {
 			break
 		}
 		k, err := f.ReadAt(piece[:min(int64(len(piece)), size-at)], at)
 		if k == 0 && err != nil {
-			return fmt.Errorf("disk: %s at %d: %w", segName(n), at, err)
+			return fmt.Errorf("disk: %s at %d: %w", segmentName(n), at, err)
 		}
 		sc.Feed(piece[:k])
 		at += int64(k)
 	}
-	if tail := sc.Tail(); tail < size {
+	if tail := sc.ValidEnd(); tail < size {
 		if last {
-			rec.Torn += size - tail
-			if !s.opt.ReadOnly {
+			rec.TornBytes += size - tail
+			if !s.options.ReadOnly {
 				err := f.Truncate(tail)
 				if err == nil {
 					err = f.Sync() // or the tail may be back after another crash, with segments behind it
 				}
 				if err != nil {
-					return fmt.Errorf("disk: %s: %w", segName(n), err)
+					return fmt.Errorf("disk: %s: %w", segmentName(n), err)
 				}
 			}
 			g.size = tail
 		} else {
-			rec.Damage = append(rec.Damage, Damage{Segment: n, From: tail, Size: size - tail})
+			rec.Damage = append(rec.Damage, Damage{Segment: n, Offset: tail, Size: size - tail})
 		}
 	}
-	if last && !s.opt.ReadOnly { // what was read may still lie in memory alone, and is offered from now on
+	if last && !s.options.ReadOnly { // what was read may still lie in memory alone, and is offered from now on
 		if err := f.Sync(); err != nil {
-			return fmt.Errorf("disk: %s: %w", segName(n), err)
+			return fmt.Errorf("disk: %s: %w", segmentName(n), err)
 		}
 	}
-	g.synced = g.size
-	s.segs = append(s.segs, g)
+	g.syncedBytes = g.size
+	s.segments = append(s.segments, g)
 	return nil
 }
 
-// take takes in what a scan found.
-func (s *Store) take(g *seg, item segment.Item, rec *Recovery, dropped map[spool.ID]bool) {
-	r, place := item.Record, spool.Place{Segment: g.number, Offset: item.Offset, Size: int32(item.Size)}
+// applyItem takes in what a scan found.
+func (s *Store) applyItem(g *segmentFile, item segment.Item, rec *Recovery, dropped map[spool.ID]bool) {
+	r, place := item.Record, spool.Location{Segment: g.number, Offset: item.Offset, Size: int32(item.Size)}
 	if item.Damaged {
-		rec.Damage = append(rec.Damage, Damage{g.number, item.Offset, item.Size, r.ID, item.Known})
-		if e := s.entries[r.ID].latest(); item.Known && e != nil && r.Kind != segment.Lease {
+		rec.Damage = append(rec.Damage, Damage{g.number, item.Offset, item.Size, r.ID, item.HeaderIntact})
+		if e := s.entries[r.ID].newest(); item.HeaderIntact && e != nil && r.Kind != segment.Lease {
 			e.broken = true
 		}
 		return
@@ -220,67 +220,67 @@
 		if !ok {
 			return
 		}
-		fresh := &entry{meta: meta, open: place, pages: map[int]spool.Place{}}
-		if e != nil && e.seal.Size > 0 { // a copy, which may have been left half way: the first one stays until it is whole
-			fresh.meta.Lease = max(meta.Lease, e.meta.Lease)
-			e.copy = fresh
+		fresh := &entry{meta: meta, openRecord: place, chunks: map[int]spool.Location{}}
+		if e != nil && e.sealRecord.Size > 0 { // a copy, which may have been left half way: the first one stays until it is whole
+			fresh.meta.LeaseEnd = max(meta.LeaseEnd, e.meta.LeaseEnd)
+			e.replacement = fresh
 		} else {
 			s.entries[r.ID] = fresh
 		}
-	case segment.Page:
-		if e = e.latest(); e != nil {
-			e.pages[int(r.Page)] = place
+	case segment.Chunk:
+		if e = e.newest(); e != nil {
+			e.chunks[int(r.Chunk)] = place
 		}
 	case segment.Seal:
-		sum, ok := segment.ParseSum(r.Payload)
-		if last := e.latest(); ok && last != nil {
-			last.sum, last.seal = sum, place
-			if last != e && last.whole() {
+		sum, ok := segment.ParseSummary(r.Payload)
+		if last := e.newest(); ok && last != nil {
+			last.summary, last.sealRecord = sum, place
+			if last != e && last.complete() {
 				s.entries[r.ID] = last
 			}
 		}
 	case segment.Lease:
-		if t, ok := segment.ParseTime(r.Payload); ok && e != nil {
-			e.meta.Lease = t
+		if t, ok := segment.ParseLease(r.Payload); ok && e != nil {
+			e.meta.LeaseEnd = t
 		}
 	case segment.Drop:
 		delete(s.entries, r.ID)
 	}
 }
 
-// latest is the copy that is being read, if there is one.
-func (e *entry) latest() *entry {
-	if e != nil && e.copy != nil {
-		return e.copy
+// newest is the copy that is being read, if there is one.
+func (e *entry) newest() *entry {
+	if e != nil && e.replacement != nil {
+		return e.replacement
 	}
 	return e
 }
 
-// whole answers whether all that a result's seal names is there.
-func (e *entry) whole() bool {
-	if e.seal.Size == 0 || e.broken || len(e.pages) != int(e.sum.Pages) {
+// complete answers whether all that a result's seal names is there.
+func (e *entry) complete() bool {
+	if e.sealRecord.Size == 0 || e.broken || len(e.chunks) != int(e.summary.Chunks) {
 		return false
 	}
 	bytes := uint64(0)
-	for n, p := range e.pages {
-		if n >= int(e.sum.Pages) {
+	for n, p := range e.chunks {
+		if n >= int(e.summary.Chunks) {
 			return false
 		}
-		bytes += uint64(p.Size - segment.Overhead)
+		bytes += uint64(p.Size - segment.RecordOverhead)
 	}
-	return bytes == e.sum.Bytes
+	return bytes == e.summary.Bytes
 }
 
-func (e *entry) places() []spool.Place {
-	out := make([]spool.Place, len(e.pages))
-	for n, p := range e.pages {
+func (e *entry) locations() []spool.Location {
+	out := make([]spool.Location, len(e.chunks))
+	for n, p := range e.chunks {
 		out[n] = p
 	}
 	return out
 }
 
-// conclude tells what is whole and forgets the rest.
-func (s *Store) conclude(rec *Recovery) {
+// finishRecovery tells what is whole and forgets the rest.
+func (s *Store) finishRecovery(rec *Recovery) {
 	var ids []spool.ID
 	for id := range s.entries {
 		ids = append(ids, id)
@@ -289,21 +289,21 @@
 	for _, id := range ids {
 		e := s.entries[id]
 		switch {
-		case e.whole():
-			rec.Found = append(rec.Found, Found{id, e.meta, e.places()})
-			s.count(e, 1)
+		case e.complete():
+			rec.Results = append(rec.Results, RecoveredResult{id, e.meta, e.locations()})
+			s.addLive(e, 1)
 			continue
-		case e.seal.Size > 0:
+		case e.sealRecord.Size > 0:
 			rec.Lost = append(rec.Lost, id)
 		default:
-			rec.Partial++
+			rec.Unfinished++
 		}
 		delete(s.entries, id)
 	}
 }
 
-func (s *Store) seg(n uint32) *seg {
-	for _, g := range s.segs {
+func (s *Store) segment(n uint32) *segmentFile {
+	for _, g := range s.segments {
 		if g.number == n {
 			return g
 		}
@@ -311,39 +311,39 @@
 	return nil
 }
 
-// count adds a result's records to what is live of their segments, or takes them off.
-func (s *Store) count(e *entry, sign int64) {
-	add := func(p spool.Place) {
-		if g := s.seg(p.Segment); g != nil {
-			g.live += sign * int64(p.Size)
+// addLive adds a result's records to what is live of their segments, or takes them off.
+func (s *Store) addLive(e *entry, sign int64) {
+	add := func(p spool.Location) {
+		if g := s.segment(p.Segment); g != nil {
+			g.liveBytes += sign * int64(p.Size)
 		}
 	}
-	add(e.open)
-	for _, p := range e.pages {
+	add(e.openRecord)
+	for _, p := range e.chunks {
 		add(p)
 	}
-	add(e.seal)
+	add(e.sealRecord)
 }
 
 // ---- writing
 
-// Done answers one Write effect of the spool. A Seal is answered as Written and, where the disk has
+// Completion answers one Write effect of the spool. A Seal is answered as Written and, where the disk has
 // synced it, as Synced.
-type Done struct {
+type Completion struct {
 	Event spool.Event
 	Err   error
 }
 
 // Commit writes records and syncs if a result is sealed among them: one sync for all of them. What it
 // returns is told to the spool in order. The Data of effects is used during the call only.
-func (s *Store) Commit(writes []spool.Effect) (out []Done) {
+func (s *Store) Commit(writes []spool.Effect) (out []Completion) {
 	var seals []spool.ID
 	fail := func(f *spool.Effect, err error) {
-		out = append(out, Done{spool.Event{Kind: spool.Written, ID: f.ID, Record: f.Record, N: f.N, Err: true}, err})
+		out = append(out, Completion{spool.Event{Kind: spool.RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Failed: true}, err})
 	}
 	for i := range writes {
 		f := &writes[i]
-		place, err := s.put(f)
+		place, err := s.writeRecord(f)
 		if err != nil {
 			fail(f, err)
 			if e := s.entries[f.ID]; e != nil {
@@ -351,7 +351,7 @@
 			}
 			continue
 		}
-		out = append(out, Done{Event: spool.Event{Kind: spool.Written, ID: f.ID, Record: f.Record, N: f.N, Place: place}})
+		out = append(out, Completion{Event: spool.Event{Kind: spool.RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Location: place}})
 		if f.Record == segment.Seal {
 			seals = append(seals, f.ID)
 		}
@@ -359,94 +359,94 @@
 	if len(seals) > 0 {
 		_ = s.sync() // what fails is in s.bad
 	}
-	out = append(out, s.bad...)
+	out = append(out, s.syncFailures...)
 	for _, id := range seals {
 		e := s.entries[id]
 		lost := e == nil || e.broken
-		out = append(out, Done{Event: spool.Event{Kind: spool.Synced, ID: id, Err: lost}})
+		out = append(out, Completion{Event: spool.Event{Kind: spool.ResultSynced, ID: id, Failed: lost}})
 	}
-	s.bad = nil
+	s.syncFailures = nil
 	return out
 }
 
-// put appends one record.
-func (s *Store) put(f *spool.Effect) (spool.Place, error) {
-	g, err := s.active()
+// writeRecord appends one record.
+func (s *Store) writeRecord(f *spool.Effect) (spool.Location, error) {
+	g, err := s.activeSegment()
 	if err != nil {
-		return spool.Place{}, err
+		return spool.Location{}, err
 	}
-	place, err := s.appendTo(g, segment.Record{Kind: f.Record, ID: f.ID, Page: uint32(f.N), Payload: f.Data})
+	place, err := s.appendRecord(g, segment.Record{Kind: f.Record, ID: f.ID, Chunk: uint32(f.Index), Payload: f.Data})
 	if err != nil {
 		return place, err
 	}
-	s.note(f.Record, f.ID, f.N, f.Data, place)
+	s.trackRecord(f.Record, f.ID, f.Index, f.Data, place)
 	return place, nil
 }
 
-// appendTo writes one record behind the last. A write that fails leaves nothing behind that counts.
-func (s *Store) appendTo(g *seg, r segment.Record) (spool.Place, error) {
+// appendRecord writes one record behind the last. A write that fails leaves nothing behind that counts.
+func (s *Store) appendRecord(g *segmentFile, r segment.Record) (spool.Location, error) {
 	s.buf = segment.Append(s.buf[:0], g.header, g.size, r)
 	if _, err := g.file.WriteAt(s.buf, g.size); err != nil {
 		_ = g.file.Truncate(g.size) // the next record overwrites it in any case
-		return spool.Place{}, fmt.Errorf("disk: %s: %w", segName(g.number), err)
+		return spool.Location{}, fmt.Errorf("disk: %s: %w", segmentName(g.number), err)
 	}
-	place := spool.Place{Segment: g.number, Offset: g.size, Size: int32(len(s.buf))}
+	place := spool.Location{Segment: g.number, Offset: g.size, Size: int32(len(s.buf))}
 	g.size += int64(len(s.buf))
 	return place, nil
 }
 
-// note follows what was written, for removal and compaction.
-func (s *Store) note(kind segment.Kind, id spool.ID, n int, data []byte, place spool.Place) {
+// trackRecord follows what was written, for removal and compaction.
+func (s *Store) trackRecord(kind segment.Kind, id spool.ID, n int, data []byte, place spool.Location) {
 	e := s.entries[id]
 	switch kind {
 	case segment.Open:
 		meta, _ := segment.ParseMeta(data)
-		e = &entry{meta: meta, open: place, pages: map[int]spool.Place{}}
+		e = &entry{meta: meta, openRecord: place, chunks: map[int]spool.Location{}}
 		s.entries[id] = e
-	case segment.Page:
+	case segment.Chunk:
 		if e != nil {
-			e.pages[n] = place
+			e.chunks[n] = place
 		}
 	case segment.Seal:
 		if e != nil {
-			e.sum, _ = segment.ParseSum(data)
-			e.seal = place
+			e.summary, _ = segment.ParseSummary(data)
+			e.sealRecord = place
 		}
 	case segment.Drop:
 		if e != nil {
-			s.count(e, -1)
+			s.addLive(e, -1)
 			delete(s.entries, id)
 		}
 		return
 	}
 	if e != nil && kind != segment.Lease {
-		s.seg(place.Segment).live += int64(place.Size)
+		s.segment(place.Segment).liveBytes += int64(place.Size)
 	}
 }
 
-// active is the segment that is written to; a full one is synced and followed by the next.
-func (s *Store) active() (*seg, error) {
+// activeSegment is the segment that is written to; a full one is synced and followed by the next.
+func (s *Store) activeSegment() (*segmentFile, error) {
 	next := uint32(1)
-	if n := len(s.segs); n > 0 {
-		g := s.segs[n-1]
-		if !g.full && g.size < s.opt.Segment {
+	if n := len(s.segments); n > 0 {
+		g := s.segments[n-1]
+		if !g.full && g.size < s.options.SegmentBytes {
 			return g, nil
 		}
-		if g.synced < g.size {
+		if g.syncedBytes < g.size {
 			if err := s.sync(); err != nil {
 				return nil, err
 			}
 		}
 		next = g.number + 1
 	}
-	if err := s.removePartial(); err != nil {
+	if err := s.removeUnfinished(); err != nil {
 		return nil, err
 	}
-	f, err := s.fs.Open(segName(next), true)
+	f, err := s.fs.Open(segmentName(next), true)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	g := &seg{number: next, file: f, header: segment.Header{Number: next, Salt: s.salt}}
+	g := &segmentFile{number: next, file: f, header: segment.Header{Number: next, Salt: s.salt}}
 	head := segment.AppendHeader(nil, g.header)
 	if _, err = f.WriteAt(head, 0); err == nil {
 		if err = f.Sync(); err == nil { // a later sync may fail, and later segments stand behind this one
@@ -455,69 +455,69 @@
 	}
 	if err != nil {
 		f.Close()
-		s.partial = segName(next)
-		_ = s.removePartial() // else the next call does
-		return nil, fmt.Errorf("disk: %s: %w", segName(next), err)
+		s.unfinished = segmentName(next)
+		_ = s.removeUnfinished() // else the next call does
+		return nil, fmt.Errorf("disk: %s: %w", segmentName(next), err)
 	}
-	g.size, g.synced = int64(len(head)), int64(len(head))
-	s.segs = append(s.segs, g)
+	g.size, g.syncedBytes = int64(len(head)), int64(len(head))
+	s.segments = append(s.segments, g)
 	return g, nil
 }
 
-// removePartial removes a segment that could not be made: its name is wanted again.
-func (s *Store) removePartial() error {
-	if s.partial == "" {
+// removeUnfinished removes a segment that could not be made: its name is wanted again.
+func (s *Store) removeUnfinished() error {
+	if s.unfinished == "" {
 		return nil
 	}
-	if err := s.fs.Remove(s.partial); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("disk: %s: %w", s.partial, err)
+	if err := s.fs.Remove(s.unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("disk: %s: %w", s.unfinished, err)
 	}
-	s.partial = ""
+	s.unfinished = ""
 	return nil
 }
 
 // sync makes all that was written last. Where that fails, what was written since the last time is unknown:
 // it is cut off, and nothing more is written to that segment.
 func (s *Store) sync() error {
-	g := s.segs[len(s.segs)-1]
+	g := s.segments[len(s.segments)-1]
 	err := g.file.Sync()
 	if err == nil {
-		g.synced = g.size
+		g.syncedBytes = g.size
 		return nil
 	}
-	bad := spool.Place{Segment: g.number, Offset: max(g.synced, segment.HeaderSize)}
+	bad := spool.Location{Segment: g.number, Offset: max(g.syncedBytes, segment.HeaderSize)}
 	if g.file.Truncate(bad.Offset) == nil {
 		g.size = bad.Offset
 	}
 	for _, e := range s.entries {
-		lost := func(p spool.Place) bool { return p.Size > 0 && p.Segment == g.number && p.Offset >= bad.Offset }
-		e.broken = e.broken || lost(e.open) || lost(e.seal)
-		for _, p := range e.pages {
+		lost := func(p spool.Location) bool { return p.Size > 0 && p.Segment == g.number && p.Offset >= bad.Offset }
+		e.broken = e.broken || lost(e.openRecord) || lost(e.sealRecord)
+		for _, p := range e.chunks {
 			e.broken = e.broken || lost(p)
 		}
 	}
-	g.full, g.synced = true, g.size
-	err = fmt.Errorf("disk: %s: %w", segName(g.number), err)
-	s.bad = append(s.bad, Done{spool.Event{Kind: spool.SegmentBad, Place: bad}, err})
+	g.full, g.syncedBytes = true, g.size
+	err = fmt.Errorf("disk: %s: %w", segmentName(g.number), err)
+	s.syncFailures = append(s.syncFailures, Completion{spool.Event{Kind: spool.SegmentTailLost, Location: bad}, err})
 	return err
 }
 
-// ErrChanged is returned where the disk returns other bytes than were written.
-var ErrChanged = errors.New("disk: other bytes than were written")
+// ErrCorrupt is returned where the disk returns other bytes than were written.
+var ErrCorrupt = errors.New("disk: other bytes than were written")
 
 // Read reads one chunk back, checked.
-func (s *Store) Read(id spool.ID, n int, p spool.Place) ([]byte, error) {
-	g := s.seg(p.Segment)
+func (s *Store) Read(id spool.ID, n int, p spool.Location) ([]byte, error) {
+	g := s.segment(p.Segment)
 	if g == nil {
 		return nil, fmt.Errorf("disk: no segment %d", p.Segment)
 	}
 	buf := make([]byte, p.Size)
 	if _, err := g.file.ReadAt(buf, p.Offset); err != nil {
-		return nil, fmt.Errorf("disk: %s at %d: %w", segName(g.number), p.Offset, err)
+		return nil, fmt.Errorf("disk: %s at %d: %w", segmentName(g.number), p.Offset, err)
 	}
 	r, err := segment.Parse(buf, g.header, p.Offset)
-	if err != nil || r.Kind != segment.Page || r.ID != id || int(r.Page) != n {
-		return nil, fmt.Errorf("%w: %s at %d", ErrChanged, segName(g.number), p.Offset)
+	if err != nil || r.Kind != segment.Chunk || r.ID != id || int(r.Chunk) != n {
+		return nil, fmt.Errorf("%w: %s at %d", ErrCorrupt, segmentName(g.number), p.Offset)
 	}
 	return r.Payload, nil
 }
@@ -526,13 +526,13 @@
 
 // Sweep removes the oldest segments of which nothing is wanted any more.
 func (s *Store) Sweep() (removed int, err error) {
-	for len(s.segs) > 1 && s.segs[0].live <= 0 {
-		g := s.segs[0]
-		if err := s.fs.Remove(segName(g.number)); err != nil {
+	for len(s.segments) > 1 && s.segments[0].liveBytes <= 0 {
+		g := s.segments[0]
+		if err := s.fs.Remove(segmentName(g.number)); err != nil {
 			return removed, fmt.Errorf("disk: %w", err)
 		}
 		g.file.Close()
-		s.segs = s.segs[1:]
+		s.segments = s.segments[1:]
 		removed++
 	}
 	if removed > 0 {
@@ -541,11 +541,11 @@
 	return removed, err
 }
 
-// Waste is how many bytes the segments take over those that are wanted.
-func (s *Store) Waste() int64 {
+// WastedBytes is how many bytes the segments take over those that are wanted.
+func (s *Store) WastedBytes() int64 {
 	var sum int64
-	for _, g := range s.segs {
-		sum += g.size - g.live
+	for _, g := range s.segments {
+		sum += g.size - g.liveBytes
 	}
 	return sum
 }
@@ -553,25 +553,25 @@
 // Compact copies what is wanted of the oldest segment behind the last one, so that the oldest may go. What
 // it returns is told to the spool: where chunks lie now. Only whole results are copied; while one of the
 // segment is being written, nothing is.
-func (s *Store) Compact() (out []Done, err error) {
-	if len(s.segs) < 2 {
+func (s *Store) Compact() (out []Completion, err error) {
+	if len(s.segments) < 2 {
 		return nil, nil
 	}
 	defer func() { // what a failed sync made unknown, here or where a segment was full
-		out = append(out, s.bad...)
-		s.bad = nil
+		out = append(out, s.syncFailures...)
+		s.syncFailures = nil
 	}()
-	oldest := s.segs[0].number
+	oldest := s.segments[0].number
 	var ids []spool.ID
 	for id, e := range s.entries {
-		in := e.open.Segment == oldest || e.seal.Segment == oldest
-		for _, p := range e.pages {
+		in := e.openRecord.Segment == oldest || e.sealRecord.Segment == oldest
+		for _, p := range e.chunks {
 			in = in || p.Segment == oldest
 		}
 		if !in {
 			continue
 		}
-		if e.seal.Size == 0 || e.broken {
+		if e.sealRecord.Size == 0 || e.broken {
 			return nil, nil
 		}
 		ids = append(ids, id)
@@ -579,37 +579,37 @@
 	slices.SortFunc(ids, func(a, b spool.ID) int { return slices.Compare(a[:], b[:]) })
 	for _, id := range ids {
 		e := s.entries[id]
-		fresh := &entry{meta: e.meta, pages: map[int]spool.Place{}, sum: e.sum}
-		copyTo := func(kind segment.Kind, n int, data []byte) (spool.Place, error) {
-			g, err := s.active()
+		fresh := &entry{meta: e.meta, chunks: map[int]spool.Location{}, summary: e.summary}
+		copyTo := func(kind segment.Kind, n int, data []byte) (spool.Location, error) {
+			g, err := s.activeSegment()
 			if err != nil {
-				return spool.Place{}, err
+				return spool.Location{}, err
 			}
-			return s.appendTo(g, segment.Record{Kind: kind, ID: id, Page: uint32(n), Payload: data})
+			return s.appendRecord(g, segment.Record{Kind: kind, ID: id, Chunk: uint32(n), Payload: data})
 		}
-		if fresh.open, err = copyTo(segment.Open, 0, segment.AppendMeta(nil, e.meta)); err != nil {
+		if fresh.openRecord, err = copyTo(segment.Open, 0, segment.AppendMeta(nil, e.meta)); err != nil {
 			return out, err
 		}
-		for n := range len(e.pages) {
-			data, err := s.Read(id, n, e.pages[n])
+		for n := range len(e.chunks) {
+			data, err := s.Read(id, n, e.chunks[n])
 			if err != nil {
 				return out, err
 			}
-			if fresh.pages[n], err = copyTo(segment.Page, n, data); err != nil {
+			if fresh.chunks[n], err = copyTo(segment.Chunk, n, data); err != nil {
 				return out, err
 			}
 		}
-		if fresh.seal, err = copyTo(segment.Seal, len(e.pages), segment.AppendSum(nil, e.sum)); err != nil {
+		if fresh.sealRecord, err = copyTo(segment.Seal, len(e.chunks), segment.AppendSummary(nil, e.summary)); err != nil {
 			return out, err
 		}
 		if err := s.sync(); err != nil {
 			return out, err
 		}
-		s.count(e, -1)
+		s.addLive(e, -1)
 		s.entries[id] = fresh
-		s.count(fresh, 1)
-		for n := range len(fresh.pages) {
-			out = append(out, Done{Event: spool.Event{Kind: spool.Moved, ID: id, N: n, Place: fresh.pages[n]}})
+		s.addLive(fresh, 1)
+		for n := range len(fresh.chunks) {
+			out = append(out, Completion{Event: spool.Event{Kind: spool.ChunkMoved, ID: id, Index: n, Location: fresh.chunks[n]}})
 		}
 	}
 	_, err = s.Sweep()
@@ -618,7 +618,7 @@
 
 // Bytes is what the segments take.
 func (s *Store) Bytes() (sum int64) {
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		sum += g.size
 	}
 	return sum
@@ -627,7 +627,7 @@
 // Close closes all files.
 func (s *Store) Close() error {
 	var errs []error
-	for _, g := range s.segs {
+	for _, g := range s.segments {
 		errs = append(errs, g.file.Close())
 	}
 	return errors.Join(errs...)
--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -29,30 +29,30 @@
 
 var errFault = errors.New("fault")
 
-// memory is a folder that fails as it is told to, and forgets in a crash what was not synced.
-type memory struct {
+// memoryFS is a folder that fails as it is told to, and forgets in a crash what was not synced.
+type memoryFS struct {
 	files     map[string]*memFile
 	failWrite int // the write so many from now on fails, having written a half; 0: none does
 	failSync  bool
-	room      int64 // bytes that it takes; 0: any
+	capacity  int64 // bytes that it takes; 0: any
 }
 
 type memFile struct {
-	fs     *memory
+	fs     *memoryFS
 	data   []byte
 	synced []byte
 }
 
-func newMemory() *memory { return &memory{files: map[string]*memFile{}} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memFile{}} }
 
-func (m *memory) List() (names []string, err error) {
+func (m *memoryFS) List() (names []string, err error) {
 	for name := range m.files {
 		names = append(names, name)
 	}
 	return names, nil
 }
 
-func (m *memory) Open(name string, create bool) (File, error) {
+func (m *memoryFS) Open(name string, create bool) (File, error) {
 	f := m.files[name]
 	if (f == nil) != create {
 		return nil, fmt.Errorf("%s: create %v", name, create)
@@ -64,10 +64,10 @@
 	return f, nil
 }
 
-func (m *memory) Remove(name string) error { delete(m.files, name); return nil }
-func (m *memory) Sync() error              { return nil }
+func (m *memoryFS) Remove(name string) error { delete(m.files, name); return nil }
+func (m *memoryFS) Sync() error              { return nil }
 
-func (m *memory) size() (n int64) {
+func (m *memoryFS) size() (n int64) {
 	for _, f := range m.files {
 		n += int64(len(f.data))
 	}
@@ -75,8 +75,8 @@
 }
 
 // crash is the folder after the machine has lost its power: of what was not synced a part is there.
-func (m *memory) crash(part func(n int) int) *memory {
-	out := newMemory()
+func (m *memoryFS) crash(part func(n int) int) *memoryFS {
+	out := newMemoryFS()
 	names, _ := m.List()
 	slices.Sort(names)
 	for _, name := range names {
@@ -108,8 +108,8 @@
 			n, err = len(p)/2, errFault
 		}
 	}
-	if grown := off + int64(n) - int64(len(f.data)); f.fs.room > 0 && f.fs.size()+grown > f.fs.room {
-		n, err = max(0, n-int(f.fs.size()+grown-f.fs.room)), errFault
+	if grown := off + int64(n) - int64(len(f.data)); f.fs.capacity > 0 && f.fs.size()+grown > f.fs.capacity {
+		n, err = max(0, n-int(f.fs.size()+grown-f.fs.capacity)), errFault
 	}
 	if need := off + int64(n); need > int64(len(f.data)) {
 		f.data = append(f.data, make([]byte, need-int64(len(f.data)))...)
@@ -130,7 +130,7 @@
 func (f *memFile) Size() (int64, error)   { return int64(len(f.data)), nil }
 func (f *memFile) Close() error           { return nil }
 
-var options = Options{Segment: 1500, Salt: 77}
+var options = Options{SegmentBytes: 1500, Salt: 77}
 
 func id(n int) spool.ID { return spool.ID{byte(n), byte(n >> 8), 3} }
 
@@ -139,26 +139,26 @@
 
 // writes are what the spool asks for a result with so many chunks.
 func writes(k, chunks int) (out []spool.Effect) {
-	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(k), Secret: [32]byte{byte(k)}, Class: 1, Created: 5, Lease: 100})
-	out = append(out, spool.Effect{Kind: spool.Write, ID: id(k), Record: segment.Open, Data: meta})
+	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(k), Secret: [32]byte{byte(k)}, Class: 1, Created: 5, LeaseEnd: 100})
+	out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Open, Data: meta})
 	sum := uint64(0)
 	for n := range chunks {
 		sum += uint64(len(rows(k, n)))
-		out = append(out, spool.Effect{Kind: spool.Write, ID: id(k), Record: segment.Page, N: n, Data: rows(k, n)})
+		out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Chunk, Index: n, Data: rows(k, n)})
 	}
-	return append(out, spool.Effect{Kind: spool.Write, ID: id(k), Record: segment.Seal, N: chunks,
-		Data: segment.AppendSum(nil, segment.Sum{Pages: uint32(chunks), Bytes: sum})})
+	return append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Seal, Index: chunks,
+		Data: segment.AppendSummary(nil, segment.Summary{Chunks: uint32(chunks), Bytes: sum})})
 }
 
 func drop(k int) []spool.Effect {
-	return []spool.Effect{{Kind: spool.Write, ID: id(k), Record: segment.Drop}}
+	return []spool.Effect{{Kind: spool.WriteRecord, ID: id(k), Record: segment.Drop}}
 }
 
 // synced are the results that a commit acknowledged, and those that it said are not.
-func synced(done []Done) (good, bad []spool.ID) {
+func synced(done []Completion) (good, bad []spool.ID) {
 	for _, d := range done {
-		if d.Event.Kind == spool.Synced {
-			if d.Event.Err {
+		if d.Event.Kind == spool.ResultSynced {
+			if d.Event.Failed {
 				bad = append(bad, d.Event.ID)
 			} else {
 				good = append(good, d.Event.ID)
@@ -177,11 +177,11 @@
 }
 
 // check reads a result that was found and compares every byte.
-func check(s *Store, f Found, k, chunks int) error {
-	if f.ID != id(k) || len(f.Places) != chunks || f.Meta.Tenant != uint64(k) {
-		return fmt.Errorf("found %v with %d chunks", f.ID, len(f.Places))
+func check(s *Store, f RecoveredResult, k, chunks int) error {
+	if f.ID != id(k) || len(f.Locations) != chunks || f.Meta.Tenant != uint64(k) {
+		return fmt.Errorf("found %v with %d chunks", f.ID, len(f.Locations))
 	}
-	for n, p := range f.Places {
+	for n, p := range f.Locations {
 		if got, err := s.Read(f.ID, n, p); err != nil || !bytes.Equal(got, rows(k, n)) {
 			return fmt.Errorf("chunk %d of result %d: %d bytes, %v", n, k, len(got), err)
 		}
@@ -189,19 +189,19 @@
 	return nil
 }
 
-func find(rec *Recovery, k int) (Found, bool) {
-	for _, f := range rec.Found {
+func find(rec *Recovery, k int) (RecoveredResult, bool) {
+	for _, f := range rec.Results {
 		if f.ID == id(k) {
 			return f, true
 		}
 	}
-	return Found{}, false
+	return RecoveredResult{}, false
 }
 
 // logOf is a folder with results written one after the other, across segments, and for each how much of the
 // folder was there when it was acknowledged.
-func logOf(t testing.TB, results, chunks int) (fs *memory, acked map[int]int64) {
-	fs, acked = newMemory(), map[int]int64{}
+func logOf(t testing.TB, results, chunks int) (fs *memoryFS, acked map[int]int64) {
+	fs, acked = newMemoryFS(), map[int]int64{}
 	s, _ := open(t, fs)
 	for k := range results {
 		good, _ := synced(s.Commit(writes(k, chunks)))
@@ -214,8 +214,8 @@
 }
 
 // cutAt is the folder as it was after so many of its bytes were written.
-func cutAt(fs *memory, at int64) *memory {
-	out := newMemory()
+func cutAt(fs *memoryFS, at int64) *memoryFS {
+	out := newMemoryFS()
 	names, _ := fs.List()
 	slices.Sort(names)
 	for _, name := range names {
@@ -283,10 +283,10 @@
 				}
 				continue
 			}
-			if len(rec.Found) < 3 || len(rec.Damage) == 0 && rec.Torn == 0 {
-				t.Fatalf("%s byte %d: %d of 4 found, damage %v, torn %d", name, at, len(rec.Found), rec.Damage, rec.Torn)
+			if len(rec.Results) < 3 || len(rec.Damage) == 0 && rec.TornBytes == 0 {
+				t.Fatalf("%s byte %d: %d of 4 found, damage %v, torn %d", name, at, len(rec.Results), rec.Damage, rec.TornBytes)
 			}
-			for _, f := range rec.Found {
+			for _, f := range rec.Results {
 				if err := check(s, f, int(f.ID[0]), 5); err != nil {
 					t.Fatalf("%s byte %d: %v", name, at, err)
 				}
@@ -302,7 +302,7 @@
 		fs.failWrite = n
 		failed := false
 		for _, d := range s.Commit(writes(9, 8)) {
-			if d.Event.Kind == spool.Written && d.Event.Err {
+			if d.Event.Kind == spool.RecordWritten && d.Event.Failed {
 				failed = true
 			}
 		}
@@ -316,7 +316,7 @@
 			if !ok {
 				t.Fatalf("after write %d failed result %d is gone", n, k)
 			}
-			if err := check(s2, f, k, len(f.Places)); err != nil {
+			if err := check(s2, f, k, len(f.Locations)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -327,8 +327,8 @@
 }
 
 func TestFullDisk(t *testing.T) {
-	fs := newMemory()
-	fs.room = 4000
+	fs := newMemoryFS()
+	fs.capacity = 4000
 	s, _ := open(t, fs)
 	kept := 0
 	for k := range 20 {
@@ -340,8 +340,8 @@
 		t.Fatalf("%d of 20 fit: the test has lost its subject", kept)
 	}
 	_, rec := open(t, fs)
-	if len(rec.Found) != kept {
-		t.Errorf("%d were acknowledged, %d are found", kept, len(rec.Found))
+	if len(rec.Results) != kept {
+		t.Errorf("%d were acknowledged, %d are found", kept, len(rec.Results))
 	}
 }
 
@@ -354,7 +354,7 @@
 	good, bad := synced(done)
 	told := false
 	for _, d := range done {
-		told = told || d.Event.Kind == spool.SegmentBad
+		told = told || d.Event.Kind == spool.SegmentTailLost
 	}
 	if len(good) != 0 || len(bad) != 1 || !told {
 		t.Fatalf("acknowledged %v, refused %v, told %v", good, bad, told)
@@ -363,30 +363,30 @@
 	if good, _ := synced(s.Commit(writes(10, 3))); len(good) != 1 {
 		t.Error("nothing can be written after a failed sync")
 	}
-	for _, after := range []*memory{fs, fs.crash(func(n int) int { return n })} {
+	for _, after := range []*memoryFS{fs, fs.crash(func(n int) int { return n })} {
 		_, rec := open(t, after)
-		if _, ok := find(rec, 9); ok || len(rec.Found) != 3 {
-			t.Errorf("%d found, the one whose sync failed: %v", len(rec.Found), ok)
+		if _, ok := find(rec, 9); ok || len(rec.Results) != 3 {
+			t.Errorf("%d found, the one whose sync failed: %v", len(rec.Results), ok)
 		}
 	}
 }
 
-func TestOtherBytesThanWereWritten(t *testing.T) {
+func TestReadDetectsCorruption(t *testing.T) {
 	fs, _ := logOf(t, 2, 5)
 	s, rec := open(t, fs)
 	f, _ := find(rec, 0)
-	g := fs.files[segName(f.Places[2].Segment)]
-	g.data[f.Places[2].Offset+50] ^= 1
-	if _, err := s.Read(f.ID, 2, f.Places[2]); !errors.Is(err, ErrChanged) {
+	g := fs.files[segmentName(f.Locations[2].Segment)]
+	g.data[f.Locations[2].Offset+50] ^= 1
+	if _, err := s.Read(f.ID, 2, f.Locations[2]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("changed bytes: %v", err)
 	}
-	if _, err := s.Read(f.ID, 1, f.Places[3]); !errors.Is(err, ErrChanged) {
+	if _, err := s.Read(f.ID, 1, f.Locations[3]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another chunk: %v", err)
 	}
-	if _, err := s.Read(id(1), 3, f.Places[3]); !errors.Is(err, ErrChanged) {
+	if _, err := s.Read(id(1), 3, f.Locations[3]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another result's chunk: %v", err)
 	}
-	if _, err := s.Read(f.ID, 0, spool.Place{Segment: 99, Size: 60}); err == nil {
+	if _, err := s.Read(f.ID, 0, spool.Location{Segment: 99, Size: 60}); err == nil {
 		t.Error("a segment that is not there")
 	}
 }
@@ -405,17 +405,17 @@
 			t.Fatal(err)
 		}
 		for _, d := range done {
-			if d.Event.Kind == spool.Moved {
-				if got, err := s.Read(d.Event.ID, d.Event.N, d.Event.Place); err != nil || !bytes.Equal(got, rows(int(d.Event.ID[0]), d.Event.N)) {
+			if d.Event.Kind == spool.ChunkMoved {
+				if got, err := s.Read(d.Event.ID, d.Event.Index, d.Event.Location); err != nil || !bytes.Equal(got, rows(int(d.Event.ID[0]), d.Event.Index)) {
 					t.Fatalf("moved chunk: %v", err)
 				}
 			}
 		}
 		s2, rec := open(t, cutAt(fs, 1<<40)) // at each step a restart finds the three and no other
-		if len(rec.Found) != 3 {
-			t.Fatalf("%d found", len(rec.Found))
+		if len(rec.Results) != 3 {
+			t.Fatalf("%d found", len(rec.Results))
 		}
-		for _, f := range rec.Found {
+		for _, f := range rec.Results {
 			if err := check(s2, f, int(f.ID[0]), 5); err != nil {
 				t.Fatal(err)
 			}
@@ -427,14 +427,14 @@
 	for _, k := range []int{3, 6, 11} {
 		s.Commit(drop(k))
 	}
-	if _, err := s.Sweep(); err != nil || len(s.segs) > 1 {
-		t.Errorf("%v, %d segments of nothing", err, len(s.segs))
+	if _, err := s.Sweep(); err != nil || len(s.segments) > 1 {
+		t.Errorf("%v, %d segments of nothing", err, len(s.segments))
 	}
 }
 
 // A compaction that fails half way leaves a part of a copy: the first one counts, also after restarts and
 // further compactions.
-func TestCompactionThatFailsHalfWay(t *testing.T) {
+func TestInterruptedCompaction(t *testing.T) {
 	for n := 1; n <= 12; n++ {
 		fs, _ := logOf(t, 3, 7)
 		s, _ := open(t, fs)
@@ -496,9 +496,9 @@
 
 // Random results, drops, compactions, faults and crashes against a plain map: what was acknowledged and not
 // dropped is whole after every start, and nothing else is offered that is not whole.
-func TestStoreHolds(t *testing.T) {
+func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fs := newMemory()
+		fs := newMemoryFS()
 		s, _ := open(rt, fs)
 		kept, maybe := map[int]int{}, map[int]int{} // chunks; maybe: neither acknowledged nor known to be gone
 		k := 0
@@ -520,7 +520,7 @@
 				if k > 0 {
 					d := rapid.IntRange(1, k).Draw(rt, "dropped")
 					for _, done := range s.Commit(drop(d)) {
-						if n, ok := kept[d]; ok && done.Event.Kind == spool.Written {
+						if n, ok := kept[d]; ok && done.Event.Kind == spool.RecordWritten {
 							maybe[d] = n // a Drop is not synced by itself
 							delete(kept, d)
 						}
@@ -546,7 +546,7 @@
 						rt.Fatalf("result %d was acknowledged and is not whole (found %v)", k, ok)
 					}
 				}
-				for _, f := range rec.Found {
+				for _, f := range rec.Results {
 					k := int(f.ID[0])
 					chunks, ok := maybe[k]
 					if _, known := kept[k]; known {
--- a/internal/spool/disk/fs.go
+++ b/internal/spool/disk/fs.go
@@ -43,7 +43,7 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	return take(path)
+	return lockFolder(path)
 }
 
 // OpenExisting takes a folder that must be there.
@@ -53,10 +53,10 @@
 	} else if !info.IsDir() {
 		return nil, fmt.Errorf("disk: %s is no folder", path)
 	}
-	return take(path)
+	return lockFolder(path)
 }
 
-func take(path string) (*Folder, error) {
+func lockFolder(path string) (*Folder, error) {
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
--- a/internal/spool/disk/recover_test.go
+++ b/internal/spool/disk/recover_test.go
@@ -8,32 +8,32 @@
 	"foxlane/internal/spool"
 )
 
-// stuck is a folder on which, for a while, nothing can be written or removed: files are still made.
-type stuck struct {
-	*memory
+// failingFS is a folder on which, for a while, nothing can be written or removed: files are still made.
+type failingFS struct {
+	*memoryFS
 	fails bool
 }
 
-func (s *stuck) Open(name string, create bool) (File, error) {
+func (s *failingFS) Open(name string, create bool) (File, error) {
 	if create && s.files[name] != nil {
 		return nil, fmt.Errorf("open %s: %w", name, fs.ErrExist)
 	}
 	if s.fails {
 		s.failWrite = 1
 	}
-	return s.memory.Open(name, create)
+	return s.memoryFS.Open(name, create)
 }
 
-func (s *stuck) Remove(name string) error {
+func (s *failingFS) Remove(name string) error {
 	if s.fails {
 		return errFault
 	}
-	return s.memory.Remove(name)
+	return s.memoryFS.Remove(name)
 }
 
 // When a folder works again on which a segment was left half made, results are kept again, without a new start.
-func TestHalfMadeSegmentIsRemoved(t *testing.T) {
-	folder := &stuck{memory: newMemory(), fails: true}
+func TestUnfinishedSegmentIsRemoved(t *testing.T) {
+	folder := &failingFS{memoryFS: newMemoryFS(), fails: true}
 	s, _, err := Open(folder, options)
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 	sealed := func(k int) bool {
 		ok := false
 		for _, d := range s.Commit(writes(k, 2)) {
-			if d.Event.Kind == spool.Synced {
-				ok = !d.Event.Err
+			if d.Event.Kind == spool.ResultSynced {
+				ok = !d.Event.Failed
 			}
 		}
 		return ok
@@ -56,7 +56,7 @@
 	if !sealed(4) {
 		t.Error("the folder works again, and results are still not kept")
 	}
-	if _, rec, err := Open(folder, options); err != nil || len(rec.Found) != 1 || len(rec.Lost)+len(rec.Damage) != 0 {
+	if _, rec, err := Open(folder, options); err != nil || len(rec.Results) != 1 || len(rec.Lost)+len(rec.Damage) != 0 {
 		t.Errorf("after a start: %+v, %v", rec, err)
 	}
 }
--- a/internal/spool/disk/runner_test.go
+++ b/internal/spool/disk/worker_test.go
@@ -9,24 +9,24 @@
 	"foxlane/internal/spool"
 )
 
-// slow is a folder whose writes take a while.
-type slow struct {
-	*memory
-	each time.Duration
+// slowFS is a folder whose writes take a while.
+type slowFS struct {
+	*memoryFS
+	delay time.Duration
 }
 
 type slowFile struct {
 	File
-	each time.Duration
+	delay time.Duration
 }
 
-func (s slow) Open(name string, create bool) (File, error) {
-	f, err := s.memory.Open(name, create)
-	return slowFile{f, s.each}, err
+func (s slowFS) Open(name string, create bool) (File, error) {
+	f, err := s.memoryFS.Open(name, create)
+	return slowFile{f, s.delay}, err
 }
 
 func (f slowFile) WriteAt(p []byte, off int64) (int, error) {
-	time.Sleep(f.each)
+	time.Sleep(f.delay)
 	return f.File.WriteAt(p, off)
 }
 
@@ -66,10 +66,10 @@
 }
 
 // A slow disk keeps nobody waiting, and more than may wait is turned away at once.
-func TestSlowDiskKeepsNobodyWaiting(t *testing.T) {
-	s, _ := open(t, slow{newMemory(), 5 * time.Millisecond})
+func TestSlowDiskDoesNotBlockCallers(t *testing.T) {
+	s, _ := open(t, slowFS{newMemoryFS(), 5 * time.Millisecond})
 	in := newInbox()
-	r := NewRunner(s, 8, 1<<20, in.deliver, func(err error) { t.Error(err) })
+	r := NewWorker(s, 8, 1<<20, in.deliver, func(err error) { t.Error(err) })
 	all := writes(1, 20)
 	taken := 0
 	start := time.Now()
@@ -90,12 +90,12 @@
 	}
 }
 
-func TestRunnerWritesReadsAndCompacts(t *testing.T) {
-	fs := newMemory()
+func TestWorkerWritesReadsAndCompacts(t *testing.T) {
+	fs := newMemoryFS()
 	s, _ := open(t, fs)
 	in := newInbox()
-	r := NewRunner(s, 1000, 500, in.deliver, func(err error) { t.Error(err) })
-	places := map[int][]spool.Place{}
+	r := NewWorker(s, 1000, 500, in.deliver, func(err error) { t.Error(err) })
+	places := map[int][]spool.Location{}
 	for k := range 10 {
 		for _, f := range writes(k, 5) {
 			if err := r.Submit(f); err != nil {
@@ -103,34 +103,34 @@
 			}
 		}
 		for _, e := range in.wait(t, 8) { // open, five chunks, seal, sync
-			if e.Kind == spool.Written && e.Record == 2 {
-				places[k] = append(places[k], e.Place)
+			if e.Kind == spool.RecordWritten && e.Record == 2 {
+				places[k] = append(places[k], e.Location)
 			}
-			if e.Err {
+			if e.Failed {
 				t.Fatalf("%+v", e)
 			}
 		}
 	}
-	if err := r.Submit(spool.Effect{Kind: spool.Load, Reader: 4, ID: id(3), N: 2, Place: places[3][2]}); err != nil {
+	if err := r.Submit(spool.Effect{Kind: spool.LoadChunk, Reader: 4, ID: id(3), Index: 2, Location: places[3][2]}); err != nil {
 		t.Fatal(err)
 	}
-	if e := in.wait(t, 1)[0]; e.Kind != spool.Read || e.Reader != 4 || !bytes.Equal(e.Data, rows(3, 2)) {
+	if e := in.wait(t, 1)[0]; e.Kind != spool.ChunkLoaded || e.Reader != 4 || !bytes.Equal(e.Data, rows(3, 2)) {
 		t.Errorf("read %+v", e)
 	}
 	before := fs.size()
 	for _, k := range []int{0, 1, 2, 4, 5, 6, 7, 9} {
 		_ = r.Submit(drop(k)[0])
-		_ = r.Submit(spool.Effect{Kind: spool.Gone, ID: id(k)})
+		_ = r.Submit(spool.Effect{Kind: spool.DiscardRecords, ID: id(k)})
 	}
 	in.wait(t, 8)
 	if err := r.Close(); err != nil { // carries out all that was handed over
 		t.Error(err)
 	}
 	s2, rec := open(t, fs)
-	if len(rec.Found) != 2 || fs.size() > before/2 {
-		t.Errorf("%d found, %d bytes of %d", len(rec.Found), fs.size(), before)
+	if len(rec.Results) != 2 || fs.size() > before/2 {
+		t.Errorf("%d found, %d bytes of %d", len(rec.Results), fs.size(), before)
 	}
-	for _, f := range rec.Found {
+	for _, f := range rec.Results {
 		if err := check(s2, f, int(f.ID[0]), 5); err != nil {
 			t.Error(err)
 		}
--- a/internal/spool/handle.go
+++ b/internal/spool/handle.go
@@ -16,8 +16,8 @@
 // HandleSize is the length of a Handle's text.
 const HandleSize = 2 * (16 + 16)
 
-// ErrHandle is returned for a text that is no handle.
-var ErrHandle = errors.New("spool: no handle; it has 64 lower-case hex digits")
+// ErrInvalidHandle is returned for a text that is no handle.
+var ErrInvalidHandle = errors.New("spool: no handle; it has 64 lower-case hex digits")
 
 // String is the handle as clients carry it.
 func (h Handle) String() string { return string(h.Append(nil)) }
@@ -33,15 +33,15 @@
 // ParseHandle reads a handle.
 func ParseHandle(text []byte) (h Handle, err error) {
 	if len(text) != HandleSize {
-		return h, ErrHandle
+		return h, ErrInvalidHandle
 	}
 	for _, c := range text {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
-			return h, ErrHandle
+			return h, ErrInvalidHandle
 		}
 	}
 	if _, err := hex.Decode(h.ID[:], text[:32]); err != nil {
-		return h, ErrHandle
+		return h, ErrInvalidHandle
 	}
 	_, err = hex.Decode(h.Key[:], text[32:])
 	return h, err
--- a/internal/spool/segment/segment_test.go
+++ b/internal/spool/segment/segment_test.go
@@ -18,13 +18,13 @@
 	}
 	for n := range 3 {
 		id := ID{byte(n + 1)}
-		put(Record{Kind: Open, ID: id, Payload: AppendMeta(nil, Meta{Tenant: uint64(n), Class: 2, Created: 5, Lease: 9})})
+		put(Record{Kind: Open, ID: id, Payload: AppendMeta(nil, Meta{Tenant: uint64(n), Class: 2, Created: 5, LeaseEnd: 9})})
 		for p := range 3 {
-			put(Record{Kind: Page, ID: id, Page: uint32(p), Payload: bytes.Repeat([]byte{byte('a' + p)}, 20+30*p)})
+			put(Record{Kind: Chunk, ID: id, Chunk: uint32(p), Payload: bytes.Repeat([]byte{byte('a' + p)}, 20+30*p)})
 		}
-		put(Record{Kind: Seal, ID: id, Payload: AppendSum(nil, Sum{3, 150})})
+		put(Record{Kind: Seal, ID: id, Payload: AppendSummary(nil, Summary{3, 150})})
 	}
-	put(Record{Kind: Lease, ID: ID{1}, Payload: AppendTime(nil, 77)})
+	put(Record{Kind: Lease, ID: ID{1}, Payload: AppendLease(nil, 77)})
 	put(Record{Kind: Drop, ID: ID{2}})
 	return raw, starts
 }
@@ -45,7 +45,7 @@
 			items = append(items, item)
 		}
 		if len(rest) == 0 {
-			return items, s.Tail()
+			return items, s.ValidEnd()
 		}
 		n := min(piece, len(rest))
 		s.Feed(rest[:n])
@@ -70,10 +70,10 @@
 		}
 	}
 	items, _ := scan(t, raw, 10)
-	if m, ok := ParseMeta(items[0].Record.Payload); !ok || m.Class != 2 || m.Lease != 9 {
+	if m, ok := ParseMeta(items[0].Record.Payload); !ok || m.Class != 2 || m.LeaseEnd != 9 {
 		t.Errorf("meta: %+v, %v", m, ok)
 	}
-	if s, ok := ParseSum(items[4].Record.Payload); !ok || s != (Sum{3, 150}) {
+	if s, ok := ParseSummary(items[4].Record.Payload); !ok || s != (Summary{3, 150}) {
 		t.Errorf("sum: %+v, %v", s, ok)
 	}
 }
@@ -125,8 +125,8 @@
 }
 
 // A record that stands elsewhere is none: not one of another segment or offset, nor one that rows hold.
-func TestRecordsAreBoundToTheirPlace(t *testing.T) {
-	r := Record{Kind: Page, ID: ID{1}, Payload: []byte("rows")}
+func TestRecordsAreBoundToTheirOffset(t *testing.T) {
+	r := Record{Kind: Chunk, ID: ID{1}, Payload: []byte("rows")}
 	one := Append(nil, header, HeaderSize, r)
 	for name, h := range map[string]Header{"another segment": {8, header.Salt}, "another folder": {7, 1}} {
 		if _, err := Parse(one, h, HeaderSize); err == nil {
@@ -138,7 +138,7 @@
 	}
 	forged := Append(nil, Header{7, 99}, 100, Record{Kind: Drop, ID: ID{1}}) // whoever writes rows does not know the salt
 	raw := AppendHeader(nil, header)
-	raw = Append(raw, header, int64(len(raw)), Record{Kind: Page, ID: ID{1}, Payload: bytes.Repeat(forged, 5)})
+	raw = Append(raw, header, int64(len(raw)), Record{Kind: Chunk, ID: ID{1}, Payload: bytes.Repeat(forged, 5)})
 	raw[HeaderSize] ^= 1 // and the record that holds them is damaged
 	items, _ := scan(t, raw, 1000)
 	for _, item := range items {
@@ -159,7 +159,7 @@
 		if _, err := ParseHeader(bad); err == nil {
 			t.Errorf("byte %d changed, and it passed", i)
 		}
-		if _, err := ParseHeader(raw[:i]); !errors.Is(err, ErrNoSegment) {
+		if _, err := ParseHeader(raw[:i]); !errors.Is(err, ErrNotSegment) {
 			t.Errorf("%d bytes: %v", i, err)
 		}
 	}
@@ -190,7 +190,7 @@
 				end = item.Offset + item.Size
 			}
 		}
-		if s.Tail() < end {
+		if s.ValidEnd() < end {
 			t.Fatal("a tail before the last record")
 		}
 	})
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -23,8 +23,8 @@
 	Secret = [32]byte
 )
 
-// Place is where a record lies on the disk.
-type Place struct {
+// Location is where a record lies on the disk.
+type Location struct {
 	Segment uint32
 	Offset  int64
 	Size    int32 // of the whole record
@@ -35,47 +35,47 @@
 
 // Kinds of events.
 const (
-	Reserve    EventKind = iota + 1 // a query is about to be sent: ID, Secret, Tenant, Class, Shape, Lasting
-	Came                            // an engine's page came: ID, N, Total, Data
-	Broke                           // the attempt has failed or is given up: what came of the result is void: ID
-	Written                         // the disk has a record: ID, Record, N, Place; Err: it has not
-	Synced                          // the disk has synced a Seal, so all of the result outlasts a crash: ID; Err: unknown
-	Attach                          // a reader wants a result: Reader, ID, Secret, Tenant, N
-	Next                            // a reader wants chunk N, and has read all before it: Reader, N
-	Read                            // the disk has read chunk N for a reader: Reader, N, Data; Err: not, or other bytes
-	Detach                          // a reader has gone: Reader
-	Acked                           // a client is done with a result, whole or not: Reader, ID, Secret, Tenant; a Give with N -1 or a Deny follows
-	Release                         // a result is not wanted any more: ID
-	Tick                            // the time asked for has come
-	Retune                          // other budgets hold from now on: Budget
-	Recovered                       // the disk had a whole result at the start: ID, Secret, Tenant, Class, Created, Lease, Places
-	DiskLost                        // the folder has gone: nothing can be written or read any more
-	DiskBack                        // it can again
-	SegmentBad                      // what a segment holds from an offset on is unknown: Place
-	Moved                           // chunk N of a result lies elsewhere now: ID, N, Place
+	Reserve         EventKind = iota + 1 // a query is about to be sent: ID, Secret, Tenant, Class, Shape, Lasting
+	PageArrived                          // an engine's page came: ID, N, Total, Data
+	AttemptFailed                        // the attempt has failed or is given up: what came of the result is void: ID
+	RecordWritten                        // the disk has a record: ID, Record, N, Place; Err: it has not
+	ResultSynced                         // the disk has synced a Seal, so all of the result outlasts a crash: ID; Err: unknown
+	Attach                               // a reader wants a result: Reader, ID, Secret, Tenant, N
+	NextChunk                            // a reader wants chunk N, and has read all before it: Reader, N
+	ChunkLoaded                          // the disk has read chunk N for a reader: Reader, N, Data; Err: not, or other bytes
+	Detach                               // a reader has gone: Reader
+	Acknowledge                          // a client is done with a result, whole or not: Reader, ID, Secret, Tenant; a Give with N -1 or a Deny follows
+	Release                              // a result is not wanted any more: ID
+	TimerFired                           // the time asked for has come
+	SetBudget                            // other budgets hold from now on: Budget
+	ResultRecovered                      // the disk had a whole result at the start: ID, Secret, Tenant, Class, Created, Lease, Places
+	DiskLost                             // the folder has gone: nothing can be written or read any more
+	DiskRestored                         // it can again
+	SegmentTailLost                      // what a segment holds from an offset on is unknown: Place
+	ChunkMoved                           // chunk N of a result lies elsewhere now: ID, N, Place
 )
 
 // Event is something the spool is told. Only the fields named at its kind count.
 type Event struct {
-	Kind    EventKind
-	ID      ID
-	Secret  Secret
-	Tenant  uint64
-	Class   int
-	Shape   uint64 // hash of the statement's shape; 0: not known
-	Lasting bool   // a handle was asked for: it must outlast a restart
-	N       int
-	Total   int // pages that the engine has
-	Data    []byte
-	Record  segment.Kind
-	Place   Place
-	Places  []Place
-	Reader  int
-	Created rules.Time
-	Lease   rules.Time
-	Budget  *Budget
-	Err     bool
-	Changed bool // with Read and Err: other bytes came back than were written, and always will
+	Kind      EventKind
+	ID        ID
+	Secret    Secret
+	Tenant    uint64
+	Class     int
+	Shape     uint64 // hash of the statement's shape; 0: not known
+	Durable   bool   // a handle was asked for: it must outlast a restart
+	Index     int
+	PageCount int // pages that the engine has
+	Data      []byte
+	Record    segment.Kind
+	Location  Location
+	Locations []Location
+	Reader    int
+	Created   rules.Time
+	LeaseEnd  rules.Time
+	Budget    *Budget
+	Failed    bool
+	Corrupt   bool // with Read and Err: other bytes came back than were written, and always will
 }
 
 // EffectKind is what an Effect asks for.
@@ -83,54 +83,54 @@
 
 // Kinds of effects.
 const (
-	Granted EffectKind = iota + 1 // the query may be sent: ID
-	Refused                       // it may not, and nothing ran: ID, Why, After
-	Fetch                         // ask the engine for its pages N to To-1: ID
-	Free                          // the engine is not needed any more: ID
-	Write                         // append a record: ID, Record, N, Data
-	Whole                         // the result may be offered: ID
-	Failed                        // it can't be whole any more: ID, Why
-	Load                          // read a record for a reader: Reader, ID, N, Place
-	Give                          // hand chunk N of To to a reader: Reader, N, To, Data, Last; N -1: it is done with it
-	Deny                          // a reader gets nothing, and does not hear why: Reader
-	Cut                           // a reader's result has gone while it was read: Reader, Why
-	Gone                          // forget a result's places, all of its records are dead: ID, Places
-	Wake                          // tell Tick at At
+	Granted        EffectKind = iota + 1 // the query may be sent: ID
+	Rejected                             // it may not, and nothing ran: ID, Why, After
+	FetchPages                           // ask the engine for its pages N to To-1: ID
+	ReleaseEngine                        // the engine is not needed any more: ID
+	WriteRecord                          // append a record: ID, Record, N, Data
+	Completed                            // the result may be offered: ID
+	Failed                               // it can't be whole any more: ID, Why
+	LoadChunk                            // read a record for a reader: Reader, ID, N, Place
+	DeliverChunk                         // hand chunk N of To to a reader: Reader, N, To, Data, Last; N -1: it is done with it
+	Deny                                 // a reader gets nothing, and does not hear why: Reader
+	AbortRead                            // a reader's result has gone while it was read: Reader, Why
+	DiscardRecords                       // forget a result's places, all of its records are dead: ID, Places
+	SetTimer                             // tell Tick at At
 )
 
-// Why says for what an Effect was chosen.
-type Why uint8
+// Reason says for what an Effect was chosen.
+type Reason uint8
 
 // Reasons.
 const (
-	ForNothing Why = iota
-	ForRoom        // the disk or the memory that may be used is full
-	ForQuota       // its tenant's part is
-	ForSize        // it is larger than a result may be
-	ForCount       // as many results are kept as may be
-	ForDisk        // the disk fails
-	ForBroken      // its attempt broke
-	ForTime        // its lease was over, and others needed the room
+	ReasonNone          Reason = iota
+	ReasonCapacity             // the disk or the memory that may be used is full
+	ReasonQuota                // its tenant's part is
+	ReasonTooLarge             // it is larger than a result may be
+	ReasonTooMany              // as many results are kept as may be
+	ReasonDiskFailed           // the disk fails
+	ReasonAttemptFailed        // its attempt broke
+	ReasonLeaseExpired         // its lease was over, and others needed the room
 )
 
-var whyNames = [...]string{"nothing", "room", "quota", "size", "count", "disk", "broken", "time"}
+var reasonNames = [...]string{"nothing", "room", "quota", "size", "count", "disk", "broken", "time"}
 
-func (w Why) String() string { return whyNames[w] }
+func (w Reason) String() string { return reasonNames[w] }
 
 // Effect is something to do.
 type Effect struct {
-	Kind   EffectKind
-	ID     ID
-	N, To  int
-	Data   []byte
-	Record segment.Kind
-	Place  Place
-	Places []Place
-	Reader int
-	Last   bool
-	Why    Why
-	After  rules.Time
-	At     rules.Time
+	Kind       EffectKind
+	ID         ID
+	Index, End int
+	Data       []byte
+	Record     segment.Kind
+	Location   Location
+	Locations  []Location
+	Reader     int
+	Last       bool
+	Reason     Reason
+	RetryAfter rules.Time
+	At         rules.Time
 }
 
 type state uint8
@@ -138,435 +138,435 @@
 const (
 	filling state = iota + 1 // pages come
 	sealing                  // all are here; the seal is on its way to the disk
-	whole
+	completed
 )
 
 // chunk is one page as clients see it.
 type chunk struct {
-	data  []byte // nil: on the disk only
-	size  int32
-	place Place // Size 0: not written
-	asked bool  // its Write is out
+	data     []byte // nil: on the disk only
+	size     int32
+	location Location // Size 0: not written
+	writing  bool     // its Write is out
 }
 
 // result is one that is kept, or on its way.
 type result struct {
-	id       ID
-	secret   Secret
-	tenant   uint64
-	class    int
-	shape    uint64
-	lasting  bool
-	state    state
-	reserved int64 // bytes set aside beyond what has come
-	bytes    int64 // that came, in chunks and ahead of their turn
-	created  rules.Time
-	lease    rules.Time
-	leaseAt  int // its place among the leases, -1: none
-	readers  int
-
-	total   int            // pages of the engine, 0: not known
-	next    int            // page that is appended next
-	asked   int            // pages up to here were asked for
-	early   map[int][]byte // pages that came before their turn
-	open    []byte         // the chunk that is being filled
-	chunks  []chunk
-	toDisk  bool // over the threshold, or lasting: chunks are written
-	begun   bool // its Open is written
-	pending int  // Writes that are out
-	done    int  // chunks that readers need not see again
+	id          ID
+	secret      Secret
+	tenant      uint64
+	class       int
+	shape       uint64
+	durable     bool
+	state       state
+	reserved    int64 // bytes set aside beyond what has come
+	bytes       int64 // that came, in chunks and ahead of their turn
+	created     rules.Time
+	leaseEnd    rules.Time
+	heapIndex   int // its place among the leases, -1: none
+	readerCount int
+
+	pageCount     int            // pages of the engine, 0: not known
+	nextPage      int            // page that is appended next
+	requested     int            // pages up to here were asked for
+	outOfOrder    map[int][]byte // pages that came before their turn
+	openChunk     []byte         // the chunk that is being filled
+	chunks        []chunk
+	onDisk        bool // over the threshold, or lasting: chunks are written
+	openWritten   bool // its Open is written
+	pendingWrites int  // Writes that are out
+	done          int  // chunks that readers need not see again
 }
 
 // reader is a client that reads a result.
 type reader struct {
 	result  *result
-	n       int  // the chunk that it wants
-	wants   bool // it waits for that
+	index   int  // the chunk that it wants
+	waiting bool // it waits for that
 	loading bool
 }
 
-// Spool is the spool's whole state.
-type Spool struct {
-	set      Budget
-	now      rules.Time
-	out      []Effect
-	results  map[ID]*result
-	readers  map[int]*reader
-	tenants  map[uint64]int64 // bytes that each has, reserved ones with them
-	leases   leases
-	disk     int64 // bytes on the disk and set aside there
-	memory   int64 // bytes in memory
-	unstored int64 // of these, those that are on their way to the disk
-	diskOff  bool
-	woken    rules.Time
-	learned  sizes
-	stats    Stats
+// Store is the spool's whole state.
+type Store struct {
+	budget         Budget
+	now            rules.Time
+	effects        []Effect
+	results        map[ID]*result
+	readers        map[int]*reader
+	tenantBytes    map[uint64]int64 // bytes that each has, reserved ones with them
+	leases         leaseHeap
+	diskBytes      int64 // bytes on the disk and set aside there
+	memoryBytes    int64 // bytes in memory
+	unwrittenBytes int64 // of these, those that are on their way to the disk
+	diskLost       bool
+	timerAt        rules.Time
+	sizes          sizeEstimator
+	stats          Stats
 }
 
 // Stats count since the start, but for those that say now.
 type Stats struct {
-	Reserved, Refused, Whole, Failed, Given, Denied, Expired, GaveWay int
-	Results, Readers                                                  int   // now
-	Disk, Memory                                                      int64 // now, bytes
+	Reserved, Rejected, Completed, Failed, Delivered, Denied, Expired, Evicted int
+	Results, Readers                                                           int   // now
+	DiskBytes, MemoryBytes                                                     int64 // now, bytes
 }
 
 // New returns a spool that holds nothing.
-func New(set Budget, seed uint64) *Spool {
-	return &Spool{set: set, results: map[ID]*result{}, readers: map[int]*reader{}, tenants: map[uint64]int64{},
-		learned: newSizes(set, seed)}
+func New(set Budget, seed uint64) *Store {
+	return &Store{budget: set, results: map[ID]*result{}, readers: map[int]*reader{}, tenantBytes: map[uint64]int64{},
+		sizes: newSizeEstimator(set, seed)}
 }
 
 // Handle takes one event and returns what to do. The result is valid until the next call.
-func (s *Spool) Handle(now rules.Time, e Event) []Effect {
-	s.out = s.out[:0]
+func (s *Store) Handle(now rules.Time, e Event) []Effect {
+	s.effects = s.effects[:0]
 	s.now = max(s.now, now) // a clock that steps back stands still here
 	switch e.Kind {
 	case Reserve:
 		s.reserve(e)
-	case Came:
+	case PageArrived:
 		if r := s.results[e.ID]; r != nil && r.state == filling {
-			s.came(r, e)
+			s.pageArrived(r, e)
 		}
-	case Broke:
+	case AttemptFailed:
 		if r := s.results[e.ID]; r != nil && r.state == filling {
-			s.fail(r, ForBroken)
+			s.fail(r, ReasonAttemptFailed)
 		}
-	case Written:
-		s.written(e)
-	case Synced:
+	case RecordWritten:
+		s.recordWritten(e)
+	case ResultSynced:
 		if r := s.results[e.ID]; r != nil && r.state == sealing {
-			s.synced(r, e.Err)
+			s.resultSynced(r, e.Failed)
 		}
 	case Attach:
 		s.attach(e)
-	case Next:
-		s.wantNext(e)
-	case Read:
-		s.read(e)
+	case NextChunk:
+		s.nextChunk(e)
+	case ChunkLoaded:
+		s.chunkLoaded(e)
 	case Detach:
 		s.detach(e.Reader)
-	case Acked:
-		s.acked(e)
+	case Acknowledge:
+		s.acknowledge(e)
 	case Release:
 		if r := s.results[e.ID]; r != nil {
-			s.drop(r, ForNothing)
+			s.drop(r, ReasonNone)
 		}
-	case Retune:
-		s.set = *e.Budget
-		s.shrink()
-	case Recovered:
-		s.recovered(e)
+	case SetBudget:
+		s.budget = *e.Budget
+		s.evictToBudget()
+	case ResultRecovered:
+		s.resultRecovered(e)
 	case DiskLost:
-		s.diskOff = true
-		s.dropFrom(func(c *chunk) bool { return c.data == nil || c.asked })
-	case DiskBack:
-		s.diskOff = false
-	case SegmentBad:
-		s.dropFrom(func(c *chunk) bool {
-			return c.place.Size > 0 && c.place.Segment == e.Place.Segment && c.place.Offset >= e.Place.Offset
+		s.diskLost = true
+		s.failAffected(func(c *chunk) bool { return c.data == nil || c.writing })
+	case DiskRestored:
+		s.diskLost = false
+	case SegmentTailLost:
+		s.failAffected(func(c *chunk) bool {
+			return c.location.Size > 0 && c.location.Segment == e.Location.Segment && c.location.Offset >= e.Location.Offset
 		})
-	case Moved:
-		if r := s.results[e.ID]; r != nil && e.N < len(r.chunks) && r.chunks[e.N].place.Size > 0 {
-			r.chunks[e.N].place = e.Place
+	case ChunkMoved:
+		if r := s.results[e.ID]; r != nil && e.Index < len(r.chunks) && r.chunks[e.Index].location.Size > 0 {
+			r.chunks[e.Index].location = e.Location
 		}
 	}
 	s.expire()
-	s.wake()
-	return s.out
+	s.setTimer()
+	return s.effects
 }
 
-func (s *Spool) do(e Effect) { s.out = append(s.out, e) }
+func (s *Store) emit(e Effect) { s.effects = append(s.effects, e) }
 
 // Stats returns the counts.
-func (s *Spool) Stats() Stats {
+func (s *Store) Stats() Stats {
 	st := s.stats
-	st.Results, st.Readers, st.Disk, st.Memory = len(s.results), len(s.readers), s.disk, s.memory
+	st.Results, st.Readers, st.DiskBytes, st.MemoryBytes = len(s.results), len(s.readers), s.diskBytes, s.memoryBytes
 	return st
 }
 
 // ---- reservations
 
 // reserve sets room aside before a query is sent, so that a full spool is a refusal of something that never ran.
-func (s *Spool) reserve(e Event) {
-	need := min(s.learned.estimate(e.Class, e.Shape), s.set.Result)
-	why, after := s.makeRoom(e.Tenant, need, e.Lasting)
-	if why == ForNothing && e.Lasting && s.diskOff {
-		why = ForDisk
-	}
-	if why == ForNothing && s.results[e.ID] != nil {
-		why = ForCount // a number drawn twice
-	}
-	if why != ForNothing {
-		s.stats.Refused++
-		s.do(Effect{Kind: Refused, ID: e.ID, Why: why, After: after})
+func (s *Store) reserve(e Event) {
+	need := min(s.sizes.estimate(e.Class, e.Shape), s.budget.MaxResultBytes)
+	why, after := s.makeRoom(e.Tenant, need, e.Durable)
+	if why == ReasonNone && e.Durable && s.diskLost {
+		why = ReasonDiskFailed
+	}
+	if why == ReasonNone && s.results[e.ID] != nil {
+		why = ReasonTooMany // a number drawn twice
+	}
+	if why != ReasonNone {
+		s.stats.Rejected++
+		s.emit(Effect{Kind: Rejected, ID: e.ID, Reason: why, RetryAfter: after})
 		return
 	}
-	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, shape: e.Shape, lasting: e.Lasting, state: filling,
-		created: s.now, lease: s.now + s.set.Lease, leaseAt: -1, asked: 1, toDisk: e.Lasting && s.set.Disk > 0}
+	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, shape: e.Shape, durable: e.Durable, state: filling,
+		created: s.now, leaseEnd: s.now + s.budget.LeaseTime, heapIndex: -1, requested: 1, onDisk: e.Durable && s.budget.DiskBytes > 0}
 	s.results[e.ID] = r
-	s.setAside(r, need)
+	s.addReservation(r, need)
 	s.stats.Reserved++
-	s.do(Effect{Kind: Granted, ID: e.ID})
+	s.emit(Effect{Kind: Granted, ID: e.ID})
 }
 
 // makeRoom answers whether so much more may be kept, and if not until when it may be again. Results
 // whose lease is over give way, the tenant's own where its quota is what is short.
-func (s *Spool) makeRoom(tenant uint64, need int64, lasting bool) (Why, rules.Time) {
-	if need > s.set.Result {
-		return ForSize, 0
+func (s *Store) makeRoom(tenant uint64, need int64, lasting bool) (Reason, rules.Time) {
+	if need > s.budget.MaxResultBytes {
+		return ReasonTooLarge, 0
 	}
-	if len(s.results) >= s.set.Results && !s.giveWay(func(*result) bool { return true }) {
-		return ForCount, s.nextLease(func(*result) bool { return true })
+	if len(s.results) >= s.budget.MaxResults && !s.evict(func(*result) bool { return true }) {
+		return ReasonTooMany, s.nextEviction(func(*result) bool { return true })
 	}
 	mine := func(r *result) bool { return r.tenant == tenant }
-	for s.tenants[tenant]+need > s.set.Tenant {
-		if !s.giveWay(mine) {
-			return ForQuota, s.nextLease(mine)
+	for s.tenantBytes[tenant]+need > s.budget.MaxTenantBytes {
+		if !s.evict(mine) {
+			return ReasonQuota, s.nextEviction(mine)
 		}
 	}
 	any := func(*result) bool { return true }
-	for s.disk+need > s.room() {
-		if !s.giveWay(any) {
-			return ForRoom, s.nextLease(any)
+	for s.diskBytes+need > s.capacity() {
+		if !s.evict(any) {
+			return ReasonCapacity, s.nextEviction(any)
 		}
 	}
-	return ForNothing, 0
+	return ReasonNone, 0
 }
 
-// room is what may be kept in all: on the disk, or without one in memory.
-func (s *Spool) room() int64 {
-	if s.diskOff || s.set.Disk == 0 {
-		return s.set.Memory
+// capacity is what may be kept in all: on the disk, or without one in memory.
+func (s *Store) capacity() int64 {
+	if s.diskLost || s.budget.DiskBytes == 0 {
+		return s.budget.MemoryBytes
 	}
-	return s.set.Disk
+	return s.budget.DiskBytes
 }
 
-// giveWay drops the result whose lease has been over for longest, if there is one. Who is being read stays.
-func (s *Spool) giveWay(of func(*result) bool) bool {
+// evict drops the result whose lease has been over for longest, if there is one. Who is being read stays.
+func (s *Store) evict(of func(*result) bool) bool {
 	var v *result
 	for _, r := range s.leases {
-		if r.lease <= s.now && r.readers == 0 && of(r) && (v == nil || r.lease < v.lease) {
+		if r.leaseEnd <= s.now && r.readerCount == 0 && of(r) && (v == nil || r.leaseEnd < v.leaseEnd) {
 			v = r
 		}
 	}
 	if v == nil {
 		return false
 	}
-	s.stats.GaveWay++
-	s.drop(v, ForTime)
+	s.stats.Evicted++
+	s.drop(v, ReasonLeaseExpired)
 	return true
 }
 
-// nextLease is how long it takes until a result may give way.
-func (s *Spool) nextLease(of func(*result) bool) rules.Time {
+// nextEviction is how long it takes until a result may give way.
+func (s *Store) nextEviction(of func(*result) bool) rules.Time {
 	after := rules.Time(0)
 	for _, r := range s.leases {
-		if left := max(r.lease-s.now, rules.Millisecond); of(r) && (after == 0 || left < after) {
+		if left := max(r.leaseEnd-s.now, rules.Millisecond); of(r) && (after == 0 || left < after) {
 			after = left
 		}
 	}
 	return after
 }
 
-func (s *Spool) setAside(r *result, n int64) {
+func (s *Store) addReservation(r *result, n int64) {
 	r.reserved += n
-	s.tenants[r.tenant] += n
-	s.disk += n
+	s.tenantBytes[r.tenant] += n
+	s.diskBytes += n
 }
 
-// use takes bytes that came out of what was set aside, or answers why there is no room for them.
-func (s *Spool) use(r *result, n int64) Why {
-	if r.bytes+n > s.set.Result {
-		return ForSize
+// useReservation takes bytes that came out of what was set aside, or answers why there is no room for them.
+func (s *Store) useReservation(r *result, n int64) Reason {
+	if r.bytes+n > s.budget.MaxResultBytes {
+		return ReasonTooLarge
 	}
 	if short := n - r.reserved; short > 0 {
-		grow := max(short, min(r.bytes/2, s.set.Result-r.bytes-r.reserved)) // half as much again, if there is room
-		if why, _ := s.makeRoom(r.tenant, grow, r.lasting); why != ForNothing {
+		grow := max(short, min(r.bytes/2, s.budget.MaxResultBytes-r.bytes-r.reserved)) // half as much again, if there is room
+		if why, _ := s.makeRoom(r.tenant, grow, r.durable); why != ReasonNone {
 			if grow = short; grow > 0 {
-				if why, _ := s.makeRoom(r.tenant, grow, r.lasting); why != ForNothing {
+				if why, _ := s.makeRoom(r.tenant, grow, r.durable); why != ReasonNone {
 					return why
 				}
 			}
 		}
-		s.setAside(r, grow)
+		s.addReservation(r, grow)
 	}
 	r.reserved -= n
 	r.bytes += n
-	return ForNothing
+	return ReasonNone
 }
 
 // ---- pages that come
 
-func (s *Spool) came(r *result, e Event) {
-	if r.total == 0 {
-		if e.Total < 1 || e.Total > s.set.Pages {
-			s.fail(r, ForSize)
+func (s *Store) pageArrived(r *result, e Event) {
+	if r.pageCount == 0 {
+		if e.PageCount < 1 || e.PageCount > s.budget.MaxPages {
+			s.fail(r, ReasonTooLarge)
 			return
 		}
-		r.total = e.Total
+		r.pageCount = e.PageCount
 	}
-	if e.Total != r.total || e.N < 0 || e.N >= r.total {
-		s.fail(r, ForBroken)
+	if e.PageCount != r.pageCount || e.Index < 0 || e.Index >= r.pageCount {
+		s.fail(r, ReasonAttemptFailed)
 		return
 	}
-	if e.N < r.next || r.early[e.N] != nil {
+	if e.Index < r.nextPage || r.outOfOrder[e.Index] != nil {
 		return // a second copy
 	}
-	if why := s.use(r, int64(len(e.Data))); why != ForNothing {
+	if why := s.useReservation(r, int64(len(e.Data))); why != ReasonNone {
 		s.fail(r, why)
 		return
 	}
-	s.memory += int64(len(e.Data))
-	if e.N > r.next {
-		if r.early == nil {
-			r.early = map[int][]byte{}
+	s.memoryBytes += int64(len(e.Data))
+	if e.Index > r.nextPage {
+		if r.outOfOrder == nil {
+			r.outOfOrder = map[int][]byte{}
 		}
-		r.early[e.N] = e.Data
+		r.outOfOrder[e.Index] = e.Data
 	} else {
-		s.append(r, e.Data)
-		for r.early[r.next] != nil {
-			data := r.early[r.next]
-			delete(r.early, r.next)
-			s.append(r, data)
+		s.appendPage(r, e.Data)
+		for r.outOfOrder[r.nextPage] != nil {
+			data := r.outOfOrder[r.nextPage]
+			delete(r.outOfOrder, r.nextPage)
+			s.appendPage(r, data)
 		}
 	}
-	if r.next == r.total {
-		s.finished(r)
+	if r.nextPage == r.pageCount {
+		s.allPagesArrived(r)
 		return
 	}
-	s.fetch(r)
+	s.fetchPages(r)
 }
 
-// fetch asks for further pages, while what waits to be written is within bounds: where the disk is slow
+// fetchPages asks for further pages, while what waits to be written is within bounds: where the disk is slow
 // the engine waits, and memory stays flat.
-func (s *Spool) fetch(r *result) {
-	if r.total == 0 || r.asked >= r.total || r.toDisk && s.unstored > s.set.Behind {
+func (s *Store) fetchPages(r *result) {
+	if r.pageCount == 0 || r.requested >= r.pageCount || r.onDisk && s.unwrittenBytes > s.budget.MaxUnwritten {
 		return
 	}
-	if to := min(r.next+s.set.Window, r.total); to > r.asked {
-		s.do(Effect{Kind: Fetch, ID: r.id, N: r.asked, To: to})
-		r.asked = to
+	if to := min(r.nextPage+s.budget.FetchWindow, r.pageCount); to > r.requested {
+		s.emit(Effect{Kind: FetchPages, ID: r.id, Index: r.requested, End: to})
+		r.requested = to
 	}
 }
 
-// append puts a page behind those that came before it.
-func (s *Spool) append(r *result, data []byte) {
-	r.next++
-	if len(r.open) > 0 && len(r.open)+len(data) > s.set.Chunk {
+// appendPage puts a page behind those that came before it.
+func (s *Store) appendPage(r *result, data []byte) {
+	r.nextPage++
+	if len(r.openChunk) > 0 && len(r.openChunk)+len(data) > s.budget.ChunkBytes {
 		s.closeChunk(r)
 	}
-	r.open = append(r.open, data...)
+	r.openChunk = append(r.openChunk, data...)
 }
 
-func (s *Spool) closeChunk(r *result) {
-	r.chunks = append(r.chunks, chunk{data: r.open, size: int32(len(r.open))})
-	r.open = nil
-	if !r.toDisk && !s.diskOff && s.set.Disk > 0 && (r.bytes > s.set.Threshold || s.memory > s.set.Memory) {
-		r.toDisk = true
+func (s *Store) closeChunk(r *result) {
+	r.chunks = append(r.chunks, chunk{data: r.openChunk, size: int32(len(r.openChunk))})
+	r.openChunk = nil
+	if !r.onDisk && !s.diskLost && s.budget.DiskBytes > 0 && (r.bytes > s.budget.DiskThreshold || s.memoryBytes > s.budget.MemoryBytes) {
+		r.onDisk = true
 	}
-	if r.toDisk {
-		s.store(r)
+	if r.onDisk {
+		s.writeChunks(r)
 	}
-	s.feed(r)
+	s.serveWaiting(r)
 }
 
-// store writes the chunks that are not yet written.
-func (s *Spool) store(r *result) {
-	if !r.begun {
-		r.begun = true
-		meta := segment.Meta{Tenant: r.tenant, Secret: r.secret, Class: uint32(r.class), Created: int64(r.created), Lease: int64(r.lease)}
-		s.write(r, segment.Open, 0, segment.AppendMeta(nil, meta))
+// writeChunks writes the chunks that are not yet written.
+func (s *Store) writeChunks(r *result) {
+	if !r.openWritten {
+		r.openWritten = true
+		meta := segment.Meta{Tenant: r.tenant, Secret: r.secret, Class: uint32(r.class), Created: int64(r.created), LeaseEnd: int64(r.leaseEnd)}
+		s.writeRecord(r, segment.Open, 0, segment.AppendMeta(nil, meta))
 	}
 	for i := range r.chunks {
-		if c := &r.chunks[i]; !c.asked && c.data != nil && c.place.Size == 0 {
-			c.asked = true
-			s.unstored += int64(c.size)
-			s.write(r, segment.Page, i, c.data)
+		if c := &r.chunks[i]; !c.writing && c.data != nil && c.location.Size == 0 {
+			c.writing = true
+			s.unwrittenBytes += int64(c.size)
+			s.writeRecord(r, segment.Chunk, i, c.data)
 		}
 	}
 }
 
-func (s *Spool) write(r *result, kind segment.Kind, n int, data []byte) {
-	r.pending++
-	s.do(Effect{Kind: Write, ID: r.id, Record: kind, N: n, Data: data})
+func (s *Store) writeRecord(r *result, kind segment.Kind, n int, data []byte) {
+	r.pendingWrites++
+	s.emit(Effect{Kind: WriteRecord, ID: r.id, Record: kind, Index: n, Data: data})
 }
 
-// finished: the engine has given all. It is free from now on, however slowly the result is read.
-func (s *Spool) finished(r *result) {
-	if len(r.open) > 0 || len(r.chunks) == 0 {
+// allPagesArrived: the engine has given all. It is free from now on, however slowly the result is read.
+func (s *Store) allPagesArrived(r *result) {
+	if len(r.openChunk) > 0 || len(r.chunks) == 0 {
 		s.closeChunk(r)
 	}
-	s.do(Effect{Kind: Free, ID: r.id})
-	s.learned.add(r.class, r.shape, r.bytes)
-	s.giveBack(r, r.reserved)
-	if !r.toDisk {
-		s.becomeWhole(r)
+	s.emit(Effect{Kind: ReleaseEngine, ID: r.id})
+	s.sizes.observe(r.class, r.shape, r.bytes)
+	s.returnReservation(r, r.reserved)
+	if !r.onDisk {
+		s.complete(r)
 		return
 	}
 	r.state = sealing
-	s.write(r, segment.Seal, len(r.chunks), segment.AppendSum(nil, segment.Sum{Pages: uint32(len(r.chunks)), Bytes: uint64(r.bytes)}))
-	if !r.lasting { // it is whole already: the disk only spares memory
-		s.becomeWhole(r)
+	s.writeRecord(r, segment.Seal, len(r.chunks), segment.AppendSummary(nil, segment.Summary{Chunks: uint32(len(r.chunks)), Bytes: uint64(r.bytes)}))
+	if !r.durable { // it is whole already: the disk only spares memory
+		s.complete(r)
 	}
 }
 
-func (s *Spool) giveBack(r *result, n int64) {
+func (s *Store) returnReservation(r *result, n int64) {
 	r.reserved -= n
-	s.disk -= n
-	s.account(r.tenant, -n)
+	s.diskBytes -= n
+	s.chargeTenant(r.tenant, -n)
 }
 
-func (s *Spool) account(tenant uint64, n int64) {
-	if s.tenants[tenant] += n; s.tenants[tenant] == 0 {
-		delete(s.tenants, tenant)
+func (s *Store) chargeTenant(tenant uint64, n int64) {
+	if s.tenantBytes[tenant] += n; s.tenantBytes[tenant] == 0 {
+		delete(s.tenantBytes, tenant)
 	}
 }
 
-func (s *Spool) becomeWhole(r *result) {
-	r.state = whole
-	r.lease = s.now + s.set.Lease
+func (s *Store) complete(r *result) {
+	r.state = completed
+	r.leaseEnd = s.now + s.budget.LeaseTime
 	s.leases.push(r)
-	s.stats.Whole++
-	s.do(Effect{Kind: Whole, ID: r.id})
-	s.feed(r)
+	s.stats.Completed++
+	s.emit(Effect{Kind: Completed, ID: r.id})
+	s.serveWaiting(r)
 }
 
 // ---- what the disk says
 
-func (s *Spool) written(e Event) {
+func (s *Store) recordWritten(e Event) {
 	r := s.results[e.ID]
 	if r == nil {
 		return
 	}
-	r.pending--
-	if e.Err {
-		s.fail(r, ForDisk)
+	r.pendingWrites--
+	if e.Failed {
+		s.fail(r, ReasonDiskFailed)
 		return
 	}
-	if e.Record != segment.Page || e.N >= len(r.chunks) {
+	if e.Record != segment.Chunk || e.Index >= len(r.chunks) {
 		return
 	}
-	c := &r.chunks[e.N]
-	c.place, c.asked = e.Place, false
-	s.unstored -= int64(c.size)
-	s.memory -= int64(c.size)
+	c := &r.chunks[e.Index]
+	c.location, c.writing = e.Location, false
+	s.unwrittenBytes -= int64(c.size)
+	s.memoryBytes -= int64(c.size)
 	c.data = nil
 	if r.state == filling {
-		s.fetch(r)
+		s.fetchPages(r)
 	}
-	for _, o := range s.leastFetched() {
-		s.fetch(o)
+	for _, o := range s.stalledResults() {
+		s.fetchPages(o)
 	}
 }
 
-// leastFetched are results that wait for room to be written, in the order of their numbers: the order must
+// stalledResults are results that wait for room to be written, in the order of their numbers: the order must
 // not follow from how a map lies in memory.
-func (s *Spool) leastFetched() (out []*result) {
-	if s.unstored > s.set.Behind {
+func (s *Store) stalledResults() (out []*result) {
+	if s.unwrittenBytes > s.budget.MaxUnwritten {
 		return nil
 	}
 	for _, r := range s.results {
-		if r.state == filling && r.toDisk && r.total > 0 && r.asked < r.total && r.asked <= r.next {
+		if r.state == filling && r.onDisk && r.pageCount > 0 && r.requested < r.pageCount && r.requested <= r.nextPage {
 			out = append(out, r)
 		}
 	}
@@ -574,16 +574,16 @@
 	return out
 }
 
-func (s *Spool) synced(r *result, failed bool) {
+func (s *Store) resultSynced(r *result, failed bool) {
 	if failed {
-		s.fail(r, ForDisk)
+		s.fail(r, ReasonDiskFailed)
 		return
 	}
-	s.becomeWhole(r)
+	s.complete(r)
 }
 
-// dropFrom gives up all results of which a chunk is such that it can't be read any more.
-func (s *Spool) dropFrom(lost func(*chunk) bool) {
+// failAffected gives up all results of which a chunk is such that it can't be read any more.
+func (s *Store) failAffected(lost func(*chunk) bool) {
 	var bad []*result
 	for _, r := range s.results {
 		for i := range r.chunks {
@@ -595,48 +595,48 @@
 	}
 	sortByID(bad)
 	for _, r := range bad {
-		s.fail(r, ForDisk)
+		s.fail(r, ReasonDiskFailed)
 	}
 }
 
 // ---- the end of a result
 
 // fail ends a result that is not whole, or not any more.
-func (s *Spool) fail(r *result, why Why) {
+func (s *Store) fail(r *result, why Reason) {
 	s.stats.Failed++
-	if r.state != whole {
-		s.do(Effect{Kind: Failed, ID: r.id, Why: why})
+	if r.state != completed {
+		s.emit(Effect{Kind: Failed, ID: r.id, Reason: why})
 	}
 	s.drop(r, why)
 }
 
 // drop forgets a result. Who reads it is told, unless all was read.
-func (s *Spool) drop(r *result, why Why) {
+func (s *Store) drop(r *result, why Reason) {
 	delete(s.results, r.id)
-	s.leases.drop(r)
-	var places []Place
+	s.leases.remove(r)
+	var places []Location
 	for i := range r.chunks {
 		c := &r.chunks[i]
 		if c.data != nil {
-			s.memory -= int64(c.size)
+			s.memoryBytes -= int64(c.size)
 		}
-		if c.asked {
-			s.unstored -= int64(c.size)
+		if c.writing {
+			s.unwrittenBytes -= int64(c.size)
 		}
-		if c.place.Size > 0 {
-			places = append(places, c.place)
+		if c.location.Size > 0 {
+			places = append(places, c.location)
 		}
 	}
-	loose := int64(len(r.open))
-	for _, data := range r.early {
+	loose := int64(len(r.openChunk))
+	for _, data := range r.outOfOrder {
 		loose += int64(len(data))
 	}
-	s.memory -= loose
-	s.disk -= r.bytes + r.reserved
-	s.account(r.tenant, -(r.bytes + r.reserved))
-	if r.begun {
-		s.do(Effect{Kind: Write, ID: r.id, Record: segment.Drop})
-		s.do(Effect{Kind: Gone, ID: r.id, Places: places})
+	s.memoryBytes -= loose
+	s.diskBytes -= r.bytes + r.reserved
+	s.chargeTenant(r.tenant, -(r.bytes + r.reserved))
+	if r.openWritten {
+		s.emit(Effect{Kind: WriteRecord, ID: r.id, Record: segment.Drop})
+		s.emit(Effect{Kind: DiscardRecords, ID: r.id, Locations: places})
 	}
 	var cut []int
 	for n, d := range s.readers {
@@ -644,161 +644,161 @@
 			cut = append(cut, n)
 		}
 	}
-	sortInts(cut)
+	sortReaders(cut)
 	for _, n := range cut {
 		delete(s.readers, n)
-		s.do(Effect{Kind: Cut, Reader: n, Why: why})
+		s.emit(Effect{Kind: AbortRead, Reader: n, Reason: why})
 	}
 }
 
-// shrink: the budget is smaller than what is kept. Leases that are over give way; what is promised stays
+// evictToBudget: the budget is smaller than what is kept. Leases that are over give way; what is promised stays
 // until its lease is over, and nothing new is taken meanwhile.
-func (s *Spool) shrink() {
-	for s.disk > s.room() && s.giveWay(func(*result) bool { return true }) {
+func (s *Store) evictToBudget() {
+	for s.diskBytes > s.capacity() && s.evict(func(*result) bool { return true }) {
 	}
 }
 
 // ---- readers
 
-// allowed compares in a time that does not depend on where the two differ.
-func allowed(r *result, secret Secret, tenant uint64) bool {
+// authorized compares in a time that does not depend on where the two differ.
+func authorized(r *result, secret Secret, tenant uint64) bool {
 	same := subtle.ConstantTimeCompare(r.secret[:], secret[:])
 	return same&subtle.ConstantTimeEq(int32(r.tenant), int32(tenant))&subtle.ConstantTimeEq(int32(r.tenant>>32), int32(tenant>>32)) == 1
 }
 
-var nobody result
+var unknownResult result
 
 // attach lets a client read. What is unknown, foreign, expired or void is denied alike.
-func (s *Spool) attach(e Event) {
+func (s *Store) attach(e Event) {
 	r := s.results[e.ID]
 	known := r != nil
 	if !known {
-		r = &nobody
+		r = &unknownResult
 	}
-	if ok := allowed(r, e.Secret, e.Tenant); !ok || !known || e.N < 0 || s.readers[e.Reader] != nil ||
-		r.state == whole && e.N >= len(r.chunks) {
+	if ok := authorized(r, e.Secret, e.Tenant); !ok || !known || e.Index < 0 || s.readers[e.Reader] != nil ||
+		r.state == completed && e.Index >= len(r.chunks) {
 		s.stats.Denied++
-		s.do(Effect{Kind: Deny, Reader: e.Reader})
+		s.emit(Effect{Kind: Deny, Reader: e.Reader})
 		return
 	}
-	s.readers[e.Reader] = &reader{result: r, n: e.N, wants: true}
-	r.readers++
-	s.renew(r)
-	s.give(e.Reader)
+	s.readers[e.Reader] = &reader{result: r, index: e.Index, waiting: true}
+	r.readerCount++
+	s.renewLease(r)
+	s.serveReader(e.Reader)
 }
 
-// acked lets a client be done with a result. Who reads it still is cut.
-func (s *Spool) acked(e Event) {
+// acknowledge lets a client be done with a result. Who reads it still is cut.
+func (s *Store) acknowledge(e Event) {
 	r := s.results[e.ID]
 	known := r != nil
 	if !known {
-		r = &nobody
+		r = &unknownResult
 	}
-	if ok := allowed(r, e.Secret, e.Tenant); !ok || !known {
+	if ok := authorized(r, e.Secret, e.Tenant); !ok || !known {
 		s.stats.Denied++
-		s.do(Effect{Kind: Deny, Reader: e.Reader})
+		s.emit(Effect{Kind: Deny, Reader: e.Reader})
 		return
 	}
-	s.drop(r, ForNothing)
-	s.do(Effect{Kind: Give, Reader: e.Reader, N: -1, Last: true})
+	s.drop(r, ReasonNone)
+	s.emit(Effect{Kind: DeliverChunk, Reader: e.Reader, Index: -1, Last: true})
 }
 
-// wantNext: a reader has read all before chunk N. Reading renews the lease; the last chunk read frees.
-func (s *Spool) wantNext(e Event) {
+// nextChunk: a reader has read all before chunk N. Reading renews the lease; the last chunk read frees.
+func (s *Store) nextChunk(e Event) {
 	d := s.readers[e.Reader]
 	if d == nil {
 		return
 	}
 	r := d.result
-	s.renew(r)
-	if r.state == whole && e.N >= len(r.chunks) {
+	s.renewLease(r)
+	if r.state == completed && e.Index >= len(r.chunks) {
 		s.detach(e.Reader)
-		if r.readers == 0 {
-			s.drop(r, ForNothing)
+		if r.readerCount == 0 {
+			s.drop(r, ReasonNone)
 		}
 		return
 	}
-	if e.N < 0 {
+	if e.Index < 0 {
 		s.detach(e.Reader)
-		s.do(Effect{Kind: Deny, Reader: e.Reader})
+		s.emit(Effect{Kind: Deny, Reader: e.Reader})
 		return
 	}
-	d.n, d.wants = e.N, true
-	s.give(e.Reader)
+	d.index, d.waiting = e.Index, true
+	s.serveReader(e.Reader)
 }
 
-func (s *Spool) renew(r *result) {
-	r.lease = s.now + s.set.Lease
+func (s *Store) renewLease(r *result) {
+	r.leaseEnd = s.now + s.budget.LeaseTime
 	s.leases.fix(r)
 }
 
-// give hands a reader what it waits for, if that is to be had.
-func (s *Spool) give(n int) {
+// serveReader hands a reader what it waits for, if that is to be had.
+func (s *Store) serveReader(n int) {
 	d := s.readers[n]
 	r := d.result
-	if !d.wants || d.loading || r.state != whole {
+	if !d.waiting || d.loading || r.state != completed {
 		return // it waits until the result is whole: what is partial is not offered
 	}
-	if d.n >= len(r.chunks) { // beyond the end, asked for before that was known
+	if d.index >= len(r.chunks) { // beyond the end, asked for before that was known
 		s.detach(n)
 		s.stats.Denied++
-		s.do(Effect{Kind: Deny, Reader: n})
+		s.emit(Effect{Kind: Deny, Reader: n})
 		return
 	}
-	c := &r.chunks[d.n]
+	c := &r.chunks[d.index]
 	if c.data == nil {
 		d.loading = true
-		s.do(Effect{Kind: Load, Reader: n, ID: r.id, N: d.n, Place: c.place})
+		s.emit(Effect{Kind: LoadChunk, Reader: n, ID: r.id, Index: d.index, Location: c.location})
 		return
 	}
-	s.hand(n, d, c.data)
+	s.deliver(n, d, c.data)
 }
 
-func (s *Spool) hand(n int, d *reader, data []byte) {
-	d.wants = false
-	s.stats.Given++
-	s.do(Effect{Kind: Give, Reader: n, N: d.n, To: len(d.result.chunks), Data: data, Last: d.n == len(d.result.chunks)-1})
+func (s *Store) deliver(n int, d *reader, data []byte) {
+	d.waiting = false
+	s.stats.Delivered++
+	s.emit(Effect{Kind: DeliverChunk, Reader: n, Index: d.index, End: len(d.result.chunks), Data: data, Last: d.index == len(d.result.chunks)-1})
 }
 
-// feed hands on what readers of a result wait for.
-func (s *Spool) feed(r *result) {
-	if r.readers == 0 {
+// serveWaiting hands on what readers of a result wait for.
+func (s *Store) serveWaiting(r *result) {
+	if r.readerCount == 0 {
 		return
 	}
 	var waiting []int
 	for n, d := range s.readers {
-		if d.result == r && d.wants {
+		if d.result == r && d.waiting {
 			waiting = append(waiting, n)
 		}
 	}
-	sortInts(waiting)
+	sortReaders(waiting)
 	for _, n := range waiting {
-		s.give(n)
+		s.serveReader(n)
 	}
 }
 
-func (s *Spool) read(e Event) {
+func (s *Store) chunkLoaded(e Event) {
 	d := s.readers[e.Reader]
 	if d == nil || !d.loading {
 		return
 	}
 	d.loading = false
 	switch {
-	case e.Changed: // the result is not what was written: nobody gets it
-		s.fail(d.result, ForDisk)
-	case e.Err: // what is promised is kept for another time
+	case e.Corrupt: // the result is not what was written: nobody gets it
+		s.fail(d.result, ReasonDiskFailed)
+	case e.Failed: // what is promised is kept for another time
 		s.detach(e.Reader)
-		s.do(Effect{Kind: Cut, Reader: e.Reader, Why: ForDisk})
-	case e.N != d.n: // it asked for another meanwhile
-		s.give(e.Reader)
+		s.emit(Effect{Kind: AbortRead, Reader: e.Reader, Reason: ReasonDiskFailed})
+	case e.Index != d.index: // it asked for another meanwhile
+		s.serveReader(e.Reader)
 	default:
-		s.hand(e.Reader, d, e.Data)
+		s.deliver(e.Reader, d, e.Data)
 	}
 }
 
-func (s *Spool) detach(n int) {
+func (s *Store) detach(n int) {
 	if d := s.readers[n]; d != nil {
-		d.result.readers--
+		d.result.readerCount--
 		delete(s.readers, n)
 	}
 }
@@ -806,51 +806,51 @@
 // ---- time
 
 // expire drops results whose lease was over for as long again: nobody comes for them.
-func (s *Spool) expire() {
+func (s *Store) expire() {
 	for len(s.leases) > 0 {
 		r := s.leases[0]
-		if r.readers > 0 && r.lease+s.set.Lease <= s.now {
-			s.renew(r) // its reader takes long for one chunk
+		if r.readerCount > 0 && r.leaseEnd+s.budget.LeaseTime <= s.now {
+			s.renewLease(r) // its reader takes long for one chunk
 			continue
 		}
-		if r.lease+s.set.Lease > s.now {
+		if r.leaseEnd+s.budget.LeaseTime > s.now {
 			return
 		}
 		s.stats.Expired++
-		s.drop(r, ForTime)
+		s.drop(r, ReasonLeaseExpired)
 	}
 }
 
-func (s *Spool) wake() {
+func (s *Store) setTimer() {
 	if len(s.leases) == 0 {
-		s.woken = 0
+		s.timerAt = 0
 		return
 	}
-	if at := s.leases[0].lease + s.set.Lease; at != s.woken {
-		s.woken = at
-		s.do(Effect{Kind: Wake, At: at})
+	if at := s.leases[0].leaseEnd + s.budget.LeaseTime; at != s.timerAt {
+		s.timerAt = at
+		s.emit(Effect{Kind: SetTimer, At: at})
 	}
 }
 
 // ---- the start
 
-// recovered takes in a result that the disk had whole and sealed.
-func (s *Spool) recovered(e Event) {
-	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, lasting: true, state: whole, created: e.Created,
-		lease: e.Lease, leaseAt: -1, toDisk: true, begun: true}
-	for _, p := range e.Places {
-		size := p.Size - segment.Overhead
-		r.chunks = append(r.chunks, chunk{size: size, place: p})
+// resultRecovered takes in a result that the disk had whole and sealed.
+func (s *Store) resultRecovered(e Event) {
+	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, durable: true, state: completed, created: e.Created,
+		leaseEnd: e.LeaseEnd, heapIndex: -1, onDisk: true, openWritten: true}
+	for _, p := range e.Locations {
+		size := p.Size - segment.RecordOverhead
+		r.chunks = append(r.chunks, chunk{size: size, location: p})
 		r.bytes += int64(size)
 	}
-	if s.results[e.ID] != nil || len(s.results) >= s.set.Results || s.disk+r.bytes > s.set.Disk || e.Lease+s.set.Lease <= s.now {
-		s.do(Effect{Kind: Write, ID: e.ID, Record: segment.Drop})
-		s.do(Effect{Kind: Gone, ID: e.ID, Places: e.Places})
+	if s.results[e.ID] != nil || len(s.results) >= s.budget.MaxResults || s.diskBytes+r.bytes > s.budget.DiskBytes || e.LeaseEnd+s.budget.LeaseTime <= s.now {
+		s.emit(Effect{Kind: WriteRecord, ID: e.ID, Record: segment.Drop})
+		s.emit(Effect{Kind: DiscardRecords, ID: e.ID, Locations: e.Locations})
 		return
 	}
-	r.lease = min(r.lease, s.now+s.set.Lease) // a clock that was ahead before the restart keeps nothing for longer
+	r.leaseEnd = min(r.leaseEnd, s.now+s.budget.LeaseTime) // a clock that was ahead before the restart keeps nothing for longer
 	s.results[e.ID] = r
-	s.disk += r.bytes
-	s.tenants[r.tenant] += r.bytes
+	s.diskBytes += r.bytes
+	s.tenantBytes[r.tenant] += r.bytes
 	s.leases.push(r)
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -26,66 +26,66 @@
 }
 
 func budget() Budget {
-	return Budget{Disk: 40_000, Memory: 8_000, Result: 20_000, Tenant: 30_000, Results: 8, Threshold: 1_500, Chunk: 500,
-		Behind: 2_000, Window: 3, Pages: 200, Lease: 10 * rules.Second}
+	return Budget{DiskBytes: 40_000, MemoryBytes: 8_000, MaxResultBytes: 20_000, MaxTenantBytes: 30_000, MaxResults: 8, DiskThreshold: 1_500, ChunkBytes: 500,
+		MaxUnwritten: 2_000, FetchWindow: 3, MaxPages: 200, LeaseTime: 10 * rules.Second}
 }
 
-// world is a spool with a disk, engines and readers that are moved by hand.
-type world struct {
-	t       rapid.TB
-	s       *Spool
-	now     rules.Time
-	disk    map[int64][]byte // records by offset
-	end     int64
-	todo    []Effect // for the disk
-	truth   map[ID][][]byte
-	asked   map[ID]int // pages that the engine may be asked for, up to here
-	state   map[ID]string
-	readers map[int]*wreader
-	wake    rules.Time
-	fails   bool // the disk does
-	changed bool // it returns other bytes than were written
-	denied  []int
-	cut     []int
-	why     map[ID]Why
-	after   map[ID]rules.Time
-	gone    []Place
+// testStore is a spool with a disk, engines and readers that are moved by hand.
+type testStore struct {
+	t            rapid.TB
+	s            *Store
+	now          rules.Time
+	disk         map[int64][]byte // records by offset
+	end          int64
+	diskQueue    []Effect // for the disk
+	pages        map[ID][][]byte
+	requested    map[ID]int // pages that the engine may be asked for, up to here
+	state        map[ID]string
+	readers      map[int]*testReader
+	timerAt      rules.Time
+	diskFails    bool // the disk does
+	diskCorrupts bool // it returns other bytes than were written
+	denied       []int
+	aborted      []int
+	reason       map[ID]Reason
+	retryAfter   map[ID]rules.Time
+	discarded    []Location
 }
 
-type wreader struct {
-	id   ID
-	next int
-	got  []byte
-	last bool
-	owed bool // a chunk that it asked for has not come yet
+type testReader struct {
+	id      ID
+	next    int
+	got     []byte
+	last    bool
+	waiting bool // a chunk that it asked for has not come yet
 }
 
-func newWorld(t rapid.TB, b Budget) *world {
+func newTestStore(t rapid.TB, b Budget) *testStore {
 	if err := b.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, s: New(b, 1), now: rules.Second, disk: map[int64][]byte{}, truth: map[ID][][]byte{}, asked: map[ID]int{},
-		state: map[ID]string{}, readers: map[int]*wreader{}, why: map[ID]Why{}, after: map[ID]rules.Time{}}
+	return &testStore{t: t, s: New(b, 1), now: rules.Second, disk: map[int64][]byte{}, pages: map[ID][][]byte{}, requested: map[ID]int{},
+		state: map[ID]string{}, readers: map[int]*testReader{}, reason: map[ID]Reason{}, retryAfter: map[ID]rules.Time{}}
 }
 
-func (w *world) tell(e Event) {
+func (w *testStore) handle(e Event) {
 	for _, f := range append([]Effect(nil), w.s.Handle(w.now, e)...) {
 		switch f.Kind {
 		case Granted:
-			w.state[f.ID], w.asked[f.ID] = "granted", 1
-		case Refused:
+			w.state[f.ID], w.requested[f.ID] = "granted", 1
+		case Rejected:
 			if w.state[f.ID] != "" {
 				w.t.Fatalf("refused after it was %s", w.state[f.ID])
 			}
-			w.state[f.ID], w.why[f.ID], w.after[f.ID] = "refused", f.Why, f.After
-		case Fetch:
-			if f.N != w.asked[f.ID] {
-				w.t.Fatalf("asked for pages from %d, up to %d were asked for", f.N, w.asked[f.ID])
+			w.state[f.ID], w.reason[f.ID], w.retryAfter[f.ID] = "refused", f.Reason, f.RetryAfter
+		case FetchPages:
+			if f.Index != w.requested[f.ID] {
+				w.t.Fatalf("asked for pages from %d, up to %d were asked for", f.Index, w.requested[f.ID])
 			}
-			w.asked[f.ID] = f.To
-		case Free:
+			w.requested[f.ID] = f.End
+		case ReleaseEngine:
 			w.state[f.ID] = "free"
-		case Whole:
+		case Completed:
 			if w.state[f.ID] != "free" {
 				w.t.Fatalf("whole while %s", w.state[f.ID])
 			}
@@ -94,81 +94,81 @@
 			if w.state[f.ID] == "whole" {
 				w.t.Fatal("failed after it was whole")
 			}
-			w.state[f.ID], w.why[f.ID] = "failed", f.Why
-		case Write, Load:
+			w.state[f.ID], w.reason[f.ID] = "failed", f.Reason
+		case WriteRecord, LoadChunk:
 			if f.Data != nil {
 				f.Data = bytes.Clone(f.Data)
 			}
-			w.todo = append(w.todo, f)
-		case Give:
+			w.diskQueue = append(w.diskQueue, f)
+		case DeliverChunk:
 			r := w.readers[f.Reader]
-			if r == nil || f.N != r.next {
-				w.t.Fatalf("reader %d got chunk %d", f.Reader, f.N)
+			if r == nil || f.Index != r.next {
+				w.t.Fatalf("reader %d got chunk %d", f.Reader, f.Index)
 			}
 			if w.state[r.id] != "whole" {
 				w.t.Fatalf("reader %d got a chunk of a result that is %s", f.Reader, w.state[r.id])
 			}
 			r.got = append(r.got, f.Data...)
-			r.last, r.owed = f.Last, false
+			r.last, r.waiting = f.Last, false
 		case Deny:
 			w.denied = append(w.denied, f.Reader)
 			delete(w.readers, f.Reader)
-		case Cut:
-			w.cut = append(w.cut, f.Reader)
+		case AbortRead:
+			w.aborted = append(w.aborted, f.Reader)
 			delete(w.readers, f.Reader)
-		case Gone:
-			w.gone = append(w.gone, f.Places...)
-		case Wake:
-			w.wake = f.At
+		case DiscardRecords:
+			w.discarded = append(w.discarded, f.Locations...)
+		case SetTimer:
+			w.timerAt = f.At
 		}
 	}
-	w.judge()
+	w.checkInvariants()
 }
 
-func (w *world) judge() {
-	s, b := w.s, w.s.set
-	most := b.Memory + b.Behind + int64((b.Window+1)*len(s.results)*1000)
-	if s.memory > most || s.memory < 0 || s.disk < 0 || s.unstored < 0 {
-		w.t.Fatalf("%d bytes in memory, %d waiting, %d on the disk", s.memory, s.unstored, s.disk)
+func (w *testStore) checkInvariants() {
+	s, b := w.s, w.s.budget
+	most := b.MemoryBytes + b.MaxUnwritten + int64((b.FetchWindow+1)*len(s.results)*1000)
+	if s.memoryBytes > most || s.memoryBytes < 0 || s.diskBytes < 0 || s.unwrittenBytes < 0 {
+		w.t.Fatalf("%d bytes in memory, %d waiting, %d on the disk", s.memoryBytes, s.unwrittenBytes, s.diskBytes)
 	}
-	if len(s.results) > b.Results {
+	if len(s.results) > b.MaxResults {
 		w.t.Fatalf("%d results", len(s.results))
 	}
 	var sum int64
-	for _, n := range s.tenants {
+	for _, n := range s.tenantBytes {
 		if n <= 0 {
 			w.t.Fatalf("a tenant has %d bytes", n)
 		}
 		sum += n
 	}
-	if sum != s.disk {
-		w.t.Fatalf("tenants have %d bytes, %d are kept", sum, s.disk)
+	if sum != s.diskBytes {
+		w.t.Fatalf("tenants have %d bytes, %d are kept", sum, s.diskBytes)
 	}
 }
 
-// work lets the disk do one thing.
-func (w *world) work(i int) {
-	f := w.todo[i]
-	w.todo = append(w.todo[:i], w.todo[i+1:]...)
-	if f.Kind == Load {
-		data, ok := w.disk[f.Place.Offset]
-		w.tell(Event{Kind: Read, Reader: f.Reader, N: f.N, Data: data, Err: !ok || w.fails || w.changed, Changed: !ok || w.changed})
+// runDiskEffect lets the disk do one thing.
+func (w *testStore) runDiskEffect(i int) {
+	f := w.diskQueue[i]
+	w.diskQueue = append(w.diskQueue[:i], w.diskQueue[i+1:]...)
+	if f.Kind == LoadChunk {
+		data, ok := w.disk[f.Location.Offset]
+		w.handle(Event{Kind: ChunkLoaded, Reader: f.Reader, Index: f.Index, Data: data, Failed: !ok || w.diskFails || w.diskCorrupts, Corrupt: !ok || w.diskCorrupts})
 		return
 	}
-	place := Place{Segment: 1, Offset: w.end, Size: int32(segment.Size(len(f.Data)))}
-	if !w.fails {
+	place := Location{Segment: 1, Offset: w.end, Size: int32(segment.RecordSize(len(f.Data)))}
+	if !w.diskFails {
 		w.disk[w.end] = f.Data
 		w.end += int64(place.Size)
 	}
-	w.tell(Event{Kind: Written, ID: f.ID, Record: f.Record, N: f.N, Place: place, Err: w.fails})
-	if f.Record == segment.Seal && !w.fails {
-		w.tell(Event{Kind: Synced, ID: f.ID})
+	w.handle(Event{Kind: RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Location: place, Failed: w.diskFails})
+	if f.Record == segment.Seal && !w.diskFails {
+		w.handle(Event{Kind: ResultSynced, ID: f.ID})
 	}
 }
 
-func (w *world) settle() {
-	for len(w.todo) > 0 {
-		w.work(0)
+func (w *testStore) runDisk() {
+	for len(w.diskQueue) > 0 {
+		w.runDiskEffect(0)
 	}
 }
 
@@ -176,8 +176,8 @@
 
 func secret(n int) Secret { return Secret{byte(n), 7} }
 
-// begin reserves room and lays down what the engine will give.
-func (w *world) begin(n, pages, size int, lasting bool) ID {
+// reserve reserves room and lays down what the engine will give.
+func (w *testStore) reserve(n, pages, size int, lasting bool) ID {
 	k := id(n)
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	var truth [][]byte
@@ -188,45 +188,45 @@
 		}
 		truth = append(truth, p)
 	}
-	w.truth[k] = truth
-	w.tell(Event{Kind: Reserve, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Lasting: lasting})
+	w.pages[k] = truth
+	w.handle(Event{Kind: Reserve, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Durable: lasting})
 	return k
 }
 
-func (w *world) page(k ID, n int) {
-	if w.state[k] == "granted" && n < w.asked[k] {
-		w.tell(Event{Kind: Came, ID: k, N: n, Total: len(w.truth[k]), Data: w.truth[k][n]})
+func (w *testStore) deliverPage(k ID, n int) {
+	if w.state[k] == "granted" && n < w.requested[k] {
+		w.handle(Event{Kind: PageArrived, ID: k, Index: n, PageCount: len(w.pages[k]), Data: w.pages[k][n]})
 	}
 }
 
-// fill lets the engine give all, the disk keeping up.
-func (w *world) fill(k ID) {
-	for n := range w.truth[k] {
-		w.page(k, n)
-		w.settle()
+// deliverAllPages lets the engine give all, the disk keeping up.
+func (w *testStore) deliverAllPages(k ID) {
+	for n := range w.pages[k] {
+		w.deliverPage(k, n)
+		w.runDisk()
 	}
 }
 
-func (w *world) attach(reader int, k ID, n int, from int) {
-	w.readers[reader] = &wreader{id: k, next: from, owed: true}
-	w.tell(Event{Kind: Attach, Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), N: from})
+func (w *testStore) attach(reader int, k ID, n int, from int) {
+	w.readers[reader] = &testReader{id: k, next: from, waiting: true}
+	w.handle(Event{Kind: Attach, Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Index: from})
 }
 
 // readAll reads to the end and returns what came.
-func (w *world) readAll(reader int) []byte {
+func (w *testStore) readAll(reader int) []byte {
 	for {
-		w.settle()
+		w.runDisk()
 		r := w.readers[reader]
 		if r == nil {
 			return nil
 		}
-		if r.owed {
+		if r.waiting {
 			w.t.Fatalf("reader %d waits for chunk %d of a result that is %s", reader, r.next, w.state[r.id])
 		}
 		r.next++
-		r.owed = true
+		r.waiting = true
 		last, got := r.last, r.got
-		w.tell(Event{Kind: Next, Reader: reader, N: r.next})
+		w.handle(Event{Kind: NextChunk, Reader: reader, Index: r.next})
 		if last {
 			delete(w.readers, reader)
 			return got
@@ -240,17 +240,17 @@
 		pages   int
 		lasting bool
 	}{{"in memory", 2, false}, {"over the threshold", 30, false}, {"lasting", 2, true}, {"lasting and large", 30, true}} {
-		w := newWorld(t, budget())
-		k := w.begin(1, c.pages, 300, c.lasting)
-		w.fill(k)
+		w := newTestStore(t, budget())
+		k := w.reserve(1, c.pages, 300, c.lasting)
+		w.deliverAllPages(k)
 		if w.state[k] != "whole" {
 			t.Fatalf("%s: %s", c.name, w.state[k])
 		}
 		w.attach(1, k, 1, 0)
-		if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+		if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 			t.Errorf("%s: %d bytes came back", c.name, len(got))
 		}
-		if len(w.s.results) != 0 || w.s.disk != 0 || w.s.memory != 0 || len(w.s.tenants) != 0 {
+		if len(w.s.results) != 0 || w.s.diskBytes != 0 || w.s.memoryBytes != 0 || len(w.s.tenantBytes) != 0 {
 			t.Errorf("%s: left behind %+v", c.name, w.s.Stats())
 		}
 	}
@@ -259,94 +259,94 @@
 // Pages that come in any order, and twice, make the same result.
 func TestPagesInAnyOrder(t *testing.T) {
 	b := budget()
-	b.Window = 30
-	w := newWorld(t, b)
-	k := w.begin(1, 20, 300, true)
-	w.page(k, 0)
+	b.FetchWindow = 30
+	w := newTestStore(t, b)
+	k := w.reserve(1, 20, 300, true)
+	w.deliverPage(k, 0)
 	for _, n := range rand.New(rand.NewPCG(1, 1)).Perm(19) {
-		w.page(k, n+1)
-		w.page(k, n+1)
-		w.settle()
+		w.deliverPage(k, n+1)
+		w.deliverPage(k, n+1)
+		w.runDisk()
 	}
 	w.attach(1, k, 1, 0)
-	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%s, %d bytes came back", w.state[k], len(got))
 	}
 }
 
-func TestFullSpoolRefusesBeforeAnythingRuns(t *testing.T) {
-	w := newWorld(t, budget())
+func TestFullStoreRejectsBeforeExecution(t *testing.T) {
+	w := newTestStore(t, budget())
 	for n := range 2 { // each tenant's quota holds one of 20,000 and half of another
-		k := w.begin(n, 60, 300, true)
-		w.fill(k)
+		k := w.reserve(n, 60, 300, true)
+		w.deliverAllPages(k)
 		if w.state[k] != "whole" {
 			t.Fatal(w.state[k])
 		}
 	}
-	k := w.begin(3, 1, 300, true)
-	if w.state[k] != "refused" || w.after[k] <= 0 || w.after[k] > 10*rules.Second {
-		t.Errorf("%s for %v, after %d ms", w.state[k], w.why[k], w.after[k]/rules.Millisecond)
+	k := w.reserve(3, 1, 300, true)
+	if w.state[k] != "refused" || w.retryAfter[k] <= 0 || w.retryAfter[k] > 10*rules.Second {
+		t.Errorf("%s for %v, after %d ms", w.state[k], w.reason[k], w.retryAfter[k]/rules.Millisecond)
 	}
 	w.now += 11 * rules.Second // the leases are over: they give way, but no sooner
 	if len(w.s.results) != 2 {
 		t.Error("dropped although nobody needed the room")
 	}
-	k = w.begin(4, 1, 300, true)
+	k = w.reserve(4, 1, 300, true)
 	if w.state[k] != "granted" || len(w.s.results) >= 3 {
-		t.Errorf("%s for %v, %d results are kept", w.state[k], w.why[k], len(w.s.results))
+		t.Errorf("%s for %v, %d results are kept", w.state[k], w.reason[k], len(w.s.results))
 	}
 }
 
 // A reservation that proves too small grows; where it can't, the result ends with a reason and is never offered.
 func TestReservationGrowsOrEnds(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 60, 300, true)
-	w.fill(k)
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 60, 300, true)
+	w.deliverAllPages(k)
 	if w.state[k] != "whole" {
-		t.Errorf("one that grows is %s (%v)", w.state[k], w.why[k])
+		t.Errorf("one that grows is %s (%v)", w.state[k], w.reason[k])
 	}
-	k = w.begin(2, 100, 300, true) // over what a result may be
+	k = w.reserve(2, 100, 300, true) // over what a result may be
 	w.attach(1, k, 2, 0)
-	w.fill(k)
-	if w.state[k] != "failed" || w.why[k] != ForSize || len(w.cut) != 1 {
-		t.Errorf("too large: %s for %v, readers cut %v", w.state[k], w.why[k], w.cut)
+	w.deliverAllPages(k)
+	if w.state[k] != "failed" || w.reason[k] != ReasonTooLarge || len(w.aborted) != 1 {
+		t.Errorf("too large: %s for %v, readers cut %v", w.state[k], w.reason[k], w.aborted)
 	}
 }
 
 // The engine's pages are asked for only as fast as the disk takes them, so memory stays flat.
 func TestSlowDiskMakesTheEngineWait(t *testing.T) {
 	b := budget()
-	b.Result, b.Tenant, b.Disk = 1_000_000, 1_000_000, 1_000_000
-	w := newWorld(t, b)
-	k := w.begin(1, 200, 300, true)
+	b.MaxResultBytes, b.MaxTenantBytes, b.DiskBytes = 1_000_000, 1_000_000, 1_000_000
+	w := newTestStore(t, b)
+	k := w.reserve(1, 200, 300, true)
 	most := int64(0)
 	for n := 0; n < 200; {
-		for n < w.asked[k] && n < 200 {
-			w.page(k, n)
+		for n < w.requested[k] && n < 200 {
+			w.deliverPage(k, n)
 			n++
-			most = max(most, w.s.memory)
+			most = max(most, w.s.memoryBytes)
 		}
-		if len(w.todo) == 0 && n < 200 {
+		if len(w.diskQueue) == 0 && n < 200 {
 			t.Fatalf("nothing to do at page %d", n)
 		}
-		if len(w.todo) > 0 {
-			w.work(0)
+		if len(w.diskQueue) > 0 {
+			w.runDiskEffect(0)
 		}
 	}
-	w.settle()
-	if w.state[k] != "whole" || most > b.Behind+int64(b.Chunk*4) {
+	w.runDisk()
+	if w.state[k] != "whole" || most > b.MaxUnwritten+int64(b.ChunkBytes*4) {
 		t.Errorf("%s, up to %d bytes in memory", w.state[k], most)
 	}
 }
 
 func TestHandles(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 4, 300, true)
-	w.fill(k)
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 4, 300, true)
+	w.deliverAllPages(k)
 	deny := func(what string, e Event) {
 		w.denied = nil
 		e.Kind, e.Reader = Attach, 9
-		w.tell(e)
+		w.handle(e)
 		if len(w.denied) != 1 || len(w.s.readers) != 0 {
 			t.Errorf("%s: not denied", what)
 		}
@@ -355,21 +355,21 @@
 	deny("wrong secret", Event{ID: k, Secret: secret(2), Tenant: 2})
 	deny("foreign tenant", Event{ID: k, Secret: secret(1), Tenant: 1})
 	deny("tenant that differs above 32 bits", Event{ID: k, Secret: secret(1), Tenant: 2 | 1<<40})
-	deny("beyond the end", Event{ID: k, Secret: secret(1), Tenant: 2, N: 4})
-	deny("before the start", Event{ID: k, Secret: secret(1), Tenant: 2, N: -1})
+	deny("beyond the end", Event{ID: k, Secret: secret(1), Tenant: 2, Index: 4})
+	deny("before the start", Event{ID: k, Secret: secret(1), Tenant: 2, Index: -1})
 	w.attach(1, k, 1, 0)
 	w.attach(2, k, 1, 1) // two at once, each from where it likes
-	w.settle()
+	w.runDisk()
 	if len(w.readers) != 2 || len(w.readers[1].got) == 0 || len(w.readers[2].got) == 0 {
 		t.Error("two readers at once")
 	}
-	w.tell(Event{Kind: Detach, Reader: 1})
+	w.handle(Event{Kind: Detach, Reader: 1})
 	delete(w.readers, 1)
 	w.now += 100 * rules.Second // expired
-	w.tell(Event{Kind: Detach, Reader: 2})
+	w.handle(Event{Kind: Detach, Reader: 2})
 	delete(w.readers, 2)
 	w.now += 100 * rules.Second
-	w.tell(Event{Kind: Tick})
+	w.handle(Event{Kind: TimerFired})
 	deny("expired", Event{ID: k, Secret: secret(1), Tenant: 2})
 	if len(w.s.results) != 0 {
 		t.Error("an expired result is kept")
@@ -377,18 +377,18 @@
 }
 
 // Who attaches before the result is there waits, and gets it from where it asked.
-func TestAttachToOneThatStillRuns(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 10, 300, true)
-	w.page(k, 0)
+func TestAttachBeforeCompletion(t *testing.T) {
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 10, 300, true)
+	w.deliverPage(k, 0)
 	w.attach(1, k, 1, 0)
 	w.attach(2, k, 1, 50) // beyond what will be
-	w.settle()
+	w.runDisk()
 	if len(w.readers[1].got) != 0 {
 		t.Error("a partial result was offered")
 	}
-	w.fill(k)
-	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+	w.deliverAllPages(k)
+	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came", len(got))
 	}
 	if w.readers[2] != nil || len(w.denied) != 1 {
@@ -398,78 +398,78 @@
 
 // A slow reader keeps its result, whatever its lease, as long as it reads.
 func TestSlowReaderKeepsItsLease(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 10, 300, true)
-	w.fill(k)
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 10, 300, true)
+	w.deliverAllPages(k)
 	w.attach(1, k, 1, 0)
 	for range 20 {
 		w.now += 9 * rules.Second
-		w.tell(Event{Kind: Tick})
+		w.handle(Event{Kind: TimerFired})
 	}
-	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came to a slow reader", len(got))
 	}
 }
 
 func TestDiskFailures(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 10, 300, true)
-	w.page(k, 0)
-	w.page(k, 1)
-	w.fails = true
-	w.settle()
-	if w.state[k] != "failed" || w.why[k] != ForDisk {
-		t.Errorf("after a failed write: %s for %v", w.state[k], w.why[k])
-	}
-	w.fails = false
-	k = w.begin(2, 10, 300, true)
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 10, 300, true)
+	w.deliverPage(k, 0)
+	w.deliverPage(k, 1)
+	w.diskFails = true
+	w.runDisk()
+	if w.state[k] != "failed" || w.reason[k] != ReasonDiskFailed {
+		t.Errorf("after a failed write: %s for %v", w.state[k], w.reason[k])
+	}
+	w.diskFails = false
+	k = w.reserve(2, 10, 300, true)
 	for n := range 10 {
-		w.page(k, n)
-		for len(w.todo) > 0 && w.todo[0].Record != segment.Seal {
-			w.work(0)
+		w.deliverPage(k, n)
+		for len(w.diskQueue) > 0 && w.diskQueue[0].Record != segment.Seal {
+			w.runDiskEffect(0)
 		}
 	}
-	w.todo = nil
-	w.tell(Event{Kind: Synced, ID: k, Err: true}) // what it holds is unknown
+	w.diskQueue = nil
+	w.handle(Event{Kind: ResultSynced, ID: k, Failed: true}) // what it holds is unknown
 	if w.state[k] != "failed" {
 		t.Errorf("after a failed sync: %s", w.state[k])
 	}
-	k = w.begin(3, 10, 300, true)
-	w.todo = nil
-	w.fill(k)
+	k = w.reserve(3, 10, 300, true)
+	w.diskQueue = nil
+	w.deliverAllPages(k)
 	w.attach(1, k, 3, 0)
-	w.changed = true
-	w.settle()
-	if len(w.cut) != 1 || len(w.s.results) != 0 {
-		t.Errorf("after a failed read: cut %v, %d results", w.cut, len(w.s.results))
-	}
-	w.changed = false
-	a, b := w.begin(4, 10, 300, true), w.begin(5, 2, 300, false)
-	w.todo = nil
-	w.fill(a)
-	w.fill(b)
-	w.tell(Event{Kind: DiskLost})
+	w.diskCorrupts = true
+	w.runDisk()
+	if len(w.aborted) != 1 || len(w.s.results) != 0 {
+		t.Errorf("after a failed read: cut %v, %d results", w.aborted, len(w.s.results))
+	}
+	w.diskCorrupts = false
+	a, b := w.reserve(4, 10, 300, true), w.reserve(5, 2, 300, false)
+	w.diskQueue = nil
+	w.deliverAllPages(a)
+	w.deliverAllPages(b)
+	w.handle(Event{Kind: DiskLost})
 	if len(w.s.results) != 1 || w.s.results[b] == nil {
 		t.Error("what lies in memory alone is lost with the disk, or what lay there is kept")
 	}
-	if k := w.begin(6, 1, 100, true); w.state[k] != "refused" || w.why[k] != ForDisk {
-		t.Errorf("without a disk: %s for %v", w.state[k], w.why[k])
+	if k := w.reserve(6, 1, 100, true); w.state[k] != "refused" || w.reason[k] != ReasonDiskFailed {
+		t.Errorf("without a disk: %s for %v", w.state[k], w.reason[k])
 	}
-	w.tell(Event{Kind: DiskBack})
-	if k := w.begin(7, 1, 100, true); w.state[k] != "granted" {
+	w.handle(Event{Kind: DiskRestored})
+	if k := w.reserve(7, 1, 100, true); w.state[k] != "granted" {
 		t.Errorf("with the disk back: %s", w.state[k])
 	}
 }
 
 func TestEstimatesFollowClassAndShape(t *testing.T) {
-	z := newSizes(budget(), 3)
+	z := newSizeEstimator(budget(), 3)
 	if n := z.estimate(1, 5); n != 500 {
 		t.Errorf("nothing known: %d", n)
 	}
 	for i := range 40 {
-		z.add(1, 5, 100)
-		z.add(1, 6, 10_000)
-		z.add(2, uint64(1000+i), 50)
+		z.observe(1, 5, 100)
+		z.observe(1, 6, 10_000)
+		z.observe(2, uint64(1000+i), 50)
 	}
 	if n := z.estimate(1, 5); n < 100 || n > 150 {
 		t.Errorf("a shape of 100 bytes: %d", n)
@@ -481,40 +481,40 @@
 		t.Errorf("an unknown shape of a class of both: %d", n)
 	}
 	for i := range 100_000 {
-		z.add(3, uint64(i+1), 1)
+		z.observe(3, uint64(i+1), 1)
 	}
-	if len(z.shapes) != shapePlaces {
+	if len(z.shapes) != shapeSlots {
 		t.Error("grown")
 	}
 }
 
-func TestRecoveredResultsAreThere(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 10, 300, true)
-	w.fill(k)
-	var places []Place
+func TestRecoveredResults(t *testing.T) {
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 10, 300, true)
+	w.deliverAllPages(k)
+	var places []Location
 	for _, c := range w.s.results[k].chunks {
-		places = append(places, c.place)
+		places = append(places, c.location)
 	}
-	n := newWorld(t, budget())
-	n.disk, n.truth, n.state = w.disk, w.truth, map[ID]string{k: "whole"}
+	n := newTestStore(t, budget())
+	n.disk, n.pages, n.state = w.disk, w.pages, map[ID]string{k: "whole"}
 	n.now = w.now + 5*rules.Second
-	n.tell(Event{Kind: Recovered, ID: k, Secret: secret(1), Tenant: 2, Lease: w.now + 10*rules.Second, Places: places})
-	n.tell(Event{Kind: Recovered, ID: id(2), Secret: secret(2), Tenant: 2, Lease: n.now - 11*rules.Second, Places: places}) // long over
+	n.handle(Event{Kind: ResultRecovered, ID: k, Secret: secret(1), Tenant: 2, LeaseEnd: w.now + 10*rules.Second, Locations: places})
+	n.handle(Event{Kind: ResultRecovered, ID: id(2), Secret: secret(2), Tenant: 2, LeaseEnd: n.now - 11*rules.Second, Locations: places}) // long over
 	n.attach(1, k, 1, 0)
-	if got := n.readAll(1); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+	if got := n.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came after a restart", len(got))
 	}
-	if len(n.s.results) != 0 || n.s.disk != 0 {
+	if len(n.s.results) != 0 || n.s.diskBytes != 0 {
 		t.Errorf("left: %+v", n.s.Stats())
 	}
 }
 
 // Random operations, faults and clocks against plain maps: what is read is what the engine gave, nothing
 // partial is offered, all stays in bounds, and nothing is left at the end.
-func TestSpoolHolds(t *testing.T) {
+func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt, budget())
+		w := newTestStore(rt, budget())
 		n, readers := 0, 0
 		var ids []int
 		pick := func(what string) (int, ID) {
@@ -525,16 +525,16 @@
 			switch op := rapid.IntRange(0, 13).Draw(rt, "op"); {
 			case op <= 1 || len(ids) == 0:
 				n++
-				w.begin(n, rapid.IntRange(1, 50).Draw(rt, "pages"), rapid.IntRange(1, 600).Draw(rt, "size"), rapid.Bool().Draw(rt, "lasting"))
+				w.reserve(n, rapid.IntRange(1, 50).Draw(rt, "pages"), rapid.IntRange(1, 600).Draw(rt, "size"), rapid.Bool().Draw(rt, "lasting"))
 				ids = append(ids, n)
 			case op <= 5:
 				_, k := pick("fills")
-				for p := range w.truth[k] {
-					w.page(k, p)
+				for p := range w.pages[k] {
+					w.deliverPage(k, p)
 				}
 			case op == 6:
 				_, k := pick("breaks")
-				w.tell(Event{Kind: Broke, ID: k})
+				w.handle(Event{Kind: AttemptFailed, ID: k})
 				if w.state[k] == "granted" {
 					rt.Fatal("still on after it broke")
 				}
@@ -544,29 +544,29 @@
 				w.attach(readers, k, i, rapid.IntRange(0, 3).Draw(rt, "from"))
 			case op == 9:
 				for reader := range readers + 1 {
-					if r := w.readers[reader]; r != nil && !r.owed && !r.last {
+					if r := w.readers[reader]; r != nil && !r.waiting && !r.last {
 						r.next++
-						r.owed = true
-						w.tell(Event{Kind: Next, Reader: reader, N: r.next})
+						r.waiting = true
+						w.handle(Event{Kind: NextChunk, Reader: reader, Index: r.next})
 					}
 				}
 			case op == 10 && readers > 0:
 				r := rapid.IntRange(1, readers).Draw(rt, "leaves")
 				delete(w.readers, r)
-				w.tell(Event{Kind: Detach, Reader: r})
+				w.handle(Event{Kind: Detach, Reader: r})
 			case op == 11:
-				w.fails = rapid.IntRange(0, 4).Draw(rt, "fails") == 0
+				w.diskFails = rapid.IntRange(0, 4).Draw(rt, "fails") == 0
 			case op == 12:
 				w.now += rules.Time(rapid.IntRange(0, 15).Draw(rt, "s")) * rules.Second
-				w.tell(Event{Kind: Tick})
+				w.handle(Event{Kind: TimerFired})
 			default:
-				for i := 0; i < 10 && len(w.todo) > 0; i++ {
-					w.work(0)
+				for i := 0; i < 10 && len(w.diskQueue) > 0; i++ {
+					w.runDiskEffect(0)
 				}
 			}
 		}
-		w.fails = false
-		w.settle()
+		w.diskFails = false
+		w.runDisk()
 		for reader := range readers + 1 {
 			r := w.readers[reader]
 			if r == nil || w.state[r.id] != "whole" {
@@ -574,7 +574,7 @@
 			}
 			from := len(r.got)
 			got := w.readAll(reader)
-			truth := bytes.Join(w.truth[r.id], nil)
+			truth := bytes.Join(w.pages[r.id], nil)
 			if got == nil && from == 0 {
 				continue // cut meanwhile
 			}
@@ -583,31 +583,31 @@
 			}
 		}
 		for _, i := range ids {
-			w.tell(Event{Kind: Broke, ID: id(i)})
-			w.tell(Event{Kind: Release, ID: id(i)})
+			w.handle(Event{Kind: AttemptFailed, ID: id(i)})
+			w.handle(Event{Kind: Release, ID: id(i)})
 		}
-		w.settle()
-		if s := w.s; len(s.results) != 0 || len(s.readers) != 0 || s.disk != 0 || s.memory != 0 || s.unstored != 0 || len(s.tenants) != 0 || len(s.leases) != 0 {
-			rt.Fatal(fmt.Sprintf("left behind: %+v, %d waiting", s.Stats(), s.unstored))
+		w.runDisk()
+		if s := w.s; len(s.results) != 0 || len(s.readers) != 0 || s.diskBytes != 0 || s.memoryBytes != 0 || s.unwrittenBytes != 0 || len(s.tenantBytes) != 0 || len(s.leases) != 0 {
+			rt.Fatal(fmt.Sprintf("left behind: %+v, %d waiting", s.Stats(), s.unwrittenBytes))
 		}
 	})
 }
 
 // A read that fails, or that the disk had no room to take on, ends that reader alone: the result was promised, and is there
 // when the disk works again.
-func TestReadThatFailsForAMoment(t *testing.T) {
-	w := newWorld(t, budget())
-	k := w.begin(1, 10, 300, true)
-	w.fill(k)
+func TestTransientReadFailure(t *testing.T) {
+	w := newTestStore(t, budget())
+	k := w.reserve(1, 10, 300, true)
+	w.deliverAllPages(k)
 	w.attach(1, k, 1, 0)
-	w.fails = true
-	w.settle()
-	if len(w.cut) != 1 {
-		t.Fatalf("cut %v", w.cut)
+	w.diskFails = true
+	w.runDisk()
+	if len(w.aborted) != 1 {
+		t.Fatalf("cut %v", w.aborted)
 	}
-	w.fails = false
+	w.diskFails = false
 	w.attach(2, k, 1, 0)
-	if got := w.readAll(2); !bytes.Equal(got, bytes.Join(w.truth[k], nil)) {
+	if got := w.readAll(2); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came back once the disk worked again; denied %v", len(got), w.denied)
 	}
 }
