--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -87,18 +87,18 @@
 				return err
 			}
 			defer remove()
-			books, err := harness.Run(cmd.Context(), gateway, *script, logs)
+			report, err := harness.Run(cmd.Context(), gateway, *script, logs)
 			if err != nil {
 				return err
 			}
 			if asJSON {
 				e := json.NewEncoder(cmd.OutOrStdout())
 				e.SetIndent("", "  ")
-				err = e.Encode(books)
+				err = e.Encode(report)
 			} else {
-				_, err = fmt.Fprint(cmd.OutOrStdout(), books)
+				_, err = fmt.Fprint(cmd.OutOrStdout(), report)
 			}
-			if n := len(books.Breaches); err == nil && n > 0 {
+			if n := len(report.Violations); err == nil && n > 0 {
 				err = fmt.Errorf("%d rules broken", n)
 			}
 			return err
--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			o.Process = harness.Process{Program: self, Args: []string{"double"}, Orders: true}
+			o.Process = harness.Process{Program: self, Args: []string{"double"}, AcceptsCommands: true}
 			o.Progress = cmd.ErrOrStderr()
 			if o.Logs == "" {
 				if o.Logs, err = os.MkdirTemp("", "foxsoak"); err != nil {
@@ -36,7 +36,7 @@
 				return err
 			}
 			r.Write(cmd.OutOrStdout())
-			if err == nil && (len(r.Failed) > 0 || len(r.Broken) > 0 || r.PlantedFound() < len(r.Planted)) {
+			if err == nil && (len(r.Failed) > 0 || len(r.NotPlayed) > 0 || r.DefectsFound() < len(r.Detections)) {
 				err = errors.New("soak: something was violated, not played, or planted and not found")
 			}
 			return err
@@ -48,8 +48,8 @@
 	cmd.Flags().IntVar(&o.Processes, "processes", 10, "gateways of each")
 	cmd.Flags().IntVar(&o.Parallel, "parallel", 2, "seeds at once")
 	cmd.Flags().IntVar(&o.Shrink, "shrink", 6, "runs by which a failing seed is shrunk to fewer troubles, at most")
-	cmd.Flags().IntVar(&o.Plants, "plants", 0, "seeds with which each planted defect is looked for, at most")
-	cmd.Flags().StringSliceVar(&o.Only, "only", nil, "defects to plant; all if none is named")
+	cmd.Flags().IntVar(&o.DefectSeeds, "plants", 0, "seeds with which each planted defect is looked for, at most")
+	cmd.Flags().StringSliceVar(&o.Defects, "only", nil, "defects to plant; all if none is named")
 	cmd.Flags().StringVar(&o.Logs, "logs", "", "folder for the logs of failing seeds")
 	return cmd
 }
--- a/internal/faultgateway/double.go
+++ b/internal/faultgateway/faultgateway.go
@@ -25,25 +25,25 @@
 	"foxlane/internal/net"
 )
 
-// EnvPlant names the defect that is planted; empty: none.
-const EnvPlant = "FOXLANE_PLANT"
-
-// Order is what the process is told on standard input, a JSON object a line.
-type Order struct {
-	Kind  string  `json:"kind"`            // step, calls, disk or late
-	MS    int64   `json:"ms,omitempty"`    // step: by how much the wall clock is stepped; late: by how much dials are late, at most
-	Calls string  `json:"calls,omitempty"` // which calls fail: dial, accept, udp; write, sync, open
-	Errno string  `json:"errno,omitempty"` // as Linux names it
-	Part  float64 `json:"part,omitempty"`  // of the calls that fail
-	ForMS int64   `json:"for_ms,omitempty"`
+// EnvDefect names the defect that is planted; empty: none.
+const EnvDefect = "FOXLANE_PLANT"
+
+// Command is what the process is told on standard input, a JSON object a line.
+type Command struct {
+	Kind     string  `json:"kind"`            // step, calls, disk or late
+	MS       int64   `json:"ms,omitempty"`    // step: by how much the wall clock is stepped; late: by how much dials are late, at most
+	Calls    string  `json:"calls,omitempty"` // which calls fail: dial, accept, udp; write, sync, open
+	Errno    string  `json:"errno,omitempty"` // as Linux names it
+	Fraction float64 `json:"part,omitempty"`  // of the calls that fail
+	ForMS    int64   `json:"for_ms,omitempty"`
 }
 
 // Kinds of orders.
 const (
-	OrderStep  = "step"
-	OrderCalls = "calls"
-	OrderDisk  = "disk"
-	OrderLate  = "late"
+	CommandStep      = "step"
+	CommandCalls     = "calls"
+	CommandDisk      = "disk"
+	CommandLateDials = "late"
 )
 
 var errnos = map[string]syscall.Errno{
@@ -64,57 +64,57 @@
 
 // faults are the calls that fail now, by name.
 type faults struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	on   map[string]fault
-	late lateDials
+	mu        sync.Mutex
+	rng       *rand.Rand
+	failing   map[string]fault
+	lateDials dialDelays
 }
 
-// lateDials are dials that come up late.
-type lateDials struct {
-	by    time.Duration
-	part  float64
-	until time.Time
+// dialDelays are dials that come up late.
+type dialDelays struct {
+	max      time.Duration
+	fraction float64
+	until    time.Time
 }
 
-func (f *faults) setLate(o Order) {
+func (f *faults) setLateDials(o Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = lateDials{time.Duration(o.MS) * time.Millisecond, o.Part, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
+	f.lateDials = dialDelays{time.Duration(o.MS) * time.Millisecond, o.Fraction, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
 }
 
-// lateness is by how much a dial that begins now comes up late.
-func (f *faults) lateness() time.Duration {
+// dialDelay is by how much a dial that begins now comes up late.
+func (f *faults) dialDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.late.by <= 0 || time.Now().After(f.late.until) || f.rng.Float64() >= f.late.part {
+	if f.lateDials.max <= 0 || time.Now().After(f.lateDials.until) || f.rng.Float64() >= f.lateDials.fraction {
 		return 0
 	}
-	return time.Duration(f.rng.Int64N(int64(f.late.by)))
+	return time.Duration(f.rng.Int64N(int64(f.lateDials.max)))
 }
 
 type fault struct {
-	errno syscall.Errno
-	part  float64
-	until time.Time
+	errno    syscall.Errno
+	fraction float64
+	until    time.Time
 }
 
 func newFaults() *faults {
-	return &faults{rng: rand.New(rand.NewPCG(uint64(os.Getpid()), 3)), on: map[string]fault{}}
+	return &faults{rng: rand.New(rand.NewPCG(uint64(os.Getpid()), 3)), failing: map[string]fault{}}
 }
 
-// fail answers the error of a call, or nil.
-func (f *faults) fail(call string) error {
+// inject answers the error of a call, or nil.
+func (f *faults) inject(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x, ok := f.on[call]
-	if !ok || time.Now().After(x.until) || f.rng.Float64() >= x.part {
+	x, ok := f.failing[call]
+	if !ok || time.Now().After(x.until) || f.rng.Float64() >= x.fraction {
 		return nil
 	}
 	return os.NewSyscallError(call, x.errno)
 }
 
-func (f *faults) set(o Order) error {
+func (f *faults) setErrors(o Command) error {
 	errno, err := ParseErrno(o.Errno)
 	if err != nil {
 		return err
@@ -122,25 +122,25 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, call := range strings.Split(o.Calls, ",") {
-		f.on[call] = fault{errno, o.Part, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
+		f.failing[call] = fault{errno, o.Fraction, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
 	}
 	return nil
 }
 
-// obey carries out what comes on standard input until it ends.
-func obey(in io.Reader, f *faults, c *steppedClock, complain func(error)) {
+// executeCommands carries out what comes on standard input until it ends.
+func executeCommands(in io.Reader, f *faults, c *steppedClock, complain func(error)) {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
-		var o Order
+		var o Command
 		err := json.Unmarshal(lines.Bytes(), &o)
 		switch {
 		case err != nil:
-		case o.Kind == OrderStep:
+		case o.Kind == CommandStep:
 			c.step(time.Duration(o.MS) * time.Millisecond)
-		case o.Kind == OrderCalls || o.Kind == OrderDisk:
-			err = f.set(o)
-		case o.Kind == OrderLate:
-			f.setLate(o)
+		case o.Kind == CommandCalls || o.Kind == CommandDisk:
+			err = f.setErrors(o)
+		case o.Kind == CommandLateDials:
+			f.setLateDials(o)
 		default:
 			err = fmt.Errorf("double: unknown order %q", o.Kind)
 		}
@@ -148,11 +148,11 @@
 			complain(err)
 		}
 	}
-	os.Exit(exitOrphan) // who started us has gone
+	os.Exit(exitOrphaned) // who started us has gone
 }
 
-// exitOrphan is how a double ends whose starter has gone.
-const exitOrphan = 3
+// exitOrphaned is how a double ends whose starter has gone.
+const exitOrphaned = 3
 
 // Serve serves as `foxlane serve --verbose` does, until SIGTERM. Site names the operator's file; empty: none.
 func Serve(site string) error {
@@ -175,8 +175,8 @@
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
 	log := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), lines, zapcore.DebugLevel))
 	f, clock := newFaults(), newSteppedClock()
-	go obey(os.Stdin, f, clock, func(err error) { log.Error("double: order", zap.Error(err)) })
-	platform, err := plant(os.Getenv(EnvPlant), platformOf(f, clock), clock)
+	go executeCommands(os.Stdin, f, clock, func(err error) { log.Error("double: order", zap.Error(err)) })
+	platform, err := withDefect(os.Getenv(EnvDefect), newPlatform(f, clock), clock)
 	if err != nil {
 		return err
 	}
--- a/internal/faultproxy/relay_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// echo answers what it is sent.
-func echo(t *testing.T) string {
+// startEchoServer answers what it is sent.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,9 +30,9 @@
 	return ln.Addr().String()
 }
 
-func through(t *testing.T) (*TCP, *Way, *Way, net.Conn) {
-	there, back := NewWay(1), NewWay(2)
-	r, err := NewTCP("127.0.0.1:0", echo(t), there, back)
+func dialThroughProxy(t *testing.T) (*TCP, *Link, *Link, net.Conn) {
+	there, back := NewLink(1), NewLink(2)
+	r, err := NewTCP("127.0.0.1:0", startEchoServer(t), there, back)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +45,8 @@
 	return r, there, back, c
 }
 
-// ask writes, and returns what comes back within a while.
-func ask(t *testing.T, c net.Conn, text string, within time.Duration) (string, time.Duration, error) {
+// roundTrip writes, and returns what comes back within a while.
+func roundTrip(t *testing.T, c net.Conn, text string, within time.Duration) (string, time.Duration, error) {
 	t.Helper()
 	began := time.Now()
 	if _, err := c.Write([]byte(text)); err != nil {
@@ -59,31 +59,31 @@
 }
 
 func TestTCPCarriesAndDelays(t *testing.T) {
-	_, there, back, c := through(t)
-	if got, _, err := ask(t, c, "hello", time.Second); got != "hello" || err != nil {
+	_, there, back, c := dialThroughProxy(t)
+	if got, _, err := roundTrip(t, c, "hello", time.Second); got != "hello" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	there.Set(Conditions{Delay: 60 * time.Millisecond})
-	back.Set(Conditions{Delay: 60 * time.Millisecond})
-	if _, took, err := ask(t, c, "hello", 2*time.Second); took < 120*time.Millisecond || err != nil {
+	there.SetConditions(Conditions{Delay: 60 * time.Millisecond})
+	back.SetConditions(Conditions{Delay: 60 * time.Millisecond})
+	if _, took, err := roundTrip(t, c, "hello", 2*time.Second); took < 120*time.Millisecond || err != nil {
 		t.Errorf("took %v, %v", took, err)
 	}
-	there.Set(Conditions{Rate: 10_000})
-	back.Set(Conditions{})
+	there.SetConditions(Conditions{Rate: 10_000})
+	back.SetConditions(Conditions{})
 	big := string(bytes.Repeat([]byte("x"), 2000))
-	if got, took, err := ask(t, c, big, 2*time.Second); got != big || took < 190*time.Millisecond || err != nil {
+	if got, took, err := roundTrip(t, c, big, 2*time.Second); got != big || took < 190*time.Millisecond || err != nil {
 		t.Errorf("2000 bytes at 10,000 a second took %v, %v", took, err)
 	}
-	if n := there.Counts(); n.Bytes != 2010 || n.Taken != 1 {
+	if n := there.Counts(); n.Bytes != 2010 || n.Accepted != 1 {
 		t.Errorf("%+v", n)
 	}
 }
 
 // A way that is cut in one direction holds what goes there, and gives it out once it is whole again.
 func TestTCPIsCutOneWay(t *testing.T) {
-	r, _, back, c := through(t)
-	back.Set(Conditions{Cut: true})
-	if got, _, err := ask(t, c, "hello", 150*time.Millisecond); err == nil {
+	r, _, back, c := dialThroughProxy(t)
+	back.SetConditions(Conditions{Cut: true})
+	if got, _, err := roundTrip(t, c, "hello", 150*time.Millisecond); err == nil {
 		t.Fatalf("%q came through a cut", got)
 	}
 	late, err := net.Dial("tcp", r.Addr().String())
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	defer late.Close()
-	if got, _, err := ask(t, late, "later", 100*time.Millisecond); err == nil {
+	if got, _, err := roundTrip(t, late, "later", 100*time.Millisecond); err == nil {
 		t.Fatalf("%q came through a cut, on a new connection", got)
 	}
-	back.Set(Conditions{})
+	back.SetConditions(Conditions{})
 	for _, want := range []struct {
 		c    net.Conn
 		text string
@@ -108,12 +108,12 @@
 }
 
 func TestTCPIsReset(t *testing.T) {
-	r, _, _, c := through(t)
-	if _, _, err := ask(t, c, "hello", time.Second); err != nil {
+	r, _, _, c := dialThroughProxy(t)
+	if _, _, err := roundTrip(t, c, "hello", time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.Reset()
-	if got, _, err := ask(t, c, "hello", time.Second); err == nil {
+	if got, _, err := roundTrip(t, c, "hello", time.Second); err == nil {
 		t.Errorf("%q after a reset", got)
 	}
 }
@@ -134,7 +134,7 @@
 			_, _ = server.WriteTo(buf[:n], from)
 		}
 	}()
-	there, back := NewWay(1), NewWay(2)
+	there, back := NewLink(1), NewLink(2)
 	r, err := NewUDP("127.0.0.1:0", server.LocalAddr().String(), there, back)
 	if err != nil {
 		t.Fatal(err)
@@ -161,15 +161,15 @@
 	if n := count(40); n != 40 {
 		t.Errorf("%d of 40 came back", n)
 	}
-	there.Set(Conditions{Loss: 0.5})
+	there.SetConditions(Conditions{Loss: 0.5})
 	if n := count(40); n < 5 || n > 35 {
 		t.Errorf("%d of 40 came back over a way that loses half", n)
 	}
-	there.Set(Conditions{Double: 1})
+	there.SetConditions(Conditions{Duplicate: 1})
 	if n := count(20); n != 40 {
 		t.Errorf("%d came back of 20 that come twice", n)
 	}
-	there.Set(Conditions{Cut: true})
+	there.SetConditions(Conditions{Cut: true})
 	if n := count(10); n != 0 {
 		t.Errorf("%d came through a cut", n)
 	}
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -14,70 +14,70 @@
 	"foxlane/internal/standin"
 )
 
-// class is what clients ask for.
-type class struct {
-	name   string
-	part   float64 // of all requests
-	work   time.Duration
-	aim    time.Duration
-	giveUp time.Duration
-	worth  float64
-	unsafe bool
-	window time.Duration // for which its repeats are dropped; 0: it is not keyed
-	inTurn bool          // requests with the same key run one after another, in the order in which they came
-	placed bool          // it runs in the first zone only
+// requestClass is what clients ask for.
+type requestClass struct {
+	name              string
+	share             float64 // of all requests
+	work              time.Duration
+	latencyObjective  time.Duration
+	timeout           time.Duration
+	weight            float64
+	nonIdempotent     bool
+	idempotencyWindow time.Duration // for which its repeats are dropped; 0: it is not keyed
+	ordered           bool          // requests with the same key run one after another, in the order in which they came
+	firstZoneOnly     bool          // it runs in the first zone only
 }
 
-// usualClasses are few and round: many short look-ups, reports that are most of the work, loads that must not run twice, and a
+// defaultClasses are few and round: many short look-ups, reports that are most of the work, loads that must not run twice, and a
 // keyed, an ordered and a placed class, of which scripts say how many.
-var usualClasses = []class{
-	{name: "point", part: 0.7, work: 20 * time.Millisecond, aim: 400 * time.Millisecond, giveUp: 1500 * time.Millisecond, worth: 1},
-	{name: "report", part: 0.25, work: 250 * time.Millisecond, aim: 1200 * time.Millisecond, giveUp: 4 * time.Second, worth: 6},
-	{name: "load", part: 0.05, work: 300 * time.Millisecond, aim: 1500 * time.Millisecond, giveUp: 4 * time.Second, worth: 10, unsafe: true},
-	{name: "note", work: 30 * time.Millisecond, aim: 400 * time.Millisecond, giveUp: 2 * time.Second, worth: 2, window: 800 * time.Millisecond},
-	{name: "step", work: 300 * time.Millisecond, aim: 1500 * time.Millisecond, giveUp: 4 * time.Second, worth: 3, inTurn: true},
-	{name: "local", work: 30 * time.Millisecond, aim: 400 * time.Millisecond, giveUp: 2 * time.Second, worth: 2, placed: true},
+var defaultClasses = []requestClass{
+	{name: "point", share: 0.7, work: 20 * time.Millisecond, latencyObjective: 400 * time.Millisecond, timeout: 1500 * time.Millisecond, weight: 1},
+	{name: "report", share: 0.25, work: 250 * time.Millisecond, latencyObjective: 1200 * time.Millisecond, timeout: 4 * time.Second, weight: 6},
+	{name: "load", share: 0.05, work: 300 * time.Millisecond, latencyObjective: 1500 * time.Millisecond, timeout: 4 * time.Second, weight: 10, nonIdempotent: true},
+	{name: "note", work: 30 * time.Millisecond, latencyObjective: 400 * time.Millisecond, timeout: 2 * time.Second, weight: 2, idempotencyWindow: 800 * time.Millisecond},
+	{name: "step", work: 300 * time.Millisecond, latencyObjective: 1500 * time.Millisecond, timeout: 4 * time.Second, weight: 3, ordered: true},
+	{name: "local", work: 30 * time.Millisecond, latencyObjective: 400 * time.Millisecond, timeout: 2 * time.Second, weight: 2, firstZoneOnly: true},
 }
 
 // classesOf are the classes of a script, which may make their deadlines and windows shorter.
-func classesOf(s *Script) []class {
-	out := slices.Clone(usualClasses)
+func classesOf(s *Script) []requestClass {
+	out := slices.Clone(defaultClasses)
 	for i := range out {
-		if s.Deadlines > 0 {
-			out[i].giveUp = time.Duration(float64(out[i].giveUp) * s.Deadlines)
-			out[i].aim = min(out[i].aim, out[i].giveUp)
+		if s.DeadlineFactor > 0 {
+			out[i].timeout = time.Duration(float64(out[i].timeout) * s.DeadlineFactor)
+			out[i].latencyObjective = min(out[i].latencyObjective, out[i].timeout)
 		}
-		if s.Windows > 0 {
-			out[i].window = time.Duration(float64(out[i].window) * s.Windows)
+		if s.WindowFactor > 0 {
+			out[i].idempotencyWindow = time.Duration(float64(out[i].idempotencyWindow) * s.WindowFactor)
 		}
 	}
 	return out
 }
 
-// longest is the longest deadline of all classes.
-func (r *Rig) longest() (d time.Duration) {
-	for _, c := range r.classes {
-		d = max(d, c.giveUp)
+// longestTimeout is the longest deadline of all classes.
+func (f *fleet) longestTimeout() (d time.Duration) {
+	for _, c := range f.classes {
+		d = max(d, c.timeout)
 	}
 	return d
 }
 
 const (
-	noteClass  = 3
-	stepClass  = 4
-	localClass = 5
-	orderKeys  = 2                      // of the ordered class
-	keyRest    = 300 * time.Millisecond // of a key behind an attempt that may still run
-	aimStretch = 2.5
-	scatter    = 0.5 // deviation of the logarithm of work
-	avoidFor   = time.Second
-	answerPad  = lateMost + 250*time.Millisecond // behind its time an answer is lost: the rig's own timers, and both ways
-	mostTries  = 3
+	keyedClass       = 3
+	orderedClass     = 4
+	firstZoneClass   = 5
+	orderKeyCount    = 2                      // of the ordered class
+	keyQuarantine    = 300 * time.Millisecond // of a key behind an attempt that may still run
+	objectiveStretch = 2.5
+	workSigma        = 0.5 // deviation of the logarithm of work
+	avoidDuration    = time.Second
+	responseGrace    = maxLateness + 250*time.Millisecond // behind its time an answer is lost: the rig's own timers, and both ways
+	maxAttempts      = 3
 )
 
-func (r *Rig) meanWork() (sum float64) {
-	for _, c := range r.classes {
-		sum += c.part * float64(c.work)
+func (f *fleet) meanWork() (sum float64) {
+	for _, c := range f.classes {
+		sum += c.share * float64(c.work)
 	}
 	return sum
 }
@@ -93,35 +93,35 @@
 	served bool
 }
 
-// front is what clients know of the gateways.
-type front struct {
+// clientPool is what clients know of the gateways.
+type clientPool struct {
 	mu      sync.Mutex
 	avoided []time.Time // by gateway, until when
-	pools   []chan resting
+	idle    []chan idleConn
 }
 
-// resting is a connection without a request.
-type resting struct {
+// idleConn is a connection without a request.
+type idleConn struct {
 	client *standin.Client
 	since  time.Time
 }
 
-// restMost is for how long clients keep a connection that rests.
-const restMost = 4 * time.Second
+// maxIdleTime is for how long clients keep a connection that rests.
+const maxIdleTime = 4 * time.Second
 
-func newFront(n int) *front {
-	f := &front{avoided: make([]time.Time, n)}
+func newClientPool(n int) *clientPool {
+	f := &clientPool{avoided: make([]time.Time, n)}
 	for range n {
-		f.pools = append(f.pools, make(chan resting, 64))
+		f.idle = append(f.idle, make(chan idleConn, 64))
 	}
 	return f
 }
 
-func (f *front) close() {
-	for _, p := range f.pools {
+func (p *clientPool) close() {
+	for _, conns := range p.idle {
 		for {
 			select {
-			case c := <-p:
+			case c := <-conns:
 				c.client.Close()
 				continue
 			default:
@@ -131,18 +131,18 @@
 	}
 }
 
-// choose draws a gateway: one of the client's zone where there is one that is not avoided, else any.
-func (r *Rig) choose(zone int, rng *rand.Rand) int {
-	f := r.front
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// chooseGateway draws a gateway: one of the client's zone where there is one that is not avoided, else any.
+func (f *fleet) chooseGateway(zone int, rng *rand.Rand) int {
+	pool := f.clients
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	now := time.Now()
 	var near, far []int
-	for i, g := range r.gateways {
-		if now.Before(f.avoided[i]) {
+	for i, g := range f.gateways {
+		if now.Before(pool.avoided[i]) {
 			continue
 		}
-		if far = append(far, i); g.zoneAt == zone {
+		if far = append(far, i); g.zoneIndex == zone {
 			near = append(near, i)
 		}
 	}
@@ -152,29 +152,29 @@
 	case len(far) > 0:
 		return far[rng.IntN(len(far))]
 	}
-	return rng.IntN(len(r.gateways))
+	return rng.IntN(len(f.gateways))
 }
 
-func (f *front) avoid(i int) {
-	f.mu.Lock()
-	f.avoided[i] = time.Now().Add(avoidFor)
-	f.mu.Unlock()
+func (p *clientPool) avoid(i int) {
+	p.mu.Lock()
+	p.avoided[i] = time.Now().Add(avoidDuration)
+	p.mu.Unlock()
 }
 
-var errNoNew = errors.New("rig: no new connections are made to a gateway that ends")
+var errNoNewConnections = errors.New("rig: no new connections are made to a gateway that ends")
 
-// take returns a connection that was used before, if there is one, else a new one where these are made.
-func (f *front) take(i int, addr string, fresher bool) (c *standin.Client, fresh bool, err error) {
+// get returns a connection that was used before, if there is one, else a new one where these are made.
+func (p *clientPool) get(i int, addr string, fresher bool) (c *standin.Client, fresh bool, err error) {
 	for {
 		select {
-		case x := <-f.pools[i]:
-			if time.Since(x.since) < restMost {
+		case x := <-p.idle[i]:
+			if time.Since(x.since) < maxIdleTime {
 				return x.client, false, nil
 			}
 			x.client.Close()
 		default:
 			if !fresher {
-				return nil, true, errNoNew
+				return nil, true, errNoNewConnections
 			}
 			c, err = standin.Connect(addr, netip.Addr{}, 300*time.Millisecond)
 			return c, true, err
@@ -182,59 +182,59 @@
 	}
 }
 
-func (f *front) put(i int, c *standin.Client) {
+func (p *clientPool) put(i int, c *standin.Client) {
 	select {
-	case f.pools[i] <- resting{c, time.Now()}:
+	case p.idle[i] <- idleConn{c, time.Now()}:
 	default:
 		c.Close()
 	}
 }
 
-// ask has clients of a zone ask, at random times, until the context ends; it waits for their last answers.
-func (r *Rig) ask(ctx context.Context, zone int, rate float64, wg *sync.WaitGroup) {
-	rng := rand.New(rand.NewPCG(r.Seed, uint64(zone)+1))
+// generateLoad has clients of a zone ask, at random times, until the context ends; it waits for their last answers.
+func (f *fleet) generateLoad(ctx context.Context, zone int, rate float64, wg *sync.WaitGroup) {
+	rng := rand.New(rand.NewPCG(f.Seed, uint64(zone)+1))
 	next := time.Now()
 	for {
-		next = next.Add(time.Duration(rng.ExpFloat64() / (rate * r.burst(zone)) * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / (rate * f.burstFactor(zone)) * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
-		x, c := rng.Float64(), 0
-		for c = range r.classes {
-			if x -= r.classes[c].part; x < 0 {
+		point, class := rng.Float64(), 0
+		for class = range f.classes {
+			if point -= f.classes[class].share; point < 0 {
 				break
 			}
 		}
-		for other, part := range map[int]float64{noteClass: r.Notes, stepClass: r.InTurn, localClass: r.Placed} {
-			if part > 0 && rng.Float64() < part {
-				c = other
+		for other, share := range map[int]float64{keyedClass: f.KeyedShare, orderedClass: f.OrderedShare, firstZoneClass: f.FirstZoneShare} {
+			if share > 0 && rng.Float64() < share {
+				class = other
 			}
 		}
-		q := &request{class: c, zone: zone, at: time.Now(),
-			work: time.Duration(float64(r.classes[c].work) * math.Exp(rng.NormFloat64()*scatter-scatter*scatter/2))}
-		if r.classes[c].inTurn {
-			q.key = fmt.Sprint("k", rng.IntN(orderKeys))
+		req := &request{class: class, zone: zone, at: time.Now(),
+			work: time.Duration(float64(f.classes[class].work) * math.Exp(rng.NormFloat64()*workSigma-workSigma*workSigma/2))}
+		if f.classes[class].ordered {
+			req.key = fmt.Sprint("k", rng.IntN(orderKeyCount))
 		}
 		seed := rng.Uint64()
-		wg.Go(func() { r.want(ctx, q, rand.New(rand.NewPCG(seed, 1))) })
+		wg.Go(func() { f.runRequest(ctx, req, rand.New(rand.NewPCG(seed, 1))) })
 	}
 }
 
-// want has one client try until it is served or gives up.
-func (r *Rig) want(ctx context.Context, q *request, rng *rand.Rand) {
-	c := r.classes[q.class]
-	r.books.offer(q)
-	due := q.at.Add(c.giveUp)
-	for try := range mostTries {
-		left := time.Until(due)
+// runRequest has one client try until it is served or gives up.
+func (f *fleet) runRequest(ctx context.Context, req *request, rng *rand.Rand) {
+	class := f.classes[req.class]
+	f.recorder.recordRequest(req)
+	deadline := req.at.Add(class.timeout)
+	for try := range maxAttempts {
+		left := time.Until(deadline)
 		if left < 50*time.Millisecond {
 			return
 		}
-		i := r.choose(q.zone, rng)
-		wait, again := r.try(q, i, left, try > 0)
-		if !again || time.Until(due) < wait {
+		i := f.chooseGateway(req.zone, rng)
+		wait, again := f.attempt(req, i, left, try > 0)
+		if !again || time.Until(deadline) < wait {
 			return
 		}
 		select {
@@ -245,28 +245,28 @@
 	}
 }
 
-// try asks one gateway. It answers whether the client comes again, and after how long.
-func (r *Rig) try(q *request, i int, left time.Duration, resent bool) (wait time.Duration, again bool) {
-	c, g := r.classes[q.class], r.gateways[i]
-	conn, fresh, err := r.front.take(i, g.front.Addr().String(), g.takesNew())
+// attempt asks one gateway. It answers whether the client comes again, and after how long.
+func (f *fleet) attempt(req *request, i int, left time.Duration, resent bool) (wait time.Duration, again bool) {
+	class, g := f.classes[req.class], f.gateways[i]
+	conn, fresh, err := f.clients.get(i, g.clientProxy.Addr().String(), g.acceptsNewConnections())
 	if err != nil { // nothing was sent
-		r.front.avoid(i)
-		r.books.count(func(s *Second) { s.Turned++ })
+		f.clients.avoid(i)
+		f.recorder.updateSecond(func(s *Second) { s.NoGateway++ })
 		return 10 * time.Millisecond, true
 	}
-	id := r.books.open(q, g, left)
-	text := fmt.Sprintf("/* kind=%s,req=%s,timeout=%d,ms=%d", c.name, id, left.Milliseconds(), max(1, q.work.Milliseconds()))
+	id := f.recorder.startAttempt(req, g, left)
+	text := fmt.Sprintf("/* kind=%s,req=%s,timeout=%d,ms=%d", class.name, id, left.Milliseconds(), max(1, req.work.Milliseconds()))
 	if resent {
 		text += ",resent=1"
 	}
-	if c.inTurn {
-		text += ",subject=" + q.key
+	if class.ordered {
+		text += ",subject=" + req.key
 	}
 	began := time.Now()
 	rows := 0
 	wrong := false
-	stop := r.maybeLeave(conn, g, id, left)
-	err = conn.Rows(text+" */ SELECT day FROM sales_1.orders", left+answerPad, func(row []byte) {
+	stop := f.maybeAbandon(conn, g, id, left)
+	err = conn.Rows(text+" */ SELECT day FROM sales_1.orders", left+responseGrace, func(row []byte) {
 		rows++
 		wrong = wrong || len(row) < 17 || string(row[1:17]) != id
 	})
@@ -275,42 +275,42 @@
 		conn.Close()
 		return 0, false
 	}
-	r.books.answered(id)
-	if late := took - left; late > sockSlack+r.pauses.since(began) && err == nil && !g.disturbedSince(began) {
-		r.books.late()
+	f.recorder.recordResponse(id)
+	if late := took - left; late > socketSlack+f.pauses.totalSince(began) && err == nil && !g.disturbedSince(began) {
+		f.recorder.recordLate()
 	}
-	var no *standin.Refusal
+	var refusal *standin.Refusal
 	switch {
 	case err == nil:
-		r.front.put(i, conn)
+		f.clients.put(i, conn)
 		if rows != 1 || wrong {
-			r.books.judge(WrongAnswer, "request %s of class %s got %d rows, or another's", id, c.name, rows)
+			f.recorder.addViolation(WrongResponse, "request %s of class %s got %d rows, or another's", id, class.name, rows)
 		}
-		r.books.served(q, time.Since(q.at))
+		f.recorder.recordServed(req, time.Since(req.at))
 		return 0, false
-	case errors.As(err, &no):
-		r.front.put(i, conn)
-		r.books.refused(q, no.Harmless(), resent)
-		if no.Harmless() {
-			return max(no.HoldOff, 20*time.Millisecond), true
+	case errors.As(err, &refusal):
+		f.clients.put(i, conn)
+		f.recorder.recordRejected(req, refusal.Harmless(), resent)
+		if refusal.Harmless() {
+			return max(refusal.HoldOff, 20*time.Millisecond), true
 		}
-		return 50 * time.Millisecond, !c.unsafe
+		return 50 * time.Millisecond, !class.nonIdempotent
 	}
 	conn.Close()
-	r.front.avoid(i)
-	r.judgeLost(&lostTry{id: id, class: c.name, gateway: g, began: began, took: took, left: left, fresh: fresh, err: err})
-	return 10 * time.Millisecond, !c.unsafe
+	f.clients.avoid(i)
+	f.checkLost(&lostAttempt{id: id, class: class.name, gateway: g, began: began, took: took, left: left, fresh: fresh, err: err})
+	return 10 * time.Millisecond, !class.nonIdempotent
 }
 
-// takesNew answers whether clients make new connections to the gateway: not for long once it was asked to end.
-func (g *gateway) takesNew() bool {
+// acceptsNewConnections answers whether clients make new connections to the gateway: not for long once it was asked to end.
+func (g *gateway) acceptsNewConnections() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.termAt.IsZero() || time.Since(g.termAt) < newStop
+	return g.termAt.IsZero() || time.Since(g.termAt) < newConnectionsAfterTerm
 }
 
-// lostTry is a request whose connection ended, or said nothing, before its answer.
-type lostTry struct {
+// lostAttempt is a request whose connection ended, or said nothing, before its answer.
+type lostAttempt struct {
 	id, class  string
 	gateway    *gateway
 	began      time.Time
@@ -320,40 +320,40 @@
 }
 
 const (
-	crossing    = 50 * time.Millisecond  // a request that crosses the close of a resting connection is sent again
-	newStop     = 400 * time.Millisecond // new connections come so long after SIGTERM, at most
-	killedClose = 500 * time.Millisecond // a client closes its connection so long after KILL QUERY
+	closeRace               = 50 * time.Millisecond  // a request that crosses the close of a resting connection is sent again
+	newConnectionsAfterTerm = 400 * time.Millisecond // new connections come so long after SIGTERM, at most
+	closeAfterKill          = 500 * time.Millisecond // a client closes its connection so long after KILL QUERY
 )
 
-// judgeLost judges a request without an answer: its gateway owes one unless it was killed, or kept from its clients.
-func (r *Rig) judgeLost(x *lostTry) {
-	g, end := x.gateway, x.began.Add(x.took)
-	silent := x.took >= x.left+answerPad
-	within := func(unix int64) bool { return unix > x.began.Add(-time.Second).UnixNano() && unix <= end.UnixNano() }
+// checkLost judges a request without an answer: its gateway owes one unless it was killed, or kept from its clients.
+func (f *fleet) checkLost(lost *lostAttempt) {
+	g, end := lost.gateway, lost.began.Add(lost.took)
+	timedOut := lost.took >= lost.left+responseGrace
+	within := func(unix int64) bool { return unix > lost.began.Add(-time.Second).UnixNano() && unix <= end.UnixNano() }
 	g.mu.Lock()
-	runs := g.run != nil
+	runs := g.current != nil
 	g.mu.Unlock()
-	ended := time.Unix(0, g.ended.Load())
+	ended := time.Unix(0, g.endedAt.Load())
 	switch {
-	case silent && r.pauses.since(x.began) > 0:
+	case timedOut && f.pauses.totalSince(lost.began) > 0:
 		return
-	case within(g.killed.Load()), g.disturbedSince(x.began.Add(-time.Second)):
+	case within(g.killedAt.Load()), g.disturbedSince(lost.began.Add(-time.Second)):
 		return
-	case !runs && x.began.After(ended.Add(-crossing-sockSlack)): // nobody was there any more
+	case !runs && lost.began.After(ended.Add(-closeRace-socketSlack)): // nobody was there any more
 		return
-	case !silent && !x.fresh && x.took < crossing+sockSlack: // it crossed the close of a resting connection
+	case !timedOut && !lost.fresh && lost.took < closeRace+socketSlack: // it crossed the close of a resting connection
 		return
-	case !silent && g.strain.Load() > x.began.UnixNano() && x.fresh && x.took < crossing:
+	case !timedOut && g.strainedUntil.Load() > lost.began.UnixNano() && lost.fresh && lost.took < closeRace:
 		return
 	}
-	r.books.judge(Lost, "%s of class %s at %s: %v after %v of %v", x.id, x.class, g.name, x.err, x.took.Round(time.Millisecond), x.left)
+	f.recorder.addViolation(LostRequest, "%s of class %s at %s: %v after %v of %v", lost.id, lost.class, g.name, lost.err, lost.took.Round(time.Millisecond), lost.left)
 }
 
-// maybeLeave has some clients leave before their answer: they close their connection, or kill the query and close behind
+// maybeAbandon has some clients leave before their answer: they close their connection, or kill the query and close behind
 // that. It returns a function that stops that, and answers whether the client has gone.
-func (r *Rig) maybeLeave(conn *standin.Client, g *gateway, id string, left time.Duration) (stop func() bool) {
-	rng := rand.New(rand.NewPCG(r.Seed, uint64(time.Now().UnixNano())))
-	if rng.Int64N(1000) >= r.leaving.Load() {
+func (f *fleet) maybeAbandon(conn *standin.Client, g *gateway, id string, left time.Duration) (stop func() bool) {
+	rng := rand.New(rand.NewPCG(f.Seed, uint64(time.Now().UnixNano())))
+	if rng.Int64N(1000) >= f.abandonPermille.Load() {
 		return func() bool { return false }
 	}
 	var mu sync.Mutex
@@ -367,17 +367,17 @@
 		}
 		gone = true
 		if !kill {
-			r.books.gone(id)
+			f.recorder.recordAbandoned(id)
 			conn.Close()
 			return
 		}
-		if k, err := standin.Connect(g.front.Addr().String(), netip.Addr{}, 300*time.Millisecond); err == nil {
+		if k, err := standin.Connect(g.clientProxy.Addr().String(), netip.Addr{}, 300*time.Millisecond); err == nil {
 			_, _ = k.Query(fmt.Sprintf("KILL QUERY %d", conn.Session), 300*time.Millisecond) // the session may have no query any more
-			r.books.gone(id)
+			f.recorder.recordAbandoned(id)
 			k.Close()
-			time.Sleep(killedClose)
+			time.Sleep(closeAfterKill)
 		} else {
-			r.books.gone(id)
+			f.recorder.recordAbandoned(id)
 		}
 		conn.Close()
 	})
--- a/internal/harness/names_test.go
+++ b/internal/harness/endpointlist_test.go
@@ -6,7 +6,7 @@
 
 // Drains are heard of whatever number the list has that tells them: numbers begin anew with each start of a gateway, and an
 // answer may bring a list from before that, under the number it had then.
-func TestDrainsAreHeardWhateverTheNumbers(t *testing.T) {
+func TestDrainsAreNotifiedWhateverTheSerials(t *testing.T) {
 	const fleet = `
 zone "hall-a" {
   gateways = 2
@@ -77,9 +77,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := play(t, fleet+faults)
-			if b.Attempts < 100 {
-				t.Errorf("%d attempts at engines: the test has lost its subject", b.Attempts)
+			report := playScript(t, fleet+faults)
+			if report.Attempts < 100 {
+				t.Errorf("%d attempts at engines: the test has lost its subject", report.Attempts)
 			}
 		})
 	}
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -13,28 +13,28 @@
 // engine is a stand-in with cores, queries in line for them, a cold start, and books of what it was sent.
 type engine struct {
 	party
-	rig   *Rig
-	index int
-	ways  []*faultproxy.TCP // from each gateway
-
-	mu      sync.Mutex
-	srv     *standin.Engine
-	id      string
-	started time.Time // zero: long ago
-	free    []time.Time
-	slow    float64
-	sent    []coldSend
-	fell    int
-	fellAt  time.Time
-	mode    string  // a trouble it has; empty: none
-	part    float64 // of the requests that feel it
-	rng     *rand.Rand
+	fleet   *fleet
+	index   int
+	proxies []*faultproxy.TCP // from each gateway
+
+	mu           sync.Mutex
+	server       *standin.Engine
+	id           string
+	started      time.Time // zero: long ago
+	coreFreeAt   []time.Time
+	slowdown     float64
+	coldSends    []coldSend
+	overloads    int
+	overloadedAt time.Time
+	faultMode    string  // a trouble it has; empty: none
+	faultShare   float64 // of the requests that feel it
+	rng          *rand.Rand
 
 	listMu       sync.Mutex
 	draining     bool // as the list says
 	unlisted     bool
 	drainVersion uint32 // of the list that first said so
-	backVersion  uint32 // of the list that first tells of its latest start
+	startVersion uint32 // of the list that first tells of its latest start
 }
 
 type coldSend struct {
@@ -43,8 +43,8 @@
 	informed bool // its gateway knew of the start
 }
 
-// listing is how the engine stands in the list of a number, which may be the first that says so.
-func (e *engine) listing(version uint32) (draining, unlisted bool) {
+// listStatus is how the engine stands in the list of a number, which may be the first that says so.
+func (e *engine) listStatus(version uint32) (draining, unlisted bool) {
 	e.listMu.Lock()
 	defer e.listMu.Unlock()
 	switch {
@@ -56,41 +56,41 @@
 	return e.draining, e.unlisted
 }
 
-// toldDrain is when a gateway was told that the engine drains or is gone; zero: it was not, or the engine does not.
-func (e *engine) toldDrain(gateway int) time.Time {
+// drainNotifiedAt is when a gateway was told that the engine drains or is gone; zero: it was not, or the engine does not.
+func (e *engine) drainNotifiedAt(gateway int) time.Time {
 	e.listMu.Lock()
 	version := e.drainVersion
 	e.listMu.Unlock()
 	if version == 0 {
 		return time.Time{}
 	}
-	return e.rig.gateways[gateway].toldOf(version)
+	return e.fleet.gateways[gateway].notifiedAt(version)
 }
 
-// toldStart answers whether a gateway was told of the engine's latest start.
-func (e *engine) toldStart(gateway int) bool {
+// startNotified answers whether a gateway was told of the engine's latest start.
+func (e *engine) startNotified(gateway int) bool {
 	e.listMu.Lock()
-	version := e.backVersion
+	version := e.startVersion
 	e.listMu.Unlock()
-	return !e.rig.gateways[gateway].toldOf(version).IsZero()
+	return !e.fleet.gateways[gateway].notifiedAt(version).IsZero()
 }
 
-// begin starts the engine's process anew: it knows nothing of what came before.
-func (e *engine) begin(cold bool) error {
-	srv, err := standin.NewEngine("127.0.0.1:0", e.answer)
+// start starts the engine's process anew: it knows nothing of what came before.
+func (e *engine) start(cold bool) error {
+	srv, err := standin.NewEngine("127.0.0.1:0", e.respond)
 	if err != nil {
 		return err
 	}
-	e.rig.mu.Lock()
-	version := e.rig.version
-	e.rig.mu.Unlock()
+	e.fleet.mu.Lock()
+	version := e.fleet.listVersion
+	e.fleet.mu.Unlock()
 	e.listMu.Lock()
-	e.backVersion = version + 1
+	e.startVersion = version + 1
 	e.listMu.Unlock()
 	e.mu.Lock()
-	e.srv, e.slow, e.sent, e.mode = srv, 1, nil, ""
-	e.rng = rand.New(rand.NewPCG(e.rig.Seed, uint64(e.index)+1000))
-	e.free = make([]time.Time, e.rig.Cores)
+	e.server, e.slowdown, e.coldSends, e.faultMode = srv, 1, nil, ""
+	e.rng = rand.New(rand.NewPCG(e.fleet.Seed, uint64(e.index)+1000))
+	e.coreFreeAt = make([]time.Time, e.fleet.Cores)
 	e.started = time.Time{}
 	if cold {
 		e.started = time.Now()
@@ -99,10 +99,10 @@
 	return nil
 }
 
-func (e *engine) end() {
+func (e *engine) stop() {
 	e.mu.Lock()
-	srv := e.srv
-	e.srv = nil
+	srv := e.server
+	e.server = nil
 	e.mu.Unlock()
 	if srv != nil {
 		srv.Close()
@@ -112,112 +112,112 @@
 func (e *engine) addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.srv.Addr()
+	return e.server.Addr()
 }
 
 // warmth is the part of its speed that the engine has: it warms evenly.
 func (e *engine) warmth(now time.Time) float64 {
-	if e.started.IsZero() || e.rig.Cold <= 0 || now.Sub(e.started) >= e.rig.Cold {
+	if e.started.IsZero() || e.fleet.Cold <= 0 || now.Sub(e.started) >= e.fleet.Cold {
 		return 1
 	}
-	return e.rig.ColdFrom + (1-e.rig.ColdFrom)*float64(now.Sub(e.started))/float64(e.rig.Cold)
+	return e.fleet.ColdFrom + (1-e.fleet.ColdFrom)*float64(now.Sub(e.started))/float64(e.fleet.Cold)
 }
 
-// bear counts what comes to a cold engine against what it bears. It returns what is to be judged of it.
-func (e *engine) bear(now time.Time, work time.Duration, informed bool) (broken string) {
+// recordColdSend counts what comes to a cold engine against what it bears. It returns what is to be judged of it.
+func (e *engine) recordColdSend(now time.Time, work time.Duration, informed bool) (broken string) {
 	warm := e.warmth(now)
 	if warm >= 1 {
-		e.sent = nil
+		e.coldSends = nil
 		return ""
 	}
-	e.sent = append(e.sent, coldSend{now, work, informed})
+	e.coldSends = append(e.coldSends, coldSend{now, work, informed})
 	sum := time.Duration(0)
-	kept := e.sent[:0]
-	for _, s := range e.sent {
-		if now.Sub(s.at) <= tipAfter {
+	kept := e.coldSends[:0]
+	for _, s := range e.coldSends {
+		if now.Sub(s.at) <= overloadWindow {
 			kept = append(kept, s)
 			sum += s.work
 		}
 	}
-	e.sent = kept
-	broken = e.judgeCold(now)
-	if float64(sum) > e.rig.overload()*warm*float64(e.rig.Cores)*float64(tipAfter) && now.Sub(e.fellAt) > tipAfter {
-		e.fell++
-		e.fellAt = now
+	e.coldSends = kept
+	broken = e.checkSlowStart(now)
+	if float64(sum) > e.fleet.overloadFactor()*warm*float64(e.fleet.Cores)*float64(overloadWindow) && now.Sub(e.overloadedAt) > overloadWindow {
+		e.overloads++
+		e.overloadedAt = now
 	}
 	return broken
 }
 
-// answer has a query wait for a core, and run.
-func (e *engine) answer(a standin.Ask) standin.Reply {
+// respond has a query wait for a core, and run.
+func (e *engine) respond(ask standin.Ask) standin.Reply {
 	now := time.Now()
-	k := e.rig.books.asked(a, e, now)
-	informed := k.gateway != nil && e.toldStart(k.gateway.index)
-	reply, broken := e.run(a, k, now, informed)
+	attempt := e.fleet.recorder.recordEngineRequest(ask, e, now)
+	informed := attempt.gateway != nil && e.startNotified(attempt.gateway.index)
+	reply, broken := e.execute(ask, attempt, now, informed)
 	if reply.Word == "served" && !reply.Break {
-		e.rig.books.runs(k, now.Add(reply.After))
+		e.fleet.recorder.recordRun(attempt, now.Add(reply.After))
 	}
 	if broken != "" {
-		e.rig.books.judge(FailbackBroken, "%s", broken)
+		e.fleet.recorder.addViolation(SlowStartExceeded, "%s", broken)
 	}
 	return reply
 }
 
-// run has a query wait for a core, and run, or meet the engine's trouble.
-func (e *engine) run(a standin.Ask, k *try, now time.Time, informed bool) (reply standin.Reply, broken string) {
-	work := k.work
+// execute has a query wait for a core, and run, or meet the engine's trouble.
+func (e *engine) execute(ask standin.Ask, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
+	work := attempt.work
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.srv == nil {
+	if e.server == nil {
 		return standin.Reply{}, ""
 	}
-	broken = e.bear(now, work, informed)
-	if e.mode != "" && e.rng.Float64() < e.part {
-		return e.trouble(a, work), broken
+	broken = e.recordColdSend(now, work, informed)
+	if e.faultMode != "" && e.rng.Float64() < e.faultShare {
+		return e.faultResponse(ask, work), broken
 	}
 	first := 0
-	for i := range e.free {
-		if e.free[i].Before(e.free[first]) {
+	for i := range e.coreFreeAt {
+		if e.coreFreeAt[i].Before(e.coreFreeAt[first]) {
 			first = i
 		}
 	}
-	start := e.free[first]
+	start := e.coreFreeAt[first]
 	if start.Before(now) {
 		start = now
 	}
-	if start.Sub(now) > lineMost {
-		e.rig.books.turned(k)
+	if start.Sub(now) > maxQueueTime {
+		e.fleet.recorder.recordEngineRejection(attempt)
 		return standin.Reply{After: time.Millisecond, Word: "overload"}, broken
 	}
-	e.free[first] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slow))
-	id := a.ID
-	return standin.Reply{After: e.free[first].Sub(now), Work: work, Word: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", id)}}, broken
+	e.coreFreeAt[first] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slowdown))
+	id := ask.ID
+	return standin.Reply{After: e.coreFreeAt[first].Sub(now), Work: work, Word: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", id)}}, broken
 }
 
-// trouble is what becomes of a request that meets the engine's trouble.
-func (e *engine) trouble(a standin.Ask, work time.Duration) standin.Reply {
-	switch e.mode {
-	case modeErr:
+// faultResponse is what becomes of a request that meets the engine's trouble.
+func (e *engine) faultResponse(ask standin.Ask, work time.Duration) standin.Reply {
+	switch e.faultMode {
+	case modeError:
 		return standin.Reply{After: work / 4, Word: "crashed"}
-	case modeSpoil:
-		texts := []string{a.ID + " served total=1 600\r\n1\t2", a.ID + " served total=1 4\r\n1\t2\n\r\n", "\x00\xff served", a.ID + " rows index=3 0\r\n\r\n"}
+	case modeMalformed:
+		texts := []string{ask.ID + " served total=1 600\r\n1\t2", ask.ID + " served total=1 4\r\n1\t2\n\r\n", "\x00\xff served", ask.ID + " rows index=3 0\r\n\r\n"}
 		return standin.Reply{After: work, Raw: texts[e.rng.IntN(len(texts))]}
-	case modeBreak:
+	case modeReset:
 		return standin.Reply{After: work / 2, Break: true, Word: "served"}
 	}
 	return standin.Reply{After: time.Hour} // modeHang
 }
 
 const (
-	tipAfter = 2 * time.Second
-	lineMost = 2 * time.Second
+	overloadWindow = 2 * time.Second
+	maxQueueTime   = 2 * time.Second
 )
 
-// host is the engine as a gateway's list has it, at the relay for that gateway.
-func (e *engine) host(gateway int, draining bool) standin.Host {
+// listEntry is the engine as a gateway's list has it, at the relay for that gateway.
+func (e *engine) listEntry(gateway int, draining bool) standin.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := standin.Host{ID: e.id, Zone: e.zone, Kind: "std", Weight: 4, Draining: draining, Addr: e.ways[gateway].Addr()}
+	h := standin.Host{ID: e.id, Zone: e.zone, Kind: "std", Weight: 4, Draining: draining, Addr: e.proxies[gateway].Addr()}
 	if !e.started.IsZero() {
 		h.Started = e.started.UnixMilli()
 	}
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -9,62 +9,62 @@
 	"foxlane/internal/faultproxy"
 )
 
-// befall carries a fault out, and takes it back after its time.
-func (r *Rig) befall(ctx context.Context, f *Fault) error {
-	r.books.note(f)
-	r.put(f, true)
-	back, mine, err := r.trouble(ctx, f)
+// inject carries a fault out, and takes it back after its time.
+func (f *fleet) inject(ctx context.Context, fault *Fault) error {
+	f.recorder.recordFault(fault)
+	f.setActive(fault, true)
+	back, mine, err := f.injectProcessFault(ctx, fault)
 	if mine {
-		return r.takeBack(ctx, f, back, err)
+		return f.revertAfter(ctx, fault, back, err)
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "lose":
-		back, err = r.lose(ctx, f)
+		back, err = f.loseZone(ctx, fault)
 	case "freeze":
-		back = r.freeze(f)
+		back = f.freeze(fault)
 	case "kill":
-		r.each(f.Of, func(g *gateway) { _ = g.end(syscall.SIGKILL) })
-		back = func() error { return r.begin(f.Of) }
+		f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
+		back = func() error { return f.startGateways(fault.Target) }
 	case "restart":
-		r.each(f.Of, func(g *gateway) {
-			if e := g.end(syscall.SIGTERM); e != nil {
-				r.books.judge(Crashed, "%s ended with %v: %s", g.name, e, tail(g.log.String()))
+		f.eachGateway(fault.Target, func(g *gateway) {
+			if e := g.stop(syscall.SIGTERM); e != nil {
+				f.recorder.addViolation(Crashed, "%s ended with %v: %s", g.name, e, tail(g.log.String()))
 			}
 		})
-		back = func() error { return r.begin(f.Of) }
+		back = func() error { return f.startGateways(fault.Target) }
 	case "reset":
-		r.reset(f.Of)
+		f.resetConnections(fault.Target)
 	case "drain":
-		back, err = r.drain(f)
+		back, err = f.drainZone(fault)
 	case "slow":
-		r.slow(f.Of, f.Factor)
-		back = func() error { r.slow(f.Of, 1); return nil }
+		f.slowEngines(fault.Target, fault.Factor)
+		back = func() error { f.slowEngines(fault.Target, 1); return nil }
 	case "order":
-		r.each(f.Of, func(g *gateway) { r.order(g, f.Text) })
+		f.eachGateway(fault.Target, func(g *gateway) { f.setDirective(g, fault.Text) })
 	case "hush": // the operator's file switches the talk off
 		set := func(off bool) error {
-			r.hushed.Store(off)
-			return r.reread()
+			f.gossipOff.Store(off)
+			return f.reloadAll()
 		}
 		back, err = func() error { return set(false) }, set(true)
 	case "dark":
-		r.dark(func([]byte) []byte { return nil })
-		back = func() error { r.dark(nil); return nil }
+		f.mangleNames(func([]byte) []byte { return nil })
+		back = func() error { f.mangleNames(nil); return nil }
 	}
-	return r.takeBack(ctx, f, back, err)
+	return f.revertAfter(ctx, fault, back, err)
 }
 
-// takeBack waits for a fault's time and takes it back.
-func (r *Rig) takeBack(ctx context.Context, f *Fault, back func() error, err error) error {
+// revertAfter waits for a fault's time and takes it back.
+func (f *fleet) revertAfter(ctx context.Context, fault *Fault, back func() error, err error) error {
 	if err != nil {
 		return err
 	}
-	if f.For > 0 {
+	if fault.For > 0 {
 		select {
-		case <-time.After(f.For):
+		case <-time.After(fault.For):
 		case <-ctx.Done():
 		}
-		r.put(f, false)
+		f.setActive(fault, false)
 		if back != nil {
 			return back()
 		}
@@ -72,73 +72,73 @@
 	return nil
 }
 
-// put has a fault hold, or hold no more, and takes all ways anew.
-func (r *Rig) put(f *Fault, on bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	kept := r.faults[:0:0]
-	for _, o := range r.faults {
-		if o != f {
+// setActive has a fault hold, or hold no more, and takes all ways anew.
+func (f *fleet) setActive(fault *Fault, on bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	kept := f.activeFaults[:0:0]
+	for _, o := range f.activeFaults {
+		if o != fault {
 			kept = append(kept, o)
 		}
 	}
 	if on {
-		kept = append(kept, f)
+		kept = append(kept, fault)
 	}
-	r.faults = kept
-	for _, w := range r.ways {
-		w.Set(r.conditions(w))
+	f.activeFaults = kept
+	for _, link := range f.links {
+		link.SetConditions(f.conditions(link))
 	}
 }
 
 // conditions are what all faults that hold make of a way.
-func (r *Rig) conditions(w *way) (c faultproxy.Conditions) {
-	for _, f := range r.faults {
-		switch f.Kind {
+func (f *fleet) conditions(link *link) (c faultproxy.Conditions) {
+	for _, fault := range f.activeFaults {
+		switch fault.Kind {
 		case "lose": // its engines say nothing; its gateways are dead
-			c.Cut = c.Cut || w.from.kind == "engines" && w.from.is(f.Of) || w.to.kind == "engines" && w.to.is(f.Of)
+			c.Cut = c.Cut || link.from.kind == "engines" && link.from.matches(fault.Target) || link.to.kind == "engines" && link.to.matches(fault.Target)
 		case "silence":
-			c.Cut = c.Cut || w.from.is(f.Of) || w.to.is(f.Of)
+			c.Cut = c.Cut || link.from.matches(fault.Target) || link.to.matches(fault.Target)
 		case "cut", "link":
-			there := w.from.is(f.From) && w.to.is(f.To)
-			if f.Both {
-				there = there || w.from.is(f.To) && w.to.is(f.From)
+			there := link.from.matches(fault.From) && link.to.matches(fault.To)
+			if fault.Both {
+				there = there || link.from.matches(fault.To) && link.to.matches(fault.From)
 			}
-			if !there || w.from.zone == w.to.zone && w.from.zone != "" && !strings.Contains(f.From, "/") { // within a site all stays as it is
+			if !there || link.from.zone == link.to.zone && link.from.zone != "" && !strings.Contains(fault.From, "/") { // within a site all stays as it is
 				continue
 			}
-			if f.Kind == "cut" {
+			if fault.Kind == "cut" {
 				c.Cut = true
 				continue
 			}
-			c.Delay += f.By
-			c.Jitter += f.jitter
-			c.Loss = 1 - (1-c.Loss)*(1-f.Loss)
-			if f.Rate > 0 && (c.Rate == 0 || f.Rate < c.Rate) {
-				c.Rate = f.Rate
+			c.Delay += fault.Delay
+			c.Jitter += fault.jitter
+			c.Loss = 1 - (1-c.Loss)*(1-fault.Loss)
+			if fault.Rate > 0 && (c.Rate == 0 || fault.Rate < c.Rate) {
+				c.Rate = fault.Rate
 			}
 		case "late":
-			if w.from.kind == "names" {
-				c.Delay += f.By
+			if link.from.kind == "names" {
+				c.Delay += fault.Delay
 			}
 		}
 	}
 	return c
 }
 
-func (r *Rig) each(of string, do func(*gateway)) {
-	for _, g := range r.gateways {
-		if g.is(of) {
+func (f *fleet) eachGateway(of string, do func(*gateway)) {
+	for _, g := range f.gateways {
+		if g.matches(of) {
 			do(g)
 		}
 	}
 }
 
-// begin starts the gateways that a fault has ended.
-func (r *Rig) begin(of string) error {
-	for _, g := range r.gateways {
-		if g.is(of) {
-			if err := g.beginAgain(); err != nil {
+// startGateways starts the gateways that a fault has ended.
+func (f *fleet) startGateways(of string) error {
+	for _, g := range f.gateways {
+		if g.matches(of) {
+			if err := g.startIfStopped(); err != nil {
 				return err
 			}
 		}
@@ -146,91 +146,91 @@
 	return nil
 }
 
-// lose takes a zone away: gateways die, engines fall silent, and after a while the list says so. It comes back with new
+// loseZone takes a zone away: gateways die, engines fall silent, and after a while the list says so. It comes back with new
 // processes, cold.
-func (r *Rig) lose(ctx context.Context, f *Fault) (func() error, error) {
-	r.each(f.Of, func(g *gateway) { _ = g.end(syscall.SIGKILL) })
+func (f *fleet) loseZone(ctx context.Context, fault *Fault) (func() error, error) {
+	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
 	var lost []*engine
-	for _, e := range r.engines {
-		if e.is(f.Of) {
+	for _, e := range f.engines {
+		if e.matches(fault.Target) {
 			lost = append(lost, e)
 		}
 	}
 	list := func(gone bool) {
-		r.mu.Lock()
+		f.mu.Lock()
 		for _, e := range lost {
-			r.gone[e.index] = gone
+			f.unlisted[e.index] = gone
 		}
-		r.mu.Unlock()
-		r.news(newsWithin)
+		f.mu.Unlock()
+		f.publishList(publishDelay)
 	}
-	unlist := time.AfterFunc(f.unlist, func() { list(true) })
-	if f.For <= 0 {
+	unlist := time.AfterFunc(fault.unlistAfter, func() { list(true) })
+	if fault.For <= 0 {
 		return nil, nil
 	}
 	return func() error {
 		unlist.Stop()
 		for _, e := range lost {
-			e.end() // what ran there is gone
-			if err := e.begin(true); err != nil {
+			e.stop() // what ran there is gone
+			if err := e.start(true); err != nil {
 				return err
 			}
-			for _, t := range e.ways {
+			for _, t := range e.proxies {
 				t.Reset()
-				t.Turn(e.addr())
+				t.SetTarget(e.addr())
 			}
 		}
 		list(false)
-		return r.begin(f.Of)
+		return f.startGateways(fault.Target)
 	}, nil
 }
 
-func (r *Rig) freeze(f *Fault) func() error {
-	r.each(f.Of, func(g *gateway) {
+func (f *fleet) freeze(fault *Fault) func() error {
+	f.eachGateway(fault.Target, func(g *gateway) {
 		g.frozen.Store(true)
 		g.signal(syscall.SIGSTOP)
 	})
 	return func() error {
-		r.each(f.Of, func(g *gateway) {
+		f.eachGateway(fault.Target, func(g *gateway) {
 			g.signal(syscall.SIGCONT)
-			g.thawed.Store(time.Now().UnixNano())
+			g.resumedAt.Store(time.Now().UnixNano())
 			time.AfterFunc(time.Second, func() { g.frozen.Store(false) })
 		})
 		return nil
 	}
 }
 
-func (r *Rig) reset(of string) {
-	for _, e := range r.engines {
-		for i, t := range e.ways {
-			if e.is(of) || r.gateways[i].is(of) {
+func (f *fleet) resetConnections(of string) {
+	for _, e := range f.engines {
+		for i, t := range e.proxies {
+			if e.matches(of) || f.gateways[i].matches(of) {
 				t.Reset()
 			}
 		}
 	}
-	r.each(of, func(g *gateway) {
-		g.resets.Store(time.Now().UnixNano())
-		g.front.Reset()
+	f.eachGateway(of, func(g *gateway) {
+		g.resetAt.Store(time.Now().UnixNano())
+		g.clientProxy.Reset()
 	})
 }
 
-// drain has the operator's file drain a zone, and all gateways read it again.
-func (r *Rig) drain(f *Fault) (func() error, error) {
+// drainZone has the operator's file drain a zone, and all gateways read it again.
+func (f *fleet) drainZone(fault *Fault) (func() error, error) {
 	set := func(on bool) error {
-		r.mu.Lock()
-		if r.drains[f.Of] = on; !on {
-			delete(r.drains, f.Of)
+		f.mu.Lock()
+		if f.drainedZones[fault.Target] = on; !on {
+			delete(f.drainedZones, fault.Target)
 		}
-		r.mu.Unlock()
-		return r.reread()
+		f.mu.Unlock()
+		return f.reloadAll()
 	}
 	return func() error { return set(false) }, set(true)
 }
 
-// reread has all gateways read their files again.
-func (r *Rig) reread() error {
-	for _, g := range r.gateways {
-		if err := g.write(); err != nil {
+// reloadAll has all gateways read their files again.
+func (f *fleet) reloadAll() error {
+	for _, g := range f.gateways {
+		if err := g.writeFiles(); err != nil {
 			return err
 		}
 		g.signal(syscall.SIGHUP)
@@ -238,18 +238,18 @@
 	return nil
 }
 
-func (r *Rig) slow(of string, factor float64) {
-	for _, e := range r.engines {
-		if e.is(of) {
+func (f *fleet) slowEngines(of string, factor float64) {
+	for _, e := range f.engines {
+		if e.matches(of) {
 			e.mu.Lock()
-			e.slow = factor
+			e.slowdown = factor
 			e.mu.Unlock()
 		}
 	}
 }
 
-func (r *Rig) dark(mangle func([]byte) []byte) {
-	for _, g := range r.gateways {
-		g.names.Mangle(mangle)
+func (f *fleet) mangleNames(mangle func([]byte) []byte) {
+	for _, g := range f.gateways {
+		g.nameServer.Mangle(mangle)
 	}
 }
--- a/internal/harness/rig_test.go
+++ b/internal/harness/fleet_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-var program string
+var gatewayProgram string
 
 // TestMain builds the gateway once.
 func TestMain(m *testing.M) {
@@ -19,8 +19,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "foxlane")
-	if out, err := exec.Command("go", "build", "-o", program, "foxlane/cmd/foxlane").CombinedOutput(); err != nil {
+	gatewayProgram = filepath.Join(dir, "foxlane")
+	if out, err := exec.Command("go", "build", "-o", gatewayProgram, "foxlane/cmd/foxlane").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -28,7 +28,7 @@
 	os.Exit(code)
 }
 
-const halls = `
+const threeZones = `
 zone "hall-a" {
   gateways = 2
   engines  = 2
@@ -45,7 +45,7 @@
 cold   = "6s"
 `
 
-const plan = `
+const siteSettings = `
 operator = <<E
 sites {
   settle = "300ms"
@@ -54,28 +54,28 @@
 E
 `
 
-func play(t *testing.T, text string) *Books {
+func playScript(t *testing.T, text string) *Report {
 	t.Helper()
-	s, err := ParseScript([]byte(text), t.Name()+".hcl")
+	script, err := ParseScript([]byte(text), t.Name()+".hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Run(context.Background(), program, *s, "")
+	report, err := Run(context.Background(), gatewayProgram, *script, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("\n%v", b)
-	for _, x := range b.Breaches {
+	t.Logf("\n%v", report)
+	for _, x := range report.Violations {
 		t.Error(x)
 	}
-	return b
+	return report
 }
 
 // A zone is lost, engines and gateways, and comes back cold: the others take over, nothing goes there meanwhile, and it gets its
 // part again without being pushed over.
 func TestZoneIsLostAndReturns(t *testing.T) {
 	t.Parallel()
-	b := play(t, halls+plan+`
+	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "16s"
 fault "lose" {
@@ -85,20 +85,20 @@
   unlisted = "2s"
 }
 `)
-	if got := b.Share(5, 7); got < 0.9 {
+	if got := report.ServedShare(5, 7); got < 0.9 {
 		t.Errorf("%.3f of the worth served while the zone was away", got)
 	}
-	if got := b.Share(12, 16); got < 0.95 {
+	if got := report.ServedShare(12, 16); got < 0.95 {
 		t.Errorf("%.3f of the worth served after the return", got)
 	}
-	if p := b.Parts(13, 16); p[0] < 0.2 {
+	if p := report.WorkByZone(13, 16); p[0] < 0.2 {
 		t.Errorf("6 s after its return the zone gets %.2f of the work", p[0])
 	}
-	if p := b.Parts(5, 7); p[0] > 0.05 {
+	if p := report.WorkByZone(5, 7); p[0] > 0.05 {
 		t.Errorf("the lost zone gets %.2f of the work", p[0])
 	}
-	if b.Entered("hall-a", "lost") < 4 || b.Fallen > 0 {
-		t.Errorf("%d gateways saw the loss; cold engines fell %d times", b.Entered("hall-a", "lost"), b.Fallen)
+	if report.GatewaysEntered("hall-a", "lost") < 4 || report.ColdOverloads > 0 {
+		t.Errorf("%d gateways saw the loss; cold engines fell %d times", report.GatewaysEntered("hall-a", "lost"), report.ColdOverloads)
 	}
 }
 
@@ -106,25 +106,25 @@
 func TestZoneFlaps(t *testing.T) {
 	t.Parallel()
 	const flaps, every, silent = 6, 2200 * time.Millisecond, 1400 * time.Millisecond
-	text := halls + plan + "load = 0.45\nlength = \"17s\"\n"
+	text := threeZones + siteSettings + "load = 0.45\nlength = \"17s\"\n"
 	for i := range time.Duration(flaps) {
 		for e := range 2 {
 			text += fmt.Sprintf("fault \"silence\" {\n  of = \"hall-a/e%d\"\n  at = \"%v\"\n  for = \"%v\"\n}\n", e, 2*time.Second+i*every, silent)
 		}
 	}
-	b := play(t, text)
-	if got := b.Share(9, 15); got < 0.9 {
+	report := playScript(t, text)
+	if got := report.ServedShare(9, 15); got < 0.9 {
 		t.Errorf("%.3f of the worth served after the third flap", got)
 	}
 	losses, returns := 0, map[string]int{}
-	for _, e := range b.Events {
+	for _, e := range report.Events {
 		switch {
 		case e.Zone != "hall-a" || e.At > 2*time.Second+flaps*every:
 		case strings.HasSuffix(e.Text, "> lost"):
 			losses++
 		case strings.HasSuffix(e.Text, "> returning"):
-			if returns[e.Who]++; returns[e.Who] > 2 {
-				t.Errorf("%s takes the zone back at %v, for the %d. time in %d flaps", e.Who, e.At, returns[e.Who], flaps)
+			if returns[e.Source]++; returns[e.Source] > 2 {
+				t.Errorf("%s takes the zone back at %v, for the %d. time in %d flaps", e.Source, e.At, returns[e.Source], flaps)
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 // answer is given in time, and the zone's own gateways serve on.
 func TestAnswersAreCutOff(t *testing.T) {
 	t.Parallel()
-	b := play(t, halls+plan+`
+	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "12s"
 fault "burst" {
@@ -153,10 +153,10 @@
   for  = "4s"
 }
 `)
-	if got := b.Share(4, 7); got < 0.85 {
+	if got := report.ServedShare(4, 7); got < 0.85 {
 		t.Errorf("%.3f of the worth served while answers were cut off", got)
 	}
-	if got := b.Share(9, 12); got < 0.95 {
+	if got := report.ServedShare(9, 12); got < 0.95 {
 		t.Errorf("%.3f served after it", got)
 	}
 }
@@ -164,7 +164,7 @@
 // A site is cut off from the others, both ways, but not from its clients: all sites serve on alone.
 func TestSiteServesOnAlone(t *testing.T) {
 	t.Parallel()
-	b := play(t, halls+plan+`
+	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "11s"
 fault "cut" {
@@ -182,10 +182,10 @@
   for  = "5s"
 }
 `)
-	if got := b.Share(4, 8); got < 0.95 {
+	if got := report.ServedShare(4, 8); got < 0.95 {
 		t.Errorf("%.3f of the worth served while a site was cut off", got)
 	}
-	if p := b.Parts(4, 8); p[0] < 0.25 {
+	if p := report.WorkByZone(4, 8); p[0] < 0.25 {
 		t.Errorf("the site that is cut off serves %.2f of the work", p[0])
 	}
 }
@@ -194,7 +194,7 @@
 // the middle of it, another is frozen and thawed.
 func TestLostWhileAnotherDrainsInTheDark(t *testing.T) {
 	t.Parallel()
-	b := play(t, halls+strings.Replace(plan, "ramp", "drain_over = \"2s\"\n  ramp", 1)+`
+	report := playScript(t, threeZones+strings.Replace(siteSettings, "ramp", "drain_over = \"2s\"\n  ramp", 1)+`
 load   = 0.25
 length = "17s"
 fault "dark" {
@@ -223,16 +223,16 @@
   for = "1s"
 }
 `)
-	if got := b.Share(6, 8); got < 0.8 {
+	if got := report.ServedShare(6, 8); got < 0.8 {
 		t.Errorf("%.3f of the worth served with one zone of three", got)
 	}
-	if p := b.Parts(6, 8); p[1] > 0.1 || p[0] > 0.05 {
+	if p := report.WorkByZone(6, 8); p[1] > 0.1 || p[0] > 0.05 {
 		t.Errorf("parts %.2f with the first zone lost and the second drained", p)
 	}
-	if got := b.Share(14, 17); got < 0.95 {
+	if got := report.ServedShare(14, 17); got < 0.95 {
 		t.Errorf("%.3f served in the end", got)
 	}
-	if p := b.Parts(14, 17); p[1] < 0.15 {
+	if p := report.WorkByZone(14, 17); p[1] < 0.15 {
 		t.Errorf("parts %.2f in the end: the drained zone does not come back", p)
 	}
 }
@@ -241,7 +241,7 @@
 // not.
 func TestSmallSiteTakesOver(t *testing.T) {
 	t.Parallel()
-	b := play(t, `
+	report := playScript(t, `
 zone "big" {
   gateways = 3
   engines  = 3
@@ -272,24 +272,24 @@
 `)
 	var part [3]float64
 	for c := range part {
-		for _, s := range b.Seconds[5:9] {
-			part[c] += float64(s.Refused[c]) / float64(b.Classes[c].Asked) * float64(len(b.Seconds)) / 4
+		for _, s := range report.Seconds[5:9] {
+			part[c] += float64(s.Rejected[c]) / float64(report.Classes[c].Requests) * float64(len(report.Seconds)) / 4
 		}
 	}
 	if part[1] < 0.2 || part[0] > part[1]/2 {
 		t.Errorf("with a quarter of the engines %.2f of the first tries are refused, by class; the first earns most for its work, the second least", part)
 	}
-	if got := b.Share(15, 18); got < 0.93 {
+	if got := report.ServedShare(15, 18); got < 0.93 {
 		t.Errorf("%.3f served after the return", got)
 	}
 }
 
-func TestScriptsThatAreNone(t *testing.T) {
-	base := halls + "load = 0.5\nlength = \"5s\"\n"
+func TestInvalidScripts(t *testing.T) {
+	base := threeZones + "load = 0.5\nlength = \"5s\"\n"
 	for text, want := range map[string]string{
 		"load = 0.5\nlength = \"5s\"\ncores = 4\n":                        "0 gateways and 0 engines",
-		halls + "load = 0.5\nlength = \"5m\"\n":                           "at most 3m0s",
-		halls + "load = 0.5\nlength = \"soon\"\n":                         "\"soon\" is no span of time",
+		threeZones + "load = 0.5\nlength = \"5m\"\n":                      "at most 3m0s",
+		threeZones + "load = 0.5\nlength = \"soon\"\n":                    "\"soon\" is no span of time",
 		base + "fault \"flood\" {\n  at = \"1s\"\n}\n":                    "unknown fault \"flood\"",
 		base + "fault \"kill\" {\n  at = \"1s\"\n}\n":                     "kill needs `of`",
 		base + "fault \"cut\" {\n  at = \"1s\"\n  from = \"hall-a\"\n}\n": "cut needs `from` and `to`",
--- a/internal/harness/talk_test.go
+++ b/internal/harness/gossip_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-const talking = "talk = true\n" + halls
+const gossipZones = "talk = true\n" + threeZones
 
 // A fifth of the engines fall silent and others learn of it from one another, through relays that lose a third of all datagrams and
 // delay the rest; a member is killed and comes back, one is frozen, one is cut off one way, and talk is switched off in the end: clients
 // notice nothing of any of it.
-func TestTalkThroughFaults(t *testing.T) {
+func TestGossipThroughFaults(t *testing.T) {
 	t.Parallel()
-	b := play(t, talking+plan+`
+	report := playScript(t, gossipZones+siteSettings+`
 load   = 0.4
 length = "18s"
 fault "link" {
@@ -50,26 +50,26 @@
   at = "15s"
 }
 `)
-	if got := b.Share(11, 17); got < 0.95 {
+	if got := report.ServedShare(11, 17); got < 0.95 {
 		t.Errorf("%.3f of the worth served at the end", got)
 	}
 	joined, ended := map[string]bool{}, map[string]bool{}
-	for _, e := range b.Events {
+	for _, e := range report.Events {
 		switch {
 		case strings.HasPrefix(e.Text, "members: joined"):
-			joined[e.Who] = true
+			joined[e.Source] = true
 		case strings.HasPrefix(e.Text, "members: talk ends"):
-			ended[e.Who] = true
+			ended[e.Source] = true
 			if e.At < 15*time.Second {
-				t.Errorf("%s ends its talk at %v", e.Who, e.At)
+				t.Errorf("%s ends its talk at %v", e.Source, e.At)
 			}
 		}
 	}
 	if len(joined) != 6 || len(ended) != 6 {
 		t.Errorf("%d of 6 gateways have met others, %d have ended their talk when told", len(joined), len(ended))
 	}
-	if b.Copies < 10 {
-		t.Errorf("%d entries of others at the most: nothing was shared", b.Copies)
+	if report.MaxReplicaEntries < 10 {
+		t.Errorf("%d entries of others at the most: nothing was shared", report.MaxReplicaEntries)
 	}
 }
 
@@ -77,7 +77,7 @@
 // orders; what was said to hold holds everywhere in the end, and an engine that is drained gets nothing.
 func TestDirectivesThroughFaults(t *testing.T) {
 	t.Parallel()
-	b := play(t, talking+plan+`
+	report := playScript(t, gossipZones+siteSettings+`
 voters = 3
 load   = 0.25
 length = "17s"
@@ -114,13 +114,13 @@
   text = "drain-engine s-00000001"
 }
 `)
-	if n := len(b.Ordered); n < 3 {
-		t.Errorf("%d of 4 orders were said to hold: %v", n, b.Ordered)
+	if n := len(report.AcceptedDirectives); n < 3 {
+		t.Errorf("%d of 4 orders were said to hold: %v", n, report.AcceptedDirectives)
 	}
-	if refused := b.Classes[2].Refused; refused < 10 {
+	if refused := report.Classes[2].Rejected; refused < 10 {
 		t.Errorf("%d requests of the class that is refused were", refused)
 	}
-	if got := b.Share(1, 6); got < 0.95 {
+	if got := report.ServedShare(1, 6); got < 0.95 {
 		t.Errorf("%.3f of the worth served with one engine drained", got)
 	}
 }
--- a/internal/harness/pauses.go
+++ b/internal/harness/pauses.go
@@ -10,8 +10,8 @@
 // a gateway. Each such pause is counted and told.
 
 const (
-	pauseTick = 10 * time.Millisecond
-	pauseFrom = 100 * time.Millisecond // a tick that is so late is a pause
+	pausePollInterval = 10 * time.Millisecond
+	minPause          = 100 * time.Millisecond // a tick that is so late is a pause
 )
 
 // pauses are those of the rig's process.
@@ -29,9 +29,9 @@
 func (p *pauses) watch(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		time.Sleep(pauseTick)
+		time.Sleep(pausePollInterval)
 		now := time.Now()
-		if gap := now.Sub(last) - pauseTick; gap >= pauseFrom {
+		if gap := now.Sub(last) - pausePollInterval; gap >= minPause {
 			p.mu.Lock()
 			p.list = append(p.list, pause{now, gap})
 			p.mu.Unlock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// since is for how long the rig has not run, in all, since a time.
-func (p *pauses) since(t time.Time) (sum time.Duration) {
+// totalSince is for how long the rig has not run, in all, since a time.
+func (p *pauses) totalSince(t time.Time) (sum time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.list {
@@ -52,8 +52,8 @@
 	return sum
 }
 
-// worst is how many there were, and how long the longest one was.
-func (p *pauses) worst() (n int, longest time.Duration) {
+// summary is how many there were, and how long the longest one was.
+func (p *pauses) summary() (n int, longest time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.list {
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -25,50 +25,50 @@
 
 // Process is the program that gateways run.
 type Process struct {
-	Program string
-	Args    []string // ahead of `serve`
-	Env     []string // beside the rig's own
-	Orders  bool     // it takes orders on standard input
+	Program         string
+	Args            []string // ahead of `serve`
+	Env             []string // beside the rig's own
+	AcceptsCommands bool     // it takes orders on standard input
 }
 
-// stackWait is how long a process that hangs has to say where.
-const stackWait = 2 * time.Second
+// stackDumpTimeout is how long a process that hangs has to say where.
+const stackDumpTimeout = 2 * time.Second
 
-const readyMost = 10 * time.Second // from a start until a gateway greets its clients
+const maxReadyTime = 10 * time.Second // from a start until a gateway greets its clients
 
-// running is one life of a process.
-type running struct {
-	cmd    *exec.Cmd
-	orders io.WriteCloser // nil: it takes none
-	ended  chan struct{}
-	err    error // once ended
-	reader *logReader
+// process is one life of a process.
+type process struct {
+	cmd       *exec.Cmd
+	commands  io.WriteCloser // nil: it takes none
+	ended     chan struct{}
+	err       error // once ended
+	logReader *logReader
 }
 
-// start starts the process; it ends by itself, or by end.
-func (g *gateway) start() (*running, error) {
-	p := g.rig.process
+// spawn starts the process; it ends by itself, or by end.
+func (g *gateway) spawn() (*process, error) {
+	p := g.fleet.process
 	args := append(append([]string{}, p.Args...), "serve")
-	if g.rig.Operator != "" || g.rig.Talk {
+	if g.fleet.OperatorFile != "" || g.fleet.Gossip {
 		args = append(args, "--site", g.path("site.hcl"))
 	}
 	cmd := exec.Command(p.Program, args...)
 	cmd.Env = append(append(os.Environ(), p.Env...), "LB_CONFIG="+g.path("config.json"), "LB_NAME=", "LB_LISTEN=")
-	x := &running{cmd: cmd, ended: make(chan struct{})}
-	if p.Orders {
+	proc := &process{cmd: cmd, ended: make(chan struct{})}
+	if p.AcceptsCommands {
 		in, err := cmd.StdinPipe()
 		if err != nil {
 			return nil, err
 		}
-		x.orders = in
+		proc.commands = in
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
 	cmd.Stderr = w
-	if g.rig.OneCore {
-		err = startOnCore(cmd, int(g.rig.Seed))
+	if g.fleet.OneCore {
+		err = startOnCore(cmd, int(g.fleet.Seed))
 	} else {
 		err = cmd.Start()
 	}
@@ -77,14 +77,14 @@
 		r.Close()
 		return nil, err
 	}
-	x.reader = readLog(r, &g.log)
+	proc.logReader = startLogReader(r, &g.log)
 	go func() {
-		x.err = cmd.Wait()
-		g.ended.Store(time.Now().UnixNano())
-		x.reader.done.Wait()
-		close(x.ended)
+		proc.err = cmd.Wait()
+		g.endedAt.Store(time.Now().UnixNano())
+		proc.logReader.done.Wait()
+		close(proc.ended)
 	}()
-	return x, nil
+	return proc, nil
 }
 
 // startOnCore starts a process that may run on one core only, the n-th of those that this one may use, in turn.
@@ -116,10 +116,10 @@
 // maxCores is how many cores are looked at.
 const maxCores = 1024
 
-// over answers whether the process has ended.
-func (x *running) over() bool {
+// hasEnded answers whether the process has ended.
+func (p *process) hasEnded() bool {
 	select {
-	case <-x.ended:
+	case <-p.ended:
 		return true
 	default:
 		return false
@@ -128,21 +128,21 @@
 
 // logReader reads a process's log, and stops reading for a while or for good when it is told to.
 type logReader struct {
-	pipe  *os.File
-	until atomic.Int64 // Unix nanoseconds: it does not read before
-	done  sync.WaitGroup
+	pipe        *os.File
+	pausedUntil atomic.Int64 // Unix nanoseconds: it does not read before
+	done        sync.WaitGroup
 }
 
-const logPoll = 5 * time.Millisecond
+const logPollInterval = 5 * time.Millisecond
 
-func readLog(pipe *os.File, to io.Writer) *logReader {
-	r := &logReader{pipe: pipe}
-	r.done.Go(func() {
+func startLogReader(pipe *os.File, to io.Writer) *logReader {
+	reader := &logReader{pipe: pipe}
+	reader.done.Go(func() {
 		defer pipe.Close()
 		buf := make([]byte, 32<<10)
 		for {
-			for time.Now().UnixNano() < r.until.Load() {
-				time.Sleep(logPoll)
+			for time.Now().UnixNano() < reader.pausedUntil.Load() {
+				time.Sleep(logPollInterval)
 			}
 			n, err := pipe.Read(buf)
 			_, _ = to.Write(buf[:n])
@@ -151,70 +151,70 @@
 			}
 		}
 	})
-	return r
+	return reader
 }
 
-func (r *logReader) stall(d time.Duration) { r.until.Store(time.Now().Add(d).UnixNano()) }
+func (r *logReader) stall(d time.Duration) { r.pausedUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// beginAgain starts the process, unless it runs.
-func (g *gateway) beginAgain() error {
-	g.begins.Lock()
-	defer g.begins.Unlock()
+// startIfStopped starts the process, unless it runs.
+func (g *gateway) startIfStopped() error {
+	g.startMu.Lock()
+	defer g.startMu.Unlock()
 	g.mu.Lock()
-	runs := g.run != nil
+	runs := g.current != nil
 	g.mu.Unlock()
 	if runs {
 		return nil
 	}
-	return g.begin()
+	return g.start()
 }
 
-// begin starts the process and waits until it greets clients.
-func (g *gateway) begin() error {
+// start starts the process and waits until it greets clients.
+func (g *gateway) start() error {
 	g.mu.Lock()
 	former := g.latest
 	g.mu.Unlock()
 	if former != nil { // no two processes have one address
 		<-former.ended
 	}
-	g.beginLists()
-	if err := g.write(); err != nil {
+	g.startList()
+	if err := g.writeFiles(); err != nil {
 		return err
 	}
-	x, err := g.start()
+	proc, err := g.spawn()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
 	g.mu.Lock()
-	g.run, g.latest, g.termAt = x, x, time.Time{}
+	g.current, g.latest, g.termAt = proc, proc, time.Time{}
 	g.mu.Unlock()
-	for time.Since(began) < startWait {
-		if x.over() {
-			return fmt.Errorf("rig: %s ended at once: %v: %s", g.name, x.err, tail(g.log.String()))
+	for time.Since(began) < startTimeout {
+		if proc.hasEnded() {
+			return fmt.Errorf("rig: %s ended at once: %v: %s", g.name, proc.err, tail(g.log.String()))
 		}
-		if c, err := standin.Connect(g.listen, netip.Addr{}, time.Second); err == nil {
+		if c, err := standin.Connect(g.listenAddr, netip.Addr{}, time.Second); err == nil {
 			c.Close()
-			g.life.Add(1)
-			if took := time.Since(began); took > readyMost {
-				g.rig.books.judge(NotReady, "%s was ready after %v", g.name, took.Round(time.Millisecond))
+			g.incarnation.Add(1)
+			if took := time.Since(began); took > maxReadyTime {
+				g.fleet.recorder.addViolation(NotReady, "%s was ready after %v", g.name, took.Round(time.Millisecond))
 			}
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.rig.books.judge(NotReady, "%s was not ready after %v", g.name, startWait)
+	g.fleet.recorder.addViolation(NotReady, "%s was not ready after %v", g.name, startTimeout)
 	g.signal(syscall.SIGQUIT) // it says where it stands
 	select {
-	case <-x.ended:
-	case <-time.After(stackWait):
+	case <-proc.ended:
+	case <-time.After(stackDumpTimeout):
 	}
 	return fmt.Errorf("rig: %s does not serve: %s", g.name, g.log.String())
 }
 
 // stoppedSince answers whether the process was stopped at any time since some time.
 func (g *gateway) stoppedSince(t time.Time) bool {
-	return g.frozen.Load() || g.thawed.Load() > t.UnixNano()
+	return g.frozen.Load() || g.resumedAt.Load() > t.UnixNano()
 }
 
 var errNotEnded = errors.New("rig: a process did not end")
@@ -223,47 +223,47 @@
 func (g *gateway) signal(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.latest != nil && !g.latest.over() { // also one that is being ended: it may have been stopped, and must go on
+	if g.latest != nil && !g.latest.hasEnded() { // also one that is being ended: it may have been stopped, and must go on
 		_ = g.latest.cmd.Process.Signal(s)
 	}
 }
 
-// end ends the process by a signal, and returns how it ended. One that had ended by itself has crashed.
-func (g *gateway) end(s syscall.Signal) error { return g.endBy(s, endWait) }
+// stop ends the process by a signal, and returns how it ended. One that had ended by itself has crashed.
+func (g *gateway) stop(s syscall.Signal) error { return g.stopWithin(s, stopTimeout) }
 
-// endBy ends the process by a signal, and by SIGKILL where it has not ended within that.
-func (g *gateway) endBy(s syscall.Signal, within time.Duration) error {
+// stopWithin ends the process by a signal, and by SIGKILL where it has not ended within that.
+func (g *gateway) stopWithin(s syscall.Signal, within time.Duration) error {
 	began := time.Now()
 	g.mu.Lock()
-	x, ending := g.run, g.latest
-	g.run, g.termAt = nil, began
+	x, ending := g.current, g.latest
+	g.current, g.termAt = nil, began
 	g.mu.Unlock()
-	if x == nil && s == syscall.SIGKILL && ending != nil && !ending.over() { // it is being ended, and is killed over that
-		g.killed.Store(began.UnixNano())
+	if x == nil && s == syscall.SIGKILL && ending != nil && !ending.hasEnded() { // it is being ended, and is killed over that
+		g.killedAt.Store(began.UnixNano())
 		_ = ending.cmd.Process.Kill()
 		<-ending.ended
 	}
 	if x == nil {
 		return nil
 	}
-	g.life.Add(1)
-	if x.over() {
-		g.rig.books.judge(Crashed, "%s had ended by itself with %v: %s", g.name, x.err, tail(g.log.String()))
+	g.incarnation.Add(1)
+	if x.hasEnded() {
+		g.fleet.recorder.addViolation(Crashed, "%s had ended by itself with %v: %s", g.name, x.err, tail(g.log.String()))
 		return nil
 	}
 	if s == syscall.SIGKILL {
-		g.killed.Store(time.Now().UnixNano())
+		g.killedAt.Store(time.Now().UnixNano())
 	}
 	_ = x.cmd.Process.Signal(s)
 	select {
 	case <-x.ended:
-		if s == syscall.SIGKILL || g.killed.Load() > began.UnixNano() {
+		if s == syscall.SIGKILL || g.killedAt.Load() > began.UnixNano() {
 			return nil
 		}
 		return x.err
 	case <-time.After(within):
 		if g.stoppedSince(began) { // it can't know when it was asked
-			g.killed.Store(time.Now().UnixNano())
+			g.killedAt.Store(time.Now().UnixNano())
 		}
 		_ = x.cmd.Process.Kill()
 		<-x.ended
@@ -275,19 +275,19 @@
 func (g *gateway) pid() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.run == nil || g.run.over() {
+	if g.current == nil || g.current.hasEnded() {
 		return 0
 	}
-	return g.run.cmd.Process.Pid
+	return g.current.cmd.Process.Pid
 }
 
-// tellDouble gives the process an order, if it takes any and runs.
-func (g *gateway) tellDouble(order any) {
+// sendCommand gives the process an order, if it takes any and runs.
+func (g *gateway) sendCommand(order any) {
 	raw, err := json.Marshal(order)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err == nil && g.run != nil && g.run.orders != nil {
-		_, _ = g.run.orders.Write(append(raw, '\n')) // one that has ended takes none
+	if err == nil && g.current != nil && g.current.commands != nil {
+		_, _ = g.current.commands.Write(append(raw, '\n')) // one that has ended takes none
 	}
 }
 
@@ -295,8 +295,8 @@
 func (g *gateway) stallLog(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.run != nil {
-		g.run.reader.stall(d)
+	if g.current != nil {
+		g.current.logReader.stall(d)
 	}
 }
 
--- a/internal/harness/surroundings_test.go
+++ b/internal/harness/process_test.go
@@ -16,8 +16,8 @@
 	"foxlane/internal/standin"
 )
 
-// process is one gateway with what it shares with its surroundings in the test's hands.
-type process struct {
+// testProcess is one gateway with what it shares with its surroundings in the test's hands.
+type testProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
 	listen string
@@ -26,7 +26,7 @@
 }
 
 // startProcess starts a gateway with an engine that serves all, its standard error led to a file.
-func startProcess(t *testing.T, stderr *os.File) *process {
+func startProcess(t *testing.T, stderr *os.File) *testProcess {
 	t.Helper()
 	e, err := standin.NewEngine("127.0.0.1:0", func(a standin.Ask) standin.Reply {
 		return standin.Reply{After: time.Millisecond, Word: "served", Pages: []string{a.ID + "\tb\tc\n"}}
@@ -35,21 +35,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	names, err := standin.NewNames("127.0.0.1:0", listName)
+	names, err := standin.NewNames("127.0.0.1:0", serviceName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(names.Close)
 	names.Set(1, []standin.Host{{ID: "s-1", Zone: "a", Kind: "std", Weight: 4, Addr: netip.MustParseAddrPort(e.Addr())}})
-	listen, err := unused(0)
+	listen, err := unusedAddr(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, listen: listen, config: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1)}
-	if err := os.WriteFile(p.config, []byte(darkConfig("n0", listen, names.Addr(), e.Addr())), 0o600); err != nil {
+	p := &testProcess{t: t, listen: listen, config: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1)}
+	if err := os.WriteFile(p.config, []byte(silentConfig("n0", listen, names.Addr(), e.Addr())), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd = exec.Command(program, "serve")
+	p.cmd = exec.Command(gatewayProgram, "serve")
 	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.config, "LB_NAME=", "LB_LISTEN=")
 	p.cmd.Stderr = stderr
 	if err := p.cmd.Start(); err != nil {
@@ -69,7 +69,7 @@
 }
 
 // query asks the gateway for one row.
-func (p *process) query(n int) error {
+func (p *testProcess) query(n int) error {
 	c, err := standin.Connect(p.listen, netip.Addr{}, time.Second)
 	if err != nil {
 		return err
@@ -82,23 +82,23 @@
 	return err
 }
 
-func (p *process) signal(s syscall.Signal, times int) {
+func (p *testProcess) signal(s syscall.Signal, times int) {
 	for range times {
 		_ = p.cmd.Process.Signal(s)
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// serves fails the test if a query is not answered.
-func (p *process) serves(when string) {
+// checkServes fails the test if a query is not answered.
+func (p *testProcess) checkServes(when string) {
 	p.t.Helper()
 	if err := p.query(0); err != nil {
 		p.t.Errorf("%s: a query got %v", when, err)
 	}
 }
 
-// ends asks the process to end, which must take 5 s at most and exit with 0.
-func (p *process) ends() {
+// checkStops asks the process to end, which must take 5 s at most and exit with 0.
+func (p *testProcess) checkStops() {
 	p.t.Helper()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -153,8 +153,8 @@
 	r.Close()
 	p.signal(syscall.SIGHUP, 20)
 	time.Sleep(100 * time.Millisecond)
-	p.serves("with nobody at the other end of standard error")
-	p.ends()
+	p.checkServes("with nobody at the other end of standard error")
+	p.checkStops()
 }
 
 // A log collector that stops reading holds nobody up: queries are answered and SIGTERM is heeded with the pipe full.
@@ -164,8 +164,8 @@
 	fill(t, w)
 	p.signal(syscall.SIGHUP, 30)
 	time.Sleep(100 * time.Millisecond)
-	p.serves("with standard error full")
-	p.ends()
+	p.checkServes("with standard error full")
+	p.checkStops()
 }
 
 // A reload of a file that can't be read to its end, such as one on a mount that hangs, holds neither the gateway nor its end.
@@ -188,7 +188,7 @@
 	}
 	p.signal(syscall.SIGHUP, 3)
 	time.Sleep(100 * time.Millisecond)
-	p.serves("while the configuration can't be read")
+	p.checkServes("while the configuration can't be read")
 	if err := os.Remove(p.config); err != nil {
 		t.Fatal(err)
 	}
@@ -196,8 +196,8 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP, 1)
-	p.serves("with the configuration in place again")
-	p.ends()
+	p.checkServes("with the configuration in place again")
+	p.checkStops()
 	if raw, err := os.ReadFile(log.Name()); err != nil || !strings.Contains(string(raw), `"configuration read again"`) {
 		t.Errorf("the configuration that came back was not read: %v\n%s", err, raw)
 	}
--- a/internal/harness/restart_test.go
+++ b/internal/harness/restart_test.go
@@ -17,8 +17,8 @@
 	_ "github.com/go-sql-driver/mysql"
 )
 
-// darkConfig is that of a gateway whose engines and name service say nothing.
-func darkConfig(name, listen, dns, engine string) string {
+// silentConfig is that of a gateway whose engines and name service say nothing.
+func silentConfig(name, listen, dns, engine string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"01","limits":{"cores":0.1,"memory_mb":32,"sockets":256},"dns":%q,
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[
  {"id":"s-1","addr":%q,"zone":"a","kind":"std","state":"active","weight":4}]}}]},
@@ -47,15 +47,15 @@
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range all {
-		listen, err := unused(i)
+		listen, err := unusedAddr(i)
 		if err != nil {
 			t.Fatal(err)
 		}
 		path := filepath.Join(dir, fmt.Sprintf("n%d.json", i))
-		if err := os.WriteFile(path, []byte(darkConfig(fmt.Sprint("n", i), listen, dark.LocalAddr().String(), "127.255.255.1:1")), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(silentConfig(fmt.Sprint("n", i), listen, dark.LocalAddr().String(), "127.255.255.1:1")), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p := &process{cmd: exec.Command(program, "serve")}
+		p := &process{cmd: exec.Command(gatewayProgram, "serve")}
 		p.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_NAME=", "LB_LISTEN=")
 		p.cmd.Stderr = &p.log
 		all[i] = p
--- a/internal/harness/script.go
+++ b/internal/harness/script.go
@@ -16,39 +16,39 @@
 
 // Zone is a site: gateways and engines that are lost together.
 type Zone struct {
-	Name     string  `hcl:"name,label"`
-	Gateways int     `hcl:"gateways"`
-	Engines  int     `hcl:"engines"`
-	Clients  float64 `hcl:"clients,optional"` // part of all requests, in any unit; 0: as many as it has engines
+	Name        string  `hcl:"name,label"`
+	Gateways    int     `hcl:"gateways"`
+	Engines     int     `hcl:"engines"`
+	ClientShare float64 `hcl:"clients,optional"` // part of all requests, in any unit; 0: as many as it has engines
 }
 
 // Fault is something that befalls a rig. From, To and Of name a party ("hall-a/g0", "hall-a/e1", "clients", "names"), a zone, all
 // "gateways" or "engines", or anything ("*").
 type Fault struct {
-	Kind     string    `hcl:"kind,label"`
-	Range    hcl.Range `hcl:",def_range"`
-	AtText   string    `hcl:"at"`
-	ForText  string    `hcl:"for,optional"`
-	From     string    `hcl:"from,optional"`
-	To       string    `hcl:"to,optional"`
-	Both     bool      `hcl:"both,optional"` // both ways
-	Of       string    `hcl:"of,optional"`
-	Delay    string    `hcl:"delay,optional"`
-	Jitter   string    `hcl:"jitter,optional"`
-	Loss     float64   `hcl:"loss,optional"`
-	Rate     int       `hcl:"rate,optional"`
-	Factor   float64   `hcl:"factor,optional"`
-	Text     string    `hcl:"text,optional"`     // of an order: its kind and subject
-	Unlisted string    `hcl:"unlisted,optional"` // from a loss until the list says so
-
-	At, For time.Duration
-	By      time.Duration // as Delay says
-	jitter  time.Duration
-	unlist  time.Duration
+	Kind         string    `hcl:"kind,label"`
+	Range        hcl.Range `hcl:",def_range"`
+	AtText       string    `hcl:"at"`
+	ForText      string    `hcl:"for,optional"`
+	From         string    `hcl:"from,optional"`
+	To           string    `hcl:"to,optional"`
+	Both         bool      `hcl:"both,optional"` // both ways
+	Target       string    `hcl:"of,optional"`
+	DelayText    string    `hcl:"delay,optional"`
+	JitterText   string    `hcl:"jitter,optional"`
+	Loss         float64   `hcl:"loss,optional"`
+	Rate         int       `hcl:"rate,optional"`
+	Factor       float64   `hcl:"factor,optional"`
+	Text         string    `hcl:"text,optional"`     // of an order: its kind and subject
+	UnlistedText string    `hcl:"unlisted,optional"` // from a loss until the list says so
+
+	At, For     time.Duration
+	Delay       time.Duration // as Delay says
+	jitter      time.Duration
+	unlistAfter time.Duration
 }
 
 // Kinds of faults, and what each needs.
-var kinds = map[string]struct{ of, ways bool }{
+var faultKinds = map[string]struct{ of, ways bool }{
 	"lose":       {of: true},   // a zone, gateways killed and engines silent; it comes back cold after `for`
 	"silence":    {of: true},   // nothing comes to or from it
 	"freeze":     {of: true},   // gateways are stopped and go on after `for`
@@ -83,34 +83,34 @@
 
 // Script is a rig, and what befalls it.
 type Script struct {
-	Zones      []Zone  `hcl:"zone,block"`
-	Cores      int     `hcl:"cores"` // of an engine
-	Load       float64 `hcl:"load"`  // work offered over what all engines do
-	LengthText string  `hcl:"length"`
-	Seed       uint64  `hcl:"seed,optional"`
-	ColdText   string  `hcl:"cold,optional"` // until an engine that has started has all of its speed
-	ColdFrom   float64 `hcl:"cold_from,optional"`
-	Operator   string  `hcl:"operator,optional"`  // text of the operator's file
-	Talk       bool    `hcl:"talk,optional"`      // gateways talk to one another, through relays by pair
-	Overload   float64 `hcl:"overload,optional"`  // times its speed that a cold engine bears; 0: 3
-	Leave      float64 `hcl:"leave,optional"`     // part of clients that leave before their answer
-	Notes      float64 `hcl:"notes,optional"`     // part of requests of a keyed class
-	InTurn     float64 `hcl:"in_turn,optional"`   // of an ordered class
-	Placed     float64 `hcl:"placed,optional"`    // of a class that runs in the first zone only
-	Ration     float64 `hcl:"ration,optional"`    // further attempts allowed for each request taken; 0: any
-	Deadlines  float64 `hcl:"deadlines,optional"` // times the usual deadlines; 0: once
-	Windows    float64 `hcl:"windows,optional"`   // times the usual windows for repeats; 0: once
-	OneCore    bool    `hcl:"one_core,optional"`  // all gateways share one core
-	Voters     int     `hcl:"voters,optional"`    // of these, the first ones vote on directives
-	Faults     []Fault `hcl:"fault,block"`
+	Zones          []Zone  `hcl:"zone,block"`
+	Cores          int     `hcl:"cores"` // of an engine
+	Load           float64 `hcl:"load"`  // work offered over what all engines do
+	LengthText     string  `hcl:"length"`
+	Seed           uint64  `hcl:"seed,optional"`
+	ColdText       string  `hcl:"cold,optional"` // until an engine that has started has all of its speed
+	ColdFrom       float64 `hcl:"cold_from,optional"`
+	OperatorFile   string  `hcl:"operator,optional"`  // text of the operator's file
+	Gossip         bool    `hcl:"talk,optional"`      // gateways talk to one another, through relays by pair
+	OverloadFactor float64 `hcl:"overload,optional"`  // times its speed that a cold engine bears; 0: 3
+	AbandonShare   float64 `hcl:"leave,optional"`     // part of clients that leave before their answer
+	KeyedShare     float64 `hcl:"notes,optional"`     // part of requests of a keyed class
+	OrderedShare   float64 `hcl:"in_turn,optional"`   // of an ordered class
+	FirstZoneShare float64 `hcl:"placed,optional"`    // of a class that runs in the first zone only
+	RetryBudget    float64 `hcl:"ration,optional"`    // further attempts allowed for each request taken; 0: any
+	DeadlineFactor float64 `hcl:"deadlines,optional"` // times the usual deadlines; 0: once
+	WindowFactor   float64 `hcl:"windows,optional"`   // times the usual windows for repeats; 0: once
+	OneCore        bool    `hcl:"one_core,optional"`  // all gateways share one core
+	Voters         int     `hcl:"voters,optional"`    // of these, the first ones vote on directives
+	Faults         []Fault `hcl:"fault,block"`
 
 	Length time.Duration
 	Cold   time.Duration
 }
 
 const (
-	mostLength  = 3 * time.Minute
-	mostParties = 64
+	maxLength  = 3 * time.Minute
+	maxParties = 64
 )
 
 // LoadScript reads a script from a file.
@@ -132,11 +132,11 @@
 	if diags := gohcl.DecodeBody(f.Body, nil, s); diags.HasErrors() {
 		return nil, diags
 	}
-	return s, s.check(name)
+	return s, s.validate(name)
 }
 
-// check reads what is text, and says what can't be played.
-func (s *Script) check(name string) error {
+// validate reads what is text, and says what can't be played.
+func (s *Script) validate(name string) error {
 	var err error
 	span := func(what, text string, to *time.Duration) {
 		if text == "" || err != nil {
@@ -151,54 +151,54 @@
 	gateways, engines := 0, 0
 	for i, z := range s.Zones {
 		gateways, engines = gateways+z.Gateways, engines+z.Engines
-		if z.Gateways < 0 || z.Engines < 0 || z.Clients < 0 || slices.ContainsFunc(s.Zones[:i], func(o Zone) bool { return o.Name == z.Name }) {
+		if z.Gateways < 0 || z.Engines < 0 || z.ClientShare < 0 || slices.ContainsFunc(s.Zones[:i], func(o Zone) bool { return o.Name == z.Name }) {
 			return fmt.Errorf("%s: zone %q comes twice, or has a count under 0", name, z.Name)
 		}
 	}
 	switch {
 	case err != nil:
 		return err
-	case s.Length <= 0 || s.Length > mostLength:
-		return fmt.Errorf("%s: length must be over 0 and at most %v", name, mostLength)
-	case gateways == 0 || engines == 0 || gateways+engines > mostParties:
-		return fmt.Errorf("%s: %d gateways and %d engines; at least one of each and %d in all are possible", name, gateways, engines, mostParties)
-	case s.Voters != 0 && (!s.Talk || s.Voters > gateways):
+	case s.Length <= 0 || s.Length > maxLength:
+		return fmt.Errorf("%s: length must be over 0 and at most %v", name, maxLength)
+	case gateways == 0 || engines == 0 || gateways+engines > maxParties:
+		return fmt.Errorf("%s: %d gateways and %d engines; at least one of each and %d in all are possible", name, gateways, engines, maxParties)
+	case s.Voters != 0 && (!s.Gossip || s.Voters > gateways):
 		return fmt.Errorf("%s: voters need talk, and as many gateways", name)
 	case s.Cores < 1 || !(s.Load > 0 && s.Load <= 10) || !(s.ColdFrom > 0 && s.ColdFrom <= 1):
 		return fmt.Errorf("%s: cores must be at least 1, load within 0 and 10, cold_from within 0 and 1", name)
 	}
 	for i := range s.Faults {
-		f := &s.Faults[i]
-		at := f.Range.String()
-		need, ok := kinds[f.Kind]
+		fault := &s.Faults[i]
+		at := fault.Range.String()
+		need, ok := faultKinds[fault.Kind]
 		if !ok {
-			return fmt.Errorf("%s: unknown fault %q", at, f.Kind)
+			return fmt.Errorf("%s: unknown fault %q", at, fault.Kind)
 		}
 		for _, t := range []struct {
 			what, text string
 			to         *time.Duration
-		}{{"at", f.AtText, &f.At}, {"for", f.ForText, &f.For}, {"delay", f.Delay, &f.By}, {"jitter", f.Jitter, &f.jitter},
-			{"unlisted", f.Unlisted, &f.unlist}} {
+		}{{"at", fault.AtText, &fault.At}, {"for", fault.ForText, &fault.For}, {"delay", fault.DelayText, &fault.Delay}, {"jitter", fault.JitterText, &fault.jitter},
+			{"unlisted", fault.UnlistedText, &fault.unlistAfter}} {
 			span(at+": "+t.what, t.text, t.to)
 		}
 		switch {
 		case err != nil:
 			return err
-		case need.of && f.Of == "":
-			return fmt.Errorf("%s: %s needs `of`", at, f.Kind)
-		case need.ways && (f.From == "" || f.To == ""):
-			return fmt.Errorf("%s: %s needs `from` and `to`", at, f.Kind)
-		case (f.Kind == "burst" || f.Kind == "slow") && !(f.Factor > 0):
-			return fmt.Errorf("%s: %s needs a factor over 0", at, f.Kind)
-		case f.Kind == "signals" && !knownSignals(f.Text):
+		case need.of && fault.Target == "":
+			return fmt.Errorf("%s: %s needs `of`", at, fault.Kind)
+		case need.ways && (fault.From == "" || fault.To == ""):
+			return fmt.Errorf("%s: %s needs `from` and `to`", at, fault.Kind)
+		case (fault.Kind == "burst" || fault.Kind == "slow") && !(fault.Factor > 0):
+			return fmt.Errorf("%s: %s needs a factor over 0", at, fault.Kind)
+		case fault.Kind == "signals" && !validSignals(fault.Text):
 			return fmt.Errorf("%s: signals needs a text of HUP, TERM, STOP and CONT", at)
-		case f.Kind == "lists" && checkLists(f, at) != nil:
-			return checkLists(f, at)
-		case f.Loss < 0 || f.Loss > 1 || f.Rate < 0:
+		case fault.Kind == "lists" && validateListFault(fault, at) != nil:
+			return validateListFault(fault, at)
+		case fault.Loss < 0 || fault.Loss > 1 || fault.Rate < 0:
 			return fmt.Errorf("%s: loss is a part, 0 to 1, and rate at least 0", at)
 		}
-		for _, sel := range []string{f.Of, f.From, f.To} {
-			if sel != "" && !s.knows(sel) {
+		for _, sel := range []string{fault.Target, fault.From, fault.To} {
+			if sel != "" && !s.hasParty(sel) {
 				return fmt.Errorf("%s: nothing here is called %q", at, sel)
 			}
 		}
@@ -206,14 +206,14 @@
 	return nil
 }
 
-// knownSignals answers whether a series of signals can be sent.
-func knownSignals(text string) bool {
+// validSignals answers whether a series of signals can be sent.
+func validSignals(text string) bool {
 	names := strings.Fields(text)
 	return len(names) > 0 && !slices.ContainsFunc(names, func(n string) bool { return signalNames[n] == 0 })
 }
 
-// knows answers whether a selector names something.
-func (s *Script) knows(sel string) bool {
+// hasParty answers whether a selector names something.
+func (s *Script) hasParty(sel string) bool {
 	if slices.Contains([]string{"*", "clients", "names", "gateways", "engines"}, sel) {
 		return true
 	}
@@ -242,6 +242,6 @@
 // party is one end of ways.
 type party struct{ name, zone, kind string }
 
-func (p party) is(sel string) bool {
+func (p party) matches(sel string) bool {
 	return sel == "*" || sel == p.name || sel == p.zone || sel == p.kind
 }
--- /dev/null
+++ b/internal/harness/storedresults.go
@@ -0,0 +1,119 @@
+package harness
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/netip"
+	"sync"
+	"syscall"
+	"time"
+
+	"foxlane/internal/standin"
+)
+
+// This file owns clients that ask for results to be kept, and come for them again once their gateway was killed.
+
+// resultClient is the client of one gateway.
+type resultClient struct {
+	gateway *gateway
+	last    uint64
+	results []storedResult
+}
+
+// storedResult is one that a gateway has said to keep.
+type storedResult struct {
+	handle string
+	row    string
+	at     time.Time
+}
+
+const (
+	storeInterval = 250 * time.Millisecond
+	storeTimeout  = 3 * time.Second
+	handlePrefix  = "\x07#handle"
+	handleOffset  = 9 // where a handle begins in its row
+	handleSize    = 64
+)
+
+// storeResults has a client of each gateway ask for results to be kept, until the context ends.
+func (f *fleet) storeResults(ctx context.Context, wg *sync.WaitGroup) {
+	for _, g := range f.gateways {
+		client := &resultClient{gateway: g}
+		f.resultClients = append(f.resultClients, client)
+		wg.Go(func() {
+			for ctx.Err() == nil {
+				client.store()
+				select {
+				case <-ctx.Done():
+				case <-time.After(storeInterval):
+				}
+			}
+		})
+	}
+}
+
+// store asks for one. What ends without a whole answer was not taken on.
+func (c *resultClient) store() {
+	f := c.gateway.fleet
+	conn, err := standin.Connect(c.gateway.clientProxy.Addr().String(), netip.Addr{}, 300*time.Millisecond)
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	req := &request{class: 1, work: 20 * time.Millisecond, at: time.Now()}
+	id := f.recorder.startAttempt(req, c.gateway, storeTimeout)
+	handle, row, err := readStored(conn, fmt.Sprintf("/* kind=report,req=%s,timeout=%d,ms=20,spool=1 */ SELECT 1 FROM sales_1.x", id, storeTimeout.Milliseconds()))
+	if err == nil && handle != "" {
+		c.results = append(c.results, storedResult{handle, row, time.Now()})
+	}
+}
+
+// readStored reads a result with the handle ahead of its rows.
+func readStored(conn *standin.Client, text string) (handle, row string, err error) {
+	err = conn.Rows(text, storeTimeout, func(b []byte) {
+		switch {
+		case bytes.HasPrefix(b, []byte(handlePrefix)) && len(b) >= handleOffset+handleSize:
+			handle = string(b[handleOffset : handleOffset+handleSize])
+		case len(b) > 1 && b[1] != '#':
+			row += string(b)
+		}
+	})
+	return handle, row, err
+}
+
+// verifyStoredResults kills all gateways, starts them again, and has each keeper read all that was said to be kept.
+func (f *fleet) verifyStoredResults() error {
+	if len(f.resultClients) == 0 {
+		return nil
+	}
+	for _, g := range f.gateways {
+		g.signal(syscall.SIGCONT)
+		_ = g.stop(syscall.SIGKILL)
+	}
+	for _, client := range f.resultClients {
+		if err := client.gateway.start(); err != nil {
+			return err
+		}
+		for _, result := range client.results {
+			client.verify(result)
+		}
+		f.recorder.mu.Lock()
+		f.recorder.StoredResults += len(client.results)
+		f.recorder.mu.Unlock()
+	}
+	return nil
+}
+
+func (c *resultClient) verify(result storedResult) {
+	conn, err := standin.Connect(c.gateway.listenAddr, netip.Addr{}, time.Second)
+	row := ""
+	if err == nil {
+		_, row, err = readStored(conn, "/* resume="+result.handle+" */ FETCH")
+		conn.Close()
+	}
+	if err != nil || row != result.row {
+		c.gateway.fleet.recorder.addViolation(LostRequest, "a result that %s kept at %.2f s is not there after a kill: %v, %q instead of %q", c.gateway.name,
+			result.at.Sub(c.gateway.fleet.startedAt).Seconds(), err, row, result.row)
+	}
+}
--- a/internal/harness/usage.go
+++ b/internal/harness/usage.go
@@ -9,11 +9,11 @@
 
 // Usage is what a process holds and has used.
 type Usage struct {
-	RSSMB float64
-	CPU   float64 // seconds
+	RSSMB      float64
+	CPUSeconds float64 // seconds
 }
 
-const ticksASecond = 100 // USER_HZ on Linux
+const ticksPerSecond = 100 // USER_HZ on Linux
 
 // UsageOf reads it from /proc.
 func UsageOf(pid int) (u Usage, err error) {
@@ -31,7 +31,7 @@
 		if err != nil {
 			return u, err
 		}
-		u.CPU += float64(n) / ticksASecond
+		u.CPUSeconds += float64(n) / ticksPerSecond
 	}
 	pages, err := strconv.Atoi(fields[21])
 	u.RSSMB = float64(pages) * float64(os.Getpagesize()) / (1 << 20)
--- a/internal/measure/replica.go
+++ b/internal/measure/replica.go
@@ -367,7 +367,7 @@
 		return err
 	}
 	defer remove()
-	var books [2]*harness.Books
+	var books [2]*harness.Report
 	for on := range books {
 		text := fmt.Sprintf("cores = 8\nload = 0.6\nlength = \"20s\"\ntalk = %v\n", on == 1)
 		for _, name := range []string{"hall-a", "hall-b", "hall-c"} {
@@ -381,10 +381,10 @@
 		if books[on], err = harness.Run(ctx, gateway, *script, ""); err != nil {
 			return err
 		}
-		r.row("six processes, share of worth", []string{"off", "on"}[on], fmt.Sprintf("%.3f", books[on].Share(1, 20)), "-", "-", "-")
+		r.row("six processes, share of worth", []string{"off", "on"}[on], fmt.Sprintf("%.3f", books[on].ServedShare(1, 20)), "-", "-", "-")
 	}
-	r.set("cpu_ratio", books[1].CPU/books[0].CPU, "1.05 or less")
+	r.set("cpu_ratio", books[1].CPUSeconds/books[0].CPUSeconds, "1.05 or less")
 	r.set("rss_added_mb", books[1].RSSMB-books[0].RSSMB, "4 or less")
-	r.set("processes_breaches", float64(len(books[0].Breaches)+len(books[1].Breaches)), "0")
+	r.set("processes_breaches", float64(len(books[0].Violations)+len(books[1].Violations)), "0")
 	return nil
 }
--- a/internal/measure/sites.go
+++ b/internal/measure/sites.go
@@ -349,18 +349,18 @@
 				sum += m.Zones[z].OwnLoad + m.Zones[z].ForeignLoad
 			}
 		}
-		did := b.Parts(span.from, span.to)
+		did := b.WorkByZone(span.from, span.to)
 		for z := range is {
 			is[z] /= max(sum, 1e-9)
 			worst = max(worst, math.Abs(is[z]-did[z]))
 		}
-		r.row("processes, "+span.what, "on", fmt.Sprintf("%.3f", b.Share(span.from, span.to)), "-", fmt.Sprintf("plan %.2f", is), "-", "-", fmt.Sprintf("did %.2f", did), "-")
+		r.row("processes, "+span.what, "on", fmt.Sprintf("%.3f", b.ServedShare(span.from, span.to)), "-", fmt.Sprintf("plan %.2f", is), "-", "-", fmt.Sprintf("did %.2f", did), "-")
 	}
 	r.set("plan_error", worst, "0.1 or less")
-	r.set("processes_worth", b.Share(at, length), "")
-	r.set("processes_breaches", float64(len(b.Breaches)), "0")
+	r.set("processes_worth", b.ServedShare(at, length), "")
+	r.set("processes_breaches", float64(len(b.Violations)), "0")
 	r.set("processes_amplification", b.Amplification(), "1.2 or less")
-	for _, x := range b.Breaches {
+	for _, x := range b.Violations {
 		r.row("breach", x)
 	}
 	return nil
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -212,7 +212,7 @@
 // CPU is the processor time that the gateway has used so far.
 func (w *World) CPU() (time.Duration, error) {
 	u, err := harness.UsageOf(w.gateway.Process.Pid)
-	return time.Duration(u.CPU * float64(time.Second)), err
+	return time.Duration(u.CPUSeconds * float64(time.Second)), err
 }
 
 // RSS is the memory that the gateway holds now, in MB.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -154,7 +154,7 @@
 func TestThroughFaultProxy(t *testing.T) {
 	const n = 3
 	at := []netip.AddrPort{freeAddr(t, 20), freeAddr(t, 21), freeAddr(t, 22)}
-	var ways []*faultproxy.Way
+	var ways []*faultproxy.Link
 	var all []*member
 	for i := range n {
 		via := map[netip.AddrPort]netip.AddrPort{}
@@ -162,8 +162,8 @@
 			if i == j {
 				continue
 			}
-			there, back := faultproxy.NewWay(uint64(i*n+j)), faultproxy.NewWay(uint64(100+i*n+j))
-			p, err := faultproxy.NewPair(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), at[j].String(), there, back)
+			there, back := faultproxy.NewLink(uint64(i*n+j)), faultproxy.NewLink(uint64(100+i*n+j))
+			p, err := faultproxy.NewTCPAndUDP(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), at[j].String(), there, back)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,7 +172,7 @@
 			if i == 2 || j == 2 {
 				ways = append(ways, there, back)
 			}
-			there.Set(faultproxy.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
+			there.SetConditions(faultproxy.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
 		}
 		all = append(all, startMember(t, Settings{Name: fmt.Sprint("n", i), Bind: at[i], Seeds: at, DialAddrs: via}))
 		defer all[i].Close()
@@ -189,11 +189,11 @@
 	}
 	waitUntil(t, "all know all through relays", know(2, 2, 2))
 	for _, w := range ways {
-		w.Set(faultproxy.Conditions{Cut: true})
+		w.SetConditions(faultproxy.Conditions{Cut: true})
 	}
 	waitUntil(t, "the third is cut off", know(1, 1, 0))
 	for _, w := range ways {
-		w.Set(faultproxy.Conditions{})
+		w.SetConditions(faultproxy.Conditions{})
 	}
 	waitUntil(t, "and found again", know(2, 2, 2))
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -18,94 +18,94 @@
 
 // Options say what is played.
 type Options struct {
-	Process   harness.Process // the test double
-	Seeds     int             // how many
-	First     uint64          // the first one
-	Length    time.Duration   // of each, without its start and end
-	Processes int             // gateways of each
-	Parallel  int             // seeds at once
-	Shrink    int             // runs that a failing seed is shrunk by, at most; 0: none
-	Plants    int             // seeds that each planted defect is looked for with, at most; 0: none are planted
-	Only      []string        // defects to plant; nil: all
-	Logs      string          // folder for the logs of failing seeds
-	Progress  io.Writer
+	Process     harness.Process // the test double
+	Seeds       int             // how many
+	First       uint64          // the first one
+	Length      time.Duration   // of each, without its start and end
+	Processes   int             // gateways of each
+	Parallel    int             // seeds at once
+	Shrink      int             // runs that a failing seed is shrunk by, at most; 0: none
+	DefectSeeds int             // seeds that each planted defect is looked for with, at most; 0: none are planted
+	Defects     []string        // defects to plant; nil: all
+	Logs        string          // folder for the logs of failing seeds
+	Progress    io.Writer
 }
 
 // Result is what came of a soak.
 type Result struct {
-	Seeds, Overlapping, Faults int
-	Requests, Late, Kept       int
-	Verdicts                   map[harness.Verdict]int
-	Pauses                     int // of the rig itself
-	LongestPause               time.Duration
-	Kinds                      map[string]int // troubles played, by kind
-	Failed                     []Failure
-	SlowestDrain               time.Duration
-	Crowds                     int      // seeds with twenty processes or more
-	Broken                     []string // seeds that could not be played to their end, and why
-	Planted                    []Found
+	Seeds, Overlapping, Faults             int
+	Requests, LateResponses, StoredResults int
+	ViolationCounts                        map[harness.ViolationKind]int
+	Pauses                                 int // of the rig itself
+	LongestPause                           time.Duration
+	FaultKinds                             map[string]int // troubles played, by kind
+	Failed                                 []Failure
+	SlowestDrain                           time.Duration
+	LargeFleets                            int      // seeds with twenty processes or more
+	NotPlayed                              []string // seeds that could not be played to their end, and why
+	Detections                             []Detection
 }
 
 // Failure is a seed in which something was violated.
 type Failure struct {
-	Schedule Schedule
-	Breaches []string
-	Logs     string
-	Smallest *Schedule // with the fewest troubles that still fail; nil: it was not shrunk, or never failed again
+	Schedule   Schedule
+	Violations []string
+	Logs       string
+	Shrunk     *Schedule // with the fewest troubles that still fail; nil: it was not shrunk, or never failed again
 }
 
-// Found is what became of a planted defect.
-type Found struct {
-	Plant string
-	Seeds int // that were played until it was found
-	By    string
-	Found bool
+// Detection is what became of a planted defect.
+type Detection struct {
+	Defect      string
+	SeedsPlayed int // that were played until it was found
+	Evidence    string
+	Detected    bool
 }
 
 const (
-	mostSeeds     = 100_000
-	mostProcesses = 40
-	seedSlack     = 90 * time.Second // for start and end of one seed
+	maxSeeds     = 100_000
+	maxProcesses = 40
+	seedSlack    = 90 * time.Second // for start and end of one seed
 )
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	switch {
-	case o.Seeds < 0 || o.Seeds > mostSeeds:
-		return fmt.Errorf("soak: %d seeds, 0 to %d are possible", o.Seeds, mostSeeds)
-	case o.Processes < 2 || o.Processes > mostProcesses:
-		return fmt.Errorf("soak: %d processes, 2 to %d are possible", o.Processes, mostProcesses)
+	case o.Seeds < 0 || o.Seeds > maxSeeds:
+		return fmt.Errorf("soak: %d seeds, 0 to %d are possible", o.Seeds, maxSeeds)
+	case o.Processes < 2 || o.Processes > maxProcesses:
+		return fmt.Errorf("soak: %d processes, 2 to %d are possible", o.Processes, maxProcesses)
 	case o.Length < 3*time.Second || o.Length > time.Minute:
 		return fmt.Errorf("soak: a length of %v, 3 s to a minute are possible", o.Length)
-	case o.Parallel < 1 || o.Parallel*max(o.Processes, o.largest()) > 200:
-		return fmt.Errorf("soak: %d seeds at once with up to %d processes each; 200 processes at most", o.Parallel, max(o.Processes, o.largest()))
+	case o.Parallel < 1 || o.Parallel*max(o.Processes, o.maxFleet()) > 200:
+		return fmt.Errorf("soak: %d seeds at once with up to %d processes each; 200 processes at most", o.Parallel, max(o.Processes, o.maxFleet()))
 	}
 	return nil
 }
 
-// largest is how many processes a seed may have.
-func (o *Options) largest() int {
-	if o.Processes >= crowdFrom {
-		return crowdMost
+// maxFleet is how many processes a seed may have.
+func (o *Options) maxFleet() int {
+	if o.Processes >= largeFleetFrom {
+		return maxLargeFleet
 	}
 	return o.Processes
 }
 
 // Run plays all seeds, then looks for planted defects. It returns what it has when the context ends.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	r := &Result{Verdicts: map[harness.Verdict]int{}, Kinds: map[string]int{}}
+	r := &Result{ViolationCounts: map[harness.ViolationKind]int{}, FaultKinds: map[string]int{}}
 	var mu sync.Mutex
 	next := make(chan uint64)
 	var players sync.WaitGroup
 	for range o.Parallel {
 		players.Go(func() {
 			for seed := range next {
-				s := Draw(seed, o.Processes, o.Length)
-				books, logs, err := o.play(ctx, &s, "")
+				s := NewSchedule(seed, o.Processes, o.Length)
+				report, logs, err := o.play(ctx, &s, "")
 				mu.Lock()
-				r.add(ctx, &o, &s, books, logs, err)
+				r.add(ctx, &o, &s, report, logs, err)
 				mu.Unlock()
 			}
 		})
@@ -119,45 +119,45 @@
 	close(next)
 	players.Wait()
 	o.shrinkAll(ctx, r)
-	o.plantAll(ctx, r)
+	o.detectDefects(ctx, r)
 	return r, ctx.Err()
 }
 
 // add takes in what came of a seed.
-func (r *Result) add(ctx context.Context, o *Options, s *Schedule, b *harness.Books, logs string, err error) {
+func (r *Result) add(ctx context.Context, o *Options, s *Schedule, report *harness.Report, logs string, err error) {
 	if ctx.Err() != nil {
 		return // it was cut short
 	}
 	r.Seeds++
 	r.Faults += len(s.Script.Faults)
 	for _, f := range s.Script.Faults {
-		r.Kinds[f.Kind]++
+		r.FaultKinds[f.Kind]++
 	}
 	if s.Overlapping() {
 		r.Overlapping++
 	}
-	if s.processes() >= crowdLeast {
-		r.Crowds++
+	if s.processes() >= minLargeFleet {
+		r.LargeFleets++
 	}
-	if b != nil {
-		r.Requests += b.Tries
-		r.Late += b.Late
-		r.Kept += b.Kept
-		r.Pauses += b.Pauses
-		r.LongestPause = max(r.LongestPause, b.LongestPause)
-		r.SlowestDrain = max(r.SlowestDrain, b.SlowestDrain)
-		for v, n := range b.Verdicts {
-			r.Verdicts[harness.Verdict(v)] += n
+	if report != nil {
+		r.Requests += report.ClientAttempts
+		r.LateResponses += report.LateResponses
+		r.StoredResults += report.StoredResults
+		r.Pauses += report.Pauses
+		r.LongestPause = max(r.LongestPause, report.LongestPause)
+		r.SlowestDrain = max(r.SlowestDrain, report.SlowestDrain)
+		for v, n := range report.ViolationCounts {
+			r.ViolationCounts[harness.ViolationKind(v)] += n
 		}
 	}
 	switch {
 	case err != nil:
-		r.Broken = append(r.Broken, fmt.Sprintf("seed %d: %v", s.Seed, err))
+		r.NotPlayed = append(r.NotPlayed, fmt.Sprintf("seed %d: %v", s.Seed, err))
 		fmt.Fprintf(o.Progress, "NOT PLAYED to its end: %v\n%slogs in %s\n", err, s, logs)
-	case len(b.Breaches) > 0:
-		r.Failed = append(r.Failed, Failure{Schedule: *s, Breaches: b.Breaches, Logs: logs})
+	case len(report.Violations) > 0:
+		r.Failed = append(r.Failed, Failure{Schedule: *s, Violations: report.Violations, Logs: logs})
 		fmt.Fprintf(o.Progress, "FAILED %s", s)
-		for _, x := range b.Breaches[:min(len(b.Breaches), 6)] {
+		for _, x := range report.Violations[:min(len(report.Violations), 6)] {
 			fmt.Fprintln(o.Progress, "   ", x)
 		}
 		fmt.Fprintf(o.Progress, "    again: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", s.Seed, o.Processes, o.Length, logs)
@@ -169,29 +169,29 @@
 }
 
 // play plays one schedule, with a defect planted if one is named. Logs is the folder of its logs, if any are kept.
-func (o *Options) play(ctx context.Context, s *Schedule, plant string) (b *harness.Books, logs string, err error) {
+func (o *Options) play(ctx context.Context, s *Schedule, defect string) (report *harness.Report, logs string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, o.Length+seedSlack)
 	defer cancel()
-	if o.Logs != "" && plant == "" {
+	if o.Logs != "" && defect == "" {
 		logs = filepath.Join(o.Logs, fmt.Sprintf("seed-%d", s.Seed))
 		if err := os.MkdirAll(logs, 0o700); err != nil {
 			return nil, "", err
 		}
 	}
 	p := o.Process
-	if plant != "" {
-		p.Env = append(append([]string{}, p.Env...), faultgateway.EnvPlant+"="+plant)
+	if defect != "" {
+		p.Env = append(append([]string{}, p.Env...), faultgateway.EnvDefect+"="+defect)
 	}
-	b, err = harness.RunProcess(ctx, p, s.Script, logs)
-	return b, logs, err
+	report, err = harness.RunProcess(ctx, p, s.Script, logs)
+	return report, logs, err
 }
 
 // fails answers whether a schedule is violated when it is played.
 func (o *Options) fails(ctx context.Context, s *Schedule) bool {
 	quiet := *o
 	quiet.Logs = ""
-	b, _, err := quiet.play(ctx, s, "")
-	return err == nil && len(b.Breaches) > 0
+	report, _, err := quiet.play(ctx, s, "")
+	return err == nil && len(report.Violations) > 0
 }
 
 // shrinkAll looks for the fewest troubles with which failing seeds still fail.
@@ -205,73 +205,73 @@
 			smaller.Script.Faults = append(append([]harness.Fault{}, smallest.Script.Faults[:at]...), smallest.Script.Faults[at+1:]...)
 			if len(smaller.Script.Faults) > 0 && o.fails(ctx, &smaller) {
 				smallest = smaller
-				f.Smallest = &smallest
+				f.Shrunk = &smallest
 			} else {
 				at++
 			}
 		}
-		if f.Smallest != nil {
-			fmt.Fprintf(o.Progress, "still fails with fewer troubles: %s", f.Smallest)
+		if f.Shrunk != nil {
+			fmt.Fprintf(o.Progress, "still fails with fewer troubles: %s", f.Shrunk)
 		}
 	}
 }
 
-// plantAll plants each defect and plays seeds until it is found.
-func (o *Options) plantAll(ctx context.Context, r *Result) {
-	if o.Plants <= 0 {
+// detectDefects plants each defect and plays seeds until it is found.
+func (o *Options) detectDefects(ctx context.Context, r *Result) {
+	if o.DefectSeeds <= 0 {
 		return
 	}
-	plants := o.Only
-	if plants == nil {
-		plants = faultgateway.Plants
+	defects := o.Defects
+	if defects == nil {
+		defects = faultgateway.Defects
 	}
-	found := make([]Found, len(plants))
+	found := make([]Detection, len(defects))
 	var players sync.WaitGroup
 	slots := make(chan struct{}, o.Parallel)
-	for i, plant := range plants {
+	for i, defect := range defects {
 		players.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			found[i] = o.find(ctx, plant)
+			found[i] = o.detect(ctx, defect)
 		})
 	}
 	players.Wait()
-	r.Planted = found
+	r.Detections = found
 }
 
-// find plays seeds with a defect until something is violated.
-func (o *Options) find(ctx context.Context, plant string) Found {
-	f := Found{Plant: plant}
-	for f.Seeds < o.Plants && ctx.Err() == nil {
-		s := Draw(o.First+uint64(f.Seeds), o.Processes, o.Length)
-		f.Seeds++
-		b, _, err := o.play(ctx, &s, plant)
+// detect plays seeds with a defect until something is violated.
+func (o *Options) detect(ctx context.Context, defect string) Detection {
+	detection := Detection{Defect: defect}
+	for detection.SeedsPlayed < o.DefectSeeds && ctx.Err() == nil {
+		s := NewSchedule(o.First+uint64(detection.SeedsPlayed), o.Processes, o.Length)
+		detection.SeedsPlayed++
+		report, _, err := o.play(ctx, &s, defect)
 		switch {
 		case errors.Is(err, context.Canceled):
 		case err != nil:
-			f.By = err.Error()
-		case len(b.Breaches) > 0:
-			f.Found, f.By = true, b.Breaches[0]
-			fmt.Fprintf(o.Progress, "planted %s: found in seed %d, the %d. played: %.160s\n", plant, s.Seed, f.Seeds, f.By)
-			return f
+			detection.Evidence = err.Error()
+		case len(report.Violations) > 0:
+			detection.Detected, detection.Evidence = true, report.Violations[0]
+			fmt.Fprintf(o.Progress, "planted %s: found in seed %d, the %d. played: %.160s\n", defect, s.Seed, detection.SeedsPlayed, detection.Evidence)
+			return detection
 		}
 	}
-	fmt.Fprintf(o.Progress, "planted %s: NOT found in %d seeds\n", plant, f.Seeds)
-	return f
+	fmt.Fprintf(o.Progress, "planted %s: NOT found in %d seeds\n", defect, detection.SeedsPlayed)
+	return detection
 }
 
-// Violations is how many there were in all.
-func (r *Result) Violations() (n int) {
-	for _, k := range r.Verdicts {
+// TotalViolations is how many there were in all.
+func (r *Result) TotalViolations() (n int) {
+	for _, k := range r.ViolationCounts {
 		n += k
 	}
 	return n
 }
 
-// PlantedFound is how many planted defects were found.
-func (r *Result) PlantedFound() (n int) {
-	for _, f := range r.Planted {
-		if f.Found {
+// DefectsFound is how many planted defects were found.
+func (r *Result) DefectsFound() (n int) {
+	for _, f := range r.Detections {
+		if f.Detected {
 			n++
 		}
 	}
@@ -280,22 +280,22 @@
 
 // Write prints the figures, a line `name: value` each.
 func (r *Result) Write(w io.Writer) {
-	for _, f := range r.Planted {
-		fmt.Fprintf(w, "planted_%s_seeds: %d\n", f.Plant, f.Seeds)
+	for _, f := range r.Detections {
+		fmt.Fprintf(w, "planted_%s_seeds: %d\n", f.Defect, f.SeedsPlayed)
 	}
-	for _, kind := range slices.Sorted(maps.Keys(r.Kinds)) {
-		fmt.Fprintf(w, "fault_%s: %d\n", kind, r.Kinds[kind])
+	for _, kind := range slices.Sorted(maps.Keys(r.FaultKinds)) {
+		fmt.Fprintf(w, "fault_%s: %d\n", kind, r.FaultKinds[kind])
 	}
 	fmt.Fprintf(w, "seeds: %d\nseeds_failed: %d\nseeds_not_played: %d\nrequests: %d\nkept_results: %d\nfaults: %d\noverlapping: %d\nviolations: %d\n", r.Seeds, len(r.Failed),
-		len(r.Broken), r.Requests, r.Kept, r.Faults, r.Overlapping, r.Violations())
-	for _, v := range []harness.Verdict{harness.Lost, harness.Duplicated} {
-		fmt.Fprintf(w, "%s: %d\n", v, r.Verdicts[v])
+		len(r.NotPlayed), r.Requests, r.StoredResults, r.Faults, r.Overlapping, r.TotalViolations())
+	for _, v := range []harness.ViolationKind{harness.LostRequest, harness.DuplicateExecution} {
+		fmt.Fprintf(w, "%s: %d\n", v, r.ViolationCounts[v])
 	}
-	fmt.Fprintf(w, "late: %d\n", r.Late)
-	for _, v := range []harness.Verdict{harness.SentAfterGone, harness.PastDeadline, harness.DrainBroken, harness.FailbackBroken, harness.WrongAnswer, harness.OrderBroken, harness.Misplaced, harness.RationBroken, harness.Guarded, harness.Crashed, harness.NotReady} {
-		fmt.Fprintf(w, "%s: %d\n", v, r.Verdicts[v])
+	fmt.Fprintf(w, "late: %d\n", r.LateResponses)
+	for _, v := range []harness.ViolationKind{harness.SentAfterDisconnect, harness.PastDeadline, harness.SentWhileDraining, harness.SlowStartExceeded, harness.WrongResponse, harness.OrderViolated, harness.WrongZone, harness.RetryBudgetExceeded, harness.InvariantBroken, harness.Crashed, harness.NotReady} {
+		fmt.Fprintf(w, "%s: %d\n", v, r.ViolationCounts[v])
 	}
-	fmt.Fprintf(w, "crowds: %d\ndrain_slowest_ms: %d\n", r.Crowds, r.SlowestDrain.Milliseconds())
+	fmt.Fprintf(w, "crowds: %d\ndrain_slowest_ms: %d\n", r.LargeFleets, r.SlowestDrain.Milliseconds())
 	fmt.Fprintf(w, "rig_pauses: %d\nrig_longest_pause_ms: %d\n", r.Pauses, r.LongestPause.Milliseconds())
-	fmt.Fprintf(w, "planted: %d\nplanted_found: %d\n", len(r.Planted), r.PlantedFound())
+	fmt.Fprintf(w, "planted: %d\nplanted_found: %d\n", len(r.Detections), r.DefectsFound())
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -28,13 +28,13 @@
 	os.Exit(m.Run())
 }
 
-func options(t *testing.T) Options {
+func testOptions(t *testing.T) Options {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Process: harness.Process{Program: self, Args: []string{"double"}, Orders: true}, First: 1, Length: 4 * time.Second, Processes: 4,
+	return Options{Process: harness.Process{Program: self, Args: []string{"double"}, AcceptsCommands: true}, First: 1, Length: 4 * time.Second, Processes: 4,
 		Parallel: 2, Logs: t.TempDir(), Progress: testLog{t}}
 }
 
@@ -44,14 +44,14 @@
 
 // A few seeds, with troubles that overlap, break nothing.
 func TestSeeds(t *testing.T) {
-	o := options(t)
+	o := testOptions(t)
 	o.Seeds = 10
 	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Seeds != o.Seeds || len(r.Failed)+len(r.Broken) > 0 || r.Violations() > 0 {
-		t.Errorf("%d seeds played, %d failed, not played: %v, violations %v", r.Seeds, len(r.Failed), r.Broken, r.Verdicts)
+	if r.Seeds != o.Seeds || len(r.Failed)+len(r.NotPlayed) > 0 || r.TotalViolations() > 0 {
+		t.Errorf("%d seeds played, %d failed, not played: %v, violations %v", r.Seeds, len(r.Failed), r.NotPlayed, r.ViolationCounts)
 	}
 	if r.Requests < 200 || r.Overlapping == 0 {
 		t.Errorf("%d requests, %d seeds with troubles that overlap: the test has lost its subject", r.Requests, r.Overlapping)
@@ -59,24 +59,24 @@
 }
 
 // Defects that are planted are found.
-func TestPlantsAreFound(t *testing.T) {
-	o := options(t)
-	o.Plants, o.Only = 3, []string{faultgateway.PlantUnsafeTwice, faultgateway.PlantCloseUnanswered, faultgateway.PlantAnswerLate, faultgateway.PlantListAtStart}
+func TestDefectsAreDetected(t *testing.T) {
+	o := testOptions(t)
+	o.DefectSeeds, o.Defects = 3, []string{faultgateway.DefectNonIdempotentTwice, faultgateway.DefectClosedWithoutResponse, faultgateway.DefectResponseLate, faultgateway.DefectListIgnoredAtStart}
 	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.PlantedFound() != len(o.Only) {
-		t.Errorf("found %+v", r.Planted)
+	if r.DefectsFound() != len(o.Defects) {
+		t.Errorf("found %+v", r.Detections)
 	}
 }
 
 // One seed is one schedule; others are others; all can be played.
-func TestDraw(t *testing.T) {
+func TestNewSchedule(t *testing.T) {
 	kinds := map[string]bool{}
 	overlapping := 0
 	for seed := range uint64(400) {
-		a, b := Draw(seed, 10, 5*time.Second), Draw(seed, 10, 5*time.Second)
+		a, b := NewSchedule(seed, 10, 5*time.Second), NewSchedule(seed, 10, 5*time.Second)
 		if a.String() != b.String() {
 			t.Fatalf("seed %d is drawn differently:\n%s%s", seed, &a, &b)
 		}
@@ -97,7 +97,7 @@
 
 // An interrupted soak ends soon, without its last seeds.
 func TestInterrupted(t *testing.T) {
-	o := options(t)
+	o := testOptions(t)
 	o.Seeds = 1000
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
