--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -22,13 +22,13 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlab:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "foxlab",
 		Short:         "Shows and measures a gateway on loopback",
@@ -82,7 +82,7 @@
 				return err
 			}
 			named, _ := cmd.Flags().GetString("gateway")
-			gateway, remove, err := measure.Program(cmd.Context(), named)
+			gateway, remove, err := measure.GatewayProgram(cmd.Context(), named)
 			if err != nil {
 				return err
 			}
@@ -115,27 +115,27 @@
 	seconds     int
 	run         func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error)
 }{
-	{"fair", "the door: quiet clients beside a flood, shares, times of return, size and cost", 20, measure.MeasureFair},
+	{"fair", "the door: quiet clients beside a flood, shares, times of return, size and cost", 20, measure.Fairness},
 	{"cost", "the fast path: processor time, memory and added time a request, without the operator's file", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
-			return measure.MeasureCost(ctx, gateway, "", seconds, progress)
+			return measure.Cost(ctx, gateway, "", seconds, progress)
 		}},
-	{"spool", "kept results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.MeasureSpool},
+	{"spool", "kept results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.Spool},
 	{"sites", "the loss of a zone: 300 gateways in virtual time, with and without the plan, paired by seed", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
-			return measure.MeasureSites(ctx, gateway, progress)
+			return measure.Zones(ctx, gateway, progress)
 		}},
 	{"replica", "talk among gateways: how soon news reach all, bytes, copies that differ, worth, what it costs", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
-			return measure.MeasureReplica(ctx, gateway, progress)
+			return measure.Replica(ctx, gateway, progress)
 		}},
 	{"cost-sites", "the same with the plan for zones on", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
-			return measure.MeasureCost(ctx, gateway, "sites {\n}\n", seconds, progress)
+			return measure.Cost(ctx, gateway, "sites {\n}\n", seconds, progress)
 		}},
 	{"cost-fair", "the same with the door on", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
-			return measure.MeasureCost(ctx, gateway, "fair {\n}\n", seconds, progress)
+			return measure.Cost(ctx, gateway, "fair {\n}\n", seconds, progress)
 		}},
 }
 
--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -35,20 +35,20 @@
 		if at != "" {
 			args = []string{at}
 		}
-		where, err := controls(args, sitePath)
+		where, err := controlAddresses(args, sitePath)
 		if err != nil {
 			return err
 		}
-		return control(where[0], question, answer)
+		return queryControl(where[0], question, answer)
 	}
 	cmd.AddCommand(directiveChange(directives.Set, ask), directiveChange(directives.Unset, ask), directiveList(ask), directiveHistory(ask),
 		directiveInit(&sitePath))
 	return cmd
 }
 
-type asker func(question string, answer any) error
+type controlQuery func(question string, answer any) error
 
-func directiveChange(op directives.Op, ask asker) *cobra.Command {
+func directiveChange(op directives.Op, ask controlQuery) *cobra.Command {
 	var by string
 	var value float64
 	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RejectClass), string(directives.SpilloverLimit)}, "|")
@@ -57,7 +57,7 @@
 		Short: map[directives.Op]string{directives.Set: "Order something", directives.Unset: "Take an order back"}[op],
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c := directives.Command{ID: newID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
+			c := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
 			if len(args) > 1 {
 				c.Subject = args[1]
 			}
@@ -87,13 +87,13 @@
 	return cmd
 }
 
-func newID() string {
+func newCommandID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return hex.EncodeToString(b[:])
 }
 
-func directiveList(ask asker) *cobra.Command {
+func directiveList(ask controlQuery) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "list",
@@ -112,7 +112,7 @@
 			w := cmd.OutOrStdout()
 			age := "no voter with a quorum has confirmed it since the start"
 			if b.AgeMS >= 0 {
-				age = "confirmed " + span2(b.AgeMS) + " ago"
+				age = "confirmed " + formatMillis(b.AgeMS) + " ago"
 			}
 			fmt.Fprintf(w, "index %d, %s; voters %s\n", b.Index, age, strings.Join(b.Voters, ", "))
 			if s := b.Status; s != nil {
@@ -129,7 +129,7 @@
 	return cmd
 }
 
-func directiveHistory(ask asker) *cobra.Command {
+func directiveHistory(ask controlQuery) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
 		Short: "The latest commands, with what became of them",
--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -33,13 +33,13 @@
 var version = "dev"
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlane:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "foxlane",
 		Short:         "A gateway that admits queries to a pool of engines",
@@ -58,12 +58,12 @@
 		Short: "Serve clients, as " + config.EnvConfig + " says, until SIGTERM; SIGHUP reads it again",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals := listen() // a SIGHUP before that would end the process
-			cfg, err := load(sitePath)
+			signals := notifySignals() // a SIGHUP before that would end the process
+			cfg, err := loadConfig(sitePath)
 			if err != nil {
 				return err
 			}
-			return serve(cfg, verbose, signals)
+			return runGateway(cfg, verbose, signals)
 		},
 	}
 	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "log at debug level")
@@ -73,13 +73,13 @@
 
 // loadWithin is for how long a start goes on reading its configuration where that fails for a moment.
 const (
-	loadWithin = 3 * time.Second
-	loadPause  = 50 * time.Millisecond
+	loadTimeout       = 3 * time.Second
+	loadRetryInterval = 50 * time.Millisecond
 )
 
-// load reads the configuration and the operator's own file.
-func load(sitePath string) (config.Config, error) {
-	for until := time.Now().Add(loadWithin); ; time.Sleep(loadPause) {
+// loadConfig reads the configuration and the operator's own file.
+func loadConfig(sitePath string) (config.Config, error) {
+	for until := time.Now().Add(loadTimeout); ; time.Sleep(loadRetryInterval) {
 		cfg, err := config.Load()
 		if err == nil {
 			cfg, err = cfg.WithSite(sitePath)
@@ -97,9 +97,9 @@
 	debug.SetMemoryLimit(l.MemoryBytes)
 }
 
-// listen takes the process's signals. Each kind has a channel of its own, with room for one: a second of the same
+// notifySignals takes the process's signals. Each kind has a channel of its own, with room for one: a second of the same
 // kind asks for nothing more.
-func listen() net.Signals {
+func notifySignals() net.Signals {
 	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
@@ -107,19 +107,19 @@
 	return net.Signals{Reload: reload, Terminate: end}
 }
 
-func serve(cfg config.Config, verbose bool, signals net.Signals) error {
+func runGateway(cfg config.Config, verbose bool, signals net.Signals) error {
 	setRuntime(cfg.Limits)
 	cfg.Trace = verbose
-	lines := asynclog.New(os.Stderr, cfg.Limits.LogBufferBytes, lostLines)
-	defer lines.Close(logCloses)
+	lines := asynclog.New(os.Stderr, cfg.Limits.LogBufferBytes, droppedLinesEntry)
+	defer lines.Close(logDrainTimeout)
 	return net.Run(cfg, newLog(lines, verbose), signals)
 }
 
-// logCloses is how long the end of the process waits for whoever reads the log.
-const logCloses = 200 * time.Millisecond
+// logDrainTimeout is how long the end of the process waits for whoever reads the log.
+const logDrainTimeout = 200 * time.Millisecond
 
-// lostLines is the log line that reports lines that were lost.
-func lostLines(lines int) []byte {
+// droppedLinesEntry is the log line that reports lines that were lost.
+func droppedLinesEntry(lines int) []byte {
 	return fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log: lines lost","lines":%d}`+"\n", time.Now().Format(timeLayout), lines)
 }
 
--- a/cmd/foxlane/main_test.go
+++ b/cmd/foxlane/main_test.go
@@ -12,9 +12,9 @@
 	"foxlane/internal/config"
 )
 
-func run(args ...string) (string, error) {
+func execute(args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetArgs(args)
 	err := cmd.Execute()
@@ -23,25 +23,25 @@
 
 // The example's configuration is one that serves, and check says what it holds.
 func TestCheck(t *testing.T) {
-	out, err := run("check", "../../example/config.json")
+	out, err := execute("check", "../../example/config.json")
 	if err != nil || !strings.Contains(out, "n0 listens on 127.0.0.1:7001") || !strings.Contains(out, "3 classes, 2 engines") {
 		t.Errorf("got %q, %v", out, err)
 	}
-	if _, err := run("check", "../../go.mod"); err == nil {
+	if _, err := execute("check", "../../go.mod"); err == nil {
 		t.Error("a file that is no configuration passed")
 	}
-	if _, err := run("check"); err == nil {
+	if _, err := execute("check"); err == nil {
 		t.Error("check without a file passed")
 	}
 }
 
 // The operator's file that is shipped holds, and what is wrong with another is named with its place.
 func TestCheckSite(t *testing.T) {
-	out, err := run("check", "--site", "../../deploy/foxlane.hcl")
+	out, err := execute("check", "--site", "../../deploy/foxlane.hcl")
 	if err != nil || !strings.Contains(out, "ahead      = 4") {
 		t.Errorf("got %q, %v", out, err)
 	}
-	out, err = run("check", "../../example/config.json", "--site", "../../deploy/foxlane.hcl")
+	out, err = execute("check", "../../example/config.json", "--site", "../../deploy/foxlane.hcl")
 	if err != nil || !strings.Contains(out, "n0 listens") || !strings.Contains(out, "bytes for the door") {
 		t.Errorf("got %q, %v", out, err)
 	}
@@ -49,17 +49,17 @@
 	if err := os.WriteFile(path, []byte("fair {\n  ahed = 4\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := run("check", "--site", path); err == nil || !strings.Contains(err.Error(), `bad.hcl:2:3`) || !strings.Contains(err.Error(), `"ahead"`) {
+	if _, err := execute("check", "--site", path); err == nil || !strings.Contains(err.Error(), `bad.hcl:2:3`) || !strings.Contains(err.Error(), `"ahead"`) {
 		t.Errorf("got %v", err)
 	}
 	t.Setenv("LB_CONFIG", "../../example/config.json")
-	if _, err := run("serve", "--site", path); err == nil || !strings.Contains(err.Error(), "bad.hcl:2:3") {
+	if _, err := execute("serve", "--site", path); err == nil || !strings.Contains(err.Error(), "bad.hcl:2:3") {
 		t.Errorf("serve: %v", err)
 	}
 }
 
 func TestVersion(t *testing.T) {
-	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "foxlane dev go") {
+	if out, err := execute("version"); err != nil || !strings.HasPrefix(out, "foxlane dev go") {
 		t.Errorf("got %q, %v", out, err)
 	}
 }
@@ -67,7 +67,7 @@
 // Without a configuration, serve ends at once with one line that names it.
 func TestServeNeedsConfiguration(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
-	if _, err := run("serve"); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
+	if _, err := execute("serve"); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/cmd/foxlane/members.go
+++ b/cmd/foxlane/members.go
@@ -22,16 +22,16 @@
 // This file owns `foxlane members` and `foxlane replica`: what gateways that talk hold of one another. It asks them where
 // their block `members` has control, and changes nothing.
 
-const controlWithin = 7 * time.Second // a vote may take some
+const controlTimeout = 7 * time.Second // a vote may take some
 
-// control asks a gateway one question and reads its answer.
-func control(at netip.AddrPort, question string, answer any) error {
-	c, err := net.DialTimeout("tcp", at.String(), controlWithin)
+// queryControl asks a gateway one question and reads its answer.
+func queryControl(at netip.AddrPort, question string, answer any) error {
+	c, err := net.DialTimeout("tcp", at.String(), controlTimeout)
 	if err != nil {
 		return fmt.Errorf("control at %s: %w", at, err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(controlWithin))
+	_ = c.SetDeadline(time.Now().Add(controlTimeout))
 	if _, err := fmt.Fprintln(c, question); err != nil {
 		return fmt.Errorf("control at %s: %w", at, err)
 	}
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// controls are the addresses that a command names, or that of the operator's file.
-func controls(args []string, sitePath string) (out []netip.AddrPort, err error) {
+// controlAddresses are the addresses that a command names, or that of the operator's file.
+func controlAddresses(args []string, sitePath string) (out []netip.AddrPort, err error) {
 	for _, a := range args {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -84,12 +84,12 @@
 		Short: "Who a gateway talks to, since when, and how new what it holds of each is",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at, err := controls(args, sitePath)
+			at, err := controlAddresses(args, sitePath)
 			if err != nil {
 				return err
 			}
 			var lines []gateway.MemberStatus
-			if err := control(at[0], "members", &lines); err != nil {
+			if err := queryControl(at[0], "members", &lines); err != nil {
 				return err
 			}
 			if asJSON {
@@ -111,18 +111,18 @@
 	for _, l := range lines {
 		name, lag, sends := l.Name, "", ""
 		if l.Self {
-			name, lag, sends = "* "+name, span2(l.LagMS), fmt.Sprintf("%.0f", l.SentBytesPerSecond)
+			name, lag, sends = "* "+name, formatMillis(l.LagMS), fmt.Sprintf("%.0f", l.SentBytesPerSecond)
 		}
 		newest := "-"
 		if l.NewestEntryMS >= 0 {
-			newest = span2(l.NewestEntryMS)
+			newest = formatMillis(l.NewestEntryMS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, l.Zone, span2(l.SinceMS), l.Entries, newest, lag, sends, l.Incarnation)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, l.Zone, formatMillis(l.SinceMS), l.Entries, newest, lag, sends, l.Incarnation)
 	}
 	return t.Flush()
 }
 
-func span2(ms int64) string {
+func formatMillis(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
@@ -141,13 +141,13 @@
 			"--settle, or about to be forgotten, is on its way and not named. It exits with 1 if copies differ.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at, err := controls(args, "")
+			at, err := controlAddresses(args, "")
 			if err != nil {
 				return err
 			}
 			held := make([][]gateway.ReplicaEntry, len(at))
 			for i := range at {
-				if err := control(at[i], "copies", &held[i]); err != nil {
+				if err := queryControl(at[i], "copies", &held[i]); err != nil {
 					return err
 				}
 			}
--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -24,16 +24,16 @@
 // comes back. It must never decide any of it.
 
 type planFlags struct {
-	site     string
-	lose     []string
-	back     []string
-	load     float64
-	at       time.Duration
-	after    time.Duration
-	unlisted time.Duration
-	notice   time.Duration
-	length   time.Duration
-	asJSON   bool
+	site      string
+	lose      []string
+	returning []string
+	load      float64
+	at        time.Duration
+	outage    time.Duration
+	unlisted  time.Duration
+	notice    time.Duration
+	length    time.Duration
+	asJSON    bool
 }
 
 func planCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			p, err := f.plan(cfg)
+			p, err := f.compute(cfg)
 			if err != nil {
 				return err
 			}
@@ -71,10 +71,10 @@
 	fl := cmd.Flags()
 	fl.StringVar(&f.site, "site", "", "the operator's own file (HCL); without its block sites the defaults hold")
 	fl.StringSliceVar(&f.lose, "lose", nil, "a zone that is lost, engines and gateways; may be given more than once")
-	fl.StringSliceVar(&f.back, "return", nil, "a lost zone that comes back, cold")
+	fl.StringSliceVar(&f.returning, "return", nil, "a lost zone that comes back, cold")
 	fl.Float64Var(&f.load, "load", 0.6, "work that clients ask for, over what all engines can do; each zone's clients in proportion to its engines")
 	fl.DurationVar(&f.at, "at", 5*time.Second, "when the zones are lost")
-	fl.DurationVar(&f.after, "after", 20*time.Second, "how long they are away, with --return")
+	fl.DurationVar(&f.outage, "after", 20*time.Second, "how long they are away, with --return")
 	fl.DurationVar(&f.unlisted, "unlisted", 4*time.Second, "from the loss until their engines leave the list")
 	fl.DurationVar(&f.notice, "notice", 2*time.Second, "from the loss until their clients come to other gateways")
 	fl.DurationVar(&f.length, "for", time.Minute, "how long to look")
@@ -114,7 +114,7 @@
 	Shed                            float64
 }
 
-func (f *planFlags) plan(cfg config.Config) (*plan, error) {
+func (f *planFlags) compute(cfg config.Config) (*plan, error) {
 	sites := &site.Zones{Settings: zones.Defaults()}
 	if f.site != "" {
 		s, err := site.LoadFile(f.site)
@@ -125,7 +125,7 @@
 			sites = s.Zones
 		}
 	}
-	if !(f.load > 0) || f.at < 0 || f.after <= 0 || f.length <= 0 || f.length > time.Hour {
+	if !(f.load > 0) || f.at < 0 || f.outage <= 0 || f.length <= 0 || f.length > time.Hour {
 		return nil, errors.New("plan: --load and --after must be over 0, --at at least 0, --for over 0 and at most 1h")
 	}
 	names := cfg.Settings.ZoneNames
@@ -134,7 +134,7 @@
 	}
 	set, _ := sites.Resolve(names)
 	sc := zones.Scenario{
-		LostAt: span(f.at), UnlistAfter: span(f.unlisted), ClientsMoveAfter: span(f.notice), Duration: span(f.length),
+		LostAt: planTime(f.at), UnlistAfter: planTime(f.unlisted), ClientsMoveAfter: planTime(f.notice), Duration: planTime(f.length),
 		ColdSpeed: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, WarmupTime: cfg.Settings.Rules.Constraints.SlowStartPeriod,
 	}
 	cores := make([]float64, len(names))
@@ -149,15 +149,15 @@
 		p.Demand = append(p.Demand, f.load*cores[i])
 		sc.Zones = append(sc.Zones, zones.ZoneSpec{Name: name, Cores: cores[i], Demand: f.load * cores[i]})
 	}
-	for _, name := range append(slices.Clone(f.lose), f.back...) {
+	for _, name := range append(slices.Clone(f.lose), f.returning...) {
 		if !slices.Contains(names, name) {
 			return nil, fmt.Errorf("plan: no zone %q; there are %s", name, strings.Join(names, ", "))
 		}
 	}
-	if len(f.back) > 0 {
-		sc.ReturnAt = sc.LostAt + span(f.after)
+	if len(f.returning) > 0 {
+		sc.ReturnAt = sc.LostAt + planTime(f.outage)
 	}
-	for _, name := range append(slices.Clone(f.lose), f.back...) {
+	for _, name := range append(slices.Clone(f.lose), f.returning...) {
 		if i := slices.Index(names, name); !slices.Contains(sc.LostZones, i) {
 			sc.LostZones = append(sc.LostZones, i)
 			p.Lost = append(p.Lost, name)
@@ -166,7 +166,7 @@
 	sc.Classes = classSpecs(cfg, sites)
 	p.Order = append([]string{"tenants over their share", "repeats of what failed before"}, classOrder(sc.Classes)...)
 	for i := range names {
-		p.Steady = append(p.Steady, settled(set, sc, i))
+		p.Steady = append(p.Steady, steadyState(set, sc, i))
 	}
 	for _, m := range zones.Simulate(set, sc) {
 		s := second{At: float64(m.At/rules.Millisecond) / 1000, Asked: m.Demand, Left: m.Unserved}
@@ -178,7 +178,7 @@
 	return p, nil
 }
 
-func span(d time.Duration) rules.Time { return rules.Time(d / time.Microsecond) }
+func planTime(d time.Duration) rules.Time { return rules.Time(d / time.Microsecond) }
 
 // classSpecs are the classes by their part of the work, and by what they earn for it.
 func classSpecs(cfg config.Config, sites *site.Zones) []zones.ClassSpec {
@@ -211,8 +211,8 @@
 	return out
 }
 
-// settled plays the loss of one zone until nothing changes any more.
-func settled(set zones.Settings, sc zones.Scenario, lose int) steady {
+// steadyState plays the loss of one zone until nothing changes any more.
+func steadyState(set zones.Settings, sc zones.Scenario, lose int) steady {
 	sc.LostZones, sc.LostAt, sc.ReturnAt, sc.Duration = []int{lose}, rules.Second, 0, rules.Second+sc.UnlistAfter+sc.ClientsMoveAfter+20*rules.Second
 	moments := zones.Simulate(set, sc)
 	last := moments[len(moments)-1]
--- a/cmd/foxlane/plan_test.go
+++ b/cmd/foxlane/plan_test.go
@@ -9,7 +9,7 @@
 
 // The plan of the example's two halls: a table, and the same as JSON.
 func TestPlanCommand(t *testing.T) {
-	out, err := run("plan", "../../example/config.json", "--lose", "hall-a", "--return", "hall-a")
+	out, err := execute("plan", "../../example/config.json", "--lose", "hall-a", "--return", "hall-a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	out, err = run("plan", "../../example/config.json", "--lose", "hall-a", "--load", "0.4", "--json", "--for", "20s")
+	out, err = execute("plan", "../../example/config.json", "--lose", "hall-a", "--load", "0.4", "--json", "--for", "20s")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		{[]string{"plan", "../../example/config.json", "--load", "0"}, "--load"},
 		{[]string{"plan", "../../example/config.json", "--site", "nowhere.hcl"}, "nowhere.hcl"},
 	} {
-		if _, err := run(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := execute(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: got %v, want %q", c.args, err, c.want)
 		}
 	}
--- a/cmd/foxlane/signals_test.go
+++ b/cmd/foxlane/signals_test.go
@@ -8,7 +8,7 @@
 
 // A burst of SIGHUPs that nobody reads hides no SIGTERM, and one of them is left to be read.
 func TestBurstHidesNoEnd(t *testing.T) {
-	signals := listen()
+	signals := notifySignals()
 	for range 32 {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
--- a/cmd/foxlane/spool.go
+++ b/cmd/foxlane/spool.go
@@ -28,7 +28,7 @@
 		Short: "Say which results are over; with --yes drop them and free their room",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withFolder(args[0], !yes, func(s *disk.Store, rec *disk.Recovery) error {
+			return withStore(args[0], !yes, func(s *disk.Store, rec *disk.Recovery) error {
 				return spoolGC(cmd.OutOrStdout(), s, rec, time.Now(), yes)
 			})
 		},
@@ -40,7 +40,7 @@
 			Short: "List the results that are whole",
 			Args:  cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return withFolder(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
+				return withStore(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
 					return spoolList(cmd.OutOrStdout(), rec, time.Now())
 				})
 			},
@@ -50,7 +50,7 @@
 			Short: "Say where the chunks of a result lie; its rows are not shown",
 			Args:  cobra.ExactArgs(2),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return withFolder(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
+				return withStore(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
 					return spoolShow(cmd.OutOrStdout(), rec, args[1])
 				})
 			},
@@ -60,7 +60,7 @@
 			Short: "Read every chunk and compare its sums; fails if anything is damaged",
 			Args:  cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return withFolder(args[0], true, func(s *disk.Store, rec *disk.Recovery) error {
+				return withStore(args[0], true, func(s *disk.Store, rec *disk.Recovery) error {
 					return spoolVerify(cmd.OutOrStdout(), s, rec)
 				})
 			},
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-func withFolder(path string, readOnly bool, do func(*disk.Store, *disk.Recovery) error) (err error) {
+func withStore(path string, readOnly bool, do func(*disk.Store, *disk.Recovery) error) (err error) {
 	folder, err := disk.OpenExisting(path)
 	if err != nil {
 		return err
@@ -81,14 +81,14 @@
 	return errors.Join(do(store, rec), store.Close())
 }
 
-func size(places []spool.Location) (n int64) {
+func totalSize(places []spool.Location) (n int64) {
 	for _, p := range places {
 		n += int64(p.Size)
 	}
 	return n
 }
 
-func at(unixMicro int64) string { return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339) }
+func formatTime(unixMicro int64) string { return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339) }
 
 func spoolList(out io.Writer, rec *disk.Recovery, now time.Time) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -98,8 +98,8 @@
 		if f.Meta.LeaseEnd < now.UnixMicro() {
 			state = "over"
 		}
-		fmt.Fprintf(t, "%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", f.ID[:], f.Meta.Tenant, f.Meta.Class, len(f.Locations), size(f.Locations),
-			at(f.Meta.Created), at(f.Meta.LeaseEnd), state)
+		fmt.Fprintf(t, "%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", f.ID[:], f.Meta.Tenant, f.Meta.Class, len(f.Locations), totalSize(f.Locations),
+			formatTime(f.Meta.Created), formatTime(f.Meta.LeaseEnd), state)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -118,7 +118,7 @@
 		if string(f.ID[:]) != string(raw) {
 			continue
 		}
-		fmt.Fprintf(out, "created %s, lease until %s\n", at(f.Meta.Created), at(f.Meta.LeaseEnd))
+		fmt.Fprintf(out, "created %s, lease until %s\n", formatTime(f.Meta.Created), formatTime(f.Meta.LeaseEnd))
 		for n, p := range f.Locations {
 			fmt.Fprintf(out, "chunk %d: segment %d at %d, %d bytes\n", n, p.Segment, p.Offset, p.Size)
 		}
@@ -163,7 +163,7 @@
 	for _, f := range rec.Results {
 		if f.Meta.LeaseEnd < now.UnixMicro() {
 			over = append(over, f.ID)
-			bytes += size(f.Locations)
+			bytes += totalSize(f.Locations)
 		}
 	}
 	if !yes {
--- a/cmd/foxlane/spool_test.go
+++ b/cmd/foxlane/spool_test.go
@@ -44,7 +44,7 @@
 	return dir
 }
 
-func contents(t *testing.T, dir string) (out string) {
+func folderContents(t *testing.T, dir string) (out string) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	if err != nil {
 		t.Fatal(err)
@@ -62,32 +62,32 @@
 func TestSpoolCommands(t *testing.T) {
 	now := time.Now()
 	dir := spoolFolder(t, now.Add(-time.Hour), now.Add(time.Hour), now.Add(-time.Minute))
-	before := contents(t, dir)
-	out, err := run("spool", "ls", dir)
+	before := folderContents(t, dir)
+	out, err := execute("spool", "ls", dir)
 	if err != nil || !strings.Contains(out, "3 whole, 0 damaged") || strings.Count(out, "over") != 2 {
 		t.Errorf("ls: %v\n%s", err, out)
 	}
-	if out, err := run("spool", "show", dir, "02000000000000000000000000000000"); err != nil || !strings.Contains(out, "chunk 0: segment 1") {
+	if out, err := execute("spool", "show", dir, "02000000000000000000000000000000"); err != nil || !strings.Contains(out, "chunk 0: segment 1") {
 		t.Errorf("show: %v\n%s", err, out)
 	}
 	for _, id := range []string{"02", "zz000000000000000000000000000000", "09000000000000000000000000000000"} {
-		if _, err := run("spool", "show", dir, id); err == nil {
+		if _, err := execute("spool", "show", dir, id); err == nil {
 			t.Errorf("show %s passed", id)
 		}
 	}
-	if out, err := run("spool", "verify", dir); err != nil || !strings.Contains(out, "3 results are whole") {
+	if out, err := execute("spool", "verify", dir); err != nil || !strings.Contains(out, "3 results are whole") {
 		t.Errorf("verify: %v\n%s", err, out)
 	}
-	if out, err := run("spool", "gc", dir); err != nil || !strings.Contains(out, "2 of 3 results are over") {
+	if out, err := execute("spool", "gc", dir); err != nil || !strings.Contains(out, "2 of 3 results are over") {
 		t.Errorf("gc: %v\n%s", err, out)
 	}
-	if contents(t, dir) != before {
+	if folderContents(t, dir) != before {
 		t.Error("a command that was not told to has written to the folder")
 	}
-	if out, err := run("spool", "gc", dir, "--yes"); err != nil || !strings.Contains(out, "2 results dropped") {
+	if out, err := execute("spool", "gc", dir, "--yes"); err != nil || !strings.Contains(out, "2 results dropped") {
 		t.Errorf("gc --yes: %v\n%s", err, out)
 	}
-	if out, err := run("spool", "ls", dir); err != nil || !strings.Contains(out, "1 whole, 0 damaged") {
+	if out, err := execute("spool", "ls", dir); err != nil || !strings.Contains(out, "1 whole, 0 damaged") {
 		t.Errorf("ls after gc: %v\n%s", err, out)
 	}
 }
@@ -106,15 +106,15 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	before := contents(t, dir)
-	out, err := run("spool", "verify", dir)
+	before := folderContents(t, dir)
+	out, err := execute("spool", "verify", dir)
 	if err == nil || !strings.Contains(out, "are damaged, of result 0100") || !strings.Contains(out, "1 damaged, 1 never finished") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if contents(t, dir) != before {
+	if folderContents(t, dir) != before {
 		t.Error("verify has changed the folder")
 	}
-	if _, err := run("spool", "ls", filepath.Join(dir, "nowhere")); err == nil {
+	if _, err := execute("spool", "ls", filepath.Join(dir, "nowhere")); err == nil {
 		t.Error("a folder that is not there passed")
 	}
 	if _, err := os.Stat(filepath.Join(dir, "nowhere")); err == nil {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -28,7 +28,7 @@
 }
 
 func run() error {
-	names, err := standin.NewNames(namesAddr, listName)
+	names, err := standin.NewNameServer(namesAddr, listName)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	var hosts []standin.Host
 	for i, zone := range []string{"hall-a", "hall-b"} {
 		id := fmt.Sprintf("s-0000000%d", i+1)
-		e, err := standin.NewEngine(fmt.Sprintf("127.0.0.1:700%d", i+2), func(a standin.Ask) standin.Reply { return answer(id, a) })
+		e, err := standin.NewEngine(fmt.Sprintf("127.0.0.1:700%d", i+2), func(a standin.Request) standin.Reply { return answer(id, a) })
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 		hosts = append(hosts, standin.Host{ID: id, Zone: zone, Addr: netip.MustParseAddrPort(e.Addr()), Weight: 4, Kind: "std-16"})
 		fmt.Printf("engine %s in %s at %s\n", id, zone, e.Addr())
 	}
-	names.Set(2, hosts)
+	names.SetHosts(2, hosts)
 	fmt.Printf("name service at %s; end with Ctrl-C\n", names.Addr())
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
@@ -53,10 +53,10 @@
 }
 
 // answer takes a tenth of a second and gives two pages that say what was asked.
-func answer(engine string, a standin.Ask) standin.Reply {
+func answer(engine string, a standin.Request) standin.Reply {
 	fmt.Printf("%s: %s %s\n", engine, a.Fields["lane"], a.Statement)
 	statement := strings.NewReplacer("\t", " ", "\n", " ").Replace(a.Statement)
-	return standin.Reply{After: 100 * time.Millisecond, Word: "served", Pages: []string{
+	return standin.Reply{Delay: 100 * time.Millisecond, Status: "served", Pages: []string{
 		"engine\tclass\tstatement\n" + engine + "\t" + a.Fields["lane"] + "\t" + statement + "\n",
 		"page\t2\tof two\n",
 	}}
--- a/internal/dns/dns_test.go
+++ b/internal/dns/dns_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestAnswer(t *testing.T) {
-	a, err := Parse(standin.Answer(7, name, 41, hosts), 7, name)
+	a, err := Parse(standin.EncodeAnswer(7, name, 41, hosts), 7, name)
 	want := Answer{Serial: 41, Hosts: []Host{
 		{ID: "s-00c41f7a", Zone: "east", Addr: hosts[0].Addr, Weight: 40, Kind: "std", Cell: 2, Started: 1700000000123},
 		{ID: "s-1b241188", Zone: "west", Addr: hosts[1].Addr, Weight: 10, Priority: 1, Kind: "big"},
@@ -27,7 +27,7 @@
 	if err != nil || !reflect.DeepEqual(a, want) {
 		t.Errorf("got %+v, %v", a, err)
 	}
-	if a, err := Parse(standin.Answer(7, name, 42, nil), 7, name); err != nil || a.Serial != 42 || len(a.Hosts) != 0 {
+	if a, err := Parse(standin.EncodeAnswer(7, name, 42, nil), 7, name); err != nil || a.Serial != 42 || len(a.Hosts) != 0 {
 		t.Errorf("an empty list: %+v, %v", a, err)
 	}
 }
@@ -72,7 +72,7 @@
 }
 
 func TestBrokenAnswers(t *testing.T) {
-	good := standin.Answer(7, name, 41, hosts)
+	good := standin.EncodeAnswer(7, name, 41, hosts)
 	change := func(at int, b byte) []byte {
 		out := append([]byte{}, good...)
 		out[at] = b
@@ -104,7 +104,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(standin.Answer(7, name, 41, hosts))
+	f.Add(standin.EncodeAnswer(7, name, 41, hosts))
 	f.Add(AppendQuery(nil, 7, name))
 	f.Fuzz(func(t *testing.T, msg []byte) {
 		a, err := Parse(msg, 7, name)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -12,44 +12,44 @@
 // of the rest; beyond Knee threads a core the whole engine loses, and a cold one does all of its work
 // slower. Simplified: memory and data sets are not modelled.
 type EngineModel struct {
-	Cores   float64
-	Slots   int     // queries that run at once
-	Line    int     // queries that wait for a slot; more are turned away
-	Knee    float64 // threads a core from which work is lost
-	Loss    float64 // part of its work that it loses at twice as many and beyond
-	Quarrel float64 // deviation of the logarithm of a query's work, from one attempt to another
+	Cores        float64
+	Slots        int     // queries that run at once
+	QueueLimit   int     // queries that wait for a slot; more are turned away
+	KneeThreads  float64 // threads a core from which work is lost
+	OverloadLoss float64 // part of its work that it loses at twice as many and beyond
+	WorkNoise    float64 // deviation of the logarithm of a query's work, from one attempt to another
 }
 
 // engine is one of the modelled engines.
 type engine struct {
-	f       *Fleet
-	id      rules.EngineID
-	zone    int
-	state   rules.EngineState
-	started rules.Time // 0: long ago
-	gone    bool       // its process has ended: connections are refused
-	silent  bool       // it, or the way to it, says nothing
-	fallen  bool       // it was sent more than it bears while cold
-	slow    float64    // times that all its work takes
-	errs    float64    // part of queries that it answers with an error at once
+	fleet     *Fleet
+	id        rules.EngineID
+	zone      int
+	state     rules.EngineState
+	startedAt rules.Time // 0: long ago
+	stopped   bool       // its process has ended: connections are refused
+	silent    bool       // it, or the way to it, says nothing
+	collapsed bool       // it was sent more than it bears while cold
+	slowdown  float64    // times that all its work takes
+	errorRate float64    // part of queries that it answers with an error at once
 
-	bands [2]band // by priority, the low one first
-	line  []*job
-	at    rules.Time
-	armed uint64 // the end that is waited for
+	bands       [2]band // by priority, the low one first
+	queue       []*job
+	settledAt   rules.Time
+	timerSerial uint64 // the end that is waited for
 
-	sent    []coldSend
-	sentSum float64
-	worst   float64 // largest part of the cold budget that was spent
-	did     float64 // work done
+	coldSends      []coldSend
+	coldWork       float64
+	peakColdBudget float64 // largest part of the cold budget that was spent
+	workDone       float64 // work done
 }
 
 // band is what runs at one priority.
 type band struct {
-	running jobHeap
-	threads float64
-	spun    float64 // time that each of its threads has run since the start, in microseconds
-	rate    float64 // at which it does
+	running  jobHeap
+	threads  float64
+	progress float64 // time that each of its threads has run since the start, in microseconds
+	rate     float64 // at which it does
 }
 
 type coldSend struct {
@@ -59,23 +59,23 @@
 
 // job is an attempt at its engine.
 type job struct {
-	attempt *attempt
-	threads float64
-	work    float64
-	ends    float64 // of its band's spun
-	band    *band
-	slot    int // in the heap; -1: not running
-	over    bool
+	attempt   *attempt
+	threads   float64
+	work      float64
+	endsAt    float64 // of its band's spun
+	band      *band
+	heapIndex int // in the heap; -1: not running
+	finished  bool
 }
 
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
-func (h jobHeap) Less(i, j int) bool { return h[i].ends < h[j].ends }
-func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].slot, h[j].slot = i, j }
+func (h jobHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
+func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
-	j.slot = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 func (h *jobHeap) Pop() any {
@@ -83,165 +83,165 @@
 	j := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	j.slot = -1
+	j.heapIndex = -1
 	return j
 }
 
-// warmth is the part of its speed that an engine has: it warms evenly.
-func (e *engine) warmth() float64 {
-	d := e.f.scene.Settings.Constraints
-	if e.started == 0 || d.SlowStartPeriod == 0 || e.f.now >= e.started+d.SlowStartPeriod {
+// warmUpSpeed is the part of its speed that an engine has: it warms evenly.
+func (e *engine) warmUpSpeed() float64 {
+	d := e.fleet.scenario.Settings.Constraints
+	if e.startedAt == 0 || d.SlowStartPeriod == 0 || e.fleet.now >= e.startedAt+d.SlowStartPeriod {
 		return 1
 	}
-	return d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*float64(e.f.now-e.started)/float64(d.SlowStartPeriod)
+	return d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*float64(e.fleet.now-e.startedAt)/float64(d.SlowStartPeriod)
 }
 
-const leastLow = 0.05 // part of the cores that the low band has in any case
+const minLowPriorityShare = 0.05 // part of the cores that the low band has in any case
 
-// pace takes the bands' rates anew.
-func (e *engine) pace() {
-	m := e.f.scene.Engine
-	speed := e.warmth() / e.slow
+// updateRates takes the bands' rates anew.
+func (e *engine) updateRates() {
+	m := e.fleet.scenario.Engine
+	speed := e.warmUpSpeed() / e.slowdown
 	low, high := &e.bands[0], &e.bands[1]
-	if over := (low.threads+high.threads)/(m.Knee*m.Cores) - 1; over > 0 {
-		speed *= 1 - m.Loss*min(over, 1)
+	if over := (low.threads+high.threads)/(m.KneeThreads*m.Cores) - 1; over > 0 {
+		speed *= 1 - m.OverloadLoss*min(over, 1)
 	}
 	high.rate, low.rate = speed, speed
 	if high.threads > m.Cores {
 		high.rate *= m.Cores / high.threads
 	}
-	if left := max(m.Cores-high.threads, leastLow*m.Cores); low.threads > left {
+	if left := max(m.Cores-high.threads, minLowPriorityShare*m.Cores); low.threads > left {
 		low.rate *= left / low.threads
 	}
 }
 
-// settle brings the engine's books up to now.
-func (e *engine) settle() {
+// advance brings the engine's books up to now.
+func (e *engine) advance() {
 	for i := range e.bands {
 		b := &e.bands[i]
-		run := b.rate * float64(e.f.now-e.at)
-		b.spun += run
-		e.did += run * b.threads
+		run := b.rate * float64(e.fleet.now-e.settledAt)
+		b.progress += run
+		e.workDone += run * b.threads
 	}
-	e.at = e.f.now
+	e.settledAt = e.fleet.now
 }
 
-const coldStep = 100 * rules.Millisecond // how often a warming engine's speed is taken anew
+const warmUpInterval = 100 * rules.Millisecond // how often a warming engine's speed is taken anew
 
-// arm waits for the next end.
-func (e *engine) arm() {
-	e.armed++
-	e.pace()
+// armTimer waits for the next end.
+func (e *engine) armTimer() {
+	e.timerSerial++
+	e.updateRates()
 	wait := rules.Time(math.MaxInt64)
 	for i := range e.bands {
 		if b := &e.bands[i]; len(b.running) > 0 {
-			wait = min(wait, max(1, rules.Time(math.Ceil((b.running[0].ends-b.spun)/b.rate))))
+			wait = min(wait, max(1, rules.Time(math.Ceil((b.running[0].endsAt-b.progress)/b.rate))))
 		}
 	}
 	if wait == math.MaxInt64 {
 		return
 	}
-	if e.warmth() < 1 {
-		wait = min(wait, coldStep)
+	if e.warmUpSpeed() < 1 {
+		wait = min(wait, warmUpInterval)
 	}
-	armed := e.armed
-	e.f.after(wait, func() {
-		if e.armed == armed {
-			e.turn()
+	armed := e.timerSerial
+	e.fleet.after(wait, func() {
+		if e.timerSerial == armed {
+			e.completeAndStart()
 		}
 	})
 }
 
-func (e *engine) runs() int { return len(e.bands[0].running) + len(e.bands[1].running) }
+func (e *engine) runningJobs() int { return len(e.bands[0].running) + len(e.bands[1].running) }
 
-// turn ends what has run, and starts what waits.
-func (e *engine) turn() {
-	e.settle()
+// completeAndStart ends what has run, and starts what waits.
+func (e *engine) completeAndStart() {
+	e.advance()
 	for i := range e.bands {
 		b := &e.bands[i]
-		for len(b.running) > 0 && b.running[0].ends <= b.spun+0.5 {
+		for len(b.running) > 0 && b.running[0].endsAt <= b.progress+0.5 {
 			j := heap.Pop(&b.running).(*job)
-			j.over = true
+			j.finished = true
 			b.threads -= j.threads
-			e.f.answer(j.attempt, rules.StatusOK)
+			e.fleet.answerGateway(j.attempt, rules.StatusOK)
 		}
 	}
-	for len(e.line) > 0 && e.runs() < e.f.scene.Engine.Slots {
-		j := e.line[0]
-		e.line = e.line[1:]
-		e.start(j)
+	for len(e.queue) > 0 && e.runningJobs() < e.fleet.scenario.Engine.Slots {
+		j := e.queue[0]
+		e.queue = e.queue[1:]
+		e.startJob(j)
 	}
-	e.arm()
+	e.armTimer()
 }
 
-func (e *engine) start(j *job) {
+func (e *engine) startJob(j *job) {
 	j.band = &e.bands[0]
 	if j.attempt.request.priority > 1 {
 		j.band = &e.bands[1]
 	}
-	j.ends = j.band.spun + j.work/j.threads
+	j.endsAt = j.band.progress + j.work/j.threads
 	j.band.threads += j.threads
 	heap.Push(&j.band.running, j)
 }
 
-// take has an attempt come to the engine.
-func (e *engine) take(a *attempt) {
+// receive has an attempt come to the engine.
+func (e *engine) receive(a *attempt) {
 	switch {
 	case e.silent:
 		return
-	case e.gone || e.fallen:
-		e.f.answer(a, rules.StatusConnectFailed)
+	case e.stopped || e.collapsed:
+		e.fleet.answerGateway(a, rules.StatusConnectFailed)
 		return
-	case e.f.rng.Float64() < e.errs:
-		e.f.answer(a, rules.StatusError)
+	case e.fleet.rng.Float64() < e.errorRate:
+		e.fleet.answerGateway(a, rules.StatusError)
 		return
 	}
-	e.settle()
-	work := a.request.work * math.Exp(e.f.rng.NormFloat64()*e.f.scene.Engine.Quarrel)
-	if e.bear(work); e.fallen {
-		e.f.answer(a, rules.StatusReset)
+	e.advance()
+	work := a.request.work * math.Exp(e.fleet.rng.NormFloat64()*e.fleet.scenario.Engine.WorkNoise)
+	if e.chargeColdBudget(work); e.collapsed {
+		e.fleet.answerGateway(a, rules.StatusReset)
 		return
 	}
-	j := &job{attempt: a, threads: float64(max(1, a.request.class.Threads)), work: work, slot: -1}
+	j := &job{attempt: a, threads: float64(max(1, a.request.class.Threads)), work: work, heapIndex: -1}
 	a.job = j
 	switch {
-	case e.runs() < e.f.scene.Engine.Slots:
-		e.start(j)
-	case len(e.line) < e.f.scene.Engine.Line:
-		e.line = append(e.line, j)
+	case e.runningJobs() < e.fleet.scenario.Engine.Slots:
+		e.startJob(j)
+	case len(e.queue) < e.fleet.scenario.Engine.QueueLimit:
+		e.queue = append(e.queue, j)
 	default:
-		j.over = true
-		e.f.answer(a, rules.StatusRejected)
+		j.finished = true
+		e.fleet.answerGateway(a, rules.StatusRejected)
 	}
-	e.arm()
+	e.armTimer()
 }
 
-// bear counts work against what a cold engine bears. Rejected work counts, too.
-func (e *engine) bear(work float64) {
-	d := e.f.scene.Settings.Constraints
-	if e.warmth() >= 1 || d.OverloadWindow == 0 {
-		e.sent, e.sentSum = nil, 0
+// chargeColdBudget counts work against what a cold engine bears. Rejected work counts, too.
+func (e *engine) chargeColdBudget(work float64) {
+	d := e.fleet.scenario.Settings.Constraints
+	if e.warmUpSpeed() >= 1 || d.OverloadWindow == 0 {
+		e.coldSends, e.coldWork = nil, 0
 		return
 	}
-	e.sent = append(e.sent, coldSend{e.f.now, work})
-	e.sentSum += work
-	for e.sent[0].at <= e.f.now-d.OverloadWindow {
-		e.sentSum -= e.sent[0].work
-		e.sent = e.sent[1:]
+	e.coldSends = append(e.coldSends, coldSend{e.fleet.now, work})
+	e.coldWork += work
+	for e.coldSends[0].at <= e.fleet.now-d.OverloadWindow {
+		e.coldWork -= e.coldSends[0].work
+		e.coldSends = e.coldSends[1:]
 	}
-	part := e.sentSum / (d.OverloadFactor * e.warmth() * e.f.scene.Engine.Cores * float64(d.OverloadWindow))
-	e.worst = max(e.worst, part)
+	part := e.coldWork / (d.OverloadFactor * e.warmUpSpeed() * e.fleet.scenario.Engine.Cores * float64(d.OverloadWindow))
+	e.peakColdBudget = max(e.peakColdBudget, part)
 	if part > 1 {
-		e.fallen = true
-		e.f.Books.Fallen++
-		e.drop(rules.StatusReset)
+		e.collapsed = true
+		e.fleet.Metrics.OverloadCollapses++
+		e.endAll(rules.StatusReset)
 	}
 }
 
-// drop ends all that runs and waits there.
-func (e *engine) drop(v rules.Status) {
-	e.settle()
-	all := e.line
+// endAll ends all that runs and waits there.
+func (e *engine) endAll(v rules.Status) {
+	e.advance()
+	all := e.queue
 	for i := range e.bands {
 		b := &e.bands[i]
 		for len(b.running) > 0 {
@@ -249,26 +249,26 @@
 		}
 		b.threads = 0
 	}
-	e.line = nil
+	e.queue = nil
 	for _, j := range all {
-		j.over = true
-		e.f.answer(j.attempt, v)
+		j.finished = true
+		e.fleet.answerGateway(j.attempt, v)
 	}
-	e.arm()
+	e.armTimer()
 }
 
-// quit gives one attempt up.
-func (e *engine) quit(j *job) {
-	if j.over {
+// cancel gives one attempt up.
+func (e *engine) cancel(j *job) {
+	if j.finished {
 		return
 	}
-	e.settle()
-	j.over = true
-	if j.slot >= 0 {
-		heap.Remove(&j.band.running, j.slot)
+	e.advance()
+	j.finished = true
+	if j.heapIndex >= 0 {
+		heap.Remove(&j.band.running, j.heapIndex)
 		j.band.threads -= j.threads
 	} else {
-		e.line = slices.DeleteFunc(e.line, func(o *job) bool { return o == j })
+		e.queue = slices.DeleteFunc(e.queue, func(o *job) bool { return o == j })
 	}
-	e.turn()
+	e.completeAndStart()
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -4,13 +4,13 @@
 
 // Fault is something that befalls a fleet, so long after the start.
 type Fault struct {
-	At rules.Time
-	Do func(f *Fleet)
+	At     rules.Time
+	Inject func(f *Fleet)
 }
 
-// Replace drains a part of the engines one after another over a span, and puts a cold one in the place of
+// ReplaceEngines drains a part of the engines one after another over a span, and puts a cold one in the place of
 // each. It is gone after grace.
-func Replace(at rules.Time, part float64, over, grace rules.Time) Fault {
+func ReplaceEngines(at rules.Time, part float64, over, grace rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		var old []*engine
 		for _, e := range f.engines {
@@ -25,11 +25,11 @@
 				fresh := f.addEngine(f.now)
 				fresh.zone = e.zone
 				e.state = rules.EngineDraining
-				f.news(e, fresh)
+				f.announce(e, fresh)
 				f.after(grace, func() {
-					e.state, e.gone = rules.EngineGone, true
-					e.drop(rules.StatusReset)
-					f.news(e)
+					e.state, e.stopped = rules.EngineGone, true
+					e.endAll(rules.StatusReset)
+					f.announce(e)
 				})
 			})
 		}
@@ -45,46 +45,46 @@
 			if e.zone == zone && e.state == rules.EngineServing {
 				lost = append(lost, e)
 				e.silent = true
-				e.drop(rules.StatusReset) // nobody hears of it
+				e.endAll(rules.StatusReset) // nobody hears of it
 			}
 		}
 		var gone []*gateway
 		for _, g := range f.gateways {
 			if g.zone == zone && g.up {
 				gone = append(gone, g)
-				g.die()
+				g.crash()
 			}
 		}
 		f.after(unlisted, func() {
 			for _, e := range lost {
 				e.state = rules.EngineGone
 			}
-			f.news(lost...)
+			f.announce(lost...)
 		})
 		if away > 0 {
 			f.after(away, func() {
 				for _, e := range lost {
-					e.silent, e.state, e.started = false, rules.EngineServing, f.now
+					e.silent, e.state, e.startedAt = false, rules.EngineServing, f.now
 				}
-				f.news(lost...)
+				f.announce(lost...)
 				for _, g := range gone {
-					f.after(rules.Time(f.rng.Int64N(int64(rules.Second))), g.begin)
+					f.after(rules.Time(f.rng.Int64N(int64(rules.Second))), g.start)
 				}
 			})
 		}
 	}}
 }
 
-// CutWay has nothing come through from one zone to another for a while: one way only, the other stays open.
-func CutWay(at, length rules.Time, from, to int) Fault {
+// CutLink has nothing come through from one zone to another for a while: one way only, the other stays open.
+func CutLink(at, length rules.Time, from, to int) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.cuts[[2]int{from, to}] = true
-		f.after(length, func() { delete(f.cuts, [2]int{from, to}) })
+		f.cutLinks[[2]int{from, to}] = true
+		f.after(length, func() { delete(f.cutLinks, [2]int{from, to}) })
 	}}
 }
 
-// SilenceIn has a part of a zone's engines, the first of them, say nothing for a while.
-func SilenceIn(at, length rules.Time, zone int, part float64) Fault {
+// SilenceZone has a part of a zone's engines, the first of them, say nothing for a while.
+func SilenceZone(at, length rules.Time, zone int, part float64) Fault {
 	return Fault{at, func(f *Fleet) {
 		var there []*engine
 		for _, e := range f.engines {
@@ -107,14 +107,14 @@
 			if e.zone == zone && e.state == rules.EngineServing {
 				lost = append(lost, e)
 				e.silent = true
-				e.drop(rules.StatusReset)
+				e.endAll(rules.StatusReset)
 			}
 		}
 		f.after(unlisted, func() {
 			for _, e := range lost {
-				e.state, e.gone = rules.EngineGone, true
+				e.state, e.stopped = rules.EngineGone, true
 			}
-			f.news(lost...)
+			f.announce(lost...)
 		})
 		f.after(away, func() {
 			var fresh []*engine
@@ -123,7 +123,7 @@
 				e.zone = zone
 				fresh = append(fresh, e)
 			}
-			f.news(fresh...)
+			f.announce(fresh...)
 		})
 	}}
 }
@@ -143,16 +143,16 @@
 	}}
 }
 
-// Late has news of the list take so many times as long for a while.
-func Late(at, length rules.Time, times float64) Fault {
+// DelayList has news of the list take so many times as long for a while.
+func DelayList(at, length rules.Time, times float64) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.late = times
-		f.after(length, func() { f.late = 1 })
+		f.listDelayFactor = times
+		f.after(length, func() { f.listDelayFactor = 1 })
 	}}
 }
 
-// Flap has a zone's engines fall silent and come back, warm, so many times: silent for a while, then well for as long.
-func Flap(at rules.Time, zone, times int, every rules.Time) Fault {
+// FlapZone has a zone's engines fall silent and come back, warm, so many times: silent for a while, then well for as long.
+func FlapZone(at rules.Time, zone, times int, every rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		set := func(on bool) func() {
 			return func() {
@@ -170,20 +170,20 @@
 	}}
 }
 
-// Kill ends a part of the gateways at once; each starts again after away.
-func Kill(at rules.Time, part float64, away rules.Time) Fault {
+// KillGateways ends a part of the gateways at once; each starts again after away.
+func KillGateways(at rules.Time, part float64, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		for _, i := range f.rng.Perm(len(f.gateways))[:int(part*float64(len(f.gateways)))] {
 			g := f.gateways[i]
-			g.die()
-			f.after(away+rules.Time(f.rng.Int64N(int64(rules.Second))), g.begin)
+			g.crash()
+			f.after(away+rules.Time(f.rng.Int64N(int64(rules.Second))), g.start)
 		}
 	}}
 }
 
-// Restart ends all gateways on purpose, a part at a time: each answers what it has, takes no more, and
+// RestartGateways ends all gateways on purpose, a part at a time: each answers what it has, takes no more, and
 // starts again after away.
-func Restart(at rules.Time, part float64, every, away rules.Time) Fault {
+func RestartGateways(at rules.Time, part float64, every, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		n := max(1, int(part*float64(len(f.gateways))))
 		for i, p := range f.rng.Perm(len(f.gateways)) {
@@ -193,12 +193,12 @@
 					return
 				}
 				g.stopping = true
-				g.tell(rules.ShutdownStarted{Deadline: f.now + away})
-				life := g.life
+				g.handle(rules.ShutdownStarted{Deadline: f.now + away})
+				life := g.incarnation
 				f.after(away, func() {
-					if g.life == life {
-						g.die()
-						g.begin()
+					if g.incarnation == life {
+						g.crash()
+						g.start()
 					}
 				})
 			})
@@ -206,44 +206,44 @@
 	}}
 }
 
-// Dark keeps all news of the list from the gateways for a while.
-func Dark(at, length rules.Time) Fault {
+// ListOutage keeps all news of the list from the gateways for a while.
+func ListOutage(at, length rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.listDark = true
+		f.listOutage = true
 		f.after(length, func() {
-			f.listDark = false
-			f.news(f.engines...)
+			f.listOutage = false
+			f.announce(f.engines...)
 		})
 	}}
 }
 
-// Silence has a part of the engines say nothing for a while.
-func Silence(at, length rules.Time, part float64) Fault {
-	return some(at, length, part, func(e *engine, on bool) { e.silent = on })
+// SilenceEngines has a part of the engines say nothing for a while.
+func SilenceEngines(at, length rules.Time, part float64) Fault {
+	return onSomeEngines(at, length, part, func(e *engine, on bool) { e.silent = on })
 }
 
-// Slow has a part of the engines take so many times as long for a while.
-func Slow(at, length rules.Time, part, times float64) Fault {
-	return some(at, length, part, func(e *engine, on bool) {
-		e.settle()
-		if e.slow = 1; on {
-			e.slow = times
+// SlowEngines has a part of the engines take so many times as long for a while.
+func SlowEngines(at, length rules.Time, part, times float64) Fault {
+	return onSomeEngines(at, length, part, func(e *engine, on bool) {
+		e.advance()
+		if e.slowdown = 1; on {
+			e.slowdown = times
 		}
-		e.arm()
+		e.armTimer()
 	})
 }
 
-// Errors has a part of the engines answer a part of what comes with errors, at once.
-func Errors(at, length rules.Time, part, errs float64) Fault {
-	return some(at, length, part, func(e *engine, on bool) {
-		if e.errs = 0; on {
-			e.errs = errs
+// EngineErrors has a part of the engines answer a part of what comes with errors, at once.
+func EngineErrors(at, length rules.Time, part, errs float64) Fault {
+	return onSomeEngines(at, length, part, func(e *engine, on bool) {
+		if e.errorRate = 0; on {
+			e.errorRate = errs
 		}
 	})
 }
 
-// some puts a state on a part of the engines that serve, and takes it off again.
-func some(at, length rules.Time, part float64, set func(e *engine, on bool)) Fault {
+// onSomeEngines puts a state on a part of the engines that serve, and takes it off again.
+func onSomeEngines(at, length rules.Time, part float64, set func(e *engine, on bool)) Fault {
 	return Fault{at, func(f *Fleet) {
 		var serving []*engine
 		for _, e := range f.engines {
@@ -259,10 +259,10 @@
 	}}
 }
 
-// Burst multiplies what clients ask for during a while.
-func Burst(at, length rules.Time, times float64) Fault {
+// LoadBurst multiplies what clients ask for during a while.
+func LoadBurst(at, length rules.Time, times float64) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.rate *= times
-		f.after(length, func() { f.rate /= times })
+		f.requestRate *= times
+		f.after(length, func() { f.requestRate /= times })
 	}}
 }
--- a/internal/emulator/scenes.go
+++ b/internal/emulator/scenario.go
@@ -6,9 +6,9 @@
 // and loads that must not run twice. Five zones, engines of 32 cores that start cold and warm evenly. The
 // load is a part of what all engines do when warm. Every figure is a round one of the sites that the design
 // was made for, with work and aims at six tenths, as they have it where hundreds of gateways are.
-func Warehouse(gateways, engines int, load float64, seed uint64) Scene {
+func Warehouse(gateways, engines int, load float64, seed uint64) Scenario {
 	const ms = rules.Millisecond
-	return Scene{
+	return Scenario{
 		Settings: rules.Settings{
 			Tick: 5 * ms, Kinds: []rules.EngineKind{{Cores: 32, MemoryMB: 65536}}, MaxGrantFraction: 0.4, AcceptsGrants: true,
 			AcceptsPriority: true, ReportsCost: true,
@@ -24,14 +24,14 @@
 				OverloadFactor: 3, OverloadWindow: 2 * rules.Second},
 		},
 		Gateways: gateways, Engines: engines, Zones: 5,
-		Engine: EngineModel{Cores: 32, Slots: 128, Line: 128, Knee: 1.7, Loss: 0.2, Quarrel: 0.1},
+		Engine: EngineModel{Cores: 32, Slots: 128, QueueLimit: 128, KneeThreads: 1.7, OverloadLoss: 0.2, WorkNoise: 0.1},
 		Classes: []ClassModel{
-			{Share: 12, Work: 45 * ms, CV: 1.1, Rough: 0.3},
-			{Share: 2.4, Work: 2000 * ms, CV: 1.2, Rough: 0.3},
-			{Share: 0.9, Work: 2300 * ms, CV: 0.7, Rough: 0.3},
+			{Share: 12, Work: 45 * ms, CV: 1.1, DeclaredNoise: 0.3},
+			{Share: 2.4, Work: 2000 * ms, CV: 1.2, DeclaredNoise: 0.3},
+			{Share: 0.9, Work: 2300 * ms, CV: 0.7, DeclaredNoise: 0.3},
 		},
-		Clients: ClientModel{Tries: 2, Backoff: 300 * ms, Honour: 0.6, Skew: 0.5, Notice: rules.Second},
-		Ways:    WayModel{Same: 200, Cross: 2 * ms, Client: ms, ListLeast: 200 * ms, ListMost: 1500 * ms},
-		Load:    load, Start: 1000 * rules.Second, Length: 30 * rules.Second, Seed: seed,
+		Clients: ClientModel{MaxTries: 2, Backoff: 300 * ms, HonorRetryAfter: 0.6, LoadSkew: 0.5, FailoverDelay: rules.Second},
+		Network: NetworkModel{SameZone: 200, CrossZone: 2 * ms, Client: ms, MinListDelay: 200 * ms, MaxListDelay: 1500 * ms},
+		Load:    load, Start: 1000 * rules.Second, Duration: 30 * rules.Second, Seed: seed,
 	}
 }
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -39,7 +39,7 @@
 			gw.client(1)
 			host := oneHost
 			host.Draining = true
-			gw.step(DNSResponse, 0, string(standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
+			gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
 			gw.advance(1100 * rules.Millisecond)
 			gw.step(ConnectionAccepted, 2, "")
 			gw.step(DataReceived, 2, string(loginPacket()))
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -72,7 +72,7 @@
 	two := []standin.Host{oneHost, oneHost}
 	two[1].ID, two[1].Addr = "s-00000002", netip.MustParseAddrPort("127.8.1.2:7001")
 	change(two)
-	x.step(DNSResponse, 0, string(standin.Answer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)))
+	x.step(DNSResponse, 0, string(standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)))
 }
 
 // interleavedEvents are all that may come, by name.
@@ -317,7 +317,7 @@
 	old := gw.dials[0]
 	moved := oneHost
 	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
-	gw.step(DNSResponse, 0, string(standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})))
+	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})))
 	if len(gw.dials) != 2 || !gw.closed[old] {
 		t.Fatalf("%d dials, the old one given up: %v", len(gw.dials), gw.closed[old])
 	}
@@ -476,7 +476,7 @@
 			line = append(line, late{gw.g.queryIDs[(n-1)%len(gw.g.queryIDs)], gw.now + 6*rules.Second})
 		}
 		for len(line) > 0 && line[0].at <= gw.now {
-			gw.g.Step(gw.now, Event{Kind: DNSResponse, Data: standin.Answer(line[0].id, listName, 1, nil)})
+			gw.g.Step(gw.now, Event{Kind: DNSResponse, Data: standin.EncodeAnswer(line[0].id, listName, 1, nil)})
 			line = line[1:]
 		}
 	})
@@ -494,7 +494,7 @@
 	gw.advance(6500 * rules.Millisecond)
 	drained := oneHost
 	drained.Draining = true
-	gw.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})))
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 6.5 s late was not heard")
 	}
@@ -515,7 +515,7 @@
 	gw.advance(3 * rules.Second)
 	drained := oneHost
 	drained.Draining = true
-	gw.step(DNSResponse, 0, string(standin.Answer(id, listName, 2, []standin.Host{drained})))
+	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})))
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 3 s late was not heard")
 	}
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -48,7 +48,7 @@
 func (c *listChange) list(hosts ...standin.Host) {
 	c.observe()
 	c.serial++
-	c.step(DNSResponse, 0, string(standin.Answer(c.g.queryIDs[(c.g.queryCount-1)%len(c.g.queryIDs)], listName, c.serial, hosts)))
+	c.step(DNSResponse, 0, string(standin.EncodeAnswer(c.g.queryIDs[(c.g.queryCount-1)%len(c.g.queryIDs)], listName, c.serial, hosts)))
 	c.observe()
 }
 
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -160,7 +160,7 @@
 		gw.step(DataReceived, 1, askText("point", idA))
 		gw.step(DialSucceeded, gw.dials[0], "")
 		pieces := []string{askText("load", idB), string(loginPacket()), idA + " served total=3 2\r\n\r\n\r\n", idA + " rows index=1 0\r\n\r\n",
-			"\x00\x01\x02", "p1 green - 0\r\n\r\n", string(standin.Answer(uint16(gw.g.queryIDs[0]), listName, 2, []standin.Host{oneHost}))}
+			"\x00\x01\x02", "p1 green - 0\r\n\r\n", string(standin.EncodeAnswer(uint16(gw.g.queryIDs[0]), listName, 2, []standin.Host{oneHost}))}
 		for range 10 {
 			p := []byte(pieces[rng.IntN(len(pieces))])
 			if rng.IntN(2) == 0 {
@@ -272,7 +272,7 @@
 	gw.step(DataReceived, 1, askText("load", idA))
 	host := oneHost
 	host.Draining = true
-	gw.step(DNSResponse, 0, string(standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
+	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
 	gw.step(DialSucceeded, gw.dials[0], "")
 	if got := gw.takeOutput(gw.dials[0]); got != "" {
 		t.Errorf("a draining engine got %q", got)
@@ -287,12 +287,12 @@
 	gw := newTestGateway(t)
 	other := oneHost
 	other.ID = "s-00000002"
-	good := standin.Answer(gw.g.queryIDs[0], listName, 2, []standin.Host{other})
+	good := standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{other})
 	for name, msg := range map[string][]byte{
-		"forged":       standin.Answer(gw.g.queryIDs[0]+1, listName, 9, nil),
-		"older":        standin.Answer(gw.g.queryIDs[0], listName, 1, nil),
+		"forged":       standin.EncodeAnswer(gw.g.queryIDs[0]+1, listName, 9, nil),
+		"older":        standin.EncodeAnswer(gw.g.queryIDs[0], listName, 1, nil),
 		"cut":          good[:len(good)-1],
-		"another name": standin.Answer(gw.g.queryIDs[0], "_data._tcp.other.lan", 9, nil),
+		"another name": standin.EncodeAnswer(gw.g.queryIDs[0], "_data._tcp.other.lan", 9, nil),
 		"empty":        {},
 	} {
 		gw.step(DNSResponse, 0, string(msg))
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -368,7 +368,7 @@
 			hosts = append(hosts, engine.host)
 		}
 	}
-	msg := standin.Answer(binary.BigEndian.Uint16(query), "_data._tcp.farm.lan", sim.serial, hosts)
+	msg := standin.EncodeAnswer(binary.BigEndian.Uint16(query), "_data._tcp.farm.lan", sim.serial, hosts)
 	serial := sim.serial
 	if sim.chance(0.1) { // forged, broken or cut short
 		msg[sim.rng.IntN(12)] ^= 1 << sim.rng.IntN(8)
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -266,7 +266,7 @@
 	rows := 0
 	wrong := false
 	stop := f.maybeAbandon(conn, g, id, left)
-	err = conn.Rows(text+" */ SELECT day FROM sales_1.orders", left+responseGrace, func(row []byte) {
+	err = conn.QueryRows(text+" */ SELECT day FROM sales_1.orders", left+responseGrace, func(row []byte) {
 		rows++
 		wrong = wrong || len(row) < 17 || string(row[1:17]) != id
 	})
@@ -279,7 +279,7 @@
 	if late := took - left; late > socketSlack+f.pauses.totalSince(began) && err == nil && !g.disturbedSince(began) {
 		f.recorder.recordLate()
 	}
-	var refusal *standin.Refusal
+	var refusal *standin.ServerError
 	switch {
 	case err == nil:
 		f.clients.put(i, conn)
@@ -290,9 +290,9 @@
 		return 0, false
 	case errors.As(err, &refusal):
 		f.clients.put(i, conn)
-		f.recorder.recordRejected(req, refusal.Harmless(), resent)
-		if refusal.Harmless() {
-			return max(refusal.HoldOff, 20*time.Millisecond), true
+		f.recorder.recordRejected(req, refusal.Retryable(), resent)
+		if refusal.Retryable() {
+			return max(refusal.RetryAfter, 20*time.Millisecond), true
 		}
 		return 50 * time.Millisecond, !class.nonIdempotent
 	}
@@ -372,7 +372,7 @@
 			return
 		}
 		if k, err := standin.Connect(g.clientProxy.Addr().String(), netip.Addr{}, 300*time.Millisecond); err == nil {
-			_, _ = k.Query(fmt.Sprintf("KILL QUERY %d", conn.Session), 300*time.Millisecond) // the session may have no query any more
+			_, _ = k.Query(fmt.Sprintf("KILL QUERY %d", conn.ConnectionID), 300*time.Millisecond) // the session may have no query any more
 			f.recorder.recordAbandoned(id)
 			k.Close()
 			time.Sleep(closeAfterKill)
--- a/internal/harness/endpointlist.go
+++ b/internal/harness/endpointlist.go
@@ -102,7 +102,7 @@
 	if len(l.past) > maxPastLists {
 		l.past = slices.Delete(l.past, 0, 1)
 	}
-	g.nameServer.Set(serial, l.hosts)
+	g.nameServer.SetHosts(serial, l.hosts)
 }
 
 // startList begins a life of the gateway: its numbers begin anew, and it knows what is told now.
@@ -264,17 +264,17 @@
 			l.replaceWithPast(reply, before[len(before)-1:])
 		}
 	case listLost:
-		reply.Lost = true
+		reply.Dropped = true
 	case listFailed:
-		reply.Failed = true
+		reply.ServerFailure = true
 	case listTruncated:
-		reply.Short = true
+		reply.Truncated = true
 	case listOtherID:
-		reply.OtherID = true
+		reply.WrongID = true
 	case listTwice:
-		reply.Twice = true
+		reply.Duplicated = true
 	case listLate:
-		reply.After = time.Duration(l.rng.Int64N(int64(max(fault.Delay, time.Millisecond))))
+		reply.Delay = time.Duration(l.rng.Int64N(int64(max(fault.Delay, time.Millisecond))))
 	}
 }
 
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -149,13 +149,13 @@
 }
 
 // respond has a query wait for a core, and run.
-func (e *engine) respond(ask standin.Ask) standin.Reply {
+func (e *engine) respond(ask standin.Request) standin.Reply {
 	now := time.Now()
 	attempt := e.fleet.recorder.recordEngineRequest(ask, e, now)
 	informed := attempt.gateway != nil && e.startNotified(attempt.gateway.index)
 	reply, broken := e.execute(ask, attempt, now, informed)
-	if reply.Word == "served" && !reply.Break {
-		e.fleet.recorder.recordRun(attempt, now.Add(reply.After))
+	if reply.Status == "served" && !reply.Reset {
+		e.fleet.recorder.recordRun(attempt, now.Add(reply.Delay))
 	}
 	if broken != "" {
 		e.fleet.recorder.addViolation(SlowStartExceeded, "%s", broken)
@@ -164,7 +164,7 @@
 }
 
 // execute has a query wait for a core, and run, or meet the engine's trouble.
-func (e *engine) execute(ask standin.Ask, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
+func (e *engine) execute(ask standin.Request, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
 	work := attempt.work
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -187,25 +187,25 @@
 	}
 	if start.Sub(now) > maxQueueTime {
 		e.fleet.recorder.recordEngineRejection(attempt)
-		return standin.Reply{After: time.Millisecond, Word: "overload"}, broken
+		return standin.Reply{Delay: time.Millisecond, Status: "overload"}, broken
 	}
 	e.coreFreeAt[first] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slowdown))
 	id := ask.ID
-	return standin.Reply{After: e.coreFreeAt[first].Sub(now), Work: work, Word: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", id)}}, broken
+	return standin.Reply{Delay: e.coreFreeAt[first].Sub(now), ReportedWork: work, Status: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", id)}}, broken
 }
 
 // faultResponse is what becomes of a request that meets the engine's trouble.
-func (e *engine) faultResponse(ask standin.Ask, work time.Duration) standin.Reply {
+func (e *engine) faultResponse(ask standin.Request, work time.Duration) standin.Reply {
 	switch e.faultMode {
 	case modeError:
-		return standin.Reply{After: work / 4, Word: "crashed"}
+		return standin.Reply{Delay: work / 4, Status: "crashed"}
 	case modeMalformed:
 		texts := []string{ask.ID + " served total=1 600\r\n1\t2", ask.ID + " served total=1 4\r\n1\t2\n\r\n", "\x00\xff served", ask.ID + " rows index=3 0\r\n\r\n"}
-		return standin.Reply{After: work, Raw: texts[e.rng.IntN(len(texts))]}
+		return standin.Reply{Delay: work, Raw: texts[e.rng.IntN(len(texts))]}
 	case modeReset:
-		return standin.Reply{After: work / 2, Break: true, Word: "served"}
+		return standin.Reply{Delay: work / 2, Reset: true, Status: "served"}
 	}
-	return standin.Reply{After: time.Hour} // modeHang
+	return standin.Reply{Delay: time.Hour} // modeHang
 }
 
 const (
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -250,6 +250,6 @@
 
 func (f *fleet) mangleNames(mangle func([]byte) []byte) {
 	for _, g := range f.gateways {
-		g.nameServer.Mangle(mangle)
+		g.nameServer.SetRewrite(mangle)
 	}
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -79,7 +79,7 @@
 	index         int
 	zoneIndex     int
 	startMu       sync.Mutex // one start at a time
-	nameServer    *standin.Names
+	nameServer    *standin.NameServer
 	dnsProxy      *faultproxy.UDP
 	clientProxy   *faultproxy.TCP
 	listenAddr    string
@@ -200,14 +200,14 @@
 		}
 	}
 	for _, g := range f.gateways {
-		if g.nameServer, err = standin.NewNames("127.0.0.1:0", serviceName); err != nil {
+		if g.nameServer, err = standin.NewNameServer("127.0.0.1:0", serviceName); err != nil {
 			return err
 		}
 		if g.dnsProxy, err = faultproxy.NewUDP("127.0.0.1:0", g.nameServer.Addr(), f.link(g.party, names), f.link(names, g.party)); err != nil {
 			return err
 		}
-		g.nameServer.Told(g.recordListSent)
-		g.nameServer.Alter(g.alterReply)
+		g.nameServer.OnSent(g.recordListSent)
+		g.nameServer.OnReply(g.alterReply)
 		if g.listenAddr, err = unusedAddr(g.index); err != nil {
 			return err
 		}
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -28,19 +28,19 @@
 // startProcess starts a gateway with an engine that serves all, its standard error led to a file.
 func startProcess(t *testing.T, stderr *os.File) *testProcess {
 	t.Helper()
-	e, err := standin.NewEngine("127.0.0.1:0", func(a standin.Ask) standin.Reply {
-		return standin.Reply{After: time.Millisecond, Word: "served", Pages: []string{a.ID + "\tb\tc\n"}}
+	e, err := standin.NewEngine("127.0.0.1:0", func(a standin.Request) standin.Reply {
+		return standin.Reply{Delay: time.Millisecond, Status: "served", Pages: []string{a.ID + "\tb\tc\n"}}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	names, err := standin.NewNames("127.0.0.1:0", serviceName)
+	names, err := standin.NewNameServer("127.0.0.1:0", serviceName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(names.Close)
-	names.Set(1, []standin.Host{{ID: "s-1", Zone: "a", Kind: "std", Weight: 4, Addr: netip.MustParseAddrPort(e.Addr())}})
+	names.SetHosts(1, []standin.Host{{ID: "s-1", Zone: "a", Kind: "std", Weight: 4, Addr: netip.MustParseAddrPort(e.Addr())}})
 	listen, err := unusedAddr(0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/harness/report.go
+++ b/internal/harness/report.go
@@ -163,7 +163,7 @@
 }
 
 // recordEngineRequest notes that an engine got a query, and returns what it is. One of an unsafe class must come once only.
-func (r *Report) recordEngineRequest(ask standin.Ask, e *engine, now time.Time) *clientAttempt {
+func (r *Report) recordEngineRequest(ask standin.Request, e *engine, now time.Time) *clientAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := ask.ID
--- a/internal/harness/storedresults.go
+++ b/internal/harness/storedresults.go
@@ -71,7 +71,7 @@
 
 // readStored reads a result with the handle ahead of its rows.
 func readStored(conn *standin.Client, text string) (handle, row string, err error) {
-	err = conn.Rows(text, storeTimeout, func(b []byte) {
+	err = conn.QueryRows(text, storeTimeout, func(b []byte) {
 		switch {
 		case bytes.HasPrefix(b, []byte(handlePrefix)) && len(b) >= handleOffset+handleSize:
 			handle = string(b[handleOffset : handleOffset+handleSize])
--- a/internal/measure/cost.go
+++ b/internal/measure/cost.go
@@ -13,15 +13,15 @@
 	"foxlane/internal/standin"
 )
 
-// MeasureCost measures the fast path: processor time a request at 200
+// Cost measures the fast path: processor time a request at 200
 // connections that ask without a pause of engines that take 2 ms, the memory
 // that the gateway holds then, and what it adds to a request where little comes.
-func MeasureCost(ctx context.Context, gateway, site string, seconds int, progress io.Writer) (*Report, error) {
+func Cost(ctx context.Context, gateway, site string, seconds int, progress io.Writer) (*Report, error) {
 	r := newReport("cost", "scene", "served", "failed", "p50 ms", "p99 ms", "cpu us/request", "rss MB")
-	play := func(name string, run, length time.Duration, g Group) (t *Tally, cpu, rss float64, err error) {
+	play := func(name string, run, length time.Duration, g ClientGroup) (t *ClientStats, cpu, rss float64, err error) {
 		fmt.Fprintf(progress, "%s, %v\n", name, length)
-		w, err := Start(Setup{Gateway: gateway, Engines: 2, Slots: 200, Run: run, MemoryMB: 192, Sockets: 1024, Site: site,
-			HoldOff: true, GiveUp: 2500 * time.Millisecond})
+		w, err := StartTestbed(Setup{Gateway: gateway, Engines: 2, Slots: 200, ServiceTime: run, MemoryMB: 192, Sockets: 1024, SiteConfig: site,
+			RetryAfter: true, Timeout: 2500 * time.Millisecond})
 		if err != nil {
 			return nil, 0, 0, err
 		}
@@ -32,7 +32,7 @@
 		}
 		c, stop := context.WithTimeout(ctx, length)
 		defer stop()
-		t = Play(c, w, g)[g.Name]
+		t = RunClients(c, w, g)[g.Name]
 		after, err := w.CPU()
 		if err != nil {
 			return nil, 0, 0, err
@@ -41,35 +41,35 @@
 			return nil, 0, 0, err
 		}
 		cpu = float64((after - before).Microseconds()) / float64(max(t.Served.Load(), 1))
-		r.row(name, t.Served.Load(), t.Failed.Load()+t.Refused.Load(), t.P(50), t.P(99), cpu, rss)
+		r.addRow(name, t.Served.Load(), t.Failed.Load()+t.Rejected.Load(), t.LatencyQuantile(50), t.LatencyQuantile(99), cpu, rss)
 		return t, cpu, rss, nil
 	}
-	from := func(i int) netip.Addr { return host(4, i%200) }
+	from := func(i int) netip.Addr { return loopbackAddr(4, i%200) }
 	length := time.Duration(seconds) * time.Second
-	_, cpu, rss, err := play("200 connections", 2*time.Millisecond, length, Group{Name: "busy", Clients: 200, Timeout: 2500 * time.Millisecond, From: from})
+	_, cpu, rss, err := play("200 connections", 2*time.Millisecond, length, ClientGroup{Name: "busy", Clients: 200, Timeout: 2500 * time.Millisecond, SourceAddr: from})
 	if err != nil {
 		return r, err
 	}
 	const run = 5 * time.Millisecond
-	direct, err := direct(run)
+	direct, err := directLatency(run)
 	if err != nil {
 		return r, err
 	}
-	low, _, _, err := play("4 connections, 20 a second", run, length/2, Group{Name: "calm", Clients: 4, Every: 200 * time.Millisecond, AsSent: true,
-		Timeout: 2500 * time.Millisecond, From: from})
+	low, _, _, err := play("4 connections, 20 a second", run, length/2, ClientGroup{Name: "calm", Clients: 4, Interval: 200 * time.Millisecond, TimedFromSend: true,
+		Timeout: 2500 * time.Millisecond, SourceAddr: from})
 	if err != nil {
 		return r, err
 	}
-	r.set("cpu_us_per_request", cpu, "31 or less")
-	r.set("rss_mb", rss, "follows the limits")
-	r.set("added_ms_p50", low.P(50)-direct, "0.5")
+	r.setValue("cpu_us_per_request", cpu, "31 or less")
+	r.setValue("rss_mb", rss, "follows the limits")
+	r.setValue("added_ms_p50", low.LatencyQuantile(50)-direct, "0.5")
 	return r, ctx.Err()
 }
 
-// direct is the median of what requests take that go to a stand-in engine without a gateway, in milliseconds.
-func direct(run time.Duration) (float64, error) {
-	e, err := standin.NewEngine("127.0.0.1:0", func(standin.Ask) standin.Reply {
-		return standin.Reply{After: run, Word: "served", Pages: []string{"a\tb\tc\n"}}
+// directLatency is the median of what requests take that go to a stand-in engine without a gateway, in milliseconds.
+func directLatency(run time.Duration) (float64, error) {
+	e, err := standin.NewEngine("127.0.0.1:0", func(standin.Request) standin.Reply {
+		return standin.Reply{Delay: run, Status: "served", Pages: []string{"a\tb\tc\n"}}
 	})
 	if err != nil {
 		return 0, err
--- a/internal/measure/demo.go
+++ b/internal/measure/demo.go
@@ -16,13 +16,13 @@
 	length := time.Duration(seconds) * time.Second
 	for _, s := range []struct {
 		name, site string
-		groups     []Group
+		groups     []ClientGroup
 	}{
-		{"quiet clients alone", "", []Group{quiet()}},
-		{"beside 280 flooding connections, door off", "", []Group{quiet(), flood(280)}},
-		{"the same, door on", fairSite, []Group{quiet(), flood(280)}},
+		{"quiet clients alone", "", []ClientGroup{quiet()}},
+		{"beside 280 flooding connections, door off", "", []ClientGroup{quiet(), flood(280)}},
+		{"the same, door on", fairSiteConfig, []ClientGroup{quiet(), flood(280)}},
 	} {
-		if err := demoScene(ctx, r, gateway, s.name, s.site, length, s.groups, out, live); err != nil {
+		if err := demoScenario(ctx, r, gateway, s.name, s.site, length, s.groups, out, live); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
@@ -37,24 +37,24 @@
 	return nil
 }
 
-func demoScene(ctx context.Context, r *Report, gateway, name, site string, length time.Duration, groups []Group, out io.Writer, live bool) error {
-	w, err := Start(fairWorld(gateway, site))
+func demoScenario(ctx context.Context, r *Report, gateway, name, site string, length time.Duration, groups []ClientGroup, out io.Writer, live bool) error {
+	w, err := StartTestbed(fairSetup(gateway, site))
 	if err != nil {
 		return err
 	}
 	defer w.Close()
 	c, stop := context.WithTimeout(ctx, length)
 	defer stop()
-	tallies := map[string]*Tally{}
+	tallies := map[string]*ClientStats{}
 	for _, g := range groups {
-		tallies[g.Name] = newTally()
+		tallies[g.Name] = newClientStats()
 	}
 	var wg sync.WaitGroup
 	for _, g := range groups {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			playInto(c, w, g, tallies[g.Name])
+			runGroup(c, w, g, tallies[g.Name])
 		}()
 	}
 	fmt.Fprintf(out, "%s\n", name)
@@ -70,7 +70,7 @@
 		line := fmt.Sprintf("  %3.0f s", time.Since(start).Seconds())
 		for _, g := range groups {
 			t := tallies[g.Name]
-			line += fmt.Sprintf("   %s: %5d served, p99 %4.0f ms, %5d refused", g.Name, t.Served.Load(), t.P(99), t.Refused.Load())
+			line += fmt.Sprintf("   %s: %5d served, p99 %4.0f ms, %5d refused", g.Name, t.Served.Load(), t.LatencyQuantile(99), t.Rejected.Load())
 		}
 		end := "\n"
 		if live && !done {
@@ -81,8 +81,8 @@
 	wg.Wait()
 	q, f := tallies["quiet"], tallies["flood"]
 	if f == nil {
-		f = newTally()
+		f = newClientStats()
 	}
-	r.row(name, q.Served.Load(), q.P(50), q.P(99), q.Refused.Load(), f.Served.Load(), f.Refused.Load())
+	r.addRow(name, q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), q.Rejected.Load(), f.Served.Load(), f.Rejected.Load())
 	return nil
 }
--- a/internal/measure/lab_test.go
+++ b/internal/measure/measure_test.go
@@ -10,20 +10,20 @@
 )
 
 // The aims of the door that virtual time decides, so that the verdict is always the same.
-func TestAimsOfTheDoor(t *testing.T) {
-	if j := jain(); j < 0.97 {
+func TestAdmissionTargets(t *testing.T) {
+	if j := jainIndex(); j < 0.97 {
 		t.Errorf("Jain's index of 100 greedy tenants is %.3f", j)
 	}
 	if e := weightError(); e > 0.1 {
 		t.Errorf("weights are missed by %.3f", e)
 	}
 	for _, slower := range []float64{1, 2} { // the engines lose half of their capacity on the way
-		kept, p50 := returns(slower)
+		kept, p50 := returnsAfterRejection(slower)
 		if kept < 0.9 || p50 < 0.5 || p50 > 2 {
 			t.Errorf("engines %v times slower: %.2f of those that came back were served, after %.2f of the time told", slower, kept, p50)
 		}
 	}
-	bytes, bound := stateOf(10_000)
+	bytes, bound := stateSize(10_000)
 	if bytes > bound {
 		t.Errorf("10,000 tenants take %d bytes, %d at most", bytes, bound)
 	}
@@ -31,8 +31,8 @@
 
 // The clients of a lost site are no flood: they get what those at home leave, nobody's connection gives way, and those at home, who ask
 // for less than an even share, hardly notice.
-func TestStrangersAtTheDoor(t *testing.T) {
-	before, after, theirs, evicted := strangers()
+func TestDisplacedClientsAtAdmission(t *testing.T) {
+	before, after, theirs, evicted := displacedClients()
 	t.Logf("at home %.3f, then %.3f; strangers %.3f; %d connections gave way", before, after, theirs, evicted)
 	if before < 0.99 || after < 0.97 || theirs < 0.5 || evicted > 0 {
 		t.Errorf("at home %.3f, then %.3f; strangers %.3f; %d connections gave way", before, after, theirs, evicted)
@@ -42,28 +42,28 @@
 // A flooding client and quiet ones on loopback: the quiet ones are served.
 func TestQuietClientsBesideAFlood(t *testing.T) {
 	dir := t.TempDir()
-	gateway, err := Build(t.Context(), dir)
+	gateway, err := BuildGateway(t.Context(), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := fairWorld(gateway, fairSite)
+	s := fairSetup(gateway, fairSiteConfig)
 	s.MemoryMB, s.Sockets = 32, 256 // the least machine
-	w, err := Start(s)
+	w, err := StartTestbed(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 	defer stop()
 	q, f := quiet(), flood(200) // more than may be connected
-	q.Warm, f.Warm = time.Second, 0
-	tallies := Play(ctx, w, q, f)
+	q.WarmUp, f.WarmUp = time.Second, 0
+	tallies := RunClients(ctx, w, q, f)
 	if err := w.Close(); err != nil {
 		t.Error(err)
 	}
 	got := tallies["quiet"]
-	if asked, served := got.Asked.Load(), got.Served.Load(); asked < 50 || served < asked*9/10 {
+	if asked, served := got.Requested.Load(), got.Served.Load(); asked < 50 || served < asked*9/10 {
 		t.Errorf("of %d queries of quiet clients %d were served, %d refused, %d failed, %d connections cut",
-			asked, served, got.Refused.Load(), got.Failed.Load(), got.Cut.Load())
+			asked, served, got.Rejected.Load(), got.Failed.Load(), got.Disconnected.Load())
 	}
 	if flooded := tallies["flood"]; flooded.Served.Load() < 100 {
 		t.Errorf("the flood was served %d times: the test has lost its subject", flooded.Served.Load())
@@ -75,9 +75,9 @@
 
 func TestReport(t *testing.T) {
 	r := newReport("x", "a", "b")
-	r.row("one", 2.25)
-	r.set("second", 2, "")
-	r.set("first", 0.5, "1 or less")
+	r.addRow("one", 2.25)
+	r.setValue("second", 2, "")
+	r.setValue("first", 0.5, "1 or less")
 	var out bytes.Buffer
 	if err := r.Write(&out); err != nil {
 		t.Fatal(err)
--- a/internal/measure/replica.go
+++ b/internal/measure/replica.go
@@ -19,60 +19,60 @@
 // This file measures what gateways that talk share: how soon, for how many bytes, whether copies agree, and what it is worth.
 
 const (
-	copySeeds   = 10
-	schedules   = 10_000
-	talkers     = 60 // gateways of the worth scenes
-	talkEngines = 15
-	copyStart   = 1000 * rules.Second
+	replicaSeeds        = 10
+	divergenceSchedules = 10_000
+	gossipGateways      = 60 // gateways of the worth scenes
+	gossipEngines       = 15
+	clusterStart        = 1000 * rules.Second
 )
 
-// club is pure members that know one another.
-type club struct {
-	*emulator.Talk
-	all []*emulator.Copier
+// cluster is pure members that know one another.
+type cluster struct {
+	*emulator.DatagramNetwork
+	members []*emulator.ReplicaMember
 }
 
-func clubName(i int) string { return fmt.Sprintf("n%03d", i) }
+func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func clubSettings(i int, life uint64) replica.Settings {
+func memberSettings(i int, life uint64) replica.Settings {
 	s := replica.Defaults()
-	s.Name, s.Zone, s.Incarnation, s.Seed = clubName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
+	s.Name, s.Zone, s.Incarnation, s.Seed = memberName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
 	return s
 }
 
-func newClub(n int, m emulator.TalkModel, seed uint64, change func(*replica.Settings)) *club {
-	c := &club{Talk: emulator.NewTalk(m, replica.Defaults().GossipInterval, copyStart, seed), all: make([]*emulator.Copier, n)}
+func newCluster(n int, m emulator.DatagramModel, seed uint64, change func(*replica.Settings)) *cluster {
+	c := &cluster{DatagramNetwork: emulator.NewDatagramNetwork(m, replica.Defaults().GossipInterval, clusterStart, seed), members: make([]*emulator.ReplicaMember, n)}
 	for i := range n {
-		c.start(i, 1, change)
+		c.startMember(i, 1, change)
 	}
 	return c
 }
 
-func (c *club) start(i int, life uint64, change func(*replica.Settings)) {
-	s := clubSettings(i, life)
+func (c *cluster) startMember(i int, life uint64, change func(*replica.Settings)) {
+	s := memberSettings(i, life)
 	if change != nil {
 		change(&s)
 	}
-	m := &emulator.Copier{Replica: replica.New(s, c.Now)}
-	for j, o := range c.all {
+	m := &emulator.ReplicaMember{Replica: replica.New(s, c.Now)}
+	for j, o := range c.members {
 		if o != nil && j != i {
-			o.Meet(c.Now, replica.Member{Name: s.Name, Zone: s.Zone})
-			m.Meet(c.Now, replica.Member{Name: clubName(j), Zone: fmt.Sprint("hall-", j%3)})
+			o.MemberJoined(c.Now, replica.Member{Name: s.Name, Zone: s.Zone})
+			m.MemberJoined(c.Now, replica.Member{Name: memberName(j), Zone: fmt.Sprint("hall-", j%3)})
 		}
 	}
-	c.all[i] = m
+	c.members[i] = m
 	c.Add(s.Name, m)
 }
 
-// converge is how long news take to all members: the 99th percentile over members and news, in seconds, while each member tells of its
+// convergence is how long news take to all members: the 99th percentile over members and news, in seconds, while each member tells of its
 // own load; and the bytes a second that a member sends.
-func converge(n int, seed uint64) (p99, bytesS float64) {
-	c := newClub(n, emulator.TalkModel{Loss: 0.3, Double: 0.05, Least: rules.Millisecond, Most: 100 * rules.Millisecond}, seed, nil)
+func convergence(n int, seed uint64) (p99, bytesS float64) {
+	c := newCluster(n, emulator.DatagramModel{Loss: 0.3, Duplicate: 0.05, MinDelay: rules.Millisecond, MaxDelay: 100 * rules.Millisecond}, seed, nil)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	born := map[uint64]rules.Time{}
 	var took []float64
-	for i, m := range c.all {
-		m.Heard = func(now rules.Time, _ string, e replica.Entry) {
+	for i, m := range c.members {
+		m.OnEntry = func(now rules.Time, _ string, e replica.Entry) {
 			if at, ok := born[e.Subject]; ok && e.Kind == replica.EngineFault {
 				took = append(took, float64(now-at)/float64(rules.Second))
 			}
@@ -81,23 +81,23 @@
 	}
 	const warm, length, news = 5, 20, 20
 	for s := range warm + length {
-		for i, m := range c.all {
+		for i, m := range c.members {
 			m.Replica.Put(c.Now, replica.Key{Kind: replica.OfferedLoad}, replica.Value{float32(s + i)})
 		}
 		if s == warm {
-			clear(c.Sent)
+			clear(c.SentBytes)
 		}
 		if s >= warm && s < warm+length-8 {
 			for k := range news / 10 {
 				subject := uint64(s*100 + k)
 				born[subject] = c.Now
-				c.all[rng.IntN(n)].Replica.Put(c.Now, replica.Key{Kind: replica.EngineFault, Subject: subject}, replica.Value{1})
+				c.members[rng.IntN(n)].Replica.Put(c.Now, replica.Key{Kind: replica.EngineFault, Subject: subject}, replica.Value{1})
 			}
 		}
 		c.Run(c.Now + rules.Second)
 	}
 	sent := 0
-	for _, b := range c.Sent {
+	for _, b := range c.SentBytes {
 		sent += b
 	}
 	want := len(born) * (n - 1)
@@ -108,12 +108,12 @@
 	return took[len(took)*99/100], float64(sent) / float64(n) / length
 }
 
-// catchUp is how long a member that stood still for 60 s takes to hold what all others wrote before it went on, and the most that any
+// catchUpTime is how long a member that stood still for 60 s takes to hold what all others wrote before it went on, and the most that any
 // member sent within a second over the budget.
-func catchUp(n int, seed uint64) (seconds, burst float64) {
-	c := newClub(n, emulator.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 20 * rules.Millisecond}, seed, nil)
+func catchUpTime(n int, seed uint64) (seconds, burst float64) {
+	c := newCluster(n, emulator.DatagramModel{Loss: 0.05, MinDelay: rules.Millisecond, MaxDelay: 20 * rules.Millisecond}, seed, nil)
 	write := func() {
-		for i, m := range c.all {
+		for i, m := range c.members {
 			for s := range uint64(5) {
 				m.Replica.Put(c.Now, replica.Key{Kind: replica.TenantUsage, Subject: s}, replica.Value{float32(c.Now / rules.Second % 1000), float32(i)})
 			}
@@ -126,21 +126,21 @@
 		}
 	}
 	run(8)
-	c.Freeze(clubName(3), true)
+	c.SetPaused(memberName(3), true)
 	run(60)
 	want := map[[2]any]uint64{}
-	for _, cp := range c.all[1].Replica.Copies() {
+	for _, cp := range c.members[1].Replica.Copies() {
 		for _, e := range cp.Entries {
-			if cp.Origin != clubName(3) {
+			if cp.Origin != memberName(3) {
 				want[[2]any{cp.Origin, e.Subject}] = e.Counter
 			}
 		}
 	}
-	c.Freeze(clubName(3), false)
+	c.SetPaused(memberName(3), false)
 	began := c.Now
 	for range 100 {
 		have := 0
-		for _, cp := range c.all[3].Replica.Copies() {
+		for _, cp := range c.members[3].Replica.Copies() {
 			for _, e := range cp.Entries {
 				if counter, ok := want[[2]any{cp.Origin, e.Subject}]; ok && e.Counter >= counter {
 					have++
@@ -152,7 +152,7 @@
 		}
 		c.Run(c.Now + 100*rules.Millisecond)
 	}
-	for _, peak := range c.Peak {
+	for _, peak := range c.PeakBytesPerSecond {
 		burst = max(burst, float64(peak)/float64(replica.Defaults().Budget))
 	}
 	return float64(c.Now-began) / float64(rules.Second), burst
@@ -166,42 +166,42 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	c := newClub(4, emulator.TalkModel{Loss: rng.Float64() * 0.4, Double: 0.1, Least: rules.Millisecond, Most: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, keep)
+	c := newCluster(4, emulator.DatagramModel{Loss: rng.Float64() * 0.4, Duplicate: 0.1, MinDelay: rules.Millisecond, MaxDelay: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, keep)
 	life := [4]uint64{1, 1, 1, 1}
 	for range 6 {
 		i := rng.IntN(4)
 		switch rng.IntN(6) {
 		case 0:
-			c.Split(func(n string) int { return int(n[3]) % 2 })
+			c.Partition(func(n string) int { return int(n[3]) % 2 })
 		case 1:
-			c.Split(func(n string) int { return int(n[3]) % 3 })
+			c.Partition(func(n string) int { return int(n[3]) % 3 })
 		case 2:
-			c.Cut(clubName(i), clubName(rng.IntN(4)), true)
+			c.Cut(memberName(i), memberName(rng.IntN(4)), true)
 		case 3:
 			life[i]++
-			c.Remove(clubName(i))
-			c.start(i, life[i], keep)
+			c.Remove(memberName(i))
+			c.startMember(i, life[i], keep)
 		case 4:
-			c.Freeze(clubName(i), rng.IntN(2) == 0)
+			c.SetPaused(memberName(i), rng.IntN(2) == 0)
 		}
 		for range 3 {
-			c.all[rng.IntN(4)].Replica.Put(c.Now, replica.Key{Kind: replica.Kind(1 + rng.IntN(int(replica.KindCount)-1)), Subject: uint64(rng.IntN(3))},
+			c.members[rng.IntN(4)].Replica.Put(c.Now, replica.Key{Kind: replica.Kind(1 + rng.IntN(int(replica.KindCount)-1)), Subject: uint64(rng.IntN(3))},
 				replica.Value{rng.Float32()})
 		}
 		c.Run(c.Now + rules.Time(rng.IntN(2500))*rules.Millisecond)
 	}
 	for i := range 4 {
-		c.Freeze(clubName(i), false)
+		c.SetPaused(memberName(i), false)
 	}
-	c.Split(func(string) int { return 0 })
-	c.Model = emulator.TalkModel{Least: rules.Millisecond, Most: 20 * rules.Millisecond}
+	c.Partition(func(string) int { return 0 })
+	c.Model = emulator.DatagramModel{MinDelay: rules.Millisecond, MaxDelay: 20 * rules.Millisecond}
 	c.Run(c.Now + 10*rules.Second)
 	type held struct {
 		life, counter uint64
 		value         replica.Value
 	}
 	var first map[string]held
-	for _, m := range c.all {
+	for _, m := range c.members {
 		mine := map[string]held{}
 		for _, cp := range m.Replica.Copies() {
 			mine[cp.Origin] = held{cp.Incarnation, cp.Counter, replica.Value{}}
@@ -225,57 +225,59 @@
 	return false
 }
 
-// talkScene is a scene of the modelled fleet, alone and with gateways that talk.
-type talkScene struct {
-	name   string
-	load   float64
-	faults []emulator.Fault
-	talk   func(*emulator.HearsayModel)
-	told   float64 // work that clients tell, over what it is; 0: 1
-	from   int
-	to     int
+// gossipScenario is a scene of the modelled fleet, alone and with gateways that talk.
+type gossipScenario struct {
+	name          string
+	load          float64
+	faults        []emulator.Fault
+	configure     func(*emulator.GossipModel)
+	declaredRatio float64 // work that clients tell, over what it is; 0: 1
+	from          int
+	to            int
 }
 
 // Worth scenes, by place in talkScenes.
 const (
-	talkFails = iota
-	talkWarm
-	talkLiar
-	talkLiars
-	talkAlone
+	scenarioEngineFaults = iota
+	scenarioRestarts
+	scenarioOneByzantine
+	scenarioThreeByzantine
+	scenarioSilent
 )
 
-func fifthFails() emulator.Fault { return emulator.Silence(8*rules.Second, 20*rules.Second, 0.2) }
+func fifthSilent() emulator.Fault {
+	return emulator.SilenceEngines(8*rules.Second, 20*rules.Second, 0.2)
+}
 
-var talkScenes = []talkScene{
-	{"a fifth of the engines silent for 20 s", 0.5, []emulator.Fault{fifthFails()}, nil, 0, 8, 28},
-	{"three tenths start anew, four times, told work is a quarter", 0.9, []emulator.Fault{emulator.Kill(8*rules.Second, 0.3, rules.Second),
-		emulator.Kill(10*rules.Second, 0.3, rules.Second), emulator.Kill(12*rules.Second, 0.3, rules.Second), emulator.Kill(14*rules.Second, 0.3, rules.Second)}, nil, 0.25, 8, 22},
-	{"the same as the first, one member lies", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Liars = 1 }, 0, 8, 28},
-	{"the same, three members lie", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Liars = 3 }, 0, 8, 28},
-	{"the same, nobody hears anybody from 6 s on", 0.5, []emulator.Fault{fifthFails()}, func(m *emulator.HearsayModel) { m.Silent = 6 * rules.Second }, 0, 8, 28},
+var gossipScenarios = []gossipScenario{
+	{"a fifth of the engines silent for 20 s", 0.5, []emulator.Fault{fifthSilent()}, nil, 0, 8, 28},
+	{"three tenths start anew, four times, told work is a quarter", 0.9, []emulator.Fault{emulator.KillGateways(8*rules.Second, 0.3, rules.Second),
+		emulator.KillGateways(10*rules.Second, 0.3, rules.Second), emulator.KillGateways(12*rules.Second, 0.3, rules.Second), emulator.KillGateways(14*rules.Second, 0.3, rules.Second)}, nil, 0.25, 8, 22},
+	{"the same as the first, one member lies", 0.5, []emulator.Fault{fifthSilent()}, func(m *emulator.GossipModel) { m.ByzantineGateways = 1 }, 0, 8, 28},
+	{"the same, three members lie", 0.5, []emulator.Fault{fifthSilent()}, func(m *emulator.GossipModel) { m.ByzantineGateways = 3 }, 0, 8, 28},
+	{"the same, nobody hears anybody from 6 s on", 0.5, []emulator.Fault{fifthSilent()}, func(m *emulator.GossipModel) { m.SilentFrom = 6 * rules.Second }, 0, 8, 28},
 }
 
-func (sc talkScene) play(talk bool, seed uint64) (share float64, probes int) {
-	s := emulator.Warehouse(talkers, talkEngines, sc.load, seed)
+func (sc gossipScenario) play(talk bool, seed uint64) (share float64, probes int) {
+	s := emulator.Warehouse(gossipGateways, gossipEngines, sc.load, seed)
 	s.Zones, s.Faults = 3, sc.faults
 	for i := range s.Classes {
-		s.Classes[i].Told = sc.told
+		s.Classes[i].DeclaredRatio = sc.declaredRatio
 	}
 	if talk {
-		m := &emulator.HearsayModel{Way: emulator.TalkModel{Loss: 0.05, Least: rules.Millisecond, Most: 10 * rules.Millisecond}, Notice: 2 * rules.Second,
-			Hearsay: gossip.Defaults()}
-		if sc.talk != nil {
-			sc.talk(m)
+		m := &emulator.GossipModel{Network: emulator.DatagramModel{Loss: 0.05, MinDelay: rules.Millisecond, MaxDelay: 10 * rules.Millisecond}, DetectionDelay: 2 * rules.Second,
+			Settings: gossip.Defaults()}
+		if sc.configure != nil {
+			sc.configure(m)
 		}
-		s.Talk = m
+		s.Gossip = m
 	}
 	b := emulator.New(s).Run()
-	return b.Share(sc.from, sc.to), b.Probes
+	return b.ServedShare(sc.from, sc.to), b.Probes
 }
 
-// MeasureReplica measures the talk among gateways: pure members and the modelled fleet in virtual time, and six processes.
-func MeasureReplica(ctx context.Context, gateway string, progress io.Writer) (*Report, error) {
+// Replica measures the talk among gateways: pure members and the modelled fleet in virtual time, and six processes.
+func Replica(ctx context.Context, gateway string, progress io.Writer) (*Report, error) {
 	r := newReport("replica", "scene", "talk", "median", "least", "most", "probes a gateway")
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -289,32 +291,32 @@
 			}
 		})
 	}
-	var five, many, bytes, back, burst [copySeeds]float64
-	for seed := range copySeeds {
-		play(func() { five[seed], _ = converge(5, uint64(seed)+1) })
-		play(func() { back[seed], burst[seed] = catchUp(40, uint64(seed)+1) })
+	var five, many, bytes, back, burst [replicaSeeds]float64
+	for seed := range replicaSeeds {
+		play(func() { five[seed], _ = convergence(5, uint64(seed)+1) })
+		play(func() { back[seed], burst[seed] = catchUpTime(40, uint64(seed)+1) })
 		if seed < 3 {
-			play(func() { many[seed], bytes[seed] = converge(300, uint64(seed)+1) })
+			play(func() { many[seed], bytes[seed] = convergence(300, uint64(seed)+1) })
 		}
 	}
 	diverged := make([]int, 20)
 	for part := range diverged {
 		play(func() {
-			for i := range schedules / len(diverged) {
-				if ctx.Err() == nil && diverges(uint64(part*schedules+i)) {
+			for i := range divergenceSchedules / len(diverged) {
+				if ctx.Err() == nil && diverges(uint64(part*divergenceSchedules+i)) {
 					diverged[part]++
 				}
 			}
 		})
 	}
-	shares := make([][2][copySeeds]float64, len(talkScenes))
-	probes := make([][2][copySeeds]float64, len(talkScenes))
-	for i, sc := range talkScenes {
+	shares := make([][2][replicaSeeds]float64, len(gossipScenarios))
+	probes := make([][2][replicaSeeds]float64, len(gossipScenarios))
+	for i, sc := range gossipScenarios {
 		for on := range 2 {
-			for seed := range copySeeds {
+			for seed := range replicaSeeds {
 				play(func() {
 					share, n := sc.play(on == 1, uint64(seed)+1)
-					shares[i][on][seed], probes[i][on][seed] = share, float64(n)/talkers
+					shares[i][on][seed], probes[i][on][seed] = share, float64(n)/gossipGateways
 				})
 			}
 		}
@@ -325,20 +327,20 @@
 		return nil, err
 	}
 	row := func(name, talk string, of []float64, extra string) {
-		r.row(name, talk, fmt.Sprintf("%.3f", median(of)), fmt.Sprintf("%.3f", slices.Min(of)), fmt.Sprintf("%.3f", slices.Max(of)), extra)
+		r.addRow(name, talk, fmt.Sprintf("%.3f", median(of)), fmt.Sprintf("%.3f", slices.Min(of)), fmt.Sprintf("%.3f", slices.Max(of)), extra)
 	}
 	row("news to 5 members at a loss of 0.3, p99, s", "on", five[:], "-")
 	row("news to 300 members at a loss of 0.3, p99, s", "on", many[:3], "-")
 	row("bytes a second of a member of 300", "on", bytes[:3], "-")
 	row("a member of 40 back after 60 s, s until it holds all", "on", back[:], "-")
 	ratio := func(i int) float64 {
-		ratios := make([]float64, copySeeds)
+		ratios := make([]float64, replicaSeeds)
 		for seed := range ratios {
 			ratios[seed] = shares[i][1][seed] / shares[i][0][seed]
 		}
 		return median(ratios)
 	}
-	for i, sc := range talkScenes {
+	for i, sc := range gossipScenarios {
 		row("worth: "+sc.name, "off", shares[i][0][:], "0")
 		row("worth: "+sc.name, "on", shares[i][1][:], fmt.Sprintf("%.1f", median(probes[i][1][:])))
 	}
@@ -346,23 +348,23 @@
 	for _, n := range diverged {
 		sum += n
 	}
-	r.set("converge_s_5", slices.Max(five[:]), "2 or less")
-	r.set("converge_s_300", slices.Max(many[:3]), "5 or less")
-	r.set("bytes_s", slices.Max(bytes[:3]), "20000 or less")
-	r.set("catchup_s", slices.Max(back[:]), "3 or less")
-	r.set("catchup_burst", slices.Max(burst[:]), "1.0 of the budget")
-	r.set("diverged", float64(sum), fmt.Sprintf("0 of %d schedules", schedules))
-	r.set("worth_gain", ratio(talkFails), "over 1")
-	r.set("warm_gain", ratio(talkWarm), "over 1")
-	r.set("liar_worth", ratio(talkLiar), "0.97 or more of alone")
-	r.set("liars_worth", ratio(talkLiars), "")
-	r.set("rejoin_worth", ratio(talkAlone), "0.99 or more of alone")
-	return r, talkCost(ctx, gateway, r, progress)
+	r.setValue("converge_s_5", slices.Max(five[:]), "2 or less")
+	r.setValue("converge_s_300", slices.Max(many[:3]), "5 or less")
+	r.setValue("bytes_s", slices.Max(bytes[:3]), "20000 or less")
+	r.setValue("catchup_s", slices.Max(back[:]), "3 or less")
+	r.setValue("catchup_burst", slices.Max(burst[:]), "1.0 of the budget")
+	r.setValue("diverged", float64(sum), fmt.Sprintf("0 of %d schedules", divergenceSchedules))
+	r.setValue("worth_gain", ratio(scenarioEngineFaults), "over 1")
+	r.setValue("warm_gain", ratio(scenarioRestarts), "over 1")
+	r.setValue("liar_worth", ratio(scenarioOneByzantine), "0.97 or more of alone")
+	r.setValue("liars_worth", ratio(scenarioThreeByzantine), "")
+	r.setValue("rejoin_worth", ratio(scenarioSilent), "0.99 or more of alone")
+	return r, gossipCost(ctx, gateway, r, progress)
 }
 
-// talkCost is what talk costs six processes: processor time and memory, over the same without.
-func talkCost(ctx context.Context, gateway string, r *Report, progress io.Writer) error {
-	gateway, remove, err := Program(ctx, gateway)
+// gossipCost is what talk costs six processes: processor time and memory, over the same without.
+func gossipCost(ctx context.Context, gateway string, r *Report, progress io.Writer) error {
+	gateway, remove, err := GatewayProgram(ctx, gateway)
 	if err != nil {
 		return err
 	}
@@ -381,10 +383,10 @@
 		if books[on], err = harness.Run(ctx, gateway, *script, ""); err != nil {
 			return err
 		}
-		r.row("six processes, share of worth", []string{"off", "on"}[on], fmt.Sprintf("%.3f", books[on].ServedShare(1, 20)), "-", "-", "-")
+		r.addRow("six processes, share of worth", []string{"off", "on"}[on], fmt.Sprintf("%.3f", books[on].ServedShare(1, 20)), "-", "-", "-")
 	}
-	r.set("cpu_ratio", books[1].CPUSeconds/books[0].CPUSeconds, "1.05 or less")
-	r.set("rss_added_mb", books[1].RSSMB-books[0].RSSMB, "4 or less")
-	r.set("processes_breaches", float64(len(books[0].Violations)+len(books[1].Violations)), "0")
+	r.setValue("cpu_ratio", books[1].CPUSeconds/books[0].CPUSeconds, "1.05 or less")
+	r.setValue("rss_added_mb", books[1].RSSMB-books[0].RSSMB, "4 or less")
+	r.setValue("processes_breaches", float64(len(books[0].Violations)+len(books[1].Violations)), "0")
 	return nil
 }
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -15,14 +15,14 @@
 	Columns []string           `json:"columns"`
 	Rows    [][]string         `json:"rows"`
 	Values  map[string]float64 `json:"values"`
-	Aims    map[string]string  `json:"aims,omitempty"`
+	Targets map[string]string  `json:"aims,omitempty"`
 }
 
 func newReport(name string, columns ...string) *Report {
-	return &Report{Name: name, Columns: columns, Values: map[string]float64{}, Aims: map[string]string{}}
+	return &Report{Name: name, Columns: columns, Values: map[string]float64{}, Targets: map[string]string{}}
 }
 
-func (r *Report) row(cells ...any) {
+func (r *Report) addRow(cells ...any) {
 	out := make([]string, len(cells))
 	for i, c := range cells {
 		switch v := c.(type) {
@@ -35,10 +35,10 @@
 	r.Rows = append(r.Rows, out)
 }
 
-func (r *Report) set(name string, value float64, aim string) {
+func (r *Report) setValue(name string, value float64, aim string) {
 	r.Values[name] = value
 	if aim != "" {
-		r.Aims[name] = aim
+		r.Targets[name] = aim
 	}
 }
 
@@ -66,7 +66,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		text := strconv.FormatFloat(r.Values[name], 'g', 5, 64)
-		if aim := r.Aims[name]; aim != "" {
+		if aim := r.Targets[name]; aim != "" {
 			text += "   (aim: " + aim + ")"
 		}
 		if _, err := fmt.Fprintf(w, "%s: %s\n", name, text); err != nil {
--- a/internal/measure/spool_test.go
+++ b/internal/measure/spool_test.go
@@ -13,17 +13,17 @@
 
 // A gateway that is killed outright serves what it had acknowledged when it is back, without the query
 // running again, to who has the handle.
-func TestResultOutlastsAKill(t *testing.T) {
-	gateway, err := Build(t.Context(), t.TempDir())
+func TestResultSurvivesKill(t *testing.T) {
+	gateway, err := BuildGateway(t.Context(), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := fairWorld(gateway, fmt.Sprintf("spool {\n folder = %q\n disk = \"64MB\"\n}\n", t.TempDir()))
+	s := fairSetup(gateway, fmt.Sprintf("spool {\n folder = %q\n disk = \"64MB\"\n}\n", t.TempDir()))
 	s.MemoryMB = 32
 	for n := range 300 { // 1.6 MB
 		s.Pages = append(s.Pages, strings.Repeat(fmt.Sprintf("%d\tfield\t%s\n", n, strings.Repeat("x", 170)), 30))
 	}
-	w, err := Start(s)
+	w, err := StartTestbed(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		err = c.Rows(text, 10*time.Second, func(row []byte) {
+		err = c.QueryRows(text, 10*time.Second, func(row []byte) {
 			switch {
 			case bytes.HasPrefix(row, []byte("\x07#handle")):
 				handle = string(row[9:73])
@@ -57,7 +57,7 @@
 		t.Fatalf("%d rows, handle %q", rows, handle)
 	}
 	for range 3 {
-		if err := w.Kill(); err != nil {
+		if err := w.KillAndRestart(); err != nil {
 			t.Fatal(err)
 		}
 		again, rows, sum := read("/* resume=" + handle + " */ FETCH")
@@ -65,7 +65,7 @@
 			t.Fatalf("after a kill: %d rows", rows)
 		}
 	}
-	if n := w.Asks(); n != 1 {
+	if n := w.Requests(); n != 1 {
 		t.Errorf("the query ran %d times", n)
 	}
 	if mb, err := w.RSS(); err != nil || mb > 32 {
--- a/internal/measure/world.go
+++ b/internal/measure/testbed.go
@@ -26,33 +26,33 @@
 
 // Setup says what a World is made of.
 type Setup struct {
-	Gateway  string // the program; empty: built from this module
-	Engines  int
-	Slots    int           // of an engine
-	Run      time.Duration // of a request
-	MemoryMB int
-	Sockets  int
-	Site     string // text of the operator's file; empty: none
-	HoldOff  bool   // times of return are allowed
-	GiveUp   time.Duration
-	Pages    []string // of every result; nil: one row
+	Gateway     string // the program; empty: built from this module
+	Engines     int
+	Slots       int           // of an engine
+	ServiceTime time.Duration // of a request
+	MemoryMB    int
+	Sockets     int
+	SiteConfig  string // text of the operator's file; empty: none
+	RetryAfter  bool   // times of return are allowed
+	Timeout     time.Duration
+	Pages       []string // of every result; nil: one row
 }
 
-// World is a gateway with what it talks to.
-type World struct {
+// Testbed is a gateway with what it talks to.
+type Testbed struct {
 	Setup
-	Addr    string
-	slots   []*standin.Slots
-	engines []*standin.Engine
-	hosts   []standin.Host
-	names   *standin.Names
-	gateway *exec.Cmd
-	log     bytes.Buffer
-	dir     string
+	Addr        string
+	engineSlots []*standin.Slots
+	engines     []*standin.Engine
+	hosts       []standin.Host
+	nameServer  *standin.NameServer
+	gateway     *exec.Cmd
+	log         bytes.Buffer
+	dir         string
 }
 
-// Build builds the gateway's program into a folder and returns its path.
-func Build(ctx context.Context, dir string) (string, error) {
+// BuildGateway builds the gateway's program into a folder and returns its path.
+func BuildGateway(ctx context.Context, dir string) (string, error) {
 	out := filepath.Join(dir, "foxlane")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", out, "foxlane/cmd/foxlane")
 	if text, err := cmd.CombinedOutput(); err != nil {
@@ -61,8 +61,8 @@
 	return out, nil
 }
 
-// Program is the gateway's program: the one that is named, or one built from this module, which remove takes away.
-func Program(ctx context.Context, named string) (path string, remove func(), err error) {
+// GatewayProgram is the gateway's program: the one that is named, or one built from this module, which remove takes away.
+func GatewayProgram(ctx context.Context, named string) (path string, remove func(), err error) {
 	if named != "" {
 		return named, func() {}, nil
 	}
@@ -71,15 +71,15 @@
 		return "", nil, err
 	}
 	remove = func() { os.RemoveAll(dir) }
-	if path, err = Build(ctx, dir); err != nil {
+	if path, err = BuildGateway(ctx, dir); err != nil {
 		remove()
 	}
 	return path, remove, err
 }
 
-// Start starts a world; Close ends it.
-func Start(s Setup) (w *World, err error) {
-	w = &World{Setup: s}
+// StartTestbed starts a world; Close ends it.
+func StartTestbed(s Setup) (w *Testbed, err error) {
+	w = &Testbed{Setup: s}
 	defer func() {
 		if err != nil {
 			w.Close()
@@ -88,82 +88,82 @@
 	if w.dir, err = os.MkdirTemp("", "foxlab"); err != nil {
 		return w, err
 	}
-	if w.names, err = standin.NewNames("127.0.0.1:0", listName); err != nil {
+	if w.nameServer, err = standin.NewNameServer("127.0.0.1:0", listName); err != nil {
 		return w, err
 	}
 	var hosts []standin.Host
 	for i := range s.Engines {
 		slots := standin.NewSlots(s.Slots)
-		e, err := standin.NewEngine("127.0.0.1:0", func(standin.Ask) standin.Reply {
+		e, err := standin.NewEngine("127.0.0.1:0", func(standin.Request) standin.Reply {
 			pages := s.Pages
 			if pages == nil {
 				pages = []string{"a\tb\tc\n"}
 			}
-			return standin.Reply{After: slots.Use(s.Run), Work: s.Run, Word: "served", Pages: pages}
+			return standin.Reply{Delay: slots.Reserve(s.ServiceTime), ReportedWork: s.ServiceTime, Status: "served", Pages: pages}
 		})
 		if err != nil {
 			return w, err
 		}
-		w.slots, w.engines = append(w.slots, slots), append(w.engines, e)
+		w.engineSlots, w.engines = append(w.engineSlots, slots), append(w.engines, e)
 		hosts = append(hosts, standin.Host{ID: fmt.Sprintf("s-%08x", i+1), Zone: "hall-a", Addr: netip.MustParseAddrPort(e.Addr()),
 			Weight: 4, Kind: "std"})
 	}
-	w.names.Set(2, hosts)
+	w.nameServer.SetHosts(2, hosts)
 	w.hosts = hosts
 	return w, w.startGateway(hosts)
 }
 
-// Asks is how many requests the engines have seen.
-func (w *World) Asks() (n int) {
+// Requests is how many requests the engines have seen.
+func (w *Testbed) Requests() (n int) {
 	for _, e := range w.engines {
-		n += len(e.Asks())
+		n += len(e.Requests())
 	}
 	return n
 }
 
-// Kill ends the gateway outright and starts it again on the same files.
-func (w *World) Kill() error {
+// KillAndRestart ends the gateway outright and starts it again on the same files.
+func (w *Testbed) KillAndRestart() error {
 	_ = w.gateway.Process.Kill()
 	_ = w.gateway.Wait()
 	return w.startGateway(w.hosts)
 }
 
-// Slow makes all engines run at a part of their speed from now on.
-func (w *World) Slow(part float64) {
-	for _, s := range w.slots {
-		s.Slow(part)
+// SetSpeed makes all engines run at a part of their speed from now on.
+func (w *Testbed) SetSpeed(part float64) {
+	for _, s := range w.engineSlots {
+		s.SetSpeed(part)
 	}
 }
 
-type object = map[string]any
+type jsonObject = map[string]any
 
-func (w *World) config(hosts []standin.Host, listen string) object {
-	var servers []object
+func (w *Testbed) config(hosts []standin.Host, listen string) jsonObject {
+	var servers []jsonObject
 	for _, h := range hosts {
-		servers = append(servers, object{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": "active", "weight": 4})
-	}
-	giveUp := w.GiveUp.Microseconds()
-	class := func(name string, aim int64) object {
-		return object{"name": name, "aim": aim, "aimStretch": 1.5, "giveUp": giveUp, "effect": "pure", "group": "all", "lateValue": 0.1, "worth": 1}
-	}
-	return object{
-		"name": "lab", "listen": listen, "seed": "8c1f30d27a5be964", "dns": w.names.Addr(),
-		"limits": object{"cores": 1, "memory_mb": w.MemoryMB, "sockets": w.Sockets},
-		"known":  object{"seq": 1, "results": []object{{"seq": 1, "fleet": object{"version": 1, "full": true, "servers": servers}}}},
-		"settings": object{
-			"classes": []object{class("point", 500_000), class("report", 1_500_000)},
-			"extra":   object{"classThreads": []int{1, 1}, "cpuOfKind": []int{w.Slots}, "ramOfKindMb": []int{65536}, "tellsCost": true},
-			"limits": object{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
-				"multiplex": 32, "retryAfter": w.HoldOff, "maxRetryAfter": 10_000_000},
+		servers = append(servers, jsonObject{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": "active", "weight": 4})
+	}
+	giveUp := w.Timeout.Microseconds()
+	class := func(name string, aim int64) jsonObject {
+		return jsonObject{"name": name, "aim": aim, "aimStretch": 1.5, "giveUp": giveUp, "effect": "pure", "group": "all", "lateValue": 0.1, "worth": 1}
+	}
+	return jsonObject{
+		"name": "lab", "listen": listen, "seed": "8c1f30d27a5be964", "dns": w.nameServer.Addr(),
+		"limits": jsonObject{"cores": 1, "memory_mb": w.MemoryMB, "sockets": w.Sockets},
+		"known":  jsonObject{"seq": 1, "results": []jsonObject{{"seq": 1, "fleet": jsonObject{"version": 1, "full": true, "servers": servers}}}},
+		"settings": jsonObject{
+			"classes": []jsonObject{class("point", 500_000), class("report", 1_500_000)},
+			"extra":   jsonObject{"classThreads": []int{1, 1}, "cpuOfKind": []int{w.Slots}, "ramOfKindMb": []int{65536}, "tellsCost": true},
+			"limits": jsonObject{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
+				"multiplex": 32, "retryAfter": w.RetryAfter, "maxRetryAfter": 10_000_000},
 			"machineTypes": []string{"std"}, "membershipMode": "push", "siblings": 1, "tick": 1000, "zones": []string{"hall-a"},
-			"rules": object{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": 2},
+			"rules": jsonObject{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": 2},
 		},
 	}
 }
 
-func (w *World) startGateway(hosts []standin.Host) error {
+func (w *Testbed) startGateway(hosts []standin.Host) error {
 	if w.Gateway == "" {
-		program, err := Build(context.Background(), w.dir)
+		program, err := BuildGateway(context.Background(), w.dir)
 		if err != nil {
 			return err
 		}
@@ -184,9 +184,9 @@
 		return err
 	}
 	args := []string{"serve"}
-	if w.Site != "" {
+	if w.SiteConfig != "" {
 		site := filepath.Join(w.dir, "foxlane.hcl")
-		if err := os.WriteFile(site, []byte(w.Site), 0o600); err != nil {
+		if err := os.WriteFile(site, []byte(w.SiteConfig), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "--site", site)
@@ -207,22 +207,22 @@
 }
 
 // Log is the gateway's log. It is whole only once the gateway has ended.
-func (w *World) Log() string { return w.log.String() }
+func (w *Testbed) Log() string { return w.log.String() }
 
 // CPU is the processor time that the gateway has used so far.
-func (w *World) CPU() (time.Duration, error) {
+func (w *Testbed) CPU() (time.Duration, error) {
 	u, err := harness.UsageOf(w.gateway.Process.Pid)
 	return time.Duration(u.CPUSeconds * float64(time.Second)), err
 }
 
 // RSS is the memory that the gateway holds now, in MB.
-func (w *World) RSS() (float64, error) {
+func (w *Testbed) RSS() (float64, error) {
 	u, err := harness.UsageOf(w.gateway.Process.Pid)
 	return u.RSSMB, err
 }
 
 // Close ends the world and waits for the gateway: its exit is part of what is checked.
-func (w *World) Close() error {
+func (w *Testbed) Close() error {
 	var err error
 	if w.gateway != nil && w.gateway.Process != nil {
 		_ = w.gateway.Process.Signal(syscall.SIGTERM)
@@ -235,8 +235,8 @@
 	for _, e := range w.engines {
 		e.Close()
 	}
-	if w.names != nil {
-		w.names.Close()
+	if w.nameServer != nil {
+		w.nameServer.Close()
 	}
 	if w.dir != "" {
 		os.RemoveAll(w.dir)
--- a/internal/net/backpressure_test.go
+++ b/internal/net/backpressure_test.go
@@ -112,7 +112,7 @@
 			defer s.end()
 			host := s.hosts[0]
 			host.ID, host.Addr = "s-unread", netip.MustParseAddrPort(stuck.ln.Addr().String())
-			s.names.Set(2, []standin.Host{host})
+			s.names.SetHosts(2, []standin.Host{host})
 			time.Sleep(300 * time.Millisecond)
 			var asked sync.WaitGroup
 			for i := range 8 {
@@ -124,7 +124,7 @@
 				})
 			}
 			time.Sleep(300 * time.Millisecond)
-			s.names.Set(3, append(leave(host), s.hosts...))
+			s.names.SetHosts(3, append(leave(host), s.hosts...))
 			time.Sleep(1300 * time.Millisecond) // it is told within 0.1 s, and has 1 s to stop
 			close(stuck.read)
 			asked.Wait()
--- a/internal/net/close_test.go
+++ b/internal/net/close_test.go
@@ -490,7 +490,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Rows("SET x = 1", time.Second, nil); err != nil {
+		if err := c.QueryRows("SET x = 1", time.Second, nil); err != nil {
 			t.Fatal(err)
 		}
 		all[i] = c
@@ -504,7 +504,7 @@
 			o := outcome{id: fmt.Sprintf("%016x", 0xabc000+i)}
 			var n int
 			n, o.err = c.Query(statement("point", o.id, 1500), 3*time.Second)
-			var refusal *standin.Refusal
+			var refusal *standin.ServerError
 			o.answer = n > 0 || errors.As(o.err, &refusal)
 			outcomes <- o
 		}()
@@ -531,7 +531,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("not ended")
 	}
-	for _, a := range s.engines[0].Asks() {
+	for _, a := range s.engines[0].Requests() {
 		if ids[a.ID] {
 			t.Errorf("%s went to an engine, and its client has no answer", a.ID)
 		}
@@ -573,7 +573,7 @@
 	defer s.end()
 	var mu sync.Mutex
 	heard := map[string]int{}
-	s.names.From(func(from string) bool {
+	s.names.SetFilter(func(from string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		heard[from]++
@@ -582,7 +582,7 @@
 	time.Sleep(600 * time.Millisecond) // its socket is silent by now, for good
 	drained := slices.Clone(s.hosts)
 	drained[0].Draining = true
-	s.names.Set(2, drained)
+	s.names.SetHosts(2, drained)
 	told := time.Now()
 	waitFor(t, "a query from a new socket", func() bool {
 		mu.Lock()
@@ -593,13 +593,13 @@
 	if took := time.Since(told); took > 5*time.Second {
 		t.Errorf("heard %v after the drain", took)
 	}
-	before := len(s.engines[0].Asks())
+	before := len(s.engines[0].Requests())
 	for i := range 12 {
 		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 0xd00+i), 1500)); err != nil {
 			t.Error(err)
 		}
 	}
-	if n := len(s.engines[0].Asks()); n != before {
+	if n := len(s.engines[0].Requests()); n != before {
 		t.Errorf("%d attempts went to an engine that drains", n-before)
 	}
 }
--- a/internal/net/server_test.go
+++ b/internal/net/server_test.go
@@ -36,7 +36,7 @@
 type testbed struct {
 	t       *testing.T
 	addr    string
-	names   *standin.Names
+	names   *standin.NameServer
 	engines []*standin.Engine
 	hosts   []standin.Host
 	config  string
@@ -46,25 +46,25 @@
 	db      *sql.DB
 }
 
-func newTestbed(t *testing.T, answers ...func(standin.Ask) standin.Reply) *testbed {
+func newTestbed(t *testing.T, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
 	return newTestbedWithLimits(t, `{"cores":1,"memory_mb":192,"sockets":1024}`, answers...)
 }
 
 // newTestbedWithLimits has a gateway with other limits.
-func newTestbedWithLimits(t *testing.T, limits string, answers ...func(standin.Ask) standin.Reply) *testbed {
+func newTestbedWithLimits(t *testing.T, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
 	return newTestbedOn(t, System(), limits, answers...)
 }
 
 // newTestbedOn has a gateway on a platform that may be a double.
-func newTestbedOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Ask) standin.Reply) *testbed {
+func newTestbedOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
 	s := &testbed{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
 	goroutines, files, heap := runtime.NumGoroutine(), descriptors(t), heapAlloc()
 	t.Cleanup(func() { s.checkNoLeaks(goroutines, files, heap) }) // behind all that the test defers
 	var err error
-	if s.names, err = standin.NewNames("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
+	if s.names, err = standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
 		t.Fatal(err)
 	}
 	var servers []string
@@ -77,7 +77,7 @@
 		s.engines, s.hosts = append(s.engines, e), append(s.hosts, h)
 		servers = append(servers, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall-a","kind":"std-16","state":"active","weight":4}`, h.ID, h.Addr))
 	}
-	s.names.Set(1, s.hosts)
+	s.names.SetHosts(1, s.hosts)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -144,8 +144,10 @@
 	return out, r.Err()
 }
 
-func served(after time.Duration, pages ...string) func(standin.Ask) standin.Reply {
-	return func(standin.Ask) standin.Reply { return standin.Reply{After: after, Word: "served", Pages: pages} }
+func served(after time.Duration, pages ...string) func(standin.Request) standin.Reply {
+	return func(standin.Request) standin.Reply {
+		return standin.Reply{Delay: after, Status: "served", Pages: pages}
+	}
 }
 
 // A whole life on loopback, with an ordinary client library as the peer: many
@@ -155,7 +157,7 @@
 	long := strings.Repeat("x", 300)
 	pages := []string{"1\ta\t" + long + "\n2\tb\t\n", "3\tc\tz\n", "4\td\tz\n"}
 	s := newTestbed(t, served(20*time.Millisecond, pages...), served(20*time.Millisecond, pages...), served(time.Hour))
-	s.names.Set(2, s.hosts[:2]) // the third never answers; it leaves the list
+	s.names.SetHosts(2, s.hosts[:2]) // the third never answers; it leaves the list
 	time.Sleep(300 * time.Millisecond)
 	var wg sync.WaitGroup
 	for i := range 60 {
@@ -167,10 +169,10 @@
 		})
 	}
 	wg.Wait()
-	if n := len(s.engines[0].Asks()) + len(s.engines[1].Asks()); n != 60 || len(s.engines[2].Asks()) > 0 {
-		t.Errorf("%d attempts for 60 queries, %d to an engine that has left", n, len(s.engines[2].Asks()))
+	if n := len(s.engines[0].Requests()) + len(s.engines[1].Requests()); n != 60 || len(s.engines[2].Requests()) > 0 {
+		t.Errorf("%d attempts for 60 queries, %d to an engine that has left", n, len(s.engines[2].Requests()))
 	}
-	if a := append(s.engines[0].Asks(), s.engines[1].Asks()...)[0]; a.Fields["lane"] != "point" || !strings.HasPrefix(a.Statement, "SELECT day") {
+	if a := append(s.engines[0].Requests(), s.engines[1].Requests()...)[0]; a.Fields["lane"] != "point" || !strings.HasPrefix(a.Statement, "SELECT day") {
 		t.Errorf("the engine got %+v", a)
 	}
 	s.engines[0].Close() // its connections are reset; safe queries go elsewhere
@@ -248,11 +250,11 @@
 	}
 	version := 5 + strings.IndexByte(string(buf[5:n]), 0) + 1
 	session := uint32(buf[version]) | uint32(buf[version+1])<<8 | uint32(buf[version+2])<<16 | uint32(buf[version+3])<<24
-	waitFor(t, "the query at its engine", func() bool { return len(s.engines[0].Asks()) == 1 })
+	waitFor(t, "the query at its engine", func() bool { return len(s.engines[0].Requests()) == 1 })
 	if _, err := s.db.ExecContext(t.Context(), fmt.Sprintf("KILL QUERY %d", session)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the query given up", func() bool { return len(s.engines[0].Quits()) == 1 })
+	waitFor(t, "the query given up", func() bool { return len(s.engines[0].Cancelled()) == 1 })
 	nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	rest, err := io.ReadAll(nc)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || len(rest) > 11 { // the OK of the login at most
@@ -273,18 +275,18 @@
 
 // SIGTERM: what is open is answered, new connections are still taken, and all ends in time.
 func TestTerminate(t *testing.T) {
-	s := newTestbed(t, func(a standin.Ask) standin.Reply {
+	s := newTestbed(t, func(a standin.Request) standin.Reply {
 		if a.Fields["lane"] == "load" {
-			return standin.Reply{After: time.Hour, Word: "served"}
+			return standin.Reply{Delay: time.Hour, Status: "served"}
 		}
-		return standin.Reply{After: 300 * time.Millisecond, Word: "served", Pages: []string{"a\tb\tc\n"}}
+		return standin.Reply{Delay: 300 * time.Millisecond, Status: "served", Pages: []string{"a\tb\tc\n"}}
 	})
 	results := make(chan error, 2)
 	go func() {
 		_, err := rows(context.Background(), s.db, statement("load", "00000000000000bb", 30000))
 		results <- err
 	}()
-	waitFor(t, "the load at its engine", func() bool { return len(s.engines[0].Asks()) == 1 })
+	waitFor(t, "the load at its engine", func() bool { return len(s.engines[0].Requests()) == 1 })
 	began := time.Now()
 	s.stop <- syscall.SIGTERM
 	time.Sleep(100 * time.Millisecond)
@@ -314,7 +316,7 @@
 	defer s.end()
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(config.EnvConfig, path)
-	second, err := standin.NewNames("127.0.0.1:0", "_data._tcp.farm.lan")
+	second, err := standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -331,29 +333,29 @@
 		_, err := rows(context.Background(), s.db, statement("point", "00000000000000ba", 1500))
 		open <- err
 	}()
-	waitFor(t, "a query at an engine", func() bool { return len(s.engines[0].Asks())+len(s.engines[1].Asks()) == 1 })
+	waitFor(t, "a query at an engine", func() bool { return len(s.engines[0].Requests())+len(s.engines[1].Requests()) == 1 })
 	reload(s.config[:len(s.config)/2])
 	reload(strings.Replace(s.config, s.names.Addr(), second.Addr(), 1))
 	if err := <-open; err != nil {
 		t.Errorf("the query that was open: %v", err)
 	}
-	s.names.Set(9, nil) // the old one counts no more
-	second.Set(2, s.hosts[1:])
+	s.names.SetHosts(9, nil) // the old one counts no more
+	second.SetHosts(2, s.hosts[1:])
 	time.Sleep(400 * time.Millisecond)
-	before := len(s.engines[0].Asks())
+	before := len(s.engines[0].Requests())
 	for i := range 6 {
 		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 200+i), 1500)); err != nil {
 			t.Errorf("after the move: %v", err)
 		}
 	}
-	if n := len(s.engines[0].Asks()); n != before {
+	if n := len(s.engines[0].Requests()); n != before {
 		t.Errorf("%d attempts went to an engine that the new name service does not list", n-before)
 	}
 }
 
 // What a client library sees of a refusal: an error that says when to come back is harmless to retry.
 func TestRejection(t *testing.T) {
-	s := newTestbed(t, func(standin.Ask) standin.Reply { return standin.Reply{Word: "overload"} })
+	s := newTestbed(t, func(standin.Request) standin.Reply { return standin.Reply{Status: "overload"} })
 	defer s.end()
 	_, err := rows(t.Context(), s.db, statement("load", "00000000000000dd", 800))
 	var answer *mysql.MySQLError
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -30,8 +30,8 @@
 
 // testCluster is some members that know one another.
 type testCluster struct {
-	*emulator.Talk
-	members map[string]*emulator.Copier
+	*emulator.DatagramNetwork
+	members map[string]*emulator.ReplicaMember
 }
 
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
@@ -43,8 +43,8 @@
 	return s
 }
 
-func newTestCluster(n int, m emulator.TalkModel, seed uint64) *testCluster {
-	c := &testCluster{Talk: emulator.NewTalk(m, Defaults().GossipInterval, start, seed), members: map[string]*emulator.Copier{}}
+func newTestCluster(n int, m emulator.DatagramModel, seed uint64) *testCluster {
+	c := &testCluster{DatagramNetwork: emulator.NewDatagramNetwork(m, Defaults().GossipInterval, start, seed), members: map[string]*emulator.ReplicaMember{}}
 	for i := range n {
 		c.start(i, 1)
 	}
@@ -54,11 +54,11 @@
 // start starts a member, or starts it again: all hear of it, and it of all.
 func (c *testCluster) start(i int, life uint64) {
 	s := settingsOf(i, life)
-	m := &emulator.Copier{Replica: New(s, c.Now)}
+	m := &emulator.ReplicaMember{Replica: New(s, c.Now)}
 	for _, n := range c.Names() {
 		if o := c.members[n]; n != s.Name && o != nil {
-			o.Meet(c.Now, Member{Name: s.Name, Zone: s.Zone})
-			m.Meet(c.Now, Member{Name: n, Zone: "hall-x"})
+			o.MemberJoined(c.Now, Member{Name: s.Name, Zone: s.Zone})
+			m.MemberJoined(c.Now, Member{Name: n, Zone: "hall-x"})
 		}
 	}
 	c.members[s.Name] = m
@@ -112,7 +112,7 @@
 
 // News reach all, through losses, delays, doubles and the wrong order.
 func TestUpdatesReachAll(t *testing.T) {
-	for _, m := range []emulator.TalkModel{{Least: ms, Most: 5 * ms}, {Loss: 0.3, Double: 0.2, Least: ms, Most: 300 * ms}} {
+	for _, m := range []emulator.DatagramModel{{MinDelay: ms, MaxDelay: 5 * ms}, {Loss: 0.3, Duplicate: 0.2, MinDelay: ms, MaxDelay: 300 * ms}} {
 		c := newTestCluster(5, m, 3)
 		c.Run(start + 3*second)
 		c.put(2, EngineFault, 77, 1)
@@ -127,14 +127,14 @@
 func TestCopiesAgreeAfterHealing(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := newTestCluster(6, emulator.TalkModel{Loss: 0.2, Double: 0.1, Least: ms, Most: 2 * second}, seed)
+		c := newTestCluster(6, emulator.DatagramModel{Loss: 0.2, Duplicate: 0.1, MinDelay: ms, MaxDelay: 2 * second}, seed)
 		lives := map[int]uint64{}
 		for range 12 {
 			switch rng.IntN(6) {
 			case 0:
-				c.Split(func(n string) int { return int(n[3]) % 2 })
+				c.Partition(func(n string) int { return int(n[3]) % 2 })
 			case 1:
-				c.Split(func(n string) int { return int(n[3]) % 3 })
+				c.Partition(func(n string) int { return int(n[3]) % 3 })
 			case 2:
 				c.Cut(memberName(rng.IntN(6)), memberName(rng.IntN(6)), true)
 			case 3:
@@ -143,7 +143,7 @@
 				c.Remove(memberName(i))
 				c.start(i, 1+lives[i])
 			case 4:
-				c.Freeze(memberName(rng.IntN(6)), rng.IntN(2) == 0)
+				c.SetPaused(memberName(rng.IntN(6)), rng.IntN(2) == 0)
 			}
 			for range 4 {
 				c.put(rng.IntN(6), Kind(1+rng.IntN(int(KindCount)-1)), uint64(rng.IntN(4)), rng.Float32())
@@ -151,10 +151,10 @@
 			c.Run(c.Now + rules.Time(rng.IntN(3000))*ms)
 		}
 		for i := range 6 {
-			c.Freeze(memberName(i), false)
+			c.SetPaused(memberName(i), false)
 		}
-		c.Split(func(string) int { return 0 })
-		c.Model = emulator.TalkModel{Least: ms, Most: 20 * ms}
+		c.Partition(func(string) int { return 0 })
+		c.Model = emulator.DatagramModel{MinDelay: ms, MaxDelay: 20 * ms}
 		c.Run(c.Now + 8*second)
 		if err := c.checkAgreement(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
@@ -172,8 +172,8 @@
 		}
 		for i := range 3 {
 			for life := range uint64(2) {
-				w := &emulator.Copier{Replica: New(settingsOf(i, life+1), start)}
-				w.Meet(start, Member{Name: "reader"})
+				w := &emulator.ReplicaMember{Replica: New(settingsOf(i, life+1), start)}
+				w.MemberJoined(start, Member{Name: "reader"})
 				now := rules.Time(start)
 				for range rapid.IntRange(0, 5).Draw(t, "writes") {
 					w.Replica.Put(now, Key{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Subject: uint64(rapid.IntRange(0, 2).Draw(t, "subject"))},
@@ -184,15 +184,15 @@
 			}
 		}
 		read := func(order []int) []Copy {
-			r := &emulator.Copier{Replica: New(Settings{}, start)}
+			r := &emulator.ReplicaMember{Replica: New(Settings{}, start)}
 			s := settingsOf(9, 1)
 			s.Name = "reader"
 			r.Replica = New(s, start)
 			for i := range 3 {
-				r.Meet(start, Member{Name: memberName(i)})
+				r.MemberJoined(start, Member{Name: memberName(i)})
 			}
 			for _, i := range order {
-				r.Hear(start+2*second, sent[i][0].(string), sent[i][1].([]byte), func(string, []byte) {})
+				r.Receive(start+2*second, sent[i][0].(string), sent[i][1].([]byte), func(string, []byte) {})
 			}
 			out := r.Replica.Copies()
 			for i := range out {
@@ -218,7 +218,7 @@
 
 // A member that was away for a minute, or starts anew, has all within 3 s, and nobody sends more than the budget within a second.
 func TestCatchUp(t *testing.T) {
-	c := newTestCluster(40, emulator.TalkModel{Loss: 0.05, Least: ms, Most: 20 * ms}, 5)
+	c := newTestCluster(40, emulator.DatagramModel{Loss: 0.05, MinDelay: ms, MaxDelay: 20 * ms}, 5)
 	write := func() {
 		for i := range 40 {
 			for s := range 6 {
@@ -230,13 +230,13 @@
 		write()
 		c.Run(c.Now + second)
 	}
-	c.Freeze(memberName(7), true)
+	c.SetPaused(memberName(7), true)
 	for range 60 {
 		write()
 		c.Run(c.Now + second)
 	}
 	held := c.members[memberName(1)].Replica.Copies()
-	c.Freeze(memberName(7), false)
+	c.SetPaused(memberName(7), false)
 	c.Remove(memberName(8))
 	c.start(8, 2)
 	c.Run(c.Now + 3*second)
@@ -259,7 +259,7 @@
 			t.Errorf("%s has %d of %d entries 3 s after it came back", memberName(i), have, all)
 		}
 	}
-	for n, peak := range c.Peak {
+	for n, peak := range c.PeakBytesPerSecond {
 		if peak > Defaults().Budget*11/10 { // the window's second is not the clock's
 			t.Errorf("%s sent %d bytes within a second", n, peak)
 		}
@@ -268,7 +268,7 @@
 
 // What has grown old is gone before anything else is done: a process that stood still acts on nothing old.
 func TestExpiredEntriesAreDroppedFirst(t *testing.T) {
-	c := newTestCluster(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
+	c := newTestCluster(3, emulator.DatagramModel{MinDelay: ms, MaxDelay: 5 * ms}, 1)
 	c.put(0, EngineFault, 5, 1)
 	c.Run(start + 2*second)
 	if c.countKnowing(0, EngineFault, 5, 1) != 2 {
@@ -289,18 +289,18 @@
 // A later life of a member takes the place of an earlier one, and messages of the earlier one that come late change nothing.
 func TestLaterIncarnationWins(t *testing.T) {
 	var late [][]byte
-	old := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
-	old.Meet(start, Member{Name: memberName(0)})
+	old := &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
+	old.MemberJoined(start, Member{Name: memberName(0)})
 	old.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{1})
 	old.Tick(start+ms, func(_ string, d []byte) { late = append(late, append([]byte(nil), d...)) })
-	r := &emulator.Copier{Replica: New(settingsOf(0, 1), start)}
-	r.Meet(start, Member{Name: memberName(1)})
-	again := &emulator.Copier{Replica: New(settingsOf(1, 2), start)}
-	again.Meet(start, Member{Name: memberName(0)})
+	r := &emulator.ReplicaMember{Replica: New(settingsOf(0, 1), start)}
+	r.MemberJoined(start, Member{Name: memberName(1)})
+	again := &emulator.ReplicaMember{Replica: New(settingsOf(1, 2), start)}
+	again.MemberJoined(start, Member{Name: memberName(0)})
 	again.Replica.Put(start, Key{Kind: ZoneState, Subject: 1}, Value{2})
-	again.Tick(start+ms, func(_ string, d []byte) { r.Hear(start+ms, memberName(1), d, func(string, []byte) {}) })
+	again.Tick(start+ms, func(_ string, d []byte) { r.Receive(start+ms, memberName(1), d, func(string, []byte) {}) })
 	for _, d := range late {
-		r.Hear(start+2*ms, memberName(1), d, func(string, []byte) {})
+		r.Receive(start+2*ms, memberName(1), d, func(string, []byte) {})
 	}
 	if len(late) == 0 {
 		t.Fatal("the earlier life said nothing")
@@ -318,12 +318,12 @@
 
 // Another process with our name is told, not believed; strangers, garbage and what was changed on its way count for nothing.
 func TestMessagesRejected(t *testing.T) {
-	r := &emulator.Copier{Replica: New(settingsOf(0, 5), start)}
-	r.Meet(start, Member{Name: memberName(1)})
+	r := &emulator.ReplicaMember{Replica: New(settingsOf(0, 5), start)}
+	r.MemberJoined(start, Member{Name: memberName(1)})
 	r.Replica.Put(start, Key{Kind: OfferedLoad}, Value{3})
 	var msg []byte
-	w := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
-	w.Meet(start, Member{Name: memberName(0)})
+	w := &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
+	w.MemberJoined(start, Member{Name: memberName(0)})
 	w.Replica.Put(start, Key{Kind: OfferedLoad}, Value{4})
 	w.Tick(start+ms, func(_ string, d []byte) {
 		if msg == nil {
@@ -335,31 +335,31 @@
 	for i := range msg {
 		bad := append([]byte(nil), msg...)
 		bad[i] ^= 1 << rng.IntN(8)
-		r.Hear(start, memberName(1), bad, say)
-		r.Hear(start, memberName(1), msg[:i], say)
+		r.Receive(start, memberName(1), bad, say)
+		r.Receive(start, memberName(1), msg[:i], say)
 	}
-	r.Hear(start, memberName(2), msg, say)
-	r.Hear(start, memberName(1), make([]byte, 64<<10), say)
+	r.Receive(start, memberName(2), msg, say)
+	r.Receive(start, memberName(1), make([]byte, 64<<10), say)
 	if got := r.Replica.Stats().Entries; got != 1 {
 		t.Errorf("%d entries held, of which one is ours", got)
 	}
-	if want := 2*len(msg) + 2; len(r.Refused) != want {
-		t.Errorf("%d of %d messages were refused", len(r.Refused), want)
+	if want := 2*len(msg) + 2; len(r.Rejected) != want {
+		t.Errorf("%d of %d messages were refused", len(r.Rejected), want)
 	}
 	future := append([]byte(nil), msg...)
 	future[3] = 9
-	r.Refused = nil
-	r.Hear(start, memberName(1), future, say)
+	r.Rejected = nil
+	r.Receive(start, memberName(1), future, say)
 	var v VersionError
-	if len(r.Refused) != 1 || !errors.As(r.Refused[0], &v) || v.Version != 9 {
-		t.Errorf("a peer of version 9: %v", r.Refused)
+	if len(r.Rejected) != 1 || !errors.As(r.Rejected[0], &v) || v.Version != 9 {
+		t.Errorf("a peer of version 9: %v", r.Rejected)
 	}
 }
 
 // A member whose clock has stepped back since its last life takes a later one than others hold, and is heard again; two processes of
 // one name tell of each other in the end.
 func TestNameConflict(t *testing.T) {
-	back := newTestCluster(3, emulator.TalkModel{Least: ms, Most: 5 * ms}, 1)
+	back := newTestCluster(3, emulator.DatagramModel{MinDelay: ms, MaxDelay: 5 * ms}, 1)
 	back.Remove(memberName(0))
 	back.start(0, 50)
 	back.put(0, OfferedLoad, 0, 7)
@@ -371,24 +371,24 @@
 	if n := back.countKnowing(0, OfferedLoad, 0, 8); n != 2 {
 		t.Errorf("%d of 2 hear the member whose clock stepped back", n)
 	}
-	one, two, reader := &emulator.Copier{Replica: New(settingsOf(0, 5), start)}, &emulator.Copier{Replica: New(settingsOf(0, 6), start)}, &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
-	one.Meet(start, Member{Name: memberName(1)})
-	two.Meet(start, Member{Name: memberName(1)})
-	reader.Meet(start, Member{Name: memberName(0)})
+	one, two, reader := &emulator.ReplicaMember{Replica: New(settingsOf(0, 5), start)}, &emulator.ReplicaMember{Replica: New(settingsOf(0, 6), start)}, &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
+	one.MemberJoined(start, Member{Name: memberName(1)})
+	two.MemberJoined(start, Member{Name: memberName(1)})
+	reader.MemberJoined(start, Member{Name: memberName(0)})
 	say := func(string, []byte) {}
 	told := false
 	for tick := range rules.Time(60) {
 		now := start + tick*second
-		for i, m := range []*emulator.Copier{one, two} {
+		for i, m := range []*emulator.ReplicaMember{one, two} {
 			m.Replica.Put(now, Key{Kind: OfferedLoad}, Value{float32(i + 1)})
-			m.Tick(now, func(_ string, d []byte) { reader.Hear(now, memberName(0), d, say) })
+			m.Tick(now, func(_ string, d []byte) { reader.Receive(now, memberName(0), d, say) })
 		}
 		reader.Tick(now, func(_ string, d []byte) {
-			one.Hear(now, memberName(1), d, say)
-			two.Hear(now, memberName(1), d, say)
+			one.Receive(now, memberName(1), d, say)
+			two.Receive(now, memberName(1), d, say)
 		})
-		for _, m := range []*emulator.Copier{one, two} {
-			for _, err := range m.Refused {
+		for _, m := range []*emulator.ReplicaMember{one, two} {
+			for _, err := range m.Rejected {
 				told = told || err.Error() == "replica: another process has our name"
 			}
 		}
@@ -400,8 +400,8 @@
 
 // Whatever comes, nothing panics, and what is held stays within its bounds.
 func FuzzReceive(f *testing.F) {
-	w := &emulator.Copier{Replica: New(settingsOf(1, 1), start)}
-	w.Meet(start, Member{Name: memberName(0)})
+	w := &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
+	w.MemberJoined(start, Member{Name: memberName(0)})
 	for s := range 5 {
 		w.Replica.Put(start, Key{Kind: TenantUsage, Subject: uint64(s)}, Value{4, 5})
 	}
@@ -428,15 +428,15 @@
 		s.MaxAge[k] = 2 * second
 	}
 	s.MaxOrigins = 20
-	r := &emulator.Copier{Replica: New(s, start)}
+	r := &emulator.ReplicaMember{Replica: New(s, start)}
 	now := rules.Time(start)
 	for i := 1; i < 400; i++ {
-		w := &emulator.Copier{Replica: New(settingsOf(i, 1), now)}
-		w.Meet(now, Member{Name: memberName(0)})
-		r.Meet(now, Member{Name: memberName(i)})
+		w := &emulator.ReplicaMember{Replica: New(settingsOf(i, 1), now)}
+		w.MemberJoined(now, Member{Name: memberName(0)})
+		r.MemberJoined(now, Member{Name: memberName(i)})
 		w.Replica.Put(now, Key{Kind: OfferedLoad}, Value{4})
-		w.Tick(now, func(_ string, d []byte) { r.Hear(now, memberName(i), d, func(string, []byte) {}) })
-		r.Part(now, memberName(i))
+		w.Tick(now, func(_ string, d []byte) { r.Receive(now, memberName(i), d, func(string, []byte) {}) })
+		r.MemberLeft(now, memberName(i))
 		now += 300 * ms
 		if st := r.Replica.Stats(); st.Origins > 20 || st.Entries > 20 {
 			t.Fatalf("after %d came and went: %+v", i, st)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -16,23 +16,23 @@
 // Client is a stand-in for a client: the MySQL protocol 4.1 as far as a
 // session with text queries needs it.
 type Client struct {
-	conn    net.Conn
-	in      *bufio.Reader
-	Session uint32 // as the greeting names it
-	packet  []byte
+	conn         net.Conn
+	in           *bufio.Reader
+	ConnectionID uint32 // as the greeting names it
+	packet       []byte
 }
 
-// Refusal is an error that a gateway answered.
-type Refusal struct {
-	Code    uint16
-	Text    string
-	HoldOff time.Duration // 0: none was named
+// ServerError is an error that a gateway answered.
+type ServerError struct {
+	Code       uint16
+	Message    string
+	RetryAfter time.Duration // 0: none was named
 }
 
-func (r *Refusal) Error() string { return fmt.Sprintf("%d: %s", r.Code, r.Text) }
+func (r *ServerError) Error() string { return fmt.Sprintf("%d: %s", r.Code, r.Message) }
 
-// Harmless answers whether the answer promises that asking again is harmless.
-func (r *Refusal) Harmless() bool { return r.Code == 1040 || r.Code == 1203 || r.Code == 1226 }
+// Retryable answers whether the answer promises that asking again is harmless.
+func (r *ServerError) Retryable() bool { return r.Code == 1040 || r.Code == 1203 || r.Code == 1226 }
 
 // Connect logs in at a gateway, from an address of this machine if one is given.
 func Connect(addr string, from netip.Addr, within time.Duration) (*Client, error) {
@@ -65,7 +65,7 @@
 	if len(greeting) < version+5 || version < 1 {
 		return errors.New("standin: a greeting that is none")
 	}
-	c.Session = binary.LittleEndian.Uint32(greeting[version+1:])
+	c.ConnectionID = binary.LittleEndian.Uint32(greeting[version+1:])
 	p := binary.LittleEndian.AppendUint32(nil, 1<<9|1<<15|1<<3|1<<19)
 	p = binary.LittleEndian.AppendUint32(p, 1<<24)
 	p = append(append(p, 45), make([]byte, 23)...)
@@ -98,23 +98,23 @@
 		return nil, err
 	}
 	if len(p) >= 3 && p[0] == 0xff {
-		return nil, refusal(p)
+		return nil, parseServerError(p)
 	}
 	return p, nil
 }
 
-func refusal(p []byte) *Refusal {
-	r := &Refusal{Code: binary.LittleEndian.Uint16(p[1:]), Text: string(p[3:])}
-	if len(r.Text) > 6 && r.Text[0] == '#' {
-		r.Text = r.Text[6:]
+func parseServerError(p []byte) *ServerError {
+	r := &ServerError{Code: binary.LittleEndian.Uint16(p[1:]), Message: string(p[3:])}
+	if len(r.Message) > 6 && r.Message[0] == '#' {
+		r.Message = r.Message[6:]
 	}
-	if _, after, ok := strings.Cut(r.Text, "holdoff="); ok {
+	if _, after, ok := strings.Cut(r.Message, "holdoff="); ok {
 		end := strings.IndexFunc(after, func(c rune) bool { return c < '0' || c > '9' })
 		if end < 0 {
 			end = len(after)
 		}
 		if ms, err := strconv.Atoi(after[:end]); err == nil {
-			r.HoldOff = time.Duration(ms) * time.Millisecond
+			r.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	return r
@@ -122,13 +122,13 @@
 
 // Query sends a statement and reads its whole result, row by row.
 func (c *Client) Query(text string, within time.Duration) (rows int, err error) {
-	err = c.Rows(text, within, func([]byte) { rows++ })
+	err = c.QueryRows(text, within, func([]byte) { rows++ })
 	return rows, err
 }
 
-// Rows sends a statement and hands over each row as it comes: its columns, each with its length ahead. The
+// QueryRows sends a statement and hands over each row as it comes: its columns, each with its length ahead. The
 // row is valid during the call only.
-func (c *Client) Rows(text string, within time.Duration, row func([]byte)) error {
+func (c *Client) QueryRows(text string, within time.Duration, row func([]byte)) error {
 	_ = c.conn.SetDeadline(time.Now().Add(within))
 	if err := c.write(0, append([]byte{3}, text...)); err != nil {
 		return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Ask is a request that came to an engine.
-type Ask struct {
+// Request is a request that came to an engine.
+type Request struct {
 	ID        string
 	Fields    map[string]string
 	Statement string
@@ -24,77 +24,77 @@
 
 // Reply is how an engine ends a request.
 type Reply struct {
-	After time.Duration
-	Work  time.Duration // that it tells of a served one; 0: as long as it took
-	Word  string        // served, overload, crashed, nobody; empty: never
-	Pages []string      // of a served one
-	Break bool          // reset the connection instead
-	Raw   string        // write this instead
+	Delay        time.Duration
+	ReportedWork time.Duration // that it tells of a served one; 0: as long as it took
+	Status       string        // served, overload, crashed, nobody; empty: never
+	Pages        []string      // of a served one
+	Reset        bool          // reset the connection instead
+	Raw          string        // write this instead
 }
 
 // Engine is a stand-in for one engine.
 type Engine struct {
-	ln      net.Listener
-	answer  func(Ask) Reply
-	wg      sync.WaitGroup
-	mu      sync.Mutex
-	conns   map[net.Conn]struct{}
-	asks    []Ask
-	quits   []string
-	begun   map[string]time.Time
-	held    map[string]time.Duration
-	stopped bool
+	listener  net.Listener
+	answer    func(Request) Reply
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	conns     map[net.Conn]struct{}
+	requests  []Request
+	cancelled []string
+	startedAt map[string]time.Time
+	holdTimes map[string]time.Duration
+	stopped   bool
 }
 
 // NewEngine starts an engine on an address that answers as told.
-func NewEngine(addr string, answer func(Ask) Reply) (*Engine, error) {
+func NewEngine(addr string, answer func(Request) Reply) (*Engine, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{ln: ln, answer: answer, conns: map[net.Conn]struct{}{}, begun: map[string]time.Time{}, held: map[string]time.Duration{}}
+	e := &Engine{listener: ln, answer: answer, conns: map[net.Conn]struct{}{}, startedAt: map[string]time.Time{}, holdTimes: map[string]time.Duration{}}
 	e.wg.Add(1)
 	go e.accept()
 	return e, nil
 }
 
 // Addr is where it listens.
-func (e *Engine) Addr() string { return e.ln.Addr().String() }
+func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Asks are the requests that came so far.
-func (e *Engine) Asks() []Ask {
+// Requests are the requests that came so far.
+func (e *Engine) Requests() []Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Ask(nil), e.asks...)
+	return append([]Request(nil), e.requests...)
 }
 
-// Quits are the ids that were given up so far.
-func (e *Engine) Quits() []string {
+// Cancelled are the ids that were given up so far.
+func (e *Engine) Cancelled() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.quits...)
+	return append([]string(nil), e.cancelled...)
 }
 
-// Held is how long a request held the engine: until it was freed. It is 0 while it is not.
-func (e *Engine) Held(id string) time.Duration {
+// HoldTime is how long a request held the engine: until it was freed. It is 0 while it is not.
+func (e *Engine) HoldTime(id string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.held[id]
+	return e.holdTimes[id]
 }
 
 // Close ends the engine as a process that dies does: its connections are reset.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.stopped = true
-	e.ln.Close()
+	e.listener.Close()
 	for c := range e.conns {
-		reset(c)
+		resetConn(c)
 	}
 	e.mu.Unlock()
 	e.wg.Wait()
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -104,13 +104,13 @@
 func (e *Engine) accept() {
 	defer e.wg.Done()
 	for {
-		c, err := e.ln.Accept()
+		c, err := e.listener.Accept()
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
 		if e.stopped {
-			reset(c)
+			resetConn(c)
 		} else {
 			e.conns[c] = struct{}{}
 			e.wg.Add(1)
@@ -157,7 +157,7 @@
 	id := words[1]
 	switch words[0] {
 	case "ASK":
-		return len(words) == 4 && s.ask(in, id, words[2], words[3])
+		return len(words) == 4 && s.handleAsk(in, id, words[2], words[3])
 	case "QUIT", "FREE":
 		s.mu.Lock()
 		if t := s.running[id]; t != nil {
@@ -167,14 +167,14 @@
 		delete(s.results, id)
 		s.mu.Unlock()
 		s.engine.mu.Lock()
-		if from, ok := s.engine.begun[id]; ok {
-			s.engine.held[id] = time.Since(from)
-			delete(s.engine.begun, id)
+		if from, ok := s.engine.startedAt[id]; ok {
+			s.engine.holdTimes[id] = time.Since(from)
+			delete(s.engine.startedAt, id)
 		}
 		s.engine.mu.Unlock()
 		if words[0] == "QUIT" {
 			s.engine.mu.Lock()
-			s.engine.quits = append(s.engine.quits, id)
+			s.engine.cancelled = append(s.engine.cancelled, id)
 			s.engine.mu.Unlock()
 		}
 	case "NEXT":
@@ -201,7 +201,7 @@
 	return true
 }
 
-func (s *session) ask(in *bufio.Reader, id, fields, length string) bool {
+func (s *session) handleAsk(in *bufio.Reader, id, fields, length string) bool {
 	n, err := strconv.Atoi(length)
 	if err != nil || n < 0 || n > 1<<24 {
 		return false
@@ -210,57 +210,57 @@
 	if _, err := io.ReadFull(in, body); err != nil || string(body[n:]) != "\r\n" {
 		return false
 	}
-	a := Ask{ID: id, Fields: map[string]string{}, Statement: string(body[:n])}
+	a := Request{ID: id, Fields: map[string]string{}, Statement: string(body[:n])}
 	for _, f := range strings.Split(fields, ",") {
 		if name, value, ok := strings.Cut(f, "="); ok {
 			a.Fields[name] = value
 		}
 	}
 	s.engine.mu.Lock()
-	s.engine.asks = append(s.engine.asks, a)
-	s.engine.begun[id] = time.Now()
+	s.engine.requests = append(s.engine.requests, a)
+	s.engine.startedAt[id] = time.Now()
 	s.engine.mu.Unlock()
 	r := s.engine.answer(a)
 	s.mu.Lock()
-	s.running[id] = time.AfterFunc(r.After, func() { s.end(id, r) })
+	s.running[id] = time.AfterFunc(r.Delay, func() { s.finish(id, r) })
 	s.mu.Unlock()
 	return true
 }
 
-func (s *session) end(id string, r Reply) {
+func (s *session) finish(id string, r Reply) {
 	s.mu.Lock()
 	_, open := s.running[id]
 	delete(s.running, id)
-	if open && r.Word == "served" {
+	if open && r.Status == "served" {
 		s.results[id] = r.Pages
 	}
 	s.mu.Unlock()
 	switch {
 	case !open:
-	case r.Break:
-		reset(s.conn)
+	case r.Reset:
+		resetConn(s.conn)
 	case r.Raw != "":
-		s.raw(r.Raw)
-	case r.Word == "served":
+		s.writeRaw(r.Raw)
+	case r.Status == "served":
 		page := ""
 		if len(r.Pages) > 0 {
 			page = r.Pages[0]
 		}
-		work := r.Work
+		work := r.ReportedWork
 		if work == 0 {
-			work = r.After
+			work = r.Delay
 		}
-		s.write(id, r.Word, fmt.Sprintf("total=%d,elapsed=%d,rss=64", max(len(r.Pages), 1), work.Milliseconds()), page)
-	case r.Word != "":
-		s.write(id, r.Word, "-", "")
+		s.write(id, r.Status, fmt.Sprintf("total=%d,elapsed=%d,rss=64", max(len(r.Pages), 1), work.Milliseconds()), page)
+	case r.Status != "":
+		s.write(id, r.Status, "-", "")
 	}
 }
 
 func (s *session) write(id, word, fields, body string) {
-	s.raw(fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body))
+	s.writeRaw(fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body))
 }
 
-func (s *session) raw(text string) {
+func (s *session) writeRaw(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = io.WriteString(s.conn, text) // a broken connection shows when it is read
--- a/internal/standin/names.go
+++ b/internal/standin/nameserver.go
@@ -21,92 +21,94 @@
 	Started  int64
 }
 
-// Names is a stand-in for the name service.
-type Names struct {
-	conn   net.PacketConn
-	name   string
-	done   chan struct{}
-	mu     sync.Mutex
-	serial uint32
-	hosts  []Host
-	mangle func([]byte) []byte
-	listen func(from string) bool
-	alter  func(*ListReply)
-	told   func(ListReply)
+// NameServer is a stand-in for the name service.
+type NameServer struct {
+	conn    net.PacketConn
+	name    string
+	done    chan struct{}
+	mu      sync.Mutex
+	serial  uint32
+	hosts   []Host
+	rewrite func([]byte) []byte
+	filter  func(from string) bool
+	onReply func(*ListReply)
+	onSent  func(ListReply)
 }
 
 // ListReply is an answer that is about to be sent, with what is to become of it.
 type ListReply struct {
-	Serial  uint32
-	Hosts   []Host
-	Stale   bool          // it holds an older list than the service has
-	Lost    bool          // it is not sent
-	Failed  bool          // it reports a failure
-	Short   bool          // it is cut short
-	OtherID bool          // it has the id of another query
-	Twice   bool          // it is sent twice
-	After   time.Duration // it is sent so late
-}
-
-// Good answers whether the reply can tell something: it is whole and holds the present list.
-func (r *ListReply) Good() bool { return !r.Stale && !r.Lost && !r.Failed && !r.Short && !r.OtherID }
-
-// NewNames starts a name service that answers for the list under a name.
-func NewNames(addr, name string) (*Names, error) {
+	Serial        uint32
+	Hosts         []Host
+	Stale         bool          // it holds an older list than the service has
+	Dropped       bool          // it is not sent
+	ServerFailure bool          // it reports a failure
+	Truncated     bool          // it is cut short
+	WrongID       bool          // it has the id of another query
+	Duplicated    bool          // it is sent twice
+	Delay         time.Duration // it is sent so late
+}
+
+// Valid answers whether the reply can tell something: it is whole and holds the present list.
+func (r *ListReply) Valid() bool {
+	return !r.Stale && !r.Dropped && !r.ServerFailure && !r.Truncated && !r.WrongID
+}
+
+// NewNameServer starts a name service that answers for the list under a name.
+func NewNameServer(addr, name string) (*NameServer, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Names{conn: conn, name: name, done: make(chan struct{}), serial: 1}
+	n := &NameServer{conn: conn, name: name, done: make(chan struct{}), serial: 1}
 	go n.serve()
 	return n, nil
 }
 
 // Addr is where it listens.
-func (n *Names) Addr() string { return n.conn.LocalAddr().String() }
+func (n *NameServer) Addr() string { return n.conn.LocalAddr().String() }
 
-// Set replaces the list.
-func (n *Names) Set(serial uint32, hosts []Host) {
+// SetHosts replaces the list.
+func (n *NameServer) SetHosts(serial uint32, hosts []Host) {
 	n.mu.Lock()
 	n.serial, n.hosts = serial, hosts
 	n.mu.Unlock()
 }
 
-// Mangle changes every answer from now on; nil stops that, and an answer of nil is lost.
-func (n *Names) Mangle(f func([]byte) []byte) {
+// SetRewrite changes every answer from now on; nil stops that, and an answer of nil is lost.
+func (n *NameServer) SetRewrite(f func([]byte) []byte) {
 	n.mu.Lock()
-	n.mangle = f
+	n.rewrite = f
 	n.mu.Unlock()
 }
 
-// From says to whom it answers from now on, by the address that asks; nil: to all.
-func (n *Names) From(f func(from string) bool) {
+// SetFilter says to whom it answers from now on, by the address that asks; nil: to all.
+func (n *NameServer) SetFilter(f func(from string) bool) {
 	n.mu.Lock()
-	n.listen = f
+	n.filter = f
 	n.mu.Unlock()
 }
 
-// Alter calls for each answer that is about to be sent; nil stops that.
-func (n *Names) Alter(f func(*ListReply)) {
+// OnReply calls for each answer that is about to be sent; nil stops that.
+func (n *NameServer) OnReply(f func(*ListReply)) {
 	n.mu.Lock()
-	n.alter = f
+	n.onReply = f
 	n.mu.Unlock()
 }
 
-// Told calls for each good answer, once it has been sent.
-func (n *Names) Told(f func(ListReply)) {
+// OnSent calls for each good answer, once it has been sent.
+func (n *NameServer) OnSent(f func(ListReply)) {
 	n.mu.Lock()
-	n.told = f
+	n.onSent = f
 	n.mu.Unlock()
 }
 
 // Close ends it.
-func (n *Names) Close() {
+func (n *NameServer) Close() {
 	n.conn.Close()
 	<-n.done
 }
 
-func (n *Names) serve() {
+func (n *NameServer) serve() {
 	defer close(n.done)
 	buf := make([]byte, 512)
 	for {
@@ -122,55 +124,55 @@
 }
 
 // reply answers one query.
-func (n *Names) reply(id uint16, from net.Addr) {
+func (n *NameServer) reply(id uint16, from net.Addr) {
 	n.mu.Lock()
 	r := ListReply{Serial: n.serial, Hosts: n.hosts}
-	alter, mangle, listen, told := n.alter, n.mangle, n.listen, n.told
+	alter, mangle, listen, told := n.onReply, n.rewrite, n.filter, n.onSent
 	n.mu.Unlock() // whoever alters it may be about to set the list
 	if alter != nil {
 		alter(&r)
 	}
-	msg := r.message(id, n.name)
+	msg := r.encode(id, n.name)
 	if mangle != nil {
 		msg = mangle(msg)
 	}
-	if msg == nil || r.Lost || listen != nil && !listen(from.String()) {
+	if msg == nil || r.Dropped || listen != nil && !listen(from.String()) {
 		return
 	}
 	send := func() {
 		_, _ = n.conn.WriteTo(msg, from)
-		if r.Twice {
+		if r.Duplicated {
 			_, _ = n.conn.WriteTo(msg, from)
 		}
-		if told != nil && r.Good() {
+		if told != nil && r.Valid() {
 			told(r)
 		}
 	}
-	if r.After > 0 {
-		time.AfterFunc(r.After, send)
+	if r.Delay > 0 {
+		time.AfterFunc(r.Delay, send)
 		return
 	}
 	send()
 }
 
-// message is the reply as it is sent.
-func (r *ListReply) message(id uint16, name string) []byte {
-	if r.OtherID {
+// encode is the reply as it is sent.
+func (r *ListReply) encode(id uint16, name string) []byte {
+	if r.WrongID {
 		id++
 	}
-	msg := Answer(id, name, r.Serial, r.Hosts)
-	if r.Failed {
+	msg := EncodeAnswer(id, name, r.Serial, r.Hosts)
+	if r.ServerFailure {
 		msg[3] |= 2 // SERVFAIL
 	}
-	if r.Short {
+	if r.Truncated {
 		msg = msg[:len(msg)*2/3]
 	}
 	return msg
 }
 
-// Answer is the whole answer to a query. The name asked for is pointed to, and
+// EncodeAnswer is the whole answer to a query. The name asked for is pointed to, and
 // so is each target, as servers do.
-func Answer(id uint16, name string, serial uint32, hosts []Host) []byte {
+func EncodeAnswer(id uint16, name string, serial uint32, hosts []Host) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
 	b = append(b, 0x84, 0, 0, 1)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(hosts)))
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -8,36 +8,36 @@
 // Slots are an engine's cores: so many requests run, the others wait in line
 // in the order in which they came.
 type Slots struct {
-	mu   sync.Mutex
-	free []time.Time // when each is free
-	part float64     // of the speed
+	mu     sync.Mutex
+	freeAt []time.Time // when each is free
+	speed  float64     // of the speed
 }
 
 // NewSlots returns so many, all free.
-func NewSlots(n int) *Slots { return &Slots{free: make([]time.Time, n), part: 1} }
+func NewSlots(n int) *Slots { return &Slots{freeAt: make([]time.Time, n), speed: 1} }
 
-// Use returns how long a request takes that comes now, with its wait.
-func (s *Slots) Use(work time.Duration) time.Duration {
+// Reserve returns how long a request takes that comes now, with its wait.
+func (s *Slots) Reserve(work time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := 0
-	for i := range s.free {
-		if s.free[i].Before(s.free[first]) {
+	for i := range s.freeAt {
+		if s.freeAt[i].Before(s.freeAt[first]) {
 			first = i
 		}
 	}
 	now := time.Now()
-	start := s.free[first]
+	start := s.freeAt[first]
 	if start.Before(now) {
 		start = now
 	}
-	s.free[first] = start.Add(time.Duration(float64(work) / s.part))
-	return s.free[first].Sub(now)
+	s.freeAt[first] = start.Add(time.Duration(float64(work) / s.speed))
+	return s.freeAt[first].Sub(now)
 }
 
-// Slow makes every request that comes from now on take longer: part is that of the full speed.
-func (s *Slots) Slow(part float64) {
+// SetSpeed makes every request that comes from now on take longer: part is that of the full speed.
+func (s *Slots) SetSpeed(part float64) {
 	s.mu.Lock()
-	s.part = part
+	s.speed = part
 	s.mu.Unlock()
 }
