--- /dev/null
+++ b/rules/engine.go
@@ -0,0 +1,168 @@
+package rules
+
+import (
+	"cmp"
+	"slices"
+)
+
+// The state kept of each engine and data set. It decides nothing.
+
+type engine struct {
+	Engine
+	inFlightLoad                       // of this gateway
+	highPriority    inFlightLoad       // the part of it that has a high priority there
+	reportedToPeers inFlightLoad       // the part of it that peers are told of
+	peers           peerLoad           // what peers report of theirs
+	slowdowns       [2]logSlowdown     // learned, by priority band
+	failureRate     float64            // learned
+	ejection        backoff            // from all but half-open probing
+	rejections      map[*class]backoff // of the classes that it rejected
+	dataLoads       map[int]int        // data loads of this gateway that run there, by data set
+
+	slowStartSends    []sentWork // while it warms up: what was sent within the overload window
+	peerSlowStartWork float64    // while it warms up: what peers report to have sent within the window
+}
+
+// backoff is a span for which something is left alone.
+type backoff struct{ duration, until Time }
+
+// logSlowdown is the logarithm of the run time over that of the same work alone.
+type logSlowdown struct {
+	log       float64
+	updatedAt Time // 0: never
+}
+
+// sentWork is work sent to an engine at a time.
+type sentWork struct {
+	at   Time
+	work float64
+}
+
+func newEngine() *engine {
+	return &engine{dataLoads: map[int]int{}, rejections: map[*class]backoff{}}
+}
+
+// inFlightLoad sums up attempts in flight.
+type inFlightLoad struct {
+	attempts int
+	threads  float64
+	memoryMB float64 // granted
+	work     float64 // predicted engine time
+}
+
+func (l *inFlightLoad) add(att *attempt) {
+	l.attempts++
+	l.threads += att.threads
+	l.memoryMB += att.memoryMB
+	l.work += att.work
+}
+
+func (l *inFlightLoad) remove(att *attempt) {
+	l.attempts--
+	l.threads -= att.threads
+	l.memoryMB -= att.memoryMB
+	l.work -= att.work
+	if l.attempts == 0 { // no rounding error accumulates
+		*l = inFlightLoad{}
+	}
+}
+
+// sentSince sums up the work sent to a warming engine since then, and drops what is older.
+func (e *engine) sentSince(from Time) (sum float64) {
+	for len(e.slowStartSends) > 0 && e.slowStartSends[0].at < from {
+		e.slowStartSends = e.slowStartSends[1:]
+	}
+	for _, sent := range e.slowStartSends {
+		sum += sent.work
+	}
+	return sum
+}
+
+func (m *Module) kindOf(eng *engine) EngineKind {
+	if eng.Kind < len(m.settings.Kinds) {
+		return m.settings.Kinds[eng.Kind]
+	}
+	return EngineKind{}
+}
+
+func (m *Module) warmingUp(eng *engine) bool {
+	return eng.StartedAt != 0 && m.now < eng.StartedAt+m.settings.Constraints.SlowStartPeriod
+}
+
+// servingCapacity sums up the engines that serve, those that warm up by what they can do now.
+func (m *Module) servingCapacity() (total EngineKind) {
+	for _, eng := range m.engines {
+		if eng.State == EngineServing {
+			total.Cores += m.kindOf(eng).Cores * m.speedFraction(eng)
+			total.MemoryMB += m.kindOf(eng).MemoryMB
+		}
+	}
+	return total
+}
+
+// removeGoneEngines drops engines that have left the list and run no attempt of this gateway. One that warms
+// up is kept: if it is listed again, what was sent to it before still counts against its budget.
+func (m *Module) removeGoneEngines() {
+	kept := m.engines[:0]
+	for _, eng := range m.engines {
+		if eng.State == EngineGone && eng.attempts == 0 && !m.warmingUp(eng) {
+			delete(m.engineByID, eng.ID)
+			continue
+		}
+		kept = append(kept, eng)
+	}
+	m.engines = kept
+	m.forgetPreferences()
+	m.fleetCapacity = m.servingCapacity()
+}
+
+// countEngines counts the engines for which a condition holds to a class.
+func (m *Module) countEngines(cls *class, holds func(*class, *engine) bool) (count int) {
+	for _, eng := range m.engines {
+		if holds(cls, eng) {
+			count++
+		}
+	}
+	return count
+}
+
+// enginesInZone lists the engines of a zone. The result is valid until zoneEngines is next used.
+func (m *Module) enginesInZone(zone int) []*engine {
+	m.zoneEngines = m.zoneEngines[:0]
+	for _, eng := range m.engines {
+		if eng.Zone == zone {
+			m.zoneEngines = append(m.zoneEngines, eng)
+		}
+	}
+	return m.zoneEngines
+}
+
+// dataSet is what is known of a data set.
+type dataSet struct {
+	requests   decayingMean // requests for it
+	preference []*engine    // all engines, in the order of a hash that all gateways share; nil: to be computed
+}
+
+func (m *Module) dataSet(id int) *dataSet {
+	set := m.dataSets[id]
+	if set == nil {
+		set = &dataSet{requests: decayingMean{span: m.requestWork.span}}
+		m.dataSets[id] = set
+	}
+	if set.preference == nil {
+		set.preference = slices.Clone(m.engines)
+		slices.SortFunc(set.preference, func(a, b *engine) int {
+			return cmp.Compare(hash64(id, a.ID), hash64(id, b.ID))
+		})
+	}
+	return set
+}
+
+// forgetPreferences drops the preference lists, which are out of date, and data sets not requested lately.
+func (m *Module) forgetPreferences() {
+	for id, set := range m.dataSets {
+		if set.preference = nil; m.now > set.requests.updatedAt+set.requests.span {
+			delete(m.dataSets, id)
+		}
+	}
+}
