--- a/rules/api.go
+++ b/rules/api.go
@@ -1,9 +1,15 @@
 // Package rules decides when and where each query of a gateway runs.
 //
-// This file is the whole interface of the decision module in rules.go: the
-// settings it is started with, the events it is told and the actions it asks
-// for. It holds no decision and no tuned value, and nothing of any protocol:
-// whatever carries queries translates to and from these types.
+// The package is a deterministic state machine: Module.Handle takes the time
+// and one event and returns the actions that follow, in order. It does no I/O,
+// starts no goroutine, reads no clock, and draws random numbers only from the
+// seed it was given, so the same events give the same actions.
+//
+// This file, api.go, is its whole interface: settings, events and actions. It
+// holds no decision, no tuned value and nothing of any protocol; whatever
+// carries queries translates to and from these types. Each decision has a file
+// of its own (admission.go, routing.go, retry.go and so on), which states what
+// it decides and the invariant that it keeps.
 package rules
 
 // Time is a point on, or a span of, the host's clock, in microseconds.
@@ -15,55 +21,55 @@
 	Second      Time = 1000 * Millisecond
 )
 
-// RequestID names a request. It carries no meaning beyond equality.
+// RequestID identifies a request. It carries no meaning beyond equality.
 type RequestID string
 
-// EngineID names an engine; it survives a restart of the engine's process.
+// EngineID identifies an engine; it survives a restart of the engine's process.
 type EngineID uint32
 
-// Idempotency says what a repeat of a request may do.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
-// Effects of a class.
+// Idempotency of a class.
 const (
-	Idempotent        Idempotency = iota // may be repeated and refused freely
-	IdempotentWithKey                    // repeats are dropped within a group of engines, for a time
+	Idempotent        Idempotency = iota // may be retried and rejected freely
+	IdempotentWithKey                    // engines drop repeats within DedupScope, for DedupWindow
 	NotIdempotent                        // must never run twice
 )
 
-// DedupScope says which engines drop the repeats of a keyed request.
+// DedupScope says which engines drop repeats of a request that carries an idempotency key.
 type DedupScope int
 
-// Groups of engines, for keyed classes.
+// Scopes of deduplication.
 const (
-	DedupFleet DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupFleet DedupScope = iota // all engines
+	DedupZone                    // the engines of one zone
+	DedupCell                    // the engines of one cell
 )
 
 // Class describes one class of request.
 type Class struct {
-	LatencyObjective  Time    // an answer within it earns full worth
-	ObjectiveStretch  float64 // the aim grows by this times the work over its threads
-	ClientTimeout     Time    // the client's patience over all its tries
-	LateValue         float64 // share of worth that a late answer still earns
+	LatencyObjective  Time    // a response within it earns the full priority weight
+	ObjectiveStretch  float64 // the objective grows by this times the work over its threads
+	ClientTimeout     Time    // how long a client waits, over all attempts
+	LateValue         float64 // fraction of the priority weight that a late response still earns
 	PriorityWeight    float64
 	Idempotency       Idempotency
 	DedupScope        DedupScope
-	DedupWindow       Time  // how long a group remembers a keyed request
-	Stream            bool  // the answer is streamed
-	Ordered           bool  // requests of one key run one at a time
+	DedupWindow       Time  // how long engines remember an idempotency key
+	Stream            bool  // the response is streamed
+	Ordered           bool  // requests of one order key run one at a time
 	AllowedZones      []int // the only zones allowed; nil: any
-	AllowedKinds      []int // the only kinds allowed; nil: any
+	AllowedKinds      []int // the only engine kinds allowed; nil: any
 	Threads           int   // threads that one request runs on
-	IsDataLoad        bool  // holds its data set on its engine while it runs
-	BlockedByDataLoad bool  // stands still while a load holds its data set
+	IsDataLoad        bool  // loads its data set, and blocks it on its engine while it runs
+	BlockedByDataLoad bool  // does not progress while a data load of its data set runs on its engine
 }
 
-// Tenant describes one tenant's agreed share.
+// Tenant describes one tenant's quota.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second within its share, over all gateways
-	Fraction       float64 // share of the service
+	QuotaPerSecond float64 // requests a second within its quota, over all gateways
+	Fraction       float64 // its fraction of the service
 }
 
 // EngineKind describes one kind of engine.
@@ -72,86 +78,86 @@
 	MemoryMB float64
 }
 
-// LoadReportMode says how engines tell their load.
+// LoadReportMode says how engines report their load.
 type LoadReportMode int
 
-// Ways of load reports.
+// Ways in which load reports arrive.
 const (
 	LoadReportNone       LoadReportMode = iota
 	LoadReportInOutcomes                // within outcomes and probe results
 	LoadReportInProbes                  // within probe results only
 )
 
-// OvercommitMode says what an engine does when grants pass its memory.
+// OvercommitMode says what an engine does when memory grants exceed its memory.
 type OvercommitMode int
 
-// Answers to a shortage of memory.
+// Reactions of an engine to overcommitted memory.
 const (
-	OvercommitWait OvercommitMode = iota
-	OvercommitShrink
-	OvercommitPage
+	OvercommitWait   OvercommitMode = iota // queries wait for memory
+	OvercommitShrink                       // grants are reduced
+	OvercommitPage                         // the engine pages
 )
 
 // Limits is what the site permits.
 type Limits struct {
-	MaxAttempts     int // attempts a request may have; 0: no limit told
-	MaxOpenRequests int // requests that may be open; more do not reach the gateway; 0: no limit told
-	HedgedRequests  bool
-	Cancel          bool
-	Probes          bool
-	PeerMessages    bool
-	RetryAfter      bool
+	MaxAttempts     int  // attempts that a request may have; 0: no limit
+	MaxOpenRequests int  // requests open at once; more do not reach the gateway; 0: no limit
+	HedgedRequests  bool // a request may have two attempts in flight
+	Cancel          bool // an attempt may be cancelled
+	Probes          bool // the gateway may send health checks
+	PeerMessages    bool // gateways may send each other messages
+	RetryAfter      bool // a rejection may carry a time to retry after
 	MaxRetryAfter   Time
 	ConnectTimeout  Time
 }
 
-// Constraints holds the figures of the rules.
+// Constraints holds the figures of the rules that every decision must keep.
 type Constraints struct {
-	DeadlineSlack         Time
-	DrainGrace            Time
-	PollInterval          Time // an unsubscribed gateway is deemed informed this late
-	SlowStartInitialSpeed float64
-	SlowStartPeriod       Time
-	OverloadFactor        float64
-	OverloadWindow        Time
-	KeyQuarantine         Time
-	RetryBudgetEnabled    bool // further attempts are rationed by the next three
-	RetryBudgetMin        float64
-	RetryBudgetRatio      float64
+	DeadlineSlack         Time    // a response may come this long after its deadline
+	DrainGrace            Time    // a draining engine may still be sent requests for this long
+	PollInterval          Time    // a gateway without a subscription learns of changes this late
+	SlowStartInitialSpeed float64 // fraction of its full speed at which an engine starts
+	SlowStartPeriod       Time    // time for which an engine warms up
+	OverloadFactor        float64 // multiple of its speed that a warming engine bears in a window
+	OverloadWindow        Time    // window of the slow-start budget
+	KeyQuarantine         Time    // an order key stays idle this long after an attempt of unknown end
+	RetryBudgetEnabled    bool    // retries are limited by the next three fields
+	RetryBudgetMin        float64 // retries always allowed in a window
+	RetryBudgetRatio      float64 // further retries for each request that arrived in the window
 	RetryBudgetWindow     Time
 }
 
-// Penalties are the prices the site puts on side effects of decisions.
+// Penalties are the prices that the site puts on side effects of decisions.
 type Penalties struct {
 	CrossZone, WastedWork, Probe, PeerMessage, LateFailure float64
 }
 
-// Settings is all a gateway is told when it starts.
+// Settings is the configuration with which a gateway starts.
 type Settings struct {
 	Gateways         int // gateways of this tier, this one included
 	GatewayIndex     int // index of this gateway among them
 	Zone             int
 	Tick             Time
-	PullMembership   bool // the list of engines comes only when asked for
+	PullMembership   bool // the endpoint list comes only after a subscription
 	Classes          []Class
 	Tenants          []Tenant
-	OverQuotaWeight  float64
+	OverQuotaWeight  float64 // factor on the priority weight of requests over their tenant's quota
 	Kinds            []EngineKind
-	MaxGrantFraction float64 // share of an engine's memory that one query gets at most
-	AcceptsGrants    bool
-	AcceptsPriority  bool
-	ReportsCost      bool
+	MaxGrantFraction float64 // fraction of an engine's memory that one query gets at most
+	AcceptsGrants    bool    // engines heed memory grants
+	AcceptsPriority  bool    // engines heed priorities
+	ReportsCost      bool    // outcomes carry the measured cost
 	Overcommit       OvercommitMode
-	MarksRetries     bool
+	MarksRetries     bool // clients mark the requests that they retry
 	LoadReport       LoadReportMode
 	LoadReportFields []string
-	ScaleIsCapacity  bool // Engine.Scale tells a registered or rough size
+	ScaleIsCapacity  bool // Engine.Scale is a registered or rough capacity
 	Limits           Limits
 	Constraints      Constraints
 	Penalties        Penalties
 }
 
-// EngineState is what the list of engines says of one.
+// EngineState is the state of an engine according to the endpoint list.
 type EngineState int
 
 // States of an engine.
@@ -161,7 +167,7 @@
 	EngineGone
 )
 
-// Engine is one entry of the list of engines.
+// Engine is one entry of the endpoint list.
 type Engine struct {
 	ID        EngineID
 	Cell      int
@@ -172,108 +178,109 @@
 	Scale     float64
 }
 
-// Request is one query or load of a client.
+// Request is one query or data load of a client.
 type Request struct {
 	ID                RequestID
 	Class             int
 	Tenant            int
 	OrderKey          string
-	Deadline          Time    // the client gives this try up then
-	EstimatedWork     Time    // told work of all threads; valid only with HasWork
-	HasEstimate       bool    // the told work means something
-	EstimatedMemoryMB float64 // told memory; 0: none
+	Deadline          Time    // the client gives this attempt of its own up then
+	EstimatedWork     Time    // work of all threads as the client estimates it; valid only with HasEstimate
+	HasEstimate       bool    // EstimatedWork is set
+	EstimatedMemoryMB float64 // memory as the client estimates it; 0: none
 	DataSet           int
-	IsRetry           bool // the client says it tried before
-	QueuedFor         Time // it has waited for so long ahead of the module
+	IsRetry           bool // the client says that it retries
+	QueuedFor         Time // time for which it waited before it reached the module
 	IsWrite           bool
 }
 
 // Status is how an attempt or a probe ended.
 type Status int
 
-// Verdicts.
+// Ends of an attempt or a probe.
 const (
 	StatusOK            Status = iota
 	StatusError                // may have run
-	StatusRejected             // turned away unseen
+	StatusRejected             // rejected by the engine before it ran
 	StatusTimeout              // may have run, may still run
 	StatusConnectFailed        // never sent
 	StatusReset                // may have run
 	StatusCancelled            // may have run
-	StatusSuperseded           // never sent
+	StatusSuperseded           // never executed
 )
 
-// NeverExecuted reports whether the verdict proves that the attempt had no effect.
-func (v Status) NeverExecuted() bool {
-	return v == StatusRejected || v == StatusConnectFailed || v == StatusSuperseded
+// NeverExecuted reports whether the status proves that the attempt had no effect.
+func (s Status) NeverExecuted() bool {
+	return s == StatusRejected || s == StatusConnectFailed || s == StatusSuperseded
 }
 
-// EngineView is what a gateway holds of an engine, for its operators.
+// EngineView is what a gateway knows of an engine, for its operators.
 type EngineView struct {
 	Engine        EngineID
 	InFlight      int     // attempts without an outcome
-	Ejected       bool    // it fails or rests after that: it gets but a trickle
-	Slowdown      float64 // times that it takes of what the work takes alone
-	SpeedFraction float64 // part of its speed that it has
-	SlowInFlight  int     // attempts out that have run for longer than such attempts do
+	Ejected       bool    // it is ejected as an outlier and gets half-open probing only
+	Slowdown      float64 // run time over that of the same work alone
+	SpeedFraction float64 // fraction of its full speed, below 1 while it warms up
+	SlowInFlight  int     // attempts in flight that count as slow
 }
 
-// LoadSummary is what a gateway holds of its own load, for whoever decides what it lets in.
+// LoadSummary is a gateway's own load, for whoever admits requests to it.
 type LoadSummary struct {
-	Share      float64   // what it takes of the fleet, in even parts; at least 1
-	QueuedWork float64   // predicted work that waits and can still be in time, all threads together, in microseconds
-	MeanWork   []float64 // the usual work of a request, by class; 0: none was seen
+	Share      float64   // its share of the fleet as a multiple of one over the gateways; at least 1
+	QueuedWork float64   // predicted work queued that can still meet its objective, all threads, in microseconds
+	MeanWork   []float64 // mean work of a request by class, in microseconds; 0: none was seen
 }
 
 // ClassEstimate is what a gateway has learned of a class.
 type ClassEstimate struct {
-	CostRatio, MeanWork float64 // of true over told work; work of a request, all threads together, in microseconds
-	SampleWeight        float64 // of the requests that it rests on
+	CostRatio    float64 // measured over estimated work
+	MeanWork     float64 // work of a request, all threads together, in microseconds
+	SampleWeight float64 // weight of the requests behind MeanWork
 }
 
-// SlowStartUsage is what a gateway has sent to a cold engine within the tip window.
+// SlowStartUsage is what a gateway has sent to a warming engine within the overload window.
 type SlowStartUsage struct {
 	Engine EngineID
 	Work   float64 // predicted, all threads together, in microseconds
 }
 
-// ZonePlan decides, where operators have planned it, in which zones a query may run. It is pure, as the module is: what
-// it answers follows from what it was shown, the time and the number drawn. Work is predicted, in microseconds of all
-// threads together; further tells that the query had an attempt before.
+// ZonePlan decides in which zones a query may run, where operators have planned it. It must be pure, as the module
+// is: its results follow from what it was shown, the time and the number drawn. Work is predicted, in microseconds
+// of all threads together; retry says that the query had an attempt before.
 type ZonePlan interface {
-	// PickZone returns the zone from which a query's engine is to be drawn, -1 for any, by a number drawn from 0 to 1.
-	// Tried are the zones that had an attempt of it. Without ok it has to wait: no zone has room for it now.
+	// PickZone returns the zone in which to choose a query's engine, -1 for any, by a random number from 0 to 1.
+	// Tried are the zones that had an attempt of it. Without ok the query has to wait: no zone has capacity now.
 	PickZone(now Time, drawn, work float64, tried []int) (zone int, ok bool)
-	// Admits answers whether a query may run in a zone now.
-	Admits(now Time, zone int, work float64, further bool) bool
-	// RecordSend notes that one goes there.
-	RecordSend(now Time, zone int, work float64, further bool)
+	// Admits reports whether a query may run in a zone now.
+	Admits(now Time, zone int, work float64, retry bool) bool
+	// RecordSend notes that a query is sent to a zone.
+	RecordSend(now Time, zone int, work float64, retry bool)
 }
 
-// Event is something a gateway is told.
+// Event is an input of the module. The sealed set of events follows.
 type Event interface{ event() }
 
-// UpdateMode says how a FleetChange relates to the list held.
+// UpdateMode says how a FleetUpdate relates to the endpoint list before it.
 type UpdateMode int
 
-// Modes of a FleetChange.
+// Modes of a FleetUpdate.
 const (
 	UpdateDelta  UpdateMode = iota // changed entries only
 	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as last held, possibly outdated
-	UpdateFailed                   // asking failed; the list held stays valid
+	UpdateCached                   // the complete list as last known, possibly outdated
+	UpdateFailed                   // the poll failed; the last list stays valid
 )
 
 // Events.
 type (
-	// FleetUpdate is news of the list of engines.
+	// FleetUpdate is a change of the endpoint list.
 	FleetUpdate struct {
 		Mode    UpdateMode
 		Engines []Engine
 	}
-	// Arrival hands over a request; one final answer is owed from here on.
+	// Arrival hands over a request; exactly one final response is owed from here on.
 	Arrival struct{ Request Request }
-	// Outcome ends one attempt. Closed tells that the request is over.
+	// Outcome ends one attempt. Closed says that the request is over.
 	Outcome struct {
 		ID               RequestID
 		Attempt          int
@@ -281,45 +288,46 @@
 		Status           Status
 		Latency          Time
 		Closed           bool
-		NotEngineFault   bool    // how it ended says nothing of the engine: answers of any are spoilt alike
-		MeasuredWork     Time    // with VerdictOK where costs are told; else 0
+		NotEngineFault   bool    // the status says nothing about the engine, as with responses malformed by any
+		MeasuredWork     Time    // with StatusOK where costs are reported; else 0
 		MeasuredMemoryMB float64 // likewise
 		Load             map[string]float64
 	}
-	// StreamOpened tells that an attempt's answer began; it is the client's now.
+	// StreamOpened says that an attempt's response has begun to reach the client.
 	StreamOpened struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Progress is news of a running attempt.
+	// Progress is an engine's report on a running attempt.
 	Progress struct {
 		ID      RequestID
 		Attempt int
 		Kind    ProgressKind
 		Value   float64
 	}
-	// ClientGone tells that the client left; nothing more is owed.
+	// ClientGone says that the client left; nothing more is owed.
 	ClientGone struct{ ID RequestID }
-	// TimerFired is a timer that fell due.
+	// TimerFired says that a timer of SetTimer fell due.
 	TimerFired struct{ Token string }
-	// ProbeResult answers a Probe.
+	// ProbeResult is the end of a Probe.
 	ProbeResult struct {
 		Engine    EngineID
-		Suspected bool // other gateways say that it fails: if it does not answer it counts as a failure of ours
+		Suspected bool // other gateways suspect the engine: a failed probe counts as a failure seen by this one
 		Status    Status
 		Latency   Time
 		Load      map[string]float64
 	}
-	// ShutdownStarted tells that this gateway ends: all answers are due by then.
+	// ShutdownStarted says that this gateway shuts down: all responses are due by Deadline.
 	ShutdownStarted struct{ Deadline Time }
-	// ZonePlanChanged hands over the operators' plan for zones. Nil: none, engines are drawn over all zones.
+	// ZonePlanChanged replaces the operators' plan for zones. Nil: none, engines are chosen over all zones.
 	ZonePlanChanged struct{ Plan ZonePlan }
-	// PeerEstimate tells what other gateways have learned of a class. It stands for what we have not seen ourselves.
+	// PeerEstimate is what other gateways have learned of a class. It stands in for samples this gateway lacks.
 	PeerEstimate struct {
-		Class               int
-		CostRatio, MeanWork float64 // as in Learned
+		Class     int
+		CostRatio float64 // as in ClassEstimate
+		MeanWork  float64 // as in ClassEstimate
 	}
-	// PeerSlowStartUsage tells what other gateways have sent to a cold engine within the tip window.
+	// PeerSlowStartUsage is what other gateways have sent to a warming engine within the overload window.
 	PeerSlowStartUsage struct {
 		Engine EngineID
 		Work   float64
@@ -336,9 +344,9 @@
 
 // Kinds of progress.
 const (
-	ProgressDone  ProgressKind = iota + 1 // share done
-	ProgressSpill                         // MB missing
-	ProgressWait                          // 1 for memory, 2 for a load
+	ProgressDone  ProgressKind = iota + 1 // fraction done
+	ProgressSpill                         // MB of memory missing
+	ProgressWait                          // 1: waits for memory, 2: waits for a data load
 )
 
 func (FleetUpdate) event()        {}
@@ -360,14 +368,14 @@
 
 // Reasons to end a request.
 const (
-	ReasonQueueFull         FailureReason = iota // too much is held, and it would be drawn last
+	ReasonQueueFull         FailureReason = iota // too many requests are open, and it would be dispatched last
 	ReasonDeadline                               // it can't be ready by its deadline
-	ReasonTooLate                                // it would be late, and earns nothing then
+	ReasonTooLate                                // it would miss its objective, and earns nothing then
 	ReasonAttemptsExhausted                      // no further attempt is allowed
 	ReasonOverdue                                // its attempt is overdue, and no other may follow
 )
 
-// Action is something a gateway does. Actions are carried out in order.
+// Action is an output of the module. Actions are executed in the order returned.
 type Action interface{ action() }
 
 // Actions.
@@ -378,29 +386,29 @@
 		Engine  EngineID
 		Timeout Time
 	}
-	// SetAttemptOptions names memory (0: the engine chooses) and priority of the next attempts.
+	// SetAttemptOptions sets memory (0: the engine chooses) and priority of the next attempts.
 	SetAttemptOptions struct {
 		ID       RequestID
 		MemoryMB float64
 		Priority int
 	}
-	// Cancel withdraws one attempt.
+	// Cancel cancels one attempt.
 	Cancel struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Reject is a final answer that promises that a retry is harmless.
+	// Reject is a final response that promises that a retry is safe.
 	Reject struct {
 		ID         RequestID
 		RetryAfter Time
 		Reason     FailureReason
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final response that promises nothing.
 	Fail struct {
 		ID     RequestID
 		Reason FailureReason
 	}
-	// SetTimer asks for an Alarm.
+	// SetTimer asks for a TimerFired with the same token.
 	SetTimer struct {
 		At    Time
 		Token string
@@ -411,9 +419,9 @@
 	CloseIdle struct{ Engine EngineID }
 	// Broadcast sends a message to every other gateway of the tier.
 	Broadcast struct{ Payload []byte }
-	// Subscribe asks for news of the list of engines.
+	// Subscribe asks for changes of the endpoint list.
 	Subscribe struct{ On bool }
-	// FetchFleet asks for the whole list once.
+	// FetchFleet asks for the whole endpoint list once.
 	FetchFleet struct{}
 	// Log adds a line to the operators' report.
 	Log struct{ Text string }
