--- a/rules/api.go
+++ b/rules/api.go
@@ -115,7 +115,7 @@
 type Constraints struct {
 	DeadlineSlack         Time    // a response may come this long after its deadline
 	DrainGrace            Time    // a draining engine may still be sent requests for this long
-	PollInterval          Time    // a gateway without a subscription learns of changes this late
+	PollInterval          Time    // without a subscription, a gateway counts as informed of changes this late
 	SlowStartInitialSpeed float64 // fraction of its full speed at which an engine starts
 	SlowStartPeriod       Time    // time for which an engine warms up
 	OverloadFactor        float64 // multiple of its speed that a warming engine bears in a window
