--- a/rules/checker_test.go
+++ b/rules/checker_test.go
@@ -18,7 +18,7 @@
 	startedAt      Time
 	engines        map[EngineID]Engine
 	requests       map[RequestID]*checkedRequest
-	arrivalOrder   []RequestID // of arrival
+	arrivalOrder   []RequestID
 	timers         []SetTimer
 	arrivals       []Time
 	retries        []Time
--- a/rules/estimate.go
+++ b/rules/estimate.go
@@ -93,7 +93,7 @@
 	return work
 }
 
-// learnSlowdown updates an engine's slowdown in one priority band: high priorities hardly notice a crowd. The
+// learnSlowdown updates an engine's slowdown in one priority band: high priorities hardly notice others. The
 // older the last outcome, the more the newest counts.
 func (m *Module) learnSlowdown(req *request, eng *engine, work, latency float64) {
 	learned := &eng.slowdowns[m.priorityBand(req)]
--- a/rules/zone.go
+++ b/rules/zone.go
@@ -17,7 +17,7 @@
 	return m.settings.Zone, true
 }
 
-// followsZonePlan reports whether the plan holds for a request: not if its class is bound to zones.
+// followsZonePlan reports whether the plan applies to a request: not if its class is bound to zones.
 func (m *Module) followsZonePlan(req *request) bool {
 	return m.zonePlan != nil && req.class.AllowedZones == nil
 }
