--- a/deploy/foxlane.hcl
+++ b/deploy/foxlane.hcl
@@ -1,6 +1,6 @@
-# The operator's own file: a block a subsystem, off without it. foxlane serve --site deploy/foxlane.hcl
-# reads it at the start and on SIGHUP; foxlane check --site deploy/foxlane.hcl says what holds, with all
-# defaults. docs/ops/ has a page a block.
+# The operator's own file: one block per subsystem, which is off without it. foxlane serve --site deploy/foxlane.hcl
+# reads it at the start and on SIGHUP; foxlane check --site deploy/foxlane.hcl prints what is in effect, with all
+# defaults. docs/ops/ has a page for each block.
 
 fair {
   any_tenant = false
--- a/example/rig/lost.hcl
+++ b/example/rig/lost.hcl
@@ -1,4 +1,4 @@
-# A hall of three is lost for 4 s, engines and gateways, and comes back cold.
+# One of three zones is lost for 4 s, engines and gateways, and comes back with cold engines.
 #   go run ./cmd/foxlab rig example/rig/lost.hcl
 
 zone "hall-a" {
