--- a/internal/spool/handle.go
+++ b/internal/spool/handle.go
@@ -6,8 +6,8 @@
 	"errors"
 )
 
-// Handle is what a client shows to read a result: which one, and the secret
-// that proves that it may. Both halves are random and of 128 bits.
+// Handle is what a client shows to read a result: the result's ID, and the key
+// that proves the right to read it. Both are random and of 128 bits.
 type Handle struct {
 	ID  ID
 	Key [16]byte
@@ -16,7 +16,7 @@
 // HandleSize is the length of a Handle's text.
 const HandleSize = 2 * (16 + 16)
 
-// ErrInvalidHandle is returned for a text that is no handle.
+// ErrInvalidHandle is returned for a text that is not a handle.
 var ErrInvalidHandle = errors.New("spool: no handle; it has 64 lower-case hex digits")
 
 // String is the handle as clients carry it.
@@ -27,10 +27,10 @@
 	return hex.AppendEncode(hex.AppendEncode(dst, h.ID[:]), h.Key[:])
 }
 
-// Secret is what is kept of the key: who reads the folder can't read results by it.
+// Secret is what is stored of the key: who can read the folder can't derive handles from it.
 func (h Handle) Secret() Secret { return sha256.Sum256(h.Key[:]) }
 
-// ParseHandle reads a handle.
+// ParseHandle reads a handle. It accepts lower-case digits only, so that a handle has one text.
 func ParseHandle(text []byte) (h Handle, err error) {
 	if len(text) != HandleSize {
 		return h, ErrInvalidHandle
