--- a/internal/spool/disk/fs.go
+++ b/internal/spool/disk/fs.go
@@ -19,26 +19,26 @@
 	Close() error
 }
 
-// FS is a folder. The system's own is Folder; tests break theirs.
+// FS is a folder with segments. Folder is that of the system; tests inject faults.
 type FS interface {
 	List() ([]string, error)
 	Open(name string, create bool) (File, error)
 	Remove(name string) error
-	Sync() error // of the list of files
+	Sync() error // of the list of files, after Open with create and Remove
 }
 
-// Folder is a folder of the system's, which this process alone uses.
+// Folder is a folder of the system that this process holds a lock on.
 type Folder struct {
 	path string
 	lock *os.File
 }
 
-// ErrLocked is returned where another process uses the folder.
+// ErrLocked is returned if another process uses the folder.
 var ErrLocked = errors.New("disk: another process uses this folder")
 
 const lockName = "LOCK"
 
-// OpenFolder takes a folder for this process alone, until Close or its end. It is made if it is not there.
+// OpenFolder locks a folder for this process until Close or the end of the process. It creates the folder if need be.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -46,7 +46,7 @@
 	return lockFolder(path)
 }
 
-// OpenExisting takes a folder that must be there.
+// OpenExisting locks a folder that must exist.
 func OpenExisting(path string) (*Folder, error) {
 	if info, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("disk: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close() // nothing was written to it
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 		}
@@ -71,10 +71,10 @@
 	return &Folder{path, lock}, nil
 }
 
-// Close lets the folder go.
+// Close releases the lock.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-// List returns the names of the files.
+// List returns the names of the files, without that of the lock.
 func (f *Folder) List() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, e := range entries {
@@ -85,8 +85,10 @@
 	return names, err
 }
 
+// osFile is a file of the system.
 type osFile struct{ *os.File }
 
+// Size returns the present size.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -95,7 +97,7 @@
 	return info.Size(), nil
 }
 
-// Open opens a file, or makes it where there must be none yet.
+// Open opens a file; with create it creates one that must not exist.
 func (f *Folder) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -111,12 +113,12 @@
 // Remove removes a file.
 func (f *Folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
 
-// Sync makes what was created or removed last.
+// Sync makes the creation and removal of files durable.
 func (f *Folder) Sync() error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // it was only read
 	return d.Sync()
 }
