--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"os"
@@ -12,18 +11,13 @@
 
 	"pgregory.net/rapid"
 
+	"foxlane/internal/rapidtest"
 	"foxlane/internal/spool"
 	"foxlane/internal/spool/segment"
 )
 
-// The random days are the same in each run, unless a seed is given: one verdict for one program.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
-			_ = flag.Set(name, value)
-		}
-	}
+	rapidtest.FixSeed()
 	os.Exit(m.Run())
 }
 
@@ -483,9 +477,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
+	defer func() { _ = again.Close() }()
 	s, rec := open(t, again)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	for k := range 3 {
 		f, ok := find(rec, k)
 		if !ok || check(s, f, k, 30) != nil {
--- a/internal/spool/event.go
+++ b/internal/spool/event.go
@@ -8,11 +8,11 @@
 // This file owns the messages of a Store: events in, effects out. Both are one struct with a kind, not a type a
 // message: a batch of them is handed from goroutine to goroutine by value, without an allocation for each.
 
-// ID names a result; it is no secret. Secret is the SHA-256 of the key that a client must show to read it.
-type (
-	ID     = segment.ID
-	Secret = [32]byte
-)
+// ID identifies a result. It is random, but not secret.
+type ID = segment.ID
+
+// Secret is the SHA-256 of the key that a client must show to read a result.
+type Secret = [32]byte
 
 // Location says where a record is stored on the disk.
 type Location struct {
--- a/internal/spool/segment/segment_test.go
+++ b/internal/spool/segment/segment_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"testing"
 )
 
@@ -118,7 +117,7 @@
 			}
 		}
 		torn := tail != int64(len(raw))
-		if whole != len(starts)-1 || damaged != 1 && !(hit == len(starts)-1 && torn) {
+		if whole != len(starts)-1 || damaged != 1 && (hit != len(starts)-1 || !torn) {
 			t.Fatalf("byte %d of record %d changed: %d whole, %d damaged, tail %d of %d", at, hit, whole, damaged, tail, len(raw))
 		}
 	}
@@ -185,7 +184,7 @@
 					break
 				}
 				if item.Offset < end || item.Size <= 0 {
-					t.Fatal(fmt.Sprintf("item at %d of %d bytes behind %d", item.Offset, item.Size, end))
+					t.Fatalf("item at %d of %d bytes behind %d", item.Offset, item.Size, end)
 				}
 				end = item.Offset + item.Size
 			}
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -10,18 +9,13 @@
 
 	"pgregory.net/rapid"
 
+	"foxlane/internal/rapidtest"
 	"foxlane/internal/spool/segment"
 	"foxlane/rules"
 )
 
-// The random days are the same in each run, unless a seed is given: one verdict for one program.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
-			_ = flag.Set(name, value)
-		}
-	}
+	rapidtest.FixSeed()
 	os.Exit(m.Run())
 }
 
