--- a/internal/engine/engine.go
+++ b/internal/engine/answer.go
@@ -1,7 +1,8 @@
-// Package engine owns the line protocol that is spoken with engines: commands
-// are appended to a buffer, answers are cut from a stream. It must never do
-// I/O or decide anything; an answer that breaks the form ends the stream with
-// a typed error.
+// Package engine owns the line protocol of engines: it encodes commands and
+// decodes answers. It must never do I/O or decide anything; an answer that
+// violates the protocol ends the stream with a typed error.
+//
+// answer.go has answers, command.go commands.
 package engine
 
 import (
@@ -21,23 +22,24 @@
 	ErrBadField    = errors.New("engine: unusable field")
 )
 
-// Kind is what an answer says.
+// Kind is the type of an answer.
 type Kind int
 
-// Words.
+// Kinds of answers, each with the protocol's word for it.
 const (
-	Served Kind = iota + 1
-	Overloaded
-	Errored
-	NotExecuted
-	FurtherPage
-	Healthy
-	Unhealthy
-	Progress // how a request that runs gets on; no end of it
+	Served      Kind = iota + 1 // "served": the first page of the result
+	Overloaded                  // "overload": not executed, the engine is full
+	Errored                     // "crashed": an error, the request may have been executed
+	NotExecuted                 // "nobody": not executed, the request was over already
+	FurtherPage                 // "rows": a page that was fetched
+	Healthy                     // "green": result of a health check
+	Unhealthy                   // "red": result of a health check
+	Progress                    // "update": the request is running; a further answer follows
 )
 
 var kindOf = map[string]Kind{
-	"served": Served, "overload": Overloaded, "crashed": Errored, "nobody": NotExecuted, "rows": FurtherPage, "green": Healthy, "red": Unhealthy, "update": Progress,
+	"served": Served, "overload": Overloaded, "crashed": Errored, "nobody": NotExecuted, "rows": FurtherPage,
+	"green": Healthy, "red": Unhealthy, "update": Progress,
 }
 
 // Answer is one answer. Its bytes are valid until the next Feed.
@@ -45,30 +47,30 @@
 	ID        []byte
 	Kind      Kind
 	PageCount int     // pages of the result, with Served
-	Page      int     // number of the page, with Rows
-	WorkMS    float64 // work in milliseconds; 0: not told
-	MemoryMB  float64 // memory in MB; 0: not told
-	Report    []byte  // load report, as it came; nil: none
+	Page      int     // number of the page, with FurtherPage
+	WorkMS    float64 // work in milliseconds; 0: not reported
+	MemoryMB  float64 // memory in MB; 0: not reported
+	Report    []byte  // load report, for ParseReport; nil: none
 	Body      []byte
 }
 
-// Decoder cuts an engine's stream into answers.
+// Decoder splits an engine's stream into answers.
 type Decoder struct {
 	MaxLineBytes int
 	MaxBodyBytes int
 	in           framebuf.Buffer
 }
 
-// Feed adds bytes that have come; they are copied.
+// Feed adds received bytes. They are copied.
 func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
 
-// Buffered is how many bytes wait for the rest of their answer.
+// Buffered is the number of bytes of an incomplete answer.
 func (d *Decoder) Buffered() int { return d.in.Len() }
 
 var crlf = []byte("\r\n")
 
-// Next returns the next whole answer, or ok false if there is none yet.
-// After an error the stream can't be read on.
+// Next returns the next complete answer, or ok false if there is none yet.
+// After an error the stream can't be decoded any further.
 func (d *Decoder) Next() (a Answer, ok bool, err error) {
 	b := d.in.Bytes()
 	end := bytes.Index(b[:min(len(b), d.MaxLineBytes)], crlf)
@@ -77,7 +79,7 @@
 			return a, false, ErrLineTooLong
 		}
 		if !printable(bytes.TrimSuffix(b, crlf[:1])) {
-			return a, false, ErrMalformed // it need not wait for an end that noise may never have
+			return a, false, ErrMalformed // noise may never contain an end of line
 		}
 		return a, false, nil
 	}
@@ -139,7 +141,7 @@
 	return n, len(b) > 0
 }
 
-// fields reads those that are known; others are let pass.
+// fields reads the known fields and ignores others.
 func (a *Answer) fields(b []byte) error {
 	if string(b) == "-" {
 		return nil
@@ -170,16 +172,16 @@
 	return nil
 }
 
-// maxFigure is over all that milliseconds, megabytes or a report can be.
+// maxFigure is more than any plausible number of milliseconds or megabytes, or value of a report.
 const maxFigure = 1e9
 
-// decimal reads a figure that is not negative and within bounds.
+// decimal reads a number that is not negative and at most maxFigure.
 func decimal(b []byte) (float64, bool) {
 	f, err := strconv.ParseFloat(string(b), 64)
 	return f, err == nil && f >= 0 && f < maxFigure
 }
 
-// ParseReport reads a load report such as inflight:7;util:0.61. What can't be read is left out.
+// ParseReport reads a load report such as inflight:7;util:0.61. Malformed parts are left out.
 func ParseReport(b []byte) map[string]float64 {
 	if len(b) == 0 {
 		return nil
@@ -196,66 +198,3 @@
 	}
 	return out
 }
-
-// Request is a request.
-type Request struct {
-	ID             string
-	Class          string
-	TimeoutMS      int64 // milliseconds
-	MemoryMB       int64 // 0: the engine chooses
-	Priority       int
-	IdempotencyKey string // the key by which engines drop repeats, as the client sent it; empty: none
-	Statement      []byte
-}
-
-// DefaultPriority is that of a request that names none.
-const DefaultPriority = 1
-
-// AppendRequest appends a request.
-func AppendRequest(dst []byte, a Request) []byte {
-	dst = append(append(dst, "ASK "...), a.ID...)
-	dst = append(append(dst, " lane="...), a.Class...)
-	dst = strconv.AppendInt(append(dst, ",ttl="...), a.TimeoutMS, 10)
-	if a.MemoryMB > 0 {
-		dst = strconv.AppendInt(append(dst, ",pool="...), a.MemoryMB, 10)
-	}
-	if a.Priority != DefaultPriority {
-		dst = strconv.AppendInt(append(dst, ",band="...), int64(a.Priority), 10)
-	}
-	if a.IdempotencyKey != "" {
-		dst = append(append(dst, ",dedupe="...), a.IdempotencyKey...)
-	}
-	dst = strconv.AppendInt(append(dst, ' '), int64(len(a.Statement)), 10)
-	dst = append(append(dst, crlf...), a.Statement...)
-	return append(dst, crlf...)
-}
-
-func appendCommand(dst []byte, verb, id string) []byte {
-	return append(append(append(dst, verb...), ' '), id...)
-}
-
-func appendNumbered(dst []byte, verb, id string, n int) []byte {
-	dst = append(appendCommand(dst, verb, id), ' ')
-	return append(strconv.AppendInt(dst, int64(n), 10), crlf...)
-}
-
-// AppendCancel gives a request up.
-func AppendCancel(dst []byte, id string) []byte {
-	return append(appendCommand(dst, "QUIT", id), crlf...)
-}
-
-// AppendRelease says that no more pages are wanted.
-func AppendRelease(dst []byte, id string) []byte {
-	return append(appendCommand(dst, "FREE", id), crlf...)
-}
-
-// AppendPriority names a new priority.
-func AppendPriority(dst []byte, id string, n int) []byte { return appendNumbered(dst, "PRIO", id, n) }
-
-// AppendFetchPage asks for a page.
-func AppendFetchPage(dst []byte, id string, n int) []byte { return appendNumbered(dst, "NEXT", id, n) }
-
-// AppendProbe asks for health and load.
-func AppendProbe(dst []byte, tag string) []byte {
-	return append(appendCommand(dst, "INFO", tag), crlf...)
-}
--- /dev/null
+++ b/internal/mysql/fields.go
@@ -0,0 +1,198 @@
+package mysql
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// This file reads the fields in the comment ahead of a statement.
+
+// Query is a statement and what was read from it.
+type Query struct {
+	Fields     Fields
+	Statement  []byte // without the comment that has the fields
+	TableGroup int    // number of the group of tables; 0: none was found
+	Write      bool
+}
+
+// Fields are the fields of the leading comment.
+type Fields struct {
+	Class          string
+	ID             string
+	TimeoutMS      int64
+	WorkMS         float64 // 0: not given
+	MemoryMB       float64 // 0: not given
+	IsRetry        bool
+	Tenant         string // empty: none
+	OrderKey       string // requests of an ordered class with the same key run one after the other; empty: none
+	IdempotencyKey string // by which engines recognize a retry; empty: none
+	WantsHandle    bool   // a handle to the result is requested
+}
+
+const (
+	idDigits     = 16
+	maxTimeoutMS = 1 << 40 // ms, longer than any client waits
+	maxAmount    = 1e9     // ms or MB
+)
+
+// HasFields says whether a statement begins with a comment.
+func HasFields(text []byte) bool {
+	return bytes.HasPrefix(bytes.TrimLeft(text, " \t\r\n"), []byte("/*"))
+}
+
+// ParseQuery reads a statement that begins with its fields.
+func ParseQuery(text []byte) (q Query, err error) {
+	bad := func(format string, args ...any) (Query, error) {
+		return Query{}, &Error{CodeParse, fmt.Sprintf(format, args...)}
+	}
+	text = bytes.TrimLeft(text, " \t\r\n")
+	if !bytes.HasPrefix(text, []byte("/*")) {
+		return bad("no comment with fields ahead of the statement")
+	}
+	comment, statement, ok := bytes.Cut(text[2:], []byte("*/"))
+	if !ok {
+		return bad("the comment with the fields never ends")
+	}
+	if err := q.Fields.parse(string(bytes.TrimSpace(comment))); err != nil {
+		return bad("%v", err)
+	}
+	q.Statement = bytes.TrimLeft(statement, " \t\r\n")
+	if len(q.Statement) == 0 {
+		return bad("no statement behind the fields")
+	}
+	q.TableGroup, q.Write = scanTables(q.Statement)
+	return q, nil
+}
+
+func (f *Fields) parse(text string) error {
+	seen := map[string]bool{}
+	for text != "" {
+		var field string
+		field, text, _ = strings.Cut(text, ",")
+		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
+		if !ok || name == "" {
+			return fmt.Errorf("field %.40q has no value", field)
+		}
+		if seen[name] {
+			return fmt.Errorf("field %.40q comes twice", name)
+		}
+		seen[name] = true
+		if !f.set(name, value) {
+			return fmt.Errorf("field %s has the unusable value %.40q", name, value)
+		}
+	}
+	for _, name := range []string{"kind", "req", "timeout"} {
+		if !seen[name] {
+			return fmt.Errorf("field %s is missing", name)
+		}
+	}
+	return nil
+}
+
+func (f *Fields) set(name, value string) (ok bool) {
+	switch name {
+	case "kind":
+		f.Class, ok = value, value != ""
+	case "req":
+		f.ID, ok = value, isID(value)
+	case "timeout":
+		n, err := strconv.ParseInt(value, 10, 64)
+		f.TimeoutMS, ok = n, err == nil && n > 0 && n < maxTimeoutMS
+	case "ms":
+		f.WorkMS, ok = parseAmount(value)
+	case "need_mb":
+		f.MemoryMB, ok = parseAmount(value)
+	case "owner":
+		f.Tenant, ok = value, true
+	case "subject":
+		f.OrderKey, ok = value, true
+	case "opkey":
+		f.IdempotencyKey, ok = value, isForwardable(value)
+	case "spool":
+		f.WantsHandle, ok = value == "1", value == "0" || value == "1"
+	case "resent":
+		f.IsRetry, ok = value != "0", true
+	default:
+		ok = true // unknown fields are ignored
+	}
+	return ok
+}
+
+// maxTokenBytes is longer than any key or name.
+const maxTokenBytes = 128
+
+// isForwardable says whether a value can be sent to an engine unchanged, as a value in a list of fields.
+func isForwardable(value string) bool {
+	for _, c := range []byte(value) {
+		if c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
+			return false
+		}
+	}
+	return value != "" && len(value) <= maxTokenBytes
+}
+
+// Resume is a client's request to read a stored result again, or to release it.
+type Resume struct {
+	Handle    string
+	FromChunk int    // first chunk to send; 0: all
+	Release   bool   // the client needs the result no longer
+	Tenant    string // empty: none
+}
+
+// maxChunk is more than the chunks of any result.
+const maxChunk = 1 << 30
+
+// ParseResume reads a comment that begins with resume=HANDLE or release=HANDLE and ignores what follows it. It returns
+// ok false for any other comment.
+func ParseResume(text []byte) (r Resume, ok bool, err error) {
+	text = bytes.TrimLeft(text, " \t\r\n")
+	comment, _, closed := bytes.Cut(bytes.TrimPrefix(text, []byte("/*")), []byte("*/"))
+	fields := strings.Split(strings.TrimSpace(string(comment)), ",")
+	name, _, _ := strings.Cut(fields[0], "=")
+	if !closed || name != "resume" && name != "release" {
+		return r, false, nil
+	}
+	seen := map[string]bool{}
+	for _, field := range fields {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
+		if seen[name] {
+			return r, true, &Error{CodeParse, fmt.Sprintf("field %.40q comes twice", name)}
+		}
+		seen[name] = true
+		switch name {
+		case "resume", "release":
+			if r.Handle != "" {
+				return r, true, &Error{CodeParse, "resume and release in one"}
+			}
+			r.Handle, r.Release = value, name == "release"
+		case "page":
+			n, err := strconv.ParseUint(value, 10, 31)
+			if err != nil || n > maxChunk {
+				return r, true, &Error{CodeParse, fmt.Sprintf("field page has the unusable value %.40q", value)}
+			}
+			r.FromChunk = int(n)
+		case "owner":
+			r.Tenant = value
+		}
+	}
+	return r, true, nil
+}
+
+func isID(s string) bool {
+	if len(s) != idDigits {
+		return false
+	}
+	for _, c := range []byte(s) {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
+			return false
+		}
+	}
+	return true
+}
+
+func parseAmount(s string) (float64, bool) {
+	f, err := strconv.ParseFloat(s, 64)
+	return f, err == nil && f >= 0 && f < maxAmount
+}
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -1,8 +1,10 @@
-// Package mysql owns the server's side of the MySQL client protocol 4.1: bytes
-// in, typed messages out, and the packets of answers. It must never do I/O,
-// keep a clock or decide anything; what it can't read it names in an Error.
+// Package mysql owns the server's side of the MySQL client protocol 4.1: it
+// decodes packets and commands of clients and encodes the packets of responses.
+// It must never do I/O, read a clock or decide anything; input that it can't
+// read is described by an Error.
 //
-// This file has packets, login and answers; sql.go looks into statements.
+// packet.go has packets and the login, response.go the packets of responses,
+// fields.go the comment ahead of a statement, sql.go the statement.
 package mysql
 
 import (
@@ -13,22 +15,23 @@
 	"foxlane/internal/framebuf"
 )
 
-// Error is input that breaks the protocol, with the code that tells the client so.
+// Error describes input that violates the protocol, with the code to answer it with.
 type Error struct {
 	Code uint16
 	Text string
 }
 
+// Error returns the text for the client.
 func (e *Error) Error() string { return e.Text }
 
-// Codes of errors, as MySQL numbers them.
+// Error codes of MySQL.
 const (
 	CodeBadHandshake       = 1043 // malformed login
 	CodeAccessDenied       = 1045
 	CodeUnknownDatabase    = 1049
 	CodeUnknownCommand     = 1047
 	CodeParse              = 1064
-	CodeNoSuchThread       = 1094 // KILL of a session that is not there
+	CodeNoSuchThread       = 1094 // KILL of an unknown session
 	CodeUnknownError       = 1105
 	CodePacketTooLarge     = 1153
 	CodePacketsOutOfOrder  = 1156
@@ -46,19 +49,19 @@
 	maxPacket  = 1<<24 - 1
 )
 
-// Decoder cuts a client's stream into packets. Payloads of up to Max bytes pass.
+// Decoder splits a client's stream into packets.
 type Decoder struct {
 	MaxPayload int
 	in         framebuf.Buffer
 }
 
-// Feed adds bytes that have come; they are copied.
+// Feed adds received bytes. They are copied.
 func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
 
-// Buffered is how many bytes wait for the rest of their packet.
+// Buffered is the number of bytes of an incomplete packet.
 func (d *Decoder) Buffered() int { return d.in.Len() }
 
-// Next returns the next whole packet, or ok false if there is none yet. The
+// Next returns the next complete packet, or ok false if there is none yet. The
 // payload is valid until the next Feed.
 func (d *Decoder) Next() (payload []byte, seq byte, ok bool, err error) {
 	b := d.in.Bytes()
@@ -105,7 +108,7 @@
 	lenencOneByteMax = 250
 )
 
-// openPacket appends a packet header whose length close fills in.
+// openPacket appends a packet header. closePacket fills in its length.
 func openPacket(dst []byte, seq byte) ([]byte, int) {
 	at := len(dst)
 	return append(dst, 0, 0, 0, seq), at
@@ -135,11 +138,11 @@
 	return closePacket(dst, at)
 }
 
-// Login is what a client says of itself.
+// Login is what a client sends to log in.
 type Login struct {
 	User     string
 	Database string
-	Password bool // it sent one
+	Password bool // a password was sent
 }
 
 // ParseLogin reads a HandshakeResponse41.
@@ -188,7 +191,7 @@
 
 func cutNul(p []byte) (head, rest []byte, ok bool) { return bytes.Cut(p, []byte{0}) }
 
-// cutLenenc takes a string with its length ahead.
+// cutLenenc splits off a length-encoded string.
 func cutLenenc(p []byte) (s, rest []byte, ok bool) {
 	if len(p) == 0 {
 		return nil, nil, false
@@ -218,7 +221,7 @@
 	return p[:n], p[n:], true
 }
 
-// Command is the first byte of a client's command.
+// Command is the type of a client's command, the first byte of its packet.
 type Command byte
 
 // Commands.
@@ -229,81 +232,3 @@
 	ComPing   Command = 0x0e
 	ComReset  Command = 0x1f
 )
-
-// AppendOK appends the packet that says that a command is done.
-func AppendOK(dst []byte, seq byte) []byte {
-	dst, at := openPacket(dst, seq)
-	dst = append(dst, packetOK, 0, 0, statusAutocommit, 0, 0, 0)
-	return closePacket(dst, at)
-}
-
-// AppendErr appends an error.
-func AppendErr(dst []byte, seq byte, code uint16, text string) []byte {
-	state := sqlStates[code]
-	if state == "" {
-		state = "HY000"
-	}
-	dst, at := openPacket(dst, seq)
-	dst = append(dst, packetErr)
-	dst = binary.LittleEndian.AppendUint16(dst, code)
-	dst = append(append(append(dst, '#'), state...), text...)
-	return closePacket(dst, at)
-}
-
-func appendLenencInt(dst []byte, n int) []byte {
-	switch {
-	case n <= lenencOneByteMax:
-		return append(dst, byte(n))
-	case n < 1<<16:
-		return append(dst, lenencTwo, byte(n), byte(n>>8))
-	default:
-		return append(dst, lenencThree, byte(n), byte(n>>8), byte(n>>16))
-	}
-}
-
-func appendLenenc[T []byte | string](dst []byte, s T) []byte {
-	return append(appendLenencInt(dst, len(s)), s...)
-}
-
-func appendEOF(dst []byte, seq byte) []byte {
-	dst, at := openPacket(dst, seq)
-	dst = append(dst, packetEOF, 0, 0, statusAutocommit, 0)
-	return closePacket(dst, at)
-}
-
-// AppendColumns opens a result set of text columns. It returns the next sequence number.
-func AppendColumns(dst []byte, seq byte, names []string) ([]byte, byte) {
-	dst, at := openPacket(dst, seq)
-	dst = closePacket(appendLenencInt(dst, len(names)), at)
-	for _, name := range names {
-		seq++
-		dst, at = openPacket(dst, seq)
-		dst = appendLenenc(dst, "def")
-		dst = appendLenenc(appendLenenc(appendLenenc(dst, ""), ""), "")
-		dst = appendLenenc(appendLenenc(dst, name), name)
-		dst = append(dst, 0x0c, charsetUTF8MB4, 0)
-		dst = binary.LittleEndian.AppendUint32(dst, columnLength)
-		dst = append(dst, typeVarString, 0, 0, 0, 0, 0)
-		dst = closePacket(dst, at)
-	}
-	seq++
-	return appendEOF(dst, seq), seq + 1
-}
-
-// AppendRow appends one row: a line of text with tabs between the columns. It
-// returns the next sequence number, and ok false if the row has not that many columns.
-func AppendRow(dst []byte, seq byte, line []byte, columns int) (out []byte, next byte, ok bool) {
-	dst, at := openPacket(dst, seq)
-	for i := range columns {
-		cell, rest, more := bytes.Cut(line, []byte{'\t'})
-		if more != (i < columns-1) {
-			return dst, seq, false
-		}
-		dst = appendLenenc(dst, cell)
-		line = rest
-	}
-	return closePacket(dst, at), seq + 1, true
-}
-
-// AppendEnd appends the packet that ends a result set.
-func AppendEnd(dst []byte, seq byte) []byte { return appendEOF(dst, seq) }
