--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -1,6 +1,6 @@
-// Package dns owns the little of RFC 1035 that the name service needs: a query
-// for SRV records, and answers with SRV, A, TXT and SOA. It must never do I/O
-// or decide anything; an answer that is not whole and sound is an error.
+// Package dns owns the part of RFC 1035 that the name service needs: queries for
+// SRV records, and answers with SRV, A, TXT and SOA records. It must never do
+// I/O or decide anything; an incomplete or malformed answer is an error.
 package dns
 
 import (
@@ -50,7 +50,7 @@
 	return append(dst, 0, 0, typeSRV, 0, classIN)
 }
 
-// Host is one engine of the list.
+// Host is an engine in the list.
 type Host struct {
 	ID, Zone string // the first two labels of its name
 	Addr     netip.AddrPort
@@ -61,13 +61,13 @@
 	Started  int64 // Unix milliseconds; 0: long ago
 }
 
-// Answer is the whole list.
+// Answer is the complete list.
 type Answer struct {
 	Serial uint32
 	Hosts  []Host
 }
 
-// ID is the id of a message, or ok false if it is too short for one.
+// ID returns the ID of a message, or ok false if the message is too short.
 func ID(msg []byte) (id uint16, ok bool) {
 	if len(msg) < headerSize {
 		return 0, false
@@ -88,7 +88,7 @@
 	return binary.BigEndian.Uint16(r.msg[r.at-2:]), nil
 }
 
-// name reads a name, compressed or not, in small letters.
+// name reads a name, compressed or not, in lower case. The number of pointers is bounded, since they may form a loop.
 func (r *reader) name() (string, error) {
 	var out strings.Builder
 	at, jumped := r.at, false
@@ -135,7 +135,7 @@
 type record struct {
 	name string
 	kind uint16
-	data reader // at the data, within the whole message cut behind it
+	data reader // at the record's data; the message ends with it, and names may point to all before
 }
 
 func (r *reader) record() (rec record, err error) {
@@ -148,7 +148,7 @@
 	fixed := r.msg[r.at : r.at+10]
 	rec.kind = binary.BigEndian.Uint16(fixed)
 	if class := binary.BigEndian.Uint16(fixed[2:]); class != classIN {
-		rec.kind = 0 // another class, or an option: passed over
+		rec.kind = 0 // another class, or an option: ignored
 	}
 	r.at += 10
 	end := r.at + int(binary.BigEndian.Uint16(fixed[8:]))
@@ -160,6 +160,7 @@
 	return rec, nil
 }
 
+// hostDetails are the A and TXT records of a name.
 type hostDetails struct {
 	addr    netip.Addr
 	kind    string
@@ -190,6 +191,7 @@
 	return a, a.records(r, strings.ToLower(strings.TrimSuffix(name, ".")))
 }
 
+// question checks that the answer repeats the query.
 func (r *reader) question(name string) error {
 	if binary.BigEndian.Uint16(r.msg[4:]) != 1 {
 		return ErrMismatch
@@ -209,12 +211,13 @@
 	return nil
 }
 
+// records reads all sections. Each SRV record of the name needs the A and TXT records of its target.
 func (a *Answer) records(r *reader, name string) error {
 	count := 0
 	for i := 6; i < headerSize; i += 2 {
 		count += int(binary.BigEndian.Uint16(r.msg[i:]))
 	}
-	of := map[string]*hostDetails{}
+	details := map[string]*hostDetails{}
 	var targets []string
 	serial := false
 	for range count {
@@ -233,10 +236,10 @@
 			}
 			a.Hosts, targets = append(a.Hosts, h), append(targets, target)
 		case typeA, typeTXT:
-			d := of[rec.name]
+			d := details[rec.name]
 			if d == nil {
 				d = &hostDetails{}
-				of[rec.name] = d
+				details[rec.name] = d
 			}
 			if err := rec.hostDetail(d); err != nil {
 				return err
@@ -252,7 +255,7 @@
 		return ErrMissing
 	}
 	for i := range a.Hosts {
-		h, d := &a.Hosts[i], of[targets[i]]
+		h, d := &a.Hosts[i], details[targets[i]]
 		if d == nil || !d.addr.IsValid() || !d.text {
 			return ErrMissing
 		}
