--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,8 @@
-// Package config owns what a gateway is told at its start: it reads LB_CONFIG
-// and derives the Limits from it. It must never start anything or guess what
-// is missing: a configuration that contradicts itself is an error.
+// Package config owns the configuration of a gateway: it reads the file that
+// LB_CONFIG names and derives the Limits from it. It must never start anything
+// or guess what is missing: a configuration that contradicts itself is an error.
+//
+// list.go has the list of engines at the start, limits.go the limits.
 package config
 
 import (
@@ -18,14 +20,14 @@
 	"foxlane/internal/site"
 )
 
-// Names of the environment's variables.
+// Names of environment variables.
 const (
 	EnvName   = "LB_NAME"
 	EnvListen = "LB_LISTEN"
 	EnvConfig = "LB_CONFIG"
 )
 
-// Config is all that a gateway is told.
+// Config is the whole configuration of a gateway.
 type Config struct {
 	Name        string
 	Listen      netip.AddrPort
@@ -36,52 +38,8 @@
 	Limits      Limits
 	SitePath    string       // of the operator's own file; empty: none
 	Site        *site.Config // nil: none
-	Trace       bool         // the life of each request goes to the log; set by who starts the gateway
-	Entropy     [32]byte     // of the system, for what nobody may guess; set by who starts the gateway
-}
-
-// EngineList is the list of engines at the start.
-type EngineList struct {
-	Seq     uint32
-	Engines []Engine
-}
-
-// Engine is one entry of the list, in the name service's words.
-type Engine struct {
-	ID      string
-	Addr    netip.AddrPort
-	Zone    string
-	Kind    string
-	Cell    int
-	State   string
-	Weight  float64
-	Started int64 // Unix milliseconds; 0: long ago
-}
-
-// States of an Engine.
-const (
-	StateActive   = "active"
-	StateDraining = "leaving"
-	StateRemoved  = "left"
-)
-
-type wireEngine struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
-}
-
-type wireListEvent struct {
-	Seq   uint32 `json:"seq"`
-	Fleet *struct {
-		Full    bool         `json:"full"`
-		Servers []wireEngine `json:"servers"`
-	} `json:"fleet"`
+	Trace       bool         // log the life of each request; set by the caller, not read from a file
+	Entropy     [32]byte     // random bytes of the system, for handles; set by the caller, not read from a file
 }
 
 type wireConfig struct {
@@ -120,7 +78,7 @@
 	return c, nil
 }
 
-// WithSite adds what the operator's own file sets. An empty path is no file.
+// WithSite adds the settings of the operator's own file. An empty path is no file.
 func (c Config) WithSite(path string) (Config, error) {
 	if path == "" {
 		return c, nil
@@ -139,7 +97,7 @@
 	return c, nil
 }
 
-// spoolFolder answers whether results are kept, and where.
+// spoolFolder says whether results are stored, and in which folder.
 func (c Config) spoolFolder() (on bool, folder string) {
 	if c.Site == nil || c.Site.Spool == nil {
 		return false, ""
@@ -147,14 +105,14 @@
 	return true, c.Site.Spool.Folder
 }
 
-// admissionEnabled answers whether the door is on.
+// admissionEnabled says whether admission control is on.
 func (c Config) admissionEnabled() bool { return c.Site != nil && c.Site.Admission != nil }
 
-// Reload reads the configuration again for a gateway that serves. The name
-// service's address and what it is known to have told may change, the seed is
-// of no more use; anything else that differs is an error. With an error the
-// configuration stays whole as it was: the file may be missing, half written or
-// another gateway's. The operator's own file is read with it, whole or not at all.
+// Reload reads the configuration again, and the operator's own file with it,
+// while the gateway serves. The name service's address, the initial list and the
+// operator's settings may change; the seed is not used again. Any other
+// difference is an error. After an error c is returned unchanged: the file may be
+// missing, half written or that of another gateway.
 func (c Config) Reload() (Config, error) {
 	next, err := Load()
 	if err != nil {
@@ -231,9 +189,9 @@
 	if c.Limits, err = deriveLimits(f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets, c.Settings); err != nil {
 		return c, err
 	}
-	// What the module reckons with is what a dial may take here.
+	// The decision module has to expect what a dial may take here.
 	c.Settings.Rules.Limits.ConnectTimeout = c.Limits.ConnectTimeout
-	// On sockets, clients can have no more requests open than they have connections.
+	// Clients can't have more open requests than connections.
 	open := &c.Settings.Rules.Limits.MaxOpenRequests
 	if *open <= 0 || *open > c.Limits.ClientQuota {
 		*open = c.Limits.ClientQuota
@@ -254,58 +212,3 @@
 	}
 	return nil
 }
-
-// replay follows the events of the list up to the start.
-func replay(last uint32, events []wireListEvent) (k EngineList, err error) {
-	k.Seq = last
-	at := map[string]int{}
-	for _, e := range events {
-		if e.Seq > last {
-			return k, fmt.Errorf("event %d is later than seq %d", e.Seq, last)
-		}
-		if e.Fleet == nil {
-			continue
-		}
-		if e.Fleet.Full {
-			k.Engines = nil
-			clear(at)
-		}
-		for _, s := range e.Fleet.Servers {
-			entry, err := s.engine()
-			if err != nil {
-				return k, fmt.Errorf("event %d: engine %q: %w", e.Seq, s.ID, err)
-			}
-			i, ok := at[entry.ID]
-			if !ok {
-				i = len(k.Engines)
-				at[entry.ID] = i
-				k.Engines = append(k.Engines, Engine{})
-			}
-			k.Engines[i] = entry
-		}
-	}
-	listed := k.Engines[:0]
-	for _, e := range k.Engines {
-		if e.State != StateRemoved {
-			listed = append(listed, e)
-		}
-	}
-	k.Engines = listed
-	return k, nil
-}
-
-func (s wireEngine) engine() (Engine, error) {
-	e := Engine{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: s.Weight, Started: s.Started}
-	if s.ID == "" || s.Cell < 0 || s.Started < 0 {
-		return e, errors.New("an unusable value")
-	}
-	switch s.State {
-	case StateActive, StateDraining:
-		addr, err := netip.ParseAddrPort(s.Addr)
-		e.Addr = addr
-		return e, err
-	case StateRemoved:
-		return e, nil
-	}
-	return e, fmt.Errorf("unknown state %q", s.State)
-}
