--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -20,7 +20,7 @@
 	Events   []wireEvent `json:"input"`
 }
 
-// wireEvent holds the fields of every event; which of them count depends on Cmd.
+// wireEvent has the fields of all events; which of them are used depends on Command.
 type wireEvent struct {
 	Command           string             `json:"cmd"`
 	Seed              json.Number        `json:"randomSeed"`
@@ -61,7 +61,7 @@
 	Scale     float64 `json:"scale"`
 }
 
-// Bits of wireEvent.Bitmap, and units of wireEvent.TrueCost.
+// Bits of wireEvent.Flags, and units of wireEvent.MeasuredCost: milliseconds, and in the lower digits memory.
 const (
 	flagHasWork      = 1
 	flagRetry        = 2
@@ -83,6 +83,7 @@
 	"INCREMENTAL": rules.UpdateDelta, "FULL": rules.UpdateFull, "SAVED": rules.UpdateCached, "FAILED": rules.UpdateFailed,
 }
 
+// lookUp returns the value of a word of the wire.
 func lookUp[T any](what, word string, words map[string]T) (T, error) {
 	v, ok := words[word]
 	if !ok {
@@ -130,7 +131,7 @@
 	return rules.RequestID(w.RequestID), nil
 }
 
-// decode translates the events that concern only one instance's module.
+// decode decodes an event for the module of one instance.
 func (w *wireEvent) decode(s *rules.Settings) (rules.Event, error) {
 	switch w.Command {
 	case "Accept":
@@ -193,11 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	engine, err := engineID(w.Engine)
-	if err != nil {
-		return nil, err
-	}
-	verdict, err := lookUp("verdict", w.Status, statuses)
+	engine, status, err := w.engineStatus()
 	if err != nil {
 		return nil, err
 	}
@@ -205,21 +202,27 @@
 		return nil, errors.New("a negative value")
 	}
 	return rules.Outcome{
-		ID: id, Attempt: w.Attempt, Engine: engine, Status: verdict, Latency: rules.Time(w.Latency), Closed: w.Closed,
+		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency), Closed: w.Closed,
 		MeasuredWork:     rules.Time(w.MeasuredCost/costMSUnit) * rules.Millisecond,
 		MeasuredMemoryMB: float64(w.MeasuredCost%costMSUnit) * costMemoryUnitMB,
 		Load:             w.Load,
 	}, nil
 }
 
-func (w *wireEvent) decodeHealth() (rules.Event, error) {
+// engineStatus is what an event says about an attempt or a health check on an engine.
+func (w *wireEvent) engineStatus() (rules.EngineID, rules.Status, error) {
 	engine, err := engineID(w.Engine)
 	if err != nil {
-		return nil, err
+		return 0, 0, err
 	}
-	verdict, err := lookUp("verdict", w.Status, statuses)
+	status, err := lookUp("verdict", w.Status, statuses)
+	return engine, status, err
+}
+
+func (w *wireEvent) decodeHealth() (rules.Event, error) {
+	engine, status, err := w.engineStatus()
 	if err != nil {
 		return nil, err
 	}
-	return rules.ProbeResult{Engine: engine, Status: verdict, Latency: rules.Time(w.Latency), Load: w.Load}, nil
+	return rules.ProbeResult{Engine: engine, Status: status, Latency: rules.Time(w.Latency), Load: w.Load}, nil
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -1,7 +1,7 @@
-// Package simwire speaks the simulator's wire: one JSON batch of events a
-// line in, one JSON reply a line out. It hosts instances of the decision
-// module and shares nothing between them but the numbered lists that the
-// wire itself declares as belonging to the process.
+// Package simprotocol runs instances of the decision module for the simulator. It
+// reads a JSON batch of events per line and writes a JSON reply per line. The
+// instances share nothing but the numbered lists of engines, which the protocol
+// declares as belonging to the process.
 package simprotocol
 
 import (
@@ -17,7 +17,7 @@
 	"foxlane/rules"
 )
 
-// listCount is how many numbered lists the wire has.
+// listCount is the number of numbered lists in the protocol.
 const listCount = 16
 
 type instance struct {
@@ -26,7 +26,7 @@
 	panicked bool
 }
 
-// Host runs the instances of one adapter process.
+// Host runs the instances of an adapter process.
 type Host struct {
 	instances map[int]*instance
 	lists     [listCount][]rules.Engine
@@ -174,11 +174,11 @@
 		}
 		seed = uint64(signed)
 	}
-	told, err := settings.Decode(w.Settings)
+	decoded, err := settings.Decode(w.Settings)
 	if err != nil {
 		return err
 	}
-	h.instances[who] = &instance{module: rules.New(told.Rules, seed), settings: told.Rules}
+	h.instances[who] = &instance{module: rules.New(decoded.Rules, seed), settings: decoded.Rules}
 	h.reply.dropGroup()
 	return nil
 }
@@ -197,8 +197,8 @@
 	return rules.FleetUpdate{Mode: mode, Engines: h.lists[w.ListNumber]}, nil
 }
 
-// decide hands an event to the module. A panic there is answered with a crash
-// report, and the instance is not asked again: its state can't be trusted.
+// decide passes an event to the decision module. A panic is answered with a
+// report, and the instance gets no further event: its state can't be trusted.
 func (h *Host) decide(inst *instance, event rules.Event) {
 	if inst.panicked {
 		return
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -9,8 +9,9 @@
 	"foxlane/rules"
 )
 
-// encoder builds a reply line. Replies are written once for every batch and
-// billed as CPU, so it appends text instead of going through reflection.
+// encoder builds a reply line: groups of commands, one group for each instance.
+// Replies are written once for every batch and the CPU time counts, so it appends
+// text instead of using reflection.
 type encoder struct {
 	buf           []byte
 	groupStart    int // where the open group begins
@@ -44,10 +45,11 @@
 	e.buf = append(e.buf, "]}"...)
 }
 
-// dropGroup forgets the commands of the open group: they were those of an
-// instance that has ended within this batch.
+// dropGroup removes the commands of the open group: the instance that asked for
+// them has ended within this batch.
 func (e *encoder) dropGroup() { e.buf = e.buf[:e.commandsStart] }
 
+// openCommand begins a command. Its fields and closeCommand follow.
 func (e *encoder) openCommand(name string) {
 	if len(e.buf) > e.commandsStart {
 		e.buf = append(e.buf, ',')
@@ -57,11 +59,20 @@
 	e.buf = append(e.buf, '"')
 }
 
+// openRequestCommand begins a command about a request.
+func (e *encoder) openRequestCommand(name string, id rules.RequestID) {
+	e.openCommand(name)
+	e.text("xid", string(id))
+}
+
+// openEngineCommand begins a command about an engine.
+func (e *encoder) openEngineCommand(name string, id rules.EngineID) {
+	e.openCommand(name)
+	e.int("engine", int64(id))
+}
+
 func (e *encoder) text(key, value string) {
-	quoted, err := json.Marshal(value)
-	if err != nil { // a string always marshals
-		panic(fmt.Sprintf("encoding %q: %v", value, err))
-	}
+	quoted, _ := json.Marshal(value) // a string has no value that can't be marshalled
 	e.key(key)
 	e.buf = append(e.buf, quoted...)
 }
@@ -89,41 +100,34 @@
 func (e *encoder) action(a rules.Action) {
 	switch a := a.(type) {
 	case rules.Send:
-		e.openCommand("Dispatch")
-		e.text("xid", string(a.ID))
+		e.openRequestCommand("Dispatch", a.ID)
 		e.int("engine", int64(a.Engine))
 		if a.Timeout != 0 {
 			e.int("tryFor", int64(a.Timeout))
 		}
 	case rules.SetAttemptOptions:
-		e.openCommand("GrantAndRank")
-		e.text("xid", string(a.ID))
+		e.openRequestCommand("GrantAndRank", a.ID)
 		e.key("workspaceMb")
 		e.buf = strconv.AppendFloat(e.buf, a.MemoryMB, 'f', -1, 64)
 		e.int("priority", int64(a.Priority))
 	case rules.Cancel:
-		e.openCommand("Abandon")
-		e.text("xid", string(a.ID))
+		e.openRequestCommand("Abandon", a.ID)
 		e.int("leg", int64(a.Attempt))
 	case rules.Reject:
-		e.openCommand("Busy")
-		e.text("xid", string(a.ID))
+		e.openRequestCommand("Busy", a.ID)
 		if a.RetryAfter > 0 {
 			e.int("holdOff", int64(a.RetryAfter))
 		}
 	case rules.Fail:
-		e.openCommand("ReportFailure")
-		e.text("xid", string(a.ID))
+		e.openRequestCommand("ReportFailure", a.ID)
 	case rules.SetTimer:
 		e.openCommand("Arm")
 		e.int("at", int64(a.At))
 		e.text("handle", a.Token)
 	case rules.Probe:
-		e.openCommand("Poll")
-		e.int("engine", int64(a.Engine))
+		e.openEngineCommand("Poll", a.Engine)
 	case rules.CloseIdle:
-		e.openCommand("DropConns")
-		e.int("engine", int64(a.Engine))
+		e.openEngineCommand("DropConns", a.Engine)
 	case rules.Broadcast:
 		e.openCommand("Signal")
 		e.text("whom", "all")
@@ -138,7 +142,7 @@
 		e.openCommand("Remark")
 		e.text("msg", a.Text)
 	default:
-		panic(fmt.Sprintf("no wire form for %T", a))
+		panic(fmt.Sprintf("no wire form for %T", a)) // a bug, not reachable by input; Host.decide recovers
 	}
 	e.closeCommand()
 }
