--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// What the environment says and the file says must agree.
+// The environment and the file must agree.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A gateway that serves takes a new name service from its file, and from any file that it can't use nothing.
+// Reload takes a new name service from the file, and nothing from a file that can't be used.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// The operator's own file is read with the configuration, whole or not at all.
+// Reload takes the operator's own file with the configuration, or nothing of it.
 func TestReloadOfTheSite(t *testing.T) {
 	dir := t.TempDir()
 	path, own := filepath.Join(dir, "config.json"), filepath.Join(dir, "foxlane.hcl")
@@ -180,7 +180,7 @@
 	}
 }
 
-// From the least machine to the largest, all sizes follow from what it has.
+// From the smallest machine to the largest, all sizes are within those of the machine.
 func TestLimitsFollowTheMachine(t *testing.T) {
 	for _, m := range []struct{ memory, sockets string }{{"32", "256"}, {"48", "256"}, {"64", "384"}, {"192", "1024"}} {
 		text := strings.NewReplacer(`"memory_mb":192`, `"memory_mb":`+m.memory, `"sockets":1024`, `"sockets":`+m.sockets).Replace(sample)
@@ -199,10 +199,10 @@
 	}
 }
 
-// Whatever the machine allows, all that may hold a descriptor at a time fits: clients and those accepted ahead, with the
-// ones that linger among them, connections to engines, and what the process needs for itself, a reload included.
+// For any number of descriptors, all that may be open at a time fit: clients and connections accepted over their number,
+// those in lingering close included, connections to engines, and what the process needs itself, also during a reload.
 func TestDescriptorsAddUp(t *testing.T) {
-	const own = 3 + 4 + 1 + 2 + 1 + 1 + 2 // streams, pollers and their wakes, listener, name service, a file, what plugs, connections being handed over
+	const own = 3 + 4 + 1 + 2 + 1 + 1 + 2 // streams, pollers and their wake-ups, listener, name service, a file, the reservation, connections being handed over
 	for sockets := minSockets; sockets <= 1024; sockets++ {
 		l, err := deriveLimits(0.25, minMemoryMB, sockets, settings.Settings{})
 		if err != nil {
--- a/internal/dns/dns_test.go
+++ b/internal/dns/dns_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A known library reads our query, and we read what it packs, compressed or not.
+// An independent library reads our query, and we read its answer, compressed or not.
 func TestPeer(t *testing.T) {
 	var q miekg.Msg
 	if err := q.Unpack(AppendQuery(nil, 7, name)); err != nil || len(q.Question) != 1 || q.Question[0].Name != name+"." ||
--- a/internal/mysql/mysql_test.go
+++ b/internal/mysql/mysql_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Packets come whole however the stream is cut, and too large ones are an error before they are held.
+// Packets are decoded however the stream is cut, and too large ones are an error before they are buffered.
 func TestDecoder(t *testing.T) {
 	stream := append([]byte{3, 0, 0, 7, 'a', 'b', 'c'}, 0, 0, 0, 8, 1, 0, 0, 9, 'd')
 	for size := 1; size <= len(stream); size++ {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Rows of any size have their lengths right, and a row of other columns is told.
+// Rows of any size have correct lengths, and a row with another number of columns is reported.
 func TestAppendRow(t *testing.T) {
 	for _, n := range []int{0, 1, 250, 251, 252, 70000} {
 		cell := strings.Repeat("x", n)
--- a/internal/settings/bad_test.go
+++ b/internal/settings/bad_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// What a site may tell that no gateway can keep is refused with one line that names the key; what it may leave at 0
-// is read as told.
+// Settings that no gateway can obey are rejected with one line that names the key; a 0 is accepted as it is.
 func TestUnusualSettings(t *testing.T) {
 	const class = `{"classes":[{"name":"served","effect":"token","group":"cell","dedupWindow":900000,"giveUp":800000}]`
 	for _, c := range []struct{ text, names string }{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"foxlane/rules"
 )
 
-// Names and figures that only a host needs come with the module's.
+// Names and values that only a gateway needs are decoded with the settings of the module.
 func TestDecode(t *testing.T) {
 	s, err := Decode([]byte(`{"classes":[{"name":"point","aim":5,"effect":"pure"},{"name":"load","effect":"side_effect","staysIn":[1]}],
 		"extra":{"classThreads":[1,4],"cpuOfKind":[16],"isLoad":[false,true]},"machineTypes":["std"],"zones":["a","b"],
--- a/internal/simprotocol/codec_test.go
+++ b/internal/simprotocol/codec_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// Every action has the wire's spelling, and comes back from JSON as it was.
+// Every action has the command and keys of the protocol, and is valid JSON.
 func TestActions(t *testing.T) {
 	for _, c := range []struct {
 		action rules.Action
@@ -44,7 +44,7 @@
 	}
 }
 
-// Every event reaches the module with all its values.
+// Every event is decoded with all its values.
 func TestEvents(t *testing.T) {
 	s := rules.Settings{Classes: make([]rules.Class, 2), Tenants: make([]rules.Tenant, 2)}
 	for _, c := range []struct {
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -113,7 +113,7 @@
 	})
 }
 
-// A panic in the decision code is answered with a crash report, once, and the process goes on.
+// A panic in the decision module is answered with one crash report, and the process goes on.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	if _, err := h.Batch([]byte(line("10", boot))); err != nil {
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -42,7 +42,6 @@
 	}
 }
 
-// What is wrong is told with its place.
 func TestInvalidMembers(t *testing.T) {
 	checkErrors(t, map[string]string{
 		"members {\n}":                                                                "1:1: members needs bind",
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -87,7 +87,6 @@
 	}
 }
 
-// Every mistake is named with its place, and nothing of the file is taken.
 func TestMistakesHaveTheirPlace(t *testing.T) {
 	checkErrors(t, map[string]string{
 		"fair {\n  ahed = 3\n}\n":                            `s.hcl:2:3: Unsupported argument: An argument named "ahed" is not expected here. Did you mean "ahead"?`,
--- a/internal/site/zones_test.go
+++ b/internal/site/zones_test.go
@@ -40,14 +40,13 @@
 		t.Errorf("got %+v", set)
 	}
 	if !reflect.DeepEqual(set.Tiers, map[int][][]int{0: {{1}, {2}}}) || !reflect.DeepEqual(drained, []int{2}) {
-		t.Errorf("tiers %v, drained %v; a zone that no list names is let pass", set.Tiers, drained)
+		t.Errorf("tiers %v, drained %v; an unknown zone is ignored", set.Tiers, drained)
 	}
 	if c := s.Zones.Classes; len(c) != 1 || c[0] != (PlanClass{"report", 2.4, 2 * rules.Second}) {
 		t.Errorf("classes %+v", c)
 	}
 }
 
-// What is wrong is told with its place.
 func TestInvalidZones(t *testing.T) {
 	checkErrors(t, map[string]string{
 		"sites {\n  spill = 2\n}":                                               "2:11: spill: 2 is not within 0 and 1",
--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -4,11 +4,10 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"io"
-	"os"
 	"slices"
 	"testing"
 
+	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
 	"foxlane/internal/rapidtest"
@@ -18,120 +17,19 @@
 
 func TestMain(m *testing.M) {
 	rapidtest.FixSeed()
-	os.Exit(m.Run())
+	goleak.VerifyTestMain(m) // each Worker is closed by its test
 }
 
 var errFault = errors.New("fault")
 
-// memoryFS is a folder that fails as it is told to, and forgets in a crash what was not synced.
-type memoryFS struct {
-	files     map[string]*memFile
-	failWrite int // the write so many from now on fails, having written a half; 0: none does
-	failSync  bool
-	capacity  int64 // bytes that it takes; 0: any
-}
-
-type memFile struct {
-	fs     *memoryFS
-	data   []byte
-	synced []byte
-}
-
-func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memFile{}} }
-
-func (m *memoryFS) List() (names []string, err error) {
-	for name := range m.files {
-		names = append(names, name)
-	}
-	return names, nil
-}
-
-func (m *memoryFS) Open(name string, create bool) (File, error) {
-	f := m.files[name]
-	if (f == nil) != create {
-		return nil, fmt.Errorf("%s: create %v", name, create)
-	}
-	if create {
-		f = &memFile{fs: m}
-		m.files[name] = f
-	}
-	return f, nil
-}
-
-func (m *memoryFS) Remove(name string) error { delete(m.files, name); return nil }
-func (m *memoryFS) Sync() error              { return nil }
-
-func (m *memoryFS) size() (n int64) {
-	for _, f := range m.files {
-		n += int64(len(f.data))
-	}
-	return n
-}
-
-// crash is the folder after the machine has lost its power: of what was not synced a part is there.
-func (m *memoryFS) crash(part func(n int) int) *memoryFS {
-	out := newMemoryFS()
-	names, _ := m.List()
-	slices.Sort(names)
-	for _, name := range names {
-		f := m.files[name]
-		kept := f.synced
-		if len(f.data) > len(f.synced) && bytes.HasPrefix(f.data, f.synced) {
-			kept = f.data[:len(f.synced)+part(len(f.data)-len(f.synced))]
-		}
-		out.files[name] = &memFile{fs: out, data: bytes.Clone(kept), synced: bytes.Clone(kept)}
-	}
-	return out
-}
-
-func (f *memFile) ReadAt(p []byte, off int64) (int, error) {
-	if off >= int64(len(f.data)) {
-		return 0, io.EOF
-	}
-	n := copy(p, f.data[off:])
-	if n < len(p) {
-		return n, io.EOF
-	}
-	return n, nil
-}
-
-func (f *memFile) WriteAt(p []byte, off int64) (int, error) {
-	n, err := len(p), error(nil)
-	if f.fs.failWrite > 0 {
-		if f.fs.failWrite--; f.fs.failWrite == 0 {
-			n, err = len(p)/2, errFault
-		}
-	}
-	if grown := off + int64(n) - int64(len(f.data)); f.fs.capacity > 0 && f.fs.size()+grown > f.fs.capacity {
-		n, err = max(0, n-int(f.fs.size()+grown-f.fs.capacity)), errFault
-	}
-	if need := off + int64(n); need > int64(len(f.data)) {
-		f.data = append(f.data, make([]byte, need-int64(len(f.data)))...)
-	}
-	copy(f.data[off:], p[:n])
-	return n, err
-}
-
-func (f *memFile) Sync() error {
-	if f.fs.failSync {
-		return errFault
-	}
-	f.synced = bytes.Clone(f.data)
-	return nil
-}
-
-func (f *memFile) Truncate(n int64) error { f.data = f.data[:n]; return nil }
-func (f *memFile) Size() (int64, error)   { return int64(len(f.data)), nil }
-func (f *memFile) Close() error           { return nil }
-
 var options = Options{SegmentBytes: 1500, Salt: 77}
 
 func id(n int) spool.ID { return spool.ID{byte(n), byte(n >> 8), 3} }
 
-// rows are chunk n of result k.
+// rows returns chunk n of result k.
 func rows(k, n int) []byte { return bytes.Repeat([]byte{byte(k), byte(n), '\n'}, 20+10*(n%4)) }
 
-// writes are what the spool asks for a result with so many chunks.
+// writes returns the effects that write a result with this many chunks.
 func writes(k, chunks int) (out []spool.Effect) {
 	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(k), Secret: [32]byte{byte(k)}, Class: 1, Created: 5, LeaseEnd: 100})
 	out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Open, Data: meta})
@@ -148,7 +46,7 @@
 	return []spool.Effect{{Kind: spool.WriteRecord, ID: id(k), Record: segment.Drop}}
 }
 
-// synced are the results that a commit acknowledged, and those that it said are not.
+// synced returns the results that a commit reported as synced, and those that it reported as failed.
 func synced(done []Completion) (good, bad []spool.ID) {
 	for _, d := range done {
 		if d.Event.Kind == spool.ResultSynced {
@@ -170,7 +68,7 @@
 	return s, rec
 }
 
-// check reads a result that was found and compares every byte.
+// check reads a recovered result and compares every byte.
 func check(s *Store, f RecoveredResult, k, chunks int) error {
 	if f.ID != id(k) || len(f.Locations) != chunks || f.Meta.Tenant != uint64(k) {
 		return fmt.Errorf("found %v with %d chunks", f.ID, len(f.Locations))
@@ -192,8 +90,8 @@
 	return RecoveredResult{}, false
 }
 
-// logOf is a folder with results written one after the other, across segments, and for each how much of the
-// folder was there when it was acknowledged.
+// logOf returns a folder with results written one after the other, across segments, and the size of the folder when
+// each was reported as synced.
 func logOf(t testing.TB, results, chunks int) (fs *memoryFS, acked map[int]int64) {
 	fs, acked = newMemoryFS(), map[int]int64{}
 	s, _ := open(t, fs)
@@ -207,7 +105,7 @@
 	return fs, acked
 }
 
-// cutAt is the folder as it was after so many of its bytes were written.
+// cutAt returns the folder as it was after this many of its bytes were written.
 func cutAt(fs *memoryFS, at int64) *memoryFS {
 	out := newMemoryFS()
 	names, _ := fs.List()
@@ -224,7 +122,7 @@
 	return out
 }
 
-// Killed outright at any byte: after the start what was acknowledged is whole, and of all else nothing is left.
+// After a kill at any byte all synced results are complete, and nothing is left of others.
 func TestEveryCutOfALog(t *testing.T) {
 	fs, acked := logOf(t, 5, 7)
 	if len(fs.files) < 3 {
@@ -247,7 +145,7 @@
 				}
 			}
 		}
-		// The folder goes on being written to, and is whole the next time.
+		// The folder can be written to, and is intact at the next start.
 		if at%37 == 0 {
 			if good, _ := synced(s.Commit(writes(50, 4))); len(good) != 1 {
 				t.Fatalf("cut at %d: nothing can be written any more", at)
@@ -261,7 +159,7 @@
 	}
 }
 
-// Any byte that changes costs the results that it lies in alone, and is told.
+// A changed byte costs only the result that it belongs to, and is reported.
 func TestEveryDamageOfALog(t *testing.T) {
 	fs, _ := logOf(t, 4, 5)
 	names, _ := fs.List()
@@ -339,19 +237,19 @@
 	}
 }
 
-// What a failed sync leaves is unknown: it is not served, not then and not after a restart.
+// Results behind a failed sync are not offered, neither then nor after a restart.
 func TestFailedSync(t *testing.T) {
 	fs, _ := logOf(t, 2, 5)
 	s, _ := open(t, fs)
 	fs.failSync = true
 	done := s.Commit(writes(9, 3))
 	good, bad := synced(done)
-	told := false
+	reported := false
 	for _, d := range done {
-		told = told || d.Event.Kind == spool.SegmentTailLost
+		reported = reported || d.Event.Kind == spool.SegmentTailLost
 	}
-	if len(good) != 0 || len(bad) != 1 || !told {
-		t.Fatalf("acknowledged %v, refused %v, told %v", good, bad, told)
+	if len(good) != 0 || len(bad) != 1 || !reported {
+		t.Fatalf("acknowledged %v, refused %v, told %v", good, bad, reported)
 	}
 	fs.failSync = false
 	if good, _ := synced(s.Commit(writes(10, 3))); len(good) != 1 {
@@ -385,7 +283,7 @@
 	}
 }
 
-// Dropped results stay dropped, and their room comes back.
+// Dropped results stay dropped, and their space is freed.
 func TestSweepAndCompact(t *testing.T) {
 	fs, _ := logOf(t, 12, 5)
 	s, _ := open(t, fs)
@@ -426,8 +324,7 @@
 	}
 }
 
-// A compaction that fails half way leaves a part of a copy: the first one counts, also after restarts and
-// further compactions.
+// A compaction that fails leaves an incomplete copy: the original is used, also after restarts and further compactions.
 func TestInterruptedCompaction(t *testing.T) {
 	for n := 1; n <= 12; n++ {
 		fs, _ := logOf(t, 3, 7)
@@ -488,8 +385,8 @@
 	}
 }
 
-// Random results, drops, compactions, faults and crashes against a plain map: what was acknowledged and not
-// dropped is whole after every start, and nothing else is offered that is not whole.
+// Random results, drops, compactions, faults and crashes against a plain map: results that were synced and not dropped
+// are complete after every start, and no incomplete result is offered.
 func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fs := newMemoryFS()
--- a/internal/spool/disk/recover_test.go
+++ b/internal/spool/disk/recover_test.go
@@ -8,7 +8,7 @@
 	"foxlane/internal/spool"
 )
 
-// failingFS is a folder on which, for a while, nothing can be written or removed: files are still made.
+// failingFS is a folder in which, for a while, nothing can be written or removed; files are still created.
 type failingFS struct {
 	*memoryFS
 	fails bool
@@ -31,7 +31,7 @@
 	return s.memoryFS.Remove(name)
 }
 
-// When a folder works again on which a segment was left half made, results are kept again, without a new start.
+// Once a folder works again in which the creation of a segment failed, results are stored again without a restart.
 func TestUnfinishedSegmentIsRemoved(t *testing.T) {
 	folder := &failingFS{memoryFS: newMemoryFS(), fails: true}
 	s, _, err := Open(folder, options)
--- a/internal/spool/disk/worker_test.go
+++ b/internal/spool/disk/worker_test.go
@@ -9,7 +9,7 @@
 	"foxlane/internal/spool"
 )
 
-// slowFS is a folder whose writes take a while.
+// slowFS is a folder with slow writes.
 type slowFS struct {
 	*memoryFS
 	delay time.Duration
@@ -30,7 +30,7 @@
 	return f.File.WriteAt(p, off)
 }
 
-// inbox gathers what a runner tells.
+// inbox collects the events of a worker.
 type inbox struct {
 	mu     sync.Mutex
 	events []spool.Event
@@ -65,7 +65,7 @@
 	return out
 }
 
-// A slow disk keeps nobody waiting, and more than may wait is turned away at once.
+// A slow disk does not block Submit, and effects beyond the queue are rejected at once.
 func TestSlowDiskDoesNotBlockCallers(t *testing.T) {
 	s, _ := open(t, slowFS{newMemoryFS(), 5 * time.Millisecond})
 	in := newInbox()
--- a/internal/spool/segment/segment_test.go
+++ b/internal/spool/segment/segment_test.go
@@ -8,7 +8,7 @@
 
 var header = Header{Number: 7, Salt: 0x1234567890abcdef}
 
-// sample is a segment with records of all kinds, and where each begins.
+// sample returns a segment with records of all kinds, and the offset of each.
 func sample() (raw []byte, starts []int) {
 	raw = AppendHeader(nil, header)
 	put := func(r Record) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Cut at any byte, all records before the cut are there, and the tail is where the last whole one ends.
+// Cut at any byte, all records before the cut are found, and the valid end is that of the last complete one.
 func TestEveryCut(t *testing.T) {
 	raw, starts := sample()
 	ends := append(starts[1:len(starts):len(starts)], len(raw))
@@ -95,7 +95,8 @@
 	}
 }
 
-// Any byte changed costs the one record that it is in, and is told; the last one's may pass for a torn tail.
+// A changed byte costs only the record that it is in, and is reported; in the last record it may look like an
+// incomplete write.
 func TestEveryDamage(t *testing.T) {
 	raw, starts := sample()
 	for at := HeaderSize; at < len(raw); at++ {
@@ -123,7 +124,7 @@
 	}
 }
 
-// A record that stands elsewhere is none: not one of another segment or offset, nor one that rows hold.
+// A record of another segment or offset is not accepted, nor are rows that look like a record.
 func TestRecordsAreBoundToTheirOffset(t *testing.T) {
 	r := Record{Kind: Chunk, ID: ID{1}, Payload: []byte("rows")}
 	one := Append(nil, header, HeaderSize, r)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -24,210 +24,6 @@
 		MaxUnwritten: 2_000, FetchWindow: 3, MaxPages: 200, LeaseTime: 10 * rules.Second}
 }
 
-// testStore is a spool with a disk, engines and readers that are moved by hand.
-type testStore struct {
-	t            rapid.TB
-	s            *Store
-	now          rules.Time
-	disk         map[int64][]byte // records by offset
-	end          int64
-	diskQueue    []Effect // for the disk
-	pages        map[ID][][]byte
-	requested    map[ID]int // pages that the engine may be asked for, up to here
-	state        map[ID]string
-	readers      map[int]*testReader
-	timerAt      rules.Time
-	diskFails    bool // the disk does
-	diskCorrupts bool // it returns other bytes than were written
-	denied       []int
-	aborted      []int
-	reason       map[ID]Reason
-	retryAfter   map[ID]rules.Time
-	discarded    []Location
-}
-
-type testReader struct {
-	id      ID
-	next    int
-	got     []byte
-	last    bool
-	waiting bool // a chunk that it asked for has not come yet
-}
-
-func newTestStore(t rapid.TB, b Budget) *testStore {
-	if err := b.Validate(); err != nil {
-		t.Fatal(err)
-	}
-	return &testStore{t: t, s: New(b, 1), now: rules.Second, disk: map[int64][]byte{}, pages: map[ID][][]byte{}, requested: map[ID]int{},
-		state: map[ID]string{}, readers: map[int]*testReader{}, reason: map[ID]Reason{}, retryAfter: map[ID]rules.Time{}}
-}
-
-func (w *testStore) handle(e Event) {
-	for _, f := range append([]Effect(nil), w.s.Handle(w.now, e)...) {
-		switch f.Kind {
-		case Granted:
-			w.state[f.ID], w.requested[f.ID] = "granted", 1
-		case Rejected:
-			if w.state[f.ID] != "" {
-				w.t.Fatalf("refused after it was %s", w.state[f.ID])
-			}
-			w.state[f.ID], w.reason[f.ID], w.retryAfter[f.ID] = "refused", f.Reason, f.RetryAfter
-		case FetchPages:
-			if f.Index != w.requested[f.ID] {
-				w.t.Fatalf("asked for pages from %d, up to %d were asked for", f.Index, w.requested[f.ID])
-			}
-			w.requested[f.ID] = f.End
-		case ReleaseEngine:
-			w.state[f.ID] = "free"
-		case Completed:
-			if w.state[f.ID] != "free" {
-				w.t.Fatalf("whole while %s", w.state[f.ID])
-			}
-			w.state[f.ID] = "whole"
-		case Failed:
-			if w.state[f.ID] == "whole" {
-				w.t.Fatal("failed after it was whole")
-			}
-			w.state[f.ID], w.reason[f.ID] = "failed", f.Reason
-		case WriteRecord, LoadChunk:
-			if f.Data != nil {
-				f.Data = bytes.Clone(f.Data)
-			}
-			w.diskQueue = append(w.diskQueue, f)
-		case DeliverChunk:
-			r := w.readers[f.Reader]
-			if r == nil || f.Index != r.next {
-				w.t.Fatalf("reader %d got chunk %d", f.Reader, f.Index)
-			}
-			if w.state[r.id] != "whole" {
-				w.t.Fatalf("reader %d got a chunk of a result that is %s", f.Reader, w.state[r.id])
-			}
-			r.got = append(r.got, f.Data...)
-			r.last, r.waiting = f.Last, false
-		case Deny:
-			w.denied = append(w.denied, f.Reader)
-			delete(w.readers, f.Reader)
-		case AbortRead:
-			w.aborted = append(w.aborted, f.Reader)
-			delete(w.readers, f.Reader)
-		case DiscardRecords:
-			w.discarded = append(w.discarded, f.Locations...)
-		case SetTimer:
-			w.timerAt = f.At
-		}
-	}
-	w.checkInvariants()
-}
-
-func (w *testStore) checkInvariants() {
-	s, b := w.s, w.s.budget
-	most := b.MemoryBytes + b.MaxUnwritten + int64((b.FetchWindow+1)*len(s.results)*1000)
-	if s.memoryBytes > most || s.memoryBytes < 0 || s.diskBytes < 0 || s.unwrittenBytes < 0 {
-		w.t.Fatalf("%d bytes in memory, %d waiting, %d on the disk", s.memoryBytes, s.unwrittenBytes, s.diskBytes)
-	}
-	if len(s.results) > b.MaxResults {
-		w.t.Fatalf("%d results", len(s.results))
-	}
-	var sum int64
-	for _, n := range s.tenantBytes {
-		if n <= 0 {
-			w.t.Fatalf("a tenant has %d bytes", n)
-		}
-		sum += n
-	}
-	if sum != s.diskBytes {
-		w.t.Fatalf("tenants have %d bytes, %d are kept", sum, s.diskBytes)
-	}
-}
-
-// runDiskEffect lets the disk do one thing.
-func (w *testStore) runDiskEffect(i int) {
-	f := w.diskQueue[i]
-	w.diskQueue = append(w.diskQueue[:i], w.diskQueue[i+1:]...)
-	if f.Kind == LoadChunk {
-		data, ok := w.disk[f.Location.Offset]
-		w.handle(Event{Kind: ChunkLoaded, Reader: f.Reader, Index: f.Index, Data: data, Failed: !ok || w.diskFails || w.diskCorrupts, Corrupt: !ok || w.diskCorrupts})
-		return
-	}
-	place := Location{Segment: 1, Offset: w.end, Size: int32(segment.RecordSize(len(f.Data)))}
-	if !w.diskFails {
-		w.disk[w.end] = f.Data
-		w.end += int64(place.Size)
-	}
-	w.handle(Event{Kind: RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Location: place, Failed: w.diskFails})
-	if f.Record == segment.Seal && !w.diskFails {
-		w.handle(Event{Kind: ResultSynced, ID: f.ID})
-	}
-}
-
-func (w *testStore) runDisk() {
-	for len(w.diskQueue) > 0 {
-		w.runDiskEffect(0)
-	}
-}
-
-func id(n int) ID { return ID{byte(n), byte(n >> 8), 1} }
-
-func secret(n int) Secret { return Secret{byte(n), 7} }
-
-// reserve reserves room and lays down what the engine will give.
-func (w *testStore) reserve(n, pages, size int, lasting bool) ID {
-	k := id(n)
-	rng := rand.New(rand.NewPCG(uint64(n), 1))
-	var truth [][]byte
-	for range pages {
-		p := make([]byte, size)
-		for i := range p {
-			p[i] = byte(rng.Uint32())
-		}
-		truth = append(truth, p)
-	}
-	w.pages[k] = truth
-	w.handle(Event{Kind: Reserve, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Durable: lasting})
-	return k
-}
-
-func (w *testStore) deliverPage(k ID, n int) {
-	if w.state[k] == "granted" && n < w.requested[k] {
-		w.handle(Event{Kind: PageArrived, ID: k, Index: n, PageCount: len(w.pages[k]), Data: w.pages[k][n]})
-	}
-}
-
-// deliverAllPages lets the engine give all, the disk keeping up.
-func (w *testStore) deliverAllPages(k ID) {
-	for n := range w.pages[k] {
-		w.deliverPage(k, n)
-		w.runDisk()
-	}
-}
-
-func (w *testStore) attach(reader int, k ID, n int, from int) {
-	w.readers[reader] = &testReader{id: k, next: from, waiting: true}
-	w.handle(Event{Kind: Attach, Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Index: from})
-}
-
-// readAll reads to the end and returns what came.
-func (w *testStore) readAll(reader int) []byte {
-	for {
-		w.runDisk()
-		r := w.readers[reader]
-		if r == nil {
-			return nil
-		}
-		if r.waiting {
-			w.t.Fatalf("reader %d waits for chunk %d of a result that is %s", reader, r.next, w.state[r.id])
-		}
-		r.next++
-		r.waiting = true
-		last, got := r.last, r.got
-		w.handle(Event{Kind: NextChunk, Reader: reader, Index: r.next})
-		if last {
-			delete(w.readers, reader)
-			return got
-		}
-	}
-}
-
 func TestResultsAreReadAsTheyCame(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -250,7 +46,7 @@
 	}
 }
 
-// Pages that come in any order, and twice, make the same result.
+// Pages that arrive in any order, and twice, give the same result.
 func TestPagesInAnyOrder(t *testing.T) {
 	b := budget()
 	b.FetchWindow = 30
@@ -281,7 +77,7 @@
 	if w.state[k] != "refused" || w.retryAfter[k] <= 0 || w.retryAfter[k] > 10*rules.Second {
 		t.Errorf("%s for %v, after %d ms", w.state[k], w.reason[k], w.retryAfter[k]/rules.Millisecond)
 	}
-	w.now += 11 * rules.Second // the leases are over: they give way, but no sooner
+	w.now += 11 * rules.Second // the leases expire: from now on the results may be evicted
 	if len(w.s.results) != 2 {
 		t.Error("dropped although nobody needed the room")
 	}
@@ -291,7 +87,7 @@
 	}
 }
 
-// A reservation that proves too small grows; where it can't, the result ends with a reason and is never offered.
+// A reservation that is too small grows; if it can't, the result fails with a reason and is never offered.
 func TestReservationGrowsOrEnds(t *testing.T) {
 	w := newTestStore(t, budget())
 	k := w.reserve(1, 60, 300, true)
@@ -307,7 +103,7 @@
 	}
 }
 
-// The engine's pages are asked for only as fast as the disk takes them, so memory stays flat.
+// Pages are requested only as fast as the disk writes them, so that memory stays bounded.
 func TestSlowDiskMakesTheEngineWait(t *testing.T) {
 	b := budget()
 	b.MaxResultBytes, b.MaxTenantBytes, b.DiskBytes = 1_000_000, 1_000_000, 1_000_000
@@ -370,7 +166,7 @@
 	}
 }
 
-// Who attaches before the result is there waits, and gets it from where it asked.
+// A reader that attaches before the result is complete waits, and gets it from the chunk that it asked for.
 func TestAttachBeforeCompletion(t *testing.T) {
 	w := newTestStore(t, budget())
 	k := w.reserve(1, 10, 300, true)
@@ -390,7 +186,7 @@
 	}
 }
 
-// A slow reader keeps its result, whatever its lease, as long as it reads.
+// The lease of a result does not expire while a slow reader reads it.
 func TestSlowReaderKeepsItsLease(t *testing.T) {
 	w := newTestStore(t, budget())
 	k := w.reserve(1, 10, 300, true)
@@ -504,8 +300,8 @@
 	}
 }
 
-// Random operations, faults and clocks against plain maps: what is read is what the engine gave, nothing
-// partial is offered, all stays in bounds, and nothing is left at the end.
+// Random operations, faults and clocks against plain maps: readers get the bytes of the engine, nothing incomplete is
+// offered, all bounds hold, and no state is left at the end.
 func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newTestStore(rt, budget())
@@ -587,8 +383,8 @@
 	})
 }
 
-// A read that fails, or that the disk had no room to take on, ends that reader alone: the result was promised, and is there
-// when the disk works again.
+// A read that fails, or that the disk's queue did not accept, aborts that reader alone: the result can be read when the
+// disk works again.
 func TestTransientReadFailure(t *testing.T) {
 	w := newTestStore(t, budget())
 	k := w.reserve(1, 10, 300, true)
