--- /dev/null
+++ b/internal/replica/budget.go
@@ -0,0 +1,59 @@
+package replica
+
+import "foxlane/rules"
+
+// This file bounds what is sent: at most Budget bytes within a sliding second, in messages of at most MaxMessageBytes.
+
+const (
+	maxRowBytes         = 8 + 10 + 10
+	maxHeaderBytes      = len(magic) + 2 + 1 + maxName + 10 + checksumSize
+	maxBlockHeaderBytes = 1 + maxName + 10 + 10 + 10 + 2
+	maxReplyMessages    = 4  // messages in answer to one
+	typicalEntryBytes   = 28 // measured on entries of one or two values
+)
+
+// withinBudget reports whether a message of n bytes may be sent now, and counts it as held back if not.
+func (s *Store) withinBudget(n int) bool {
+	if s.sentBytes.Total(s.now)+float64(n) <= float64(s.settings.Budget) {
+		return true
+	}
+	s.stats.OverBudget++
+	return false
+}
+
+// minInterval is for how long an entry is not sent again, however it changes: with hundreds of members, the entries of all must fit
+// into the budget of one. Urgent kinds are exempt.
+func (s *Store) minInterval(k Kind) rules.Time {
+	if urgent(k) {
+		return 0
+	}
+	return rules.Time(float64(len(s.members)*s.settings.Fanout*typicalEntryBytes) / float64(s.settings.Budget) * float64(rules.Second))
+}
+
+// beginMessage starts a message in the scratch buffer, which the result owns until finishMessage.
+func (s *Store) beginMessage(t messageType) writer {
+	w := writer{buf: s.buf}
+	w.begin(t, s.settings.Name, s.own.incarnation)
+	return w
+}
+
+// finishMessage closes a message. The result is valid until the next beginMessage.
+func (s *Store) finishMessage(w *writer) []byte {
+	msg := w.finish()
+	s.buf = msg[:0]
+	return msg
+}
+
+func (s *Store) send(to string, msg []byte) {
+	s.sentBytes.Add(s.now, float64(len(msg)))
+	s.stats.BytesSent += len(msg)
+	s.stats.MessagesSent++
+	s.emit(Effect{Kind: Send, To: to, Data: append([]byte(nil), msg...)})
+}
+
+// sendWithinBudget sends a message, or drops it if the budget is used up.
+func (s *Store) sendWithinBudget(to string, msg []byte) {
+	if s.withinBudget(len(msg)) {
+		s.send(to, msg)
+	}
+}
--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -11,23 +11,23 @@
 	"foxlane/rules"
 )
 
-// This file owns the bytes on the wire: messages of at most Chunk bytes, with a version and a sum, that make sense by themselves.
+// This file encodes and decodes messages: at most MaxMessageBytes each, with a version and a checksum, and independent of one another.
 //
-//	message = magic version type sender life body sum
-//	delta   = blocks of (origin, its life, from, to, entries): all entries of it with counters over from and up to to
-//	digest  = whether an answer is wanted, rows of (hash of an origin, its life, counter): the sender has all of it up to that
-//	ask     = the place from which to go on with a snapshot: a hash of an origin
-//	done    = the place up to which it was given, 0: all of it
+//	message          = magic version type sender incarnation body checksum
+//	delta            = blocks of (origin, its incarnation, from, to, entries): all entries with counters over from, up to and with to
+//	digest           = whether an answer is wanted, rows of (hash of an origin, its incarnation, counter): the sender holds all up to it
+//	snapshot request = where to continue a snapshot: the hash of an origin, 0 at the beginning
+//	snapshot end     = where the part that was sent ends: the hash of an origin, 0 at the end of the snapshot
 //
 // Numbers are uvarints. Ages are in hundredths of a second since the origin wrote the entry.
 
 const (
 	magic           = "fxr"
 	version         = 1
-	minVersion      = 1 // version that is understood
+	minVersion      = 1 // the oldest version that is understood
 	maxName         = 64
 	maxMessage      = 8 << 10
-	maxBlockEntries = 1024 // of a block
+	maxBlockEntries = 1024
 	ageUnit         = 10 * rules.Millisecond
 	maxAgeUnits     = 1 << 20
 	checksumSize    = 4
@@ -39,9 +39,17 @@
 	typeDelta messageType = iota + 1
 	typeDigest
 	typeSnapshotRequest
-	typeSnapshotEnd // a part of a snapshot has been given
+	typeSnapshotEnd
 )
 
+func (t messageType) String() string {
+	names := [...]string{"message of type 0", "delta", "digest", "snapshot request", "snapshot end"}
+	if int(t) < len(names) {
+		return names[t]
+	}
+	return fmt.Sprintf("message of type %d", uint8(t))
+}
+
 // Errors of messages that can't be used.
 var (
 	ErrTruncated      = errors.New("replica: a message is cut short")
@@ -50,23 +58,24 @@
 	ErrOutOfRange     = errors.New("replica: a value is out of range")
 )
 
-// VersionError tells of a peer that speaks a version which is not understood here.
+// VersionError is a message of a version that is not understood here.
 type VersionError struct{ Version int }
 
+// Error implements error.
 func (e VersionError) Error() string {
 	return fmt.Sprintf("replica: a peer speaks version %d, versions %d to %d are understood", e.Version, minVersion, version+1)
 }
 
-// sum of an entry, with whose it is: a copy that has flipped bits does not fit it.
+// checksumFor covers an entry and the name of its origin, but not WrittenAt, which differs between holders.
 func (e *Entry) checksumFor(origin string) uint32 {
-	var b [1 + 8 + 8 + 4*ValueCount]byte
-	b[0] = byte(e.Kind)
-	binary.LittleEndian.PutUint64(b[1:], e.Subject)
-	binary.LittleEndian.PutUint64(b[9:], e.Counter)
+	var raw [1 + 8 + 8 + 4*ValueCount]byte
+	raw[0] = byte(e.Kind)
+	binary.LittleEndian.PutUint64(raw[1:], e.Subject)
+	binary.LittleEndian.PutUint64(raw[9:], e.Counter)
 	for i, v := range e.Value {
-		binary.LittleEndian.PutUint32(b[17+4*i:], math.Float32bits(v))
+		binary.LittleEndian.PutUint32(raw[17+4*i:], math.Float32bits(v))
 	}
-	return uint32(xxh3.HashSeed(b[:], xxh3.HashString(origin)))
+	return uint32(xxh3.HashSeed(raw[:], xxh3.HashString(origin)))
 }
 
 func hashName(name string) uint64 { return xxh3.HashString(name) }
@@ -74,11 +83,11 @@
 // writer appends to a message.
 type writer struct{ buf []byte }
 
-func (w *writer) begin(t messageType, sender string, life uint64) {
+func (w *writer) begin(t messageType, sender string, incarnation uint64) {
 	w.buf = append(w.buf[:0], magic...)
 	w.buf = append(w.buf, version, byte(t))
 	w.text(sender)
-	w.uvarint(life)
+	w.uvarint(incarnation)
 }
 
 func (w *writer) uvarint(n uint64) { w.buf = binary.AppendUvarint(w.buf, n) }
@@ -88,12 +97,21 @@
 	w.buf = append(w.buf, s...)
 }
 
-// finish closes a message.
+// finish appends the checksum and returns the message.
 func (w *writer) finish() []byte {
 	return binary.LittleEndian.AppendUint32(w.buf, uint32(xxh3.Hash(w.buf)))
 }
 
-// entry appends one, with its age now.
+// blockHeader appends what precedes n entries of an origin with counters over from, up to and with to.
+func (w *writer) blockHeader(o *origin, from, to uint64, n int) {
+	w.text(o.name)
+	w.uvarint(o.incarnation)
+	w.uvarint(from)
+	w.uvarint(to)
+	w.uvarint(uint64(n))
+}
+
+// entry appends an entry with its age now. A number that is 0 takes no bytes but its bit in a mask.
 func (w *writer) entry(e *Entry, sum uint32, now rules.Time) {
 	w.buf = append(w.buf, byte(e.Kind))
 	w.uvarint(e.Subject)
@@ -116,7 +134,7 @@
 
 const maxEntryBytes = 1 + 10 + 10 + 5 + 1 + 4*ValueCount + 4
 
-// reader takes a message apart. After an error it returns zeros.
+// reader decodes a message. After the first error it returns zeros, and keeps that error.
 type reader struct {
 	rest []byte
 	err  error
@@ -139,15 +157,17 @@
 	return n
 }
 
-func (r *reader) count(most int) int {
+// count returns a number that is at most limit.
+func (r *reader) count(limit int) int {
 	n := r.uvarint()
-	if n > uint64(most) {
+	if n > uint64(limit) {
 		r.fail(ErrOutOfRange)
 		return 0
 	}
 	return int(n)
 }
 
+// bytes returns the next n bytes, or n zeros after an error.
 func (r *reader) bytes(n int) []byte {
 	if n > len(r.rest) {
 		r.fail(ErrTruncated)
@@ -195,7 +215,42 @@
 	return e, sum
 }
 
-// header is how each message begins.
+// block is the entries of one origin in a delta: all with counters over from, up to and with to.
+type block struct {
+	origin      string
+	incarnation uint64
+	from, to    uint64
+	entries     []Entry
+}
+
+// block decodes a block. Entries of kinds of a later version are skipped.
+func (r *reader) block(now rules.Time) block {
+	b := block{origin: r.text(), incarnation: r.uvarint(), from: r.uvarint(), to: r.uvarint()}
+	n := r.count(maxBlockEntries)
+	for range n {
+		e, sum := r.entry(now)
+		if r.err != nil {
+			return b
+		}
+		if e.checksum = sum; e.checksumFor(b.origin) != sum {
+			r.fail(ErrChecksum)
+			return b
+		}
+		if e.Counter <= b.from || e.Counter > b.to {
+			r.fail(ErrOutOfRange)
+			return b
+		}
+		if e.Kind >= 1 && e.Kind < KindCount {
+			b.entries = append(b.entries, e)
+		}
+	}
+	if b.origin == "" || b.to < b.from {
+		r.fail(ErrOutOfRange)
+	}
+	return b
+}
+
+// header begins each message.
 type header struct {
 	kind        messageType
 	sender      string
@@ -213,7 +268,7 @@
 	if string(msg[:len(magic)]) != magic {
 		return h, r, ErrForeignMessage
 	}
-	if v := int(msg[len(magic)]); v < minVersion || v > version+1 { // the next one keeps this form, or it could not roll
+	if v := int(msg[len(magic)]); v < minVersion || v > version+1 { // the next version keeps this frame, so that upgrades can roll
 		return h, r, VersionError{v}
 	}
 	body, sum := msg[:len(msg)-checksumSize], binary.LittleEndian.Uint32(msg[len(msg)-checksumSize:])
--- /dev/null
+++ b/internal/replica/digest.go
@@ -0,0 +1,127 @@
+package replica
+
+// This file runs anti-entropy: members exchange digests of how much each holds, and send what the other lacks.
+
+// digestRow says how much a member holds of an origin: all entries up to a counter.
+type digestRow struct{ hash, incarnation, counter uint64 }
+
+func (o *origin) digestRow() digestRow {
+	return digestRow{hashName(o.name), o.incarnation, o.completeTo}
+}
+
+const maxDigestRows = 512 // in one digest
+
+// digestCapacity is how many rows fit into one message.
+func (s *Store) digestCapacity() int {
+	return min((s.settings.MaxMessageBytes-maxHeaderBytes-4)/maxRowBytes, maxDigestRows)
+}
+
+// sendDigest sends a member the rows of some origins, round robin, and asks for its answer.
+func (s *Store) sendDigest(to string) {
+	var rows []digestRow
+	for range min(len(s.originNames), s.digestCapacity()) {
+		s.nextDigestRow %= len(s.originNames)
+		rows = append(rows, s.origins[s.originNames[s.nextDigestRow]].digestRow())
+		s.nextDigestRow++
+	}
+	s.sendDigestRows(to, rows, true)
+}
+
+func (s *Store) sendDigestRows(to string, rows []digestRow, wantAnswer bool) {
+	rows = rows[:min(len(rows), s.digestCapacity())]
+	if len(rows) == 0 {
+		return
+	}
+	w := s.beginMessage(typeDigest)
+	flag := byte(0)
+	if wantAnswer {
+		flag = 1
+	}
+	w.buf = append(w.buf, flag)
+	w.uvarint(uint64(len(rows)))
+	for _, row := range rows {
+		w.uvarint(row.hash)
+		w.uvarint(row.incarnation)
+		w.uvarint(row.counter)
+	}
+	s.sendWithinBudget(to, s.finishMessage(&w))
+}
+
+// receiveDigest sends what the sender lacks, and answers with the rows of which the sender holds more. An answer is not answered
+// again.
+func (s *Store) receiveDigest(h header, body *reader) {
+	wantsAnswer := body.bytes(1)[0] == 1
+	n := body.count(maxDigestRows)
+	rows := make([]digestRow, 0, n)
+	for range n {
+		rows = append(rows, digestRow{body.uvarint(), body.uvarint(), body.uvarint()})
+	}
+	if body.err != nil {
+		return
+	}
+	byHash := s.originsByHash()
+	var lacking []digestRow
+	sent := 0
+	for _, row := range rows {
+		o := byHash[row.hash]
+		switch {
+		case o == nil:
+			lacking = append(lacking, digestRow{hash: row.hash})
+		case o == s.own && row.incarnation > o.incarnation:
+			s.refute(h.sender, row.incarnation)
+		case row.incarnation > o.incarnation || row.incarnation == o.incarnation && row.counter > o.completeTo:
+			if o != s.own && o.leftAt == 0 {
+				lacking = append(lacking, o.digestRow())
+			}
+		case sent < maxReplyMessages && row.incarnation < o.incarnation:
+			sent += s.sendEntries(h.sender, o, 0, maxReplyMessages-sent)
+		case sent < maxReplyMessages && row.counter < o.completeTo:
+			sent += s.sendEntries(h.sender, o, row.counter, maxReplyMessages-sent)
+		}
+	}
+	switch {
+	case len(lacking) == 0 && wantsAnswer:
+		s.behindSince = 0
+	case len(lacking) > 0 && s.behindSince == 0:
+		s.behindSince = max(s.now, 1)
+	}
+	if wantsAnswer {
+		s.sendDigestRows(h.sender, lacking, false)
+	}
+}
+
+func (s *Store) originsByHash() map[uint64]*origin {
+	m := make(map[uint64]*origin, len(s.originNames))
+	for _, name := range s.originNames {
+		m[hashName(name)] = s.origins[name]
+	}
+	return m
+}
+
+// sendEntries sends all entries of an origin over a counter, in messages of which each covers a contiguous range of counters, and
+// returns how many messages were sent, at most limit.
+func (s *Store) sendEntries(to string, o *origin, from uint64, limit int) (sent int) {
+	list := o.entriesAfter(from)
+	for sent < limit {
+		w := s.beginMessage(typeDelta)
+		n := min(len(list), (s.settings.MaxMessageBytes-maxHeaderBytes-maxBlockHeaderBytes)/maxEntryBytes)
+		until := o.completeTo
+		if n < len(list) {
+			until = list[n-1].Counter
+		}
+		w.blockHeader(o, from, until, n)
+		for _, e := range list[:n] {
+			w.entry(e, e.checksumFor(o.name), s.now)
+		}
+		msg := s.finishMessage(&w)
+		if !s.withinBudget(len(msg)) {
+			return sent
+		}
+		s.send(to, msg)
+		sent++
+		if list, from = list[n:], until; len(list) == 0 {
+			return sent
+		}
+	}
+	return sent
+}
