--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -72,7 +72,7 @@
 }
 
 func (g *gateway) gossipView() gossip.View {
-	v := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
+	v := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
 		v.Zones = g.zones.Status(g.fleet.now)
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -142,7 +142,7 @@
 		g.handleReplica(replica.Event{Kind: replica.Tick})
 		return
 	}
-	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage(), Standing: g.module.LoadSummary()}
+	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
 		view.Zones = g.zones.router.Status(g.now)
 	}
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -1,8 +1,8 @@
-// Package hearsay decides what a gateway tells the others of what it holds, and what it makes of what they tell. An observation of
-// others never acts by itself: it has us look for ourselves, or stands where we know nothing yet. So one that lies costs a few
-// probes, and all peers gone leaves a gateway as it would be without any.
+// Package gossip decides what a gateway publishes to the others, and what it makes of what they publish. An observation of a peer never
+// takes effect by itself: it triggers a probe of this gateway, or stands in where this gateway has no samples yet. So a peer that reports
+// falsely costs a few probes, and with all peers gone a gateway behaves as if it had none.
 //
-// It is pure: time is an argument, and what it reads and writes is a replica of the caller's.
+// The package is pure: time is an argument, and it reads and writes a replica.Store of the caller.
 package gossip
 
 import (
@@ -13,81 +13,80 @@
 	"foxlane/rules"
 )
 
-// Settings are how much is made of what others say.
+// Settings bound what is made of what peers publish.
 type Settings struct {
-	MinObservers  int        // others that must say so before an engine or a zone is looked at for it
-	MaxReportAge  rules.Time // how old what they say may be for that
-	ProbeInterval rules.Time // between two looks at one engine for hearsay
-	MaxProbes     int        // looks at one time
-	LearnWindow   rules.Time // after our start, for how long what others have learned stands in for what we have not
-	Chatty        int        // members up to which each tells what it runs on engines: more would not fit the budget
+	MinObservers  int        // peers that must report a fault before this gateway probes for it
+	MaxReportAge  rules.Time // of reports that count
+	ProbeInterval rules.Time // between two probes of one engine on the word of peers
+	MaxProbes     int        // per Evaluate
+	LearnWindow   rules.Time // after the start, in which classes may be learned from peers
 }
 
-// Defaults are for gateways that see each other's news within a second.
+// Defaults are for gateways that see each other's updates within a second.
 func Defaults() Settings {
-	return Settings{MinObservers: 2, MaxReportAge: 4 * rules.Second, ProbeInterval: rules.Second, MaxProbes: 2, LearnWindow: 10 * rules.Second, Chatty: 48}
+	return Settings{MinObservers: 2, MaxReportAge: 4 * rules.Second, ProbeInterval: rules.Second, MaxProbes: 2, LearnWindow: 10 * rules.Second}
 }
 
-// View is what a gateway holds itself.
+// View is what a gateway itself holds.
 type View struct {
-	Engines   []zones.EngineObservation // that serve, in the order of the list
-	Zones     []zones.Status            // nil: no plan
+	Engines   []zones.EngineObservation // that serve, in the order of the endpoint list
+	Zones     []zones.Status            // nil: zones are not configured
 	Learned   []rules.ClassEstimate     // by class
 	SlowStart []rules.SlowStartUsage
-	Standing  rules.LoadSummary
 }
 
-// Observations is what one gateway remembers of what it has told and asked.
+// Observations exchanges observations with peers by way of a store.
 type Observations struct {
 	settings        Settings
 	store           *replica.Store
 	startedAt       rules.Time
-	publishedFaults map[rules.EngineID]bool // told as left out
+	publishedFaults map[rules.EngineID]bool // engines that were published as ejected
 	probedAt        map[rules.EngineID]rules.Time
-	learned         bool
+	learned         bool // classes have been learned from peers: that happens once
 	counts          Counts
 }
 
 // Counts are since the start.
 type Counts struct {
-	EnginesProbed  int // engines that were looked at for hearsay
-	ZonesSuspected int // zones
-	ClassesLearned int // classes that were learned from others
+	EnginesProbed  int
+	ZonesSuspected int
+	ClassesLearned int
 }
 
-// New returns a gateway's that has just started.
-func New(set Settings, copies *replica.Store, now rules.Time) *Observations {
-	return &Observations{settings: set, store: copies, startedAt: now, publishedFaults: map[rules.EngineID]bool{}, probedAt: map[rules.EngineID]rules.Time{}}
+// New returns the observations of a gateway that has just started.
+func New(settings Settings, store *replica.Store, now rules.Time) *Observations {
+	return &Observations{settings: settings, store: store, startedAt: now, publishedFaults: map[rules.EngineID]bool{},
+		probedAt: map[rules.EngineID]rules.Time{}}
 }
 
-// Counts tells what was done.
-func (h *Observations) Counts() Counts { return h.counts }
+// Counts returns what was done since the start.
+func (o *Observations) Counts() Counts { return o.counts }
 
-// Publish writes what others may want to know.
-func (h *Observations) Publish(now rules.Time, v View) {
+// Publish writes to the store what peers may want to know.
+func (o *Observations) Publish(now rules.Time, v View) {
 	put := func(k replica.Kind, subject uint64, value replica.Value) {
-		h.store.Put(now, replica.Key{Kind: k, Subject: subject}, value)
+		o.store.Put(now, replica.Key{Kind: k, Subject: subject}, value)
 	}
 	listed := map[rules.EngineID]bool{}
 	for _, e := range v.Engines {
 		listed[e.Engine] = true
 		switch {
 		case e.Excluded:
-			h.publishedFaults[e.Engine] = true
+			o.publishedFaults[e.Engine] = true
 			put(replica.EngineFault, uint64(e.Engine), replica.Value{1})
-		case h.publishedFaults[e.Engine]:
-			delete(h.publishedFaults, e.Engine)
+		case o.publishedFaults[e.Engine]:
+			delete(o.publishedFaults, e.Engine)
 			put(replica.EngineFault, uint64(e.Engine), replica.Value{0})
 		}
 	}
-	for id := range h.publishedFaults {
+	for id := range o.publishedFaults {
 		if !listed[id] {
-			delete(h.publishedFaults, id)
+			delete(o.publishedFaults, id)
 		}
 	}
-	for id, at := range h.probedAt {
-		if now-at > 2*h.settings.ProbeInterval {
-			delete(h.probedAt, id)
+	for id, at := range o.probedAt {
+		if now-at > 2*o.settings.ProbeInterval {
+			delete(o.probedAt, id)
 		}
 	}
 	for i, z := range v.Zones {
@@ -95,9 +94,9 @@
 			put(replica.ZoneState, uint64(i), replica.Value{float32(z.State)})
 		}
 	}
-	for c, l := range v.Learned {
+	for class, l := range v.Learned {
 		if l.SampleWeight > 1 {
-			put(replica.ClassEstimate, uint64(c), replica.Value{float32(l.CostRatio), float32(l.MeanWork), float32(min(l.SampleWeight, 100))})
+			put(replica.ClassEstimate, uint64(class), replica.Value{float32(l.CostRatio), float32(l.MeanWork), float32(min(l.SampleWeight, 100))})
 		}
 	}
 	for _, c := range v.SlowStart {
@@ -107,74 +106,81 @@
 	}
 }
 
-// Advice is what is made of what others say.
+// Advice is what follows from the reports of peers.
 type Advice struct {
-	Probe   []rules.EngineID // to be probed: what the probe says counts, not what others do
-	Suspect []int            // zones to be looked at
+	Probe   []rules.EngineID // the result of the probe counts, not the reports
+	Suspect []int            // zones that are to be probed
 	Events  []rules.Event    // for the decision module
 }
 
-// Evaluate looks at what others say.
-func (h *Observations) Evaluate(now rules.Time, v View) (out Advice) {
-	said := h.countObservers(now, replica.EngineFault, func(v replica.Value) bool { return v[0] > 0 })
+// Evaluate reads the reports of peers.
+func (o *Observations) Evaluate(now rules.Time, v View) (out Advice) {
+	observers := o.countObservers(now, replica.EngineFault, func(v replica.Value) bool { return v[0] > 0 })
 	for _, e := range v.Engines {
-		if len(out.Probe) >= h.settings.MaxProbes {
+		if len(out.Probe) >= o.settings.MaxProbes {
 			break
 		}
-		if said[uint64(e.Engine)] < h.settings.MinObservers || e.Excluded || now-h.probedAt[e.Engine] < h.settings.ProbeInterval {
+		if observers[uint64(e.Engine)] < o.settings.MinObservers || e.Excluded || now-o.probedAt[e.Engine] < o.settings.ProbeInterval {
 			continue
 		}
-		h.probedAt[e.Engine] = now
-		h.counts.EnginesProbed++
+		o.probedAt[e.Engine] = now
+		o.counts.EnginesProbed++
 		out.Probe = append(out.Probe, e.Engine)
 	}
 	if v.Zones != nil {
-		lost := h.countObservers(now, replica.ZoneState, func(v replica.Value) bool { return zones.State(v[0]) == zones.Lost })
+		lost := o.countObservers(now, replica.ZoneState, func(v replica.Value) bool { return zones.State(v[0]) == zones.Lost })
 		for i, z := range v.Zones {
-			if z.State == zones.Present && lost[uint64(i)] >= h.settings.MinObservers {
-				h.counts.ZonesSuspected++
+			if z.State == zones.Present && lost[uint64(i)] >= o.settings.MinObservers {
+				o.counts.ZonesSuspected++
 				out.Suspect = append(out.Suspect, i)
 			}
 		}
 	}
-	out.Events = append(h.learnClasses(now, v), h.peerSlowStartSpend(now, v)...)
+	out.Events = append(o.learnClasses(now, v), o.peerSlowStartSpend(v)...)
 	return out
 }
 
-// countObservers counts the gateways that say so of a subject, and have said it lately.
-func (h *Observations) countObservers(now rules.Time, k replica.Kind, so func(replica.Value) bool) map[uint64]int {
+// countObservers counts, by subject, the peers whose value matches and is not older than MaxReportAge.
+func (o *Observations) countObservers(now rules.Time, k replica.Kind, matches func(replica.Value) bool) map[uint64]int {
 	n := map[uint64]int{}
-	h.store.Each(k, func(_ string, e *replica.Entry) {
-		if now-e.WrittenAt <= h.settings.MaxReportAge && so(e.Value) {
+	o.store.Each(k, func(_ string, e *replica.Entry) {
+		if now-e.WrittenAt <= o.settings.MaxReportAge && matches(e.Value) {
 			n[e.Subject]++
 		}
 	})
 	return n
 }
 
-// learnClasses passes on what others have learned of classes, once, to a gateway that has just started: the median, as soon as half of the
-// members, or many, are heard, so that some that lie move nothing. How much weight one claims to have does not count.
-func (h *Observations) learnClasses(now rules.Time, v View) (out []rules.Event) {
-	if h.learned || now-h.startedAt > h.settings.LearnWindow {
+const (
+	minLearnSources = 3
+	maxLearnSources = 15
+	// sufficientOwnWeight is the weight of own samples of a class from which on those of peers are not used.
+	sufficientOwnWeight = 8
+)
+
+// learnClasses returns, once, what peers have learned of classes, to a gateway that has just started: the median, as soon as half of the
+// members or maxLearnSources have reported, so that a few false reports move it little. The weight that a peer claims is ignored.
+func (o *Observations) learnClasses(now rules.Time, v View) (out []rules.Event) {
+	if o.learned || now-o.startedAt > o.settings.LearnWindow {
 		return nil
 	}
-	ratios, usuals := make([][]float64, len(v.Learned)), make([][]float64, len(v.Learned))
-	h.store.Each(replica.ClassEstimate, func(_ string, e *replica.Entry) {
+	ratios, works := make([][]float64, len(v.Learned)), make([][]float64, len(v.Learned))
+	o.store.Each(replica.ClassEstimate, func(_ string, e *replica.Entry) {
 		if e.Subject < uint64(len(ratios)) && e.Value[0] > 0 && e.Value[1] > 0 {
 			ratios[e.Subject] = append(ratios[e.Subject], float64(e.Value[0]))
-			usuals[e.Subject] = append(usuals[e.Subject], float64(e.Value[1]))
+			works[e.Subject] = append(works[e.Subject], float64(e.Value[1]))
 		}
 	})
-	enough := max(minLearnSources, min(len(h.store.Members())/2, maxLearnSources))
-	for c := range ratios {
-		if len(ratios[c]) < enough || v.Learned[c].SampleWeight > sufficientOwnWeight {
+	enough := max(minLearnSources, min(len(o.store.Members())/2, maxLearnSources))
+	for class := range ratios {
+		if len(ratios[class]) < enough || v.Learned[class].SampleWeight > sufficientOwnWeight {
 			continue
 		}
-		out = append(out, rules.PeerEstimate{Class: c, CostRatio: median(ratios[c]), MeanWork: median(usuals[c])})
-		h.counts.ClassesLearned++
+		out = append(out, rules.PeerEstimate{Class: class, CostRatio: median(ratios[class]), MeanWork: median(works[class])})
+		o.counts.ClassesLearned++
 	}
 	if len(out) > 0 {
-		h.learned = true
+		o.learned = true
 	}
 	return out
 }
@@ -184,21 +190,13 @@
 	return (of[(len(of)-1)/2] + of[len(of)/2]) / 2
 }
 
-const (
-	minLearnSources = 3
-	maxLearnSources = 15
-)
-
-// sufficientOwnWeight is the weight of own samples of a class from which nothing of others is wanted.
-const sufficientOwnWeight = 8
-
-// peerSlowStartSpend adds up what others have sent to cold engines of late.
-func (h *Observations) peerSlowStartSpend(now rules.Time, v View) (out []rules.Event) {
+// peerSlowStartSpend sums what peers have sent to engines in slow start within the last window.
+func (o *Observations) peerSlowStartSpend(v View) (out []rules.Event) {
 	if len(v.SlowStart) == 0 {
 		return nil
 	}
 	sums := map[uint64]float64{}
-	h.store.Each(replica.SlowStartSpend, func(_ string, e *replica.Entry) { sums[e.Subject] += float64(e.Value[0]) })
+	o.store.Each(replica.SlowStartSpend, func(_ string, e *replica.Entry) { sums[e.Subject] += float64(e.Value[0]) })
 	for _, c := range v.SlowStart {
 		out = append(out, rules.PeerSlowStartUsage{Engine: c.Engine, Work: sums[uint64(c.Engine)]})
 	}
--- a/internal/gossip/observations_test.go
+++ b/internal/gossip/observations_test.go
@@ -15,7 +15,7 @@
 	start  = 1000 * second
 )
 
-// testFleet is a gateway with others that say things.
+// testFleet is a gateway with peers that publish what a test has them publish.
 type testFleet struct {
 	*Observations
 	store  *replica.Store
@@ -23,31 +23,31 @@
 }
 
 func newTestFleet(others int) *testFleet {
-	set := func(name string) replica.Settings {
+	newStore := func(name string) *replica.Store {
 		s := replica.Defaults()
 		s.Name, s.Incarnation = name, 1
-		return s
+		return replica.New(s, start)
 	}
-	p := &testFleet{store: replica.New(set("us"), start)}
-	p.Observations = New(Defaults(), p.store, start)
+	f := &testFleet{store: newStore("us")}
+	f.Observations = New(Defaults(), f.store, start)
 	for i := range others {
 		name := fmt.Sprint("n", i)
-		o := replica.New(set(name), start)
-		o.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: "us"}})
-		p.store.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: name}})
-		p.others = append(p.others, o)
+		other := newStore(name)
+		other.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: "us"}})
+		f.store.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: name}})
+		f.others = append(f.others, other)
 	}
-	return p
+	return f
 }
 
-// report has one of the others write, and us hear it.
-func (p *testFleet) report(now rules.Time, i int, k replica.Kind, subject uint64, v ...float32) {
+// report has one of the peers publish an entry, and the gateway receive it.
+func (f *testFleet) report(now rules.Time, i int, k replica.Kind, subject uint64, v ...float32) {
 	var value replica.Value
 	copy(value[:], v)
-	p.others[i].Put(now, replica.Key{Kind: k, Subject: subject}, value)
-	for _, f := range p.others[i].Handle(now, replica.Event{Kind: replica.Tick}) {
-		if f.Kind == replica.Send {
-			p.store.Handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: fmt.Sprint("n", i)}, Data: f.Data})
+	f.others[i].Put(now, replica.Key{Kind: k, Subject: subject}, value)
+	for _, effect := range f.others[i].Handle(now, replica.Event{Kind: replica.Tick}) {
+		if effect.Kind == replica.Send {
+			f.store.Handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: fmt.Sprint("n", i)}, Data: effect.Data})
 		}
 	}
 }
@@ -59,79 +59,81 @@
 	return v
 }
 
-// One that says an engine fails moves nothing; two have us look, now and then, at a bounded number; what they said long ago counts no more.
+// One peer that reports a fault has no effect. Two have the engine probed, at intervals, and a bounded number of engines at a time. Reports
+// that are old or taken back do not count.
 func TestTwoObserversAreNeeded(t *testing.T) {
-	p := newTestFleet(3)
+	f := newTestFleet(3)
 	v := engines(1, 2, 3, 4)
-	p.report(start, 0, replica.EngineFault, 2, 1)
-	if w := p.Evaluate(start, v); len(w.Probe) != 0 {
-		t.Fatalf("one observer has us look at %v", w.Probe)
+	f.report(start, 0, replica.EngineFault, 2, 1)
+	if w := f.Evaluate(start, v); len(w.Probe) != 0 {
+		t.Fatalf("one observer triggers probes of %v", w.Probe)
 	}
-	p.report(start+ms, 1, replica.EngineFault, 2, 1)
-	if w := p.Evaluate(start+ms, v); len(w.Probe) != 1 || w.Probe[0] != 2 {
-		t.Fatalf("two observers have us look at %v", w.Probe)
+	f.report(start+ms, 1, replica.EngineFault, 2, 1)
+	if w := f.Evaluate(start+ms, v); len(w.Probe) != 1 || w.Probe[0] != 2 {
+		t.Fatalf("two observers trigger probes of %v", w.Probe)
 	}
-	if w := p.Evaluate(start+200*ms, v); len(w.Probe) != 0 {
-		t.Errorf("looked at again after 200 ms: %v", w.Probe)
+	if w := f.Evaluate(start+200*ms, v); len(w.Probe) != 0 {
+		t.Errorf("probed again after 200 ms: %v", w.Probe)
 	}
-	if w := p.Evaluate(start+1200*ms, v); len(w.Probe) != 1 {
-		t.Errorf("not looked at again after 1.2 s")
+	if w := f.Evaluate(start+1200*ms, v); len(w.Probe) != 1 {
+		t.Errorf("not probed again after 1.2 s")
 	}
 	left := engines(1, 2)
 	left.Engines[1].Excluded = true
-	if w := p.Evaluate(start+2500*ms, left); len(w.Probe) != 0 {
-		t.Errorf("we leave it out ourselves, and look for hearsay: %v", w.Probe)
+	if w := f.Evaluate(start+2500*ms, left); len(w.Probe) != 0 {
+		t.Errorf("it is ejected here, and probed for the reports of peers: %v", w.Probe)
 	}
-	if w := p.Evaluate(start+Defaults().MaxReportAge+100*ms, v); len(w.Probe) != 0 {
-		t.Errorf("looked at for what was said long ago: %v", w.Probe)
+	if w := f.Evaluate(start+Defaults().MaxReportAge+100*ms, v); len(w.Probe) != 0 {
+		t.Errorf("probed for old reports: %v", w.Probe)
 	}
-	p.report(start+6*second, 0, replica.EngineFault, 3, 1)
-	p.report(start+6*second, 1, replica.EngineFault, 3, 1)
-	p.report(start+6*second, 1, replica.EngineFault, 3, 0)
-	if w := p.Evaluate(start+6*second+ms, v); len(w.Probe) != 0 {
-		t.Errorf("one of two has taken it back: %v", w.Probe)
+	f.report(start+6*second, 0, replica.EngineFault, 3, 1)
+	f.report(start+6*second, 1, replica.EngineFault, 3, 1)
+	f.report(start+6*second, 1, replica.EngineFault, 3, 0)
+	if w := f.Evaluate(start+6*second+ms, v); len(w.Probe) != 0 {
+		t.Errorf("one of two has taken its report back: %v", w.Probe)
 	}
 	for id := range uint64(4) {
 		for i := range 2 {
-			p.report(start+8*second, i, replica.EngineFault, id+1, 1)
+			f.report(start+8*second, i, replica.EngineFault, id+1, 1)
 		}
 	}
-	if w := p.Evaluate(start+8*second, v); len(w.Probe) > Defaults().MaxProbes {
-		t.Errorf("%d looks at one time", len(w.Probe))
+	if w := f.Evaluate(start+8*second, v); len(w.Probe) > Defaults().MaxProbes {
+		t.Errorf("%d probes at one time", len(w.Probe))
 	}
 }
 
-// A zone that two others hold to be lost is doubted; one that we hold to be lost, or that one other does, is not.
+// A zone that two peers hold to be lost is suspected; one that is held to be lost here, or by one peer only, is not.
 func TestZonesAreSuspected(t *testing.T) {
-	p := newTestFleet(3)
+	f := newTestFleet(3)
 	v := View{Zones: []zones.Status{{State: zones.Present}, {State: zones.Lost}, {State: zones.Present}}}
 	for i := range 2 {
 		for zone := range uint64(2) {
-			p.report(start, i, replica.ZoneState, zone, float32(zones.Lost))
+			f.report(start, i, replica.ZoneState, zone, float32(zones.Lost))
 		}
 	}
-	p.report(start, 2, replica.ZoneState, 2, float32(zones.Lost))
-	if w := p.Evaluate(start, v); len(w.Suspect) != 1 || w.Suspect[0] != 0 {
-		t.Errorf("doubted: %v", w.Suspect)
+	f.report(start, 2, replica.ZoneState, 2, float32(zones.Lost))
+	if w := f.Evaluate(start, v); len(w.Suspect) != 1 || w.Suspect[0] != 0 {
+		t.Errorf("suspected: %v", w.Suspect)
 	}
 }
 
-// One that has just started learns classes from others, once; one that lies moves little; own samples go first; later nothing is taken.
+// A gateway that has just started learns classes from peers, once. A false report moves the result little, own samples take precedence, and
+// later nothing is learned.
 func TestClassesAreLearnedOnce(t *testing.T) {
-	p := newTestFleet(5)
+	f := newTestFleet(5)
 	v := View{Learned: make([]rules.ClassEstimate, 2)}
-	v.Learned[1].SampleWeight = 20 // our own
+	v.Learned[1].SampleWeight = 20 // of own samples
 	for i := range 5 {
 		ratio := float32(1.5)
 		if i == 4 {
 			ratio = 1000
 		}
-		p.report(start, i, replica.ClassEstimate, 0, ratio, 5000, 10)
-		p.report(start, i, replica.ClassEstimate, 1, ratio, 5000, 10)
+		f.report(start, i, replica.ClassEstimate, 0, ratio, 5000, 10)
+		f.report(start, i, replica.ClassEstimate, 1, ratio, 5000, 10)
 	}
-	w := p.Evaluate(start+ms, v)
+	w := f.Evaluate(start+ms, v)
 	if len(w.Events) != 1 {
-		t.Fatalf("%d lessons", len(w.Events))
+		t.Fatalf("%d events", len(w.Events))
 	}
 	if l := w.Events[0].(rules.PeerEstimate); l.Class != 0 || l.CostRatio < 1.4 || l.CostRatio > 1.6 || l.MeanWork != 5000 {
 		t.Errorf("%+v", l)
@@ -146,33 +148,33 @@
 	}
 }
 
-// What others have spent of a cold engine's budget is added up; of what is not cold nothing is told.
+// What peers have spent of the budget of an engine in slow start is summed; an engine without reports has 0.
 func TestPeerSlowStartSpend(t *testing.T) {
-	p := newTestFleet(3)
+	f := newTestFleet(3)
 	for i := range 3 {
-		p.report(start, i, replica.SlowStartSpend, 7, float32(i+1)*1000)
+		f.report(start, i, replica.SlowStartSpend, 7, float32(i+1)*1000)
 	}
-	w := p.Evaluate(start, View{SlowStart: []rules.SlowStartUsage{{Engine: 7}, {Engine: 8}}})
+	w := f.Evaluate(start, View{SlowStart: []rules.SlowStartUsage{{Engine: 7}, {Engine: 8}}})
 	want := []rules.Event{rules.PeerSlowStartUsage{Engine: 7, Work: 6000}, rules.PeerSlowStartUsage{Engine: 8}}
 	if fmt.Sprint(w.Events) != fmt.Sprint(want) {
 		t.Errorf("%v, want %v", w.Events, want)
 	}
 }
 
-// What we hold is told: engines left out, and that they are well again; zones lost; classes with some weight.
+// Publish writes engines that are ejected, and that they have recovered; zones that are lost; classes with some weight.
 func TestPublish(t *testing.T) {
-	p := newTestFleet(1)
+	f := newTestFleet(1)
 	v := engines(1, 2)
 	v.Engines[0].Excluded = true
 	v.Zones = []zones.Status{{State: zones.Present}, {State: zones.Lost}}
 	v.Learned = []rules.ClassEstimate{{CostRatio: 2, MeanWork: 100, SampleWeight: 5}, {CostRatio: 2, MeanWork: 100, SampleWeight: 0.5}}
-	p.Publish(start, v)
+	f.Publish(start, v)
 	v.Engines[0].Excluded = false
-	p.Publish(start+second, v)
-	told := map[replica.Key]replica.Value{}
-	for _, c := range p.store.Copies() {
+	f.Publish(start+second, v)
+	published := map[replica.Key]replica.Value{}
+	for _, c := range f.store.Copies() {
 		for _, e := range c.Entries {
-			told[e.Key] = e.Value
+			published[e.Key] = e.Value
 		}
 	}
 	want := map[replica.Key]replica.Value{
@@ -180,7 +182,7 @@
 		{Kind: replica.ZoneState, Subject: 1}:     {float32(zones.Lost)},
 		{Kind: replica.ClassEstimate, Subject: 0}: {2, 100, 5},
 	}
-	if fmt.Sprint(told) != fmt.Sprint(want) {
-		t.Errorf("told %v, want %v", told, want)
+	if fmt.Sprint(published) != fmt.Sprint(want) {
+		t.Errorf("published %v, want %v", published, want)
 	}
 }
