--- a/internal/directives/directives.go
+++ b/internal/directives/directives.go
@@ -1,18 +1,14 @@
-// Package directives keeps what operators have ordered and what must be the same everywhere: drains of zones and engines, a limit of
-// spill, classes that are refused. They are few, and changed by few: one log, replicated by raft among three or five voters that
-// the operators name; all others follow what is committed.
+// Package directives replicates operators' directives, which must be the same at every gateway: drains of zones and engines, a limit on
+// spillover, request classes that are rejected. They are few and change rarely: one log, replicated by raft among the one, three or five
+// voters that the operators name. All other gateways follow what is committed.
 //
-// It owns the book of directives and the voters' log in memory. It is pure: time comes as ticks, what is to be kept on a disk and said to
-// others are effects, and nothing is said before what it rests on is kept. It must never carry a directive out: who reads the
-// book does.
+// The package is pure: time comes as ticks, what is to be persisted and sent are effects, and nothing is sent before the state on which it
+// rests is persisted. It does not carry directives out: readers of the State do.
 package directives
 
 import (
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"slices"
 )
 
 // Kind is what a directive orders.
@@ -22,8 +18,8 @@
 const (
 	DrainZone      Kind = "drain-zone"   // Subject: a zone
 	DrainEngine    Kind = "drain-engine" // Subject: an engine's id
-	RejectClass    Kind = "refuse-class" // Subject: a class
-	SpilloverLimit Kind = "spill"        // Value: part of a zone that foreign load takes at most
+	RejectClass    Kind = "refuse-class" // Subject: a request class
+	SpilloverLimit Kind = "spill"        // Value: the part of a zone that load of other zones may take
 )
 
 // Directive is one order.
@@ -32,7 +28,7 @@
 	Subject string  `json:"subject,omitempty"`
 	Value   float64 `json:"value,omitempty"`
 	By      string  `json:"by,omitempty"`    // who gave it, in their own words
-	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of who took it; only shown
+	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of the voter that took it; for display only
 }
 
 // Op is what a command does.
@@ -44,27 +40,17 @@
 	Unset Op = "unset"
 )
 
-// Command is a change of the book, as the log holds it.
+// Command is a change of the state, as the log holds it.
 type Command struct {
-	ID string `json:"id"` // of this command: one that comes twice counts once
+	ID string `json:"id"` // idempotency key: a command that is committed twice applies once
 	Op Op     `json:"op"`
 	Directive
 }
 
-const (
-	maxDirectives = 64
-	maxTextBytes  = 64
-	maxHistory    = 32
-	maxSeenIDs    = 64
-)
+// maxTextBytes bounds the texts of a command.
+const maxTextBytes = 64
 
-// Errors of commands.
-var (
-	ErrTooMany  = errors.New("directives: the book is full")
-	ErrNotFound = errors.New("directives: there is no such directive")
-)
-
-// Validate says what can't be ordered.
+// Validate returns an error that says why the command can't be applied anywhere.
 func (c Command) Validate() error {
 	switch {
 	case c.ID == "" || len(c.ID) > maxTextBytes || len(c.Subject) > maxTextBytes || len(c.By) > maxTextBytes:
@@ -86,100 +72,3 @@
 	}
 	return nil
 }
-
-// Change is a command that was applied.
-type Change struct {
-	Index uint64 `json:"index"`
-	Command
-	Failed string `json:"failed,omitempty"`
-}
-
-// State is what holds, as of an index of the log. Books of one index are the same everywhere.
-type State struct {
-	Index      uint64      `json:"index"`
-	Directives []Directive `json:"held,omitempty"` // sorted by kind and subject
-	History    []Change    `json:"history,omitempty"`
-	SeenIDs    []string    `json:"seen,omitempty"` // ids of the latest commands
-}
-
-func compare(a, b Directive) int {
-	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
-}
-
-// apply takes the entry of an index. One that comes twice counts once; one that can't be done is in the history with its cause.
-func (b *State) apply(index uint64, data []byte) (c Command, err error) {
-	b.Index = index
-	if len(data) == 0 { // a new leader's
-		return c, nil
-	}
-	if err := json.Unmarshal(data, &c); err != nil {
-		return c, err
-	}
-	if slices.Contains(b.SeenIDs, c.ID) {
-		return c, nil
-	}
-	b.SeenIDs = append(b.SeenIDs, c.ID)
-	b.SeenIDs = b.SeenIDs[max(0, len(b.SeenIDs)-maxSeenIDs):]
-	err = b.change(c)
-	ch := Change{Index: index, Command: c}
-	if err != nil {
-		ch.Failed = err.Error()
-	}
-	b.History = append(b.History, ch)
-	b.History = b.History[max(0, len(b.History)-maxHistory):]
-	return c, err
-}
-
-func (b *State) change(c Command) error {
-	if err := c.Validate(); err != nil {
-		return err
-	}
-	i, found := slices.BinarySearchFunc(b.Directives, c.Directive, compare)
-	switch {
-	case c.Op == Unset && !found:
-		return ErrNotFound
-	case c.Op == Unset:
-		b.Directives = slices.Delete(b.Directives, i, i+1)
-	case found:
-		b.Directives[i] = c.Directive
-	case len(b.Directives) >= maxDirectives:
-		return ErrTooMany
-	default:
-		b.Directives = slices.Insert(b.Directives, i, c.Directive)
-	}
-	return nil
-}
-
-// Subjects are the subjects of a kind that hold.
-func (b *State) Subjects(k Kind) (subjects []string) {
-	for _, d := range b.Directives {
-		if d.Kind == k {
-			subjects = append(subjects, d.Subject)
-		}
-	}
-	return subjects
-}
-
-// Value is that of a kind without subjects.
-func (b *State) Value(k Kind) (v float64, ok bool) {
-	for _, d := range b.Directives {
-		if d.Kind == k {
-			return d.Value, true
-		}
-	}
-	return 0, false
-}
-
-func (b *State) encode() []byte {
-	raw, err := json.Marshal(b)
-	if err != nil {
-		panic(err) // of plain values: it can't fail
-	}
-	return raw
-}
-
-func (b *State) clone() State {
-	c := *b
-	c.Directives, c.History, c.SeenIDs = slices.Clone(b.Directives), slices.Clone(b.History), slices.Clone(b.SeenIDs)
-	return c
-}
--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -21,7 +21,7 @@
 	second = rules.Second
 )
 
-// disk is what a voter has kept: what is on its way is lost when it dies.
+// disk is what a voter has persisted: a batch in flight is lost when the voter dies.
 type disk struct{ state PersistedState }
 
 func (d *disk) persist(b Batch) {
@@ -50,7 +50,7 @@
 	return k
 }
 
-// testCluster is voters on a network that loses, delays and cuts.
+// testCluster is voters on a simulated network that loses and delays messages, and whose links can be cut.
 type testCluster struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -61,22 +61,21 @@
 	cut          map[[2]string]bool
 	loss         float64
 	queue        []delivery
-	acks         map[string]bool // ids that were answered as holding
-	failed       map[string]bool
-	commandIDs   map[uint64]string
+	acks         map[string]bool   // ids of commands that were answered as committed
+	failed       map[string]bool   // ids of commands that were answered with an error
+	commandIDs   map[uint64]string // by request
 	logged       []string
-	failingDisks map[string]bool // disks that fail
-	states       map[uint64]string
-	divergence   error
+	failingDisks map[string]bool
+	states       map[uint64]string // by index
+	divergence   error             // two states of one index that differed
 }
 
+// delivery is an event that is due at a voter.
 type delivery struct {
-	at        rules.Time
-	from, to  string
-	data      []byte
-	persisted bool // it is not a letter, but the word that a disk is done
-	ok        bool
-	recipient *Voter
+	at    rules.Time
+	to    string
+	event Event
+	voter *Voter // that a Persisted is for: one that has been restarted since must not get it
 }
 
 func newTestCluster(t *testing.T, n int, seed uint64) *testCluster {
@@ -107,18 +106,18 @@
 	if v == nil {
 		return
 	}
-	for _, f := range v.Handle(p.now, e) {
-		switch f.Kind {
+	for _, effect := range v.Handle(p.now, e) {
+		switch f := effect.(type) {
 		case Send:
 			if !p.cut[[2]string{name, f.To}] && p.rng.Float64() >= p.loss {
-				p.queue = append(p.queue, delivery{at: p.now + rules.Time(1+p.rng.IntN(60))*ms, from: name, to: f.To, data: slices.Clone(f.Data)})
+				p.queue = append(p.queue, delivery{at: p.now + rules.Time(1+p.rng.IntN(60))*ms, to: f.To, event: Received{From: name, Data: slices.Clone(f.Data)}})
 			}
 		case Persist:
 			ok := !p.failingDisks[name]
 			if ok {
 				p.disks[name].persist(f.Batch)
 			}
-			p.queue = append(p.queue, delivery{at: p.now + 2*ms, to: name, persisted: true, ok: ok, recipient: v})
+			p.queue = append(p.queue, delivery{at: p.now + 2*ms, to: name, event: Persisted{OK: ok}, voter: v})
 		case Reply:
 			if id := p.commandIDs[f.RequestID]; f.Err == nil {
 				p.acks[id] = true
@@ -126,43 +125,36 @@
 				p.failed[id] = true
 			}
 		case Applied:
-			book := fmt.Sprint(v.state.Directives)
-			if was, ok := p.states[f.Index]; ok && was != book {
-				p.divergence = fmt.Errorf("books of index %d differ: %s and %s", f.Index, was, book)
+			state := fmt.Sprint(v.state.Directives)
+			if was, ok := p.states[f.Index]; ok && was != state {
+				p.divergence = fmt.Errorf("states of index %d differ: %s and %s", f.Index, was, state)
 			}
-			p.states[f.Index] = book
+			p.states[f.Index] = state
 		case Log:
 			p.logged = append(p.logged, name+": "+f.Text)
 		}
 	}
 }
 
-// run goes on for a while.
+// run lets time pass.
 func (p *testCluster) run(d rules.Time) {
 	for until := p.now + d; p.now < until; p.now += ms {
 		if (p.now/ms)%100 == 0 {
 			for _, name := range p.names {
-				p.handle(name, Event{Kind: Tick})
+				p.handle(name, Tick{})
 			}
 		}
 		var due []delivery
-		p.queue = slices.DeleteFunc(p.queue, func(l delivery) bool {
-			if l.at <= p.now {
-				due = append(due, l)
+		p.queue = slices.DeleteFunc(p.queue, func(d delivery) bool {
+			if d.at <= p.now {
+				due = append(due, d)
 				return true
 			}
 			return false
 		})
-		for _, l := range due {
-			v := p.voters[l.to]
-			switch {
-			case v == nil || l.persisted && v != l.recipient:
-			case l.persisted:
-				p.handle(l.to, Event{Kind: Persisted, OK: l.ok})
-			case v.HandleForgotten(l.from, l.data):
-				p.handle(l.to, Event{})
-			default:
-				p.handle(l.to, Event{Kind: Received, From: l.from, Data: l.data})
+		for _, d := range due {
+			if d.voter == nil || d.voter == p.voters[d.to] {
+				p.handle(d.to, d.event)
 			}
 		}
 	}
@@ -173,7 +165,7 @@
 func (p *testCluster) propose(name string, c Command) {
 	lastRequestID++
 	p.commandIDs[lastRequestID] = c.ID
-	p.handle(name, Event{Kind: Propose, Command: c, RequestID: lastRequestID})
+	p.handle(name, Propose{RequestID: lastRequestID, Command: c})
 }
 
 func testCommand(i int) Command {
@@ -229,7 +221,7 @@
 
 var schedules = flag.Int("schedules", 40, "random schedules that are played")
 
-// Whatever crashes, is cut off, or loses: a command that was answered as holding holds, and books of one index are the same.
+// Whatever crashes, is cut off, or loses: a command that was answered as holding holds, and states of one index are the same.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	acknowledged := 0
 	defer func() {
--- a/internal/directives/node.go
+++ b/internal/directives/node.go
@@ -9,181 +9,172 @@
 	"foxlane/rules"
 )
 
-// This file has a gateway hold the book, whether it votes or not: who does not follows what voters say is committed. Anybody tells how
-// far the book goes; the book itself is taken from voters only.
-
-// Channels of what is said.
-const (
-	ChannelRaft = iota + 1
-	ChannelState
-)
+// This file holds the state at every gateway. A gateway that does not vote follows what voters report as committed. Any gateway may
+// announce how far its state reaches; the state itself is accepted from voters only.
 
 const (
 	announceInterval = rules.Second
 	requestInterval  = 500 * rules.Millisecond
 )
 
+// Types of messages on ChannelState, by their first byte.
 const (
-	stateAnnouncement byte = iota + 1 // how far ours goes, and whether we see a quorum
-	stateRequest                      // give me yours
-	stateTransfer                     // here it is
+	stateAnnouncement byte = iota + 1 // the sender's index, and whether it sees a quorum
+	stateRequest                      // asks for the state
+	stateTransfer                     // the state
 )
 
-// Node is a gateway's.
+const announcementBytes = 1 + 8 + 1
+
+// Node is a gateway's part in the replicated log, as a voter or a follower.
 type Node struct {
 	settings     Settings
-	voter        *Voter // nil: we don't vote, or have not opened the log yet
-	state        State
+	voter        *Voter // nil: this gateway does not vote, or has not opened its log yet
+	state        State  // of a follower
 	rng          *rand.Rand
 	lastAnnounce rules.Time
 	lastRequest  rules.Time
-	confirmedAt  rules.Time // when a voter that sees a quorum last told of no more than we have; 0: never
+	confirmedAt  rules.Time // when a voter that sees a quorum last had no newer state; 0: never
 	lastTick     rules.Time
-	effects      []ChannelEffect
+	effects      []Effect
 }
 
-// ChannelEffect is an effect of a desk: one of a voter's, or something said on the channel of books.
-type ChannelEffect struct {
-	Effect
-	Channel int
+// NewNode returns a node with an empty state.
+func NewNode(settings Settings, seed uint64) *Node {
+	return &Node{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x2545f4914f6cdd1d))}
 }
 
-// NewNode returns one without a book.
-func NewNode(set Settings, seed uint64) *Node {
-	return &Node{settings: set, rng: rand.New(rand.NewPCG(seed, 0x2545f4914f6cdd1d))}
-}
-
-// IsVoter answers whether this gateway is one of the voters.
-func (d *Node) IsVoter() bool { return d.settings.voterID(d.settings.Self) != 0 }
+// IsVoter reports whether this gateway is one of the voters.
+func (n *Node) IsVoter() bool { return n.settings.voterID(n.settings.Self) != 0 }
 
 // StartVoter begins to vote with what the disk held.
-func (d *Node) StartVoter(now rules.Time, kept PersistedState) error {
-	v, err := NewVoter(d.settings, kept, now)
+func (n *Node) StartVoter(now rules.Time, persisted PersistedState) error {
+	v, err := NewVoter(n.settings, persisted, now)
 	if err != nil {
 		return err
 	}
-	d.voter = v
+	n.voter = v
 	return nil
 }
 
-// State is what holds here. It is not to be changed.
-func (d *Node) State() *State {
-	if d.voter != nil && d.voter.state.Index >= d.state.Index {
-		return &d.voter.state
+// State returns the directives that hold here. It is not to be changed.
+func (n *Node) State() *State {
+	if n.voter != nil && n.voter.state.Index >= n.state.Index {
+		return &n.voter.state
 	}
-	return &d.state
+	return &n.state
 }
 
-// Status is how a voter stands; ok is false for others.
-func (d *Node) Status() (s Status, ok bool) {
-	if d.voter == nil {
+// Status returns the status of a voter; ok is false for followers.
+func (n *Node) Status() (s Status, ok bool) {
+	if n.voter == nil {
 		return s, false
 	}
-	return d.voter.Status(), true
+	return n.voter.Status(), true
 }
 
-// Staleness is for how long nobody who sees a quorum has confirmed the book; ok is false if nobody ever has.
-func (d *Node) Staleness(now rules.Time) (age rules.Time, ok bool) {
-	return now - d.confirmedAt, d.confirmedAt != 0
+// Staleness is how long ago a voter that sees a quorum confirmed the state; ok is false if none ever has.
+func (n *Node) Staleness(now rules.Time) (age rules.Time, ok bool) {
+	return now - n.confirmedAt, n.confirmedAt != 0
 }
 
-// seesQuorum answers whether we vote and see a leader.
-func (d *Node) seesQuorum() bool {
-	if d.voter == nil || d.voter.diskFailed {
+// seesQuorum reports whether this gateway votes and knows a leader.
+func (n *Node) seesQuorum() bool {
+	if n.voter == nil || n.voter.diskFailed {
 		return false
 	}
-	return d.voter.Status().Leader != ""
+	return n.voter.Status().Leader != ""
 }
 
-// Tick lets time pass, among these members.
-func (d *Node) Tick(now rules.Time, members []string) []ChannelEffect {
-	d.effects = d.effects[:0]
-	if d.voter != nil && now-d.lastTick >= d.settings.TickInterval {
-		d.lastTick = now
-		d.addVoterEffects(d.voter.Handle(now, Event{Kind: Tick}))
+// Tick lets time pass. Members are the other gateways, one of which is sent an announcement now and then. The result is valid until the
+// next call.
+func (n *Node) Tick(now rules.Time, members []string) []Effect {
+	n.effects = n.effects[:0]
+	if n.voter != nil && now-n.lastTick >= n.settings.TickInterval {
+		n.lastTick = now
+		n.effects = append(n.effects, n.voter.Handle(now, Tick{})...)
 	}
-	if d.seesQuorum() {
-		d.confirmedAt = now
+	if n.seesQuorum() {
+		n.confirmedAt = now
 	}
-	if len(members) > 0 && now-d.lastAnnounce >= announceInterval {
-		d.lastAnnounce = now
-		d.sendState(members[d.rng.IntN(len(members))], d.announcement())
-	}
-	return d.effects
-}
-
-func (d *Node) addVoterEffects(effects []Effect) {
-	for _, f := range effects {
-		d.effects = append(d.effects, ChannelEffect{f, ChannelRaft})
+	if len(members) > 0 && now-n.lastAnnounce >= announceInterval {
+		n.lastAnnounce = now
+		n.send(members[n.rng.IntN(len(members))], n.announcement())
 	}
+	return n.effects
 }
 
-func (d *Node) sendState(to string, data []byte) {
-	d.effects = append(d.effects, ChannelEffect{Effect{Kind: Send, To: to, Data: data}, ChannelState})
+func (n *Node) send(to string, data []byte) {
+	n.effects = append(n.effects, Send{To: to, Channel: ChannelState, Data: data})
 }
 
-func (d *Node) announcement() []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{stateAnnouncement}, d.State().Index)
-	if d.seesQuorum() {
-		return append(b, 1)
+func (n *Node) announcement() []byte {
+	msg := binary.LittleEndian.AppendUint64([]byte{stateAnnouncement}, n.State().Index)
+	if n.seesQuorum() {
+		return append(msg, 1)
 	}
-	return append(b, 0)
+	return append(msg, 0)
 }
 
-// Handle takes an event of the voter's.
-func (d *Node) Handle(now rules.Time, e Event) []ChannelEffect {
-	d.effects = d.effects[:0]
-	if d.voter == nil {
-		if e.Kind == Propose {
-			d.effects = append(d.effects, ChannelEffect{Effect{Kind: Reply, RequestID: e.RequestID, Err: ErrDiskFailed}, ChannelRaft})
+// Handle takes an event for the voter. The result is valid until the next call.
+func (n *Node) Handle(now rules.Time, e Event) []Effect {
+	n.effects = n.effects[:0]
+	if n.voter == nil {
+		if p, ok := e.(Propose); ok {
+			n.effects = append(n.effects, Reply{RequestID: p.RequestID, Err: ErrDiskFailed})
 		}
-		return d.effects
-	}
-	if e.Kind == Received && d.voter.HandleForgotten(e.From, e.Data) {
-		e = Event{}
+		return n.effects
 	}
-	d.addVoterEffects(d.voter.Handle(now, e))
-	return d.effects
+	n.effects = append(n.effects, n.voter.Handle(now, e)...)
+	return n.effects
 }
 
-// HandleStateMessage takes what a member says of books. What can't be used is let pass.
-func (d *Node) HandleStateMessage(now rules.Time, from string, data []byte) []ChannelEffect {
-	d.effects = d.effects[:0]
+// HandleStateMessage takes a message on ChannelState. One that can't be used is ignored. The result is valid until the next call.
+func (n *Node) HandleStateMessage(now rules.Time, from string, data []byte) []Effect {
+	n.effects = n.effects[:0]
 	if len(data) == 0 {
 		return nil
 	}
-	votes := d.settings.voterID(from) != 0
+	fromVoter := n.settings.voterID(from) != 0
 	switch data[0] {
 	case stateAnnouncement:
-		if len(data) != 10 {
+		if len(data) != announcementBytes {
 			return nil
 		}
-		index, quorum := binary.LittleEndian.Uint64(data[1:]), data[9] == 1
-		switch ours := d.State().Index; {
-		case index > ours && !d.IsVoter() && now-d.lastRequest >= requestInterval:
-			to := from
-			if !votes {
-				to = d.settings.Voters[d.rng.IntN(len(d.settings.Voters))]
-			}
-			d.lastRequest = now
-			d.sendState(to, []byte{stateRequest})
-		case index < ours:
-			d.sendState(from, d.announcement())
-		case index == ours && votes && quorum:
-			d.confirmedAt = now
-		}
+		n.handleAnnouncement(now, from, fromVoter, binary.LittleEndian.Uint64(data[1:]), data[9] == 1)
 	case stateRequest:
-		if d.voter != nil {
-			d.sendState(from, append([]byte{stateTransfer}, d.voter.state.encode()...))
+		if n.voter == nil {
+			break
+		}
+		if raw, err := n.voter.state.encode(); err == nil {
+			n.send(from, append([]byte{stateTransfer}, raw...))
 		}
 	case stateTransfer:
-		var b State
-		if !votes || d.IsVoter() || json.Unmarshal(data[1:], &b) != nil || b.Index <= d.state.Index || len(b.Directives) > maxDirectives ||
-			!slices.IsSortedFunc(b.Directives, compare) {
+		var s State
+		if !fromVoter || n.IsVoter() || json.Unmarshal(data[1:], &s) != nil || s.Index <= n.state.Index || len(s.Directives) > maxDirectives ||
+			!slices.IsSortedFunc(s.Directives, compare) {
 			return nil
 		}
-		d.state = b
-		d.effects = append(d.effects, ChannelEffect{Effect{Kind: Applied, Index: b.Index}, ChannelState})
+		n.state = s
+		n.effects = append(n.effects, Applied{s.Index})
+	}
+	return n.effects
+}
+
+// handleAnnouncement asks for a newer state, or announces the own one if the sender's is older. Anyone's announcement is answered, but
+// only a voter's confirms the state and only a voter is asked.
+func (n *Node) handleAnnouncement(now rules.Time, from string, fromVoter bool, index uint64, quorum bool) {
+	switch own := n.State().Index; {
+	case index > own && !n.IsVoter() && now-n.lastRequest >= requestInterval:
+		to := from
+		if !fromVoter {
+			to = n.settings.Voters[n.rng.IntN(len(n.settings.Voters))]
+		}
+		n.lastRequest = now
+		n.send(to, []byte{stateRequest})
+	case index < own:
+		n.send(from, n.announcement())
+	case index == own && fromVoter && quorum:
+		n.confirmedAt = now
 	}
-	return d.effects
 }
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -17,18 +17,10 @@
 
 // This file drives raft as a state machine: events in, effects out, one batch at a time.
 
-// PersistedState is what a voter's disk held at its start.
-type PersistedState struct {
-	Initialized bool          // it was made a voter: without that it has forgotten, or is new
-	HardState   *pb.HardState // nil: none
-	Entries     []*pb.Entry
-	Snapshot    *pb.Snapshot // nil: none
-}
-
-// Settings say who votes.
+// Settings name the voters.
 type Settings struct {
 	Self         string
-	Voters       []string // names, ours among them; the same list at all
+	Voters       []string // the same list at every gateway
 	TickInterval rules.Time
 }
 
@@ -39,11 +31,11 @@
 	maxInFlight        = 16
 	compactThreshold   = 128 // entries in the log
 	proposalTimeout    = 4 * rules.Second
-	listenTicks        = 10 * electionTicks // ticks for which one that has forgotten listens to a leader before it votes
+	listenTicks        = 10 * electionTicks // for which a voter that lost its log follows a leader before it votes
 	maxPendingRequests = 16
 )
 
-// Validate says what can't be used.
+// Validate returns an error that names the first setting that can't be used.
 func (s Settings) Validate() error {
 	switch {
 	case len(s.Voters) != 1 && len(s.Voters) != 3 && len(s.Voters) != 5:
@@ -59,67 +51,9 @@
 	return nil
 }
 
+// voterID is raft's number of a voter; 0: it is none.
 func (s Settings) voterID(name string) uint64 { return uint64(slices.Index(s.Voters, name) + 1) }
 
-// EventKind is what an Event tells.
-type EventKind int
-
-// Kinds of events.
-const (
-	Tick      EventKind = iota + 1
-	Received            // Data came from the voter From
-	Propose             // Command is asked for; Ask names who asks
-	Persisted           // what Persist asked for is kept, or could not be: OK
-)
-
-// Event is something that happened.
-type Event struct {
-	Kind      EventKind
-	From      string
-	Data      []byte
-	Command   Command
-	RequestID uint64
-	OK        bool
-}
-
-// EffectKind is what an Effect asks for.
-type EffectKind int
-
-// Kinds of effects.
-const (
-	Send    EffectKind = iota + 1 // Data to the voter To
-	Persist                       // Keep it on the disk, synced, and tell Persisted
-	Applied                       // the book has changed
-	Reply                         // of Ask: the command holds as of Index, or Err
-	Log                           // Text is for the log
-)
-
-// Batch is what is kept at once.
-type Batch struct {
-	HardState *pb.HardState
-	Entries   []*pb.Entry
-	Snapshot  *pb.Snapshot // takes the place of all before it
-}
-
-// Effect is something to do.
-type Effect struct {
-	Kind      EffectKind
-	To        string
-	Data      []byte
-	Batch     Batch
-	RequestID uint64
-	Index     uint64
-	Err       error
-	Text      string
-}
-
-// Errors of proposals.
-var (
-	ErrNoQuorum   = errors.New("directives: no quorum of voters answers: the command may or may not come to hold; ask for the list")
-	ErrBusy       = errors.New("directives: too many commands are on their way")
-	ErrDiskFailed = errors.New("directives: the disk failed, this voter takes part again after a restart")
-)
-
 // Voter is one of the voters.
 type Voter struct {
 	settings         Settings
@@ -128,95 +62,119 @@
 	confState        *pb.ConfState
 	state            State
 	now              rules.Time
-	pendingReady     *raft.Ready // on its way to the disk
-	inFlightPersists []bool      // what is on its way, in order: the batch, or else a snapshot of ours
+	pendingReady     *raft.Ready // being persisted; nil: none
+	inFlightPersists []bool      // in order: whether each is pendingReady, or else a snapshot of compact
 	pendingRequests  []pendingRequest
-	listenTicksLeft  int    // ticks for which it still listens; 0: it votes
-	highestTerm      uint64 // highest term heard while it listens
-	lastUnsafeTerm   uint64 // it votes in later terms only
+	listenTicksLeft  int    // ticks for which the voter still listens only; 0: it votes
+	highestTerm      uint64 // heard of while it listens
+	lastUnsafeTerm   uint64 // the voter may have voted in terms up to this one, and votes in later ones only
 	diskFailed       bool
 	effects          []Effect
 }
 
+// pendingRequest is a Propose that is not answered yet.
 type pendingRequest struct {
 	requestID uint64
 	commandID string
 	deadline  rules.Time
 }
 
-var firstEntry = struct{ index, term uint64 }{1, 1} // where all logs begin
+// Each log begins at the same index and term, so that voters that start at different times agree on the first snapshot.
+const (
+	firstIndex = 1
+	firstTerm  = 1
+)
 
 // NewVoter returns a voter with what its disk held.
-func NewVoter(set Settings, kept PersistedState, now rules.Time) (*Voter, error) {
-	if err := set.Validate(); err != nil {
+func NewVoter(settings Settings, persisted PersistedState, now rules.Time) (*Voter, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	v := &Voter{settings: set, storage: raft.NewMemoryStorage(), now: now, confState: &pb.ConfState{}}
-	for i := range set.Voters {
+	v := &Voter{settings: settings, storage: raft.NewMemoryStorage(), now: now, confState: &pb.ConfState{}}
+	for i := range settings.Voters {
 		v.confState.Voters = append(v.confState.Voters, uint64(i+1))
 	}
-	if set.voterID(set.Self) == 0 {
-		return nil, fmt.Errorf("directives: %q is none of the voters", set.Self)
+	if settings.voterID(settings.Self) == 0 {
+		return nil, fmt.Errorf("directives: %q is none of the voters", settings.Self)
 	}
-	snap := kept.Snapshot
-	if snap == nil {
-		snap = &pb.Snapshot{Data: (&State{}).encode(), Metadata: &pb.SnapshotMetadata{ConfState: v.confState, Index: proto.Uint64(firstEntry.index), Term: proto.Uint64(firstEntry.term)}}
+	snapshotIndex, err := v.restore(persisted)
+	if err != nil {
+		return nil, err
 	}
-	if err := json.Unmarshal(snap.GetData(), &v.state); err != nil {
-		return nil, fmt.Errorf("directives: the snapshot can't be read: %w", err)
+	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+	v.raftNode, err = raft.NewRawNode(&raft.Config{ID: settings.voterID(settings.Self), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: v.storage, Applied: snapshotIndex, MaxSizePerMsg: maxMessageBytes / 4, MaxInflightMsgs: maxInFlight, CheckQuorum: true, PreVote: true,
+		MaxUncommittedEntriesSize: maxMessageBytes, Logger: quiet})
+	if err != nil {
+		return nil, fmt.Errorf("directives: raft: %w", err)
 	}
-	if err := v.storage.ApplySnapshot(snap); err != nil {
-		return nil, err
+	return v, nil
+}
+
+// restore fills the storage and the state with what the disk held, and returns the index of its snapshot. A log that lacks entries that
+// were committed counts as lost: the voter listens before it votes.
+func (v *Voter) restore(persisted PersistedState) (snapshotIndex uint64, err error) {
+	snapshot := persisted.Snapshot
+	if snapshot == nil {
+		empty, err := (&State{}).encode()
+		if err != nil {
+			return 0, err
+		}
+		snapshot = &pb.Snapshot{Data: empty, Metadata: &pb.SnapshotMetadata{ConfState: v.confState, Index: proto.Uint64(firstIndex), Term: proto.Uint64(firstTerm)}}
+	}
+	snapshotIndex = snapshot.GetMetadata().GetIndex()
+	if err := json.Unmarshal(snapshot.GetData(), &v.state); err != nil {
+		return 0, fmt.Errorf("directives: the snapshot of index %d can't be read: %w", snapshotIndex, err)
+	}
+	if err := v.storage.ApplySnapshot(snapshot); err != nil {
+		return 0, fmt.Errorf("directives: the snapshot of index %d: %w", snapshotIndex, err)
 	}
-	hard := kept.HardState
+	hard := persisted.HardState
 	if hard == nil {
-		hard = &pb.HardState{Term: proto.Uint64(firstEntry.term), Commit: proto.Uint64(snap.GetMetadata().GetIndex())}
+		hard = &pb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(snapshotIndex)}
 	}
-	if err := v.storage.Append(kept.Entries); err != nil {
-		return nil, err
+	if err := v.storage.Append(persisted.Entries); err != nil {
+		return 0, fmt.Errorf("directives: the %d entries of the log: %w", len(persisted.Entries), err)
 	}
 	last, err := v.storage.LastIndex()
 	if err != nil {
-		return nil, err
+		return 0, fmt.Errorf("directives: the last index of the log: %w", err)
 	}
-	if hard.GetCommit() > last { // entries that were committed are gone
-		kept.Initialized = false
+	initialized := persisted.Initialized
+	if hard.GetCommit() > last {
+		initialized = false
 		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(last)}
 	}
-	if hard.GetCommit() < snap.GetMetadata().GetIndex() {
-		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(snap.GetMetadata().GetIndex())}
+	if hard.GetCommit() < snapshotIndex {
+		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(snapshotIndex)}
 	}
 	if err := v.storage.SetHardState(hard); err != nil {
-		return nil, err
+		return 0, fmt.Errorf("directives: the state of term %d: %w", hard.GetTerm(), err)
 	}
-	if !kept.Initialized {
+	if !initialized {
 		v.listenTicksLeft = listenTicks
 	}
-	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
-	v.raftNode, err = raft.NewRawNode(&raft.Config{ID: set.voterID(set.Self), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: v.storage,
-		Applied: snap.GetMetadata().GetIndex(), MaxSizePerMsg: maxMessageBytes / 4, MaxInflightMsgs: maxInFlight, CheckQuorum: true, PreVote: true,
-		MaxUncommittedEntriesSize: maxMessageBytes, Logger: quiet})
-	return v, err
+	return snapshotIndex, nil
 }
 
-// State is what holds here. It is not to be changed.
+// State returns the directives that hold here. It is not to be changed.
 func (v *Voter) State() *State { return &v.state }
 
-// Status is what operators want to know of a voter.
+// Status is what operators see of a voter. The names of its fields are keys of the JSON that gateways answer.
 type Status struct {
 	Leader  string // empty: none is known
 	Term    uint64
 	Commit  uint64
-	Listens bool // it has forgotten what it voted for, and does not vote yet
-	Broken  bool
+	Listens bool // it has lost its log and does not vote yet
+	Broken  bool // its disk failed
 }
 
-// Status tells how the voter stands.
+// Status returns the voter's status.
 func (v *Voter) Status() Status {
 	b := v.raftNode.BasicStatus()
-	s := Status{Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.diskFailed}
-	if l := int(b.SoftState.Lead); l >= 1 && l <= len(v.settings.Voters) {
-		s.Leader = v.settings.Voters[l-1]
+	s := Status{Term: b.GetTerm(), Commit: b.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.diskFailed}
+	if leader := int(b.Lead); leader >= 1 && leader <= len(v.settings.Voters) {
+		s.Leader = v.settings.Voters[leader-1]
 	}
 	return s
 }
@@ -228,12 +186,12 @@
 	v.effects = v.effects[:0]
 	v.now = max(v.now, now)
 	if v.diskFailed {
-		if e.Kind == Propose {
-			v.emit(Effect{Kind: Reply, RequestID: e.RequestID, Err: ErrDiskFailed})
+		if p, ok := e.(Propose); ok {
+			v.emit(Reply{RequestID: p.RequestID, Err: ErrDiskFailed})
 		}
 		return v.effects
 	}
-	switch e.Kind {
+	switch e := e.(type) {
 	case Tick:
 		v.tick()
 	case Received:
@@ -253,28 +211,28 @@
 		if v.Status().Leader != "" {
 			if v.listenTicksLeft--; v.listenTicksLeft == 0 {
 				v.lastUnsafeTerm = v.highestTerm
-				v.emit(Effect{Kind: Log, Text: "directives: has listened long enough, votes again"})
+				v.emit(Log{"directives: has listened long enough, votes again"})
 			}
 		}
 	} else {
 		v.raftNode.Tick()
 	}
-	kept := v.pendingRequests[:0]
+	waiting := v.pendingRequests[:0]
 	for _, p := range v.pendingRequests {
 		if v.now < p.deadline {
-			kept = append(kept, p)
+			waiting = append(waiting, p)
 			continue
 		}
-		v.emit(Effect{Kind: Reply, RequestID: p.requestID, Err: ErrNoQuorum})
+		v.emit(Reply{RequestID: p.requestID, Err: ErrNoQuorum})
 	}
-	v.pendingRequests = kept
+	v.pendingRequests = waiting
 }
 
-func (v *Voter) propose(e Event) {
-	e.Command.Directive.AtMS = int64(v.now / rules.Millisecond)
-	raw, err := json.Marshal(e.Command)
+func (v *Voter) propose(p Propose) {
+	p.Command.AtMS = int64(v.now / rules.Millisecond)
+	raw, err := json.Marshal(p.Command)
 	if err == nil {
-		err = e.Command.Validate()
+		err = p.Command.Validate()
 	}
 	switch {
 	case err != nil:
@@ -286,128 +244,136 @@
 		}
 	}
 	if err != nil {
-		v.emit(Effect{Kind: Reply, RequestID: e.RequestID, Err: err})
+		v.emit(Reply{RequestID: p.RequestID, Err: err})
 		return
 	}
-	v.pendingRequests = append(v.pendingRequests, pendingRequest{e.RequestID, e.Command.ID, v.now + proposalTimeout})
+	v.pendingRequests = append(v.pendingRequests, pendingRequest{p.RequestID, p.Command.ID, v.now + proposalTimeout})
 }
 
+// lostLogPrefix begins the message of a voter that has lost entries which it had acknowledged; its name follows. The leader would send
+// only what follows those entries, so it hands over to another voter, which asks anew how far the log of each reaches.
+const lostLogPrefix = "forgotten "
+
 // receive takes a message of another voter.
 func (v *Voter) receive(from string, data []byte) {
+	if string(data) == lostLogPrefix+from {
+		v.transferLeadership(from)
+		return
+	}
 	m := &pb.Message{}
 	if len(data) > 2*maxMessageBytes || proto.Unmarshal(data, m) != nil || m.GetTo() != v.settings.voterID(v.settings.Self) || m.GetFrom() != v.settings.voterID(from) || m.GetFrom() == 0 {
-		v.emit(Effect{Kind: Log, Text: fmt.Sprintf("directives: a message of %q can't be used", from)})
+		v.emit(Log{fmt.Sprintf("directives: a message of %q can't be used", from)})
 		return
 	}
-	vote := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
 	if v.listenTicksLeft > 0 {
 		v.highestTerm = max(v.highestTerm, m.GetTerm())
 	}
-	if vote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.lastUnsafeTerm) { // it may have voted in that term, and does not know
+	asksForVote := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
+	if asksForVote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.lastUnsafeTerm) { // it may have voted in that term, and does not know
 		return
 	}
 	last, err := v.storage.LastIndex()
 	if err == nil && m.GetType() == pb.MsgHeartbeat && m.GetCommit() > last && v.pendingReady == nil {
-		// The leader holds that we have kept more than we have: our disk is an old copy of itself.
+		// The leader has acknowledgements for entries that are not in the log: the disk is an old copy of itself.
 		if v.listenTicksLeft == 0 {
-			v.emit(Effect{Kind: Log, Text: "directives: this voter has forgotten what it had kept; it listens before it votes again"})
+			v.emit(Log{"directives: this voter has forgotten what it had kept; it listens before it votes again"})
 		}
 		v.listenTicksLeft, v.highestTerm = listenTicks, max(v.highestTerm, m.GetTerm())
-		v.emit(Effect{Kind: Send, To: from, Data: []byte(forgottenPrefix + v.settings.Self)})
+		v.emit(Send{To: from, Channel: ChannelRaft, Data: []byte(lostLogPrefix + v.settings.Self)})
 		return
 	}
-	_ = v.raftNode.Step(m) // what can't be stepped is dropped, as if lost
+	_ = v.raftNode.Step(m) // raft recovers from a message that it does not accept as from one that is lost
 }
 
-// forgottenPrefix begins what a voter says that has lost what it had acknowledged: the leader, who would send only what comes behind that,
-// hands over to another, who asks anew how far each has come.
-const forgottenPrefix = "forgotten "
-
-// HandleForgotten takes such a word. It answers whether data is one.
-func (v *Voter) HandleForgotten(from string, data []byte) bool {
-	if string(data) != forgottenPrefix+from {
-		return false
-	}
-	if v.diskFailed || v.Status().Leader != v.settings.Self {
-		return true
+// transferLeadership hands over to a voter other than the given one, if this voter leads.
+func (v *Voter) transferLeadership(except string) {
+	if v.Status().Leader != v.settings.Self {
+		return
 	}
 	for i, name := range v.settings.Voters {
-		if name != from && name != v.settings.Self {
+		if name != except && name != v.settings.Self {
 			v.raftNode.TransferLeader(uint64(i + 1))
-			break
+			return
 		}
 	}
-	return true
 }
 
-// collectReady takes the next batch out of raft, unless one is on its way to the disk.
+// collectReady takes the next batch out of raft, unless one is being persisted.
 func (v *Voter) collectReady() {
 	for v.pendingReady == nil && !v.diskFailed && v.raftNode.HasReady() {
-		rd := v.raftNode.Ready()
-		v.pendingReady = &rd
-		b := Batch{HardState: rd.HardState, Entries: rd.Entries}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			b.Snapshot = rd.Snapshot
+		ready := v.raftNode.Ready()
+		v.pendingReady = &ready
+		b := Batch{HardState: ready.HardState, Entries: ready.Entries}
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			b.Snapshot = ready.Snapshot
 		}
 		if b.HardState == nil && len(b.Entries) == 0 && b.Snapshot == nil {
 			v.applyReady()
 			continue
 		}
 		v.inFlightPersists = append(v.inFlightPersists, true)
-		v.emit(Effect{Kind: Persist, Batch: b})
+		v.emit(Persist{b})
 	}
 }
 
-// handlePersisted: what was to be kept is, or the disk has failed, and nothing is said that rests on it.
+// handlePersisted goes on with a batch that is persisted. If the disk failed, the voter sends nothing any more: what it would send may
+// rest on what is not persisted.
 func (v *Voter) handlePersisted(ok bool) {
 	if len(v.inFlightPersists) == 0 {
 		return
 	}
-	batch := v.inFlightPersists[0]
+	isReady := v.inFlightPersists[0]
 	v.inFlightPersists = v.inFlightPersists[1:]
 	if !ok {
 		v.diskFailed = true
-		v.emit(Effect{Kind: Log, Text: ErrDiskFailed.Error()})
+		v.emit(Log{ErrDiskFailed.Error()})
 		for _, p := range v.pendingRequests {
-			v.emit(Effect{Kind: Reply, RequestID: p.requestID, Err: ErrDiskFailed})
+			v.emit(Reply{RequestID: p.requestID, Err: ErrDiskFailed})
 		}
 		v.pendingRequests = nil
 		return
 	}
-	if batch {
+	if isReady {
 		v.applyReady()
 	}
 }
 
-// applyReady says and applies what a kept batch allows.
+// applyReady sends and applies what the persisted batch allows.
 func (v *Voter) applyReady() {
-	rd := *v.pendingReady
+	ready := *v.pendingReady
 	v.pendingReady = nil
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil {
-			var b State
-			if json.Unmarshal(rd.Snapshot.GetData(), &b) == nil {
-				v.state = b
-				v.emit(Effect{Kind: Applied, Index: b.Index})
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := v.storage.ApplySnapshot(ready.Snapshot); err == nil {
+			var state State
+			if json.Unmarshal(ready.Snapshot.GetData(), &state) == nil {
+				v.state = state
+				v.emit(Applied{state.Index})
 			}
 		}
 	}
-	_ = v.storage.Append(rd.Entries)
-	if rd.HardState != nil {
-		_ = v.storage.SetHardState(rd.HardState)
+	_ = v.storage.Append(ready.Entries)
+	if ready.HardState != nil {
+		_ = v.storage.SetHardState(ready.HardState)
 	}
-	for _, m := range rd.Messages {
+	for _, m := range ready.Messages {
 		if to := int(m.GetTo()); to >= 1 && to <= len(v.settings.Voters) {
 			if raw, err := proto.Marshal(m); err == nil {
-				v.emit(Effect{Kind: Send, To: v.settings.Voters[to-1], Data: raw})
+				v.emit(Send{To: v.settings.Voters[to-1], Channel: ChannelRaft, Data: raw})
 			}
-			if m.GetType() == pb.MsgSnap { // datagrams or connections: it is sent once, and asked for again
+			if m.GetType() == pb.MsgSnap { // whether it arrives is not known: raft sends it again if it is asked to
 				v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
 	}
+	v.applyCommitted(ready.CommittedEntries)
+	v.raftNode.Advance(ready)
+	v.compact()
+}
+
+// applyCommitted applies entries to the state and answers the requests that they came from.
+func (v *Voter) applyCommitted(entries []*pb.Entry) {
 	changed := false
-	for _, e := range rd.CommittedEntries {
+	for _, e := range entries {
 		if e.GetIndex() <= v.state.Index {
 			continue
 		}
@@ -415,35 +381,37 @@
 		changed = true
 		v.pendingRequests = slices.DeleteFunc(v.pendingRequests, func(p pendingRequest) bool {
 			if p.commandID == c.ID && c.ID != "" {
-				v.emit(Effect{Kind: Reply, RequestID: p.requestID, Index: e.GetIndex(), Err: err})
+				v.emit(Reply{RequestID: p.requestID, Index: e.GetIndex(), Err: err})
 				return true
 			}
 			return false
 		})
 	}
 	if changed {
-		v.emit(Effect{Kind: Applied, Index: v.state.Index})
+		v.emit(Applied{v.state.Index})
 	}
-	v.raftNode.Advance(rd)
-	v.compact()
 }
 
-// compact puts a snapshot in the place of a long log.
+// compact replaces a long log by a snapshot.
 func (v *Voter) compact() {
-	begin, err := v.storage.FirstIndex()
-	if err != nil || v.state.Index < begin+compactThreshold {
+	first, err := v.storage.FirstIndex()
+	if err != nil || v.state.Index < first+compactThreshold {
+		return
+	}
+	state := v.state.clone()
+	raw, err := state.encode()
+	if err != nil {
 		return
 	}
-	b := v.state.clone()
-	snap, err := v.storage.CreateSnapshot(b.Index, v.confState, b.encode())
+	snapshot, err := v.storage.CreateSnapshot(state.Index, v.confState, raw)
 	if err != nil {
 		return
 	}
-	if err := v.storage.Compact(b.Index); err == nil {
+	if err := v.storage.Compact(state.Index); err == nil {
 		hard, _, _ := v.storage.InitialState()
 		last, _ := v.storage.LastIndex()
-		entries, _ := v.storage.Entries(b.Index+1, last+1, ^uint64(0))
+		entries, _ := v.storage.Entries(state.Index+1, last+1, ^uint64(0))
 		v.inFlightPersists = append(v.inFlightPersists, false)
-		v.emit(Effect{Kind: Persist, Batch: Batch{HardState: hard, Entries: entries, Snapshot: snap}})
+		v.emit(Persist{Batch{HardState: hard, Entries: entries, Snapshot: snapshot}})
 	}
 }
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -62,9 +62,9 @@
 	g.runDirectiveOutcomes(g.directives.proposer.Tick(g.now, names))
 }
 
-func (g *Gateway) runDirectiveOutcomes(out []directives.ChannelEffect) {
-	for _, outcome := range out {
-		switch outcome.Kind {
+func (g *Gateway) runDirectiveOutcomes(out []directives.Effect) {
+	for _, effect := range out {
+		switch outcome := effect.(type) {
 		case directives.Send:
 			channel := ChannelConsensus
 			if outcome.Channel == directives.ChannelState {
@@ -185,7 +185,7 @@
 	}
 	state.lastCommand++
 	state.waiting[state.lastCommand] = conn
-	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, RequestID: state.lastCommand}))
+	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Propose{RequestID: state.lastCommand, Command: command}))
 }
 
 func (g *Gateway) answerProposal(ask, index uint64, err error) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -308,7 +308,7 @@
 		g.voterOpened(event.VoterState)
 	case VoterLogPersisted:
 		if g.directives != nil {
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: event.Err == nil}))
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Persisted{OK: event.Err == nil}))
 		}
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -110,7 +110,7 @@
 			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: notice.Name}, Data: event.Data})
 		case g.directives == nil:
 		case notice.Channel == ChannelConsensus:
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Received, From: notice.Name, Data: event.Data}))
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Received{From: notice.Name, Data: event.Data}))
 		case notice.Channel == ChannelDirectives:
 			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, notice.Name, event.Data))
 		}
