--- a/internal/directives/wal/wal_test.go
+++ b/internal/directives/wal/wal_test.go
@@ -21,77 +21,81 @@
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
 }
 
-// entryTexts is what is kept, for comparison.
-func entryTexts(k directives.PersistedState) (out []string) {
-	for _, e := range k.Entries {
+func snapshot(text string, index, term uint64) *pb.Snapshot {
+	return &pb.Snapshot{Data: []byte(text), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(term)}}
+}
+
+// entryTexts returns the texts of the entries, for comparison.
+func entryTexts(s directives.PersistedState) (out []string) {
+	for _, e := range s.Entries {
 		out = append(out, string(e.GetData()))
 	}
 	return out
 }
 
-// What was kept is there after every kind of end; two processes can't have one folder; a folder is made a voter's once.
-func TestPersistAndOpen(t *testing.T) {
-	folder := t.TempDir()
-	if err := Init(folder); err != nil {
+// openNew returns the log of a voter that was just made, and its directory.
+func openNew(t *testing.T) (dir string, l *Log) {
+	t.Helper()
+	dir = t.TempDir()
+	if err := Init(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := Init(folder); !errors.Is(err, ErrExists) {
-		t.Errorf("made twice: %v", err)
+	l, state, err := Open(dir)
+	if err != nil || !state.Initialized {
+		t.Fatalf("%v, %+v", err, state)
 	}
-	l, kept, err := Open(folder)
-	if err != nil || !kept.Initialized {
-		t.Fatalf("%v, %+v", err, kept)
+	return dir, l
+}
+
+// persist writes a batch that must not fail.
+func persist(t *testing.T, l *Log, b directives.Batch) {
+	t.Helper()
+	if err := l.Persist(b); err != nil {
+		t.Fatal(err)
 	}
-	if _, _, err := Open(folder); !errors.Is(err, ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+}
+
+// What was persisted is there after every kind of end; two processes can't open one directory; Init refuses a directory that has a log.
+func TestPersistAndOpen(t *testing.T) {
+	dir, l := openNew(t)
+	if err := Init(dir); !errors.Is(err, ErrExists) {
+		t.Errorf("a second Init: %v", err)
+	}
+	if _, _, err := Open(dir); !errors.Is(err, ErrLocked) {
+		t.Errorf("a second Open: %v", err)
 	}
 	for _, b := range []directives.Batch{{HardState: hardState(2, 1, 1), Entries: []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b")}},
 		{Entries: []*pb.Entry{entry(3, 3, "c"), entry(4, 3, "d")}}, {HardState: hardState(3, 2, 4)}} {
-		if err := l.Persist(b); err != nil {
-			t.Fatal(err)
-		}
+		persist(t, l, b)
 	}
 	l.Close()
-	if l, kept, err = Open(folder); err != nil || !reflect.DeepEqual(entryTexts(kept), []string{"a", "c", "d"}) || kept.HardState.GetTerm() != 3 || kept.HardState.GetVote() != 2 {
-		t.Fatalf("%v, %v, %v", err, entryTexts(kept), kept.HardState)
-	}
-	snap := &pb.Snapshot{Data: []byte("book"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(4), Term: proto.Uint64(3)}}
-	if err := l.Persist(directives.Batch{HardState: hardState(3, 2, 4), Snapshot: snap, Entries: []*pb.Entry{entry(5, 3, "e")}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := l.Persist(directives.Batch{Entries: []*pb.Entry{entry(6, 3, "f")}}); err != nil {
-		t.Fatal(err)
+	l, state, err := Open(dir)
+	if err != nil || !reflect.DeepEqual(entryTexts(state), []string{"a", "c", "d"}) || state.HardState.GetTerm() != 3 || state.HardState.GetVote() != 2 {
+		t.Fatalf("%v, %v, %v", err, entryTexts(state), state.HardState)
 	}
+	persist(t, l, directives.Batch{HardState: hardState(3, 2, 4), Snapshot: snapshot("state", 4, 3), Entries: []*pb.Entry{entry(5, 3, "e")}})
+	persist(t, l, directives.Batch{Entries: []*pb.Entry{entry(6, 3, "f")}})
 	l.Close()
-	l, kept, err = Open(folder)
-	if err != nil || !kept.Initialized || string(kept.Snapshot.GetData()) != "book" || !reflect.DeepEqual(entryTexts(kept), []string{"e", "f"}) {
-		t.Errorf("%v, %+v, %v", err, kept, entryTexts(kept))
+	l, state, err = Open(dir)
+	if err != nil || !state.Initialized || string(state.Snapshot.GetData()) != "state" || !reflect.DeepEqual(entryTexts(state), []string{"e", "f"}) {
+		t.Fatalf("%v, %+v, %v", err, state, entryTexts(state))
 	}
 	l.Close()
-	empty, kept, err := Open(t.TempDir())
-	if err != nil || kept.Initialized {
-		t.Errorf("a folder that nobody made a voter's: %v, %+v", err, kept)
-	} else {
-		empty.Close()
+	empty, state, err := Open(t.TempDir())
+	if err != nil || state.Initialized {
+		t.Fatalf("a directory without Init: %v, %+v", err, state)
 	}
+	empty.Close()
 }
 
-// Cut at any byte the log opens with what was whole; a byte changed before the end is damage, or cuts nothing that was kept before it.
+// Cut at any byte, the log opens with the records that were complete. A changed byte before the end is reported with its place, and
+// loses nothing that was persisted before it.
 func TestEveryByte(t *testing.T) {
-	folder := t.TempDir()
-	if err := Init(folder); err != nil {
-		t.Fatal(err)
-	}
-	l, _, err := Open(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	path := filepath.Join(folder, fileName)
+	dir, l := openNew(t)
+	path := filepath.Join(dir, fileName)
 	ends := map[int]int{}
 	for i, text := range []string{"one", "two", "three"} {
-		if err := l.Persist(directives.Batch{Entries: []*pb.Entry{entry(uint64(i+2), 2, text)}}); err != nil {
-			t.Fatal(err)
-		}
+		persist(t, l, directives.Batch{Entries: []*pb.Entry{entry(uint64(i+2), 2, text)}})
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
@@ -103,91 +107,82 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := 0
+	complete := 0
 	for n := len(magic); n <= len(raw); n++ {
 		if k, ok := ends[n]; ok {
-			whole = k
+			complete = k
 		}
-		kept, _, err := Decode(raw[:n])
-		if err != nil || len(kept.Entries) != whole {
-			t.Fatalf("cut at %d of %d: %v, %d entries, %d were whole", n, len(raw), err, len(kept.Entries), whole)
+		state, _, err := Decode(raw[:n])
+		if err != nil || len(state.Entries) != complete {
+			t.Fatalf("cut at %d of %d: %v, %d entries, %d were complete", n, len(raw), err, len(state.Entries), complete)
 		}
 	}
 	for i := range raw {
 		bad := append([]byte(nil), raw...)
 		bad[i] ^= 0x10
-		kept, _, err := Decode(bad)
-		for j, text := range entryTexts(kept) {
+		state, _, err := Decode(bad)
+		for j, text := range entryTexts(state) {
 			if want := []string{"one", "two", "three"}[j]; text != want {
 				t.Fatalf("byte %d changed: entry %d is %q", i, j, text)
 			}
 		}
-		if err == nil && len(kept.Entries) == 3 && kept.Initialized {
+		if err == nil && len(state.Entries) == 3 && state.Initialized {
 			t.Fatalf("byte %d changed, and nobody noticed", i)
 		}
+		var corrupt *CorruptError
+		if err != nil && !errors.Is(err, ErrNotLog) && (!errors.As(err, &corrupt) || !errors.Is(err, ErrCorrupt) || corrupt.Offset > i) {
+			t.Fatalf("byte %d changed: %v", i, err)
+		}
 	}
 }
 
-// A disk that fails is told.
+// Persist reports a disk that fails.
 func TestDiskFails(t *testing.T) {
-	folder := t.TempDir()
-	l, _, err := Open(folder)
-	if err != nil {
+	_, l := openNew(t)
+	if err := l.file.Close(); err != nil {
 		t.Fatal(err)
 	}
-	l.file.Close()
-	if l.Persist(directives.Batch{HardState: hardState(2, 1, 1)}) == nil {
-		t.Error("kept on a file that is closed")
+	if err := l.Persist(directives.Batch{HardState: hardState(2, 1, 1)}); !errors.Is(err, os.ErrClosed) {
+		t.Errorf("persisted on a file that is closed: %v", err)
 	}
-	l.lock.Close()
+	l.Close()
 }
 
-// After a write that failed half way, and after a snapshot's file took the old one's place unnoticed, the log is repaired:
-// what was kept before is there, what failed is kept when it is given again, and nothing else is.
+// After a write that failed half way, and after a snapshot's file replaced the old one though Persist failed behind that, the log can be
+// repaired: what was persisted before is there, what failed is there once it is persisted again, and nothing else is.
 func TestRepair(t *testing.T) {
-	folder := t.TempDir()
-	if err := Init(folder); err != nil {
+	dir, l := openNew(t)
+	persist(t, l, directives.Batch{Entries: []*pb.Entry{entry(2, 2, "a")}})
+	writable := l.file
+	var err error
+	if l.file, err = os.Open(filepath.Join(dir, fileName)); err != nil { // takes no writes
 		t.Fatal(err)
 	}
-	l, _, err := Open(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	keep := func(b directives.Batch) {
-		t.Helper()
-		if err := l.Persist(b); err != nil {
-			t.Fatal(err)
-		}
-	}
-	keep(directives.Batch{Entries: []*pb.Entry{entry(2, 2, "a")}})
-	whole := l.file
-	if l.file, err = os.Open(filepath.Join(folder, fileName)); err != nil { // takes no writes
-		t.Fatal(err)
-	}
-	if _, err := whole.Write([]byte("half a record")); err != nil {
+	if _, err := writable.Write([]byte("half a record")); err != nil {
 		t.Fatal(err)
 	}
 	b := directives.Batch{Entries: []*pb.Entry{entry(3, 2, "b")}}
 	if l.Persist(b) == nil {
-		t.Fatal("kept on a file that takes no writes")
+		t.Fatal("persisted on a file that takes no writes")
 	}
 	if err := l.Repair(); err != nil {
 		t.Fatal(err)
 	}
-	keep(b)
-	snap := &pb.Snapshot{Data: []byte("book"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(2)}}
-	if err := replaceFile(folder, append(append([]byte(magic), encodeRecord(recordInitialized, nil)...), encodedSnapshot(t, snap)...)); err != nil { // and the rest of Keep failed
+	persist(t, l, b)
+	if err := replaceFile(dir, newLog(encodedSnapshot(t, snapshot("state", 3, 2)))); err != nil { // and the rest of Persist failed
 		t.Fatal(err)
 	}
 	if err := l.Repair(); err != nil {
 		t.Fatal(err)
 	}
-	keep(directives.Batch{Entries: []*pb.Entry{entry(4, 2, "c")}})
-	whole.Close()
+	persist(t, l, directives.Batch{Entries: []*pb.Entry{entry(4, 2, "c")}})
+	if err := writable.Close(); err != nil {
+		t.Error(err)
+	}
 	l.Close()
-	l, kept, err := Open(folder)
-	if err != nil || string(kept.Snapshot.GetData()) != "book" || !reflect.DeepEqual(entryTexts(kept), []string{"c"}) {
-		t.Fatalf("%v, %v, %v", err, kept.Snapshot, entryTexts(kept))
+	l, state, err := Open(dir)
+	if err != nil || string(state.Snapshot.GetData()) != "state" || !reflect.DeepEqual(entryTexts(state), []string{"c"}) {
+		t.Fatalf("%v, %v, %v", err, state.Snapshot, entryTexts(state))
 	}
 	l.Close()
 }
