--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,18 +1,14 @@
-// Package members owns who else is there: membership by gossip (hashicorp/memberlist, SWIM) behind an interface of our own, and
-// the datagrams among members. It tells of who comes and goes and hands over what they say, in order, through a ring that is
-// bounded: when it is full, what members say is lost, and counted, and nobody waits. It must never decide anything, look into what it
-// carries, or keep serving waiting.
+// Package members owns membership: which other gateways are there, by gossip (hashicorp/memberlist, SWIM), and the datagrams among them. It
+// reports who joins and leaves and hands over messages, in order, through a bounded queue: when the queue is full, messages are dropped and
+// counted, and nobody waits. The package decides nothing, does not look into what it carries, and never blocks request serving.
 //
-// There are no keys and there is no encryption: address sets say who may speak, and that is all. Run it on a network that is the
-// operators' own. A sender's name is claimed, not proven.
+// There are no keys and there is no encryption: a set of addresses says who may connect, and that is all. It is for a network of the
+// operators' own. The name of a sender is claimed, not proven.
 package members
 
 import (
 	"errors"
 	"fmt"
-	"io"
-
-	"log"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -28,25 +24,25 @@
 type Settings struct {
 	Name          string
 	Zone          string
-	Bind          netip.AddrPort                    // UDP and TCP; also what is told to others
+	Bind          netip.AddrPort                    // for UDP and TCP, as others reach it
 	Seeds         []netip.AddrPort                  // members that are tried first
-	Allowed       *netipx.IPSet                     // addresses that may speak; nil: any
-	DialAddrs     map[netip.AddrPort]netip.AddrPort // addresses that are reached by others, as behind a translation
-	QueueSize     int                               // events that wait
-	FastDetection bool                              // for links of a millisecond: failures are told sooner
+	Allowed       *netipx.IPSet                     // addresses that are accepted; nil: any
+	DialAddrs     map[netip.AddrPort]netip.AddrPort // by the address that a member announces: where it is reached, as behind a NAT
+	QueueSize     int                               // events; 0: defaultQueueSize
+	FastDetection bool                              // for links of a millisecond: failures are detected sooner
 }
 
 const (
 	defaultQueueSize   = 1024
 	maxName            = 64
-	maxDatagram        = 1400 // bytes of a datagram: what memberlist carries whole
+	maxDatagram        = 1400 // bytes that memberlist sends as one packet
 	maxReliableMessage = 64 << 10
 	minRejoinDelay     = 500 * time.Millisecond
 	maxRejoinDelay     = 15 * time.Second
 	leaveTimeout       = 300 * time.Millisecond
 )
 
-// Validate says what can't be used.
+// Validate returns an error that names the first setting that can't be used.
 func (s Settings) Validate() error {
 	switch {
 	case s.Name == "" || len(s.Name) > maxName || len(s.Zone) > maxName:
@@ -61,18 +57,22 @@
 	return nil
 }
 
-// ErrListen is returned where the address can't be listened on, which may be so for a moment only.
-var ErrListen = errors.New("members: can't listen")
+// Errors of Start and Send.
+var (
+	ErrListen   = errors.New("members: can't listen") // may pass: another process may be about to release the address
+	ErrNoMember = errors.New("members: no member")
+	ErrTooLarge = errors.New("members: message too large")
+)
 
-// Kind is what an Event tells.
+// Kind is what an Event reports.
 type Kind int
 
 // Kinds of events.
 const (
 	Joined       Kind = iota + 1
 	Left              // it has left, or is held to be dead
-	Received          // Data came on Channel
-	NameConflict      // another process has a member's name: Name, Text
+	Received          // Data arrived on Channel
+	NameConflict      // another process has the name of a member; Text names the addresses of both
 )
 
 // Event is something that happened.
@@ -86,94 +86,96 @@
 	Text    string
 }
 
-// Membership is one member.
+// Membership is this process as a member.
 type Membership struct {
 	settings Settings
 	list     *memberlist.Memberlist
 	queue    chan Event
-	notify   func() // called when something was put into the ring
+	notify   func() // called when something was put into the queue
 	done     chan struct{}
-	wg       sync.WaitGroup
+	wg       sync.WaitGroup // the goroutine of rejoin
 	mu       sync.Mutex
 	nodes    map[string]*memberlist.Node
 	stats    struct{ dropped, bytesSent, bytesReceived, rejected atomic.Int64 }
 }
 
-// Stats are counts since the start.
+// Stats are counts since the start, and the number of members now.
 type Stats struct {
 	Members       int
-	Dropped       int64 // events that found the ring full
-	BytesSent     int64 // bytes
+	Dropped       int64 // events that found the queue full
+	BytesSent     int64
 	BytesReceived int64
-	Rejected      int64 // packets and connections of addresses that may not speak
+	Rejected      int64 // packets and connections of addresses that are not allowed
 }
 
-// Start begins to look for others. ready is called, from any goroutine, when Take has something.
-func Start(set Settings, ready func()) (*Membership, error) {
-	if err := set.Validate(); err != nil {
+// Start joins the members, and goes on to look for them until Close. Notify is called, from any goroutine, when Next has something.
+func Start(settings Settings, notify func()) (*Membership, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	if set.QueueSize <= 0 {
-		set.QueueSize = defaultQueueSize
+	if settings.QueueSize <= 0 {
+		settings.QueueSize = defaultQueueSize
 	}
-	m := &Membership{settings: set, queue: make(chan Event, set.QueueSize), notify: ready, done: make(chan struct{}), nodes: map[string]*memberlist.Node{}}
-	quiet := log.New(io.Discard, "", 0)
-	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{set.Bind.Addr().String()},
-		BindPort: int(set.Bind.Port()), Logger: quiet})
+	m := &Membership{settings: settings, queue: make(chan Event, settings.QueueSize), notify: notify, done: make(chan struct{}),
+		nodes: map[string]*memberlist.Node{}}
+	t, err := listen(settings, &m.stats.rejected)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrListen, err)
+		return nil, err
+	}
+	if m.list, err = memberlist.Create(m.config(t)); err != nil {
+		_ = t.Shutdown() // it reports nothing
+		return nil, fmt.Errorf("members: start at %s: %w", settings.Bind, err)
 	}
-	t := newTransport(inner, set, &m.stats.rejected)
+	m.wg.Go(m.rejoin)
+	return m, nil
+}
+
+// config is memberlist's own defaults for a local network, but for what is said here.
+func (m *Membership) config(t *transport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	if set.FastDetection {
+	if m.settings.FastDetection {
 		c.ProbeInterval, c.ProbeTimeout = 300*time.Millisecond, 150*time.Millisecond
 		c.SuspicionMult, c.GossipInterval, c.PushPullInterval = 3, 200*time.Millisecond, 5*time.Second
 		c.TCPTimeout = time.Second
 	}
-	c.Name, c.Transport, c.Logger, c.LogOutput = set.Name, t, quiet, nil
-	c.BindAddr, c.BindPort = set.Bind.Addr().String(), int(set.Bind.Port())
+	c.Name, c.Transport, c.Logger, c.LogOutput = m.settings.Name, t, discardLogger(), nil
+	c.BindAddr, c.BindPort = m.settings.Bind.Addr().String(), int(m.settings.Bind.Port())
 	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
 	c.Delegate, c.Events, c.Conflict = delegate{m}, events{m}, conflicts{m}
 	c.EnableCompression, c.UDPBufferSize = false, maxDatagram+128
-	c.DeadNodeReclaimTime = time.Second // a process that comes back at another address has its name again
-	if m.list, err = memberlist.Create(c); err != nil {
-		_ = inner.Shutdown()
-		return nil, fmt.Errorf("members: %w", err)
-	}
-	m.wg.Add(1)
-	go m.rejoin()
-	return m, nil
+	c.DeadNodeReclaimTime = time.Second // a process that returns at another address has its name again
+	return c
 }
 
-// rejoin looks for seeds: again and again while alone, and now and then for those that a partition has cut off.
+// rejoin looks for seeds that are not among the members: often while there is no member at all, and now and then for those that a partition
+// has cut off.
 func (m *Membership) rejoin() {
-	defer m.wg.Done()
-	wait := minRejoinDelay
+	delay := minRejoinDelay
 	for {
 		if seeds := m.missingSeeds(); len(seeds) > 0 {
 			if n, _ := m.list.Join(seeds[:1]); n > 0 {
-				wait = minRejoinDelay
+				delay = minRejoinDelay
 			}
 		}
-		if wait = min(2*wait, maxRejoinDelay); m.list.NumMembers() == 1 {
-			wait = min(wait, 4*minRejoinDelay)
+		if delay = min(2*delay, maxRejoinDelay); m.list.NumMembers() == 1 {
+			delay = min(delay, 4*minRejoinDelay)
 		}
 		select {
 		case <-m.done:
 			return
-		case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(wait))):
+		case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(delay))):
 		}
 	}
 }
 
-// missingSeeds are seeds that are not among the members, in any order.
+// missingSeeds are the seeds that are not among the members, in random order.
 func (m *Membership) missingSeeds() (seeds []string) {
-	there := map[string]bool{m.settings.Bind.String(): true}
+	present := map[string]bool{m.settings.Bind.String(): true}
 	for _, n := range m.list.Members() {
-		there[netip.AddrPortFrom(addrOf(n.Addr), n.Port).String()] = true
+		present[netip.AddrPortFrom(addrOf(n.Addr), n.Port).String()] = true
 	}
 	for _, i := range rand.Perm(len(m.settings.Seeds)) {
-		if s := m.settings.Seeds[i].String(); !there[s] {
+		if s := m.settings.Seeds[i].String(); !present[s] {
 			seeds = append(seeds, s)
 		}
 	}
@@ -185,8 +187,8 @@
 	return a.Unmap()
 }
 
-// enqueue adds an event. What members say gives way where there is no room; who comes and goes must not be lost, and
-// takes the place of something older.
+// enqueue adds an event. A message is dropped if the queue is full. Any other event must not be lost: it displaces older ones until there is
+// room.
 func (m *Membership) enqueue(e Event) {
 	for {
 		select {
@@ -200,17 +202,14 @@
 			return
 		}
 		select {
-		case old := <-m.queue:
+		case <-m.queue:
 			m.stats.dropped.Add(1)
-			if old.Kind != Received { // the newest of it counts
-				continue
-			}
 		default:
 		}
 	}
 }
 
-// Next returns the next event, if there is one.
+// Next returns the next event; ok is false if there is none.
 func (m *Membership) Next() (e Event, ok bool) {
 	select {
 	case e = <-m.queue:
@@ -220,88 +219,42 @@
 	}
 }
 
-// Send sends something to a member: a datagram, or over a connection where it is larger than one, for which it waits. It may be
-// lost; to one that is not there it is.
+// Send sends a message to a member: as a datagram, or over a connection if it is larger than one, for which it waits. Delivery is not
+// guaranteed.
 func (m *Membership) Send(to string, channel byte, data []byte) error {
 	if len(data) > maxReliableMessage {
-		return fmt.Errorf("members: %d bytes are more than is sent at once", len(data))
+		return fmt.Errorf("%w: %d bytes to %q, over %d", ErrTooLarge, len(data), to, maxReliableMessage)
 	}
 	m.mu.Lock()
 	n := m.nodes[to]
 	m.mu.Unlock()
 	if n == nil {
-		return fmt.Errorf("members: no member %q", to)
+		return fmt.Errorf("%w %q", ErrNoMember, to)
 	}
 	msg := make([]byte, 0, 2+len(m.settings.Name)+len(data))
 	msg = append(msg, channel, byte(len(m.settings.Name)))
 	msg = append(append(msg, m.settings.Name...), data...)
 	m.stats.bytesSent.Add(int64(len(msg)))
+	send := m.list.SendBestEffort
 	if len(msg) > maxDatagram {
-		return m.list.SendReliable(n, msg)
+		send = m.list.SendReliable
 	}
-	return m.list.SendBestEffort(n, msg)
+	if err := send(n, msg); err != nil {
+		return fmt.Errorf("members: send to %q at %s: %w", to, n.Address(), err)
+	}
+	return nil
 }
 
-// Stats tells what was done since the start.
+// Stats returns the counts since the start.
 func (m *Membership) Stats() Stats {
-	return Stats{Members: m.list.NumMembers(), Dropped: m.stats.dropped.Load(), BytesSent: m.stats.bytesSent.Load(), BytesReceived: m.stats.bytesReceived.Load(),
-		Rejected: m.stats.rejected.Load()}
+	return Stats{Members: m.list.NumMembers(), Dropped: m.stats.dropped.Load(), BytesSent: m.stats.bytesSent.Load(),
+		BytesReceived: m.stats.bytesReceived.Load(), Rejected: m.stats.rejected.Load()}
 }
 
-// Close leaves, within a bounded time, and ends all that runs here.
+// Close leaves the members, for which it waits at most leaveTimeout, and ends all goroutines. It must be called once.
 func (m *Membership) Close() {
 	close(m.done)
-	_ = m.list.Leave(leaveTimeout)
-	_ = m.list.Shutdown()
+	_ = m.list.Leave(leaveTimeout) // a timeout: the others detect the failure instead
+	_ = m.list.Shutdown()          // it reports nothing
 	m.wg.Wait()
 }
-
-// ---- what memberlist calls
-
-type delegate struct{ m *Membership }
-
-func (d delegate) NodeMeta(int) []byte { return []byte(d.m.settings.Zone) }
-
-func (d delegate) NotifyMsg(msg []byte) {
-	if len(msg) < 2 || len(msg) < 2+int(msg[1]) {
-		return
-	}
-	d.m.stats.bytesReceived.Add(int64(len(msg)))
-	end := 2 + int(msg[1])
-	d.m.enqueue(Event{Kind: Received, Channel: msg[0], Name: string(msg[2:end]), Data: append([]byte(nil), msg[end:]...)})
-}
-
-func (delegate) GetBroadcasts(int, int) [][]byte { return nil }
-func (delegate) LocalState(bool) []byte          { return nil }
-func (delegate) MergeRemoteState([]byte, bool)   {}
-
-type events struct{ m *Membership }
-
-func (e events) NotifyJoin(n *memberlist.Node) {
-	if n.Name == e.m.settings.Name {
-		return
-	}
-	e.m.mu.Lock()
-	e.m.nodes[n.Name] = n
-	e.m.mu.Unlock()
-	e.m.enqueue(Event{Kind: Joined, Name: n.Name, Zone: string(n.Meta), Addr: netip.AddrPortFrom(addrOf(n.Addr), n.Port)})
-}
-
-func (e events) NotifyLeave(n *memberlist.Node) {
-	if n.Name == e.m.settings.Name {
-		return
-	}
-	e.m.mu.Lock()
-	delete(e.m.nodes, n.Name)
-	e.m.mu.Unlock()
-	e.m.enqueue(Event{Kind: Left, Name: n.Name})
-}
-
-func (e events) NotifyUpdate(n *memberlist.Node) { e.NotifyJoin(n) }
-
-type conflicts struct{ m *Membership }
-
-// NotifyConflict: a name comes twice. The first one stays; it is told, not believed.
-func (c conflicts) NotifyConflict(has, other *memberlist.Node) {
-	c.m.enqueue(Event{Kind: NameConflict, Name: other.Name, Text: fmt.Sprintf("%s and %s", has.Address(), other.Address())})
-}
