--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -181,7 +181,7 @@
 	return ""
 }
 
-// A command holds at all voters; a minority takes none and keeps what it has; healed, all have the same.
+// A command is applied by all voters. A minority commits none and retains its state; once the links work again, all have the same state.
 func TestQuorum(t *testing.T) {
 	p := newTestCluster(t, 3, 1)
 	p.run(4 * second)
@@ -221,7 +221,7 @@
 
 var schedules = flag.Int("schedules", 40, "random schedules that are played")
 
-// Whatever crashes, is cut off, or loses: a command that was answered as holding holds, and states of one index are the same.
+// Through crashes, cut links and losses, a command that was answered as committed is applied everywhere, and states of one index are the same.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	acknowledged := 0
 	defer func() {
@@ -273,7 +273,7 @@
 	}
 }
 
-// A voter whose disk is an old copy of itself, or is gone, listens before it votes, and has all again in the end.
+// A voter whose disk is an old copy of itself, or is gone, listens before it votes, and holds all directives again in the end.
 func TestVoterThatForgot(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		p := newTestCluster(t, 3, 5)
@@ -292,7 +292,7 @@
 		p.start(who)
 		p.run(25 * second)
 		if got := len(p.voters[who].state.Directives); got != 8 {
-			t.Errorf("gone %v: it holds %d of 8 directives; told: %v", gone, got, p.logged)
+			t.Errorf("gone %v: it holds %d of 8 directives; logged: %v", gone, got, p.logged)
 		}
 		if p.voters[who].Status().Listens {
 			t.Errorf("gone %v: it still listens", gone)
@@ -306,9 +306,9 @@
 	}
 }
 
-// A disk that fails, of a voter that leads and of one that does not: the voter says nothing that rests on it, answers
-// that it is broken, and is back after a restart. What was asked of a leader in that moment may be lost with it; asked
-// again it holds.
+// When the disk of a voter fails, be it the leader or not, the voter sends nothing that rests on it, answers proposals with ErrDiskFailed, and
+// takes part again after a restart. A command that was proposed to a leader at that moment may be lost with it; proposed again it is
+// committed.
 func TestDiskFails(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		p := newTestCluster(t, 3, 2)
@@ -337,7 +337,7 @@
 			t.Errorf("leads %v: two voters with disks take no command", leads)
 		}
 		if !p.voters[bad].Status().Broken {
-			t.Fatalf("leads %v: the third does not say that its disk failed", leads)
+			t.Fatalf("leads %v: the third does not report that its disk failed", leads)
 		}
 		p.propose(bad, testCommand(2))
 		if !p.failed["c2"] {
@@ -353,7 +353,7 @@
 	}
 }
 
-// Long logs are compacted, and one that was away long takes a snapshot.
+// Long logs are compacted, and a voter that was down for long receives a snapshot.
 func TestSnapshots(t *testing.T) {
 	p := newTestCluster(t, 3, 4)
 	p.run(3 * second)
@@ -364,7 +364,7 @@
 	}
 	for n, d := range p.disks {
 		if len(d.state.Entries) > 2*compactThreshold {
-			t.Errorf("%s keeps %d entries", n, len(d.state.Entries))
+			t.Errorf("%s retains %d entries", n, len(d.state.Entries))
 		}
 	}
 	p.start("v1")
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -9,54 +9,13 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/hashicorp/memberlist"
-	"go4.org/netipx"
 )
 
-// Settings are how a member finds others.
-type Settings struct {
-	Name          string
-	Zone          string
-	Bind          netip.AddrPort                    // for UDP and TCP, as others reach it
-	Seeds         []netip.AddrPort                  // members that are tried first
-	Allowed       *netipx.IPSet                     // addresses that are accepted; nil: any
-	DialAddrs     map[netip.AddrPort]netip.AddrPort // by the address that a member announces: where it is reached, as behind a NAT
-	QueueSize     int                               // events; 0: defaultQueueSize
-	FastDetection bool                              // for links of a millisecond: failures are detected sooner
-}
-
-const (
-	defaultQueueSize   = 1024
-	maxName            = 64
-	maxDatagram        = 1400 // bytes that memberlist sends as one packet
-	maxReliableMessage = 64 << 10
-	minRejoinDelay     = 500 * time.Millisecond
-	maxRejoinDelay     = 15 * time.Second
-	leaveTimeout       = 300 * time.Millisecond
-)
-
-// Validate returns an error that names the first setting that can't be used.
-func (s Settings) Validate() error {
-	switch {
-	case s.Name == "" || len(s.Name) > maxName || len(s.Zone) > maxName:
-		return fmt.Errorf("members: name %q must have 1 to %d bytes, zone %q at most that", s.Name, maxName, s.Zone)
-	case !s.Bind.IsValid() || s.Bind.Port() == 0:
-		return errors.New("members: bind must be an address with a port")
-	case s.Bind.Addr().IsUnspecified():
-		return errors.New("members: bind must be one address, which others are told")
-	case s.Allowed != nil && !s.Allowed.Contains(s.Bind.Addr()):
-		return fmt.Errorf("members: %s itself is not among the addresses that may speak", s.Bind.Addr())
-	}
-	return nil
-}
-
 // Errors of Start and Send.
 var (
 	ErrListen   = errors.New("members: can't listen") // may pass: another process may be about to release the address
@@ -130,63 +89,6 @@
 	return m, nil
 }
 
-// config is memberlist's own defaults for a local network, but for what is said here.
-func (m *Membership) config(t *transport) *memberlist.Config {
-	c := memberlist.DefaultLANConfig()
-	if m.settings.FastDetection {
-		c.ProbeInterval, c.ProbeTimeout = 300*time.Millisecond, 150*time.Millisecond
-		c.SuspicionMult, c.GossipInterval, c.PushPullInterval = 3, 200*time.Millisecond, 5*time.Second
-		c.TCPTimeout = time.Second
-	}
-	c.Name, c.Transport, c.Logger, c.LogOutput = m.settings.Name, t, discardLogger(), nil
-	c.BindAddr, c.BindPort = m.settings.Bind.Addr().String(), int(m.settings.Bind.Port())
-	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
-	c.Delegate, c.Events, c.Conflict = delegate{m}, events{m}, conflicts{m}
-	c.EnableCompression, c.UDPBufferSize = false, maxDatagram+128
-	c.DeadNodeReclaimTime = time.Second // a process that returns at another address has its name again
-	return c
-}
-
-// rejoin looks for seeds that are not among the members: often while there is no member at all, and now and then for those that a partition
-// has cut off.
-func (m *Membership) rejoin() {
-	delay := minRejoinDelay
-	for {
-		if seeds := m.missingSeeds(); len(seeds) > 0 {
-			if n, _ := m.list.Join(seeds[:1]); n > 0 {
-				delay = minRejoinDelay
-			}
-		}
-		if delay = min(2*delay, maxRejoinDelay); m.list.NumMembers() == 1 {
-			delay = min(delay, 4*minRejoinDelay)
-		}
-		select {
-		case <-m.done:
-			return
-		case <-time.After(time.Duration((0.5 + rand.Float64()) * float64(delay))):
-		}
-	}
-}
-
-// missingSeeds are the seeds that are not among the members, in random order.
-func (m *Membership) missingSeeds() (seeds []string) {
-	present := map[string]bool{m.settings.Bind.String(): true}
-	for _, n := range m.list.Members() {
-		present[netip.AddrPortFrom(addrOf(n.Addr), n.Port).String()] = true
-	}
-	for _, i := range rand.Perm(len(m.settings.Seeds)) {
-		if s := m.settings.Seeds[i].String(); !present[s] {
-			seeds = append(seeds, s)
-		}
-	}
-	return seeds
-}
-
-func addrOf(ip net.IP) netip.Addr {
-	a, _ := netip.AddrFromSlice(ip)
-	return a.Unmap()
-}
-
 // enqueue adds an event. A message is dropped if the queue is full. Any other event must not be lost: it displaces older ones until there is
 // room.
 func (m *Membership) enqueue(e Event) {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -20,7 +20,7 @@
 	start  = 1000 * second
 )
 
-// longMaxAge is how old copies may get in tests: those that compare copies end before any is old.
+// longMaxAge lets no copy expire in tests that compare copies.
 var longMaxAge = func() (k [KindCount]rules.Time) {
 	for i := range k {
 		k[i] = 50 * second
@@ -28,7 +28,7 @@
 	return k
 }()
 
-// testCluster is some members that know one another.
+// testCluster is members that know one another, on a simulated network.
 type testCluster struct {
 	*emulator.DatagramNetwork
 	members map[string]*emulator.ReplicaMember
@@ -36,9 +36,9 @@
 
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func settingsOf(i int, life uint64) Settings {
+func settingsOf(i int, incarnation uint64) Settings {
 	s := Defaults()
-	s.Name, s.Zone, s.Incarnation, s.Seed = memberName(i), fmt.Sprint("hall-", i%3), life, uint64(i)*7919+life
+	s.Name, s.Zone, s.Incarnation, s.Seed = memberName(i), fmt.Sprint("hall-", i%3), incarnation, uint64(i)*7919+incarnation
 	s.MaxAge = longMaxAge
 	return s
 }
@@ -51,9 +51,9 @@
 	return c
 }
 
-// start starts a member, or starts it again: all hear of it, and it of all.
-func (c *testCluster) start(i int, life uint64) {
-	s := settingsOf(i, life)
+// start starts a member, or starts it again: all others and it are notified of each other.
+func (c *testCluster) start(i int, incarnation uint64) {
+	s := settingsOf(i, incarnation)
 	m := &emulator.ReplicaMember{Replica: New(s, c.Now)}
 	for _, n := range c.Names() {
 		if o := c.members[n]; n != s.Name && o != nil {
@@ -65,11 +65,16 @@
 	c.Add(s.Name, m)
 }
 
+// partition splits the members into groups by the last digit of their names.
+func (c *testCluster) partition(groups int) {
+	c.Partition(func(name string) int { return int(name[len(name)-1]) % groups })
+}
+
 func (c *testCluster) put(i int, k Kind, subject uint64, v float32) {
 	c.members[memberName(i)].Replica.Put(c.Now, Key{Kind: k, Subject: subject}, Value{v})
 }
 
-// countKnowing answers how many members hold a value of a member's.
+// countKnowing returns how many members hold a value that a member has written.
 func (c *testCluster) countKnowing(of int, k Kind, subject uint64, v float32) (n int) {
 	for _, m := range c.members {
 		m.Replica.Each(k, func(origin string, e *Entry) {
@@ -81,11 +86,11 @@
 	return n
 }
 
-// checkAgreement answers which two members hold differing copies, by life, counter and value.
+// checkAgreement returns an error that names two members whose copies differ in incarnation, counter or value.
 func (c *testCluster) checkAgreement() error {
 	type held struct {
-		life, counter uint64
-		value         Value
+		incarnation, counter uint64
+		value                Value
 	}
 	var first map[string]held
 	for _, n := range c.Names() {
@@ -110,7 +115,7 @@
 	return nil
 }
 
-// News reach all, through losses, delays, doubles and the wrong order.
+// Updates reach all members despite losses, delays, duplicates and reordering.
 func TestUpdatesReachAll(t *testing.T) {
 	for _, m := range []emulator.DatagramModel{{MinDelay: ms, MaxDelay: 5 * ms}, {Loss: 0.3, Duplicate: 0.2, MinDelay: ms, MaxDelay: 300 * ms}} {
 		c := newTestCluster(5, m, 3)
@@ -123,25 +128,25 @@
 	}
 }
 
-// Late messages, partitions into two and three, one-way cuts and a member that starts anew: once ways are whole all copies agree.
+// After late messages, partitions into two and three, one-way cuts and restarts, all copies agree once the links work again.
 func TestCopiesAgreeAfterHealing(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		c := newTestCluster(6, emulator.DatagramModel{Loss: 0.2, Duplicate: 0.1, MinDelay: ms, MaxDelay: 2 * second}, seed)
-		lives := map[int]uint64{}
+		incarnations := map[int]uint64{}
 		for range 12 {
 			switch rng.IntN(6) {
 			case 0:
-				c.Partition(func(n string) int { return int(n[3]) % 2 })
+				c.partition(2)
 			case 1:
-				c.Partition(func(n string) int { return int(n[3]) % 3 })
+				c.partition(3)
 			case 2:
 				c.Cut(memberName(rng.IntN(6)), memberName(rng.IntN(6)), true)
 			case 3:
 				i := rng.IntN(6)
-				lives[i]++
+				incarnations[i]++
 				c.Remove(memberName(i))
-				c.start(i, 1+lives[i])
+				c.start(i, 1+incarnations[i])
 			case 4:
 				c.SetPaused(memberName(rng.IntN(6)), rng.IntN(2) == 0)
 			}
@@ -162,24 +167,24 @@
 	}
 }
 
-// Joining is commutative, associative and idempotent: whatever order messages come in, and however often, the copies are the same.
+// Merging is commutative, associative and idempotent: the copies are the same in whatever order messages arrive, and however often.
 func TestMergeIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Messages of three writers, of two lives each, recorded as they were sent.
+		// Messages of three writers, of two incarnations each, recorded as they were sent.
 		var sent [][2]any
-		say := func(from string) func(string, []byte) {
+		record := func(from string) func(string, []byte) {
 			return func(_ string, data []byte) { sent = append(sent, [2]any{from, append([]byte(nil), data...)}) }
 		}
 		for i := range 3 {
-			for life := range uint64(2) {
-				w := &emulator.ReplicaMember{Replica: New(settingsOf(i, life+1), start)}
+			for incarnation := range uint64(2) {
+				w := &emulator.ReplicaMember{Replica: New(settingsOf(i, incarnation+1), start)}
 				w.MemberJoined(start, Member{Name: "reader"})
 				now := rules.Time(start)
 				for range rapid.IntRange(0, 5).Draw(t, "writes") {
 					w.Replica.Put(now, Key{Kind: Kind(rapid.IntRange(1, 3).Draw(t, "kind")), Subject: uint64(rapid.IntRange(0, 2).Draw(t, "subject"))},
 						Value{float32(rapid.IntRange(1, 99).Draw(t, "value"))})
 					now += 200 * ms
-					w.Tick(now, say(memberName(i)))
+					w.Tick(now, record(memberName(i)))
 				}
 			}
 		}
@@ -196,7 +201,7 @@
 			}
 			out := r.Replica.Copies()
 			for i := range out {
-				out[i].Counter = 0 // how much is known to be whole depends on the order; what is held does not
+				out[i].Counter = 0 // up to where it is complete depends on the order; what is held does not
 			}
 			return out
 		}
@@ -216,7 +221,8 @@
 	})
 }
 
-// A member that was away for a minute, or starts anew, has all within 3 s, and nobody sends more than the budget within a second.
+// A member that was paused for a minute, or restarts, holds 95 % of all entries within 3 s, and no member sends more than the budget within a
+// second.
 func TestCatchUp(t *testing.T) {
 	c := newTestCluster(40, emulator.DatagramModel{Loss: 0.05, MinDelay: ms, MaxDelay: 20 * ms}, 5)
 	write := func() {
@@ -266,7 +272,7 @@
 	}
 }
 
-// What has grown old is gone before anything else is done: a process that stood still acts on nothing old.
+// Expired entries are removed before anything else is done: a process that was suspended acts on none.
 func TestExpiredEntriesAreDroppedFirst(t *testing.T) {
 	c := newTestCluster(3, emulator.DatagramModel{MinDelay: ms, MaxDelay: 5 * ms}, 1)
 	c.put(0, EngineFault, 5, 1)
@@ -286,7 +292,7 @@
 	}
 }
 
-// A later life of a member takes the place of an earlier one, and messages of the earlier one that come late change nothing.
+// A later incarnation of a member replaces an earlier one, and late messages of the earlier one change nothing.
 func TestLaterIncarnationWins(t *testing.T) {
 	var late [][]byte
 	old := &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
@@ -303,12 +309,12 @@
 		r.Receive(start+2*ms, memberName(1), d, func(string, []byte) {})
 	}
 	if len(late) == 0 {
-		t.Fatal("the earlier life said nothing")
+		t.Fatal("the earlier incarnation sent nothing")
 	}
 	n := 0
 	r.Replica.Each(ZoneState, func(_ string, e *Entry) {
 		if n++; e.Value[0] != 2 {
-			t.Errorf("the earlier life's %v stands", e.Value)
+			t.Errorf("the earlier incarnation's %v stands", e.Value)
 		}
 	})
 	if n != 1 {
@@ -316,7 +322,7 @@
 	}
 }
 
-// Another process with our name is told, not believed; strangers, garbage and what was changed on its way count for nothing.
+// Messages of unknown senders, garbage and messages that were changed on their way are rejected and have no effect.
 func TestMessagesRejected(t *testing.T) {
 	r := &emulator.ReplicaMember{Replica: New(settingsOf(0, 5), start)}
 	r.MemberJoined(start, Member{Name: memberName(1)})
@@ -330,34 +336,34 @@
 			msg = append([]byte(nil), d...)
 		}
 	})
-	say := func(string, []byte) {}
+	ignore := func(string, []byte) {}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range msg {
 		bad := append([]byte(nil), msg...)
 		bad[i] ^= 1 << rng.IntN(8)
-		r.Receive(start, memberName(1), bad, say)
-		r.Receive(start, memberName(1), msg[:i], say)
+		r.Receive(start, memberName(1), bad, ignore)
+		r.Receive(start, memberName(1), msg[:i], ignore)
 	}
-	r.Receive(start, memberName(2), msg, say)
-	r.Receive(start, memberName(1), make([]byte, 64<<10), say)
+	r.Receive(start, memberName(2), msg, ignore)
+	r.Receive(start, memberName(1), make([]byte, 64<<10), ignore)
 	if got := r.Replica.Stats().Entries; got != 1 {
-		t.Errorf("%d entries held, of which one is ours", got)
+		t.Errorf("%d entries held, of which one is its own", got)
 	}
 	if want := 2*len(msg) + 2; len(r.Rejected) != want {
-		t.Errorf("%d of %d messages were refused", len(r.Rejected), want)
+		t.Errorf("%d of %d messages were rejected", len(r.Rejected), want)
 	}
 	future := append([]byte(nil), msg...)
 	future[3] = 9
 	r.Rejected = nil
-	r.Receive(start, memberName(1), future, say)
+	r.Receive(start, memberName(1), future, ignore)
 	var v VersionError
 	if len(r.Rejected) != 1 || !errors.As(r.Rejected[0], &v) || v.Version != 9 {
 		t.Errorf("a peer of version 9: %v", r.Rejected)
 	}
 }
 
-// A member whose clock has stepped back since its last life takes a later one than others hold, and is heard again; two processes of
-// one name tell of each other in the end.
+// A member whose clock has stepped back since it last ran takes an incarnation beyond the one that others hold, and its entries are accepted
+// again. Two processes of one name are reported in the end.
 func TestNameConflict(t *testing.T) {
 	back := newTestCluster(3, emulator.DatagramModel{MinDelay: ms, MaxDelay: 5 * ms}, 1)
 	back.Remove(memberName(0))
@@ -369,36 +375,36 @@
 	back.put(0, OfferedLoad, 0, 8)
 	back.Run(back.Now + 6*second)
 	if n := back.countKnowing(0, OfferedLoad, 0, 8); n != 2 {
-		t.Errorf("%d of 2 hear the member whose clock stepped back", n)
+		t.Errorf("%d of 2 hold the entry of the member whose clock stepped back", n)
 	}
 	one, two, reader := &emulator.ReplicaMember{Replica: New(settingsOf(0, 5), start)}, &emulator.ReplicaMember{Replica: New(settingsOf(0, 6), start)}, &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
 	one.MemberJoined(start, Member{Name: memberName(1)})
 	two.MemberJoined(start, Member{Name: memberName(1)})
 	reader.MemberJoined(start, Member{Name: memberName(0)})
-	say := func(string, []byte) {}
-	told := false
+	ignore := func(string, []byte) {}
+	reported := false
 	for tick := range rules.Time(60) {
 		now := start + tick*second
 		for i, m := range []*emulator.ReplicaMember{one, two} {
 			m.Replica.Put(now, Key{Kind: OfferedLoad}, Value{float32(i + 1)})
-			m.Tick(now, func(_ string, d []byte) { reader.Receive(now, memberName(0), d, say) })
+			m.Tick(now, func(_ string, d []byte) { reader.Receive(now, memberName(0), d, ignore) })
 		}
 		reader.Tick(now, func(_ string, d []byte) {
-			one.Receive(now, memberName(1), d, say)
-			two.Receive(now, memberName(1), d, say)
+			one.Receive(now, memberName(1), d, ignore)
+			two.Receive(now, memberName(1), d, ignore)
 		})
 		for _, m := range []*emulator.ReplicaMember{one, two} {
 			for _, err := range m.Rejected {
-				told = told || err.Error() == "replica: another process has our name"
+				reported = reported || err.Error() == "replica: another process has our name"
 			}
 		}
 	}
-	if !told {
-		t.Error("two processes of one name, and neither is told")
+	if !reported {
+		t.Error("two processes of one name, and neither is reported")
 	}
 }
 
-// Whatever comes, nothing panics, and what is held stays within its bounds.
+// No message panics, and what is held stays within its bounds.
 func FuzzReceive(f *testing.F) {
 	w := &emulator.ReplicaMember{Replica: New(settingsOf(1, 1), start)}
 	w.MemberJoined(start, Member{Name: memberName(0)})
@@ -421,7 +427,7 @@
 	})
 }
 
-// Nothing is left of members that have gone, once all copies of theirs must have faded; sizes stay bounded under constant churn.
+// Nothing is left of members that have left, once all copies of their entries must have expired; sizes stay bounded under constant churn.
 func TestDepartedMembersAreDropped(t *testing.T) {
 	s := settingsOf(0, 1)
 	for k := range s.MaxAge {
