--- a/internal/faultgateway/defects.go
+++ b/internal/faultgateway/defects.go
@@ -100,7 +100,7 @@
 
 type delayedEffect struct {
 	at     rules.Time
-	effect gateway.Effect
+	effect *gateway.Write
 }
 
 const dialledBit gateway.ConnID = 1 << 63
@@ -113,31 +113,33 @@
 	if d.name == DefectWallClockDeadline {
 		now += rules.Time(d.clock.offset() / time.Microsecond)
 	}
-	switch event.Kind {
+	switch e := event.(type) {
 	case gateway.DialSucceeded:
-		d.engines[event.Conn] = true
+		d.engines[e.Conn] = true
 	case gateway.ConnectionClosed:
-		delete(d.engines, event.Conn)
-		if id := d.clients[event.Conn]; d.name == DefectSentAfterDisconnect && id != "" {
+		delete(d.engines, e.Conn)
+		if id := d.clients[e.Conn]; d.name == DefectSentAfterDisconnect && id != "" {
 			if a, ok := d.requests[id]; ok {
-				d.delayed = append(d.delayed, delayedEffect{d.now + 400*rules.Millisecond, gateway.Effect{Kind: gateway.Write, Conn: a.conn, Data: a.text}})
+				d.delayed = append(d.delayed, delayedEffect{d.now + 400*rules.Millisecond, &gateway.Write{Conn: a.conn, Data: a.text}})
 			}
 		}
-		delete(d.clients, event.Conn)
-	case gateway.DataReceived:
-		if d.name == DefectOrderKeyIgnored && event.Conn&dialledBit == 0 {
-			event.Data = bytes.ReplaceAll(event.Data, []byte("subject="), []byte("subjekt="))
+		delete(d.clients, e.Conn)
+	case *gateway.DataReceived:
+		if d.name == DefectOrderKeyIgnored && e.Conn&dialledBit == 0 {
+			e = &gateway.DataReceived{Conn: e.Conn, Data: bytes.ReplaceAll(e.Data, []byte("subject="), []byte("subjekt="))}
+			event = e
 		}
-		if _, after, ok := bytes.Cut(event.Data, []byte("req=")); ok && event.Conn&dialledBit == 0 && len(after) >= 16 {
-			d.clients[event.Conn] = string(after[:16])
+		if _, after, ok := bytes.Cut(e.Data, []byte("req=")); ok && e.Conn&dialledBit == 0 && len(after) >= 16 {
+			d.clients[e.Conn] = string(after[:16])
 		}
 	case gateway.DNSResponse:
-		changed, err := d.rewriteList(event.Data)
+		changed, err := d.rewriteList(e.Data)
 		if errors.Is(err, errDropped) {
 			return
 		}
 		if err == nil {
-			event.Data = changed
+			e.Data = changed
+			event = e
 		}
 	}
 	d.Reducer.Step(now, event)
@@ -269,7 +271,7 @@
 func (d *defectiveReducer) overloadCold(text []byte) {
 	for conn := range d.engines {
 		if until, ok := d.coldUntil[d.dials[conn]]; ok && d.now < until {
-			d.effects = append(d.effects, gateway.Effect{Kind: gateway.Write, Conn: conn, Data: text})
+			d.effects = append(d.effects, &gateway.Write{Conn: conn, Data: text})
 		}
 	}
 }
@@ -293,19 +295,23 @@
 
 // applyTo lets an effect through, as the defect has it.
 func (d *defectiveReducer) applyTo(effect gateway.Effect) {
-	if effect.Kind == gateway.SetTimer && d.name == DefectWallClockDeadline {
-		effect.At -= rules.Time(d.clock.offset() / time.Microsecond)
-	}
-	if effect.Kind == gateway.Dial {
-		d.dials[effect.Conn] = effect.Addr
-	}
-	if effect.Kind != gateway.Write {
-		d.effects = append(d.effects, effect)
+	switch f := effect.(type) {
+	case *gateway.Write:
+		d.applyToWrite(f)
 		return
+	case *gateway.SetTimer:
+		if d.name == DefectWallClockDeadline {
+			effect = &gateway.SetTimer{At: f.At - rules.Time(d.clock.offset()/time.Microsecond)}
+		}
+	case gateway.Dial:
+		d.dials[f.Conn] = f.Addr
 	}
+	d.effects = append(d.effects, effect)
+}
+
+func (d *defectiveReducer) applyToWrite(effect *gateway.Write) {
 	if effect.Conn&dialledBit != 0 && d.name == DefectBytesLeftInBuffer {
-		effect.Data = bytes.Clone(effect.Data)
-		d.delayed = append(d.delayed, delayedEffect{d.now + writeBufferFor, effect})
+		d.delayed = append(d.delayed, delayedEffect{d.now + writeBufferFor, cloneWrite(effect)})
 		return
 	}
 	if effect.Conn&dialledBit != 0 {
@@ -322,20 +328,24 @@
 	case d.responses%faultyResponseInterval != 0:
 		d.effects = append(d.effects, effect)
 	case d.name == DefectResponseLate:
-		effect.Data = bytes.Clone(effect.Data)
-		d.delayed = append(d.delayed, delayedEffect{d.now + 5*rules.Second, effect})
+		d.delayed = append(d.delayed, delayedEffect{d.now + 5*rules.Second, cloneWrite(effect)})
 	case d.name == DefectClosedWithoutResponse:
-		d.effects = append(d.effects, gateway.Effect{Kind: gateway.CloseConnection, Conn: effect.Conn})
+		d.effects = append(d.effects, gateway.CloseConnection{Conn: effect.Conn})
 	default:
 		d.effects = append(d.effects, effect)
 	}
 }
 
+// cloneWrite copies a write that is kept beyond the next Step.
+func cloneWrite(w *gateway.Write) *gateway.Write {
+	return &gateway.Write{Conn: w.Conn, Data: bytes.Clone(w.Data)}
+}
+
 // isResponse answers whether bytes are a result set or an error, not a greeting or an OK.
 func isResponse(data []byte) bool { return len(data) > 4 && data[3] == 1 && data[4] != 0 }
 
 // recordRequests notes what engines are asked, and asks another as well where the defect is that.
-func (d *defectiveReducer) recordRequests(effect gateway.Effect) {
+func (d *defectiveReducer) recordRequests(effect *gateway.Write) {
 	for _, line := range bytes.SplitAfter(effect.Data, []byte("\r\n")) {
 		words := strings.Fields(string(line))
 		if len(words) != 4 || words[0] != "ASK" {
@@ -356,7 +366,7 @@
 		}
 		for conn := range d.engines {
 			if conn != effect.Conn {
-				d.delayed = append(d.delayed, delayedEffect{d.now + 50*rules.Millisecond, gateway.Effect{Kind: gateway.Write, Conn: conn, Data: bytes.Clone(text)}})
+				d.delayed = append(d.delayed, delayedEffect{d.now + 50*rules.Millisecond, &gateway.Write{Conn: conn, Data: bytes.Clone(text)}})
 				break
 			}
 		}
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -98,10 +98,10 @@
 }
 
 func (gw *testGateway) clientFrom(id ConnID, from string) {
-	gw.g.Step(gw.now, Event{Kind: ConnectionAccepted, Conn: id, From: netip.MustParseAddr(from)})
+	gw.g.Step(gw.now, ConnectionAccepted{Conn: id, From: netip.MustParseAddr(from)})
 	gw.flush()
 	if !gw.closed[id] {
-		gw.step(DataReceived, id, string(loginPacket()))
+		gw.receive(id, string(loginPacket()))
 	}
 }
 
@@ -116,7 +116,7 @@
 	for i := range ConnID(50) {
 		gw.clientFrom(1+i, "10.0.0.1")
 		gw.takeOutput(1 + i)
-		gw.step(DataReceived, 1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+		gw.receive(1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
 	}
 	held := gw.g.admission.controller.Stats().Queued
 	if held < 10 {
@@ -127,11 +127,11 @@
 		t.Fatal("the last one is not held")
 	}
 	gw.clientFrom(51, "10.0.0.2")
-	gw.step(DataReceived, 51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
+	gw.receive(51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
 	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != held-1 {
 		t.Error("a killed query is still held, or was answered")
 	}
-	gw.step(ConnectionClosed, 49, "")
+	gw.closeConn(49)
 	if gw.g.admission.controller.Stats().Queued != held-2 {
 		t.Error("the query of a client that left is still held")
 	}
@@ -148,7 +148,7 @@
 	if answers < 40 || gw.g.admission.controller.Stats().Queued != 0 {
 		t.Errorf("%d of 48 are answered, %d are held", answers, gw.g.admission.controller.Stats().Queued)
 	}
-	gw.step(ShutdownRequested, 0, "")
+	gw.step(ShutdownRequested{})
 	gw.advance(4 * rules.Second)
 	if !gw.exited {
 		t.Error("not ended")
@@ -168,7 +168,7 @@
 		for i := range ConnID(40) {
 			gw.clientFrom(1+i, "10.0.0.1")
 			gw.takeOutput(1 + i)
-			gw.step(DataReceived, 1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+			gw.receive(1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
 		}
 		for i := range ConnID(40) {
 			if out := gw.takeOutput(1 + i); strings.Contains(out, "refused") {
@@ -201,7 +201,7 @@
 		gw := newAdmissionGateway(t, c.text, 20, 20)
 		gw.clientFrom(1, "10.0.0.1")
 		gw.takeOutput(1)
-		gw.step(DataReceived, 1, askTextWith("point", idA, ",owner="+c.tenant))
+		gw.receive(1, askTextWith("point", idA, ",owner="+c.tenant))
 		if taken := gw.g.requests[idA] != nil; taken != c.ok {
 			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, taken)
 		}
@@ -216,11 +216,11 @@
 	for _, asks := range []bool{false, true} {
 		gw := newAdmissionGateway(t, "fair {\n}", 60, 60)
 		gw.clientFrom(1, "10.0.0.2")
-		gw.step(DataReceived, 1, string(queryPacket("SET x = 1")))
+		gw.receive(1, string(queryPacket("SET x = 1")))
 		for i := range ConnID(1000) {
 			gw.clientFrom(100+i, "10.0.0.1")
 			if asks && !gw.closed[100+i] {
-				gw.step(DataReceived, 100+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+				gw.receive(100+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
 			}
 		}
 		if gw.closed[1] {
@@ -229,7 +229,7 @@
 		for i := range ConnID(10) {
 			gw.clientFrom(2+i, "10.0.0.2")
 			gw.takeOutput(2 + i)
-			gw.step(DataReceived, 2+i, string(queryPacket("SET x = 1")))
+			gw.receive(2+i, string(queryPacket("SET x = 1")))
 			if out := gw.takeOutput(2 + i); gw.closed[2+i] || strings.Contains(out, "\xff") {
 				t.Errorf("asks %v: newcomer %d was turned away: %q", asks, i, out)
 			}
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -39,7 +39,7 @@
 // warmth is what the module holds of an engine's.
 func (sim *simulation) warmth(t *testing.T, name string) float64 {
 	t.Helper()
-	sim.g.Step(sim.now, Event{Kind: TimerFired})
+	sim.g.Step(sim.now, TimerFired{})
 	sim.g.tellModule(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
 	sim.executeEffects()
 	for _, belief := range sim.g.module.EngineViews() {
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -70,9 +70,9 @@
 			if outcome.Channel == directives.ChannelState {
 				channel = ChannelDirectives
 			}
-			g.emit(Effect{Kind: SendToMember, To: outcome.To, Channel: channel, Data: outcome.Data})
+			g.emit(SendToMember{To: outcome.To, Channel: channel, Data: outcome.Data})
 		case directives.Persist:
-			g.emit(Effect{Kind: PersistVoterLog, Batch: outcome.Batch})
+			g.emit(PersistVoterLog{Batch: outcome.Batch})
 		case directives.Applied:
 			g.log(Info, "directives: the book has changed", Attr{"index", outcome.Index}, Attr{"held", len(g.directives.proposer.State().Directives)})
 			g.applyDirectives()
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -16,13 +16,13 @@
 func TestDirectivesAreApplied(t *testing.T) {
 	text := membersText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	sim := newSimulationWith(t, 4, 0, withSite(t, text))
-	sim.step(Event{Kind: VoterLogOpened, VoterState: &directives.PersistedState{Initialized: true}})
+	sim.step(VoterLogOpened{State: &directives.PersistedState{Initialized: true}})
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
 	order := func(at rules.Time, op, kind, subject string) {
 		sim.schedule(at, func() {
-			sim.step(Event{Kind: ControlRequest, Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
+			sim.step(ControlRequest{Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
 		})
 	}
 	order(3*rules.Second, "set", "drain-engine", "s-00000001")
@@ -31,7 +31,7 @@
 	order(14*rules.Second, "unset", "drain-zone", "hall-a")
 	order(18*rules.Second, "set", "refuse-class", "point")
 	order(21*rules.Second, "set", "dance", "all")
-	sim.schedule(22*rules.Second, func() { sim.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("book")}) })
+	sim.schedule(22*rules.Second, func() { sim.step(ControlRequest{Conn: 8, Data: []byte("book")}) })
 	sim.run(sim.start + 24*rules.Second)
 	engine := func(id string, from, to rules.Time) (n int) {
 		for _, req := range sim.requests {
@@ -89,9 +89,9 @@
 		} else {
 			cfg.Site = parseSite(t, membersText)
 		}
-		sim.step(Event{Kind: ControlRequest, Conn: 8, Data: []byte("members")})
-		sim.step(Event{Kind: PeerNotified, Peer: &PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"}})
-		sim.step(Event{Kind: PeerNotified, Data: []byte("garbage"), Peer: &PeerEvent{Kind: PeerMessage, Name: "n1", Channel: ChannelReplica}})
+		sim.step(ControlRequest{Conn: 8, Data: []byte("members")})
+		sim.step(PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"})
+		sim.step(PeerEvent{Kind: PeerMessage, Name: "n1", Channel: ChannelReplica, Data: []byte("garbage")})
 	}
 	sim.play(6 * rules.Second)
 	on, off := 0, 0
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -105,7 +105,7 @@
 		decoder: engine.Decoder{MaxLineBytes: g.limits.MaxLineBytes, MaxBodyBytes: g.limits.MaxPageBytes}, lastUsed: g.now, dialledAt: g.now}
 	eng.conns = append(eng.conns, conn)
 	g.engineConns[conn.id] = conn
-	g.emit(Effect{Kind: Dial, Conn: conn.id, Addr: eng.entry.Addr, Timeout: g.limits.ConnectTimeout})
+	g.emit(Dial{Conn: conn.id, Addr: eng.entry.Addr, Timeout: g.limits.ConnectTimeout})
 	return conn
 }
 
@@ -335,7 +335,7 @@
 			Attr{"blocked_ms", milliseconds(g.now - conn.blockedSince)})
 		conn.aborted = true
 		conn.retire(CloseEngineUnread)
-		g.emit(Effect{Kind: ResetConnection, Conn: conn.id})
+		g.emit(ResetConnection{Conn: conn.id})
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,132 +4,23 @@
 // a clock itself, nor decide what the module should: where a query runs, how
 // long it may take and how it ends when that is a choice.
 //
-// This file has the events, the effects and the loop between module and host;
-// clients.go, requests.go, links.go and fleet.go have the rest of the state.
+// This file has the state and the loop between module and host; events.go and effects.go have what passes between
+// the reducer and its host.
 package gateway
 
 import (
 	"container/list"
 	"math/rand/v2"
-	"net/netip"
 
 	"foxlane/internal/config"
 	"foxlane/internal/directives"
 	"foxlane/internal/discovery"
 	"foxlane/internal/guard"
-	"foxlane/internal/spool"
 	"foxlane/internal/wallclock"
 	"foxlane/internal/zones"
 	"foxlane/rules"
 )
 
-// ConnID names a connection. Those that the reducer dials have the top bit set.
-type ConnID uint64
-
-const dialledBit ConnID = 1 << 63
-
-// EventKind is what an Event tells.
-type EventKind int
-
-// Kinds of events.
-const (
-	ConnectionAccepted EventKind = iota + 1 // a client connected
-	DataReceived                            // bytes came on a connection
-	ConnectionClosed                        // a connection ended
-	DialSucceeded                           // a dial came up
-	DialFailed                              // or did not; nothing was written
-	DNSResponse                             // bytes came from the name service
-	TimerFired                              // the time asked for has come
-	ShutdownRequested                       // the process is asked to end
-	ConfigReloaded                          // the configuration was read again
-	SpoolCompleted                          // the spool's disk has done what it was asked for
-	WriteDrained                            // a connection that was watched has taken all that was written to it
-	PeerNotified                            // something has happened among the members
-	ControlRequest                          // an operator's command asks something
-	VoterLogOpened                          // the voter's log was read: Kept
-	VoterLogPersisted                       // what Keep asked for is on the disk, or Err
-	WriteBlocked                            // a connection to an engine does not take what was written to it; Drained follows once it has
-)
-
-// Event is something that happened outside. Data is valid during the call only.
-type Event struct {
-	Kind  EventKind
-	Conn  ConnID
-	Data  []byte
-	Err   error
-	From  netip.Addr // with Accepted: the client's address, if it is known
-	Local bool       // with DialFailed: for want of something here, such as descriptors
-
-	// With Closed: how many bytes of all that was written on the connection the system has taken. What lies behind
-	// them has never left, whatever broke.
-	AcceptedBytes int64
-
-	// With Datagram and Reload: by how much the wall clock is ahead of the time of events, since it was stepped.
-	ClockSkew rules.Time
-
-	Config     *config.Config             // with Reload: what holds from now on
-	Spool      []spool.Event              // with Shelved
-	Peer       *PeerEvent                 // with Peer; Data is what a member said
-	VoterState *directives.PersistedState // with VoterOpened
-}
-
-// EffectKind is what an Effect asks for.
-type EffectKind int
-
-// Kinds of effects.
-const (
-	Write           EffectKind = iota + 1 // send Data on a connection
-	CloseConnection                       // close a connection once what was written is sent, or give up its dial
-	Dial                                  // connect to Addr within Wait
-	QueryDNS                              // send Data to the name service
-	SetNameServer                         // ask the name service at Addr from now on, from a new socket
-	SetTimer                              // wake the reducer at At, and at no earlier time
-	Log                                   // note Text
-	Exit                                  // all is answered: end the process, unless more has come meanwhile
-	SubmitSpool                           // carry Spool out on the spool's disk; its data stays as it is until it is answered
-	NotifyDrained                         // tell Drained once all that was written on a connection is taken
-	SendToMember                          // send Data to the member To on Channel; it may be lost
-	JoinMembers                           // begin to look for members, as the configuration has it now
-	LeaveMembers                          // leave them
-	ControlResponse                       // Data answers the Inquiry of Conn
-	PersistVoterLog                       // put Keep on the voter's disk, synced, and tell KeptIt
-	ResetConnection                       // reset a connection: what it has not taken is never sent; Closed follows
-)
-
-// Level is the weight of a log line.
-type Level int
-
-// Levels.
-const (
-	Debug Level = iota
-	Info
-	Warn
-)
-
-// Attr is a named value of a log line.
-type Attr struct {
-	Key   string
-	Value any
-}
-
-// Effect is something to do. Data is valid until the next Step.
-type Effect struct {
-	Kind    EffectKind
-	Conn    ConnID
-	Data    []byte
-	Addr    netip.AddrPort
-	Timeout rules.Time
-	At      rules.Time
-	Level   Level
-	Text    string
-	Attrs   []Attr
-	Spool   spool.Effect
-
-	To      string
-	Channel byte
-	Batch   directives.Batch
-}
-
 // Gateway is the reducer.
 type Gateway struct {
 	cfg          config.Config
@@ -137,9 +28,9 @@
 	module       *rules.Module
 	rng          *rand.Rand
 	now          rules.Time
-	effects      []Effect
-	lastEffects  []Effect // handed out last
-	freeBuffers  [][]byte // large buffers
+	effects      *effectBatch // since the last Flush
+	lastEffects  *effectBatch // that Flush returned last
+	freeBuffers  [][]byte     // large buffers
 	dirtyBuffers []*outputBuffer
 	timers       timers
 	armedAt      rules.Time
@@ -194,20 +85,6 @@
 // many again for reloads.
 const maxQueries = 192
 
-const (
-	maxIdleBuffer  = 2048 // bytes of a buffer that a connection keeps
-	maxFreeBuffers = 64   // larger buffers kept for all
-)
-
-// outputBuffer is a connection's way out.
-type outputBuffer struct {
-	id        ConnID
-	output    []byte
-	handedOut int64 // bytes of it that were handed out to be written, in all
-	dirty     bool
-	closed    bool // closed, by us or by the other side
-}
-
 // New returns a gateway that has just started.
 func New(cfg config.Config, now rules.Time) *Gateway {
 	var seed [32]byte
@@ -215,7 +92,7 @@
 		seed[i] = byte(cfg.Seed >> (8 * (i % 8)))
 	}
 	g := &Gateway{
-		cfg: cfg, limits: cfg.Limits, now: now,
+		cfg: cfg, limits: cfg.Limits, now: now, effects: &effectBatch{}, lastEffects: &effectBatch{},
 		module:      rules.New(cfg.Settings.Rules, cfg.Seed),
 		rng:         rand.New(rand.NewChaCha8(seed)),
 		clients:     map[ConnID]*clientConn{},
@@ -247,145 +124,105 @@
 	return g
 }
 
-// Step takes one event.
+// Step handles one event at a time that is never before that of the last.
 func (g *Gateway) Step(now rules.Time, event Event) {
 	g.now = max(g.now, now)
 	g.detectStall()
-	switch event.Kind {
+	switch e := event.(type) {
 	case ConnectionAccepted:
 		g.extendCatchUp()
-		g.acceptClient(event.Conn, event.From)
-	case DataReceived:
-		if client := g.clients[event.Conn]; client != nil {
-			g.extendCatchUp()
-			g.clientData(client, event.Data)
-		} else if conn := g.engineConns[event.Conn]; conn != nil {
-			g.engineData(conn, event.Data)
-		}
+		g.acceptClient(e.Conn, e.From)
+	case *DataReceived:
+		g.received(e)
 	case ConnectionClosed:
-		if client := g.clients[event.Conn]; client != nil {
-			g.extendCatchUp()
-			g.countClose(client, CloseByPeer)
-			g.removeClient(client)
-		} else if conn := g.engineConns[event.Conn]; conn != nil {
-			g.engineConnEnded(conn, event.Err, event.AcceptedBytes, false)
-		}
+		g.connectionClosed(e)
 	case DialSucceeded:
-		if conn := g.engineConns[event.Conn]; conn != nil {
-			g.engineConnected(conn)
+		if engine := g.engineConns[e.Conn]; engine != nil {
+			g.engineConnected(engine)
 		}
 	case DialFailed:
-		if conn := g.engineConns[event.Conn]; conn != nil {
-			g.engineConnEnded(conn, event.Err, 0, event.Local)
+		if engine := g.engineConns[e.Conn]; engine != nil {
+			g.engineConnEnded(engine, e.Err, 0, e.Local)
 		}
 	case DNSResponse:
-		g.clockSteps.Note(event.ClockSkew)
-		g.receiveDatagram(event.Data)
+		g.clockSteps.Note(e.ClockSkew)
+		g.receiveDatagram(e.Data)
 	case TimerFired:
 		g.runTimers()
 	case ShutdownRequested:
 		g.beginShutdown()
 	case ConfigReloaded:
-		g.clockSteps.Note(event.ClockSkew)
-		g.reconfigure(event.Config)
+		g.clockSteps.Note(e.ClockSkew)
+		g.reconfigure(e.Config)
 	case SpoolCompleted:
-		g.diskCompleted(event.Spool)
+		g.diskCompleted(e.Events)
 	case WriteDrained:
-		if client := g.clients[event.Conn]; client != nil {
-			g.clientDrained(client)
-		} else if conn := g.engineConns[event.Conn]; conn != nil {
-			conn.blockedSince = 0
-		}
+		g.writeDrained(e.Conn)
 	case WriteBlocked:
-		if conn := g.engineConns[event.Conn]; conn != nil {
-			conn.blockedSince = g.now
+		if engine := g.engineConns[e.Conn]; engine != nil {
+			engine.blockedSince = g.now
 		}
-	case PeerNotified:
-		g.handlePeer(event)
+	case PeerEvent:
+		g.handlePeer(e)
 	case ControlRequest:
-		g.answerInquiry(event)
+		g.answerInquiry(e)
 	case VoterLogOpened:
-		g.voterOpened(event.VoterState)
+		g.voterOpened(e.State)
 	case VoterLogPersisted:
-		if g.directives != nil {
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: event.Err == nil}))
-		}
+		g.voterPersisted(e.Err)
 	}
 }
 
-// Flush returns what is to be done, in order. It is valid until the next Step.
-func (g *Gateway) Flush() []Effect {
-	for _, buffer := range g.dirtyBuffers {
-		buffer.dirty = false
-		if !buffer.closed && len(buffer.output) > 0 {
-			buffer.handedOut += int64(len(buffer.output))
-			g.effects = append(g.effects, Effect{Kind: Write, Conn: buffer.id, Data: buffer.output})
-		}
-		g.recycleBuffer(buffer)
-	}
-	g.dirtyBuffers = g.dirtyBuffers[:0]
-	g.exitWhenDone() // behind the last answers, or they would never be written
-	if at, ok := g.nextWake(); ok && at != g.armedAt {
-		g.armedAt = at
-		g.effects = append(g.effects, Effect{Kind: SetTimer, At: at})
+func (g *Gateway) received(e *DataReceived) {
+	if client := g.clients[e.Conn]; client != nil {
+		g.extendCatchUp()
+		g.clientData(client, e.Data)
+	} else if engine := g.engineConns[e.Conn]; engine != nil {
+		g.engineData(engine, e.Data)
 	}
-	out := g.effects
-	g.effects, g.lastEffects = g.lastEffects[:0], out
-	return out
 }
 
-// recycleBuffer empties a connection's way out. Large buffers go round: few results are written at a time,
-// and the many connections would keep them all.
-func (g *Gateway) recycleBuffer(buffer *outputBuffer) {
-	if cap(buffer.output) <= maxIdleBuffer {
-		buffer.output = buffer.output[:0]
-		return
-	}
-	if len(g.freeBuffers) < maxFreeBuffers {
-		g.freeBuffers = append(g.freeBuffers, buffer.output[:0])
+func (g *Gateway) connectionClosed(e ConnectionClosed) {
+	if client := g.clients[e.Conn]; client != nil {
+		g.extendCatchUp()
+		g.countClose(client, CloseByPeer)
+		g.removeClient(client)
+	} else if engine := g.engineConns[e.Conn]; engine != nil {
+		g.engineConnEnded(engine, e.Err, e.AcceptedBytes, false)
 	}
-	buffer.output = nil
 }
 
-// borrowBuffer gives a connection's empty way out a large buffer.
-func (g *Gateway) borrowBuffer(buffer *outputBuffer) {
-	if n := len(g.freeBuffers) - 1; len(buffer.output) == 0 && n >= 0 {
-		buffer.output, g.freeBuffers[n] = g.freeBuffers[n], nil
-		g.freeBuffers = g.freeBuffers[:n]
+func (g *Gateway) writeDrained(conn ConnID) {
+	if client := g.clients[conn]; client != nil {
+		g.clientDrained(client)
+	} else if engine := g.engineConns[conn]; engine != nil {
+		engine.blockedSince = 0
 	}
 }
 
-func (g *Gateway) emit(effect Effect) { g.effects = append(g.effects, effect) }
-
-func (g *Gateway) log(level Level, text string, attrs ...Attr) {
-	g.emit(Effect{Kind: Log, Level: level, Text: text, Attrs: attrs})
-}
-
-// markDirty notes that something was put into a pipe.
-func (g *Gateway) markDirty(buffer *outputBuffer) {
-	if !buffer.dirty {
-		buffer.dirty = true
-		g.dirtyBuffers = append(g.dirtyBuffers, buffer)
+func (g *Gateway) voterPersisted(err error) {
+	if g.directives != nil {
+		g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Persisted, OK: err == nil}))
 	}
 }
 
-// flushNow sends what is in a pipe ahead of what others hold.
-func (g *Gateway) flushNow(buffer *outputBuffer) {
-	if len(buffer.output) > 0 {
-		buffer.handedOut += int64(len(buffer.output))
-		g.emit(Effect{Kind: Write, Conn: buffer.id, Data: buffer.output})
-		buffer.output = nil
+// Flush returns what is to be done, in order. It is valid until the next Step.
+func (g *Gateway) Flush() []Effect {
+	g.flushDirty()
+	g.exitWhenDone() // behind the last answers, or they would never be written
+	if at, ok := g.nextWake(); ok && at != g.armedAt {
+		g.armedAt = at
+		g.effects.setTimer(at)
 	}
+	g.effects, g.lastEffects = g.lastEffects, g.effects
+	g.effects.reset()
+	return g.lastEffects.list
 }
 
-// closeAfterWrites closes a connection behind what was written to it.
-func (g *Gateway) closeAfterWrites(buffer *outputBuffer) {
-	if buffer.closed {
-		return
-	}
-	g.flushNow(buffer)
-	buffer.closed = true
-	g.emit(Effect{Kind: CloseConnection, Conn: buffer.id})
+func (g *Gateway) emit(e Effect) { g.effects.list = append(g.effects.list, e) }
+
+func (g *Gateway) log(level Level, text string, attrs ...Attr) {
+	g.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
 // ---- the module
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -16,8 +16,8 @@
 	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
 	open := func(gw *testGateway, class string) { // one attempt is in flight
 		gw.client(1)
-		gw.step(DataReceived, 1, askText(class, idA))
-		gw.step(DialSucceeded, gw.dials[0], "")
+		gw.receive(1, askText(class, idA))
+		gw.step(DialSucceeded{Conn: gw.dials[0]})
 	}
 	for name, c := range map[string]struct {
 		do   func(gw *testGateway)
@@ -27,23 +27,23 @@
 			open(gw, "load")
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
-			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
+			gw.step(DialSucceeded{Conn: gw.dials[len(gw.dials)-1]})
 		}, guard.RetryUnsafe},
 		"two attempts in flight": {func(gw *testGateway) {
 			open(gw, "point")
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
-			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
+			gw.step(DialSucceeded{Conn: gw.dials[len(gw.dials)-1]})
 		}, guard.SendParallel},
 		"an engine that drains": {func(gw *testGateway) {
 			gw.client(1)
 			host := oneHost
 			host.Draining = true
-			gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
+			gw.step(DNSResponse{Data: standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})})
 			gw.advance(1100 * rules.Millisecond)
-			gw.step(ConnectionAccepted, 2, "")
-			gw.step(DataReceived, 2, string(loginPacket()))
-			gw.step(DataReceived, 2, askText("load", idB))
+			gw.step(ConnectionAccepted{Conn: 2})
+			gw.receive(2, string(loginPacket()))
+			gw.receive(2, askText("load", idB))
 			gw.g.runAction(rules.Send{ID: idB, Engine: engineID(gw)})
 			attempt := gw.g.requests[idB].attempts[0]
 			gw.g.writeAttempt(attempt)
@@ -51,16 +51,16 @@
 		"a zone that the class must not use": {func(gw *testGateway) {
 			gw.client(1)
 			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
-			gw.step(DataReceived, 1, askText("report", idA))
+			gw.receive(1, askText("report", idA))
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
-			gw.step(DialSucceeded, gw.dials[0], "")
+			gw.step(DialSucceeded{Conn: gw.dials[0]})
 		}, guard.SendMisplaced},
 		"a client that has gone": {func(gw *testGateway) {
 			open(gw, "point")
 			req := gw.g.requests[idA]
 			attempt := req.attempts[0]
-			gw.step(ConnectionClosed, 1, "")
+			gw.closeConn(1)
 			gw.g.writeAttempt(attempt)
 		}, guard.SendAfterEnd},
 		"a refusal of what may have run": {func(gw *testGateway) {
@@ -100,26 +100,26 @@
 	gw.g.cfg.Trace = true
 	var lines []string
 	take := func() {
-		for _, effect := range gw.g.effects {
-			if effect.Kind == Log && effect.Level == Debug {
+		for _, effect := range gw.g.effects.list {
+			if effect, ok := effect.(Log); ok && effect.Level == Debug {
 				lines = append(lines, fmt.Sprint(effect.Text, effect.Attrs))
 			}
 		}
 		gw.flush()
 	}
-	step := func(kind EventKind, conn ConnID, data string) {
-		gw.g.Step(gw.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: gw.written[conn]})
+	step := func(event Event) {
+		gw.g.Step(gw.now, event)
 		take()
 	}
-	step(ConnectionAccepted, 1, "")
-	step(DataReceived, 1, string(loginPacket()))
-	step(DataReceived, 1, askText("point", idA))
-	step(DialSucceeded, gw.dials[0], "")
+	step(ConnectionAccepted{Conn: 1})
+	step(&DataReceived{Conn: 1, Data: loginPacket()})
+	step(&DataReceived{Conn: 1, Data: []byte(askText("point", idA))})
+	step(DialSucceeded{Conn: gw.dials[0]})
 	gw.now += 10 * rules.Millisecond
-	step(DataReceived, gw.dials[0], idA+" overload - 0\r\n\r\n")
+	step(&DataReceived{Conn: gw.dials[0], Data: []byte(idA + " overload - 0\r\n\r\n")})
 	gw.now += 10 * rules.Millisecond
-	step(ConnectionClosed, 1, "")
-	step(ConnectionClosed, gw.dials[0], "")
+	step(ConnectionClosed{Conn: 1, AcceptedBytes: gw.written[1]})
+	step(ConnectionClosed{Conn: gw.dials[0], AcceptedBytes: gw.written[gw.dials[0]]})
 	for _, want := range []string{"request: begins[{request " + idA, "request: queued[{request " + idA + "} {where module}",
 		"attempt: begins[{request " + idA + "} {attempt 0} {engine s-00000001} {why first}", "attempt: sent[{request " + idA,
 		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {verdict full} {sent true}", "request: ends[{request " + idA + "} {how left} {why client_left}",
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -72,7 +72,7 @@
 	two := []standin.Host{oneHost, oneHost}
 	two[1].ID, two[1].Addr = "s-00000002", netip.MustParseAddrPort("127.8.1.2:7001")
 	change(two)
-	x.step(DNSResponse, 0, string(standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)))
+	x.step(DNSResponse{Data: standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)})
 }
 
 // interleavedEvents are all that may come, by name.
@@ -82,60 +82,60 @@
 }{
 	{"request", func(x *interleaving) {
 		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.step(DataReceived, 1, askText(x.class, idA))
+			x.receive(1, askText(x.class, idA))
 		}
 	}},
 	{"first byte", func(x *interleaving) {
 		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.step(DataReceived, 1, askText(x.class, idA)[:9])
+			x.receive(1, askText(x.class, idA)[:9])
 		}
 	}},
 	{"last byte", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil && client.partialBytes > 0 && !x.left {
-			x.step(DataReceived, 1, askText(x.class, idA)[9:])
+			x.receive(1, askText(x.class, idA)[9:])
 		}
 	}},
 	{"close", func(x *interleaving) {
 		x.left = true
-		x.step(ConnectionClosed, 1, "")
+		x.closeConn(1)
 	}},
 	{"kill", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil && client.request != nil {
 			x.left = true
-			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session))))
+			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session))))
 		}
 	}},
 	{"session killed", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil {
 			x.left = true
-			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL %d", client.session))))
+			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL %d", client.session))))
 		}
 	}},
 	{"connection up", func(x *interleaving) {
 		if id := x.lastDial(); id != 0 && !x.resolvedDials[id] {
 			x.resolvedDials[id] = true
-			x.step(DialSucceeded, id, "")
+			x.step(DialSucceeded{Conn: id})
 		}
 	}},
 	{"dial failed", func(x *interleaving) {
 		if id := x.lastDial(); id != 0 && !x.resolvedDials[id] {
 			x.resolvedDials[id] = true
-			x.g.Step(x.now, Event{Kind: DialFailed, Conn: id, Err: errors.New("refused")})
+			x.g.Step(x.now, DialFailed{Conn: id, Err: errors.New("refused")})
 			x.flush()
 		}
 	}},
-	{"answer", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=1 6\r\n1\ta\tb\n\r\n") }},
+	{"answer", func(x *interleaving) { x.receive(x.lastDial(), idA+" served total=1 6\r\n1\ta\tb\n\r\n") }},
 	{"second answer", func(x *interleaving) {
-		x.step(DataReceived, x.lastDial(), strings.Repeat(idA+" served total=1 6\r\n1\ta\tb\n\r\n", 2))
+		x.receive(x.lastDial(), strings.Repeat(idA+" served total=1 6\r\n1\ta\tb\n\r\n", 2))
 	}},
-	{"first page", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=2 6\r\n1\ta\tb\n\r\n") }},
-	{"second page", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
-	{"half an answer", func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" served total=1 6\r\n1\ta") }},
+	{"first page", func(x *interleaving) { x.receive(x.lastDial(), idA+" served total=2 6\r\n1\ta\tb\n\r\n") }},
+	{"second page", func(x *interleaving) { x.receive(x.lastDial(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
+	{"half an answer", func(x *interleaving) { x.receive(x.lastDial(), idA+" served total=1 6\r\n1\ta") }},
 	{"overload", func(x *interleaving) {
 		if x.asks > 0 {
 			x.mayHaveRun--
 		}
-		x.step(DataReceived, x.lastDial(), idA+" overload - 0\r\n\r\n")
+		x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n")
 		if x.asks == 0 {
 			return
 		}
@@ -146,7 +146,7 @@
 	{"reset", func(x *interleaving) {
 		if id := x.lastDial(); id != 0 && x.g.engineConns[id] != nil {
 			x.resolvedDials[id] = true
-			x.step(ConnectionClosed, id, "")
+			x.closeConn(id)
 		}
 	}},
 	{"drain told", func(x *interleaving) {
@@ -158,10 +158,10 @@
 	{"reload", func(x *interleaving) {
 		cfg := x.g.cfg
 		cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
-		x.g.Step(x.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		x.g.Step(x.now, ConfigReloaded{Config: &cfg})
 		x.flush()
 	}},
-	{"terminate", func(x *interleaving) { x.step(ShutdownRequested, 0, "") }},
+	{"terminate", func(x *interleaving) { x.step(ShutdownRequested{}) }},
 	{"deadline", func(x *interleaving) { x.advance(2 * rules.Second) }},
 	{"a while", func(x *interleaving) { x.advance(260 * rules.Millisecond) }},
 }
@@ -185,7 +185,7 @@
 				x.observe()
 			}
 			asked := x.g.requests[idA] != nil || x.answers > 0 || x.left
-			x.step(ShutdownRequested, 0, "")
+			x.step(ShutdownRequested{})
 			x.advance(5 * rules.Second)
 			x.observe()
 			fault := ""
@@ -233,7 +233,7 @@
 		gw := newTestGateway(t)
 		for id := ConnID(1); id <= leaving+1; id++ {
 			gw.client(id)
-			gw.step(DataReceived, id, askText("point", fmt.Sprintf("%016x", id)))
+			gw.receive(id, askText("point", fmt.Sprintf("%016x", id)))
 		}
 		links := map[ConnID]bool{}
 		for _, id := range gw.dials {
@@ -241,14 +241,14 @@
 		}
 		up := func() {
 			for _, id := range gw.dials {
-				gw.g.Step(gw.now, Event{Kind: DialSucceeded, Conn: id})
+				gw.g.Step(gw.now, DialSucceeded{Conn: id})
 			}
 		}
 		if upFirst {
 			up()
 		}
 		for id := ConnID(1); id <= leaving; id++ {
-			gw.g.Step(gw.now, Event{Kind: ConnectionClosed, Conn: id})
+			gw.g.Step(gw.now, ConnectionClosed{Conn: id})
 		}
 		if !upFirst {
 			up()
@@ -278,12 +278,12 @@
 	}{"all was taken": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
 		gw := newTestGateway(t)
 		gw.client(1)
-		gw.step(DataReceived, 1, askText("load", idA))
+		gw.receive(1, askText("load", idA))
 		link := gw.dials[0]
-		gw.step(DialSucceeded, link, "")
+		gw.step(DialSucceeded{Conn: link})
 		gw.takeOutput(1)
 		gw.written[link] = max(gw.written[link]-c.missing, 0)
-		gw.step(ConnectionClosed, link, "")
+		gw.closeConn(link)
 		if again := gw.g.requests[idA] != nil && len(gw.dials) == 2; again != c.again {
 			t.Errorf("%s: sent again %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
 		}
@@ -294,14 +294,14 @@
 func TestConnectionEndsInTheBatchOfASend(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
-	gw.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
+	gw.step(DialSucceeded{Conn: link})
+	gw.receive(link, idA+" served total=1 0\r\n\r\n")
 	gw.advance(10 * rules.Millisecond)
 	taken := gw.written[link]
-	gw.g.Step(gw.now, Event{Kind: DataReceived, Conn: 1, Data: []byte(askText("load", idB))})
-	gw.g.Step(gw.now, Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: taken})
+	gw.g.Step(gw.now, &DataReceived{Conn: 1, Data: []byte(askText("load", idB))})
+	gw.g.Step(gw.now, ConnectionClosed{Conn: link, AcceptedBytes: taken})
 	gw.flush()
 	if req := gw.g.requests[idB]; req == nil || len(gw.dials) != 2 {
 		t.Errorf("a load that was never written was given up: %q", gw.takeOutput(1))
@@ -313,16 +313,16 @@
 func TestDialToAnOldAddressIsGivenUp(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("load", idA))
+	gw.receive(1, askText("load", idA))
 	old := gw.dials[0]
 	moved := oneHost
 	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
-	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})))
+	gw.step(DNSResponse{Data: standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})})
 	if len(gw.dials) != 2 || !gw.closed[old] {
 		t.Fatalf("%d dials, the old one given up: %v", len(gw.dials), gw.closed[old])
 	}
-	gw.step(DialSucceeded, old, "") // it crossed
-	gw.step(DialSucceeded, gw.dials[1], "")
+	gw.step(DialSucceeded{Conn: old}) // it crossed
+	gw.step(DialSucceeded{Conn: gw.dials[1]})
 	if got := gw.takeOutput(old); got != "" {
 		t.Errorf("the old address got %q", got)
 	}
@@ -335,9 +335,9 @@
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("note", idA))
+	gw.receive(1, askText("note", idA))
 	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // frozen: no timer rang
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
 		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.ConnectTimeout+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
 	}
@@ -349,7 +349,7 @@
 	gw.g.limits.MaxConns = 0
 	gw.client(1)
 	for i := range 12 {
-		gw.step(DataReceived, 1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
+		gw.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
 		gw.advance(400 * rules.Millisecond)
 	}
 	if gw.g.module.EngineViews()[0].Ejected {
@@ -364,21 +364,21 @@
 		gw := newTestGateway(t)
 		gw.client(1)
 		session := gw.g.clients[1].session
-		gw.step(DataReceived, 1, askText("point", idA))
+		gw.receive(1, askText("point", idA))
 		link := gw.dials[0]
-		gw.step(DialSucceeded, link, "")
+		gw.step(DialSucceeded{Conn: link})
 		if !openedLate {
 			gw.client(2)
 		}
 		gw.now += rules.Millisecond
-		gw.step(DataReceived, link, idA+" served total=1 0\r\n\r\n")
+		gw.receive(link, idA+" served total=1 0\r\n\r\n")
 		gw.now += rules.Millisecond
-		gw.step(DataReceived, 1, askText("point", idB))
+		gw.receive(1, askText("point", idB))
 		if openedLate {
 			gw.client(2)
 		}
 		gw.takeOutput(link)
-		gw.step(DataReceived, 2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
+		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := gw.g.requests[idB] == nil; hit != openedLate {
 			t.Errorf("opened behind the answer %v: the next query was killed %v", openedLate, hit)
 		}
@@ -390,11 +390,11 @@
 func TestEndAnswersWhatComesMeanwhile(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, string(packet(0, []byte{14}))) // a ping: it rests
-	gw.step(ShutdownRequested, 0, "")
+	gw.receive(1, string(packet(0, []byte{14}))) // a ping: it rests
+	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.MinDrainPeriod - 10*rules.Millisecond)
 	gw.client(2) // asks for nothing
-	gw.step(ConnectionAccepted, 3, "")
+	gw.step(ConnectionAccepted{Conn: 3})
 	gw.takeOutput(2)
 	gw.takeOutput(3)
 	gw.advance(20 * rules.Millisecond)
@@ -406,7 +406,7 @@
 			t.Errorf("connection %d got %q, closed %v", id, got, gw.closed[id])
 		}
 	}
-	gw.step(ConnectionAccepted, 4, "")
+	gw.step(ConnectionAccepted{Conn: 4})
 	if got := gw.takeOutput(4); !strings.Contains(got, "Too many") || !gw.closed[4] {
 		t.Errorf("a newcomer got %q, closed %v", got, gw.closed[4])
 	}
@@ -415,12 +415,12 @@
 	}
 	gw.takeOutput(1)
 	gw.exited = false
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	if gw.exited {
 		t.Fatal("ended with a request open")
 	}
-	gw.step(DialSucceeded, gw.dials[0], "")
-	gw.step(DataReceived, gw.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
+	gw.receive(gw.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
 	if got := gw.takeOutput(1); !strings.Contains(got, "\x011\x01a") || !gw.exited {
 		t.Errorf("the request got %q, ended %v", got, gw.exited)
 	}
@@ -430,7 +430,7 @@
 func TestAnswersUnread(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
+	gw.receive(1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
 	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientSendBuffer {
 		t.Errorf("closed %v, %d bytes were written to it", gw.closed[1], got)
 	}
@@ -442,9 +442,9 @@
 	for end := gw.now + d; gw.now < end; {
 		next, _ := gw.g.timers.next()
 		gw.now = max(gw.now, next)
-		gw.g.Step(gw.now, Event{Kind: TimerFired})
+		gw.g.Step(gw.now, TimerFired{})
 		for _, effect := range gw.g.Flush() {
-			if effect.Kind == SetNameServer {
+			if _, ok := effect.(SetNameServer); ok {
 				at = append(at, (gw.now-from)/rules.Millisecond)
 			}
 		}
@@ -476,7 +476,7 @@
 			line = append(line, late{gw.g.queryIDs[(n-1)%len(gw.g.queryIDs)], gw.now + 6*rules.Second})
 		}
 		for len(line) > 0 && line[0].at <= gw.now {
-			gw.g.Step(gw.now, Event{Kind: DNSResponse, Data: standin.EncodeAnswer(line[0].id, listName, 1, nil)})
+			gw.g.Step(gw.now, DNSResponse{Data: standin.EncodeAnswer(line[0].id, listName, 1, nil)})
 			line = line[1:]
 		}
 	})
@@ -494,7 +494,7 @@
 	gw.advance(6500 * rules.Millisecond)
 	drained := oneHost
 	drained.Draining = true
-	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})))
+	gw.step(DNSResponse{Data: standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})})
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 6.5 s late was not heard")
 	}
@@ -509,13 +509,13 @@
 	id := gw.g.queryIDs[0]
 	for range 80 {
 		cfg := gw.g.cfg
-		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
 		gw.g.Flush()
 	}
 	gw.advance(3 * rules.Second)
 	drained := oneHost
 	drained.Draining = true
-	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})))
+	gw.step(DNSResponse{Data: standin.EncodeAnswer(id, listName, 2, []standin.Host{drained})})
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
 		t.Error("a drain in an answer that is 3 s late was not heard")
 	}
@@ -535,10 +535,10 @@
 	}{{second, 4, 1}, {first, 12, 0}, {second, 11, 0}} {
 		cfg := gw.g.cfg
 		cfg.DNS, cfg.InitialList = c.dns, config.EngineList{Seq: c.seq}
-		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
 		moved := 0
 		for _, effect := range gw.g.Flush() {
-			if effect.Kind == SetNameServer && effect.Addr == c.dns {
+			if effect == Effect(SetNameServer{Addr: c.dns}) {
 				moved++
 			}
 		}
@@ -553,27 +553,27 @@
 func TestRepeatKeyAndNotes(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, string(queryPacket("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
+	gw.receive(1, string(queryPacket("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
+	gw.step(DialSucceeded{Conn: link})
 	if got := gw.takeOutput(link); !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the engine got %q", got)
 	}
-	gw.step(DataReceived, link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
+	gw.receive(link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
 	if gw.closed[link] || gw.g.requests[idA] == nil || gw.g.requests[idA].inFlight != 1 {
 		t.Fatal("a note of progress ended the attempt, or its connection")
 	}
 	gw.advance(20 * rules.Millisecond)
-	gw.step(ConnectionClosed, link, "")
+	gw.closeConn(link)
 	gw.advance(rules.Millisecond)
-	gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
+	gw.step(DialSucceeded{Conn: gw.dials[len(gw.dials)-1]})
 	if got := gw.takeOutput(gw.dials[len(gw.dials)-1]); len(gw.dials) < 2 || !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the further attempt: %d dials, the engine got %q", len(gw.dials), got)
 	}
 	gw.client(2)
 	for _, key := range []string{"", "a b", "a=b", strings.Repeat("k", 200), "k\x01"} {
 		gw.takeOutput(2)
-		gw.step(DataReceived, 2, string(queryPacket("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
+		gw.receive(2, string(queryPacket("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
 		if got := gw.takeOutput(2); !strings.Contains(got, "opkey") {
 			t.Errorf("key %.20q: answered %q", key, got)
 		}
@@ -593,28 +593,28 @@
 			x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
 			x.flush()
 		}, true},
-		"an answer that makes no sense":   {func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" green - 0\r\n\r\n") }, true},
-		"a connection that can't be read": {func(x *interleaving) { x.step(DataReceived, x.lastDial(), "\x00\x01\x02") }, true},
-		"reset":                           {func(x *interleaving) { x.step(ConnectionClosed, x.lastDial(), "") }, true},
-		"full":                            {func(x *interleaving) { x.step(DataReceived, x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
+		"an answer that makes no sense":   {func(x *interleaving) { x.receive(x.lastDial(), idA+" green - 0\r\n\r\n") }, true},
+		"a connection that can't be read": {func(x *interleaving) { x.receive(x.lastDial(), "\x00\x01\x02") }, true},
+		"reset":                           {func(x *interleaving) { x.closeConn(x.lastDial()) }, true},
+		"full":                            {func(x *interleaving) { x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
 		"never taken": {func(x *interleaving) {
 			x.written[x.lastDial()] = 0
-			x.step(ConnectionClosed, x.lastDial(), "")
+			x.closeConn(x.lastDial())
 		}, false},
 	} {
 		for _, copies := range []bool{false, true} {
 			x := newInterleaving(t, "point")
 			x.g.cfg.Settings.Rules.Limits.HedgedRequests = copies
-			x.step(DataReceived, 1, askText("point", idA))
+			x.receive(1, askText("point", idA))
 			first := x.lastDial()
 			x.now += way
-			x.step(DialSucceeded, first, "")
+			x.step(DialSucceeded{Conn: first})
 			x.observe()
 			if x.asks != 1 {
 				t.Fatalf("%s: asked %d times at first", name, x.asks)
 			}
 			x.now += 5 * rules.Millisecond
-			x.step(TimerFired, 0, "")
+			x.step(TimerFired{})
 			c.end(x)
 			again := func() bool { // another attempt has begun, whether its connection is up or not
 				x.observe()
@@ -640,10 +640,10 @@
 	const way = 40 * rules.Millisecond
 	start := func(timeout int, took rules.Time) *interleaving {
 		x := newInterleaving(t, "point")
-		x.step(DataReceived, 1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
+		x.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
 		x.g.armedAt = x.now + took // the process does not stand still: no timer is late
 		x.now += took
-		x.step(DialSucceeded, x.lastDial(), "")
+		x.step(DialSucceeded{Conn: x.lastDial()})
 		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
 		x.flush()
 		return x
@@ -652,13 +652,13 @@
 		timeout, answers int
 		end              func(x *interleaving)
 	}{
-		"client goes": {2000, 0, func(x *interleaving) { x.step(ConnectionClosed, 1, "") }},
+		"client goes": {2000, 0, func(x *interleaving) { x.closeConn(1) }},
 		"killed": {2000, 0, func(x *interleaving) {
-			x.step(DataReceived, killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
+			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
 		}},
 		"deadline": {80, 1, func(x *interleaving) { x.advance(30 * rules.Millisecond) }},
 		"terminate": {80, 1, func(x *interleaving) {
-			x.step(ShutdownRequested, 0, "")
+			x.step(ShutdownRequested{})
 			x.advance(30 * rules.Millisecond)
 		}},
 	} {
@@ -691,11 +691,11 @@
 func TestMalformedConnectionCancelsByName(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
+	gw.step(DialSucceeded{Conn: link})
 	gw.takeOutput(link)
-	gw.step(DataReceived, link, "\x00\x01\x02")
+	gw.receive(link, "\x00\x01\x02")
 	if got := gw.takeOutput(link); got != "QUIT "+idA+"\r\n" || !gw.closed[link] {
 		t.Errorf("the engine got %q, closed %v", got, gw.closed[link])
 	}
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -48,7 +48,7 @@
 func (c *listChange) list(hosts ...standin.Host) {
 	c.observe()
 	c.serial++
-	c.step(DNSResponse, 0, string(standin.EncodeAnswer(c.g.queryIDs[(c.g.queryCount-1)%len(c.g.queryIDs)], listName, c.serial, hosts)))
+	c.step(DNSResponse{Data: standin.EncodeAnswer(c.g.queryIDs[(c.g.queryCount-1)%len(c.g.queryIDs)], listName, c.serial, hosts)})
 	c.observe()
 }
 
@@ -57,7 +57,7 @@
 	c.observe()
 	for _, id := range c.dials {
 		if conn := c.g.engineConns[id]; conn != nil && !conn.up {
-			c.step(DialSucceeded, id, "")
+			c.step(DialSucceeded{Conn: id})
 		}
 	}
 	c.observe()
@@ -67,7 +67,7 @@
 func (c *listChange) sendRequest(id string) {
 	c.lastClient++
 	c.client(c.lastClient)
-	c.step(DataReceived, c.lastClient, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
+	c.receive(c.lastClient, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
 	c.observe()
 }
 
@@ -75,7 +75,7 @@
 func (c *listChange) serveOne() {
 	c.sendRequest(idB)
 	c.completeDials()
-	c.step(DataReceived, c.dials[0], idB+" served total=1 0\r\n\r\n")
+	c.receive(c.dials[0], idB+" served total=1 0\r\n\r\n")
 	c.observe()
 	c.asksByAddr = map[netip.AddrPort]int{}
 }
@@ -125,7 +125,7 @@
 					change.observe()
 					change.asksByAddr = map[netip.AddrPort]int{}
 					tell()
-					change.step(DataReceived, change.dials[0], idA+" overload - 0\r\n\r\n")
+					change.receive(change.dials[0], idA+" overload - 0\r\n\r\n")
 				},
 				"told by a reload": func(change *listChange, tell func()) {
 					change.sendRequest(idA)
@@ -139,7 +139,7 @@
 						cfg.InitialList.Engines = append(cfg.InitialList.Engines, entry)
 					}
 					change.observe()
-					change.g.Step(change.now, Event{Kind: ConfigReloaded, Config: &cfg})
+					change.g.Step(change.now, ConfigReloaded{Config: &cfg})
 					change.flush()
 				},
 			} {
@@ -174,7 +174,7 @@
 	if len(change.dials) < 2 || !change.closed[change.dials[0]] {
 		t.Fatalf("%d dials, the first one given up: %v", len(change.dials), change.closed[change.dials[0]])
 	}
-	change.step(DialSucceeded, change.dials[0], "")
+	change.step(DialSucceeded{Conn: change.dials[0]})
 	if out := string(change.output[change.dials[0]]); strings.Contains(out, "ASK") {
 		t.Errorf("the first connection got %q", out)
 	}
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -36,8 +36,8 @@
 
 func (gw *testGateway) flush() {
 	for _, effect := range gw.g.Flush() {
-		switch effect.Kind {
-		case Write:
+		switch effect := effect.(type) {
+		case *Write:
 			gw.output[effect.Conn] = append(gw.output[effect.Conn], effect.Data...)
 			gw.written[effect.Conn] += int64(len(effect.Data))
 		case CloseConnection:
@@ -50,11 +50,21 @@
 	}
 }
 
-func (gw *testGateway) step(kind EventKind, conn ConnID, data string) {
-	gw.g.Step(gw.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: gw.written[conn]})
+func (gw *testGateway) step(event Event) {
+	gw.g.Step(gw.now, event)
 	gw.flush()
 }
 
+// receive passes bytes that have come on a connection.
+func (gw *testGateway) receive(conn ConnID, data string) {
+	gw.step(&DataReceived{Conn: conn, Data: []byte(data)})
+}
+
+// closeConn ends a connection that has accepted all that was written on it.
+func (gw *testGateway) closeConn(conn ConnID) {
+	gw.step(ConnectionClosed{Conn: conn, AcceptedBytes: gw.written[conn]})
+}
+
 // advance lets time go by, with all timers.
 func (gw *testGateway) advance(d rules.Time) {
 	for end := gw.now + d; ; {
@@ -64,13 +74,13 @@
 			return
 		}
 		gw.now = max(gw.now, at)
-		gw.step(TimerFired, 0, "")
+		gw.step(TimerFired{})
 	}
 }
 
 func (gw *testGateway) client(id ConnID) {
-	gw.step(ConnectionAccepted, id, "")
-	gw.step(DataReceived, id, string(loginPacket()))
+	gw.step(ConnectionAccepted{Conn: id})
+	gw.receive(id, string(loginPacket()))
 }
 
 func askText(class, id string) string {
@@ -114,11 +124,11 @@
 		t.Run(name, func(t *testing.T) {
 			gw := newTestGateway(t)
 			gw.client(1)
-			gw.step(DataReceived, 1, askText("point", idA))
+			gw.receive(1, askText("point", idA))
 			gw.client(2)
 			gw.takeOutput(1)
 			gw.takeOutput(2)
-			gw.step(DataReceived, 2, c.data)
+			gw.receive(2, c.data)
 			if got := gw.takeOutput(2); !strings.Contains(got, c.answer) || gw.closed[2] != c.shut {
 				t.Errorf("answered %q, closed %v", got, gw.closed[2])
 			}
@@ -142,8 +152,8 @@
 		"a query at once":   string(queryPacket("SELECT 1")),
 	} {
 		gw := newTestGateway(t)
-		gw.step(ConnectionAccepted, 1, "")
-		gw.step(DataReceived, 1, data)
+		gw.step(ConnectionAccepted{Conn: 1})
+		gw.receive(1, data)
 		gw.advance(2900 * rules.Millisecond)
 		if !gw.closed[1] || len(gw.g.clients) != 0 || len(gw.g.sessions) != 0 {
 			t.Errorf("%s: the session goes on", name)
@@ -157,8 +167,8 @@
 	for range 300 {
 		gw := newTestGateway(t)
 		gw.client(1)
-		gw.step(DataReceived, 1, askText("point", idA))
-		gw.step(DialSucceeded, gw.dials[0], "")
+		gw.receive(1, askText("point", idA))
+		gw.step(DialSucceeded{Conn: gw.dials[0]})
 		pieces := []string{askText("load", idB), string(loginPacket()), idA + " served total=3 2\r\n\r\n\r\n", idA + " rows index=1 0\r\n\r\n",
 			"\x00\x01\x02", "p1 green - 0\r\n\r\n", string(standin.EncodeAnswer(uint16(gw.g.queryIDs[0]), listName, 2, []standin.Host{oneHost}))}
 		for range 10 {
@@ -166,10 +176,15 @@
 			if rng.IntN(2) == 0 {
 				p[rng.IntN(len(p))] ^= byte(1 << rng.IntN(8))
 			}
-			gw.step([]EventKind{DataReceived, DataReceived, DNSResponse}[rng.IntN(3)], []ConnID{1, gw.dials[0]}[rng.IntN(2)], string(p))
+			kind, conn := rng.IntN(3), []ConnID{1, gw.dials[0]}[rng.IntN(2)]
+			if kind < 2 {
+				gw.receive(conn, string(p))
+			} else {
+				gw.step(DNSResponse{Data: p})
+			}
 			gw.advance(rules.Time(rng.IntN(100)) * rules.Millisecond)
 		}
-		gw.step(ConnectionClosed, 1, "")
+		gw.closeConn(1)
 		gw.advance(5 * rules.Second)
 		if len(gw.g.requests) != 0 || gw.g.unanswered != 0 || gw.g.partialBytes != 0 {
 			t.Fatalf("%d requests and %d bytes are left", len(gw.g.requests), gw.g.partialBytes)
@@ -206,14 +221,14 @@
 		for _, class := range []string{"point", "load"} {
 			gw := newTestGateway(t)
 			gw.client(1)
-			gw.step(DataReceived, 1, askText(class, idA))
+			gw.receive(1, askText(class, idA))
 			link := gw.dials[0]
-			gw.step(DialSucceeded, link, "")
+			gw.step(DialSucceeded{Conn: link})
 			if got := gw.takeOutput(link); !strings.HasPrefix(got, "ASK "+idA+" lane="+class) {
 				t.Fatalf("the engine got %q", got)
 			}
 			gw.takeOutput(1)
-			gw.step(DataReceived, link, c.data)
+			gw.receive(link, c.data)
 			if gw.closed[link] != c.shut {
 				t.Errorf("%s: connection closed: %v", name, gw.closed[link])
 			}
@@ -241,20 +256,20 @@
 func TestPagesInAnyOrder(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
+	gw.step(DialSucceeded{Conn: link})
 	gw.takeOutput(link)
-	gw.step(DataReceived, link, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
+	gw.receive(link, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
 	if got := gw.takeOutput(link); got != "NEXT "+idA+" 1\r\nNEXT "+idA+" 2\r\n" {
 		t.Fatalf("asked for %q", got)
 	}
 	gw.takeOutput(1)
-	gw.step(DataReceived, link, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
+	gw.receive(link, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
 	if gw.takeOutput(1) != "" {
 		t.Fatal("the client has rows of a result that is not whole")
 	}
-	gw.step(DataReceived, link, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
+	gw.receive(link, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
 	got := gw.takeOutput(1)
 	at := []int{strings.Index(got, "\x011\x01a"), strings.Index(got, "\x012\x01a"), strings.Index(got, "\x013\x01a")}
 	if at[0] < 0 || at[1] < at[0] || at[2] < at[1] {
@@ -269,11 +284,11 @@
 func TestListIsCheckedWhenWritten(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("load", idA))
+	gw.receive(1, askText("load", idA))
 	host := oneHost
 	host.Draining = true
-	gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.step(DNSResponse{Data: standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})})
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if got := gw.takeOutput(gw.dials[0]); got != "" {
 		t.Errorf("a draining engine got %q", got)
 	}
@@ -295,12 +310,12 @@
 		"another name": standin.EncodeAnswer(gw.g.queryIDs[0], "_data._tcp.other.lan", 9, nil),
 		"empty":        {},
 	} {
-		gw.step(DNSResponse, 0, string(msg))
+		gw.step(DNSResponse{Data: msg})
 		if len(gw.g.engineOrder) != 1 || gw.g.engineOrder[0].entry.ID != oneHost.ID || gw.g.engineOrder[0].state != rules.EngineServing {
 			t.Errorf("%s: the list has changed", name)
 		}
 	}
-	gw.step(DNSResponse, 0, string(good))
+	gw.step(DNSResponse{Data: good})
 	if len(gw.g.engineOrder) != 1 || gw.g.engineOrder[0].entry.ID != other.ID {
 		t.Error("a good answer has not changed the list")
 	}
@@ -311,14 +326,14 @@
 func TestSilentConnectionIsLeft(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, string(queryPacket("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.receive(1, string(queryPacket("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.advance(900 * rules.Millisecond) // less than what makes a connection idle
 	if gw.g.requests[idA] != nil || len(gw.dials) != 1 {
 		t.Fatal("the load should have failed, with no further attempt")
 	}
 	gw.takeOutput(gw.dials[0])
-	gw.step(DataReceived, 1, askText("load", idB))
+	gw.receive(1, askText("load", idB))
 	if got := gw.takeOutput(gw.dials[0]); got != "" || len(gw.dials) != 2 {
 		t.Errorf("the silent connection got %q; %d dials, want 2", got, len(gw.dials))
 	}
@@ -328,10 +343,10 @@
 func TestTerminateAnswersAll(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, string(queryPacket("/* kind=load,req="+idA+",timeout=30000 */ SELECT 1 FROM sales_1.x")))
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.receive(1, string(queryPacket("/* kind=load,req="+idA+",timeout=30000 */ SELECT 1 FROM sales_1.x")))
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.takeOutput(1)
-	gw.step(ShutdownRequested, 0, "")
+	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.ShutdownTimeout - rules.Millisecond)
 	if gw.exited || gw.takeOutput(1) != "" {
 		t.Fatal("ended before its time")
@@ -346,12 +361,12 @@
 func TestIdleConnectionIsLeft(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
-	gw.step(DialSucceeded, gw.dials[0], "")
-	gw.step(DataReceived, gw.dials[0], idA+" served total=1 0\r\n\r\n")
+	gw.receive(1, askText("point", idA))
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
+	gw.receive(gw.dials[0], idA+" served total=1 0\r\n\r\n")
 	gw.now += gw.g.limits.EngineIdleTimeout // before the sweep has seen it
 	gw.g.armedAt = gw.now                   // and no timer is late: the process did not stand still
-	gw.step(DataReceived, 1, askText("load", idB))
+	gw.receive(1, askText("load", idB))
 	if len(gw.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(gw.dials))
 	}
@@ -361,19 +376,19 @@
 func TestKill(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	gw.client(2)
-	gw.step(DataReceived, 2, askText("point", idB))
+	gw.receive(2, askText("point", idB))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
+	gw.step(DialSucceeded{Conn: link})
 	gw.takeOutput(link)
 	gw.takeOutput(1)
 	gw.client(3)
-	gw.step(DataReceived, 3, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
+	gw.receive(3, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
 	if got := gw.takeOutput(link); got != "QUIT "+idA+"\r\n" {
 		t.Errorf("the engine got %q", got)
 	}
-	gw.step(DataReceived, link, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
+	gw.receive(link, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
 	if got := gw.takeOutput(1); got != "" {
 		t.Errorf("the killed session got %q", got)
 	}
@@ -387,11 +402,11 @@
 	gw := newTestGateway(t)
 	gw.g.limits.MaxInputBytes = 20 * gw.g.limits.MaxStatementBytes
 	gw.client(99)
-	gw.step(DataReceived, 99, string(queryPacket(askText("point", idA)))[:40])
+	gw.receive(99, string(queryPacket(askText("point", idA)))[:40])
 	piece := "\xff\xff\x00\x00" + strings.Repeat("x", 0xff00)
 	for id := ConnID(1); id <= 40; id++ {
 		gw.client(id)
-		gw.step(DataReceived, id, piece)
+		gw.receive(id, piece)
 		if gw.g.partialBytes > gw.g.limits.MaxInputBytes {
 			t.Fatalf("%d bytes are held, %d at most", gw.g.partialBytes, gw.g.limits.MaxInputBytes)
 		}
@@ -414,8 +429,8 @@
 func TestAnswerLeavesAhead(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("load", idA)) // waits 2 s
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.receive(1, askText("load", idA)) // waits 2 s
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.takeOutput(1)
 	gw.advance(1799 * rules.Millisecond)
 	if got := gw.takeOutput(1); got != "" {
@@ -435,7 +450,7 @@
 	for text, want := range map[string]string{
 		"SELECT @@max_allowed_packet": "65536", "select @@version_comment limit 1": "foxlane", "SET NAMES utf8mb4": "\x00\x00\x00",
 	} {
-		gw.step(DataReceived, 1, string(queryPacket(text)))
+		gw.receive(1, string(queryPacket(text)))
 		if got := gw.takeOutput(1); !strings.Contains(got, want) || strings.Contains(got, "\xff") {
 			t.Errorf("%s: got %q", text, got)
 		}
@@ -451,16 +466,16 @@
 		do   func(gw *testGateway, link ConnID)
 		left int
 	}{
-		"green":   {func(gw *testGateway, link ConnID) { gw.step(DataReceived, link, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
+		"green":   {func(gw *testGateway, link ConnID) { gw.receive(link, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
 		"silence": {func(gw *testGateway, link ConnID) { gw.advance(300 * rules.Millisecond) }, 0},
-		"lost":    {func(gw *testGateway, link ConnID) { gw.step(ConnectionClosed, link, "") }, 0},
+		"lost":    {func(gw *testGateway, link ConnID) { gw.closeConn(link) }, 0},
 		"waiting": {func(gw *testGateway, link ConnID) {}, 1},
 	} {
 		gw := newTestGateway(t)
 		gw.g.runAction(rules.Probe{Engine: gw.g.engineOrder[0].id})
 		gw.flush()
 		link := gw.dials[0]
-		gw.step(DialSucceeded, link, "")
+		gw.step(DialSucceeded{Conn: link})
 		if got := gw.takeOutput(link); got != "INFO p1\r\n" {
 			t.Fatalf("the engine got %q", got)
 		}
@@ -481,10 +496,14 @@
 	cfg := simConfig(t, two)
 	cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
 	reload := func() (moved, asked bool) {
-		gw.g.Step(gw.now, Event{Kind: ConfigReloaded, Config: &cfg})
+		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
 		for _, effect := range gw.g.Flush() {
-			moved = moved || effect.Kind == SetNameServer && effect.Addr == cfg.DNS
-			asked = asked || effect.Kind == QueryDNS && moved
+			switch effect := effect.(type) {
+			case SetNameServer:
+				moved = moved || effect.Addr == cfg.DNS
+			case QueryDNS:
+				asked = asked || moved
+			}
 		}
 		return moved, asked
 	}
@@ -497,7 +516,7 @@
 		t.Errorf("a newer list in the file: %d engines, at event %d", len(gw.g.engines), gw.g.list.Serial())
 	}
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	if reload(); gw.closed[1] || gw.g.requests[idA] == nil {
 		t.Error("a client was concerned")
 	}
@@ -508,19 +527,19 @@
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	gw.client(2)
-	gw.step(DataReceived, 2, string(packet(0, []byte{14}))) // idle after a ping
+	gw.receive(2, string(packet(0, []byte{14}))) // idle after a ping
 	most := ConnID(gw.g.limits.MaxClients)
 	for id := ConnID(100); id < 100+2*most; id++ {
-		gw.step(ConnectionAccepted, id, "")
+		gw.step(ConnectionAccepted{Conn: id})
 	}
 	if len(gw.g.clients) > gw.g.limits.MaxClients {
 		t.Fatalf("%d connections are held, %d at most", len(gw.g.clients), gw.g.limits.MaxClients)
 	}
 	gw.takeOutput(3)
 	gw.client(3)
-	gw.step(DataReceived, 3, askText("point", idB))
+	gw.receive(3, askText("point", idB))
 	if gw.closed[3] || gw.g.requests[idB] == nil {
 		t.Fatal("a client that asks at once was turned away for silent ones")
 	}
@@ -541,21 +560,21 @@
 func TestSessionsThatOutstay(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, string(packet(0, []byte{14})))
+	gw.receive(1, string(packet(0, []byte{14})))
 	gw.client(2)
-	gw.step(DataReceived, 2, askText("point", idA)[:30])
+	gw.receive(2, askText("point", idA)[:30])
 	gw.client(3) // logs in and asks for nothing
 	gw.advance(2900 * rules.Millisecond)
 	if gw.closed[1] || !gw.closed[2] || !gw.closed[3] {
 		t.Errorf("after 2.9 s: idle closed %v, half a query %v, login alone %v", gw.closed[1], gw.closed[2], gw.closed[3])
 	}
 	gw.advance(1200 * rules.Millisecond)
-	gw.step(DataReceived, 1, askText("point", idB))
+	gw.receive(1, askText("point", idB))
 	if gw.closed[1] || gw.g.requests[idB] == nil {
 		t.Fatal("a client that was idle for 4 s was closed")
 	}
-	gw.step(DialSucceeded, gw.dials[0], "")
-	gw.step(DataReceived, gw.dials[0], idB+" served total=1 0\r\n\r\n")
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
+	gw.receive(gw.dials[0], idB+" served total=1 0\r\n\r\n")
 	gw.advance(5 * rules.Second)
 	if !gw.closed[1] || len(gw.g.clients) != 0 || gw.g.idleClients.Len()+gw.g.newClients.Len() != 0 {
 		t.Error("a connection held for good is kept")
@@ -570,7 +589,7 @@
 		gw.client(1)
 		for i := range gw.g.limits.MaxSessionErrors + 1 {
 			gw.takeOutput(1)
-			gw.step(DataReceived, 1, string(queryPacket("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
+			gw.receive(1, string(queryPacket("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
 			if got := gw.takeOutput(1); !strings.Contains(got, "unusable") && !strings.Contains(got, "out of range") {
 				t.Fatalf("%s: got %q", fields, got)
 			}
@@ -593,11 +612,11 @@
 		gw := newTestGateway(t)
 		for id, req := range map[ConnID]string{1: idA, 2: idB} {
 			gw.client(id)
-			gw.step(DataReceived, id, askText("point", req))
+			gw.receive(id, askText("point", req))
 		}
 		link := gw.dials[0]
-		gw.step(DialSucceeded, link, "")
-		gw.step(DataReceived, link, piece)
+		gw.step(DialSucceeded{Conn: link})
+		gw.receive(link, piece)
 		gw.advance(gw.g.limits.AnswerStallTimeout - rules.Millisecond)
 		if gw.closed[link] {
 			t.Errorf("%s: ended too early", name)
@@ -606,7 +625,7 @@
 		if !gw.closed[link] || len(gw.dials) != 2 {
 			t.Fatalf("%s: closed %v, %d dials: both queries should be under way again", name, gw.closed[link], len(gw.dials))
 		}
-		gw.step(DialSucceeded, gw.dials[1], "")
+		gw.step(DialSucceeded{Conn: gw.dials[1]})
 		if got := gw.takeOutput(gw.dials[1]); strings.Count(got, "ASK ") != 2 {
 			t.Errorf("%s: the engine got %q", name, got)
 		}
@@ -618,13 +637,13 @@
 func TestAnswersThatComeTwice(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.step(DataReceived, 1, askText("point", idA))
+	gw.receive(1, askText("point", idA))
 	link := gw.dials[0]
-	gw.step(DialSucceeded, link, "")
+	gw.step(DialSucceeded{Conn: link})
 	gw.takeOutput(1)
 	first := idA + " served total=3 6\r\n1\ta\tb\n\r\n"
 	page := idA + " rows index=1 6\r\n2\ta\tb\n\r\n"
-	gw.step(DataReceived, link, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
+	gw.receive(link, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
 	if got := gw.takeOutput(1); strings.Count(got, "\x01a") != 3 || gw.closed[link] {
 		t.Errorf("got %q", got)
 	}
@@ -639,11 +658,11 @@
 	gw := newTestGateway(t)
 	for i, class := range []string{"load", "load", "point", "point", "report"} {
 		gw.client(ConnID(i + 1))
-		gw.step(DataReceived, ConnID(i+1), string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x", class, i, i))))
+		gw.receive(ConnID(i+1), string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x", class, i, i))))
 	}
 	got := map[string]int{}
 	for _, d := range gw.dials {
-		gw.step(DialSucceeded, d, "")
+		gw.step(DialSucceeded{Conn: d})
 		sent := gw.takeOutput(d)
 		for _, class := range []string{"load", "point", "report"} {
 			if n := strings.Count(sent, "lane="+class); n > 0 {
@@ -657,7 +676,7 @@
 	if len(gw.dials) != 3 || got["load"] != 2 || got["point"] != 2 || got["report"] != 1 {
 		t.Fatalf("%d connections carry %v", len(gw.dials), got)
 	}
-	gw.step(DataReceived, gw.dials[1], "\x00\r\n")
+	gw.receive(gw.dials[1], "\x00\r\n")
 	if !gw.closed[gw.dials[1]] || gw.closed[gw.dials[0]] || gw.closed[gw.dials[2]] || gw.g.requests["0000000000000000"].inFlight != 1 {
 		t.Error("more than the queries of one class were concerned")
 	}
@@ -671,12 +690,12 @@
 	ask := func(client int, class string) string {
 		id := fmt.Sprintf("%016x", client)
 		gw.client(ConnID(client))
-		gw.step(DataReceived, ConnID(client), string(queryPacket("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
+		gw.receive(ConnID(client), string(queryPacket("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
 		return id
 	}
 	first := ask(1, "point")
-	gw.step(DialSucceeded, gw.dials[0], "")
-	gw.step(DataReceived, gw.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
+	gw.receive(gw.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
 	ask(2, "report")
 	if len(gw.dials) != 1 || !strings.Contains(gw.takeOutput(gw.dials[0]), "lane=report") {
 		t.Fatalf("%d connections for two requests one after the other", len(gw.dials))
@@ -694,10 +713,10 @@
 	for i := range 6 {
 		id := ConnID(i + 1)
 		gw.client(id)
-		gw.step(DataReceived, id, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x",
+		gw.receive(id, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x",
 			[]string{"load", "point"}[i%2], i, i))))
 	}
-	gw.step(DialSucceeded, gw.dials[0], "")
+	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if asked := strings.Count(gw.takeOutput(gw.dials[0]), "ASK "); len(gw.dials) != 1 || asked != gw.g.limits.Multiplex {
 		t.Errorf("%d requests went out on %d connections", asked, len(gw.dials))
 	}
@@ -713,15 +732,15 @@
 			id := ConnID(10 * (round + 1))
 			for i := range ConnID(3) {
 				gw.client(id + i)
-				gw.step(DataReceived, id+i, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
+				gw.receive(id+i, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
 			}
 			link := gw.dials[len(gw.dials)-1]
-			gw.step(DialSucceeded, link, "")
+			gw.step(DialSucceeded{Conn: link})
 			if answers {
-				gw.step(DataReceived, link, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
+				gw.receive(link, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
 			}
 			gw.advance(rules.Millisecond)
-			gw.step(ConnectionClosed, link, "")
+			gw.closeConn(link)
 			gw.advance(rules.Millisecond)
 		}
 		if left := gw.g.module.EngineViews()[0].Ejected; left == answers {
@@ -762,11 +781,11 @@
 		gw.client(2)
 		for i := range 12 {
 			bad, good := fmt.Sprintf("%016x", 2*i), fmt.Sprintf("%016x", 2*i+1)
-			gw.step(DataReceived, 1, askText("load", bad))
-			gw.step(DataReceived, 2, askText("point", good))
+			gw.receive(1, askText("load", bad))
+			gw.receive(2, askText("point", good))
 			for _, d := range gw.dials {
 				if conn := gw.g.engineConns[d]; conn != nil && !conn.up {
-					gw.step(DialSucceeded, d, "")
+					gw.step(DialSucceeded{Conn: d})
 				}
 			}
 			answers := map[string]string{good: good + " crashed - 0\r\n\r\n", bad: bad + " crashed - 0\r\n\r\n"}
@@ -775,7 +794,7 @@
 			}
 			for _, id := range []string{good, bad} {
 				if req := gw.g.requests[rules.RequestID(id)]; req != nil && req.inFlight > 0 {
-					gw.step(DataReceived, req.attempts[len(req.attempts)-1].conn.id, answers[id])
+					gw.receive(req.attempts[len(req.attempts)-1].conn.id, answers[id])
 				}
 			}
 			gw.advance(50 * rules.Millisecond)
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -55,7 +55,7 @@
 // renewSocket asks the name service at an address from a new socket.
 func (g *Gateway) renewSocket(addr netip.AddrPort) {
 	g.nameService.socketSince = g.now
-	g.emit(Effect{Kind: SetNameServer, Addr: addr})
+	g.emit(SetNameServer{Addr: addr})
 }
 
 // renewSocketIfSilent asks from a new socket where the name service has said nothing for a while: what lies between may
@@ -84,7 +84,7 @@
 	id := uint16(g.rng.Uint32())
 	g.queryIDs[g.queryCount%len(g.queryIDs)], g.queryTimes[g.queryCount%len(g.queryIDs)] = id, g.now
 	g.queryCount++
-	g.emit(Effect{Kind: QueryDNS, Data: dns.AppendQuery(nil, id, listName)})
+	g.emit(QueryDNS{Data: dns.AppendQuery(nil, id, listName)})
 }
 
 // receiveDatagram takes an answer. Whatever is wrong with it, the last list stays.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -26,13 +26,14 @@
 	PeerNameConflict // another process has a member's name
 )
 
-// PeerEvent is something that happened among the members.
+// PeerEvent is an Event: something that happened among the members.
 type PeerEvent struct {
 	Kind    PeerKind
 	Name    string
 	Zone    string
-	Channel byte
-	Text    string
+	Channel byte   // with PeerMessage, as Data
+	Data    []byte // valid during Step only
+	Text    string // with PeerNameConflict: the other's address
 }
 
 // Channels of what members say.
@@ -76,10 +77,10 @@
 	case !on:
 		g.peers = nil // the book stays as it is, and grows old
 		g.log(Info, "members: talk ends")
-		g.emit(Effect{Kind: LeaveMembers})
+		g.emit(LeaveMembers{})
 	default:
 		g.startPeers()
-		g.emit(Effect{Kind: JoinMembers})
+		g.emit(JoinMembers{})
 	}
 }
 
@@ -90,32 +91,32 @@
 }
 
 // handlePeer takes what has happened among the members.
-func (g *Gateway) handlePeer(event Event) {
+func (g *Gateway) handlePeer(event PeerEvent) {
 	peers := g.peers
 	if peers == nil {
 		return
 	}
-	switch notice := event.Peer; notice.Kind {
+	switch event.Kind {
 	case PeerJoined:
-		peers.joinedAt[notice.Name] = g.now
-		g.log(Info, "members: joined", Attr{"member", notice.Name}, Attr{"zone", notice.Zone}, Attr{"members", len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: notice.Name, Zone: notice.Zone}})
+		peers.joinedAt[event.Name] = g.now
+		g.log(Info, "members: joined", Attr{"member", event.Name}, Attr{"zone", event.Zone}, Attr{"members", len(peers.joinedAt)})
+		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: event.Name, Zone: event.Zone}})
 	case PeerLeft:
-		delete(peers.joinedAt, notice.Name)
-		g.log(Info, "members: left", Attr{"member", notice.Name}, Attr{"members", len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: notice.Name}})
+		delete(peers.joinedAt, event.Name)
+		g.log(Info, "members: left", Attr{"member", event.Name}, Attr{"members", len(peers.joinedAt)})
+		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: event.Name}})
 	case PeerMessage:
 		switch {
-		case notice.Channel == ChannelReplica:
-			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: notice.Name}, Data: event.Data})
+		case event.Channel == ChannelReplica:
+			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: event.Name}, Data: event.Data})
 		case g.directives == nil:
-		case notice.Channel == ChannelConsensus:
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Received, From: notice.Name, Data: event.Data}))
-		case notice.Channel == ChannelDirectives:
-			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, notice.Name, event.Data))
+		case event.Channel == ChannelConsensus:
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Event{Kind: directives.Received, From: event.Name, Data: event.Data}))
+		case event.Channel == ChannelDirectives:
+			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
 		}
 	case PeerNameConflict:
-		g.log(Warn, "members: a name comes twice", Attr{"member", notice.Name}, Attr{"at", notice.Text})
+		g.log(Warn, "members: a name comes twice", Attr{"member", event.Name}, Attr{"at", event.Text})
 	}
 }
 
@@ -124,7 +125,7 @@
 	for _, effect := range g.peers.replica.Handle(g.now, event) {
 		switch effect.Kind {
 		case replica.Send:
-			g.emit(Effect{Kind: SendToMember, To: effect.To, Channel: ChannelReplica, Data: effect.Data})
+			g.emit(SendToMember{To: effect.To, Channel: ChannelReplica, Data: effect.Data})
 		case replica.Reject:
 			g.log(Warn, "members: message refused", Attr{"member", effect.Origin}, Attr{"error", effect.Err.Error()})
 		}
@@ -180,7 +181,7 @@
 // ---- operators' questions
 
 // answerInquiry answers a question of an operator's command with one line of JSON.
-func (g *Gateway) answerInquiry(event Event) {
+func (g *Gateway) answerInquiry(event ControlRequest) {
 	var answer any
 	switch what := string(event.Data); {
 	case len(event.Data) > 0 && event.Data[0] == '{':
@@ -205,7 +206,7 @@
 	if err != nil {
 		line = []byte(`{"error":"the answer can't be written"}`)
 	}
-	g.emit(Effect{Kind: ControlResponse, Conn: conn, Data: append(line, '\n')})
+	g.emit(ControlResponse{Conn: conn, Data: append(line, '\n')})
 }
 
 // MemberStatus is a member as `foxlane members` shows it.
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -94,7 +94,7 @@
 	store := g.results
 	switch effect.Kind {
 	case spool.WriteRecord, spool.LoadChunk, spool.DiscardRecords:
-		g.emit(Effect{Kind: SubmitSpool, Spool: effect})
+		g.emit(SubmitSpool{Effect: effect})
 	case spool.SetTimer:
 		store.wakeAt = effect.At
 	case spool.DeliverChunk:
@@ -400,7 +400,7 @@
 // watchClient asks to be told once all that was written to a client has been taken.
 func (g *Gateway) watchClient(client *clientConn) {
 	g.flushNow(&client.outputBuffer)
-	g.emit(Effect{Kind: NotifyDrained, Conn: client.id})
+	g.emit(NotifyDrained{Conn: client.id})
 }
 
 // clientDrained: the client has taken a chunk and gets the next.
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -66,19 +66,19 @@
 	cfg := simConfig(t, []standin.Host{oneHost})
 	withSpool(t, text)(&cfg)
 	gw.g = New(cfg, gw.now)
-	gw.run(Event{})
+	gw.run(nil)
 	return gw
 }
 
 func (gw *spoolGateway) run(event Event) {
-	if event.Kind != 0 {
+	if event != nil {
 		gw.g.Step(gw.now, event)
 	}
 	for again := true; again; {
 		again = false
 		for _, effect := range slices.Clone(gw.g.Flush()) {
-			switch effect.Kind {
-			case Write:
+			switch effect := effect.(type) {
+			case *Write:
 				gw.output[effect.Conn] = append(gw.output[effect.Conn], effect.Data...)
 			case CloseConnection:
 				gw.closed[effect.Conn] = true
@@ -89,7 +89,7 @@
 			case Exit:
 				gw.exited = true
 			case SubmitSpool:
-				gw.pendingDisk = append(gw.pendingDisk, effect.Spool)
+				gw.pendingDisk = append(gw.pendingDisk, effect.Effect)
 			}
 		}
 		if !gw.diskPaused && len(gw.pendingDisk) > 0 {
@@ -118,16 +118,16 @@
 		default:
 			continue
 		}
-		gw.g.Step(gw.now, Event{Kind: SpoolCompleted, Spool: events})
+		gw.g.Step(gw.now, SpoolCompleted{Events: events})
 	}
 }
 
 func (gw *spoolGateway) send(id ConnID, text string) {
-	gw.run(Event{Kind: DataReceived, Conn: id, Data: []byte(text)})
+	gw.run(&DataReceived{Conn: id, Data: []byte(text)})
 }
 
 func (gw *spoolGateway) connect(id ConnID) {
-	gw.run(Event{Kind: ConnectionAccepted, Conn: id})
+	gw.run(ConnectionAccepted{Conn: id})
 	gw.send(id, string(loginPacket()))
 	gw.takeOutput(id)
 }
@@ -144,7 +144,7 @@
 		return 0
 	}
 	link = gw.dials[len(gw.dials)-1]
-	gw.run(Event{Kind: DialSucceeded, Conn: link})
+	gw.run(DialSucceeded{Conn: link})
 	gw.takeOutput(link)
 	p := bigPage(0)
 	gw.send(link, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
@@ -180,7 +180,7 @@
 			break
 		}
 		delete(gw.watched, id)
-		gw.run(Event{Kind: WriteDrained, Conn: id})
+		gw.run(WriteDrained{Conn: id})
 	}
 	all = append(all, gw.takeOutput(id)...)
 	ends, n := 0, 0
@@ -279,7 +279,7 @@
 	if len(handle) != spool.HandleSize || len(pages) < 2 {
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
-	gw.run(Event{Kind: ConnectionClosed, Conn: 1})
+	gw.run(ConnectionClosed{Conn: 1})
 	asks := gw.takeOutput(link)
 	gw.connect(2)
 	last := pages[len(pages)-1]
@@ -412,13 +412,13 @@
 		t.Fatalf("answered before it is safe: %q", out)
 	}
 	for end := gw.now + 2*rules.Second; gw.now < end; gw.now += 10 * rules.Millisecond {
-		gw.run(Event{Kind: TimerFired})
+		gw.run(TimerFired{})
 	}
 	if out := gw.takeOutput(1); !strings.Contains(out, "failed") || len(gw.g.requests) != 0 {
 		t.Errorf("a disk that hangs: %q", out)
 	}
 	gw.diskPaused = false
-	gw.run(Event{Kind: TimerFired})
+	gw.run(TimerFired{})
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 {
 		t.Errorf("left %+v", stats)
 	}
@@ -442,8 +442,8 @@
 	gw.connect(1)
 	link := gw.startResult(1, "point", idA, "", 30)
 	gw.takeOutput(link)
-	gw.run(Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: math.MaxInt64})
-	gw.run(Event{Kind: TimerFired})
+	gw.run(ConnectionClosed{Conn: link, AcceptedBytes: math.MaxInt64})
+	gw.run(TimerFired{})
 	if out := gw.takeOutput(1); out != "" {
 		t.Fatalf("the client has %q", out)
 	}
@@ -451,7 +451,7 @@
 	if link2 == link {
 		t.Fatal("no further attempt")
 	}
-	gw.run(Event{Kind: DialSucceeded, Conn: link2})
+	gw.run(DialSucceeded{Conn: link2})
 	gw.takeOutput(link2)
 	p := bigPage(0)
 	gw.send(link2, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
@@ -469,7 +469,7 @@
 	gw.takeOutput(1)
 	gw.connect(2)
 	gw.send(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
-	gw.run(Event{Kind: WriteDrained, Conn: 1})
+	gw.run(WriteDrained{Conn: 1})
 	if out := gw.takeOutput(1); out != "" || !gw.closed[1] {
 		t.Errorf("after KILL the client got %d bytes", len(out))
 	}
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -35,9 +35,9 @@
 	sim.next++
 	conn := &simConn{id: sim.next, client: true}
 	sim.conns[conn.id] = conn
-	sim.step(Event{Kind: ConnectionAccepted, Conn: conn.id})
+	sim.step(ConnectionAccepted{Conn: conn.id})
 	if !conn.closed {
-		sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: append(loginPacket(), ahead...)})
+		sim.step(&DataReceived{Conn: conn.id, Data: append(loginPacket(), ahead...)})
 	}
 	return conn
 }
@@ -68,7 +68,7 @@
 		conn := &simConn{id: sim.next, client: true, request: req}
 		req.client = conn
 		sim.conns[conn.id] = conn
-		sim.step(Event{Kind: ConnectionAccepted, Conn: conn.id})
+		sim.step(ConnectionAccepted{Conn: conn.id})
 		sim.send(conn, append(loginPacket(), q...))
 	} else {
 		conn := sim.idleClients[len(sim.idleClients)-1]
@@ -127,7 +127,7 @@
 		}
 		in[2] |= 1 // a packet larger than any login
 	}
-	sim.step(Event{Kind: ConnectionAccepted, Conn: conn.id})
+	sim.step(ConnectionAccepted{Conn: conn.id})
 	if req := sim.requestsByID[open]; req != nil && req.finished { // it gave way to this connection: its id is free again
 		in = append(loginPacket(), queryPacket("SELECT 1")...)
 	}
@@ -145,10 +145,10 @@
 		cut = sim.rng.IntN(len(b))
 	}
 	if cut > 0 && !conn.closed {
-		sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: b[:cut]})
+		sim.step(&DataReceived{Conn: conn.id, Data: b[:cut]})
 	}
 	if cut < len(b) && !conn.closed {
-		sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: b[cut:]})
+		sim.step(&DataReceived{Conn: conn.id, Data: b[cut:]})
 	}
 }
 
@@ -165,7 +165,7 @@
 			}
 			if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither was turned away for the other
 				req.killed, req.finished, req.goneAt = true, true, sim.now
-				sim.step(Event{Kind: DataReceived, Conn: killer.id, Data: queryPacket(fmt.Sprintf("KILL QUERY %d", conn.session))})
+				sim.step(&DataReceived{Conn: killer.id, Data: queryPacket(fmt.Sprintf("KILL QUERY %d", conn.session))})
 			}
 			sim.schedule(500*rules.Millisecond, func() {
 				if !conn.closed && (req.killed || conn.request == req) {
@@ -497,13 +497,13 @@
 				if sim.reloadChange != nil {
 					sim.reloadChange(&cfg)
 				}
-				sim.step(Event{Kind: ConfigReloaded, Config: &cfg})
+				sim.step(ConfigReloaded{Config: &cfg})
 			})
 		}
 	}
 	sim.schedule(length, func() {
 		sim.terminatedAt = sim.now
-		sim.step(Event{Kind: ShutdownRequested})
+		sim.step(ShutdownRequested{})
 	})
 	sim.run(sim.start + length + 4*rules.Second)
 	sim.checkShutdown()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -33,5 +33,5 @@
 		}
 		g.log(Info, "stopped", Attr{"invariants_broken", g.violations.Sum()})
 	}
-	g.emit(Effect{Kind: Exit})
+	g.emit(Exit{})
 }
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -229,21 +229,46 @@
 		return
 	}
 	if sim.now < sim.pausedUntil { // it waits in the system, and is read a moment after the process goes on
-		event.Data = bytes.Clone(event.Data)
+		event = cloneData(event)
 		sim.lastReadAt = max(sim.lastReadAt, sim.pausedUntil) + readAfterPause
 		sim.schedule(sim.lastReadAt-sim.now, func() { sim.step(event) })
 		return
 	}
-	if event.Kind == ConnectionAccepted && sim.nextClientAddr != nil {
-		event.From = sim.nextClientAddr()
-	}
-	if event.Kind == DNSResponse || event.Kind == ConfigReloaded {
-		event.ClockSkew = sim.clockSkew
+	switch e := event.(type) {
+	case ConnectionAccepted:
+		if sim.nextClientAddr != nil {
+			e.From = sim.nextClientAddr()
+		}
+		event = e
+	case DNSResponse:
+		e.ClockSkew = sim.clockSkew
+		event = e
+	case ConfigReloaded:
+		e.ClockSkew = sim.clockSkew
+		event = e
 	}
 	sim.g.Step(sim.now, event)
 	sim.executeEffects()
 }
 
+// cloneData copies the bytes of an event that is kept until later.
+func cloneData(event Event) Event {
+	switch e := event.(type) {
+	case *DataReceived:
+		return &DataReceived{Conn: e.Conn, Data: bytes.Clone(e.Data)}
+	case DNSResponse:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	case PeerEvent:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	case ControlRequest:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	}
+	return event
+}
+
 // readAfterPause is how long the process takes to read each of the things that came while it was stopped: its timers are first,
 // and where many have come, or other processes want the processor too, the last is read late.
 const readAfterPause = 300
@@ -263,7 +288,7 @@
 		}
 		if sim.wake != 0 && sim.wake <= at {
 			sim.now, sim.wake = max(sim.now, sim.wake), 0
-			sim.step(Event{Kind: TimerFired})
+			sim.step(TimerFired{})
 			continue
 		}
 		sim.now = max(sim.now, at)
@@ -276,9 +301,9 @@
 
 func (sim *simulation) executeEffects() {
 	for _, effect := range sim.g.Flush() {
-		conn := sim.conns[effect.Conn]
-		switch effect.Kind {
-		case Write:
+		switch effect := effect.(type) {
+		case *Write:
+			conn := sim.conns[effect.Conn]
 			if conn == nil || conn.closed {
 				continue
 			}
@@ -297,6 +322,7 @@
 				}
 			})
 		case CloseConnection:
+			conn := sim.conns[effect.Conn]
 			if conn == nil || conn.closed {
 				continue
 			}
@@ -313,15 +339,14 @@
 			sim.dial(effect)
 		case QueryDNS:
 			sim.answerNameQuery(effect.Data)
-		case SetTimer:
+		case *SetTimer:
 			sim.wake = effect.At
 		case SubmitSpool:
-			sim.disk(effect.Spool)
+			sim.disk(effect.Effect)
 		case NotifyDrained:
-			id := effect.Conn
-			sim.schedule(sim.latency(), func() { sim.step(Event{Kind: WriteDrained, Conn: id}) })
+			sim.schedule(sim.latency(), func() { sim.step(WriteDrained(effect)) })
 		case PersistVoterLog:
-			sim.schedule(sim.latency(), func() { sim.step(Event{Kind: VoterLogPersisted}) })
+			sim.schedule(sim.latency(), func() { sim.step(VoterLogPersisted{}) })
 		case ControlResponse:
 			sim.commandAnswers = append(sim.commandAnswers, string(effect.Data))
 		case Exit:
@@ -348,7 +373,7 @@
 		default:
 			return
 		}
-		sim.step(Event{Kind: SpoolCompleted, Spool: events})
+		sim.step(SpoolCompleted{Events: events})
 	})
 }
 
@@ -392,13 +417,13 @@
 				}
 			}
 		}
-		sim.step(Event{Kind: DNSResponse, Data: msg})
+		sim.step(DNSResponse{Data: msg})
 	})
 }
 
 // ---- engines
 
-func (sim *simulation) dial(effect Effect) {
+func (sim *simulation) dial(effect Dial) {
 	var engine *simEngine
 	for _, other := range sim.engines {
 		if other.host.Addr == effect.Addr {
@@ -409,17 +434,17 @@
 	switch {
 	case sim.localExhaustion:
 		sim.localDialFailures++
-		sim.schedule(sim.latency(), func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: errLocalExhaustion, Local: true}) })
+		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: errLocalExhaustion, Local: true}) })
 	case engine == nil || engine.refusing:
-		sim.schedule(sim.latency(), func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("refused")}) })
+		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("refused")}) })
 	case engine.silent:
-		sim.schedule(effect.Timeout, func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("timeout")}) })
+		sim.schedule(effect.Timeout, func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("timeout")}) })
 	default:
 		conn := &simConn{id: id, engine: engine, inFlight: map[string]*simAttempt{}, delay: sim.latency()}
 		sim.conns[id] = conn
 		sim.schedule(2*conn.delay, func() {
 			if !sim.conns[id].closed {
-				sim.step(Event{Kind: DialSucceeded, Conn: id})
+				sim.step(DialSucceeded{Conn: id})
 			}
 		})
 	}
@@ -491,11 +516,11 @@
 			told()
 		}
 		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // in two pieces
-			sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: []byte(text[:cut])})
+			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text[:cut])})
 			text = text[cut:]
 		}
 		if !conn.closed {
-			sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: []byte(text)})
+			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text)})
 		}
 	})
 }
@@ -619,5 +644,5 @@
 			sim.violation(1, "the connection of %s ended with no answer", req.id)
 		}
 	}
-	sim.schedule(sim.latency(), func() { sim.step(Event{Kind: ConnectionClosed, Conn: conn.id, AcceptedBytes: conn.written}) })
+	sim.schedule(sim.latency(), func() { sim.step(ConnectionClosed{Conn: conn.id, AcceptedBytes: conn.written}) })
 }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -171,7 +171,7 @@
 		return func() {
 			cfg := sim.g.cfg
 			cfg.Site = parseSite(t, text)
-			sim.step(Event{Kind: ConfigReloaded, Config: &cfg})
+			sim.step(ConfigReloaded{Config: &cfg})
 		}
 	}
 	sim.schedule(3*rules.Second, reload(on))
--- a/internal/net/close.go
+++ b/internal/net/close.go
@@ -182,14 +182,15 @@
 }
 
 // uncountReads notes which bytes the reducer takes from the mailbox.
-func (e *Server) uncountReads(events []gateway.Event) {
+func (e *Server) uncountReads(events []queuedEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range events {
-		if events[i].Kind == gateway.DataReceived {
-			if c := e.conns[events[i].Conn]; c != nil {
-				c.queuedReads--
-			}
+		if events[i].event != nil {
+			continue
+		}
+		if c := e.conns[events[i].received.Conn]; c != nil {
+			c.queuedReads--
 		}
 	}
 }
--- a/internal/net/close_test.go
+++ b/internal/net/close_test.go
@@ -150,11 +150,11 @@
 	e.mu.Unlock()
 	if write {
 		for range 3 {
-			e.execute(&gateway.Effect{Kind: gateway.Write, Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
+			e.execute(&gateway.Write{Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: c2.id})
+	e.execute(gateway.CloseConnection{Conn: c2.id})
 	time.Sleep(50 * time.Millisecond)
 	syscall.Close(low)
 	e.mu.Lock()
@@ -270,7 +270,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	for i := range gateway.ConnID(4) {
-		e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: 1<<63 | (100 + i)})
+		e.execute(gateway.CloseConnection{Conn: 1<<63 | (100 + i)})
 	}
 	done := make(chan struct{})
 	go func() { e.dialWorkers.Wait(); close(done) }()
@@ -339,7 +339,7 @@
 	heard := func() (n int) {
 		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.ConnectionClosed && ids[ev.Conn] {
+			if closed, ok := ev.event.(gateway.ConnectionClosed); ok && ids[closed.Conn] {
 				n++
 			}
 		}
@@ -366,7 +366,7 @@
 	if err := syscall.Dup3(other.nb.Hash(), old.nb.Hash(), 0); err != nil { // as if it were closed and given out again
 		t.Fatal(err)
 	}
-	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: old.id})
+	e.execute(gateway.CloseConnection{Conn: old.id})
 	e.shutdownConn(old, errClosedHere)
 	time.Sleep(20 * time.Millisecond)
 	_ = client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -398,7 +398,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.execute(&gateway.Effect{Kind: gateway.CloseConnection, Conn: id})
+	e.execute(gateway.CloseConnection{Conn: id})
 	if _, err := e.poller.AddConn(c.nb); err != nil {
 		t.Fatal(err)
 	}
@@ -462,8 +462,8 @@
 	}
 	events, _ = e.queue.drain(nil, nil)
 	for _, ev := range events {
-		if ev.Kind == gateway.DataReceived {
-			t.Errorf("the reducer hears %q of a connection that was hung up", ev.Data)
+		if received, ok := ev.get().(*gateway.DataReceived); ok {
+			t.Errorf("the reducer hears %q of a connection that was hung up", received.Data)
 		}
 	}
 	resting.Close()
--- a/internal/net/connections.go
+++ b/internal/net/connections.go
@@ -21,23 +21,23 @@
 // must not run out, or dials to engines fail with them.
 func (e *Server) onOpen(nb *nbio.Conn) {
 	e.mu.Lock()
-	c, kind := e.connsByNB[nb], gateway.DialSucceeded
+	c := e.connsByNB[nb]
 	if c == nil {
 		for e.clientCount >= e.limits.MaxClients+e.limits.AcceptOverflow && !e.shuttingDown.Load() {
 			e.clientClosed.Wait()
 		}
 		e.lastAccepted++
 		e.clientCount++
-		c, kind = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientSendBuffer), accepted: true}, gateway.ConnectionAccepted
+		c = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientSendBuffer), accepted: true}
 		e.connsByNB[nb] = c
 	}
 	e.conns[c.id] = c
 	e.mu.Unlock()
-	ev := gateway.Event{Kind: kind, Conn: c.id}
 	if c.accepted {
-		ev.From = remoteIP(nb.RemoteAddr())
+		e.queue.enqueue(gateway.ConnectionAccepted{Conn: c.id, From: remoteIP(nb.RemoteAddr())})
+	} else {
+		e.queue.enqueue(gateway.DialSucceeded{Conn: c.id})
 	}
-	e.queue.enqueue(ev)
 }
 
 // remoteIP is the address of the other side, or none.
@@ -74,7 +74,7 @@
 		_ = e.removeConn(c)
 	}
 	e.cancelDial(id)
-	e.queue.enqueue(gateway.Event{Kind: gateway.DialFailed, Conn: id, Err: err, Local: syserr.Local(err)})
+	e.queue.enqueue(gateway.DialFailed{Conn: id, Err: err, Local: syserr.Local(err)})
 }
 
 // A connection that this machine could not make is tried again a few times: what it lacks may be back at once. Who waits
--- a/internal/net/dns.go
+++ b/internal/net/dns.go
@@ -70,7 +70,8 @@
 		n, err := udp.Read(buf)
 		switch {
 		case err == nil:
-			e.queue.enqueue(gateway.Event{Kind: gateway.DNSResponse, Data: buf[:n], ClockSkew: e.clock.skew()})
+			skew := e.clock.skew()
+			e.queue.enqueueBytes(buf[:n], func(data []byte) gateway.Event { return gateway.DNSResponse{Data: data, ClockSkew: skew} })
 		case errors.Is(err, stdnet.ErrClosed):
 			return
 		default: // refused, for now
--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -57,7 +57,7 @@
 	kept := v.recovered
 	v.wg.Go(func() {
 		for b := range v.batches {
-			e.queue.enqueue(gateway.Event{Kind: gateway.VoterLogPersisted, Err: e.persistWithRetry(v.log, b)})
+			e.queue.enqueue(gateway.VoterLogPersisted{Err: e.persistWithRetry(v.log, b)})
 		}
 	})
 	e.voter = v
@@ -122,13 +122,13 @@
 // persist hands a batch to the disk's goroutine. Few are ever on their way: one, and a snapshot.
 func (e *Server) persist(b directives.Batch) {
 	if e.voter == nil {
-		e.queue.enqueue(gateway.Event{Kind: gateway.VoterLogPersisted, Err: errNoVoterLog})
+		e.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
 		return
 	}
 	select {
 	case e.voter.batches <- b:
 	default:
-		e.queue.enqueue(gateway.Event{Kind: gateway.VoterLogPersisted, Err: errNoVoterLog})
+		e.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
 	}
 }
 
@@ -255,7 +255,7 @@
 }
 
 // sendToMember hands a datagram to the goroutine that sends.
-func (e *Server) sendToMember(f *gateway.Effect) {
+func (e *Server) sendToMember(f gateway.SendToMember) {
 	t := e.membership
 	if t == nil {
 		return
@@ -284,8 +284,7 @@
 		if !ok {
 			return
 		}
-		g.Step(now, gateway.Event{Kind: gateway.PeerNotified, Data: x.Data,
-			Peer: &gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Text: x.Text}})
+		g.Step(now, gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Data: x.Data, Text: x.Text})
 	}
 	select { // the rest has its turn
 	case e.queue.ready <- struct{}{}:
@@ -324,7 +323,7 @@
 			in := bufio.NewScanner(c)
 			in.Buffer(make([]byte, 0, 512), maxControlRequestSize)
 			if in.Scan() {
-				e.queue.enqueue(gateway.Event{Kind: gateway.ControlRequest, Conn: id, Data: bytes.Clone(in.Bytes())})
+				e.queue.enqueueBytes(in.Bytes(), func(data []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: data} })
 				return // answer closes it
 			}
 			t.closeControlConn(id)
@@ -344,7 +343,7 @@
 }
 
 // sendControlResponse writes what the reducer says off its goroutine, and closes the connection.
-func (e *Server) sendControlResponse(f *gateway.Effect) {
+func (e *Server) sendControlResponse(f gateway.ControlResponse) {
 	t := e.membership
 	if t == nil {
 		return
--- a/internal/net/queue.go
+++ b/internal/net/queue.go
@@ -11,12 +11,26 @@
 
 // This file owns the queue of events on their way to the reducer.
 
+// queuedEvent is an event in the queue. Received bytes lie in it by value, so that they cost no allocation each.
+type queuedEvent struct {
+	event    gateway.Event // nil: it is received
+	received gateway.DataReceived
+}
+
+// get returns the event, valid until the queue's buffers are used again.
+func (q *queuedEvent) get() gateway.Event {
+	if q.event == nil {
+		return &q.received
+	}
+	return q.event
+}
+
 // eventQueue holds what has happened until the reducer takes it. Its bytes lie in
 // an arena that is used again once the reducer is done with them.
 type eventQueue struct {
 	mu          sync.Mutex
 	notFull     sync.Cond
-	events      []gateway.Event
+	events      []queuedEvent
 	arena       []byte
 	queuedBytes int
 	maxBytes    int // bytes that wait before reading stops
@@ -32,27 +46,65 @@
 	return m
 }
 
-// enqueue adds an event with a copy of its bytes. Only those that carry bytes wait for room.
-func (m *eventQueue) enqueue(e gateway.Event) {
+// enqueue adds an event that carries no bytes. It never waits.
+func (m *eventQueue) enqueue(event gateway.Event) {
 	m.mu.Lock()
-	for len(e.Data) > 0 && m.queuedBytes > m.maxBytes && !m.closed {
-		m.notFull.Wait()
+	m.add(queuedEvent{event: event})
+	m.mu.Unlock()
+	m.wakeReducer()
+}
+
+// enqueueReceived adds bytes that came on a connection, once there is room.
+func (m *eventQueue) enqueueReceived(conn gateway.ConnID, data []byte) {
+	m.mu.Lock()
+	m.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: m.copyIn(data)}})
+	m.mu.Unlock()
+	m.wakeReducer()
+}
+
+// enqueueBytes adds an event that is made from a copy of bytes, once there is room.
+func (m *eventQueue) enqueueBytes(data []byte, event func(copied []byte) gateway.Event) {
+	m.mu.Lock()
+	m.add(queuedEvent{event: event(m.copyIn(data))})
+	m.mu.Unlock()
+	m.wakeReducer()
+}
+
+// copyIn copies bytes into the arena. Where too many wait, it first waits for room. The caller holds the lock.
+func (m *eventQueue) copyIn(data []byte) []byte {
+	if len(data) == 0 {
+		return data
 	}
-	if len(e.Data) > 0 {
-		from := len(m.arena)
-		m.arena = append(m.arena, e.Data...)
-		m.queuedBytes += len(e.Data)
-		e.Data = m.arena[from:len(m.arena):len(m.arena)]
+	for m.queuedBytes > m.maxBytes && !m.closed {
+		m.notFull.Wait()
 	}
+	from := len(m.arena)
+	m.arena = append(m.arena, data...)
+	m.queuedBytes += len(data)
+	return m.arena[from:len(m.arena):len(m.arena)]
+}
+
+// add appends an event. The caller holds the lock.
+func (m *eventQueue) add(event queuedEvent) {
 	if len(m.events) == 0 {
 		m.oldestAt = time.Now()
 	}
-	m.events = append(m.events, e)
-	m.mu.Unlock()
+	m.events = append(m.events, event)
+}
+
+func (m *eventQueue) wakeReducer() {
+	if m.signal() {
+		runtime.Gosched() // the reducer may go at once, not when the poller's next wait has lost its processor
+	}
+}
+
+// signal has the reducer's goroutine look at the queue. It answers whether no signal was under way.
+func (m *eventQueue) signal() bool {
 	select {
 	case m.ready <- struct{}{}:
-		runtime.Gosched() // the reducer may go at once, not when the poller's next wait has lost its processor
+		return true
 	default:
+		return false
 	}
 }
 
@@ -67,7 +119,7 @@
 }
 
 // drain swaps what has come for the buffers of the last turn.
-func (m *eventQueue) drain(events []gateway.Event, arena []byte) ([]gateway.Event, []byte) {
+func (m *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
 	clear(events)
 	if cap(arena) > m.maxArena {
 		arena = nil
--- a/internal/net/resultstore.go
+++ b/internal/net/resultstore.go
@@ -64,7 +64,7 @@
 	}
 	e.results.runner = disk.NewWorker(store, maxQueuedDiskEffects, set.Budget.DiskBytes/wasteDivisor,
 		func(events []spool.Event) {
-			e.queue.enqueue(gateway.Event{Kind: gateway.SpoolCompleted, Spool: events})
+			e.queue.enqueue(gateway.SpoolCompleted{Events: events})
 		},
 		func(err error) { e.log.Warn("spool: the disk fails", zap.Error(err)) })
 	return nil
@@ -86,9 +86,8 @@
 }
 
 // submitToResultStore hands an effect to the disk. What it can't take is answered as failed, for the reducer to see.
-func (e *Server) submitToResultStore(f *gateway.Effect) {
-	s := &f.Spool
-	if e.results != nil && e.results.runner.Submit(*s) == nil {
+func (e *Server) submitToResultStore(s spool.Effect) {
+	if e.results != nil && e.results.runner.Submit(s) == nil {
 		return
 	}
 	ev := spool.Event{ID: s.ID, Index: s.Index, Failed: true}
@@ -100,12 +99,12 @@
 	default:
 		return
 	}
-	e.queue.enqueue(gateway.Event{Kind: gateway.SpoolCompleted, Spool: []spool.Event{ev}})
+	e.queue.enqueue(gateway.SpoolCompleted{Events: []spool.Event{ev}})
 }
 
 // reportDrained tells the reducer once that a connection has taken all that was written to it.
 func (e *Server) reportDrained(c *conn) {
 	if c.notifyDrained.Swap(false) {
-		e.queue.enqueue(gateway.Event{Kind: gateway.WriteDrained, Conn: c.id})
+		e.queue.enqueue(gateway.WriteDrained{Conn: c.id})
 	}
 }
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -202,7 +202,7 @@
 	e.poller.OnOpen(e.onOpen)
 	e.poller.OnData(func(nb *nbio.Conn, data []byte) {
 		if c := e.countRead(nb); c != nil {
-			e.queue.enqueue(gateway.Event{Kind: gateway.DataReceived, Conn: c.id, Data: data})
+			e.queue.enqueueReceived(c.id, data)
 		}
 	})
 	e.poller.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
@@ -222,7 +222,7 @@
 			if ours := e.removeConn(c); ours != nil {
 				err = ours
 			}
-			e.queue.enqueue(gateway.Event{Kind: gateway.ConnectionClosed, Conn: c.id, Err: err, AcceptedBytes: c.acceptedBytes.Load()})
+			e.queue.enqueue(gateway.ConnectionClosed{Conn: c.id, Err: err, AcceptedBytes: c.acceptedBytes.Load()})
 		}
 	})
 	e.poller.OnAcceptError(func(err error) {
@@ -315,14 +315,14 @@
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	if e.results != nil {
-		g.Step(e.now(), gateway.Event{Kind: gateway.SpoolCompleted, Spool: e.results.recovered})
+		g.Step(e.now(), gateway.SpoolCompleted{Events: e.results.recovered})
 		e.results.recovered = nil
 	}
 	if e.voter != nil {
 		kept := e.voter.recovered
-		g.Step(e.now(), gateway.Event{Kind: gateway.VoterLogOpened, VoterState: &kept})
+		g.Step(e.now(), gateway.VoterLogOpened{State: &kept})
 	}
-	var events []gateway.Event
+	var events []queuedEvent
 	var arena []byte
 	var end shutdownState
 	reading := newReloadState()
@@ -330,14 +330,14 @@
 	for {
 		over := false
 		for _, f := range g.Flush() {
-			switch f.Kind {
-			case gateway.SetTimer:
+			switch f := f.(type) {
+			case *gateway.SetTimer:
 				armed = f.At
 				wake.Reset(time.Duration(f.At-e.now()) * time.Microsecond)
 			case gateway.Exit:
 				over = true
 			default:
-				e.execute(&f)
+				e.execute(f)
 			}
 		}
 		if end = end.next(over); over && e.advanceShutdown(&end) {
@@ -352,7 +352,7 @@
 		case <-wake.C:
 		case <-end.tick:
 		case <-signals.Terminate:
-			g.Step(e.now(), gateway.Event{Kind: gateway.ShutdownRequested})
+			g.Step(e.now(), gateway.ShutdownRequested{})
 		case <-again:
 			e.startReload(&reading)
 		case <-e.rejoin:
@@ -362,7 +362,7 @@
 		case x := <-reading.results:
 			if e.finishReload(&reading, x) {
 				e.cfg = x.cfg
-				g.Step(e.now(), gateway.Event{Kind: gateway.ConfigReloaded, Config: &x.cfg, ClockSkew: e.clock.skew()})
+				g.Step(e.now(), gateway.ConfigReloaded{Config: &x.cfg, ClockSkew: e.clock.skew()})
 			}
 		}
 		if rest := turns.wait(e.now()); rest > 0 {
@@ -375,12 +375,12 @@
 		e.uncountReads(events)
 		now := e.now()
 		turns.last = now
-		for _, ev := range events {
-			g.Step(now, ev)
+		for i := range events {
+			g.Step(now, events[i].get())
 		}
 		e.stepMemberEvents(now, g)
 		if now >= armed {
-			g.Step(now, gateway.Event{Kind: gateway.TimerFired})
+			g.Step(now, gateway.TimerFired{})
 		}
 	}
 }
@@ -392,7 +392,7 @@
 	}
 	c.blockedMu.Lock()
 	c.blockedSince.Store(int64(e.now()))
-	e.queue.enqueue(gateway.Event{Kind: gateway.WriteBlocked, Conn: c.id})
+	e.queue.enqueue(gateway.WriteBlocked{Conn: c.id})
 	c.blockedMu.Unlock()
 	if c.pending.Load() <= 0 { // it was taken meanwhile
 		e.noteUnblocked(c)
@@ -410,15 +410,15 @@
 	if since == 0 {
 		return
 	}
-	e.queue.enqueue(gateway.Event{Kind: gateway.WriteDrained, Conn: c.id})
+	e.queue.enqueue(gateway.WriteDrained{Conn: c.id})
 	if waited := e.now() - rules.Time(since); waited >= rules.Time(slowThreshold.Microseconds()) {
 		e.log.Warn("engine: bytes written waited", zap.Uint64("connection", uint64(c.id)&^(1<<63)), zap.Int64("ms", int64(waited/rules.Millisecond)))
 	}
 }
 
-func (e *Server) execute(f *gateway.Effect) {
-	switch f.Kind {
-	case gateway.Write:
+func (e *Server) execute(effect gateway.Effect) {
+	switch f := effect.(type) {
+	case *gateway.Write:
 		if c := e.connByID(f.Conn); c != nil {
 			e.send(c, f.Data)
 		}
@@ -446,7 +446,7 @@
 			e.log.Warn("name service: not reached at its new address", zap.Error(err))
 		}
 	case gateway.SubmitSpool:
-		e.submitToResultStore(f)
+		e.submitToResultStore(f.Effect)
 	case gateway.NotifyDrained:
 		if c := e.connByID(f.Conn); c != nil {
 			c.notifyDrained.Store(true)
@@ -474,7 +474,7 @@
 	gateway.Debug: zapcore.DebugLevel, gateway.Info: zapcore.InfoLevel, gateway.Warn: zapcore.WarnLevel,
 }
 
-func (e *Server) writeLog(f *gateway.Effect) {
+func (e *Server) writeLog(f gateway.Log) {
 	entry := e.log.Check(logLevels[f.Level], f.Text)
 	if entry == nil {
 		return
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -107,13 +107,13 @@
 		e := newBareServerOn(t, p)
 		addr := netip.MustParseAddrPort(engine.Addr().String())
 		e.startDial(1<<63|1, addr, rules.Second)
-		if ev := e.awaitDialResult(t); ev.Kind != gateway.DialSucceeded {
-			t.Errorf("%v twice: %v, ours %v", errno, ev.Err, ev.Local)
+		if ev := e.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
+			t.Errorf("%v twice: %#v", errno, ev)
 		}
 		calls.left.Store(1 << 40)
 		e.startDial(1<<63|2, addr, rules.Second)
-		if ev := e.awaitDialResult(t); ev.Kind != gateway.DialFailed || !ev.Local {
-			t.Errorf("%v for long: kind %v, ours %v", errno, ev.Kind, ev.Local)
+		if ev, ok := e.awaitDialResult(t).(gateway.DialFailed); !ok || !ev.Local {
+			t.Errorf("%v for long: failed %v, ours %v", errno, ok, ev.Local)
 		}
 		engine.Close()
 	}
@@ -147,8 +147,9 @@
 	waitFor(t, "the end of the dial", func() bool {
 		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.DialSucceeded || ev.Kind == gateway.DialFailed {
-				out = ev
+			switch ev.event.(type) {
+			case gateway.DialSucceeded, gateway.DialFailed:
+				out = ev.event
 				return true
 			}
 		}
@@ -174,10 +175,10 @@
 	}
 	e := newBareServerOn(t, p)
 	calls.left.Store(4)
-	e.execute(&gateway.Effect{Kind: gateway.SetNameServer, Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
+	e.execute(gateway.SetNameServer{Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
 	buf := make([]byte, 16)
 	for range 4 { // polls
-		e.execute(&gateway.Effect{Kind: gateway.QueryDNS, Data: []byte("who is there")})
+		e.execute(gateway.QueryDNS{Data: []byte("who is there")})
 	}
 	_ = service.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 	if n, _, err := service.ReadFrom(buf); err != nil || string(buf[:n]) != "who is there" {
@@ -220,9 +221,9 @@
 	waitFor(t, "the batch to be kept", func() bool {
 		events, _ := e.queue.drain(nil, nil)
 		for _, ev := range events {
-			if ev.Kind == gateway.VoterLogPersisted {
-				if ev.Err != nil {
-					t.Fatalf("told as %v", ev.Err)
+			if persisted, ok := ev.event.(gateway.VoterLogPersisted); ok {
+				if persisted.Err != nil {
+					t.Fatalf("told as %v", persisted.Err)
 				}
 				return true
 			}
