--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -1,8 +1,6 @@
 package gateway
 
 import (
-	"encoding/json"
-	"fmt"
 	"slices"
 
 	"foxlane/internal/config"
@@ -136,67 +134,3 @@
 	}
 	g.log(Info, "directives", attrs...)
 }
-
-// ---- operators' commands
-
-// DirectiveStatus is the book as `foxlane directive list` shows it.
-type DirectiveStatus struct {
-	Index   uint64                 `json:"index"`
-	InForce []directives.Directive `json:"held"`
-	History []directives.Change    `json:"history"`
-	AgeMS   int64                  `json:"age_ms"` // since a voter that sees a quorum confirmed it; -1: never
-	IsVoter bool                   `json:"votes"`
-	Voters  []string               `json:"voters"`
-	Status  *directives.Status     `json:"status,omitempty"`
-}
-
-func (g *Gateway) directiveStatus() any {
-	state := g.directives
-	if state == nil {
-		return map[string]string{"error": "directives are off"}
-	}
-	inForce := state.proposer.State()
-	status := DirectiveStatus{Index: inForce.Index, InForce: inForce.Directives, History: inForce.History, AgeMS: -1, IsVoter: state.proposer.IsVoter(), Voters: g.cfg.Site.Directives.Voters}
-	if age, ok := state.proposer.Staleness(g.now); ok {
-		status.AgeMS = int64(age / rules.Millisecond)
-	}
-	if s, ok := state.proposer.Status(); ok {
-		status.Status = &s
-	}
-	return status
-}
-
-// order takes an operator's command. Its answer may come later; a question that is none is answered at once.
-func (g *Gateway) proposeDirective(conn ConnID, raw []byte) {
-	state := g.directives
-	var command directives.Command
-	err := json.Unmarshal(raw, &command)
-	switch {
-	case state == nil:
-		err = fmt.Errorf("directives are off")
-	case err == nil && !state.proposer.IsVoter():
-		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, g.cfg.Site.Directives.Voters)
-	case err == nil:
-		err = command.Validate()
-	}
-	if err != nil {
-		g.reply(conn, map[string]string{"error": err.Error()})
-		return
-	}
-	state.lastCommand++
-	state.waiting[state.lastCommand] = conn
-	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, RequestID: state.lastCommand}))
-}
-
-func (g *Gateway) answerProposal(ask, index uint64, err error) {
-	conn, ok := g.directives.waiting[ask]
-	if !ok {
-		return
-	}
-	delete(g.directives.waiting, ask)
-	if err != nil {
-		g.reply(conn, map[string]string{"error": err.Error()})
-		return
-	}
-	g.reply(conn, map[string]uint64{"index": index})
-}
--- /dev/null
+++ b/internal/gateway/resultread.go
@@ -0,0 +1,145 @@
+package gateway
+
+import (
+	"bytes"
+	"foxlane/internal/mysql"
+	"foxlane/internal/spool"
+	"strconv"
+)
+
+// This file gives stored results to clients, a chunk at a time as the client's connection takes them.
+
+// resultReader is a client's way through a result.
+type resultReader struct {
+	slot          int
+	id            spool.ID
+	nextSeq       byte // of the next packet
+	headerWritten bool // the columns are written
+	resumable     bool // told of the handle, so that it may come back
+	lastChunk     int  // handed over last
+	complete      bool
+	handle        spool.Handle
+}
+
+// serveStored begins the answer: the result is whole.
+func (g *Gateway) serveStored(req *queryRequest) {
+	delete(g.results.filling, req.result.handle.ID)
+	client := req.client
+	if req.answered || client == nil {
+		g.handleSpool(spool.Event{Kind: spool.Release, ID: req.result.handle.ID})
+		return
+	}
+	req.served = true
+	req.stats.served++
+	req.stats.latencySum += g.now - req.arrivedAt
+	client.reader = &resultReader{id: req.result.handle.ID, nextSeq: 1, resumable: req.result.resumable, handle: req.result.handle}
+	g.finishRequest(req, outcomeServed)
+	g.attachReader(client, req.resultOwner, 0)
+}
+
+// attachReader lets a client read from a chunk on.
+func (g *Gateway) attachReader(client *clientConn, owner uint64, from int) {
+	reader := client.reader
+	reader.slot = g.results.readers.allocate(client)
+	g.handleSpool(spool.Event{Kind: spool.Attach, Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
+}
+
+// resumeResult takes a client's wish to read a result again, or to be done with it.
+func (g *Gateway) resumeResult(client *clientConn, resume *mysql.Resume) {
+	handle, err := spool.ParseHandle([]byte(resume.Handle))
+	if g.results == nil || err != nil {
+		g.rejectCommand(client, mysql.CodeUnknownError, "no such result") // the same words for whatever is wrong with a handle
+		return
+	}
+	client.reader = &resultReader{id: handle.ID, nextSeq: 1, resumable: true, handle: handle}
+	if resume.Release {
+		client.reader.slot = g.results.readers.allocate(client)
+		g.handleSpool(spool.Event{Kind: spool.Acknowledge, Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
+		return
+	}
+	g.attachReader(client, tenantKey(resume.Tenant), resume.FromChunk)
+}
+
+// writeChunk writes a chunk, and asks to be told once the client's connection has taken it.
+func (g *Gateway) writeChunk(client *clientConn, effect spool.Effect) {
+	reader := client.reader
+	if effect.Data == nil && effect.Last && effect.Index < 0 { // an acknowledgement
+		g.removeReader(client)
+		g.writeOK(client)
+		g.clientBecameIdle(client)
+		return
+	}
+	if !reader.headerWritten {
+		reader.headerWritten = true
+		client.output, reader.nextSeq = mysql.AppendColumns(client.output, reader.nextSeq, columnNames)
+		if reader.resumable {
+			client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#handle\t"+reader.handle.String()+"\t"+strconv.Itoa(effect.End)), columnCount)
+		}
+	}
+	for page := effect.Data; len(page) > 0; {
+		var row []byte
+		row, page, _ = bytes.Cut(page, []byte{'\n'})
+		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, row, columnCount) // it was checked when it came
+	}
+	if reader.resumable {
+		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#page\t"+strconv.Itoa(effect.Index)+"\t"+strconv.Itoa(effect.End)), columnCount)
+	}
+	reader.lastChunk, reader.complete = effect.Index, effect.Last
+	g.markDirty(&client.outputBuffer)
+	if !effect.Last {
+		g.watchClient(client)
+		return
+	}
+	client.output = mysql.AppendEnd(client.output, reader.nextSeq)
+	if reader.resumable { // kept until it is acknowledged, or its lease is over
+		g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
+	} else {
+		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: effect.Index + 1})
+	}
+	g.removeReader(client)
+	g.clientBecameIdle(client)
+}
+
+// watchClient asks to be told once all that was written to a client has been taken.
+func (g *Gateway) watchClient(client *clientConn) {
+	g.flushNow(&client.outputBuffer)
+	g.emit(NotifyDrained{Conn: client.id})
+}
+
+// clientDrained: the client has taken a chunk and gets the next.
+func (g *Gateway) clientDrained(client *clientConn) {
+	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
+		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: reader.lastChunk + 1})
+	}
+}
+
+// removeReader takes a client off the shelf's readers.
+func (g *Gateway) removeReader(client *clientConn) {
+	if client.reader != nil {
+		g.results.readers.release(client.reader.slot)
+		client.reader, client.answeredAt = nil, g.now
+	}
+}
+
+// detachReader: a client has gone while it read. What nobody can ask for again goes with it.
+func (g *Gateway) detachReader(client *clientConn) {
+	reader := client.reader
+	if reader == nil {
+		return
+	}
+	g.removeReader(client)
+	g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
+	if !reader.resumable {
+		g.handleSpool(spool.Event{Kind: spool.Release, ID: reader.id})
+	}
+}
+
+// abortReader ends an answer that can't go on, so that its client can tell it from a whole one.
+func (g *Gateway) abortReader(client *clientConn, why spool.Reason) {
+	reader := client.reader
+	g.log(Warn, "spool: a result was lost while it was read", Attr{"session", client.session}, Attr{"why", why.String()})
+	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeUnknownError, "the result was lost: "+why.String())
+	g.markDirty(&client.outputBuffer)
+	g.removeReader(client)
+	g.clientBecameIdle(client)
+}
