--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,32 +6,37 @@
 
 	"foxlane/internal/admission"
 	"foxlane/internal/config"
-	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
 
-// This file carries events to the door and its effects out. It never decides
-// who passes; where the operator has set no door it does nothing.
+// This file connects the reducer with package admission: it tells the controller of connections and requests, and carries out
+// what the controller decides. It decides nothing itself. Without the block `fair` in the operator's file there is no controller,
+// and requests go on at once.
 
-// admissionControl is the door with the slots by which it names connections and requests.
+// admissionControl is the controller with the slots by which it names connections and requests.
 type admissionControl struct {
 	controller *admission.Controller
 	conns      slotTable[clientConn]
 	requests   slotTable[queryRequest]
-	inbox      []admission.Event
-	handling   bool
-	wakeAt     rules.Time      // 0: none
-	lastStats  admission.Stats // at the last line of the log
+	queue      serialQueue[admission.Event]
+	wakeAt     rules.Time      // when the controller wants to be woken; 0: never
+	lastStats  admission.Stats // when figures were last logged
 }
 
-// newAdmission returns the door that the operator has set, or nil.
+// newAdmission returns the admission control that the operator has configured, or nil.
 func newAdmission(cfg *config.Config) *admissionControl {
 	if cfg.Site == nil || cfg.Site.Admission == nil {
 		return nil
 	}
 	limits := cfg.Limits
-	sizes := admission.Limits{ConnectionSlots: limits.MaxClients + limits.AcceptOverflow/2 + 1, Connections: limits.MaxClients, Requests: limits.MaxRequests + 1, StatementBytes: limits.MaxInputBytes, InputBytes: limits.MaxInputBytes,
-		StateBytes: limits.AdmissionStateBytes}
+	sizes := admission.Limits{
+		ConnectionSlots: limits.MaxClients + limits.AcceptOverflow/2 + 1,
+		Connections:     limits.MaxClients,
+		Requests:        limits.MaxRequests + 1,
+		StatementBytes:  limits.MaxInputBytes,
+		InputBytes:      limits.MaxInputBytes,
+		StateBytes:      limits.AdmissionStateBytes,
+	}
 	return &admissionControl{
 		controller: admission.New(admissionSettings(cfg), sizes, cfg.Settings.Rules.Classes, cfg.Settings.TenantNames, cfg.Seed),
 		conns:      newSlotTable[clientConn](sizes.ConnectionSlots),
@@ -39,38 +44,38 @@
 	}
 }
 
-// admissionSettings are the operator's, within what the site allows: times of return only where clients may be told.
+// admissionSettings are the operator's, within what the site allows clients to be told.
 func admissionSettings(cfg *config.Config) admission.Settings {
 	settings := cfg.Site.Admission.Settings
-	switch limits := cfg.Settings.Rules.Limits; {
-	case !limits.RetryAfter:
-		settings.MaxRetryAfter = 0
-	case limits.MaxRetryAfter > 0:
-		settings.MaxRetryAfter = min(settings.MaxRetryAfter, limits.MaxRetryAfter)
-	}
+	settings.MaxRetryAfter = capRetryAfter(&cfg.Settings.Rules.Limits, settings.MaxRetryAfter)
 	return settings
 }
 
+// capRetryAfter is a Retry-After within what the site allows: none, or up to a maximum.
+func capRetryAfter(limits *rules.Limits, after rules.Time) rules.Time {
+	if !limits.RetryAfter {
+		return 0
+	}
+	if limits.MaxRetryAfter > 0 {
+		after = min(after, limits.MaxRetryAfter)
+	}
+	return after
+}
+
+// knowsTenant reports whether requests may name a tenant that the settings don't list.
 func (c *admissionControl) knowsTenant(tenant string) bool {
 	return c != nil && c.controller.AcceptsTenant(tenant)
 }
 
-// handleAdmission hands an event to the door and carries out what it asks for. Events
-// that arise meanwhile wait for their turn, as with the module.
+// handleAdmission tells the controller of an event and carries out what it decides.
 func (g *Gateway) handleAdmission(event admission.Event) {
 	control := g.admission
-	if control == nil {
-		return
-	}
-	control.inbox = append(control.inbox, event)
-	if control.handling {
+	if control == nil || !control.queue.add(event) {
 		return
 	}
-	control.handling = true
-	for i := 0; i < len(control.inbox); i++ {
-		event := control.inbox[i]
+	for event, ok := control.queue.next(); ok; event, ok = control.queue.next() {
 		effects := control.controller.Handle(g.now, event)
-		switch event.Kind {
+		switch event.Kind { // a slot may be used anew by what the effects bring about
 		case admission.ConnectionClosed:
 			control.conns.release(event.Conn)
 		case admission.RequestDone:
@@ -80,9 +85,6 @@
 			g.runAdmissionEffect(effect)
 		}
 	}
-	clear(control.inbox)
-	control.inbox = control.inbox[:0]
-	control.handling = false
 }
 
 func (g *Gateway) runAdmissionEffect(effect admission.Effect) {
@@ -101,28 +103,32 @@
 		}
 	case admission.AbortInput:
 		if client := control.conns.entries[effect.Conn]; client != nil && !client.closed {
-			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "too much input is unfinished"})
+			g.protocolError(client, 1, errUnfinishedInput)
 		}
 	case admission.SetTimer:
 		control.wakeAt = effect.At
 	}
 }
 
-// evict closes a connection that gives way, with a refusal if its client may be about to read one.
+// evict closes a connection to make room for others, with an error if its client may be about to read one.
 func (g *Gateway) evict(client *clientConn, effect admission.Effect) {
-	why := "no room for this connection"
-	if effect.After > 0 {
-		why = fmt.Sprintf("%s; holdoff=%d", why, int64(effect.After/rules.Millisecond))
-	}
 	if client.newElement != nil {
-		g.evictWithError(client, CloseAdmission, why)
+		g.evictWithError(client, CloseAdmission, withHoldOff("no room for this connection", effect.After))
 		return
 	}
-	g.log(Info, "client: gave way", Attr{"session", client.session}, Attr{"why", effect.Reason.String()})
+	g.log(Info, "client: evicted", Attr{keySession, client.session}, Attr{keyReason, effect.Reason.String()})
 	g.closeClient(client, CloseAdmission)
 }
 
-// admitConn takes a connection to the admission. It answers whether it may stay.
+// withHoldOff appends to an error's text when its client may return. Clients look for this form.
+func withHoldOff(text string, after rules.Time) string {
+	if after <= 0 {
+		return text
+	}
+	return fmt.Sprintf("%s; holdoff=%d", text, int64(after/rules.Millisecond))
+}
+
+// admitConn tells the controller of a connection. It reports whether that may stay.
 func (g *Gateway) admitConn(client *clientConn, from netip.Addr) bool {
 	client.admissionSlot = g.admission.conns.allocate(client)
 	g.handleAdmission(admission.Event{Kind: admission.ConnectionOpened, Conn: client.admissionSlot, From: from})
@@ -133,7 +139,7 @@
 	g.handleAdmission(admission.Event{Kind: admission.ConnectionClosed, Conn: client.admissionSlot})
 }
 
-// requestAdmission takes a request to the admission.
+// requestAdmission asks the controller for the admission of a request.
 func (g *Gateway) requestAdmission(req *queryRequest, tenant string) {
 	req.admissionSlot = g.admission.requests.allocate(req)
 	arrival := req.pending
@@ -149,13 +155,13 @@
 	}})
 }
 
-// reconfigureAdmission goes over to the settings of a file that was read again.
+// reconfigureAdmission takes over the settings of a configuration that was reloaded.
 func (g *Gateway) reconfigureAdmission() {
 	if g.admission == nil {
 		return
 	}
-	set := admissionSettings(&g.cfg)
-	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &set, DeclaredTenants: g.cfg.Settings.TenantNames})
+	settings := admissionSettings(&g.cfg)
+	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &settings, DeclaredTenants: g.cfg.Settings.TenantNames})
 }
 
 func (g *Gateway) wakeAdmission() {
@@ -165,19 +171,7 @@
 	}
 }
 
-// nextWake is when the reducer is to be woken next.
-func (g *Gateway) nextWake() (rules.Time, bool) {
-	at, ok := g.timers.next()
-	if control := g.admission; control != nil && control.wakeAt != 0 && (!ok || control.wakeAt < at) {
-		at, ok = max(control.wakeAt, g.now+1), true
-	}
-	if store := g.results; store != nil && store.wakeAt != 0 && (!ok || store.wakeAt < at) {
-		at, ok = max(store.wakeAt, g.now+1), true
-	}
-	return at, ok
-}
-
-// logAdmission notes what the door did since the last line.
+// logAdmission logs what admission control did since the last such line.
 func (g *Gateway) logAdmission() {
 	control := g.admission
 	if control == nil {
@@ -185,15 +179,18 @@
 	}
 	stats, last := control.controller.Stats(), control.lastStats
 	control.lastStats = stats
-	attrs := []Attr{{"tenants", stats.Tenants}, {"held", stats.Queued}, {"open", stats.Connections}, {"passed", stats.Admitted - last.Admitted}, {"waited", stats.Delayed - last.Delayed}}
-	for w := range stats.Rejected {
-		if n := stats.Rejected[w] - last.Rejected[w]; n > 0 {
-			attrs = append(attrs, Attr{"refused_for_" + admission.Reason(w).String(), n})
+	attrs := []Attr{{"tenants", stats.Tenants}, {"queued", stats.Queued}, {keyConnections, stats.Connections},
+		{"admitted", stats.Admitted - last.Admitted}, {"delayed", stats.Delayed - last.Delayed}}
+	for i := range stats.Rejected {
+		reason := admission.Reason(i).String()
+		if n := stats.Rejected[i] - last.Rejected[i]; n > 0 {
+			attrs = append(attrs, Attr{"rejected_for_" + reason, n})
 		}
-		if n := stats.Evicted[w] - last.Evicted[w]; n > 0 {
-			attrs = append(attrs, Attr{"closed_for_" + admission.Reason(w).String(), n})
+		if n := stats.Evicted[i] - last.Evicted[i]; n > 0 {
+			attrs = append(attrs, Attr{"evicted_for_" + reason, n})
 		}
 	}
-	g.log(Info, "door", append(attrs, Attr{"told", stats.RetryAfterSent - last.RetryAfterSent}, Attr{"kept", stats.ReturnsServed - last.ReturnsServed}, Attr{"lost", stats.ReturnsMissed - last.ReturnsMissed},
-		Attr{"needed_over_told", stats.RetryAfterCorrection}, Attr{"state_bytes", control.controller.StateBytes()})...)
+	g.log(Info, "admission", append(attrs, Attr{"retry_after_sent", stats.RetryAfterSent - last.RetryAfterSent},
+		Attr{"returns_served", stats.ReturnsServed - last.ReturnsServed}, Attr{"returns_missed", stats.ReturnsMissed - last.ReturnsMissed},
+		Attr{"retry_after_correction", stats.RetryAfterCorrection}, Attr{"state_bytes", control.controller.StateBytes()})...)
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -2,28 +2,35 @@
 
 import (
 	"bytes"
+
 	"foxlane/internal/engine"
 	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
 
-// This file owns what engines answer to attempts where results are passed on at once: it collects the pages of a result in
-// memory, within bounds, and writes the whole result to the client.
+// This file takes what engines answer to attempts. Where results are passed on at once it collects the pages of a result in memory,
+// within bounds, and writes the complete result to the client; nothing of a result is written before all of it is here.
+
+// What is wrong with an answer, in the log.
+const (
+	badRow          = "a row has not three columns, or a page ends within one"
+	unrequestedPage = "a page that was not asked for"
+)
 
-// receiveAnswer takes what an engine says of an attempt.
+// receiveAnswer takes what an engine answers to an attempt.
 func (g *Gateway) receiveAnswer(attempt *engineAttempt, answer *engine.Answer) {
 	if answer.Report != nil {
 		attempt.loadReport = bytes.Clone(answer.Report)
 	}
 	switch answer.Kind {
-	case engine.Progress: // the module asks for no notes of progress
+	case engine.Progress: // the module does not use it
 	case engine.Overloaded:
 		g.concludeAttempt(attempt, rules.StatusRejected)
 	case engine.NotExecuted:
 		g.concludeAttempt(attempt, rules.StatusSuperseded)
 	case engine.Errored:
-		// Engines answer an error to what bad clients ask, too: it tells of the engine if nothing good
-		// came from that since the last one.
+		// Engines answer an error to faulty queries too. So one counts against the engine only if the engine has
+		// served nothing since its last error.
 		attempt.blameless = attempt.engine.lastServed > attempt.engine.lastError
 		attempt.engine.lastError = g.now
 		g.concludeAttempt(attempt, rules.StatusError)
@@ -37,29 +44,30 @@
 			g.receivePage(attempt, answer.Page, answer.Body)
 		}
 	default:
-		g.malformedAnswer(attempt, "health for a request")
+		g.malformedAnswer(attempt, "a health report for a request")
 	}
 }
 
-// malformedAnswer ends an attempt whose answer makes no sense. It may have run, and may still run: its key rests.
-func (g *Gateway) malformedAnswer(attempt *engineAttempt, what string) {
-	g.log(Warn, "engine: unusable answer", Attr{"engine", attempt.engine.entry.ID}, Attr{"request", string(attempt.request.id)},
-		Attr{"what", what})
+// malformedAnswer ends an attempt whose answer makes no sense. It may have run, and may still run, so its outcome is a reset.
+func (g *Gateway) malformedAnswer(attempt *engineAttempt, reason string) {
+	g.log(Warn, "engine: malformed answer", Attr{keyEngine, attempt.engine.entry.ID}, Attr{keyRequest, string(attempt.request.id)},
+		Attr{keyReason, reason})
 	attempt.blameless = true
 	g.abandonAttempt(attempt, rules.StatusReset)
 }
 
+// receiveFirstPage takes the answer that an attempt was served, with page 0 of its result. Engines may send it twice.
 func (g *Gateway) receiveFirstPage(attempt *engineAttempt, answer *engine.Answer) {
 	total := max(answer.PageCount, 1)
 	if g.results != nil {
-		if attempt.firstPageReceived { // a second copy
+		if attempt.firstPageReceived { // a duplicate
 			return
 		}
 		g.spoolFirstPage(attempt, answer, total)
 		return
 	}
 	if attempt.firstPageReceived && total == len(attempt.pages) {
-		g.receivePage(attempt, 0, answer.Body) // a second copy, unless its rows are others
+		g.receivePage(attempt, 0, answer.Body) // a duplicate, unless its rows differ
 		return
 	}
 	if attempt.firstPageReceived || total > g.limits.MaxPages {
@@ -75,7 +83,8 @@
 	}
 }
 
-// requestPages asks for the pages of results in turn, while there is room for them.
+// requestPages asks for the further pages of results in the order in which their first pages came, while memory for them is left. Each
+// result reserves as much as a result may have at most.
 func (g *Gateway) requestPages() {
 	for len(g.pageQueue) > 0 {
 		attempt := g.pageQueue[0]
@@ -96,7 +105,7 @@
 	g.pageQueue = nil
 }
 
-// releasePages gives back the room of an attempt's pages.
+// releasePages gives back the memory that is reserved for an attempt's pages.
 func (g *Gateway) releasePages(attempt *engineAttempt) {
 	attempt.pages = nil
 	if attempt.pagesRequested {
@@ -106,14 +115,15 @@
 	}
 }
 
+// receivePage takes a page where results are passed on at once. Duplicates are ignored.
 func (g *Gateway) receivePage(attempt *engineAttempt, n int, body []byte) {
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= len(attempt.pages):
-		g.malformedAnswer(attempt, "a page that was not asked for")
+		g.malformedAnswer(attempt, unrequestedPage)
 		return
 	case attempt.pages[n] != nil:
 		if !bytes.Equal(attempt.pages[n], body) {
-			g.malformedAnswer(attempt, "a page that comes twice, each time another")
+			g.malformedAnswer(attempt, "a page that comes twice, with other rows")
 		}
 		return
 	case attempt.pageBytes+len(body) > g.limits.MaxResultBytes:
@@ -124,7 +134,7 @@
 		return
 	}
 	if attempt.pages[n] = body; attempt.pagesMissing > 1 {
-		attempt.pages[n] = append([]byte{}, body...) // the last one is used at once
+		attempt.pages[n] = append([]byte{}, body...) // the last one is used before body is reused
 	}
 	attempt.pageBytes += len(body)
 	if attempt.pagesMissing--; attempt.pagesMissing == 0 {
@@ -132,11 +142,12 @@
 	}
 }
 
+// columnCount is of every result: the deployment's engines have no others.
 const columnCount = 3
 
 var columnNames = []string{"c1", "c2", "c3"}
 
-// completeResult: all pages are here. The first such attempt is the client's answer.
+// completeResult ends an attempt all pages of which are here. The first such attempt of a request is its client's answer.
 func (g *Gateway) completeResult(attempt *engineAttempt) {
 	req := attempt.request
 	if !req.answered {
@@ -148,19 +159,16 @@
 		}
 		req.client.output = out
 		g.markDirty(&req.client.outputBuffer)
-		req.served = true
-		req.stats.served++
-		req.stats.latencySum += g.now - req.arrivedAt
-		g.finishRequest(req, outcomeServed)
+		g.finishServed(req)
 	}
-	if len(attempt.pages) > 1 { // of a single page the engine keeps nothing
+	if len(attempt.pages) > 1 { // an engine keeps nothing of a result of one page
 		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
 	g.concludeAttempt(attempt, rules.StatusOK)
 }
 
-// appendResult appends the whole result set. If a row can't be read, nothing is appended.
+// appendResult appends a complete result set. If a row can't be read, ok is false and nothing is appended.
 func appendResult(dst []byte, pages [][]byte) (out []byte, ok bool) {
 	out, seq := mysql.AppendColumns(dst, 1, columnNames)
 	for _, page := range pages {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -1,50 +1,61 @@
 package gateway
 
 import (
+	"math"
+
 	"foxlane/internal/admission"
 	"foxlane/internal/engine"
 	"foxlane/rules"
-	"math"
 )
 
-// This file owns attempts: how one starts at an engine, how the module changes or cancels it, and how it ends.
+// This file owns attempts: how one starts at an engine, how the module changes or cancels it, and how it ends. The module hears of
+// each end exactly once, and never more than is known: an attempt that was written may have run unless the engine or the connection
+// proves that it did not.
 
+// engineAttempt is one attempt to have an engine run a request.
 type engineAttempt struct {
 	request         *queryRequest
 	index           int
 	engine          *engineState
-	conn            *engineConn // nil: never had one
-	sent            bool        // written to a connection that was up
-	endOffset       int64       // where it ends in what is written on its link
+	conn            *engineConn // nil: it never had one
+	sent            bool        // it was written to a connection that was up
+	endOffset       int64       // where it ends in all that is written on its connection
 	done            bool
 	status          rules.Status // once done
-	terminating     bool         // ended by us or by its connection: its engine may not have heard of that yet
-	blameless       bool         // how it ends says nothing of its engine
-	localExhaustion bool         // it had no connection for want of something here
-	startedAt       rules.Time   // when the module sent it
+	terminating     bool         // ended by us or by its connection, but its engine may not have heard of that yet
+	blameless       bool         // how it ends does not count against its engine
+	localExhaustion bool         // it had no connection because a local resource was exhausted
+	startedAt       rules.Time   // when the module asked for it
 	deadline        rules.Time
 	priority        int
 
-	firstPageReceived bool // page 0 is here
-	pagesRequested    bool // the other pages are asked for
-	latency           rules.Time
-	pages             [][]byte
-	totalPages        int    // where results are kept: pages
-	firstPage         []byte // and page 0, until its turn comes
-	pagesMissing      int
-	pageBytes         int // of the pages
-	workMS            float64
-	memoryMB          float64
-	loadReport        []byte
+	firstPageReceived bool
+	pagesRequested    bool       // the other pages were asked for
+	latency           rules.Time // until the first page, or until its end
+	pages             [][]byte   // where results are passed on at once; nil: not received yet
+	pagesMissing      int        // of pages
+	pageBytes         int        // in pages
+	totalPages        int        // where results are stored
+	firstPage         []byte     // where results are stored: page 0 until the attempt fills the result
+	workMS            float64    // that the engine reports it has spent
+	memoryMB          float64    // that the engine reports it has used
+	loadReport        []byte     // the latest load report that came with an answer
 }
 
+// startAttempt starts an attempt that the module has asked for.
 func (g *Gateway) startAttempt(send rules.Send) {
 	req := g.requests[send.ID]
 	if req == nil {
 		return
 	}
-	attempt := &engineAttempt{request: req, index: len(req.attempts), engine: g.engines[send.Engine], startedAt: g.now, deadline: req.dueAt,
-		priority: req.priority}
+	attempt := &engineAttempt{
+		request:   req,
+		index:     len(req.attempts),
+		engine:    g.engines[send.Engine],
+		startedAt: g.now,
+		deadline:  req.dueAt,
+		priority:  req.priority,
+	}
 	req.attempts = append(req.attempts, attempt)
 	req.inFlight++
 	if g.cfg.Trace {
@@ -58,9 +69,9 @@
 	if send.Timeout != 0 {
 		attempt.deadline = min(attempt.deadline, g.now+send.Timeout)
 	}
-	most := g.cfg.Settings.Rules.Limits.MaxAttempts
+	maxAttempts := g.cfg.Settings.Rules.Limits.MaxAttempts
 	switch {
-	case req.answered, attempt.engine == nil, most > 0 && len(req.attempts) > most:
+	case req.answered, attempt.engine == nil, maxAttempts > 0 && len(req.attempts) > maxAttempts:
 		g.concludeAttempt(attempt, rules.StatusSuperseded)
 	case attempt.deadline <= g.now:
 		g.concludeAttempt(attempt, rules.StatusTimeout)
@@ -70,6 +81,7 @@
 	}
 }
 
+// setTerms takes over the memory and the priority that the module gives to a request, for attempts that run too.
 func (g *Gateway) setTerms(terms rules.SetAttemptOptions) {
 	req := g.requests[terms.ID]
 	if req == nil {
@@ -88,15 +100,16 @@
 	}
 }
 
-func (g *Gateway) cancelAttempt(c rules.Cancel) {
-	req := g.requests[c.ID]
-	if req == nil || c.Attempt < 0 || c.Attempt >= len(req.attempts) || req.attempts[c.Attempt].done {
+// cancelAttempt ends an attempt that the module has no more use for.
+func (g *Gateway) cancelAttempt(cancel rules.Cancel) {
+	req := g.requests[cancel.ID]
+	if req == nil || cancel.Attempt < 0 || cancel.Attempt >= len(req.attempts) || req.attempts[cancel.Attempt].done {
 		return
 	}
-	g.abandonAttempt(req.attempts[c.Attempt], rules.StatusCancelled)
+	g.abandonAttempt(req.attempts[cancel.Attempt], rules.StatusCancelled)
 }
 
-// abandonAttempt ends an attempt from our side.
+// abandonAttempt ends an attempt from our side, and tells its engine.
 func (g *Gateway) abandonAttempt(attempt *engineAttempt, status rules.Status) {
 	if attempt.sent && !attempt.terminating && !attempt.conn.closed {
 		id := string(attempt.request.id)
@@ -105,15 +118,16 @@
 		} else {
 			attempt.conn.output = engine.AppendCancel(attempt.conn.output, id)
 		}
-		g.flushNow(&attempt.conn.outputBuffer) // ahead of another attempt, which may go out on a connection that was written to before
+		g.flushNow(&attempt.conn.outputBuffer) // ahead of another attempt, whose connection may come before this one in the batch
 		g.retireIfSilent(attempt)
 	}
 	g.terminateAttempt(attempt, status)
 }
 
-// terminateAttempt ends an attempt that its engine may still run, since it hears of the end by a way of its own. Where a request may
-// have no two attempts out at once, another one could come to a nearer engine ahead of that: the module hears of the end
-// once the way is over, which takes no longer than its connection took to come up. Where nothing can follow it hears now.
+// terminateAttempt ends an attempt that its engine may still run, since word of the end takes time to reach it. Where no two
+// attempts of a request may run at once, the next one could reach a nearer engine ahead of that word. So the module hears of the
+// end only after the time that the connection took to come up, which covers the way to the engine. Where nothing can follow, or the
+// engine ends the attempt by its own deadline, the module hears at once.
 func (g *Gateway) terminateAttempt(attempt *engineAttempt, status rules.Status) {
 	req, settings := attempt.request, &g.cfg.Settings.Rules
 	if !attempt.sent || req.answered || status == rules.StatusTimeout || settings.Limits.HedgedRequests ||
@@ -134,7 +148,7 @@
 	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.MaxNetworkMargin), kind: timerTerminated, attempt: attempt, status: status})
 }
 
-// concludeAttempt ends an attempt and tells the module.
+// concludeAttempt ends an attempt for good and tells the module its outcome.
 func (g *Gateway) concludeAttempt(attempt *engineAttempt, status rules.Status) {
 	if attempt.done {
 		return
@@ -160,7 +174,14 @@
 	if attempt.engine != nil && status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion {
 		attempt.engine.lastFault = g.now
 	}
-	outcome := rules.Outcome{ID: req.id, Attempt: attempt.index, Engine: 0, Status: status, Latency: attempt.latency, Closed: req.answered || req.result.engineDone, NotEngineFault: attempt.blameless}
+	outcome := rules.Outcome{
+		ID:             req.id,
+		Attempt:        attempt.index,
+		Status:         status,
+		Latency:        attempt.latency,
+		Closed:         req.answered || req.result.engineDone,
+		NotEngineFault: attempt.blameless,
+	}
 	if attempt.engine != nil {
 		outcome.Engine = attempt.engine.id
 	}
@@ -176,12 +197,12 @@
 	g.tellModule(outcome)
 }
 
-// plausibleUsage answers whether an engine of that kind can have spent the work and the memory that an answer
-// tells. Of one that was spoilt without a sign the module must not learn.
+// plausibleUsage reports whether an engine of that kind can have spent the work and the memory that an answer reports. The module
+// must not learn from figures that were corrupted on the way.
 func (g *Gateway) plausibleUsage(attempt *engineAttempt) bool {
 	kinds := g.cfg.Settings.Rules.Kinds
 	if attempt.engine.kind >= len(kinds) {
-		return true // nothing is known of it
+		return true // nothing is known of this kind
 	}
 	kind := kinds[attempt.engine.kind]
 	return (kind.Cores <= 0 || attempt.workMS <= kind.Cores*float64(attempt.latency/rules.Millisecond+1)) &&
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -1,61 +1,56 @@
 package gateway
 
 import (
-	"bytes"
 	"container/list"
-	"errors"
 	"net/netip"
-	"strconv"
 
 	"foxlane/internal/admission"
 	"foxlane/internal/mysql"
 	"foxlane/rules"
 )
 
-// This file owns the clients' sessions. It never lets what one client sends
-// touch another, except for KILL, which is meant to.
-
-const serverVersion = "8.0.0-foxlane"
-
-var errAnswersUnread = &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "answers are not read"}
-
-const (
-	clientUser     = "app"
-	clientDatabase = "main"
-)
+// This file owns the clients' connections, from accept to close, and which of them give way where there are too many.
 
+// clientConn is a client's connection, and the session on it.
 type clientConn struct {
 	outputBuffer
-	admissionSlot int // at the door
+	admissionSlot int // in admissionControl.conns
 	greeted       bool
 	session       uint32
 	decoder       mysql.Decoder
-	loginPending  bool // still to come
+	loginPending  bool // the client has not logged in yet
 	request       *queryRequest
-	killed        bool // its query was killed: no answer follows, so the session is of no more use
+	killed        bool // its query was killed: no answer follows, so the session can't go on
 	lastActive    rules.Time
 	openedAt      rules.Time
-	commands      int        // commands
-	answeredAt    rules.Time // when a request of it was last over
-	partialBytes  int        // bytes of an unfinished packet
-	partialSince  rules.Time // when that packet did
-	badCommands   int        // commands that could not be used
-	newElement    *list.Element
-	idleElement   *list.Element
-	reader        *resultReader // a result is on its way to it
+	commands      int           // that it has sent
+	answeredAt    rules.Time    // when a request of it last ended
+	partialBytes  int           // bytes of an unfinished packet
+	partialSince  rules.Time    // when that packet began
+	badCommands   int           // that could not be used
+	newElement    *list.Element // in newClients, while it has sent no command
+	idleElement   *list.Element // in idleClients, while it has no request
+	reader        *resultReader // while it reads a stored result
 }
 
+// acceptClient greets a new client, or tells it that there are too many connections.
 func (g *Gateway) acceptClient(id ConnID, from netip.Addr) {
-	client := &clientConn{outputBuffer: outputBuffer{id: id}, loginPending: true, lastActive: g.now, openedAt: g.now, decoder: mysql.Decoder{MaxPayload: g.limits.MaxLoginBytes}}
+	client := &clientConn{
+		outputBuffer: outputBuffer{id: id},
+		loginPending: true,
+		lastActive:   g.now,
+		openedAt:     g.now,
+		decoder:      mysql.Decoder{MaxPayload: g.limits.MaxLoginBytes},
+	}
 	if g.stopped || g.admission == nil && len(g.clients) >= g.limits.MaxClients && !g.evictOne() {
-		g.log(Warn, "client: too many connections", Attr{"clients", len(g.clients)}, Attr{"stopped", g.stopped})
+		g.log(Warn, "client: too many connections", Attr{keyClients, len(g.clients)}, Attr{"stopped", g.stopped})
 		client.output = mysql.AppendErr(nil, 0, mysql.CodeTooManyConnections, "Too many connections")
 		g.countClose(client, CloseTooManyClients)
 		g.closeAfterWrites(&client.outputBuffer)
 		return
 	}
 	g.lastSession++
-	if g.lastSession == 0 {
+	if g.lastSession == 0 { // the protocol has no session 0
 		g.lastSession++
 	}
 	client.session = g.lastSession
@@ -73,9 +68,9 @@
 	g.markDirty(&client.outputBuffer)
 }
 
-// evictOne closes the connection that is worth least to make room for a newcomer: the longest silent
-// one that has asked for nothing yet, else the longest idle one. Hundreds that say nothing would
-// otherwise turn everybody else away.
+// evictOne closes a connection to make room for a new one: the oldest of those that have sent no command, else the one that has been
+// idle for longest. Otherwise a few hundred connections that send nothing would keep every other client out. It reports whether
+// there was one to close.
 func (g *Gateway) evictOne() bool {
 	if element := g.newClients.Front(); element != nil {
 		g.evictWithError(element.Value.(*clientConn), CloseEvicted, "no room for a connection that asks for nothing")
@@ -87,9 +82,9 @@
 	return true
 }
 
-// evictWithError closes a connection on which nothing was asked, with the refusal that its client may be
-// about to read as the answer to its login or its first command.
-func (g *Gateway) evictWithError(client *clientConn, reason CloseReason, why string) {
+// evictWithError closes a connection on which no command came, with an error that its client may read as the answer to its login or
+// its first command.
+func (g *Gateway) evictWithError(client *clientConn, reason CloseReason, text string) {
 	seq := byte(1)
 	switch {
 	case !client.greeted:
@@ -97,12 +92,12 @@
 	case client.loginPending:
 		seq = 2
 	}
-	g.log(Info, "client: turned out", Attr{"session", client.session}, Attr{"login", client.loginPending}, Attr{"why", why})
-	client.output = mysql.AppendErr(client.output, seq, mysql.CodeTooManyConnections, why)
+	g.log(Info, "client: evicted before its first command", Attr{keySession, client.session}, Attr{"login_pending", client.loginPending}, Attr{keyReason, text})
+	client.output = mysql.AppendErr(client.output, seq, mysql.CodeTooManyConnections, text)
 	g.closeClient(client, reason)
 }
 
-// unlistClient takes a session off the lists of those that wait for their client.
+// unlistClient takes a session off the lists of those that send nothing.
 func (g *Gateway) unlistClient(client *clientConn) {
 	if client.newElement != nil {
 		g.newClients.Remove(client.newElement)
@@ -113,7 +108,7 @@
 	client.newElement, client.idleElement = nil, nil
 }
 
-// removeClient forgets a session and gives its request up.
+// removeClient forgets a session and abandons its request.
 func (g *Gateway) removeClient(client *clientConn) {
 	client.closed = true
 	g.partialBytes -= client.partialBytes
@@ -126,24 +121,23 @@
 	g.releaseConn(client)
 }
 
-// closeClient is the one way in which we close a client's connection.
-func (g *Gateway) closeClient(client *clientConn, why CloseReason) {
-	g.checkClose(client, why)
-	g.countClose(client, why)
+// closeClient closes a client's connection. Every such close by us goes through here.
+func (g *Gateway) closeClient(client *clientConn, reason CloseReason) {
+	g.checkClose(client, reason)
+	g.countClose(client, reason)
 	g.closeAfterWrites(&client.outputBuffer)
 	g.removeClient(client)
 }
 
 // countClose counts the end of a client's connection by its reason.
-func (g *Gateway) countClose(client *clientConn, why CloseReason) {
-	g.closeCounts[why]++
+func (g *Gateway) countClose(client *clientConn, reason CloseReason) {
+	g.closeCounts[reason]++
 	if g.cfg.Trace {
-		g.traceClose(client, why)
+		g.traceClose(client, reason)
 	}
 }
 
-// clientBecameIdle notes that a session has no request, and closes the longest idle
-// ones where there are too many.
+// clientBecameIdle notes that a session has no request. Where too many sessions are idle, those that have been for longest are closed.
 func (g *Gateway) clientBecameIdle(client *clientConn) {
 	if client.closed || client.killed || client.reader != nil {
 		return
@@ -163,8 +157,8 @@
 	}
 }
 
-// sweepClients closes sessions that outstay what any client does: those that are idle for longer than
-// clients keep connections, ask for nothing, leave a packet unfinished or stay on after a KILL.
+// sweepClients closes sessions that do what no client does: they are idle for longer than clients keep connections, send no command,
+// leave a packet unfinished, or stay on after a KILL.
 func (g *Gateway) sweepClients() {
 	for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
 		client := element.Value.(*clientConn)
@@ -185,215 +179,7 @@
 		case client.killed && g.now-client.lastActive >= g.limits.LoginTimeout:
 			g.closeClient(client, CloseQueryKilled)
 		case client.partialBytes > 0 && g.now-client.partialSince >= g.limits.LoginTimeout:
-			g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a packet never ends"})
-		}
-	}
-}
-
-// rejectCommand answers a command that can't be used. Whoever goes on sending such is not listened to any more.
-func (g *Gateway) rejectCommand(client *clientConn, code uint16, text string) {
-	if client.badCommands++; client.badCommands > g.limits.MaxSessionErrors {
-		g.protocolError(client, 1, &mysql.Error{Code: code, Text: text})
-		return
-	}
-	g.writeErr(client, code, text)
-}
-
-func (g *Gateway) writeErr(client *clientConn, code uint16, text string) {
-	client.output = mysql.AppendErr(client.output, 1, code, text)
-	g.markDirty(&client.outputBuffer)
-}
-
-func (g *Gateway) clientData(client *clientConn, data []byte) {
-	client.decoder.Feed(data)
-	defer g.countPartial(client)
-	for !client.closed {
-		payload, seq, ok, err := client.decoder.Next()
-		if err != nil {
-			g.protocolError(client, seq+1, err)
-			return
-		}
-		if !ok {
-			return
-		}
-		client.partialSince = g.now // what follows it
-		if client.loginPending {
-			g.clientLogin(client, payload, seq)
-		} else {
-			g.handleCommand(client, payload, seq)
-		}
-		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands without end, and their answers unread
-			client.output = client.output[:0]
-			g.protocolError(client, 1, errAnswersUnread)
-		}
-	}
-}
-
-// countPartial keeps unfinished packets of all clients together within bounds.
-func (g *Gateway) countPartial(client *clientConn) {
-	held := client.decoder.Buffered()
-	if client.closed {
-		held = 0
-	}
-	if client.partialBytes == 0 {
-		client.partialSince = g.now
-	}
-	g.partialBytes += held - client.partialBytes
-	changed := client.partialBytes != held
-	client.partialBytes = held
-	if changed && !client.closed {
-		g.handleAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: held})
-	}
-	for g.partialBytes > g.limits.MaxInputBytes {
-		most := client
-		for _, other := range g.clients {
-			if other.partialBytes > most.partialBytes {
-				most = other
-			}
-		}
-		g.protocolError(most, 1, &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "too much input is unfinished"})
-	}
-}
-
-// protocolError ends a session that breaks the protocol.
-func (g *Gateway) protocolError(client *clientConn, seq byte, err error) {
-	code := uint16(mysql.CodeUnknownError)
-	var known *mysql.Error
-	if errors.As(err, &known) {
-		code = known.Code
-	}
-	g.log(Warn, "client: broken protocol", Attr{"session", client.session}, Attr{"error", err.Error()})
-	if client.request == nil && !client.killed && client.reader == nil {
-		client.output = mysql.AppendErr(client.output, seq, code, err.Error())
-	}
-	g.closeClient(client, CloseProtocolError)
-}
-
-func (g *Gateway) clientLogin(client *clientConn, payload []byte, seq byte) {
-	login, err := mysql.ParseLogin(payload)
-	switch {
-	case err != nil:
-	case seq != 1:
-		err = &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "login: wrong sequence number"}
-	case login.User != clientUser || login.Password:
-		err = &mysql.Error{Code: mysql.CodeAccessDenied, Text: "login: access denied"}
-	case login.Database != "" && login.Database != clientDatabase:
-		err = &mysql.Error{Code: mysql.CodeUnknownDatabase, Text: "login: unknown database"}
-	}
-	if err != nil {
-		g.protocolError(client, seq+1, err)
-		return
-	}
-	client.loginPending, client.decoder.MaxPayload = false, g.limits.MaxStatementBytes
-	client.output = mysql.AppendOK(client.output, seq+1)
-	g.markDirty(&client.outputBuffer)
-}
-
-func (g *Gateway) handleCommand(client *clientConn, payload []byte, seq byte) {
-	switch {
-	case client.request != nil || client.killed || client.reader != nil:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a command while a query is open"})
-		return
-	case seq != 0:
-		g.protocolError(client, seq+1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "wrong sequence number"})
-		return
-	case len(payload) == 0:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCommand, Text: "empty command"})
-		return
-	}
-	g.unlistClient(client)
-	client.commands++
-	switch com := mysql.Command(payload[0]); com {
-	case mysql.ComQuit:
-		g.closeClient(client, CloseQuit)
-		return
-	case mysql.ComQuery:
-		g.handleStatement(client, payload[1:])
-	case mysql.ComPing, mysql.ComReset:
-		g.writeOK(client)
-	case mysql.ComInitDB:
-		if string(payload[1:]) != clientDatabase {
-			g.rejectCommand(client, mysql.CodeUnknownDatabase, "unknown database")
-		} else {
-			g.writeOK(client)
-		}
-	default:
-		g.log(Info, "client: unknown command", Attr{"session", client.session}, Attr{"command", int(com)})
-		g.rejectCommand(client, mysql.CodeUnknownCommand, "unknown command")
-	}
-	if client.request == nil && client.reader == nil {
-		g.clientBecameIdle(client)
-	}
-}
-
-func (g *Gateway) writeOK(client *clientConn) {
-	client.output = mysql.AppendOK(client.output, 1)
-	g.markDirty(&client.outputBuffer)
-}
-
-// handleStatement takes a COM_QUERY: a request with its fields, KILL, or what client
-// libraries say of their own accord.
-func (g *Gateway) handleStatement(client *clientConn, text []byte) {
-	if mysql.HasFields(text) {
-		if resume, ok, err := mysql.ParseResume(text); ok {
-			if err != nil {
-				g.rejectCommand(client, mysql.CodeParse, err.Error())
-				return
-			}
-			g.resumeResult(client, &resume)
-			return
+			g.protocolError(client, 1, errPacketUnfinished)
 		}
-		query, err := mysql.ParseQuery(text)
-		if err != nil {
-			g.log(Info, "client: unusable query", Attr{"session", client.session}, Attr{"error", err.Error()})
-			g.rejectCommand(client, mysql.CodeParse, err.Error())
-			return
-		}
-		g.acceptQuery(client, &query)
-		return
-	}
-	if session, query, ok := mysql.ParseKill(text); ok {
-		g.kill(client, session, query)
-		return
-	}
-	switch mysql.FirstWord(text) {
-	case "SET", "USE", "BEGIN", "COMMIT", "ROLLBACK", "START":
-		g.writeOK(client)
-		return
-	case "SELECT":
-		if bytes.Contains(text, []byte("@@")) { // clients ask for one before anything else
-			value := "foxlane"
-			if bytes.Contains(text, []byte("max_allowed_packet")) {
-				value = strconv.Itoa(g.limits.MaxStatementBytes)
-			}
-			out, seq := mysql.AppendColumns(client.output, 1, []string{"value"})
-			out, seq, _ = mysql.AppendRow(out, seq, []byte(value), 1)
-			client.output = mysql.AppendEnd(out, seq)
-			g.markDirty(&client.outputBuffer)
-			return
-		}
-	}
-	g.log(Info, "client: query without fields", Attr{"session", client.session})
-	g.rejectCommand(client, mysql.CodeParse, "no comment with fields ahead of the statement")
-}
-
-// kill ends another session's query, without an answer to it, or the session. Who opened a connection to kill while
-// the session's last query was still open means that one: it must not hit the next.
-func (g *Gateway) kill(client *clientConn, session uint32, query bool) {
-	target := g.sessions[session]
-	if target == nil {
-		g.rejectCommand(client, mysql.CodeNoSuchThread, "unknown session")
-		return
-	}
-	g.writeOK(client)
-	late := client.commands == 1 && target.answeredAt >= client.openedAt
-	if !query {
-		g.closeClient(target, CloseKilled)
-	} else if req := target.request; req != nil && !late {
-		target.killed, target.lastActive = true, g.now
-		g.abandonRequest(req)
-	} else if target.reader != nil && !late { // nothing more of the answer
-		target.output = nil
-		g.closeClient(target, CloseQueryKilled)
 	}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -2,36 +2,48 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"time"
+
 	"foxlane/internal/directives"
 	"foxlane/internal/replica"
 	"foxlane/rules"
-	"time"
 )
 
-// This file answers the questions and commands that operators' commands send to the process.
+// This file answers what operators' commands ask of the process on its control socket: questions by name, and commands on directives
+// in JSON. Each answer is one line of JSON.
+
+// errDirectivesOff is the answer where the operator's file has no block `directives`.
+var errDirectivesOff = errors.New("directives are off")
 
-// answerInquiry answers a question of an operator's command with one line of JSON.
+// errMembersOff is the answer where it has no block `members`.
+var errMembersOff = errors.New("talk is off")
+
+// answerInquiry answers a question or a command.
 func (g *Gateway) answerInquiry(event ControlRequest) {
 	var answer any
-	switch what := string(event.Data); {
+	switch question := string(event.Data); {
 	case len(event.Data) > 0 && event.Data[0] == '{':
 		g.proposeDirective(event.Conn, event.Data)
 		return
-	case what == "book":
+	case question == "book": // the directives in force
 		answer = g.directiveStatus()
 	case g.peers == nil:
-		answer = map[string]string{"error": "talk is off"}
-	case what == "members":
+		answer = errorAnswer(errMembersOff)
+	case question == "members":
 		answer = g.memberStatus()
-	case what == "copies":
+	case question == "copies": // the replicated state
 		answer = g.replicaEntries()
 	default:
-		answer = map[string]string{"error": fmt.Sprintf("unknown question %.40q", what)}
+		answer = errorAnswer(fmt.Errorf("unknown question %.40q", question))
 	}
 	g.reply(event.Conn, answer)
 }
 
+// errorAnswer is the answer where there is none to give.
+func errorAnswer(err error) map[string]string { return map[string]string{"error": err.Error()} }
+
 func (g *Gateway) reply(conn ConnID, answer any) {
 	line, err := json.Marshal(answer)
 	if err != nil {
@@ -40,50 +52,59 @@
 	g.emit(ControlResponse{Conn: conn, Data: append(line, '\n')})
 }
 
-// MemberStatus is a member as `foxlane members` shows it.
+// MemberStatus is a member as `foxlane members` lists it. Its JSON keys are read by operators' scripts and keep the words of the first
+// release.
 type MemberStatus struct {
 	Name               string  `json:"name"`
 	Zone               string  `json:"zone"`
-	SinceMS            int64   `json:"since_ms"` // how long it has been there; of ourselves how long we run
-	Entries            int     `json:"entries"`  // copies that are held of it
+	SinceMS            int64   `json:"since_ms"` // how long it has been a member; of this gateway how long it runs
+	Entries            int     `json:"entries"`  // that are replicated from it
 	NewestEntryMS      int64   `json:"newest_ms"`
 	Counter            uint64  `json:"counter"`
-	Incarnation        string  `json:"life"` // when it began
+	Incarnation        string  `json:"life"` // when its process started
 	Self               bool    `json:"us,omitempty"`
-	LagMS              int64   `json:"lag_ms,omitempty"` // ours
+	LagMS              int64   `json:"lag_ms,omitempty"` // of this gateway only
 	SentBytesPerSecond float64 `json:"sent_bytes_s,omitempty"`
 }
 
+// memberStatus lists the members, this gateway among them.
 func (g *Gateway) memberStatus() any {
 	peers := g.peers
-	zone := map[string]string{}
+	zoneOf := map[string]string{}
 	for _, member := range peers.replica.Members() {
-		zone[member.Name] = member.Zone
+		zoneOf[member.Name] = member.Zone
 	}
 	stats := peers.replica.Stats()
-	out := []MemberStatus{}
-	for _, entries := range peers.replica.Copies() {
-		_, there := peers.joinedAt[entries.Origin]
-		us := entries.Origin == g.cfg.Name
-		if !there && !us {
+	list := []MemberStatus{}
+	for _, replicated := range peers.replica.Copies() {
+		joinedAt, joined := peers.joinedAt[replicated.Origin]
+		self := replicated.Origin == g.cfg.Name
+		if !joined && !self {
 			continue
 		}
-		status := MemberStatus{Name: entries.Origin, Zone: zone[entries.Origin], Entries: len(entries.Entries), Counter: entries.Counter, NewestEntryMS: -1,
-			Incarnation: time.UnixMicro(int64(entries.Incarnation)).UTC().Format(time.RFC3339), Self: us}
-		for _, entry := range entries.Entries {
-			if age := int64((g.now - entry.WrittenAt) / rules.Millisecond); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
+		status := MemberStatus{
+			Name:          replicated.Origin,
+			Zone:          zoneOf[replicated.Origin],
+			Entries:       len(replicated.Entries),
+			Counter:       replicated.Counter,
+			NewestEntryMS: -1, // there is none
+			Incarnation:   time.UnixMicro(int64(replicated.Incarnation)).UTC().Format(time.RFC3339),
+			Self:          self,
+		}
+		for _, entry := range replicated.Entries {
+			if age := milliseconds(g.now - entry.WrittenAt); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
 				status.NewestEntryMS = age
 			}
 		}
-		if us {
-			status.SinceMS, status.LagMS = int64((g.now-rules.Time(entries.Incarnation))/rules.Millisecond), int64(stats.Lag/rules.Millisecond)
+		if self {
+			status.SinceMS, status.LagMS = milliseconds(g.now-rules.Time(replicated.Incarnation)), milliseconds(stats.Lag)
 			status.SentBytesPerSecond = float64(stats.BytesSent) / max(float64(status.SinceMS)/1000, 1)
 		} else {
-			status.SinceMS = int64((g.now - peers.joinedAt[entries.Origin]) / rules.Millisecond)
+			status.SinceMS = milliseconds(g.now - joinedAt)
 		}
-		out = append(out, status)
+		list = append(list, status)
 	}
-	return out
+	return list
 }
 
 // ReplicaEntry is an entry as `foxlane replica diff` compares it.
@@ -94,23 +115,32 @@
 	Subject     uint64        `json:"subject"`
 	Counter     uint64        `json:"counter"`
 	AgeMS       int64         `json:"age_ms"`
-	ExpiresInMS int64         `json:"left_ms"` // until it is forgotten
+	ExpiresInMS int64         `json:"left_ms"` // until it expires
 	Value       replica.Value `json:"value"`
 }
 
+// replicaEntries lists all that is replicated here.
 func (g *Gateway) replicaEntries() any {
-	out := []ReplicaEntry{}
-	set := &g.cfg.Site.Members.Replica
-	for _, entries := range g.peers.replica.Copies() {
-		for _, entry := range entries.Entries {
-			out = append(out, ReplicaEntry{entries.Origin, entries.Incarnation, entry.Kind.String(), entry.Subject, entry.Counter, int64((g.now - entry.WrittenAt) / rules.Millisecond),
-				int64((entry.WrittenAt + set.MaxAge[entry.Kind] - g.now) / rules.Millisecond), entry.Value})
+	list := []ReplicaEntry{}
+	settings := &g.cfg.Site.Members.Replica
+	for _, replicated := range g.peers.replica.Copies() {
+		for _, entry := range replicated.Entries {
+			list = append(list, ReplicaEntry{
+				Origin:      replicated.Origin,
+				Incarnation: replicated.Incarnation,
+				Kind:        entry.Kind.String(),
+				Subject:     entry.Subject,
+				Counter:     entry.Counter,
+				AgeMS:       milliseconds(g.now - entry.WrittenAt),
+				ExpiresInMS: milliseconds(entry.WrittenAt + settings.MaxAge[entry.Kind] - g.now),
+				Value:       entry.Value,
+			})
 		}
 	}
-	return out
+	return list
 }
 
-// DirectiveStatus is the book as `foxlane directive list` shows it.
+// DirectiveStatus is the directives in force as `foxlane directive list` lists them.
 type DirectiveStatus struct {
 	Index   uint64                 `json:"index"`
 	InForce []directives.Directive `json:"held"`
@@ -121,37 +151,46 @@
 	Status  *directives.Status     `json:"status,omitempty"`
 }
 
+// directiveStatus lists the directives in force.
 func (g *Gateway) directiveStatus() any {
 	state := g.directives
 	if state == nil {
-		return map[string]string{"error": "directives are off"}
+		return errorAnswer(errDirectivesOff)
 	}
 	inForce := state.proposer.State()
-	status := DirectiveStatus{Index: inForce.Index, InForce: inForce.Directives, History: inForce.History, AgeMS: -1, IsVoter: state.proposer.IsVoter(), Voters: g.cfg.Site.Directives.Voters}
-	if age, ok := state.proposer.Staleness(g.now); ok {
-		status.AgeMS = int64(age / rules.Millisecond)
+	status := DirectiveStatus{
+		Index:   inForce.Index,
+		InForce: inForce.Directives,
+		History: inForce.History,
+		AgeMS:   -1, // never confirmed
+		IsVoter: state.proposer.IsVoter(),
+		Voters:  g.cfg.Site.Directives.Voters,
+	}
+	if staleness, ok := state.proposer.Staleness(g.now); ok {
+		status.AgeMS = milliseconds(staleness)
 	}
-	if s, ok := state.proposer.Status(); ok {
-		status.Status = &s
+	if voter, ok := state.proposer.Status(); ok {
+		status.Status = &voter
 	}
 	return status
 }
 
-// order takes an operator's command. Its answer may come later; a question that is none is answered at once.
+// proposeDirective takes an operator's command. Its answer comes once the voters have agreed on it; one that can't be proposed is answered
+// at once.
 func (g *Gateway) proposeDirective(conn ConnID, raw []byte) {
 	state := g.directives
 	var command directives.Command
 	err := json.Unmarshal(raw, &command)
 	switch {
 	case state == nil:
-		err = fmt.Errorf("directives are off")
+		err = errDirectivesOff
 	case err == nil && !state.proposer.IsVoter():
 		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, g.cfg.Site.Directives.Voters)
 	case err == nil:
 		err = command.Validate()
 	}
 	if err != nil {
-		g.reply(conn, map[string]string{"error": err.Error()})
+		g.reply(conn, errorAnswer(err))
 		return
 	}
 	state.lastCommand++
@@ -159,14 +198,15 @@
 	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Event{Kind: directives.Propose, Command: command, RequestID: state.lastCommand}))
 }
 
-func (g *Gateway) answerProposal(ask, index uint64, err error) {
-	conn, ok := g.directives.waiting[ask]
+// answerProposal answers the operator's command with a number.
+func (g *Gateway) answerProposal(number, index uint64, err error) {
+	conn, ok := g.directives.waiting[number]
 	if !ok {
 		return
 	}
-	delete(g.directives.waiting, ask)
+	delete(g.directives.waiting, number)
 	if err != nil {
-		g.reply(conn, map[string]string{"error": err.Error()})
+		g.reply(conn, errorAnswer(err))
 		return
 	}
 	g.reply(conn, map[string]uint64{"index": index})
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -8,23 +8,29 @@
 	"foxlane/rules"
 )
 
-// This file carries the operators' directives out: drains of zones and engines, the limit of spill, classes that are refused. The book
-// itself, and who may change it, is internal/directives'. It decides nothing; without the block `directives` it does nothing.
+// This file carries out the operators' directives: drains of zones and engines, the limit of spillover, classes that are rejected.
+// Which directives are in force, and who may change them, is decided by package directives; this file decides nothing. Without the
+// block `directives` in the operator's file there are none.
 
-// directiveState is what is held of the directives.
+// directiveState is this gateway's replica of the directives and what it has taken from them.
 type directiveState struct {
 	proposer        *directives.Node
-	rejectedClasses []bool // by class
-	lastCommand     uint64
-	waiting         map[uint64]ConnID // operators' commands that wait, by ask
+	rejectedClasses []bool            // by class
+	lastCommand     uint64            // number of the last operators' command
+	waiting         map[uint64]ConnID // connections whose commands wait for an answer, by number
 }
 
+// newDirectives returns the directives that the operator has configured, or nil.
 func newDirectives(cfg *config.Config) *directiveState {
 	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
 		return nil
 	}
-	set := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.TickInterval}
-	return &directiveState{proposer: directives.NewNode(set, cfg.Seed), rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)), waiting: map[uint64]ConnID{}}
+	settings := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.TickInterval}
+	return &directiveState{
+		proposer:        directives.NewNode(settings, cfg.Seed),
+		rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)),
+		waiting:         map[uint64]ConnID{},
+	}
 }
 
 func (g *Gateway) startDirectives() {
@@ -33,24 +39,24 @@
 	}
 }
 
-// voterOpened: the voter's log was read at the start.
+// voterOpened starts the voter of this gateway with what it had persisted.
 func (g *Gateway) voterOpened(kept *directives.PersistedState) {
 	if g.directives == nil || kept == nil {
 		return
 	}
 	if err := g.directives.proposer.StartVoter(g.now, *kept); err != nil {
-		g.log(Warn, "directives: this voter can't begin", Attr{"error", err.Error()})
+		g.log(Warn, "directives: voter could not start", Attr{keyError, err.Error()})
 	}
 	g.applyDirectives()
 }
 
-// tickDirectives lets time pass.
+// tickDirectives lets time pass for the consensus group.
 func (g *Gateway) tickDirectives() {
 	if g.directives == nil {
 		return
 	}
 	g.timers.add(timer{at: g.now + g.cfg.Site.Directives.TickInterval, kind: timerDirectives})
-	if g.peers == nil { // talk is switched off: the book stays as it is, and grows old
+	if g.peers == nil { // no other gateway is reached: the directives stay as they are, and become stale
 		return
 	}
 	var names []string
@@ -60,8 +66,9 @@
 	g.runDirectiveOutcomes(g.directives.proposer.Tick(g.now, names))
 }
 
-func (g *Gateway) runDirectiveOutcomes(out []directives.ChannelEffect) {
-	for _, outcome := range out {
+// runDirectiveOutcomes carries out what the replica of the directives asks for.
+func (g *Gateway) runDirectiveOutcomes(outcomes []directives.ChannelEffect) {
+	for _, outcome := range outcomes {
 		switch outcome.Kind {
 		case directives.Send:
 			channel := ChannelConsensus
@@ -72,7 +79,7 @@
 		case directives.Persist:
 			g.emit(PersistVoterLog{Batch: outcome.Batch})
 		case directives.Applied:
-			g.log(Info, "directives: the book has changed", Attr{"index", outcome.Index}, Attr{"held", len(g.directives.proposer.State().Directives)})
+			g.log(Info, "directives: changed", Attr{keyIndex, outcome.Index}, Attr{keyInForce, len(g.directives.proposer.State().Directives)})
 			g.applyDirectives()
 		case directives.Reply:
 			g.answerProposal(outcome.RequestID, outcome.Index, outcome.Err)
@@ -82,55 +89,58 @@
 	}
 }
 
-// applyDirectives goes over to what the book says now.
+// applyDirectives takes over the directives that are in force now.
 func (g *Gateway) applyDirectives() {
 	state := g.directives
 	if state == nil {
 		return
 	}
 	inForce := state.proposer.State()
-	refused := inForce.Subjects(directives.RejectClass)
+	rejected := inForce.Subjects(directives.RejectClass)
 	for i, name := range g.cfg.Settings.ClassNames {
-		state.rejectedClasses[i] = slices.Contains(refused, name)
+		state.rejectedClasses[i] = slices.Contains(rejected, name)
 	}
-	drains := inForce.Subjects(directives.DrainEngine)
-	var news []rules.Engine
+	drained := inForce.Subjects(directives.DrainEngine)
+	var changed []rules.Engine
 	for _, eng := range g.engineOrder {
-		if ordered := slices.Contains(drains, eng.entry.ID); ordered != eng.drainedByDirective {
-			if eng.drainedByDirective, eng.stateSince = ordered, g.now; eng.state == rules.EngineServing {
-				news = append(news, g.moduleEngine(eng))
-			}
+		drain := slices.Contains(drained, eng.entry.ID)
+		if drain == eng.drainedByDirective {
+			continue
+		}
+		eng.drainedByDirective, eng.stateSince = drain, g.now
+		if eng.state == rules.EngineServing {
+			changed = append(changed, g.moduleEngine(eng))
 		}
 	}
-	if len(news) > 0 {
-		g.tellModule(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: news})
+	if len(changed) > 0 {
+		g.tellModule(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: changed})
 	}
 	g.applyZoneSettings()
 }
 
-// drained answers whether the book drains an engine.
+// drainsEngine reports whether a directive drains an engine.
 func (g *Gateway) drainsEngine(id string) bool {
 	return g.directives != nil && slices.Contains(g.directives.proposer.State().Subjects(directives.DrainEngine), id)
 }
 
-// rejectsClass answers whether the book refuses a class.
+// rejectsClass reports whether a directive rejects requests of a class.
 func (g *Gateway) rejectsClass(class int) bool {
 	return g.directives != nil && g.directives.rejectedClasses[class]
 }
 
-// logDirectives notes the book and how a voter stands.
+// logDirectives logs the directives in force, and where this gateway is a voter how it stands.
 func (g *Gateway) logDirectives() {
 	state := g.directives
 	if state == nil {
 		return
 	}
 	inForce := state.proposer.State()
-	attrs := []Attr{{"index", inForce.Index}, {"held", len(inForce.Directives)}}
-	if age, ok := state.proposer.Staleness(g.now); ok {
-		attrs = append(attrs, Attr{"age_ms", int64(age / rules.Millisecond)})
+	attrs := []Attr{{keyIndex, inForce.Index}, {keyInForce, len(inForce.Directives)}}
+	if staleness, ok := state.proposer.Staleness(g.now); ok {
+		attrs = append(attrs, Attr{"staleness_ms", milliseconds(staleness)})
 	}
-	if s, ok := state.proposer.Status(); ok {
-		attrs = append(attrs, Attr{"leader", s.Leader}, Attr{"term", s.Term}, Attr{"listens", s.Listens}, Attr{"broken", s.Broken})
+	if status, ok := state.proposer.Status(); ok {
+		attrs = append(attrs, Attr{"leader", status.Leader}, Attr{"term", status.Term}, Attr{"listening", status.Listens}, Attr{"broken", status.Broken})
 	}
 	g.log(Info, "directives", attrs...)
 }
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"foxlane/rules"
 	"slices"
+
+	"foxlane/rules"
 )
 
-// This file owns the end of connections to engines, by us or by the other side, and what that proves of the attempts on them.
+// This file owns the end of connections to engines, by us or by the other side, and what it proves of the attempts on them.
 
-// closeIfDrained closes a retired connection once nothing is left on it.
+// closeIfDrained closes a retired connection that carries nothing.
 func (g *Gateway) closeIfDrained(conn *engineConn) {
 	if conn.retired && conn.load() == 0 && !conn.closed {
 		g.closeEngineConn(conn, conn.retireReason)
@@ -15,18 +16,18 @@
 	}
 }
 
-// closeEngineConn is the one way in which we close a connection to an engine.
-func (g *Gateway) closeEngineConn(conn *engineConn, why CloseReason) {
-	g.checkEngineClose(conn, why)
-	g.countEngineClose(conn, why, nil)
+// closeEngineConn closes a connection to an engine. Every such close by us goes through here.
+func (g *Gateway) closeEngineConn(conn *engineConn, reason CloseReason) {
+	g.checkEngineClose(conn, reason)
+	g.countEngineClose(conn, reason, nil)
 	g.closeAfterWrites(&conn.outputBuffer)
 }
 
 // countEngineClose counts the end of a connection to an engine by its reason.
-func (g *Gateway) countEngineClose(conn *engineConn, why CloseReason, err error) {
-	g.closeCounts[why]++
+func (g *Gateway) countEngineClose(conn *engineConn, reason CloseReason, err error) {
+	g.closeCounts[reason]++
 	if g.cfg.Trace {
-		g.traceEngineClose(conn, why, err)
+		g.traceEngineClose(conn, reason, err)
 	}
 }
 
@@ -36,45 +37,64 @@
 	conn.engine.conns = slices.DeleteFunc(conn.engine.conns, func(other *engineConn) bool { return other == conn })
 }
 
-// engineConnEnded: the connection broke, or never came up. Connections break for reasons that say nothing of
-// their engine, and one may carry dozens of requests: only the oldest of these tells of the engine, and
-// only if that has answered nothing since another connection to it broke. A process that died breaks
-// all of its connections at once, and refuses the next. With spoilt, nothing tells of the engine.
-// What was written beyond the bytes that the system has taken never came whole to the engine: it did not run.
-func (g *Gateway) engineConnEnded(conn *engineConn, err error, taken int64, spoilt bool) {
-	ours := spoilt && !conn.up // it was never made, for want of something here
-	switch {
-	case conn.closed: // by us, who have said why
-	case conn.aborted:
-		spoilt = true
-		g.countEngineClose(conn, CloseEngineUnread, err)
-	case ours:
-		g.countEngineClose(conn, CloseLocalExhaustion, err)
-	case !conn.up:
-		g.countEngineClose(conn, CloseEngineUnreachable, err)
-	default:
-		g.countEngineClose(conn, CloseEngineLost, err)
+// engineConnEnded takes the end of a connection that broke or never came up. Of all that was written on it the system has accepted so
+// many bytes. With blameless, the end says nothing of the engine; for a dial that means that a local resource was exhausted.
+func (g *Gateway) engineConnEnded(conn *engineConn, err error, accepted int64, blameless bool) {
+	localExhaustion := blameless && !conn.up
+	if !conn.closed { // otherwise we closed it, and have counted it
+		blameless = blameless || conn.aborted
+		g.countEngineClose(conn, endReason(conn, localExhaustion), err)
 	}
 	g.removeEngineConn(conn)
 	if conn.load() > 0 {
-		text := ""
-		if err != nil {
-			text = err.Error()
-		}
-		g.log(Warn, "engine: connection lost", Attr{"engine", conn.engine.entry.ID}, Attr{"up", conn.up},
-			Attr{"requests", conn.load()}, Attr{"error", text})
+		g.log(Warn, "engine: connection lost", Attr{keyEngine, conn.engine.entry.ID}, Attr{"up", conn.up},
+			Attr{keyRequests, conn.load()}, Attr{keyError, errorText(err)})
+	}
+	for _, attempt := range slices.Clone(conn.waiting) {
+		attempt.blameless, attempt.localExhaustion = blameless, localExhaustion
+		g.concludeAttempt(attempt, rules.StatusConnectFailed)
+	}
+	g.endInFlight(conn, accepted, blameless)
+	if localExhaustion {
+		conn.engine.undoRequest()
 	}
 	status := rules.StatusConnectFailed
-	if conn.up {
+	switch {
+	case localExhaustion:
+		status = rules.StatusSuperseded
+	case conn.up:
 		status = rules.StatusReset
 	}
-	for _, attempt := range slices.Clone(conn.waiting) {
-		attempt.blameless, attempt.localExhaustion = spoilt, ours
-		g.concludeAttempt(attempt, rules.StatusConnectFailed)
+	for _, probe := range conn.probes {
+		probe.localExhaustion = localExhaustion
+		g.finishProbe(probe, status, nil)
 	}
+}
+
+// endReason is why a connection has ended that we did not close.
+func endReason(conn *engineConn, localExhaustion bool) CloseReason {
+	switch {
+	case conn.aborted:
+		return CloseEngineUnread
+	case localExhaustion:
+		return CloseLocalExhaustion
+	case !conn.up:
+		return CloseEngineUnreachable
+	default:
+		return CloseEngineLost
+	}
+}
+
+// endInFlight ends the attempts that were written on a connection that has ended. One of which not all bytes were accepted by the
+// system never came whole to the engine, so it did not run.
+//
+// Connections break for reasons that say nothing of their engines, and one may carry dozens of requests. So only the oldest of these
+// counts against the engine, and only if that has answered nothing since another connection to it broke: a process that died breaks
+// all of its connections at once.
+func (g *Gateway) endInFlight(conn *engineConn, accepted int64, blameless bool) {
 	eng := conn.engine
-	if len(conn.inFlight) > 0 && !spoilt {
-		spoilt = eng.lastRead > eng.lastBroken
+	if len(conn.inFlight) > 0 && !blameless {
+		blameless = eng.lastRead > eng.lastBroken
 		eng.lastBroken = g.now
 	}
 	lost := make([]*engineAttempt, 0, len(conn.inFlight))
@@ -83,27 +103,18 @@
 	}
 	slices.SortFunc(lost, func(attempt, other *engineAttempt) int { return int(attempt.startedAt - other.startedAt) })
 	for i, attempt := range lost {
-		attempt.blameless = spoilt || i > 0
-		if attempt.endOffset > taken {
+		attempt.blameless = blameless || i > 0
+		if attempt.endOffset > accepted {
 			g.concludeAttempt(attempt, rules.StatusSuperseded)
 		} else {
 			g.terminateAttempt(attempt, rules.StatusReset)
 		}
 	}
-	if ours {
-		conn.engine.undoRequest()
-	}
-	for _, probe := range conn.probes {
-		if probe.localExhaustion = ours; ours {
-			status = rules.StatusSuperseded
-		}
-		g.finishProbe(probe, status, nil)
-	}
 }
 
-// retireConns: the process behind them is another one now, or has gone. What waits for a dial to where it was must
-// not be written there, since somebody else may have the address: it is returned, to be concluded once the module
-// knows of the list.
+// retireConns retires the connections to an engine whose process is another one now, or has gone. What waits for a dial to its old
+// address must not be written there, since another process may have that address: it is returned, to be concluded once the module
+// knows of the change.
 func (g *Gateway) retireConns(eng *engineState) (stale []*engineAttempt) {
 	for _, conn := range slices.Clone(eng.conns) {
 		conn.retire(CloseEngineRetired)
@@ -113,7 +124,10 @@
 	return stale
 }
 
-// armGrace looks, ahead of the end of the grace of an engine that drains or has gone, whether something for it still waits here.
+// graceMarginDivisor is the part of a drain's grace, as a divisor, that is left for resetting connections.
+const graceMarginDivisor = 10
+
+// armGrace sets a timer ahead of the end of the grace of an engine that drains or has gone: by then nothing may be on its way to it.
 func (g *Gateway) armGrace(eng *engineState) {
 	grace := g.cfg.Settings.Rules.Constraints.DrainGrace
 	if grace > 0 && len(eng.conns) > 0 {
@@ -121,11 +135,8 @@
 	}
 }
 
-// graceMarginDivisor is the part of a grace, as a divisor, that is left for the end of a connection.
-const graceMarginDivisor = 10
-
-// enforceGrace resets connections whose engine has not taken what was written to them before it was told to drain or to be gone: it
-// must not leave any more, and there is no other way to take it back.
+// enforceGrace resets connections whose engine has not read what was written before it began to drain or had gone. Requests in the
+// system's buffers must not reach the engine after the grace, and a reset is the only way to take them back.
 func (g *Gateway) enforceGrace(eng *engineState) {
 	if eng.state == rules.EngineServing {
 		return
@@ -134,7 +145,7 @@
 		if conn.blockedSince == 0 || conn.blockedSince > eng.stateSince || conn.aborted {
 			continue
 		}
-		g.log(Warn, "engine: connection reset, requests on it were not read", Attr{"engine", eng.entry.ID}, Attr{"requests", conn.load()},
+		g.log(Warn, "engine: connection reset with unread requests", Attr{keyEngine, eng.entry.ID}, Attr{keyRequests, conn.load()},
 			Attr{"blocked_ms", milliseconds(g.now - conn.blockedSince)})
 		conn.aborted = true
 		conn.retire(CloseEngineUnread)
@@ -142,6 +153,7 @@
 	}
 }
 
+// closeIdleConns closes connections that carry nothing, as the module asks for an engine that it does not use.
 func (g *Gateway) closeIdleConns(eng *engineState) {
 	if eng == nil {
 		return
@@ -154,8 +166,8 @@
 	}
 }
 
-// sweepEngineConns closes idle connections before their engines do: a request that
-// crosses such a close could not be proven never to have run.
+// sweepEngineConns closes idle connections before their engines do: of a request that crosses an engine's close it could not be
+// proven that it never ran.
 func (g *Gateway) sweepEngineConns() {
 	for _, eng := range g.engineOrder {
 		for _, conn := range slices.Clone(eng.conns) {
--- a/internal/gateway/engineread.go
+++ b/internal/gateway/engineread.go
@@ -2,15 +2,16 @@
 
 import (
 	"errors"
-	"foxlane/internal/engine"
-	"foxlane/rules"
 	"maps"
 	"slices"
+
+	"foxlane/internal/engine"
+	"foxlane/rules"
 )
 
 // This file reads what engines send. Whatever breaks the protocol ends its connection.
 
-// engineData takes what came from an engine. Breaking the protocol ends the connection.
+// engineData takes bytes that came from an engine.
 func (g *Gateway) engineData(conn *engineConn, data []byte) {
 	conn.lastUsed, conn.lastRead, conn.engine.lastRead = g.now, g.now, g.now
 	conn.decoder.Feed(data)
@@ -33,30 +34,31 @@
 			}
 			g.finishProbe(probe, status, answer.Report)
 		}
-		// Anything else answers what was given up meanwhile.
+		// Anything else answers what was abandoned meanwhile.
 	}
 }
 
-// breakEngineConn ends a connection on which an answer came that can't be read or is not whole: nothing behind it
-// can be told apart any more. That happens to answers of any engine alike.
+// breakEngineConn ends a connection on which an answer came that can't be read or is not complete: where the next answer begins is
+// not known any more. The engine is not blamed, since answers are corrupted on the way as well.
 func (g *Gateway) breakEngineConn(conn *engineConn, err error) {
-	g.log(Warn, "engine: broken protocol", Attr{"engine", conn.engine.entry.ID}, Attr{"requests", conn.load()},
-		Attr{"error", err.Error()})
-	conn.output = nil // with what was not written yet nothing has run
+	g.log(Warn, "engine: protocol error", Attr{keyEngine, conn.engine.entry.ID}, Attr{keyRequests, conn.load()},
+		Attr{keyError, err.Error()})
+	conn.output = nil // of what was not handed out yet nothing has run
 	for _, id := range slices.Sorted(maps.Keys(conn.inFlight)) {
-		if conn.inFlight[id].endOffset <= conn.handedOut { // given up here, whatever becomes of the close
+		if conn.inFlight[id].endOffset <= conn.handedOut { // cancelled by name, since the engine may run it on after the close
 			conn.output = engine.AppendCancel(conn.output, id)
 		}
 	}
-	given := conn.handedOut
+	accepted := conn.handedOut // closing hands out the cancels as well
 	g.closeEngineConn(conn, CloseEngineMalformed)
-	g.engineConnEnded(conn, err, given, true)
+	g.engineConnEnded(conn, err, accepted, true)
 }
 
-var errAnswerIncomplete = errors.New("engine: an answer never ends")
+// errAnswerIncomplete is why a connection ends on which an answer stopped short.
+var errAnswerIncomplete = errors.New("engine: answer incomplete")
 
-// awaitCompletion looks later whether an answer that has begun is whole: one that stops short would leave all
-// requests on its connection waiting, and swallow what comes behind it.
+// awaitCompletion sets a timer by which an answer that has begun must be complete: one that stops short would leave all requests on its
+// connection waiting, and take the answers behind it for its own rest.
 func (g *Gateway) awaitCompletion(conn *engineConn) {
 	if conn.decoder.Buffered() > 0 && !conn.completionTimerSet {
 		conn.completionTimerSet = true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -269,7 +269,7 @@
 	case rules.Subscribe:
 		// The name service is polled in any case.
 	case rules.Broadcast:
-		g.log(Debug, "no protocol among gateways: note dropped")
+		g.log(Debug, "peer note dropped: no protocol")
 	case rules.Log:
 		g.log(Info, "module", Attr{"text", a.Text})
 	}
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -9,37 +9,34 @@
 	"foxlane/rules"
 )
 
-// This file shows package guard what is about to be done: each send, repeat, answer and close, and the start of each
-// request, goes through one of these functions. What they find is counted by name and logged once; nothing is stopped.
+// This file has package guard check what is about to be done: each attempt that is written, each answer and close, and the start of
+// each request. Violations are counted by name and the first of each is logged; nothing is prevented.
 
-// broken notes invariants that something breaks.
+// reportViolations counts and logs invariants that are violated.
 func (g *Gateway) reportViolations(findings guard.Findings, request rules.RequestID, engine string) {
 	for _, invariant := range findings.All() {
-		first := g.violations.Record(invariant)
-		if first || g.cfg.Trace {
-			g.log(Warn, "invariant broken", Attr{"invariant", invariant.String()}, Attr{"request", string(request)}, Attr{"engine", engine})
-		}
+		g.reportViolation(true, invariant, request, engine)
 	}
 }
 
-// reportViolation notes one invariant, if it is broken.
-func (g *Gateway) reportViolation(broken bool, invariant guard.Invariant, request rules.RequestID, engine string) {
-	if !broken {
+// reportViolation counts and logs one invariant, if it is violated.
+func (g *Gateway) reportViolation(violated bool, invariant guard.Invariant, request rules.RequestID, engine string) {
+	if !violated {
 		return
 	}
 	if first := g.violations.Record(invariant); first || g.cfg.Trace {
-		g.log(Warn, "invariant broken", Attr{"invariant", invariant.String()}, Attr{"request", string(request)}, Attr{"engine", engine})
+		g.log(Warn, "invariant violated", Attr{keyInvariant, invariant.String()}, Attr{keyRequest, string(request)}, Attr{keyEngine, engine})
 	}
 }
 
-// Violations is how often each invariant was broken.
+// Violations is how often each invariant was violated.
 func (g *Gateway) Violations() guard.Violations { return g.violations }
 
-// pastAttempts lists the attempts of a request but one. It is valid until the next call.
-func (g *Gateway) pastAttempts(req *queryRequest, but *engineAttempt) []guard.PriorAttempt {
+// pastAttempts lists the attempts of a request except one. It is valid until the next call.
+func (g *Gateway) pastAttempts(req *queryRequest, except *engineAttempt) []guard.PriorAttempt {
 	out := g.pastBuffer[:0]
 	for _, attempt := range req.attempts {
-		if attempt == but {
+		if attempt == except {
 			continue
 		}
 		past := guard.PriorAttempt{At: attempt.startedAt, Sent: attempt.sent, Ended: attempt.done, NeverRan: attempt.done && attempt.status.NeverExecuted()}
@@ -52,12 +49,12 @@
 	return out
 }
 
-// checkSend checks an attempt that is about to be written, a repeat among them.
+// checkSend checks an attempt that is about to be written.
 func (g *Gateway) checkSend(attempt *engineAttempt) {
 	req, eng, settings := attempt.request, attempt.engine, &g.cfg.Settings.Rules
-	seen := g.moduleEngine(eng)
-	send := guard.Send{Now: g.now, Answered: req.answered, Deadline: attempt.deadline, ClientDeadline: req.dueAt, State: seen.State, NotifiedAt: eng.stateSince,
-		Zone: seen.Zone, Kind: seen.Kind, Cell: seen.Cell, Class: &settings.Classes[req.class], Duties: &settings.Constraints, Limits: &settings.Limits}
+	told := g.moduleEngine(eng)
+	send := guard.Send{Now: g.now, Answered: req.answered, Deadline: attempt.deadline, ClientDeadline: req.dueAt, State: told.State, NotifiedAt: eng.stateSince,
+		Zone: told.Zone, Kind: told.Kind, Cell: told.Cell, Class: &settings.Classes[req.class], Duties: &settings.Constraints, Limits: &settings.Limits}
 	if len(req.attempts) > 1 {
 		send.PriorAttempts = g.pastAttempts(req, attempt)
 	}
@@ -66,14 +63,14 @@
 		g.reportViolations(findings, req.id, eng.entry.ID)
 	}
 	if send.State != rules.EngineServing {
-		g.log(Warn, "engine: request sent to one that drains or has gone", Attr{"request", string(req.id)}, Attr{"engine", eng.entry.ID},
-			Attr{"state", stateNames[send.State]}, Attr{"told_ms", milliseconds(g.now - eng.stateSince)}, Attr{"waited_ms", milliseconds(g.now - attempt.startedAt)},
-			Attr{"attempt", attempt.index})
+		g.log(Warn, "engine: request sent to a draining or removed engine", Attr{keyRequest, string(req.id)}, Attr{keyEngine, eng.entry.ID},
+			Attr{keyState, stateNames[send.State]}, Attr{"notified_ms", milliseconds(g.now - eng.stateSince)},
+			Attr{keyWaited, milliseconds(g.now - attempt.startedAt)}, Attr{keyAttempt, attempt.index})
 	}
 }
 
-// slowStartSend adds a send to what an engine in slow start got from us, and returns that beside all that it bears. Both are 0
-// for a warm engine, or where nothing names a budget.
+// slowStartSend adds an attempt to the work that an engine in slow start got from us, and returns that beside the budget of the engine.
+// Both are 0 for an engine that is warm, or where the settings give no budget.
 func (g *Gateway) slowStartSend(req *queryRequest, eng *engineState) (sent, budget float64) {
 	duties := &g.cfg.Settings.Rules.Constraints
 	age := g.now - eng.startedAt
@@ -98,7 +95,7 @@
 		return
 	}
 	due := req.dueAt
-	if req.arrivedAt <= g.lastStall.resumedAt+g.limits.LongSettleTime+g.limits.MaxSettleTime { // a process that does not run can't answer
+	if req.arrivedAt <= g.lastStall.resumedAt+g.limits.LongSettleTime+g.limits.MaxSettleTime { // a stalled process can't answer
 		due = max(due, g.lastStall.resumedAt)
 	}
 	answer := guard.Answer{Now: g.now, ClientDeadline: due, Answered: req.answered, Rejection: how == outcomeRejected,
@@ -111,16 +108,16 @@
 	}
 }
 
-// checkClose checks a connection of a client that is about to be closed by us.
-func (g *Gateway) checkClose(client *clientConn, why CloseReason) {
+// checkClose checks a client's connection that we are about to close.
+func (g *Gateway) checkClose(client *clientConn, reason CloseReason) {
 	if req := client.request; req != nil && !req.answered {
-		g.reportViolation(!why.allowsUnanswered(), guard.CloseUnanswered, req.id, "")
+		g.reportViolation(!reason.allowsUnanswered(), guard.CloseUnanswered, req.id, "")
 	}
 }
 
-// checkEngineClose checks a connection to an engine that is about to be closed by us.
-func (g *Gateway) checkEngineClose(conn *engineConn, why CloseReason) {
-	if why == CloseEngineMalformed || why == CloseEngineUnread {
+// checkEngineClose checks a connection to an engine that we are about to close.
+func (g *Gateway) checkEngineClose(conn *engineConn, reason CloseReason) {
+	if reason == CloseEngineMalformed || reason == CloseEngineUnread {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(conn.inFlight)) {
@@ -134,7 +131,7 @@
 	g.reportViolation(req.client.closed, guard.StartAfterEnd, req.id, "")
 }
 
-// logViolations notes what was broken so far, if anything was.
+// logViolations logs how often which invariant was violated since the start, if any was.
 func (g *Gateway) logViolations() {
 	if g.violations.Sum() == 0 {
 		return
@@ -145,5 +142,5 @@
 			attrs = append(attrs, Attr{guard.Invariant(i).String(), n})
 		}
 	}
-	g.log(Warn, "invariants broken", attrs...)
+	g.log(Warn, "invariants violated", attrs...)
 }
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -120,10 +120,10 @@
 	gw.now += 10 * rules.Millisecond
 	step(ConnectionClosed{Conn: 1, AcceptedBytes: gw.written[1]})
 	step(ConnectionClosed{Conn: gw.dials[0], AcceptedBytes: gw.written[gw.dials[0]]})
-	for _, want := range []string{"request: begins[{request " + idA, "request: queued[{request " + idA + "} {where module}",
-		"attempt: begins[{request " + idA + "} {attempt 0} {engine s-00000001} {why first}", "attempt: sent[{request " + idA,
-		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {verdict full} {sent true}", "request: ends[{request " + idA + "} {how left} {why client_left}",
-		"client: closed[{session", "{why peer_closed}", "engine: connection closed[{connection", "{why engine_lost}"} {
+	for _, want := range []string{"request: started[{request " + idA, "request: queued[{request " + idA + "} {where module}",
+		"attempt: started[{request " + idA + "} {attempt 0} {engine s-00000001} {reason first}", "attempt: sent[{request " + idA,
+		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {status rejected} {sent true}", "request: ended[{request " + idA + "} {outcome abandoned} {reason client_left}",
+		"client: closed[{session", "{reason peer_closed}", "engine: connection closed[{connection", "{reason engine_lost}"} {
 		if !strings.Contains(strings.Join(lines, "\n"), want) {
 			t.Errorf("no line has %q:\n%s", want, strings.Join(lines, "\n"))
 		}
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -10,14 +10,13 @@
 	"foxlane/rules"
 )
 
-// This file follows the name service: when it is asked, from which socket, and what becomes of its answers. Which list holds
-// is decided by package discovery.
+// This file follows the name service: when it is polled, from which socket, and what becomes of its answers. Which list of engines is
+// valid is decided by package discovery.
 
-// reconfigure goes over to the name service of a configuration that was read again.
-// Its numbers continue those of the last one, so the list stays until a later
-// one is told, by the file or by the name service.
+// reconfigure takes over a configuration that was reloaded. Its list has serials of the same sequence as the last one's, so the list
+// stays until the file or the name service has a newer one.
 func (g *Gateway) reconfigure(cfg *config.Config) {
-	g.log(Info, "configuration read again", Attr{"dns", cfg.DNS.String()}, Attr{"seq", cfg.InitialList.Seq})
+	g.log(Info, "configuration reloaded", Attr{"dns", cfg.DNS.String()}, Attr{keySerial, cfg.InitialList.Seq})
 	g.cfg = *cfg
 	g.reconfigureAdmission()
 	g.reconfigureZones()
@@ -32,46 +31,46 @@
 	g.sendQuery()
 }
 
-// applyChanged takes the list over where an answer or the time has changed it.
+// applyChanged takes over the list if an answer or the time has changed it.
 func (g *Gateway) applyChanged() {
 	if engines, ok := g.list.Changed(); ok {
 		g.applyList(engines, rules.UpdateDelta)
 	}
 }
 
-// nameService is what is remembered of the name service as a way, whatever it says.
+// nameService is how the name service answers, whatever the answers say.
 type nameService struct {
-	lastAnswer  rules.Time // when an answer last came, usable or not
-	socketSince rules.Time // when it was last asked from a new socket
-	renewAfter  rules.Time // of silence until that is done again
-	listAsOf    rules.Time // when the latest query was sent whose answer held the list that holds: it is as of then or later
+	lastAnswer  rules.Time // when an answer last came, well-formed or not
+	socketSince rules.Time // when the socket was made from which it is asked
+	renewAfter  rules.Time // of silence until a new socket is made
+	listAsOf    rules.Time // when the latest query was sent whose answer confirmed the list
 
-	// Since the last line of the log.
+	// Since figures were last logged.
 	answers       int
 	slowestAnswer rules.Time // from a query to its answer
-	oldestList    rules.Time // age of the list
+	oldestList    rules.Time // greatest age of the list
 }
 
-// renewSocket asks the name service at an address from a new socket.
+// renewSocket has the name service at an address asked from a new socket.
 func (g *Gateway) renewSocket(addr netip.AddrPort) {
 	g.nameService.socketSince = g.now
 	g.emit(SetNameServer{Addr: addr})
 }
 
-// renewSocketIfSilent asks from a new socket where the name service has said nothing for a while: what lies between may
-// have forgotten the old one, and it would stay silent for good. Each time the pause is twice as long, so that
-// answers that are late by seconds still find the socket that asked.
+// renewSocketIfSilent makes a new socket if the name service has been silent for a while: a middlebox may have forgotten the old one,
+// and would drop all answers to it. The time until the next one doubles, so that answers that are late by seconds still find the
+// socket that asked.
 func (g *Gateway) renewSocketIfSilent() {
 	service := &g.nameService
 	if g.now-max(service.lastAnswer, service.socketSince) < service.renewAfter {
 		return
 	}
-	g.log(Warn, "name service: silent, asked from a new socket", Attr{"silent_ms", int64((g.now - service.lastAnswer) / rules.Millisecond)})
+	g.log(Warn, "name service: silent, socket renewed", Attr{keySilent, milliseconds(g.now - service.lastAnswer)})
 	service.renewAfter = min(2*service.renewAfter, g.limits.MaxListDelay)
 	g.renewSocket(g.cfg.DNS)
 }
 
-// poll asks the name service, again and again.
+// poll asks the name service for the list, and has a timer for the next time.
 func (g *Gateway) poll() {
 	g.list.Tick(g.now)
 	g.applyChanged()
@@ -80,44 +79,46 @@
 	g.timers.add(timer{at: g.now + g.limits.PollInterval, kind: timerPoll})
 }
 
+// sendQuery asks the name service for the list.
 func (g *Gateway) sendQuery() {
 	id := uint16(g.rng.Uint32())
-	g.queryIDs[g.queryCount%len(g.queryIDs)], g.queryTimes[g.queryCount%len(g.queryIDs)] = id, g.now
+	slot := g.queryCount % maxQueries
+	g.queryIDs[slot], g.queryTimes[slot] = id, g.now
 	g.queryCount++
 	g.emit(QueryDNS{Data: dns.AppendQuery(nil, id, listName)})
 }
 
-// receiveDatagram takes an answer. Whatever is wrong with it, the last list stays.
+// receiveDatagram takes an answer of the name service. Whatever is wrong with it, the last list stays.
 func (g *Gateway) receiveDatagram(msg []byte) {
 	id, ok := dns.ID(msg)
 	query, found := g.findQuery(id)
 	if !ok || !found {
-		g.log(Warn, "name service: answer to nothing that was asked", Attr{"bytes", len(msg)})
+		g.log(Warn, "name service: unsolicited answer", Attr{"bytes", len(msg)})
 		return
 	}
 	g.nameService.lastAnswer, g.nameService.renewAfter = g.now, g.limits.ResolverTimeout
 	answer, err := dns.Parse(msg, id, listName)
 	if err != nil {
-		g.log(Warn, "name service: unusable answer", Attr{"error", err.Error()})
+		g.log(Warn, "name service: malformed answer", Attr{keyError, err.Error()})
 		return
 	}
 	g.applyAnswer(query, answer.Serial, enginesOf(answer.Hosts))
 	g.applyChanged()
 }
 
-// applyAnswer hands a usable answer to the list and notes what became of it.
+// applyAnswer hands a well-formed answer to the list and logs what became of it.
 func (g *Gateway) applyAnswer(query int, serial uint32, engines []config.Engine) {
-	asked, had := g.queryTimes[query%len(g.queryIDs)], g.list.Serial()
+	askedAt, before := g.queryTimes[query%maxQueries], g.list.Serial()
 	verdict := g.list.Apply(g.now, discovery.Answer{QuerySeq: uint64(query) + 1, Serial: serial, Engines: engines})
-	g.recordAnswer(asked, verdict)
-	attrs := []Attr{{"serial", serial}, {"had", had}, {"engines", len(engines)}, {"asked_ms", milliseconds(g.now - asked)}}
+	g.recordAnswer(askedAt, verdict)
+	attrs := []Attr{{keySerial, serial}, {"was", before}, {keyEngines, len(engines)}, {"asked_ms", milliseconds(g.now - askedAt)}}
 	switch verdict {
 	case discovery.Newer:
 		g.log(Info, "name service: new list", attrs...)
 	case discovery.Unordered:
-		g.log(Warn, "name service: another list, not a newer one", attrs...)
+		g.log(Warn, "name service: list without a newer serial", attrs...)
 	case discovery.Renumbered:
-		g.log(Warn, "name service: numbers have begun anew", attrs...)
+		g.log(Warn, "name service: serials renumbered", attrs...)
 	}
 }
 
@@ -135,36 +136,37 @@
 	return engines
 }
 
-// findQuery is the place of the query with an id among all that were sent, if an answer to it may still come.
+// findQuery finds the query with an id, by its number among all that were sent, if an answer to it may still come. Ids are random, so an
+// answer without one of them is forged or too late.
 func (g *Gateway) findQuery(id uint16) (query int, ok bool) {
-	for i := range min(g.queryCount, len(g.queryIDs)) {
+	for i := range min(g.queryCount, maxQueries) {
 		query = g.queryCount - 1 - i
-		if g.now-g.queryTimes[query%len(g.queryIDs)] > g.limits.MaxListDelay {
-			return 0, false // what it could tell counts as told
+		if g.now-g.queryTimes[query%maxQueries] > g.limits.MaxListDelay {
+			return 0, false // answers come within that time or not at all
 		}
-		if g.queryIDs[query%len(g.queryIDs)] == id {
+		if g.queryIDs[query%maxQueries] == id {
 			return query, true
 		}
 	}
 	return 0, false
 }
 
-// recordAnswer counts a usable answer, and notes as of when the list is known to hold.
-func (g *Gateway) recordAnswer(asked rules.Time, verdict discovery.Verdict) {
+// recordAnswer counts a well-formed answer, and notes when the list was last confirmed.
+func (g *Gateway) recordAnswer(askedAt rules.Time, verdict discovery.Verdict) {
 	service := &g.nameService
 	service.answers++
-	service.slowestAnswer = max(service.slowestAnswer, g.now-asked)
+	service.slowestAnswer = max(service.slowestAnswer, g.now-askedAt)
 	if verdict == discovery.Unordered || verdict == discovery.Late {
 		return
 	}
 	service.oldestList = max(service.oldestList, g.now-service.listAsOf)
-	service.listAsOf = max(service.listAsOf, asked)
+	service.listAsOf = max(service.listAsOf, askedAt)
 }
 
-// logNameService notes what the name service has said since the last such line.
+// logNameService logs how the name service answered since the last such line.
 func (g *Gateway) logNameService() {
 	service := &g.nameService
-	g.log(Info, "name service", Attr{"serial", g.list.Serial()}, Attr{"answers", service.answers}, Attr{"slowest_ms", milliseconds(service.slowestAnswer)},
+	g.log(Info, "name service", Attr{keySerial, g.list.Serial()}, Attr{"answers", service.answers}, Attr{"slowest_ms", milliseconds(service.slowestAnswer)},
 		Attr{"oldest_ms", milliseconds(max(service.oldestList, g.now-service.listAsOf))})
 	service.answers, service.slowestAnswer, service.oldestList = 0, 0, 0
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -8,10 +8,11 @@
 	"foxlane/rules"
 )
 
-// This file carries what other gateways say to the copies, and what is made of it to the module and the zones. It decides
-// nothing; without the operator's block `members` it does nothing, and nobody ever waits for a peer.
+// This file connects the reducer with the other gateways: it hands their messages to the replicated state, and what package gossip makes
+// of that to the module and the zones. It decides nothing, and nothing here ever waits for a peer. Without the block `members` in
+// the operator's file no other gateway is contacted.
 
-// PeerKind is what a PeerEvent tells.
+// PeerKind is the kind of a PeerEvent.
 type PeerKind int
 
 // Kinds of peer events.
@@ -19,7 +20,7 @@
 	PeerJoined PeerKind = iota + 1
 	PeerLeft
 	PeerMessage
-	PeerNameConflict // another process has a member's name
+	PeerNameConflict // another process uses a member's name
 )
 
 // PeerEvent is an Event: something that happened among the members.
@@ -32,47 +33,47 @@
 	Text    string // with PeerNameConflict: the other's address
 }
 
-// Channels of what members say.
+// Channels of messages among members.
 const (
 	ChannelReplica    byte = iota + 1
 	ChannelConsensus       // among the voters on directives
-	ChannelDirectives      // of directives, to all
+	ChannelDirectives      // directives in force, to all members
 )
 
-// peerState is what is held of other gateways.
+// peerState is what this gateway knows of the others.
 type peerState struct {
 	replica    *replica.Store
 	gossip     *gossip.Observations
-	lastStats  replica.Stats
-	lastCounts gossip.Counts
-	oddTick    bool                  // ticks
-	joinedAt   map[string]rules.Time // members, by when they came
+	lastStats  replica.Stats         // when figures were last logged
+	lastCounts gossip.Counts         // when figures were last logged
+	oddTick    bool                  // of the current tick
+	joinedAt   map[string]rules.Time // when each member joined
 }
 
-// newPeers returns the copies of a gateway that may talk, or nil.
+// newPeers returns the state that the operator has configured, or nil.
 func newPeers(cfg *config.Config, now rules.Time) *peerState {
 	if cfg.Site == nil || cfg.Site.Members == nil {
 		return nil
 	}
-	set := cfg.Site.Members.Replica
-	set.Name, set.Incarnation, set.Seed = cfg.Name, uint64(now), cfg.Seed
+	settings := cfg.Site.Members.Replica
+	settings.Name, settings.Incarnation, settings.Seed = cfg.Name, uint64(now), cfg.Seed
 	if i := cfg.Settings.Rules.Zone; i >= 0 && i < len(cfg.Settings.ZoneNames) {
-		set.Zone = cfg.Settings.ZoneNames[i]
+		settings.Zone = cfg.Settings.ZoneNames[i]
 	}
-	peers := &peerState{replica: replica.New(set, now), joinedAt: map[string]rules.Time{}}
+	peers := &peerState{replica: replica.New(settings, now), joinedAt: map[string]rules.Time{}}
 	peers.gossip = gossip.New(cfg.Site.Members.Gossip, peers.replica, now)
 	return peers
 }
 
-// reconfigurePeers goes over to what the operator's file says now: the block may come and go. What other settings of it mean
-// holds from the next start of the talk on.
+// reconfigurePeers takes over the operator's file as it is now: the block may come and go. Its settings take effect when members are
+// joined the next time.
 func (g *Gateway) reconfigurePeers() {
 	on := g.cfg.Site != nil && g.cfg.Site.Members != nil
 	switch {
 	case on == (g.peers != nil):
 	case !on:
-		g.peers = nil // the book stays as it is, and grows old
-		g.log(Info, "members: talk ends")
+		g.peers = nil // the directives stay as they are, and become stale
+		g.log(Info, "members: leaving")
 		g.emit(LeaveMembers{})
 	default:
 		g.startPeers()
@@ -86,7 +87,7 @@
 	}
 }
 
-// handlePeer takes what has happened among the members.
+// handlePeer takes an event among the members.
 func (g *Gateway) handlePeer(event PeerEvent) {
 	peers := g.peers
 	if peers == nil {
@@ -95,11 +96,11 @@
 	switch event.Kind {
 	case PeerJoined:
 		peers.joinedAt[event.Name] = g.now
-		g.log(Info, "members: joined", Attr{"member", event.Name}, Attr{"zone", event.Zone}, Attr{"members", len(peers.joinedAt)})
+		g.log(Info, "members: joined", Attr{keyMember, event.Name}, Attr{keyZone, event.Zone}, Attr{keyMembers, len(peers.joinedAt)})
 		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: event.Name, Zone: event.Zone}})
 	case PeerLeft:
 		delete(peers.joinedAt, event.Name)
-		g.log(Info, "members: left", Attr{"member", event.Name}, Attr{"members", len(peers.joinedAt)})
+		g.log(Info, "members: left", Attr{keyMember, event.Name}, Attr{keyMembers, len(peers.joinedAt)})
 		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: event.Name}})
 	case PeerMessage:
 		switch {
@@ -112,30 +113,31 @@
 			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
 		}
 	case PeerNameConflict:
-		g.log(Warn, "members: a name comes twice", Attr{"member", event.Name}, Attr{"at", event.Text})
+		g.log(Warn, "members: duplicate name", Attr{keyMember, event.Name}, Attr{"at", event.Text})
 	}
 }
 
-// handleReplica hands an event to the copies and carries out what they ask for.
+// handleReplica hands an event to the replicated state and carries out what that asks for.
 func (g *Gateway) handleReplica(event replica.Event) {
 	for _, effect := range g.peers.replica.Handle(g.now, event) {
 		switch effect.Kind {
 		case replica.Send:
 			g.emit(SendToMember{To: effect.To, Channel: ChannelReplica, Data: effect.Data})
 		case replica.Reject:
-			g.log(Warn, "members: message refused", Attr{"member", effect.Origin}, Attr{"error", effect.Err.Error()})
+			g.log(Warn, "members: message rejected", Attr{keyMember, effect.Origin}, Attr{keyError, effect.Err.Error()})
 		}
 	}
 }
 
-// tickPeers lets time pass among the copies: ours are written, those of others looked at.
+// tickPeers lets time pass for the replicated state. On every other tick our own observations are published and those of others are
+// evaluated, since they change slower than messages must be sent.
 func (g *Gateway) tickPeers() {
 	peers := g.peers
 	if peers == nil {
 		return
 	}
 	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
-	if peers.oddTick = !peers.oddTick; peers.oddTick { // what we hold changes slower than what is said
+	if peers.oddTick = !peers.oddTick; peers.oddTick {
 		g.handleReplica(replica.Event{Kind: replica.Tick})
 		return
 	}
@@ -145,21 +147,21 @@
 	}
 	peers.gossip.Publish(g.now, view)
 	g.handleReplica(replica.Event{Kind: replica.Tick})
-	weighed := peers.gossip.Evaluate(g.now, view)
+	advice := peers.gossip.Evaluate(g.now, view)
 	if g.cfg.Settings.Rules.Limits.Probes {
-		for _, id := range weighed.Probe {
+		for _, id := range advice.Probe {
 			g.probeEngine(id, true)
 		}
 	}
-	for _, zone := range weighed.Suspect {
+	for _, zone := range advice.Suspect {
 		g.zones.router.Suspect(zone)
 	}
-	for _, lesson := range weighed.Events {
-		g.tellModule(lesson)
+	for _, event := range advice.Events {
+		g.tellModule(event)
 	}
 }
 
-// logPeers notes what was said since the last line.
+// logPeers logs what was exchanged with other gateways since the last such line.
 func (g *Gateway) logPeers() {
 	peers := g.peers
 	if peers == nil {
@@ -168,8 +170,12 @@
 	stats, last, counts := peers.replica.Stats(), peers.lastStats, peers.gossip.Counts()
 	lastCounts := peers.lastCounts
 	peers.lastStats, peers.lastCounts = stats, counts
-	g.log(Info, "copies", Attr{"members", stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries}, Attr{"sent_bytes", stats.BytesSent - last.BytesSent},
-		Attr{"received_bytes", stats.BytesReceived - last.BytesReceived}, Attr{"news", stats.NewEntries - last.NewEntries}, Attr{"known", stats.KnownEntries - last.KnownEntries}, Attr{"refused", stats.Rejected - last.Rejected},
-		Attr{"mended", stats.Repaired - last.Repaired}, Attr{"held_back", stats.OverBudget - last.OverBudget}, Attr{"lag_ms", int64(stats.Lag / rules.Millisecond)},
-		Attr{"engines_looked_at", counts.EnginesProbed - lastCounts.EnginesProbed}, Attr{"zones_doubted", counts.ZonesSuspected - lastCounts.ZonesSuspected}, Attr{"classes_taught", counts.ClassesLearned - lastCounts.ClassesLearned})
+	g.log(Info, "replica", Attr{keyMembers, stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries},
+		Attr{"sent_bytes", stats.BytesSent - last.BytesSent}, Attr{"received_bytes", stats.BytesReceived - last.BytesReceived},
+		Attr{"new_entries", stats.NewEntries - last.NewEntries}, Attr{"known_entries", stats.KnownEntries - last.KnownEntries},
+		Attr{keyRejected, stats.Rejected - last.Rejected}, Attr{"repaired", stats.Repaired - last.Repaired},
+		Attr{"over_budget", stats.OverBudget - last.OverBudget}, Attr{"lag_ms", milliseconds(stats.Lag)},
+		Attr{"engines_probed", counts.EnginesProbed - lastCounts.EnginesProbed},
+		Attr{"zones_suspected", counts.ZonesSuspected - lastCounts.ZonesSuspected},
+		Attr{"classes_learned", counts.ClassesLearned - lastCounts.ClassesLearned})
 }
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -1,47 +1,57 @@
 package gateway
 
 import (
+	"strconv"
+
 	"foxlane/internal/engine"
 	"foxlane/rules"
-	"strconv"
 )
 
 // This file owns health checks of engines.
 
+// healthProbe is a health check that is under way.
 type healthProbe struct {
 	engine          *engineState
-	link            *engineConn
+	conn            *engineConn
 	tag             string
 	sentAt          rules.Time
-	suspected       bool // others say that the engine fails
-	localExhaustion bool // it could not be made, for want of something here
+	suspected       bool // other gateways report that the engine fails
+	localExhaustion bool // it could not be made because a local resource was exhausted
 	done            bool
 }
 
+// startProbe checks an engine's health for the module or the zones.
 func (g *Gateway) startProbe(id rules.EngineID) { g.probeEngine(id, false) }
 
-// probeEngine asks an engine for its health, with doubt because others say that it fails.
-func (g *Gateway) probeEngine(id rules.EngineID, doubt bool) {
+// probeEngine checks an engine's health, with suspected because other gateways report that it fails.
+func (g *Gateway) probeEngine(id rules.EngineID, suspected bool) {
 	eng := g.engines[id]
 	if eng == nil {
 		return
 	}
 	g.lastProbeTag++
-	probe := &healthProbe{engine: eng, suspected: doubt, tag: "p" + strconv.FormatUint(g.lastProbeTag, 10), sentAt: g.now, link: g.connFor(eng, nil)}
-	if probe.link == nil || eng.state == rules.EngineGone {
-		probe.localExhaustion = probe.link == nil
+	probe := &healthProbe{
+		engine:    eng,
+		suspected: suspected,
+		tag:       "p" + strconv.FormatUint(g.lastProbeTag, 10),
+		sentAt:    g.now,
+		conn:      g.connFor(eng, nil),
+	}
+	if probe.conn == nil || eng.state == rules.EngineGone {
+		probe.localExhaustion = probe.conn == nil
 		g.finishProbe(probe, rules.StatusConnectFailed, nil)
 		return
 	}
-	probe.link.probes[probe.tag] = probe
+	probe.conn.probes[probe.tag] = probe
 	g.timers.add(timer{at: g.now + g.limits.ProbeTimeout, kind: timerProbe, probe: probe})
-	if probe.link.up {
-		probe.link.output = engine.AppendProbe(probe.link.output, probe.tag)
-		probe.link.lastUsed = g.now
-		g.markDirty(&probe.link.outputBuffer)
+	if probe.conn.up {
+		probe.conn.output = engine.AppendProbe(probe.conn.output, probe.tag)
+		probe.conn.lastUsed = g.now
+		g.markDirty(&probe.conn.outputBuffer)
 	}
 }
 
+// finishProbe ends a health check and tells the module and the zones. A check that a local resource prevented says nothing of the engine.
 func (g *Gateway) finishProbe(probe *healthProbe, status rules.Status, report []byte) {
 	if probe.done {
 		return
@@ -50,9 +60,15 @@
 	if !probe.localExhaustion {
 		g.zoneProbed(probe.engine, status == rules.StatusOK)
 	}
-	if probe.link != nil {
-		delete(probe.link.probes, probe.tag)
-		g.closeIfDrained(probe.link)
+	if probe.conn != nil {
+		delete(probe.conn.probes, probe.tag)
+		g.closeIfDrained(probe.conn)
 	}
-	g.tellModule(rules.ProbeResult{Engine: probe.engine.id, Suspected: probe.suspected && !probe.localExhaustion, Status: status, Latency: g.now - probe.sentAt, Load: engine.ParseReport(report)})
+	g.tellModule(rules.ProbeResult{
+		Engine:    probe.engine.id,
+		Suspected: probe.suspected && !probe.localExhaustion,
+		Status:    status,
+		Latency:   g.now - probe.sentAt,
+		Load:      engine.ParseReport(report),
+	})
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -11,100 +11,68 @@
 	"foxlane/rules"
 )
 
-// This file owns requests and their attempts, from the client's query to the
-// one final answer. It never gives a second answer, and none to a client that
-// has left.
+// This file owns requests, from the client's query to the one final answer. It never gives a second answer, and none to a client that
+// has gone.
 
+// queryRequest is a client's query until it has been answered and all its attempts have ended.
 type queryRequest struct {
 	id             rules.RequestID
-	client         *clientConn // nil: it has left
-	admissionSlot  int         // at the door
+	client         *clientConn // nil: it has gone, or is answered
+	admissionSlot  int         // in admissionControl.requests
 	endReason      EndReason
-	work           rules.Time // as told; 0: it was not
+	work           rules.Time // that the client declared; 0: none
 	submitted      bool       // the module knows of it
 	served         bool
-	pending        *rules.Request // while it is held at the door or waits for room for its result
-	heldFor        rules.Time     // at the door
-	resultOwner    uint64         // of its result
-	statementShape uint64         // of its statement
+	pending        *rules.Request // until it is submitted
+	heldFor        rules.Time     // how long admission control has queued it
+	resultOwner    uint64         // who may read its stored result
 	result         resultState
 	class          int
 	stats          *classStats
 	arrivedAt      rules.Time
-	dueAt          rules.Time
-	statement      []byte // nil once answered
-	idempotencyKey string // by which engines drop its repeats
-	answered       bool   // the final answer was given, or is owed no more
+	dueAt          rules.Time // when its answer must leave
+	statement      []byte     // nil once answered
+	idempotencyKey string     // by which engines recognise retries
+	answered       bool       // the final answer was given, or none is due any more
 	attempts       []*engineAttempt
-	inFlight       int // attempts without an outcome
+	inFlight       int // attempts that have not ended
 	memoryMB       int64
 	priority       int
 }
 
-// acceptQuery takes a client's request.
+// acceptQuery takes a client's query. It is rejected as a command if its fields can't be used.
 func (g *Gateway) acceptQuery(client *clientConn, query *mysql.Query) {
-	class, ok := g.classIndex[query.Fields.Class]
-	if !ok {
-		g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("unknown class %.40q", query.Fields.Class))
-		return
-	}
-	tenant := 0
-	if query.Fields.Tenant != "" {
-		if tenant = slices.Index(g.cfg.Settings.TenantNames, query.Fields.Tenant); tenant < 0 && g.admission.knowsTenant(query.Fields.Tenant) {
-			tenant = 0
-		}
-		if tenant < 0 {
-			g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("unknown tenant %.40q", query.Fields.Tenant))
-			return
-		}
-	}
-	patience := rules.Time(query.Fields.TimeoutMS) * rules.Millisecond
-	if most := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.limits.MaxTimeoutFactor; most > 0 && patience > most {
-		g.rejectCommand(client, mysql.CodeParse, fmt.Sprintf("a timeout of %d ms is out of range", query.Fields.TimeoutMS))
-		return
-	}
-	id := rules.RequestID(query.Fields.ID)
-	if g.requests[id] != nil {
-		g.rejectCommand(client, mysql.CodeUnknownError, "a request with this id is open")
+	class, tenant, err := g.resolveQuery(query)
+	if err != nil {
+		g.rejectCommand(client, err.Code, err.Text)
 		return
 	}
 	if g.admission == nil && (len(g.requests) >= g.limits.MaxRequests || g.statementBytes+len(query.Statement) > g.limits.MaxInputBytes) {
-		g.log(Warn, "client: too much is open, request refused", Attr{"requests", len(g.requests)})
+		g.log(Warn, "client: too many requests in flight, request rejected", Attr{keyRequests, len(g.requests)})
 		g.writeErr(client, mysql.CodeUserLimitReached, "too much is open")
 		return
 	}
-	// The client counts from when it sent the request and until it has the answer. Both ways take time,
-	// more where machines are busy, so its answer must leave earlier.
-	due := g.now + patience - min(patience/g.limits.NetworkMarginDivisor, g.limits.MaxNetworkMargin) - g.inputDelay()
-	req := &queryRequest{id: id, client: client, class: class, stats: &g.stats.classes[class], arrivedAt: g.now, dueAt: due,
-		statement: bytes.Clone(query.Statement), idempotencyKey: query.Fields.IdempotencyKey, priority: engine.DefaultPriority}
-	g.checkStart(req)
-	if g.cfg.Trace {
-		g.traceRequest(req)
-	}
-	g.requests[id] = req
-	g.unanswered++
-	req.stats.accepted++
-	req.stats.inFlight++
-	g.statementBytes += len(req.statement)
-	client.request = req
-	work := rules.Time(query.Fields.WorkMS * float64(rules.Millisecond))
-	req.work = work
+	req := g.openRequest(client, query, class)
 	arrival := rules.Request{
-		ID: id, Class: class, Tenant: tenant, OrderKey: query.Fields.OrderKey, Deadline: due, EstimatedWork: work, HasEstimate: work > 0,
-		EstimatedMemoryMB: query.Fields.MemoryMB, DataSet: query.TableGroup, IsRetry: query.Fields.IsRetry, IsWrite: query.Write,
+		ID:                req.id,
+		Class:             class,
+		Tenant:            tenant,
+		OrderKey:          query.Fields.OrderKey,
+		Deadline:          req.dueAt,
+		EstimatedWork:     req.work,
+		HasEstimate:       req.work > 0,
+		EstimatedMemoryMB: query.Fields.MemoryMB,
+		DataSet:           query.TableGroup,
+		IsRetry:           query.Fields.IsRetry,
+		IsWrite:           query.Write,
 	}
+	req.pending = &arrival
 	if g.admission == nil && g.results == nil && g.zones == nil && g.directives == nil {
-		req.submitted = true
-		if g.cfg.Trace {
-			g.traceQueued(req, "module")
-		}
-		g.tellModule(rules.Arrival{Request: arrival})
+		g.submit(req)
 		return
 	}
-	req.pending = &arrival
 	if g.results != nil {
-		req.resultOwner, req.statementShape, req.result.resumable = tenantKey(query.Fields.Tenant), 0, query.Fields.WantsHandle
+		req.resultOwner, req.result.resumable = tenantKey(query.Fields.Tenant), query.Fields.WantsHandle
 	}
 	if g.admission != nil {
 		g.requestAdmission(req, query.Fields.Tenant)
@@ -113,19 +81,82 @@
 	g.admitted(req, 0)
 }
 
-// admitted hands a request to the module, after it was held for a while.
+// resolveQuery finds a query's class and tenant, and checks its fields against the settings. The error is for the client.
+func (g *Gateway) resolveQuery(query *mysql.Query) (class, tenant int, err *mysql.Error) {
+	fields := &query.Fields
+	class, ok := g.classIndex[fields.Class]
+	if !ok {
+		return 0, 0, &mysql.Error{Code: mysql.CodeParse, Text: fmt.Sprintf("unknown class %.40q", fields.Class)}
+	}
+	if fields.Tenant != "" {
+		tenant = slices.Index(g.cfg.Settings.TenantNames, fields.Tenant)
+		if tenant < 0 && g.admission.knowsTenant(fields.Tenant) {
+			tenant = 0 // for the module; admission control accounts for it by name
+		}
+		if tenant < 0 {
+			return 0, 0, &mysql.Error{Code: mysql.CodeParse, Text: fmt.Sprintf("unknown tenant %.40q", fields.Tenant)}
+		}
+	}
+	maxTimeout := g.cfg.Settings.Rules.Classes[class].ClientTimeout * g.limits.MaxTimeoutFactor
+	if maxTimeout > 0 && clientTimeout(query) > maxTimeout {
+		return 0, 0, &mysql.Error{Code: mysql.CodeParse, Text: fmt.Sprintf("a timeout of %d ms is out of range", fields.TimeoutMS)}
+	}
+	if g.requests[rules.RequestID(fields.ID)] != nil {
+		return 0, 0, &mysql.Error{Code: mysql.CodeUnknownError, Text: "a request with this id is open"}
+	}
+	return class, tenant, nil
+}
+
+// clientTimeout is how long a client waits for its answer.
+func clientTimeout(query *mysql.Query) rules.Time {
+	return rules.Time(query.Fields.TimeoutMS) * rules.Millisecond
+}
+
+// openRequest begins a request.
+func (g *Gateway) openRequest(client *clientConn, query *mysql.Query, class int) *queryRequest {
+	// The client counts from when it sent the query until it has the answer. The way takes time in both directions, more where
+	// machines are busy, so the answer must leave earlier.
+	timeout := clientTimeout(query)
+	margin := min(timeout/g.limits.NetworkMarginDivisor, g.limits.MaxNetworkMargin)
+	req := &queryRequest{
+		id:             rules.RequestID(query.Fields.ID),
+		client:         client,
+		class:          class,
+		stats:          &g.stats.classes[class],
+		arrivedAt:      g.now,
+		dueAt:          g.now + timeout - margin - g.inputDelay(),
+		work:           rules.Time(query.Fields.WorkMS * float64(rules.Millisecond)),
+		statement:      bytes.Clone(query.Statement),
+		idempotencyKey: query.Fields.IdempotencyKey,
+		priority:       engine.DefaultPriority,
+	}
+	g.checkStart(req)
+	if g.cfg.Trace {
+		g.traceRequest(req)
+	}
+	g.requests[req.id] = req
+	g.unanswered++
+	req.stats.accepted++
+	req.stats.inFlight++
+	g.statementBytes += len(req.statement)
+	client.request = req
+	return req
+}
+
+// admitted takes on a request that admission control has let pass, after it was queued for a while.
 func (g *Gateway) admitted(req *queryRequest, held rules.Time) {
 	req.heldFor = held
 	if !g.admitsRequest(req) {
 		return
 	}
-	if g.results != nil { // room for its result comes first: without it nothing runs
+	if g.results != nil { // capacity for its result comes first: without it nothing runs
 		g.reserveResult(req)
 		return
 	}
 	g.submit(req)
 }
 
+// submit hands a request to the module.
 func (g *Gateway) submit(req *queryRequest) {
 	arrival := req.pending
 	arrival.QueuedFor = req.heldFor
@@ -136,7 +167,7 @@
 	g.tellModule(rules.Arrival{Request: *arrival})
 }
 
-// finishRequest notes that no answer is owed any more. Each final answer goes through here, once.
+// finishRequest notes that no answer is due any more. Each request comes here once, behind its final answer if it has one.
 func (g *Gateway) finishRequest(req *queryRequest, how outcome) {
 	g.checkAnswer(req, how)
 	if g.cfg.Trace {
@@ -158,6 +189,15 @@
 	g.releaseRequest(req)
 }
 
+// finishServed finishes a request whose answer is its result.
+func (g *Gateway) finishServed(req *queryRequest) {
+	req.served = true
+	req.stats.served++
+	req.stats.latencySum += g.now - req.arrivedAt
+	g.finishRequest(req, outcomeServed)
+}
+
+// releaseRequest forgets a request that is answered and has no attempt in flight.
 func (g *Gateway) releaseRequest(req *queryRequest) {
 	if req.answered && req.inFlight == 0 && g.requests[req.id] == req {
 		delete(g.requests, req.id)
@@ -165,7 +205,7 @@
 	}
 }
 
-// abandonRequest: the client has left or has killed its query.
+// abandonRequest ends a request whose client has gone or has killed it.
 func (g *Gateway) abandonRequest(req *queryRequest) {
 	if req == nil || req.answered {
 		return
@@ -179,12 +219,13 @@
 	}
 }
 
-// reject carries out the module's refusal. Where the door is on, that names the time of return.
-func (g *Gateway) reject(req *queryRequest, holdOff rules.Time, why EndReason) {
+// reject rejects a request for the module, the zones or a directive. Where admission control is on, that decides when the client
+// may return.
+func (g *Gateway) reject(req *queryRequest, holdOff rules.Time, reason EndReason) {
 	if req == nil || req.answered {
 		return
 	}
-	req.endReason = why
+	req.endReason = reason
 	if g.admission != nil {
 		g.handleAdmission(admission.Event{Kind: admission.RequestRejected, Slot: req.admissionSlot})
 		return
@@ -192,22 +233,19 @@
 	g.writeRejection(req, g.retryAfter(holdOff))
 }
 
-// writeRejection gives the answer that promises that a retry is harmless.
+// writeRejection gives the answer that tells the client that a retry is harmless.
 func (g *Gateway) writeRejection(req *queryRequest, holdOff rules.Time) {
 	req.stats.rejected++
-	text := "the query was refused"
-	if holdOff > 0 {
-		text = fmt.Sprintf("the query was refused; holdoff=%d", int64(holdOff/rules.Millisecond))
-	}
-	g.writeErr(req.client, mysql.CodeUserLimitReached, text)
+	g.writeErr(req.client, mysql.CodeUserLimitReached, withHoldOff("the query was refused", holdOff))
 	g.finishRequest(req, outcomeRejected)
 }
 
-func (g *Gateway) failRequest(req *queryRequest, why EndReason) {
+// failRequest gives the answer that says nothing of whether the query has run.
+func (g *Gateway) failRequest(req *queryRequest, reason EndReason) {
 	if req == nil || req.answered {
 		return
 	}
-	req.endReason = why
+	req.endReason = reason
 	req.stats.failed++
 	g.writeErr(req.client, mysql.CodeUnknownError, "the query failed")
 	g.finishRequest(req, outcomeFailed)
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -3,20 +3,21 @@
 import (
 	"bytes"
 	"cmp"
+	"slices"
+
 	"foxlane/internal/engine"
 	"foxlane/internal/mysql"
 	"foxlane/internal/spool"
 	"foxlane/rules"
-	"slices"
 )
 
-// This file takes results from engines to the spool: one attempt at a time fills a result, and the engine is free once it has
-// given all, whatever becomes of the client.
+// This file takes results from engines to the spool. One attempt at a time fills a result, and its engine is free once it has
+// given all pages, however slowly the client reads.
 
-// spoolFirstPage takes a first page where results are kept.
+// spoolFirstPage takes a first page where results are stored.
 func (g *Gateway) spoolFirstPage(attempt *engineAttempt, answer *engine.Answer, total int) {
 	if !pageWellFormed(answer.Body) {
-		g.malformedAnswer(attempt, "a row has not three columns, or a page ends within one")
+		g.malformedAnswer(attempt, badRow)
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
@@ -28,7 +29,7 @@
 	g.startFilling(attempt.request)
 }
 
-// startFilling lets the first attempt that has answered give its pages, if there is room and none does yet.
+// startFilling takes the pages of the first attempt that has answered, if capacity is reserved and no other attempt fills the result.
 func (g *Gateway) startFilling(req *queryRequest) {
 	if !req.result.reserved || req.result.source != nil || req.answered || req.result.engineDone {
 		return
@@ -44,21 +45,21 @@
 	}
 }
 
-// spoolPage takes a further page.
+// spoolPage takes a further page where results are stored.
 func (g *Gateway) spoolPage(attempt *engineAttempt, n int, body []byte) {
 	req := attempt.request
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= attempt.totalPages || req.result.source != attempt:
-		g.malformedAnswer(attempt, "a page that was not asked for")
+		g.malformedAnswer(attempt, unrequestedPage)
 	case !pageWellFormed(body):
-		g.malformedAnswer(attempt, "a row has not three columns, or a page ends within one")
+		g.malformedAnswer(attempt, badRow)
 	default:
 		data := append(make([]byte, 0, len(body)), body...)
 		g.handleSpool(spool.Event{Kind: spool.PageArrived, ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
 	}
 }
 
-// pageWellFormed answers whether a page holds whole rows of as many columns as all have.
+// pageWellFormed reports whether a page consists of complete rows, each of columnCount columns.
 func pageWellFormed(page []byte) bool {
 	for len(page) > 0 {
 		row, rest, ok := bytes.Cut(page, []byte{'\n'})
@@ -70,7 +71,7 @@
 	return true
 }
 
-// stopFilling: the rest of a result that is kept does not come from this attempt.
+// stopFilling is called when an attempt ends: a result that it fills must come from another one, from the start.
 func (g *Gateway) stopFilling(attempt *engineAttempt) {
 	if result := &attempt.request.result; result.source == attempt {
 		result.source = nil
@@ -78,14 +79,14 @@
 	}
 }
 
-// resultReceived: the engine has given all and is free, whatever becomes of the client.
+// resultReceived ends the attempt that has filled a result: the engine is free, whatever becomes of the client.
 func (g *Gateway) resultReceived(req *queryRequest) {
 	attempt := req.result.source
 	req.result.source, req.result.engineDone = nil, true
 	if attempt == nil || attempt.done {
 		return
 	}
-	if attempt.totalPages > 1 { // of a single page the engine keeps nothing
+	if attempt.totalPages > 1 { // an engine keeps nothing of a result of one page
 		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
@@ -93,7 +94,7 @@
 	g.timers.add(timer{at: req.dueAt, kind: timerResultStored, request: req})
 }
 
-// shortenStoreDeadlines brings the deadlines of what waits for the disk alone forward: the gateway ends.
+// shortenStoreDeadlines gives results that wait for the disk alone until the end of the shutdown.
 func (g *Gateway) shortenStoreDeadlines() {
 	if g.results == nil {
 		return
@@ -104,15 +105,16 @@
 			waiting = append(waiting, req)
 		}
 	}
+	// The order in which timers of one time are added decides in which order they run, and must not be that of a map.
 	slices.SortFunc(waiting, func(left, right *queryRequest) int { return cmp.Compare(left.id, right.id) })
 	for _, req := range waiting {
 		g.timers.add(timer{at: g.now + g.limits.ShutdownTimeout, kind: timerResultStored, request: req})
 	}
 }
 
-// resultLost answers a request whose result can't be kept. It has run: only of what may be repeated freely
-// the client hears that asking again is harmless.
-func (g *Gateway) resultLost(req *queryRequest, why spool.Reason) {
+// resultLost answers a request whose result can't be stored. The query has run, so only where it is idempotent does the client
+// hear that a retry is harmless. A result that is too large would be too large again.
+func (g *Gateway) resultLost(req *queryRequest, reason spool.Reason) {
 	if req.answered {
 		return
 	}
@@ -122,11 +124,11 @@
 		attempt.blameless = true
 		g.abandonAttempt(attempt, rules.StatusCancelled)
 	}
-	if safe := g.cfg.Settings.Rules.Classes[req.class].Idempotency == rules.Idempotent; safe && why != spool.ReasonTooLarge {
+	if idempotent := g.cfg.Settings.Rules.Classes[req.class].Idempotency == rules.Idempotent; idempotent && reason != spool.ReasonTooLarge {
 		g.writeRejection(req, 0)
 	} else {
 		req.stats.failed++
-		g.writeErr(req.client, mysql.CodeUnknownError, "the result could not be kept: "+why.String())
+		g.writeErr(req.client, mysql.CodeUnknownError, "the result could not be kept: "+reason.String())
 		g.finishRequest(req, outcomeFailed)
 	}
 	g.tellModule(rules.ClientGone{ID: req.id})
--- a/internal/gateway/resultread.go
+++ b/internal/gateway/resultread.go
@@ -2,26 +2,31 @@
 
 import (
 	"bytes"
+	"strconv"
+
 	"foxlane/internal/mysql"
 	"foxlane/internal/spool"
-	"strconv"
 )
 
-// This file gives stored results to clients, a chunk at a time as the client's connection takes them.
+// This file gives stored results to clients. The next chunk is written once the client's connection has taken the last one, so
+// that a slow client costs one chunk of memory.
+
+// noSuchResult is the answer to whatever is wrong with a handle: who guesses learns nothing from it.
+const noSuchResult = "no such result"
 
-// resultReader is a client's way through a result.
+// resultReader is how far a client has read a stored result.
 type resultReader struct {
 	slot          int
 	id            spool.ID
 	nextSeq       byte // of the next packet
 	headerWritten bool // the columns are written
-	resumable     bool // told of the handle, so that it may come back
-	lastChunk     int  // handed over last
-	complete      bool
+	resumable     bool // the client gets the handle, by which it may read again
+	lastChunk     int  // the chunk that was written last
+	complete      bool // that was the last chunk of the result
 	handle        spool.Handle
 }
 
-// serveStored begins the answer: the result is whole.
+// serveStored begins the answer to a request whose result is complete.
 func (g *Gateway) serveStored(req *queryRequest) {
 	delete(g.results.filling, req.result.handle.ID)
 	client := req.client
@@ -29,11 +34,8 @@
 		g.handleSpool(spool.Event{Kind: spool.Release, ID: req.result.handle.ID})
 		return
 	}
-	req.served = true
-	req.stats.served++
-	req.stats.latencySum += g.now - req.arrivedAt
 	client.reader = &resultReader{id: req.result.handle.ID, nextSeq: 1, resumable: req.result.resumable, handle: req.result.handle}
-	g.finishRequest(req, outcomeServed)
+	g.finishServed(req)
 	g.attachReader(client, req.resultOwner, 0)
 }
 
@@ -44,11 +46,11 @@
 	g.handleSpool(spool.Event{Kind: spool.Attach, Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
 }
 
-// resumeResult takes a client's wish to read a result again, or to be done with it.
+// resumeResult takes a client's command to read a result again, or to release it.
 func (g *Gateway) resumeResult(client *clientConn, resume *mysql.Resume) {
 	handle, err := spool.ParseHandle([]byte(resume.Handle))
 	if g.results == nil || err != nil {
-		g.rejectCommand(client, mysql.CodeUnknownError, "no such result") // the same words for whatever is wrong with a handle
+		g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
 		return
 	}
 	client.reader = &resultReader{id: handle.ID, nextSeq: 1, resumable: true, handle: handle}
@@ -60,7 +62,7 @@
 	g.attachReader(client, tenantKey(resume.Tenant), resume.FromChunk)
 }
 
-// writeChunk writes a chunk, and asks to be told once the client's connection has taken it.
+// writeChunk writes a chunk and asks to be notified once the client's connection has taken it.
 func (g *Gateway) writeChunk(client *clientConn, effect spool.Effect) {
 	reader := client.reader
 	if effect.Data == nil && effect.Last && effect.Index < 0 { // an acknowledgement
@@ -79,7 +81,7 @@
 	for page := effect.Data; len(page) > 0; {
 		var row []byte
 		row, page, _ = bytes.Cut(page, []byte{'\n'})
-		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, row, columnCount) // it was checked when it came
+		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, row, columnCount) // checked by pageWellFormed
 	}
 	if reader.resumable {
 		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#page\t"+strconv.Itoa(effect.Index)+"\t"+strconv.Itoa(effect.End)), columnCount)
@@ -91,7 +93,7 @@
 		return
 	}
 	client.output = mysql.AppendEnd(client.output, reader.nextSeq)
-	if reader.resumable { // kept until it is acknowledged, or its lease is over
+	if reader.resumable { // stored until the client acknowledges it or its lease ends
 		g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
 	} else {
 		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: effect.Index + 1})
@@ -100,20 +102,20 @@
 	g.clientBecameIdle(client)
 }
 
-// watchClient asks to be told once all that was written to a client has been taken.
+// watchClient asks to be notified once the client's connection has taken all that was written to it.
 func (g *Gateway) watchClient(client *clientConn) {
 	g.flushNow(&client.outputBuffer)
 	g.emit(NotifyDrained{Conn: client.id})
 }
 
-// clientDrained: the client has taken a chunk and gets the next.
+// clientDrained gives a client that has taken a chunk the next one.
 func (g *Gateway) clientDrained(client *clientConn) {
 	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
 		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: reader.lastChunk + 1})
 	}
 }
 
-// removeReader takes a client off the shelf's readers.
+// removeReader ends a client's reading.
 func (g *Gateway) removeReader(client *clientConn) {
 	if client.reader != nil {
 		g.results.readers.release(client.reader.slot)
@@ -121,7 +123,8 @@
 	}
 }
 
-// detachReader: a client has gone while it read. What nobody can ask for again goes with it.
+// detachReader ends the reading of a client that has gone. A result without a handle goes with it, since nobody can ask for it
+// again.
 func (g *Gateway) detachReader(client *clientConn) {
 	reader := client.reader
 	if reader == nil {
@@ -134,11 +137,11 @@
 	}
 }
 
-// abortReader ends an answer that can't go on, so that its client can tell it from a whole one.
-func (g *Gateway) abortReader(client *clientConn, why spool.Reason) {
+// abortReader ends an answer that can't go on with an error, so that its client can tell it from a complete one.
+func (g *Gateway) abortReader(client *clientConn, reason spool.Reason) {
 	reader := client.reader
-	g.log(Warn, "spool: a result was lost while it was read", Attr{"session", client.session}, Attr{"why", why.String()})
-	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeUnknownError, "the result was lost: "+why.String())
+	g.log(Warn, "spool: result lost while being read", Attr{keySession, client.session}, Attr{keyReason, reason.String()})
+	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeUnknownError, "the result was lost: "+reason.String())
 	g.markDirty(&client.outputBuffer)
 	g.removeReader(client)
 	g.clientBecameIdle(client)
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -12,66 +12,62 @@
 	"foxlane/rules"
 )
 
-// This file carries results to the spool and from there to their clients, and
-// the spool's effects out. It never decides what is kept; where the operator
-// has set no spool it does nothing, and requests.go has the way of results.
+// This file connects the reducer with package spool: it tells the spool of results and readers, and carries out what the spool
+// decides. It never decides itself what is stored. Without the block `spool` in the operator's file there is no spool, and results
+// are passed on at once (answers.go).
 
-// resultStore is the spool with what names its results and readers here.
+// resultStore is the spool with the requests and clients behind its results and readers.
 type resultStore struct {
 	spool     *spool.Store
-	inbox     []spool.Event
-	handling  bool
-	wakeAt    rules.Time // 0: none
-	random    *rand.ChaCha8
-	filling   map[spool.ID]*queryRequest
+	queue     serialQueue[spool.Event]
+	wakeAt    rules.Time                 // when the spool wants to be woken; 0: never
+	random    *rand.ChaCha8              // of handles
+	filling   map[spool.ID]*queryRequest // whose results are not complete
 	readers   slotTable[clientConn]
-	lastStats spool.Stats // at the last line of the log
+	lastStats spool.Stats // when figures were last logged
 }
 
-// resultState is what a request knows of its result on the shelf.
+// resultState is what a request knows of its stored result.
 type resultState struct {
 	handle     spool.Handle
-	reserved   bool // there is room set aside
-	resumable  bool // the client asked for a handle
-	source     *engineAttempt
-	engineDone bool // the engine has given all: the module has no more to do
+	reserved   bool           // the spool has capacity set aside for it
+	resumable  bool           // the client asked for a handle, by which it may read again
+	source     *engineAttempt // whose pages fill it
+	engineDone bool           // the engine has given all pages: for the module the request is over
 }
 
+// newResultStore returns the spool that the operator has configured, or nil.
 func newResultStore(cfg *config.Config) *resultStore {
 	if cfg.Site == nil || cfg.Site.Spool == nil {
 		return nil
 	}
-	return &resultStore{spool: spool.New(cfg.Site.Spool.Budget, cfg.Seed), random: rand.NewChaCha8(cfg.Entropy),
-		filling: map[spool.ID]*queryRequest{}, readers: newSlotTable[clientConn](cfg.Limits.MaxClients + cfg.Limits.AcceptOverflow)}
+	return &resultStore{
+		spool:   spool.New(cfg.Site.Spool.Budget, cfg.Seed),
+		random:  rand.NewChaCha8(cfg.Entropy),
+		filling: map[spool.ID]*queryRequest{},
+		readers: newSlotTable[clientConn](cfg.Limits.MaxClients + cfg.Limits.AcceptOverflow),
+	}
 }
 
-// newHandle draws a new one. The generator is cryptographically strong, and its seed the system's entropy.
-func (s *resultStore) newHandle() (out spool.Handle) {
-	_, _ = s.random.Read(out.ID[:])
-	_, _ = s.random.Read(out.Key[:])
-	return out
+// newHandle draws a handle. Whoever knows one may read the result, so it must not be guessed: the generator is cryptographically
+// strong, and its seed is the system's entropy.
+func (s *resultStore) newHandle() (handle spool.Handle) {
+	_, _ = s.random.Read(handle.ID[:]) // never fails
+	_, _ = s.random.Read(handle.Key[:])
+	return handle
 }
 
-// handleSpool hands an event to the spool and carries out what it asks for. Events
-// that arise meanwhile wait for their turn, as with the module.
+// handleSpool tells the spool of an event and carries out what it decides.
 func (g *Gateway) handleSpool(event spool.Event) {
 	store := g.results
-	if store == nil {
+	if store == nil || !store.queue.add(event) {
 		return
 	}
-	store.inbox = append(store.inbox, event)
-	if store.handling {
-		return
-	}
-	store.handling = true
-	for i := 0; i < len(store.inbox); i++ {
-		for _, effect := range store.spool.Handle(g.now, store.inbox[i]) {
+	for event, ok := store.queue.next(); ok; event, ok = store.queue.next() {
+		for _, effect := range store.spool.Handle(g.now, event) {
 			g.runSpoolEffect(effect)
 		}
 	}
-	clear(store.inbox)
-	store.inbox = store.inbox[:0]
-	store.handling = false
 }
 
 func (g *Gateway) runSpoolEffect(effect spool.Effect) {
@@ -88,7 +84,7 @@
 	case spool.Deny:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.removeReader(client)
-			g.rejectCommand(client, mysql.CodeUnknownError, "no such result")
+			g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
 			g.clientBecameIdle(client)
 		}
 	case spool.AbortRead:
@@ -102,7 +98,7 @@
 	}
 }
 
-// runResultEffect carries out what concerns a result that is on its way.
+// runResultEffect carries out what concerns a result that is being filled.
 func (g *Gateway) runResultEffect(req *queryRequest, effect spool.Effect) {
 	switch effect.Kind {
 	case spool.Granted:
@@ -115,12 +111,12 @@
 	case spool.Rejected:
 		delete(g.results.filling, effect.ID)
 		req.result.reserved = false
-		g.log(Info, "spool: no room for a result", Attr{"why", effect.Reason.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
+		g.log(Info, "spool: no capacity for a result", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
 		switch {
 		case req.answered:
-		case !req.submitted: // nothing ran
+		case !req.submitted: // no attempt was made, so a retry is harmless
 			req.endReason = EndNoResultCapacity
-			g.writeRejection(req, g.capRetryAfter(effect.RetryAfter))
+			g.writeRejection(req, capRetryAfter(&g.cfg.Settings.Rules.Limits, effect.RetryAfter))
 		default:
 			g.resultLost(req, effect.Reason)
 		}
@@ -138,26 +134,27 @@
 	case spool.Failed:
 		delete(g.results.filling, effect.ID)
 		req.result.reserved = false
-		if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs room of its own
+		if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs capacity of its own
 			if !req.answered && !req.result.engineDone {
 				g.reserveResult(req)
 			}
 			return
 		}
-		g.log(Warn, "spool: a result can't be kept", Attr{"why", effect.Reason.String()}, Attr{"class", g.cfg.Settings.ClassNames[req.class]})
+		g.log(Warn, "spool: result could not be stored", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
 		g.resultLost(req, effect.Reason)
 	}
 }
 
-// reserveResult asks for room for a request's result.
+// reserveResult asks the spool for capacity for a request's result.
 func (g *Gateway) reserveResult(req *queryRequest) {
-	req.result.handle = g.results.newHandle()
-	g.results.filling[req.result.handle.ID] = req
-	g.handleSpool(spool.Event{Kind: spool.Reserve, ID: req.result.handle.ID, Secret: req.result.handle.Secret(), Tenant: req.resultOwner, Class: req.class,
-		Shape: req.statementShape, Durable: req.result.resumable})
+	handle := g.results.newHandle()
+	req.result.handle = handle
+	g.results.filling[handle.ID] = req
+	g.handleSpool(spool.Event{Kind: spool.Reserve, ID: handle.ID, Secret: handle.Secret(), Tenant: req.resultOwner, Class: req.class,
+		Durable: req.result.resumable})
 }
 
-// releaseResult lets go of what is kept for a request that is over.
+// releaseResult gives back what the spool holds for a request that has ended before its result was complete.
 func (g *Gateway) releaseResult(req *queryRequest) {
 	if g.results == nil || g.results.filling[req.result.handle.ID] != req {
 		return
@@ -166,20 +163,8 @@
 	g.handleSpool(spool.Event{Kind: spool.Release, ID: req.result.handle.ID})
 }
 
-// capRetryAfter is a time of return within what the site allows.
-func (g *Gateway) capRetryAfter(after rules.Time) rules.Time {
-	limits := g.cfg.Settings.Rules.Limits
-	if !limits.RetryAfter {
-		return 0
-	}
-	if limits.MaxRetryAfter > 0 {
-		after = min(after, limits.MaxRetryAfter)
-	}
-	return after
-}
-
-// tenantKey is whose a result is: the tenant that was told, else nobody's, so that a client that comes back
-// from another address may read it. It is the same after a restart.
+// tenantKey names the owner of a result: the tenant that the request declared, else nobody, so that a client that returns from
+// another address may read it. It is a hash without a seed, since it must be the same after a restart.
 func tenantKey(tenant string) uint64 {
 	if tenant == "" {
 		return 0
@@ -187,7 +172,7 @@
 	return xxh3.HashString(tenant)
 }
 
-// diskCompleted takes what the disk says.
+// diskCompleted tells the spool what its disk has done.
 func (g *Gateway) diskCompleted(events []spool.Event) {
 	for _, event := range events {
 		g.handleSpool(event)
@@ -201,7 +186,7 @@
 	}
 }
 
-// logSpool notes what the spool did since the last line.
+// logSpool logs what the spool did since the last such line.
 func (g *Gateway) logSpool() {
 	store := g.results
 	if store == nil {
@@ -209,8 +194,10 @@
 	}
 	stats, last := store.spool.Stats(), store.lastStats
 	store.lastStats = stats
-	g.log(Info, "spool", Attr{"results", stats.Results}, Attr{"readers", stats.Readers}, Attr{"disk_bytes", stats.DiskBytes}, Attr{"memory_bytes", stats.MemoryBytes},
-		Attr{"reserved", stats.Reserved - last.Reserved}, Attr{"refused", stats.Rejected - last.Rejected}, Attr{"whole", stats.Completed - last.Completed},
-		Attr{"failed", stats.Failed - last.Failed}, Attr{"given", stats.Delivered - last.Delivered}, Attr{"denied", stats.Denied - last.Denied},
-		Attr{"expired", stats.Expired - last.Expired}, Attr{"gave_way", stats.Evicted - last.Evicted})
+	g.log(Info, "spool", Attr{"results", stats.Results}, Attr{"readers", stats.Readers},
+		Attr{"disk_bytes", stats.DiskBytes}, Attr{"memory_bytes", stats.MemoryBytes},
+		Attr{"reserved", stats.Reserved - last.Reserved}, Attr{keyRejected, stats.Rejected - last.Rejected},
+		Attr{"completed", stats.Completed - last.Completed}, Attr{keyFailed, stats.Failed - last.Failed},
+		Attr{"delivered", stats.Delivered - last.Delivered}, Attr{"denied", stats.Denied - last.Denied},
+		Attr{"expired", stats.Expired - last.Expired}, Attr{"evicted", stats.Evicted - last.Evicted})
 }
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -549,7 +549,7 @@
 			t.Errorf("a connection to %s still carries %d", conn.engine.entry.ID, conn.load())
 		}
 	}
-	if n := len(sim.g.timers); n > 100 {
+	if n := sim.g.timers.len(); n > 100 {
 		t.Errorf("%d timers are left", n)
 	}
 }
@@ -592,8 +592,8 @@
 		for _, eng := range g.engineOrder {
 			links += len(eng.conns)
 		}
-		sizes[i] = [...]int{len(g.engines), len(g.engineOrder), len(g.engineConns), len(g.clients), len(g.sessions), len(g.requests), len(g.timers), len(g.module.EngineViews())}
-		if links != len(g.engineConns) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || len(g.timers) > 1500 {
+		sizes[i] = [...]int{len(g.engines), len(g.engineOrder), len(g.engineConns), len(g.clients), len(g.sessions), len(g.requests), g.timers.len(), len(g.module.EngineViews())}
+		if links != len(g.engineConns) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || g.timers.len() > 1500 {
 			t.Errorf("at %d s: engines, listed, connections to them, clients, sessions, requests, timers, engines in the module: %v",
 				(sim.now-sim.start)/rules.Second, sizes[i])
 		}
--- /dev/null
+++ b/internal/gateway/serialqueue.go
@@ -0,0 +1,39 @@
+package gateway
+
+// serialQueue hands events to a state machine one at a time. An event that arises while the effects of another are carried out
+// waits until those are done: the machine is never called from within its own effects, and sees events in the order in which they
+// arose.
+//
+//	if queue.add(event) {
+//		for event, ok := queue.next(); ok; event, ok = queue.next() {
+//			...
+//		}
+//	}
+type serialQueue[E any] struct {
+	events   []E
+	position int // of the event that is next
+	draining bool
+}
+
+// add puts an event at the end. It reports whether the caller must take events until next has none: if not, a caller further up
+// the stack does.
+func (q *serialQueue[E]) add(event E) (drain bool) {
+	q.events = append(q.events, event)
+	if q.draining {
+		return false
+	}
+	q.draining = true
+	return true
+}
+
+// next takes the event that has waited longest. Once there is none, the queue is empty and may be drained again.
+func (q *serialQueue[E]) next() (event E, ok bool) {
+	if q.position < len(q.events) {
+		event = q.events[q.position]
+		q.position++
+		return event, true
+	}
+	clear(q.events) // what the events refer to may go
+	q.events, q.position, q.draining = q.events[:0], 0, false
+	return event, false
+}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,23 +5,24 @@
 	"foxlane/rules"
 )
 
-// This file owns the end of the process: all that was taken is answered, then the process is asked to end.
+// This file owns the graceful shutdown: all requests that were accepted are answered, then the process is asked to exit.
 
-// beginShutdown begins the end: the module is told by when all must be answered.
+// beginShutdown tells the module, admission control and the spool by when all requests must be answered. New requests are still
+// accepted, since clients don't know yet.
 func (g *Gateway) beginShutdown() {
 	if g.stopping {
 		return
 	}
 	g.stopping = true
-	g.log(Info, "stopping", Attr{"open", g.unanswered})
+	g.log(Info, "stopping", Attr{keyInFlight, g.unanswered})
 	g.timers.add(timer{at: g.now + g.limits.MinDrainPeriod, kind: timerStop})
 	g.shortenStoreDeadlines()
 	g.handleAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.ShutdownTimeout})
 	g.tellModule(rules.ShutdownStarted{Deadline: g.now + g.limits.ShutdownTimeout})
 }
 
-// exitWhenDone ends the process once all is answered. It asks for that again and again: what is read while the end is
-// under way is answered too, and the end comes behind that. Who has asked for nothing yet hears that it is refused.
+// exitWhenDone asks for the exit of the process once the drain period is over and all requests are answered. It does so in each batch,
+// since requests that are read while the process exits are answered first. Clients that have sent no command get an error.
 func (g *Gateway) exitWhenDone() {
 	if !g.drainPeriodOver || g.unanswered > 0 {
 		return
@@ -31,7 +32,7 @@
 		for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
 			g.evictWithError(element.Value.(*clientConn), CloseShutdown, "this gateway ends")
 		}
-		g.log(Info, "stopped", Attr{"invariants_broken", g.violations.Sum()})
+		g.log(Info, "stopped", Attr{"invariants_violated", g.violations.Sum()})
 	}
 	g.emit(Exit{})
 }
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -1,8 +1,9 @@
 package gateway
 
-// slotTable gives numbers to what is open.
+// slotTable numbers things that are open at once, so that a state machine can name them by small integers. The number of slots is
+// fixed; whoever allocates has made sure that one is free.
 type slotTable[T any] struct {
-	entries []*T
+	entries []*T // nil: free
 	free    []int
 }
 
@@ -14,14 +15,14 @@
 	return s
 }
 
-func (s *slotTable[T]) allocate(v *T) int {
-	i := s.free[len(s.free)-1]
+func (s *slotTable[T]) allocate(entry *T) int {
+	slot := s.free[len(s.free)-1]
 	s.free = s.free[:len(s.free)-1]
-	s.entries[i] = v
-	return i
+	s.entries[slot] = entry
+	return slot
 }
 
-func (s *slotTable[T]) release(i int) {
-	s.entries[i] = nil
-	s.free = append(s.free, i)
+func (s *slotTable[T]) release(slot int) {
+	s.entries[slot] = nil
+	s.free = append(s.free, slot)
 }
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -2,48 +2,52 @@
 
 import "foxlane/rules"
 
-// This file owns what happens behind a stall: a stop of the process, or so little processor time that timers fall due
-// long ahead of being seen. Clients may have left or killed their queries meanwhile, and the list may have changed, with
-// word of that unread in sockets. What is to be sent waits until those were read.
+// This file owns what happens after a stall: the process was stopped, or had so little processor time that timers run late. Clients
+// may have gone or killed their queries meanwhile, and the list of engines may have changed, and word of that is still unread in
+// sockets. So no attempt is written until that input was read.
 
-// stall is one that the reducer has come out of.
+// stall is a stall that is over.
 type stall struct {
 	resumedAt rules.Time // when the reducer ran again
 	lateBy    rules.Time // how late its timers were then
-	holdUntil rules.Time // nothing is sent before
+	holdUntil rules.Time // no attempt is written before
 }
 
-// detectStall looks whether the reducer runs again after a stall.
+// detectStall looks at each event whether the reducer runs again after a stall.
 func (g *Gateway) detectStall() {
-	late := g.now - g.armedAt
-	if g.armedAt == 0 || late < g.limits.StallThreshold || g.now < g.lastStall.holdUntil {
+	lateBy := g.now - g.armedAt
+	if g.armedAt == 0 || lateBy < g.limits.StallThreshold || g.now < g.lastStall.holdUntil {
 		return
 	}
-	g.log(Info, "stalled: what came meanwhile is read first", Attr{"late_ms", int64(late / rules.Millisecond)})
-	g.lastStall = stall{resumedAt: g.now, lateBy: late, holdUntil: g.now + g.catchUpTime(late)}
+	g.log(Info, "process stalled: pending input is read first", Attr{"late_ms", milliseconds(lateBy)})
+	g.lastStall = stall{resumedAt: g.now, lateBy: lateBy, holdUntil: g.now + g.catchUpTime(lateBy)}
 	g.timers.add(timer{at: g.lastStall.holdUntil, kind: timerCaughtUp})
 }
 
-// catchUpTime is how long nothing is sent at least. Behind a long stall reading takes longer, since others may come out of it at
-// the same time, and who has left meanwhile has left for longer than may be in any case.
-func (g *Gateway) catchUpTime(late rules.Time) rules.Time {
-	if late >= g.limits.LongStallThreshold {
+// catchUpTime is for how long at least no attempt is written. After a long stall reading takes longer, since other processes may come out
+// of it at the same time.
+func (g *Gateway) catchUpTime(lateBy rules.Time) rules.Time {
+	if lateBy >= g.limits.LongStallThreshold {
 		return g.limits.LongSettleTime
 	}
 	return g.limits.SettleTime
 }
 
-// catchingUp answers whether what came during a stall is still being read.
+// catchingUp reports whether input that came during a stall is still being read.
 func (g *Gateway) catchingUp() bool { return g.now < g.lastStall.holdUntil }
 
-// extendCatchUp notes that a client's connection said something: more of what came during the stall may lie behind it.
+// extendCatchUp notes input from a client: more of what came during the stall may follow. The extension is bounded, or a steady stream
+// of requests would keep all attempts waiting.
 func (g *Gateway) extendCatchUp() {
-	if g.catchingUp() {
-		g.lastStall.holdUntil = max(g.lastStall.holdUntil, min(g.now+g.catchUpTime(g.lastStall.lateBy), g.lastStall.resumedAt+g.catchUpTime(g.lastStall.lateBy)+g.limits.MaxSettleTime))
+	if !g.catchingUp() {
+		return
 	}
+	last := &g.lastStall
+	least := g.catchUpTime(last.lateBy)
+	last.holdUntil = max(last.holdUntil, min(g.now+least, last.resumedAt+least+g.limits.MaxSettleTime))
 }
 
-// inputDelay is for how long what is read now may have waited in its socket.
+// inputDelay is for how long input that is read now may have waited in its socket.
 func (g *Gateway) inputDelay() rules.Time {
 	if g.catchingUp() {
 		return g.lastStall.lateBy
@@ -51,7 +55,7 @@
 	return 0
 }
 
-// resumeSends sends what has waited since the stall, unless there was still something to read.
+// resumeSends writes the attempts that have waited since the stall, unless there is still input to read.
 func (g *Gateway) resumeSends() {
 	if g.catchingUp() {
 		g.timers.add(timer{at: g.lastStall.holdUntil, kind: timerCaughtUp})
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -1,46 +1,46 @@
 package gateway
 
 import (
-	"math"
 	"slices"
 
 	"foxlane/rules"
 )
 
-// This file counts what operators want to see. It never influences anything.
+// This file logs figures at intervals. They influence nothing.
 
-type gatewayStats struct{ classes []classStats }
+type gatewayStats struct{ classes []classStats } // by class
 
-// classStats counts the requests of a class since the last line of it.
+// classStats counts the requests of a class since figures were last logged.
 type classStats struct {
 	accepted, served, rejected, failed, abandoned int
-	latencySum                                    rules.Time // of the served, from the query to the answer
+	latencySum                                    rules.Time // of those served, from the query to the answer
 	attempts                                      int
-	statuses                                      [8]int // of attempts
-	inFlight, attemptsInFlight                    int    // now, and not reset
+	statuses                                      [8]int // with which attempts ended
+	inFlight, attemptsInFlight                    int    // now; not reset
 }
 
-// logEngines notes what the module holds of each engine beside what is open on the sockets.
+// logEngines logs what the module knows of each engine beside what is in flight on the connections. The two counts agree unless one is
+// at fault.
 func (g *Gateway) logEngines() {
 	for _, belief := range g.module.EngineViews() {
 		eng := g.engines[belief.Engine]
 		if eng == nil {
 			continue
 		}
-		open, silent := 0, int64(-1) // never heard
+		inFlight, silent := 0, int64(-1) // nothing was ever read
 		if eng.lastRead > 0 {
-			silent = int64((g.now - eng.lastRead) / rules.Millisecond)
+			silent = milliseconds(g.now - eng.lastRead)
 		}
 		for _, conn := range eng.conns {
-			open += len(conn.inFlight) + len(conn.waiting)
+			inFlight += len(conn.inFlight) + len(conn.waiting)
 		}
-		g.log(Info, "engine", Attr{"engine", eng.entry.ID}, Attr{"state", eng.entry.State}, Attr{"out", belief.InFlight}, Attr{"open", open},
-			Attr{"connections", len(eng.conns)}, Attr{"left_out", belief.Ejected}, Attr{"slow", math.Round(100*belief.Slowdown) / 100},
-			Attr{"silent_ms", silent})
+		g.log(Info, "engine", Attr{keyEngine, eng.entry.ID}, Attr{keyState, eng.entry.State}, Attr{"module_in_flight", belief.InFlight},
+			Attr{keyInFlight, inFlight}, Attr{keyConnections, len(eng.conns)}, Attr{"ejected", belief.Ejected},
+			Attr{"slowdown", round2(belief.Slowdown)}, Attr{keySilent, silent})
 	}
 }
 
-// logCloses notes how many connections were closed since the last line, by reason.
+// logCloses logs how many connections have ended since the last such line, by reason.
 func (g *Gateway) logCloses() {
 	var attrs []Attr
 	for i, n := range g.closeCounts {
@@ -54,22 +54,12 @@
 	g.closeCounts = [closeReasons]int{}
 }
 
-// logStats notes the last while, a line a class.
+// logStats logs all figures of the last interval, and has a timer for the next one.
 func (g *Gateway) logStats() {
 	g.timers.add(timer{at: g.now + g.limits.StatsInterval, kind: timerStats})
-	for i := range g.stats.classes {
-		stats := &g.stats.classes[i]
-		mean := 0.0
-		if stats.served > 0 {
-			mean = float64(stats.latencySum) / float64(stats.served) / float64(rules.Millisecond)
-		}
-		g.log(Info, "class", Attr{"class", g.cfg.Settings.ClassNames[i]}, Attr{"taken", stats.accepted}, Attr{"served", stats.served},
-			Attr{"refused", stats.rejected}, Attr{"failed", stats.failed}, Attr{"left", stats.abandoned}, Attr{"mean_ms", int(mean)},
-			Attr{"attempts", stats.attempts}, Attr{"verdicts", slices.Clone(stats.statuses[:])}, Attr{"open", stats.inFlight}, Attr{"running", stats.attemptsInFlight})
-		*stats = classStats{inFlight: stats.inFlight, attemptsInFlight: stats.attemptsInFlight}
-	}
-	g.log(Info, "connections", Attr{"clients", len(g.clients)}, Attr{"idle", g.idleClients.Len()}, Attr{"engines", len(g.engineConns)},
-		Attr{"open", len(g.requests)}, Attr{"result_bytes", g.resultBytes}, Attr{"input_bytes", g.statementBytes})
+	g.logClasses()
+	g.log(Info, "connections", Attr{keyClients, len(g.clients)}, Attr{"idle", g.idleClients.Len()}, Attr{keyEngines, len(g.engineConns)},
+		Attr{keyInFlight, len(g.requests)}, Attr{"result_bytes", g.resultBytes}, Attr{"input_bytes", g.statementBytes})
 	g.logNameService()
 	g.logCloses()
 	g.logViolations()
@@ -80,3 +70,19 @@
 	g.logDirectives()
 	g.logEngines()
 }
+
+// logClasses logs one line for each class.
+func (g *Gateway) logClasses() {
+	for i := range g.stats.classes {
+		stats := &g.stats.classes[i]
+		mean := 0.0
+		if stats.served > 0 {
+			mean = float64(stats.latencySum) / float64(stats.served) / float64(rules.Millisecond)
+		}
+		g.log(Info, "class", Attr{keyClass, g.cfg.Settings.ClassNames[i]}, Attr{"accepted", stats.accepted}, Attr{keyServed, stats.served},
+			Attr{keyRejected, stats.rejected}, Attr{keyFailed, stats.failed}, Attr{"abandoned", stats.abandoned}, Attr{"mean_ms", int(mean)},
+			Attr{keyAttempts, stats.attempts}, Attr{"statuses", slices.Clone(stats.statuses[:])}, Attr{keyInFlight, stats.inFlight},
+			Attr{"attempts_in_flight", stats.attemptsInFlight})
+		*stats = classStats{inFlight: stats.inFlight, attemptsInFlight: stats.attemptsInFlight}
+	}
+}
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -1,28 +1,29 @@
 package gateway
 
 import (
+	"foxlane/internal/minheap"
 	"foxlane/rules"
 )
 
-// This file owns the reducer's timers: a heap by time, and what is done when one is due.
+// This file owns the reducer's timers and what is done when one is due.
 
 type timerKind int
 
 const (
-	timerModule timerKind = iota
-	timerAttempt
-	timerProbe
-	timerSweep
-	timerPoll
-	timerStop
-	timerStats
-	timerAnswerComplete
-	timerResultStored
-	timerTerminated
-	timerPeers
-	timerDirectives
-	timerCaughtUp
-	timerGrace
+	timerModule         timerKind = iota // the decision module asked for it
+	timerAttempt                         // an attempt's deadline
+	timerProbe                           // a probe's deadline
+	timerSweep                           // idle connections and zones are looked at
+	timerPoll                            // the name service is asked
+	timerStop                            // the minimum drain period of a shutdown is over
+	timerStats                           // figures are logged
+	timerAnswerComplete                  // an answer that has begun must be complete
+	timerResultStored                    // a result that the engine has given must be stored
+	timerTerminated                      // the engine has heard of an attempt's end
+	timerPeers                           // the replicated state of peers is exchanged
+	timerDirectives                      // the directives' consensus group gets its tick
+	timerCaughtUp                        // input that came during a stall was read
+	timerGrace                           // the grace of a draining engine is nearly over
 )
 
 type timer struct {
@@ -37,50 +38,38 @@
 	engine  *engineState
 }
 
-// timers is a heap by time. Timers are not taken back: one that has lost its
-// meaning is passed over when it falls due.
-type timers []timer
+// Before orders timers by their time.
+func (t timer) Before(other timer) bool { return t.at < other.at }
 
-func (t timers) next() (rules.Time, bool) {
-	if len(t) == 0 {
+// timers is a heap by time. Timers are never cancelled: one that has lost its meaning does nothing when it is due, which is
+// cheaper than finding it in the heap, and all of them are due within seconds.
+type timers struct{ heap minheap.Heap[timer] }
+
+func (t *timers) add(added timer) { t.heap.Push(added) }
+
+func (t *timers) len() int { return len(t.heap) }
+
+// next is when the first timer is due; ok is false if there is none.
+func (t *timers) next() (at rules.Time, ok bool) {
+	if len(t.heap) == 0 {
 		return 0, false
 	}
-	return t[0].at, true
+	return t.heap[0].at, true
 }
 
-func (t *timers) add(n timer) {
-	h := append(*t, n)
-	i := len(h) - 1
-	for i > 0 && h[(i-1)/2].at > h[i].at {
-		h[i], h[(i-1)/2] = h[(i-1)/2], h[i]
-		i = (i - 1) / 2
+// nextWake is when the reducer is to be woken next: by its own timers, or because the admission controller or the spool asks for it.
+func (g *Gateway) nextWake() (at rules.Time, ok bool) {
+	at, ok = g.timers.next()
+	if control := g.admission; control != nil && control.wakeAt != 0 && (!ok || control.wakeAt < at) {
+		at, ok = max(control.wakeAt, g.now+1), true
 	}
-	*t = h
-}
-
-func (t *timers) pop() timer {
-	h := *t
-	first, last := h[0], len(h)-1
-	h[0], h[last] = h[last], timer{}
-	h = h[:last]
-	for i := 0; ; {
-		c := 2*i + 1
-		if c >= len(h) {
-			break
-		}
-		if c+1 < len(h) && h[c+1].at < h[c].at {
-			c++
-		}
-		if h[i].at <= h[c].at {
-			break
-		}
-		h[i], h[c] = h[c], h[i]
-		i = c
+	if store := g.results; store != nil && store.wakeAt != 0 && (!ok || store.wakeAt < at) {
+		at, ok = max(store.wakeAt, g.now+1), true
 	}
-	*t = h
-	return first
+	return at, ok
 }
 
+// runTimers does what is due.
 func (g *Gateway) runTimers() {
 	g.armedAt = 0
 	g.wakeAdmission()
@@ -90,40 +79,44 @@
 		if !ok || at > g.now {
 			return
 		}
-		switch t := g.timers.pop(); t.kind {
-		case timerModule:
-			g.tellModule(rules.TimerFired{Token: t.token})
-		case timerAttempt:
-			if !t.attempt.done {
-				g.abandonAttempt(t.attempt, rules.StatusTimeout)
-			}
-		case timerTerminated:
-			g.concludeAttempt(t.attempt, t.status)
-		case timerProbe:
-			g.finishProbe(t.probe, rules.StatusTimeout, nil)
-		case timerSweep:
-			g.sweepClients()
-			g.sweepEngineConns()
-			g.sweepZones()
-			g.timers.add(timer{at: g.now + g.limits.SweepInterval, kind: timerSweep})
-		case timerPoll:
-			g.poll()
-		case timerPeers:
-			g.tickPeers()
-		case timerDirectives:
-			g.tickDirectives()
-		case timerStop:
-			g.drainPeriodOver = true
-		case timerStats:
-			g.logStats()
-		case timerResultStored: // whole at the engine, and not yet on the disk
-			g.failRequest(t.request, EndResultLost)
-		case timerCaughtUp:
-			g.resumeSends()
-		case timerGrace:
-			g.enforceGrace(t.engine)
-		case timerAnswerComplete:
-			g.checkCompletion(t.conn)
+		g.runTimer(g.timers.heap.Pop())
+	}
+}
+
+func (g *Gateway) runTimer(due timer) {
+	switch due.kind {
+	case timerModule:
+		g.tellModule(rules.TimerFired{Token: due.token})
+	case timerAttempt:
+		if !due.attempt.done {
+			g.abandonAttempt(due.attempt, rules.StatusTimeout)
 		}
+	case timerTerminated:
+		g.concludeAttempt(due.attempt, due.status)
+	case timerProbe:
+		g.finishProbe(due.probe, rules.StatusTimeout, nil)
+	case timerSweep:
+		g.sweepClients()
+		g.sweepEngineConns()
+		g.sweepZones()
+		g.timers.add(timer{at: g.now + g.limits.SweepInterval, kind: timerSweep})
+	case timerPoll:
+		g.poll()
+	case timerPeers:
+		g.tickPeers()
+	case timerDirectives:
+		g.tickDirectives()
+	case timerStop:
+		g.drainPeriodOver = true
+	case timerStats:
+		g.logStats()
+	case timerResultStored:
+		g.failRequest(due.request, EndResultLost)
+	case timerCaughtUp:
+		g.resumeSends()
+	case timerGrace:
+		g.enforceGrace(due.engine)
+	case timerAnswerComplete:
+		g.checkCompletion(due.conn)
 	}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -2,68 +2,77 @@
 
 import "foxlane/internal/engine"
 
-// This file writes the life of each request and connection to the log, at debug level. Where that is off, nothing here
-// is called: callers look at Config.Trace first, which costs no allocation.
+// This file logs each step of requests and connections, at debug level. Callers look at Config.Trace first, so that nothing is allocated
+// where that is off.
 
 func (g *Gateway) traceRequest(req *queryRequest) {
-	g.log(Debug, "request: begins", Attr{"request", string(req.id)}, Attr{"session", req.client.session},
-		Attr{"class", g.cfg.Settings.ClassNames[req.class]}, Attr{"due_us", int64(req.dueAt)}, Attr{"left_ms", int64((req.dueAt - g.now) / 1000)})
+	g.log(Debug, "request: started", Attr{keyRequest, string(req.id)}, Attr{keySession, req.client.session},
+		Attr{keyClass, g.cfg.Settings.ClassNames[req.class]}, Attr{"due_us", int64(req.dueAt)}, Attr{keyRemaining, milliseconds(req.dueAt - g.now)})
 }
 
 func (g *Gateway) traceQueued(req *queryRequest, where string) {
-	g.log(Debug, "request: queued", Attr{"request", string(req.id)}, Attr{"where", where}, Attr{"held_ms", int64(req.heldFor / 1000)})
+	g.log(Debug, "request: queued", Attr{keyRequest, string(req.id)}, Attr{"where", where}, Attr{"held_ms", milliseconds(req.heldFor)})
 }
 
-// traceAttempt says why an attempt begins: it is the first, a copy, or follows how the one before has ended.
+// traceAttempt logs why an attempt starts: it is the first, a hedged one, or a retry after the status of the one before.
 func (g *Gateway) traceAttempt(attempt *engineAttempt) {
-	why, req := "first", attempt.request
+	reason, req := "first", attempt.request
 	if attempt.index > 0 {
 		if last := req.attempts[attempt.index-1]; last.done {
-			why = "after_" + statusNames[last.status]
+			reason = "after_" + statusNames[last.status]
 		} else {
-			why = "copy"
+			reason = "hedge"
 		}
 	}
-	name := ""
-	if attempt.engine != nil {
-		name = attempt.engine.entry.ID
-	}
-	g.log(Debug, "attempt: begins", Attr{"request", string(req.id)}, Attr{"attempt", attempt.index}, Attr{"engine", name}, Attr{"why", why},
-		Attr{"left_ms", int64((attempt.deadline - g.now) / 1000)})
+	g.log(Debug, "attempt: started", Attr{keyRequest, string(req.id)}, Attr{keyAttempt, attempt.index}, Attr{keyEngine, attempt.engineName()},
+		Attr{keyReason, reason}, Attr{keyRemaining, milliseconds(attempt.deadline - g.now)})
 }
 
-func (g *Gateway) traceAttemptSent(attempt *engineAttempt, ask *engine.Request) {
-	g.log(Debug, "attempt: sent", Attr{"request", string(attempt.request.id)}, Attr{"attempt", attempt.index}, Attr{"engine", attempt.engine.entry.ID},
-		Attr{"connection", uint64(attempt.conn.id &^ dialledBit)}, Attr{"ttl_ms", ask.TimeoutMS}, Attr{"waited_us", int64(g.now - attempt.startedAt)})
+func (g *Gateway) traceAttemptSent(attempt *engineAttempt, request *engine.Request) {
+	g.log(Debug, "attempt: sent", Attr{keyRequest, string(attempt.request.id)}, Attr{keyAttempt, attempt.index}, Attr{keyEngine, attempt.engineName()},
+		Attr{keyConnection, attempt.conn.number()}, Attr{"timeout_ms", request.TimeoutMS}, Attr{"waited_us", int64(g.now - attempt.startedAt)})
 }
 
 func (g *Gateway) traceAttemptEnd(attempt *engineAttempt) {
-	name := ""
-	if attempt.engine != nil {
-		name = attempt.engine.entry.ID
-	}
-	g.log(Debug, "attempt: ended", Attr{"request", string(attempt.request.id)}, Attr{"attempt", attempt.index}, Attr{"engine", name},
-		Attr{"verdict", statusNames[attempt.status]}, Attr{"sent", attempt.sent}, Attr{"took_us", int64(attempt.latency)}, Attr{"blames_engine", !attempt.blameless && !attempt.localExhaustion})
+	g.log(Debug, "attempt: ended", Attr{keyRequest, string(attempt.request.id)}, Attr{keyAttempt, attempt.index}, Attr{keyEngine, attempt.engineName()},
+		Attr{keyStatus, statusNames[attempt.status]}, Attr{"sent", attempt.sent}, Attr{keyTook, int64(attempt.latency)},
+		Attr{"blames_engine", !attempt.blameless && !attempt.localExhaustion})
 }
 
 func (g *Gateway) traceAnswer(req *queryRequest, how outcome) {
-	g.log(Debug, "request: ends", Attr{"request", string(req.id)}, Attr{"how", how.String()}, Attr{"why", req.endReason.String()},
-		Attr{"attempts", len(req.attempts)}, Attr{"took_us", int64(g.now - req.arrivedAt)}, Attr{"left_ms", int64((req.dueAt - g.now) / 1000)})
+	g.log(Debug, "request: ended", Attr{keyRequest, string(req.id)}, Attr{"outcome", how.String()}, Attr{keyReason, req.endReason.String()},
+		Attr{keyAttempts, len(req.attempts)}, Attr{keyTook, int64(g.now - req.arrivedAt)}, Attr{keyRemaining, milliseconds(req.dueAt - g.now)})
 }
 
-func (g *Gateway) traceClose(client *clientConn, why CloseReason) {
+func (g *Gateway) traceClose(client *clientConn, reason CloseReason) {
 	id := ""
 	if client.request != nil {
 		id = string(client.request.id)
 	}
-	g.log(Debug, "client: closed", Attr{"session", client.session}, Attr{"why", why.String()}, Attr{"request", id}, Attr{"commands", client.commands})
+	g.log(Debug, "client: closed", Attr{keySession, client.session}, Attr{keyReason, reason.String()}, Attr{keyRequest, id},
+		Attr{"commands", client.commands})
+}
+
+func (g *Gateway) traceEngineClose(conn *engineConn, reason CloseReason, err error) {
+	g.log(Debug, "engine: connection closed", Attr{keyConnection, conn.number()}, Attr{keyEngine, conn.engine.entry.ID},
+		Attr{keyReason, reason.String()}, Attr{keyInFlight, len(conn.inFlight)}, Attr{keyWaiting, len(conn.waiting)}, Attr{keyError, errorText(err)})
+}
+
+// engineName is the name of an attempt's engine; it is empty if the engine is unknown.
+func (a *engineAttempt) engineName() string {
+	if a.engine == nil {
+		return ""
+	}
+	return a.engine.entry.ID
 }
 
-func (g *Gateway) traceEngineClose(conn *engineConn, why CloseReason, err error) {
-	text := ""
-	if err != nil {
-		text = err.Error()
+// number is a connection's number as the log has it.
+func (c *engineConn) number() uint64 { return uint64(c.id &^ dialledBit) }
+
+// errorText is an error's text; it is empty if there is none.
+func errorText(err error) string {
+	if err == nil {
+		return ""
 	}
-	g.log(Debug, "engine: connection closed", Attr{"connection", uint64(conn.id &^ dialledBit)}, Attr{"engine", conn.engine.entry.ID},
-		Attr{"why", why.String()}, Attr{"in_flight", len(conn.inFlight)}, Attr{"waiting", len(conn.waiting)}, Attr{"error", text})
+	return err.Error()
 }
--- a/internal/harness/checks.go
+++ b/internal/harness/checks.go
@@ -140,7 +140,7 @@
 // checkInvariants takes what a gateway has counted itself from its log.
 func (r *Report) checkInvariants(g *gateway, log string) {
 	for _, line := range strings.Split(log, "\n") {
-		if strings.Contains(line, `"msg":"invariant broken"`) {
+		if strings.Contains(line, `"msg":"invariant violated"`) {
 			r.addViolation(InvariantBroken, "%s: %s", g.name, line)
 		}
 	}
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -58,7 +58,7 @@
 		switch {
 		case strings.HasPrefix(e.Text, "members: joined"):
 			joined[e.Source] = true
-		case strings.HasPrefix(e.Text, "members: talk ends"):
+		case strings.HasPrefix(e.Text, "members: leaving"):
 			ended[e.Source] = true
 			if e.At < 15*time.Second {
 				t.Errorf("%s ends its talk at %v", e.Source, e.At)
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -198,7 +198,7 @@
 	p.signal(syscall.SIGHUP, 1)
 	p.checkServes("with the configuration in place again")
 	p.checkStops()
-	if raw, err := os.ReadFile(log.Name()); err != nil || !strings.Contains(string(raw), `"configuration read again"`) {
+	if raw, err := os.ReadFile(log.Name()); err != nil || !strings.Contains(string(raw), `"configuration reloaded"`) {
 		t.Errorf("the configuration that came back was not read: %v\n%s", err, raw)
 	}
 }
--- a/internal/harness/report.go
+++ b/internal/harness/report.go
@@ -274,9 +274,9 @@
 		switch l.Msg {
 		case "zone":
 			text = l.From + " > " + l.To
-		case "members: joined", "members: left", "members: talk ends", "members: a name comes twice":
+		case "members: joined", "members: left", "members: leaving", "members: duplicate name":
 			text = strings.TrimSpace(l.Msg + " " + l.Member)
-		case "copies":
+		case "replica":
 			r.MaxReplicaEntries = max(r.MaxReplicaEntries, l.Entries)
 			continue
 		default:
