--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,15 +1,15 @@
-// Package discovery owns which list of engines holds, out of what a name service answers: lists with numbers, some of which
-// are lost, late, doubled, out of order, from before, or numbered anew. It is pure: answers and the time go in, the list
-// comes out. It must never do I/O, read a clock, or know what is sent to an engine.
+// Package discovery decides which list of engines is valid, from what a name service answers: lists with serials, some of which are
+// lost, late, duplicated, reordered, stale, or renumbered. It is pure: answers and the time go in, the list comes out. It must never
+// do I/O, read a clock, or know what is sent to an engine.
 //
-// Numbers order the lists of one count only. A count begins anew when the gateway or the name service starts, and an answer
-// may bring a list of another count. So no single number decides:
+// Serials order the lists of one sequence only. A new sequence begins when the gateway or the name service starts, and an answer may
+// bring a list of another sequence. So no single serial decides:
 //
-//   - A restriction (an engine drains, or has gone) is believed at once, whatever the number of the list that tells it.
-//   - It is taken back by a later start of the engine, or by a few answers in a row that hold the list that holds, or newer ones,
-//     and list the engine as active.
-//   - A list with a newer number is taken at once. It is given up, for the list that is told instead, once several answers
-//     brought other lists and none with its number or a newer one outweighs them.
+//   - A restriction (an engine drains, or has been removed) takes effect at once, whatever the serial of the list that brings it.
+//   - It is lifted by a later start of the engine, or by a few consecutive answers that hold the valid list, or newer ones, and list
+//     the engine as active.
+//   - A list with a newer serial becomes valid at once. It is replaced by the list that is answered instead, once several answers brought
+//     other lists and were not outweighed by answers that confirm it.
 package discovery
 
 import (
@@ -19,19 +19,19 @@
 	"foxlane/rules"
 )
 
-// Answers are 100 ms apart. Three are well under the grace of a drain, and more than the name service brings from before
-// in a row; ten, one second's, are what it takes against a list that was told again and again.
+// Answers are 100 ms apart. Three take much less than the grace of a drain, and are more stale answers than the name service gives in a
+// row; ten, which is one second, are needed against a list that was confirmed again and again.
 const (
-	initialSupport      = 3
-	maxSupport          = 10
-	confirmationsNeeded = 3
+	initialSupport      = 3  // of a list that has become valid
+	maxSupport          = 10 // however often it was confirmed
+	confirmationsNeeded = 3  // to lift a restriction
 )
 
-// absenceGrace is how long an engine may be missing from answers that are not newer than the list that holds until it counts
-// as gone: an older list lacks what came behind it, and the next answer says so.
+// absenceGrace is how long an engine may be missing from answers that are not newer than the valid list until it counts as removed: a
+// stale list lacks engines that were added later, and the next answer shows that.
 const absenceGrace = 300 * rules.Millisecond
 
-// maxTombstones is how many engines that have gone are remembered: a list from before may name them again.
+// maxTombstones is how many removed engines are remembered: a stale list may name them again.
 const maxTombstones = 256
 
 // Verdict is what became of an answer.
@@ -39,42 +39,42 @@
 
 // Verdicts.
 const (
-	Confirmed  Verdict = iota // it holds the list that holds
-	Newer                     // it holds a newer one, which holds from now on
-	Unordered                 // it holds another one that is not newer: stale, or of another count
-	Renumbered                // as Other, and it holds from now on: the count has begun anew
-	Late                      // its query was sent ahead of others that were answered, and it tells nothing newer
+	Confirmed  Verdict = iota // it holds the valid list
+	Newer                     // it holds a newer list, which is valid from now on
+	Unordered                 // it holds another list that is not newer: stale, or of another sequence
+	Renumbered                // it holds another list, which is valid from now on: a new sequence of serials has begun
+	Late                      // its query was sent before others that were answered, and it holds nothing newer
 )
 
-// Answer is a usable answer of the name service.
+// Answer is a well-formed answer of the name service.
 type Answer struct {
-	QuerySeq uint64 // the place of its query among all that were sent
+	QuerySeq uint64 // the number of its query among all that were sent
 	Serial   uint32
 	Engines  []config.Engine
 }
 
-// List is the list of engines as it holds now.
+// List is the valid list of engines, and what is remembered of engines that are restricted.
 type List struct {
 	serial     uint32
 	engines    []config.Engine
-	index      map[string]int // in held, by id
-	support    int            // of the list that holds: an answer with it adds one, one with another list takes one away
+	index      map[string]int // in engines, by id
+	support    int            // of the valid list: an answer that confirms it adds one, an answer with another list takes one away
 	lastQuery  uint64         // the latest query that was answered
 	records    map[string]*record
-	tombstones []string // ids of engines that have gone, the longest gone first
+	tombstones []string // ids of removed engines, the longest removed first
 	changed    bool
 }
 
-// record is what is remembered of an engine that something speaks against.
+// record is what is remembered of an engine that is restricted, or missing from answers.
 type record struct {
-	restricted    bool       // it drains or has gone, as far as is known
-	confirmations int        // answers in a row that held the list that holds, or a newer one, and list the engine as active
-	started       int64      // its latest start that is known: a later one is another process
-	absentSince   rules.Time // since when it is missing from answers that are not newer; 0: it is not
+	restricted    bool       // it drains or was removed, as far as is known
+	confirmations int        // consecutive answers that held the valid list, or a newer one, and list the engine as active
+	started       int64      // its latest start that is known, in Unix milliseconds: a later one is another process
+	absentSince   rules.Time // since when it is missing from answers that are not newer; 0: it is not missing
 	tombstone     bool       // it is in tombstones
 }
 
-// New returns the list that a gateway knows at its start.
+// New returns the list that a gateway has at its start.
 func New(serial uint32, engines []config.Engine) *List {
 	list := &List{records: map[string]*record{}}
 	list.adopt(serial, engines)
@@ -87,11 +87,10 @@
 	return list
 }
 
-// Serial is the number of the list that holds.
+// Serial is the serial of the valid list.
 func (l *List) Serial() uint32 { return l.serial }
 
-// Changed returns the list as it holds, with engines that something speaks against as leaving; ok is false if it is as the last
-// call returned it.
+// Changed returns the valid list, with restricted engines as draining; ok is false if it is as the last call returned it.
 func (l *List) Changed() (engines []config.Engine, ok bool) {
 	if !l.changed {
 		return nil, false
@@ -106,14 +105,14 @@
 	return engines, true
 }
 
-// Apply takes an answer.
+// Apply takes an answer of the name service.
 func (l *List) Apply(now rules.Time, answer Answer) Verdict {
 	late := answer.QuerySeq <= l.lastQuery
 	l.lastQuery = max(l.lastQuery, answer.QuerySeq)
 	return l.apply(now, &answer, late)
 }
 
-// Reload takes a list from a configuration that was read again.
+// Reload takes a list from a configuration that was reloaded.
 func (l *List) Reload(now rules.Time, serial uint32, engines []config.Engine) Verdict {
 	return l.apply(now, &Answer{Serial: serial, Engines: engines}, false)
 }
@@ -154,10 +153,10 @@
 	}
 }
 
-// newer compares numbers of lists as RFC 1982 does serials: they go round.
+// newer compares serials as RFC 1982 does, since they wrap around.
 func newer(a, b uint32) bool { return int32(a-b) > 0 }
 
-// adopt takes a list for the one that holds.
+// adopt makes a list the valid one.
 func (l *List) adopt(serial uint32, engines []config.Engine) {
 	l.serial, l.engines, l.support, l.changed = serial, slices.Clone(engines), initialSupport, true
 	l.index = make(map[string]int, len(engines))
@@ -166,7 +165,7 @@
 	}
 }
 
-// same answers whether a list names the same engines in the same states as the one that holds, in any order.
+// same reports whether a list names the same engines in the same states as the valid one, in any order.
 func (l *List) same(engines []config.Engine) bool {
 	if len(engines) != len(l.engines) {
 		return false
@@ -184,7 +183,7 @@
 	return true
 }
 
-// reconfirm takes once more what the list that holds says of engines that are in doubt.
+// reconfirm counts an answer that confirms the valid list for each engine that it lists as active.
 func (l *List) reconfirm() {
 	for id, rec := range l.records {
 		at, held := l.index[id]
@@ -197,8 +196,8 @@
 	}
 }
 
-// compare takes what another list says of each engine. Of engines that the gateway does not know, only a list that is to hold
-// tells anything.
+// compare takes over what another list says of each engine. Engines that the gateway does not know count only if that list becomes
+// valid.
 func (l *List) compare(now rules.Time, answer *Answer, verdict Verdict) {
 	named := make(map[string]bool, len(answer.Engines))
 	for i := range answer.Engines {
@@ -224,7 +223,7 @@
 	}
 }
 
-// restrict notes that an engine drains or has gone.
+// restrict notes that an engine drains or was removed.
 func (l *List) restrict(id string, started int64) {
 	rec := l.recordOf(id)
 	rec.absentSince, rec.started = 0, max(rec.started, started)
@@ -232,7 +231,7 @@
 	rec.restricted, rec.confirmations = true, 0
 }
 
-// confirm notes that an engine was listed as active.
+// confirm notes that an engine was listed as active, and lifts its restriction once that is certain.
 func (l *List) confirm(entry *config.Engine, verdict Verdict) {
 	rec := l.records[entry.ID]
 	if rec == nil {
@@ -248,7 +247,7 @@
 	}
 }
 
-// noteMissing notes that an answer does not name an engine of the list that holds.
+// noteMissing notes that an answer does not name an engine of the valid list.
 func (l *List) noteMissing(now rules.Time, entry *config.Engine, verdict Verdict) {
 	if verdict != Unordered {
 		l.restrict(entry.ID, entry.Started)
@@ -269,6 +268,7 @@
 	return rec
 }
 
+// release lifts an engine's restriction.
 func (l *List) release(id string, rec *record) {
 	l.changed = l.changed || rec.restricted
 	delete(l.records, id)
@@ -277,7 +277,7 @@
 	}
 }
 
-// addTombstone remembers an engine that has gone.
+// addTombstone remembers an engine that was removed.
 func (l *List) addTombstone(id string) {
 	if rec := l.records[id]; !rec.tombstone {
 		rec.tombstone = true
@@ -285,7 +285,7 @@
 	}
 }
 
-// trimTombstones forgets the engines that have been gone for longest, where too many are remembered.
+// trimTombstones forgets the engines that were removed first, if too many are remembered.
 func (l *List) trimTombstones() {
 	for len(l.tombstones) > maxTombstones {
 		id := l.tombstones[0]
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,51 +14,51 @@
 
 const poll = 100 * rules.Millisecond
 
-// fixture is a list with the queries and the time around it.
+// fixture is a list under test, with the queries that were answered and the time.
 type fixture struct {
-	t     rapid.TB
-	list  *List
-	now   rules.Time
-	query uint64
-	view  map[string]string
+	t         rapid.TB
+	list      *List
+	now       rules.Time
+	lastQuery uint64
+	states    map[string]string
 }
 
 func newFixture(t rapid.TB, serial uint32, engines ...config.Engine) *fixture {
-	f := &fixture{t: t, list: New(serial, engines), now: rules.Second, view: map[string]string{}}
-	f.look()
+	f := &fixture{t: t, list: New(serial, engines), now: rules.Second, states: map[string]string{}}
+	f.refresh()
 	return f
 }
 
-// look takes the list over where it has changed, as a gateway does.
-func (f *fixture) look() {
+// refresh takes over the list if it has changed, as a gateway does.
+func (f *fixture) refresh() {
 	engines, ok := f.list.Changed()
 	if !ok {
 		return
 	}
-	clear(f.view)
+	clear(f.states)
 	for _, entry := range engines {
-		f.view[entry.ID] = entry.State
+		f.states[entry.ID] = entry.State
 	}
 }
 
-// hear has an answer come to a query that was sent just now.
-func (f *fixture) hear(serial uint32, engines ...config.Engine) Verdict {
-	f.query++
-	return f.hearLate(f.query, serial, engines...)
+// answer gives the list an answer to a query that was sent just now.
+func (f *fixture) answer(serial uint32, engines ...config.Engine) Verdict {
+	f.lastQuery++
+	return f.answerTo(f.lastQuery, serial, engines...)
 }
 
-func (f *fixture) hearLate(query uint64, serial uint32, engines ...config.Engine) Verdict {
+func (f *fixture) answerTo(query uint64, serial uint32, engines ...config.Engine) Verdict {
 	f.now += poll
 	f.list.Tick(f.now)
 	verdict := f.list.Apply(f.now, Answer{QuerySeq: query, Serial: serial, Engines: engines})
-	f.look()
+	f.refresh()
 	return verdict
 }
 
 // expect fails the test if what the list says of an engine is something else: "active", "leaving" or "" for not listed.
 func (f *fixture) expect(when, id string, want string) {
 	f.t.Helper()
-	if got := f.view[id]; got != want {
+	if got := f.states[id]; got != want {
 		f.t.Errorf("%s: %s is %q, not %q", when, id, got, want)
 	}
 }
@@ -76,71 +76,72 @@
 	off = config.StateDraining
 )
 
-func TestNewerListHoldsAtOnce(t *testing.T) {
+func TestNewerListIsValidAtOnce(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	if verdict := f.hear(2, newEngine("a", off), newEngine("c", on)); verdict != Newer {
+	if verdict := f.answer(2, newEngine("a", off), newEngine("c", on)); verdict != Newer {
 		t.Errorf("verdict %v", verdict)
 	}
-	f.expect("told to drain", "a", off)
-	f.expect("not named", "b", "")
+	f.expect("drains", "a", off)
+	f.expect("not listed", "b", "")
 	f.expect("new", "c", on)
 	if f.list.Serial() != 2 {
 		t.Errorf("serial %d", f.list.Serial())
 	}
 }
 
-// The incident: a list of an earlier count is taken for newer, and the present ones have lower numbers.
-func TestDrainUnderALowerNumberIsBelieved(t *testing.T) {
+// A list of an earlier sequence was taken for newer, and those of the present sequence have lower serials (as in an incident of
+// production).
+func TestDrainUnderALowerSerialTakesEffect(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	f.hear(5, newEngine("a", on), newEngine("b", on))
-	f.hear(2, newEngine("a", off), newEngine("b", on))
-	f.expect("at the first answer", "a", off)
-	f.hear(2, newEngine("a", off), newEngine("b", on))
-	if verdict := f.hear(2, newEngine("a", off), newEngine("b", on)); verdict != Renumbered || f.list.Serial() != 2 {
+	f.answer(5, newEngine("a", on), newEngine("b", on))
+	f.answer(2, newEngine("a", off), newEngine("b", on))
+	f.expect("after the first answer", "a", off)
+	f.answer(2, newEngine("a", off), newEngine("b", on))
+	if verdict := f.answer(2, newEngine("a", off), newEngine("b", on)); verdict != Renumbered || f.list.Serial() != 2 {
 		t.Errorf("the third answer: verdict %v, serial %d", verdict, f.list.Serial())
 	}
-	f.hear(3, newEngine("a", off), newEngine("b", off))
-	f.expect("behind it", "b", off)
+	f.answer(3, newEngine("a", off), newEngine("b", off))
+	f.expect("after it", "b", off)
 }
 
-// A list of an earlier count names an engine as active that was told to drain since, and one that has gone.
-func TestNewerNumberReleasesNothing(t *testing.T) {
+// A list of an earlier sequence lists an engine as active that drains since, and one that was removed.
+func TestNewerSerialLiftsNothing(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on), newEngine("c", on))
-	f.hear(2, newEngine("a", off), newEngine("c", on))
-	f.hear(9, newEngine("a", on), newEngine("b", on), newEngine("c", on))
+	f.answer(2, newEngine("a", off), newEngine("c", on))
+	f.answer(9, newEngine("a", on), newEngine("b", on), newEngine("c", on))
 	f.expect("drained", "a", off)
-	f.expect("gone", "b", off)
+	f.expect("removed", "b", off)
 	f.expect("untouched", "c", on)
 }
 
-// Where the count begins anew in the middle of a life, what it restricts holds at once, and the list behind a second.
+// Where a new sequence of serials begins while the gateway runs, restrictions take effect at once, and the list is valid after a second.
 func TestRenumberingIsAccepted(t *testing.T) {
 	f := newFixture(t, 40, newEngine("a", on), newEngine("b", on), newEngine("c", on))
 	present := []config.Engine{newEngine("a", off), newEngine("c", on), newEngine("d", on)}
-	f.hear(1, present...)
-	f.expect("at the first answer", "a", off)
+	f.answer(1, present...)
+	f.expect("after the first answer", "a", off)
 	for range 4 {
-		f.hear(1, present...)
+		f.answer(1, present...)
 	}
-	f.expect("gone for 0.4 s", "b", off)
-	f.expect("new, and not certain yet", "d", "")
+	f.expect("missing for 0.4 s", "b", off)
+	f.expect("new, and not confirmed yet", "d", "")
 	for range 5 {
-		f.hear(1, present...)
+		f.answer(1, present...)
 	}
 	if f.list.Serial() != 1 {
-		t.Fatalf("serial %d behind ten answers", f.list.Serial())
+		t.Fatalf("serial %d after ten answers", f.list.Serial())
 	}
 	f.expect("new", "d", on)
-	f.expect("gone", "b", "")
+	f.expect("removed", "b", "")
 }
 
-// Single answers from before change nothing: no engine is released, none that came behind them is left out.
+// Single stale answers change nothing: no restriction is lifted, and no engine that was added later is missing.
 func TestStaleAnswersChangeNothing(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
 	now := []config.Engine{newEngine("a", off), newEngine("b", on), newEngine("c", on)}
 	for range 20 {
-		f.hear(2, now...)
-		if verdict := f.hear(1, newEngine("a", on), newEngine("b", on)); verdict != Unordered {
+		f.answer(2, now...)
+		if verdict := f.answer(1, newEngine("a", on), newEngine("b", on)); verdict != Unordered {
 			t.Fatalf("verdict %v", verdict)
 		}
 		f.expect("drained", "a", off)
@@ -149,81 +150,81 @@
 	}
 }
 
-// An engine that drained and is active again is used once that was told several times; a later start of it counts at once.
-func TestReturn(t *testing.T) {
+// An engine that drained and is active again is used after several answers that say so; a later start of it counts at once.
+func TestRestrictionIsLifted(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	f.hear(2, newEngine("a", off), newEngine("b", off))
+	f.answer(2, newEngine("a", off), newEngine("b", off))
 	for i := range confirmationsNeeded {
-		f.expect(fmt.Sprint("behind ", i, " answers"), "a", off)
-		f.hear(3, newEngine("a", on), newEngine("b", on, 5000))
-		f.expect("started anew", "b", on)
+		f.expect(fmt.Sprint("after ", i, " answers"), "a", off)
+		f.answer(3, newEngine("a", on), newEngine("b", on, 5000))
+		f.expect("restarted", "b", on)
 	}
-	f.expect("told often enough", "a", on)
-	f.hear(4, newEngine("a", off), newEngine("b", on, 5000))
+	f.expect("confirmed often enough", "a", on)
+	f.answer(4, newEngine("a", off), newEngine("b", on, 5000))
 	f.expect("drains again", "a", off)
 }
 
-// Answers that come late or twice tell nothing, unless they hold a newer list.
+// Answers that come late or twice change nothing, unless they hold a newer list.
 func TestLateAnswers(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on))
-	f.hear(3, newEngine("a", on), newEngine("b", on))
-	f.query = 10
-	f.hear(3, newEngine("a", on), newEngine("b", on))
+	f.answer(3, newEngine("a", on), newEngine("b", on))
+	f.lastQuery = 10
+	f.answer(3, newEngine("a", on), newEngine("b", on))
 	for range 20 {
-		if verdict := f.hearLate(4, 2, newEngine("a", on)); verdict != Late {
+		if verdict := f.answerTo(4, 2, newEngine("a", on)); verdict != Late {
 			t.Fatalf("verdict %v", verdict)
 		}
 	}
 	f.expect("not in late answers", "b", on)
-	f.hearLate(5, 4, newEngine("a", off), newEngine("b", on))
+	f.answerTo(5, 4, newEngine("a", off), newEngine("b", on))
 	f.expect("newer, if late", "a", off)
 }
 
-// One number may stand for two lists, of two counts: what is told in the end holds.
-func TestSameNumberOtherList(t *testing.T) {
+// One serial may belong to two lists, of two sequences: the one that is answered in the end is valid.
+func TestSameSerialOtherList(t *testing.T) {
 	f := newFixture(t, 3, newEngine("a", on), newEngine("b", on))
 	for range maxSupport {
-		f.hear(3, newEngine("a", off), newEngine("c", on))
+		f.answer(3, newEngine("a", off), newEngine("c", on))
 	}
 	f.expect("drains", "a", off)
-	f.expect("gone", "b", "")
+	f.expect("removed", "b", "")
 	f.expect("new", "c", on)
 }
 
-// What was told for a second is not taken back by nine answers that say otherwise.
+// A list that was confirmed for a second is not replaced by nine answers with another one.
 func TestWellSupportedListStands(t *testing.T) {
 	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
 	for range maxSupport {
-		f.hear(2, newEngine("a", off))
+		f.answer(2, newEngine("a", off))
 	}
 	for range maxSupport - 1 {
-		f.hear(1, newEngine("a", on), newEngine("b", on))
-		f.expect("told for a second", "a", off)
+		f.answer(1, newEngine("a", on), newEngine("b", on))
+		f.expect("confirmed for a second", "a", off)
 	}
 	if f.list.Serial() != 2 {
 		t.Errorf("serial %d", f.list.Serial())
 	}
 }
 
-// Numbers of lists go round.
-func TestNumbersGoRound(t *testing.T) {
+// Serials wrap around.
+func TestSerialsWrapAround(t *testing.T) {
 	for _, c := range []struct {
-		held, told uint32
+		held, answered uint32
 		newer      bool
 	}{{5, 5, false}, {5, 6, true}, {5, 4, false}, {1<<32 - 1, 0, true}, {1<<32 - 2, 3, true}, {3, 1<<32 - 2, false}, {0, 1, true}, {1, 1<<31 + 5, false}} {
-		if newer(c.told, c.held) != c.newer {
-			t.Errorf("%d behind %d counts as newer: %v", c.told, c.held, !c.newer)
+		if newer(c.answered, c.held) != c.newer {
+			t.Errorf("%d after %d counts as newer: %v", c.answered, c.held, !c.newer)
 		}
 	}
 }
 
-// What is remembered of engines that have gone stays bounded.
+// What is remembered of removed engines stays bounded.
 func TestTombstonesAreBounded(t *testing.T) {
 	f := newFixture(t, 1)
 	for i := range uint32(5000) {
-		f.hear(2+i, newEngine(fmt.Sprint("e", i), on))
+		f.answer(2+i, newEngine(fmt.Sprint("e", i), on))
 		if i%7 == 0 {
-			f.hear(1, newEngine(fmt.Sprint("stale", i), off))
+			f.answer(1, newEngine(fmt.Sprint("stale", i), off))
 		}
 	}
 	if len(f.list.records) > maxTombstones+2 || len(f.list.tombstones) > maxTombstones {
@@ -231,10 +232,10 @@
 	}
 }
 
-// history is what a name service has: each version of the list, numbered in counts that begin anew.
+// history is what a name service has: each version of the list, with serials that are renumbered at times.
 type history struct {
 	versions []version
-	base     int // this less than a place is a version's number in the present count
+	base     int // the serial of a version in the present sequence is its index less this
 }
 
 type version struct {
@@ -242,9 +243,9 @@
 	engines []config.Engine
 }
 
-// Through answers that are lost, late, doubled, stale or of an earlier count, and through counts that begin anew: an engine that
-// a good answer has told to drain or to be gone is never active behind the grace, and in the end the list is the service's.
-// Stale answers come two in a row at most, and at least as many good ones behind them.
+// Whatever is lost, late, duplicated, stale, of an earlier sequence or renumbered: an engine that drains or was removed by a correct
+// answer is never active after the grace, and in the end the list is the name service's. There are two stale answers in a row at most,
+// and at least as many correct ones after them.
 func TestRandomNameService(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -262,14 +263,14 @@
 			}
 			return out
 		}
-		h := history{base: -1}
+		served := history{base: -1}
 		publish := func() {
-			h.versions = append(h.versions, version{uint32(len(h.versions) - h.base), list()})
+			served.versions = append(served.versions, version{uint32(len(served.versions) - served.base), list()})
 		}
 		publish()
-		f := newFixture(rt, h.versions[0].serial, h.versions[0].engines...)
-		told := map[string]rules.Time{}
-		goodOwed, staleInRow := 0, 0
+		f := newFixture(rt, served.versions[0].serial, served.versions[0].engines...)
+		notified := map[string]rules.Time{}
+		correctDue, staleInRow := 0, 0
 		for range 150 {
 			switch rng.IntN(25) {
 			case 0: // a change
@@ -281,61 +282,61 @@
 					state[id] = ""
 					if rng.IntN(3) == 0 {
 						state[id] = on
-						delete(told, id)
+						delete(notified, id)
 					}
-				default: // gone for good: another comes
+				default: // removed for good: another is added
 					names = append(names, fmt.Sprint("e", len(names)))
 					state[names[len(names)-1]] = on
 				}
 				publish()
 			case 1:
-				if rng.IntN(4) == 0 { // the count begins anew
-					h.base = len(h.versions) - 2
+				if rng.IntN(4) == 0 { // a new sequence of serials
+					served.base = len(served.versions) - 2
 					publish()
 				}
 			}
-			present := h.versions[len(h.versions)-1]
-			f.query++
+			present := served.versions[len(served.versions)-1]
+			f.lastQuery++
 			kind := rng.IntN(10)
 			if kind == 0 { // lost
 				f.now += poll
 				f.list.Tick(f.now)
-				f.look()
-			} else if kind <= 2 && goodOwed == 0 && staleInRow < 2 {
-				old := h.versions[rng.IntN(len(h.versions))]
+				f.refresh()
+			} else if kind <= 2 && correctDue == 0 && staleInRow < 2 {
+				old := served.versions[rng.IntN(len(served.versions))]
 				f.list.Tick(f.now + poll)
 				f.now += poll
-				f.list.Apply(f.now, Answer{QuerySeq: f.query, Serial: old.serial, Engines: old.engines})
-				f.look()
+				f.list.Apply(f.now, Answer{QuerySeq: f.lastQuery, Serial: old.serial, Engines: old.engines})
+				f.refresh()
 				staleInRow++
 			} else {
 				if staleInRow > 0 {
-					goodOwed, staleInRow = max(goodOwed, staleInRow+1), 0
+					correctDue, staleInRow = max(correctDue, staleInRow+1), 0
 				}
-				goodOwed = max(0, goodOwed-1)
-				f.hearLate(f.query, present.serial, present.engines...)
+				correctDue = max(0, correctDue-1)
+				f.answerTo(f.lastQuery, present.serial, present.engines...)
 				for _, id := range names {
-					if _, known := told[id]; !known && state[id] != on {
-						told[id] = f.now
+					if _, known := notified[id]; !known && state[id] != on {
+						notified[id] = f.now
 					}
 				}
 				if kind == 9 { // twice
-					f.hearLate(f.query, present.serial, present.engines...)
+					f.answerTo(f.lastQuery, present.serial, present.engines...)
 				}
 			}
-			for id, at := range told {
-				if f.view[id] == on && f.now-at > rules.Second {
-					rt.Fatalf("%s is active %d ms behind its end was told", id, (f.now-at)/rules.Millisecond)
+			for id, at := range notified {
+				if f.states[id] == on && f.now-at > rules.Second {
+					rt.Fatalf("%s is active %d ms after its restriction was answered", id, (f.now-at)/rules.Millisecond)
 				}
 			}
 		}
-		present := h.versions[len(h.versions)-1]
+		present := served.versions[len(served.versions)-1]
 		for range 2 * maxSupport {
-			f.hear(present.serial, present.engines...)
+			f.answer(present.serial, present.engines...)
 		}
 		for _, id := range names {
-			if f.view[id] != state[id] {
-				rt.Fatalf("%s is %q, and %q in the list", id, f.view[id], state[id])
+			if f.states[id] != state[id] {
+				rt.Fatalf("%s is %q, and %q in the list", id, f.states[id], state[id])
 			}
 		}
 	})
