--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -19,7 +19,7 @@
 	conns      slotTable[clientConn]
 	requests   slotTable[queryRequest]
 	queue      serialQueue[admission.Event]
-	wakeAt     rules.Time      // when the controller wants to be woken; 0: never
+	alarm      alarm           // of the controller
 	lastStats  admission.Stats // when figures were last logged
 }
 
@@ -106,7 +106,7 @@
 			g.protocolError(client, 1, errUnfinishedInput)
 		}
 	case admission.SetTimer:
-		control.wakeAt = effect.At
+		control.alarm = alarm(effect.At)
 	}
 }
 
@@ -165,8 +165,7 @@
 }
 
 func (g *Gateway) wakeAdmission() {
-	if control := g.admission; control != nil && control.wakeAt != 0 && control.wakeAt <= g.now {
-		control.wakeAt = 0
+	if control := g.admission; control != nil && control.alarm.ring(g.now) {
 		g.handleAdmission(admission.Event{Kind: admission.TimerFired})
 	}
 }
--- a/internal/gateway/serialqueue.go
+++ b/internal/gateway/machines.go
@@ -1,5 +1,21 @@
 package gateway
 
+import "foxlane/rules"
+
+// This file has what the state machines beside the reducer have in common: the admission controller, the spool and the module.
+
+// alarm is when a state machine wants to be woken; 0: never.
+type alarm rules.Time
+
+// ring reports whether the time has come, and clears the alarm if so.
+func (a *alarm) ring(now rules.Time) bool {
+	if *a == 0 || rules.Time(*a) > now {
+		return false
+	}
+	*a = 0
+	return true
+}
+
 // serialQueue hands events to a state machine one at a time. An event that arises while the effects of another are carried out
 // waits until those are done: the machine is never called from within its own effects, and sees events in the order in which they
 // arose.
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -9,7 +9,6 @@
 	"foxlane/internal/engine"
 	"foxlane/internal/mysql"
 	"foxlane/internal/spool"
-	"foxlane/rules"
 )
 
 // This file connects the reducer with package spool: it tells the spool of results and readers, and carries out what the spool
@@ -20,7 +19,7 @@
 type resultStore struct {
 	spool     *spool.Store
 	queue     serialQueue[spool.Event]
-	wakeAt    rules.Time                 // when the spool wants to be woken; 0: never
+	alarm     alarm                      // of the spool
 	random    *rand.ChaCha8              // of handles
 	filling   map[spool.ID]*queryRequest // whose results are not complete
 	readers   slotTable[clientConn]
@@ -76,7 +75,7 @@
 	case spool.WriteRecord, spool.LoadChunk, spool.DiscardRecords:
 		g.emit(SubmitSpool{Effect: effect})
 	case spool.SetTimer:
-		store.wakeAt = effect.At
+		store.alarm = alarm(effect.At)
 	case spool.DeliverChunk:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.writeChunk(client, effect)
@@ -180,8 +179,7 @@
 }
 
 func (g *Gateway) wakeSpool() {
-	if store := g.results; store != nil && store.wakeAt != 0 && store.wakeAt <= g.now {
-		store.wakeAt = 0
+	if store := g.results; store != nil && store.alarm.ring(g.now) {
 		g.handleSpool(spool.Event{Kind: spool.TimerFired})
 	}
 }
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -60,11 +60,16 @@
 // nextWake is when the reducer is to be woken next: by its own timers, or because the admission controller or the spool asks for it.
 func (g *Gateway) nextWake() (at rules.Time, ok bool) {
 	at, ok = g.timers.next()
-	if control := g.admission; control != nil && control.wakeAt != 0 && (!ok || control.wakeAt < at) {
-		at, ok = max(control.wakeAt, g.now+1), true
+	earlier := func(alarm alarm) {
+		if wake := rules.Time(alarm); wake != 0 && (!ok || wake < at) {
+			at, ok = max(wake, g.now+1), true
+		}
+	}
+	if g.admission != nil {
+		earlier(g.admission.alarm)
 	}
-	if store := g.results; store != nil && store.wakeAt != 0 && (!ok || store.wakeAt < at) {
-		at, ok = max(store.wakeAt, g.now+1), true
+	if g.results != nil {
+		earlier(g.results.alarm)
 	}
 	return at, ok
 }
