--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,7 +11,7 @@
 	"foxlane/rules"
 )
 
-// withAdmission sets a door, and limits that a flood reaches.
+// withAdmission configures admission control, and limits that a flood reaches.
 func withAdmission(t testing.TB, text string, conns, asks int) func(*config.Config) {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
@@ -35,12 +35,12 @@
   }
 }`
 
-// The seven rules hold with the door on and a flood at it, under failures, with reloads that change the
-// weights and networks while requests are held, up to the end by SIGTERM.
+// The seven rules hold with admission control on and a flood of requests, under failures, with reloads that change the
+// weights and networks while requests are queued, up to the end by SIGTERM.
 func TestRulesWithAdmissionControl(t *testing.T) {
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range uint64(6) {
-			t.Run(fmt.Sprintf("rough %v seed %d", faultRate, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("fault rate %v seed %d", faultRate, seed), func(t *testing.T) {
 				sim := newSimulationWith(t, seed, faultRate, withAdmission(t, fmt.Sprintf(admissionText, 1), 70, 60))
 				sim.nextClientAddr = func() netip.Addr {
 					switch n := sim.rng.IntN(10); {
@@ -62,14 +62,14 @@
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
 				if sim.served < 100 || sim.rejected < 20 {
-					t.Errorf("only %d served and %d refused: the test has lost its subject", sim.served, sim.rejected)
+					t.Errorf("only %d served and %d rejected: the test has lost its subject", sim.served, sim.rejected)
 				}
 				stats := sim.g.admission.controller.Stats()
 				if stats.Delayed < 20 {
-					t.Errorf("only %d waited at the door: the test has lost its subject", stats.Delayed)
+					t.Errorf("only %d were delayed: the test has lost its subject", stats.Delayed)
 				}
 				if stats.Queued != 0 || len(sim.g.admission.requests.free) != len(sim.g.admission.requests.entries)-len(sim.g.requests) {
-					t.Errorf("left at the door: %+v, %d slots of %d free, %d requests", stats, len(sim.g.admission.requests.free), len(sim.g.admission.requests.entries), len(sim.g.requests))
+					t.Errorf("left in admission control: %+v, %d slots of %d free, %d requests", stats, len(sim.g.admission.requests.free), len(sim.g.admission.requests.entries), len(sim.g.requests))
 				}
 			})
 		}
@@ -84,7 +84,7 @@
 	return s
 }
 
-// newAdmissionGateway is a bench with the door on, whose engine answers nothing by itself.
+// newAdmissionGateway has admission control on, and an engine that answers nothing by itself.
 func newAdmissionGateway(t *testing.T, text string, conns, asks int) *testGateway {
 	return newTestGatewayWith(t, withAdmission(t, text, conns, asks), oneHost)
 }
@@ -101,8 +101,8 @@
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, more)))
 }
 
-// What is held at the door has one final answer each: by KILL none, by leaving none, by SIGTERM and by
-// its deadline a refusal ahead of it.
+// A queued request has one final answer: none after a KILL or a close by its client, a rejection after SIGTERM or ahead of its
+// deadline.
 func TestQueuedRequestEndsOnce(t *testing.T) {
 	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
 	for i := range ConnID(50) {
@@ -147,14 +147,14 @@
 	}
 }
 
-// A refusal names the time of return where the site allows it, and none where it does not.
+// A rejection names a Retry-After where the settings allow it, and none where they don't.
 func TestRejectionsNameARetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		gw := newTestGatewayWith(t, func(cfg *config.Config) {
 			withAdmission(t, "fair {\n longest = \"400ms\"\n}", 60, 10)(cfg)
 			cfg.Settings.Rules.Limits.RetryAfter = allowed
 		}, oneHost)
-		refused := 0
+		rejected := 0
 		for i := range ConnID(40) {
 			gw.clientFrom(1+i, "10.0.0.1")
 			gw.takeOutput(1 + i)
@@ -162,19 +162,19 @@
 		}
 		for i := range ConnID(40) {
 			if out := gw.takeOutput(1 + i); strings.Contains(out, "refused") {
-				refused++
+				rejected++
 				if strings.Contains(out, "holdoff=") != allowed {
 					t.Errorf("allowed %v: %q", allowed, out)
 				}
 			}
 		}
-		if refused < 20 {
-			t.Errorf("only %d refused", refused)
+		if rejected < 20 {
+			t.Errorf("only %d rejected", rejected)
 		}
 	}
 }
 
-// A tenant that nobody declared is an error to its client unless the operator lets any be told; a name
+// A tenant that nobody declared is an error to its client unless the operator accepts any; a name
 // of any length and of any bytes is then no more than a name.
 func TestAdmissionByTenant(t *testing.T) {
 	long := strings.Repeat("x", 50<<10)
@@ -221,7 +221,7 @@
 			gw.takeOutput(2 + i)
 			gw.receive(2+i, string(queryPacket("SET x = 1")))
 			if out := gw.takeOutput(2 + i); gw.closed[2+i] || strings.Contains(out, "\xff") {
-				t.Errorf("asks %v: newcomer %d was turned away: %q", asks, i, out)
+				t.Errorf("asks %v: new client %d was rejected: %q", asks, i, out)
 			}
 		}
 		if n := len(gw.g.clients); n > 60 {
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -6,8 +6,8 @@
 	"foxlane/rules"
 )
 
-// An engine that starts after the wall clock was stepped is cold for as long as any other, though its stamp and our time
-// are an hour apart; so is one whose stamp was made before the step and is told behind it.
+// An engine that starts after the wall clock was stepped warms up for as long as any other, though its start time and our clock are
+// an hour apart; so does one whose start time was taken before the step and is listed after it.
 func TestColdStartAcrossAStepOfTheClock(t *testing.T) {
 	const hour = 3600 * rules.Second
 	for name, c := range map[string]struct{ skew, stamped rules.Time }{
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -12,7 +12,7 @@
 
 const membersText = "members {\n  bind = \"127.0.0.1:7946\"\n}\n"
 
-// A gateway that votes alone carries out what it is ordered, keeps the rules meanwhile, and goes back when the order is taken back.
+// A gateway that is the only voter applies directives, keeps the rules meanwhile, and returns to normal once a directive is withdrawn.
 func TestDirectivesAreApplied(t *testing.T) {
 	text := membersText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	sim := newSimulationWith(t, 4, 0, withSite(t, text))
@@ -20,17 +20,17 @@
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
-	order := func(at rules.Time, op, kind, subject string) {
+	command := func(at rules.Time, op, kind, subject string) {
 		sim.schedule(at, func() {
 			sim.step(ControlRequest{Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
 		})
 	}
-	order(3*rules.Second, "set", "drain-engine", "s-00000001")
-	order(6*rules.Second, "unset", "drain-engine", "s-00000001")
-	order(9*rules.Second, "set", "drain-zone", "hall-a")
-	order(14*rules.Second, "unset", "drain-zone", "hall-a")
-	order(18*rules.Second, "set", "refuse-class", "point")
-	order(21*rules.Second, "set", "dance", "all")
+	command(3*rules.Second, "set", "drain-engine", "s-00000001")
+	command(6*rules.Second, "unset", "drain-engine", "s-00000001")
+	command(9*rules.Second, "set", "drain-zone", "hall-a")
+	command(14*rules.Second, "unset", "drain-zone", "hall-a")
+	command(18*rules.Second, "set", "refuse-class", "point")
+	command(21*rules.Second, "set", "dance", "all")
 	sim.schedule(22*rules.Second, func() { sim.step(ControlRequest{Conn: 8, Data: []byte("book")}) })
 	sim.run(sim.start + 24*rules.Second)
 	engine := func(id string, from, to rules.Time) (n int) {
@@ -57,9 +57,9 @@
 		}
 	}
 	if served > 0 || sim.rejected < 50 {
-		t.Errorf("%d requests of the class that is refused were sent on, %d were refused", served, sim.rejected)
+		t.Errorf("%d requests of the rejected class were forwarded, %d were rejected", served, sim.rejected)
 	}
-	holds, unknown, book := 0, 0, 0
+	holds, unknown, lists := 0, 0, 0
 	for _, s := range sim.commandAnswers {
 		switch {
 		case strings.HasPrefix(s, `{"index":`) && !strings.Contains(s, "held"):
@@ -67,16 +67,16 @@
 		case strings.Contains(s, "unknown kind"):
 			unknown++
 		case strings.Contains(s, `"held":[{"kind":"refuse-class"`):
-			book++
+			lists++
 		}
 	}
-	if holds != 5 || unknown != 1 || book != 1 {
+	if holds != 5 || unknown != 1 || lists != 1 {
 		t.Errorf("answers: %v", sim.commandAnswers)
 	}
 	sim.reportViolations()
 }
 
-// A gateway whose talk is switched off and on serves on; without the block a question is answered with an error.
+// A gateway serves on while its block `members` comes and goes; without the block a question is answered with an error.
 func TestMembersBlockComesAndGoes(t *testing.T) {
 	sim := newSimulationWith(t, 5, 0.4, withSite(t, membersText))
 	n := 0
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -9,8 +9,8 @@
 	"foxlane/rules"
 )
 
-// What the module must never ask for, and what the reducer must never do, is counted by name at the place where it is
-// carried out, and logged once with the request's id.
+// What the module must never ask for, and what the reducer must never do, is counted by name where it is carried out, and logged once
+// with the request's id.
 func TestGuardsCountWhatMustNotBe(t *testing.T) {
 	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
 	sendAgain := func(gw *testGateway, class string) { // one attempt is in flight, and the module asks for another
@@ -50,7 +50,7 @@
 			gw.closeConn(1)
 			gw.g.writeAttempt(attempt)
 		}, guard.SendAfterEnd},
-		"a refusal of what may have run": {func(gw *testGateway) {
+		"a rejection of what may have run": {func(gw *testGateway) {
 			gw.sendToEngine("load")
 			gw.g.reject(gw.g.requests[idA], 0, EndOverCapacity)
 		}, guard.RejectedMayHaveRun},
@@ -81,7 +81,7 @@
 	}
 }
 
-// One request is followed by its id through all that becomes of it, and each connection's end has a reason.
+// One request can be followed by its id through the log, and the end of each connection has a reason.
 func TestTraceFollowsARequest(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.cfg.Trace = true
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -13,18 +13,18 @@
 	"foxlane/rules"
 )
 
-// interleaving is a gateway with two engines, one client's request open, and whatever comes next in any order. It judges
-// by what was written alone.
+// interleaving is a gateway with two engines, one client's request in flight, and events that come in any order. It judges by what was
+// written alone.
 type interleaving struct {
 	*testGateway
 	class          string
-	asks           int  // times that the request came whole to an engine
+	asks           int  // times that the request came complete to an engine
 	mayHaveRun     int  // of these, times that it may have run
 	sentAfterLeave bool // it came there after its client had left
 	answers        int  // final ones
-	left           bool // its client has gone, or has killed it
+	left           bool // its client has gone or has killed it
 	readUpTo       map[ConnID]int
-	resolvedDials  map[ConnID]bool // links that have come up, or never will
+	resolvedDials  map[ConnID]bool // connections that have come up, or never will
 }
 
 const killerConn = 3 // the connection that kills
@@ -38,7 +38,7 @@
 	return x
 }
 
-// observe reads what was written since the last look.
+// observe reads what was written since it was last called.
 func (x *interleaving) observe() {
 	x.t.Helper()
 	for id, out := range x.output {
@@ -70,7 +70,7 @@
 	x.step(DNSResponse{Data: standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)})
 }
 
-// interleavedEvents are all that may come, by name.
+// interleavedEvents are the events that may come, by name.
 var interleavedEvents = []struct {
 	name string
 	do   func(x *interleaving)
@@ -144,7 +144,7 @@
 			x.closeConn(id)
 		}
 	}},
-	{"drain told", func(x *interleaving) {
+	{"drain listed", func(x *interleaving) {
 		x.list(7, func(hosts []standin.Host) { hosts[0].Draining, hosts[1].Draining = true, true })
 	}},
 	{"another address", func(x *interleaving) {
@@ -161,9 +161,8 @@
 	{"a while", func(x *interleaving) { x.advance(260 * rules.Millisecond) }},
 }
 
-// Whatever comes in whatever order, two and three of all that may: one final answer at most, and one unless the
-// client has gone; what must not run twice doesn't; nothing goes to an engine once the client has left; nothing is left
-// behind, and the process ends.
+// Every order of two and three events: there is one final answer at most, and one unless the client has gone; what must not run twice
+// doesn't; nothing goes to an engine once the client has gone; no state is left, and the process exits.
 func TestAllInterleavings(t *testing.T) {
 	cases := 0
 	for _, class := range []string{"point", "note", "load"} {
@@ -171,7 +170,7 @@
 			cases++
 			x := newInterleaving(t, class)
 			names := ""
-			if order[0] != 0 && order[0] != 1 { // or the request itself is among what crosses
+			if order[0] != 0 && order[0] != 1 { // otherwise the request itself is one of the events
 				interleavedEvents[0].do(x)
 			}
 			for _, i := range order {
@@ -217,11 +216,11 @@
 			}
 		}
 	}
-	t.Logf("%d orders", cases)
+	t.Logf("%d interleavings", cases)
 }
 
-// Hundreds leave in one turn, as the connection comes up for which their requests have waited: nothing of theirs is sent,
-// and nothing of them stays.
+// Hundreds of clients go in one batch, as the connection comes up for which their requests have waited: nothing of theirs is sent, and no
+// state of them is left.
 func TestHundredsLeaveInOneBatch(t *testing.T) {
 	const leaving = 200
 	for _, upFirst := range []bool{true, false} {
@@ -249,12 +248,12 @@
 			up()
 		}
 		gw.flush()
-		for link := range links {
-			got := gw.takeOutput(link)
+		for connID := range links {
+			got := gw.takeOutput(connID)
 			for id := 1; id <= leaving; id++ {
 				name := fmt.Sprintf("%016x", id)
 				if strings.Contains(got, "ASK "+name) && !strings.Contains(got, "QUIT "+name) {
-					t.Fatalf("up first %v: client %d has gone, and its request was sent and not given up", upFirst, id)
+					t.Fatalf("up first %v: client %d has gone, and its request was sent and not cancelled", upFirst, id)
 				}
 			}
 		}
@@ -264,41 +263,40 @@
 	}
 }
 
-// A connection that breaks ahead of what was written to it proves that this never ran: a load is sent again, where
-// a load of which every byte was taken may have run and is not.
+// A connection that breaks before the system has accepted all that was written proves that the last request never ran: a load is sent
+// again, where one of which every byte was accepted may have run and is not.
 func TestUnwrittenNeverRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		missing int64
 		again   bool
-	}{"all was taken": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
+	}{"all was accepted": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
 		gw := newTestGateway(t)
-		link := gw.sendToEngine("load")
+		connID := gw.sendToEngine("load")
 		gw.takeOutput(1)
-		gw.written[link] = max(gw.written[link]-c.missing, 0)
-		gw.closeConn(link)
+		gw.written[connID] = max(gw.written[connID]-c.missing, 0)
+		gw.closeConn(connID)
 		if again := gw.g.requests[idA] != nil && len(gw.dials) == 2; again != c.again {
 			t.Errorf("%s: sent again %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
 		}
 	}
 }
 
-// An engine's connection ends in the same turn in which a load is put on it: the load was never written.
+// An engine's connection ends in the same batch in which a load is put on it: the load was never written.
 func TestConnectionEndsInTheBatchOfASend(t *testing.T) {
 	gw := newTestGateway(t)
-	link := gw.sendToEngine("point")
-	gw.receive(link, idA+" served total=1 0\r\n\r\n")
+	connID := gw.sendToEngine("point")
+	gw.receive(connID, idA+" served total=1 0\r\n\r\n")
 	gw.advance(10 * rules.Millisecond)
-	taken := gw.written[link]
+	taken := gw.written[connID]
 	gw.g.Step(gw.now, &DataReceived{Conn: 1, Data: []byte(askText("load", idB))})
-	gw.g.Step(gw.now, ConnectionClosed{Conn: link, AcceptedBytes: taken})
+	gw.g.Step(gw.now, ConnectionClosed{Conn: connID, AcceptedBytes: taken})
 	gw.flush()
 	if req := gw.g.requests[idB]; req == nil || len(gw.dials) != 2 {
-		t.Errorf("a load that was never written was given up: %q", gw.takeOutput(1))
+		t.Errorf("a load that was never written was abandoned: %q", gw.takeOutput(1))
 	}
 }
 
-// An engine gets another address while a dial to the old one is under way: nothing is written there, and the request
-// goes on at once.
+// An engine gets another address while a dial to the old one is under way: nothing is written there, and the request is retried at once.
 func TestDialToAnOldAddressIsGivenUp(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -308,7 +306,7 @@
 	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
 	gw.step(DNSResponse{Data: standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{moved})})
 	if len(gw.dials) != 2 || !gw.closed[old] {
-		t.Fatalf("%d dials, the old one given up: %v", len(gw.dials), gw.closed[old])
+		t.Fatalf("%d dials, the old one cancelled: %v", len(gw.dials), gw.closed[old])
 	}
 	gw.step(DialSucceeded{Conn: old}) // it crossed
 	gw.step(DialSucceeded{Conn: gw.dials[1]})
@@ -320,19 +318,19 @@
 	}
 }
 
-// A connection that comes up later than a dial may take carries nothing that waited for it: the process stood still.
+// A connection that comes up later than a dial may take carries nothing that waited for it: the process was stopped.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
 	gw.receive(1, askText("note", idA))
-	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // frozen: no timer rang
+	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // stopped: no timer fired
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
 		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.ConnectTimeout+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
 	}
 }
 
-// No connection is left for an attempt: that tells nothing of its engine.
+// That the limit of connections is reached says nothing of an engine.
 func TestConnectionLimitBlamesNoEngine(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxConns = 0
@@ -342,44 +340,44 @@
 		gw.advance(400 * rules.Millisecond)
 	}
 	if gw.g.module.EngineViews()[0].Ejected {
-		t.Error("the engine is left out for our want of connections")
+		t.Error("the engine is ejected because our limit of connections was reached")
 	}
 }
 
-// A KILL on a connection that was opened while the session's last query was still open, and comes behind its answer,
-// leaves the next one alone. One that was opened later means the next.
+// A KILL on a connection that was opened while the session's last query was in flight, and comes after the answer to that, leaves the
+// next query alone. On a connection that was opened later it means the next query.
 func TestKillBehindTheAnswer(t *testing.T) {
 	for _, openedLate := range []bool{false, true} {
 		gw := newTestGateway(t)
 		gw.client(1)
 		session := gw.g.clients[1].session
 		gw.receive(1, askText("point", idA))
-		link := gw.dials[0]
-		gw.step(DialSucceeded{Conn: link})
+		connID := gw.dials[0]
+		gw.step(DialSucceeded{Conn: connID})
 		if !openedLate {
 			gw.client(2)
 		}
 		gw.now += rules.Millisecond
-		gw.receive(link, idA+" served total=1 0\r\n\r\n")
+		gw.receive(connID, idA+" served total=1 0\r\n\r\n")
 		gw.now += rules.Millisecond
 		gw.receive(1, askText("point", idB))
 		if openedLate {
 			gw.client(2)
 		}
-		gw.takeOutput(link)
+		gw.takeOutput(connID)
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := gw.g.requests[idB] == nil; hit != openedLate {
-			t.Errorf("opened behind the answer %v: the next query was killed %v", openedLate, hit)
+			t.Errorf("opened after the answer %v: the next query was killed %v", openedLate, hit)
 		}
 	}
 }
 
-// At the end: who has asked for nothing hears a refusal, newcomers too; who rests is left to the last close; and a
-// request that is read while the end is under way is answered ahead of it.
+// During a shutdown clients that have sent no command get an error, new ones too; idle ones stay until the last close; and a request that
+// is read while the process exits is answered first.
 func TestEndAnswersWhatComesMeanwhile(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
-	gw.receive(1, string(packet(0, []byte{14}))) // a ping: it rests
+	gw.receive(1, string(packet(0, []byte{14}))) // a ping: it is idle
 	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.MinDrainPeriod - 10*rules.Millisecond)
 	gw.client(2) // asks for nothing
@@ -397,16 +395,16 @@
 	}
 	gw.step(ConnectionAccepted{Conn: 4})
 	if got := gw.takeOutput(4); !strings.Contains(got, "Too many") || !gw.closed[4] {
-		t.Errorf("a newcomer got %q, closed %v", got, gw.closed[4])
+		t.Errorf("a new client got %q, closed %v", got, gw.closed[4])
 	}
 	if gw.closed[1] {
-		t.Error("the resting one was closed from the reducer, over what it may be sending")
+		t.Error("the idle one was closed by the reducer, while it may be sending")
 	}
 	gw.takeOutput(1)
 	gw.exited = false
 	gw.receive(1, askText("point", idA))
 	if gw.exited {
-		t.Fatal("ended with a request open")
+		t.Fatal("ended with a request in flight")
 	}
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.receive(gw.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
@@ -415,7 +413,7 @@
 	}
 }
 
-// A client that sends commands without end and reads nothing is closed before its answers fill the memory.
+// A client that sends many commands and reads no answers is closed before these fill the memory.
 func TestAnswersUnread(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -425,7 +423,7 @@
 	}
 }
 
-// socketRenewals counts how often the gateway asks from a new socket while time goes by.
+// socketRenewals is when the gateway asks for a new socket while time goes by.
 func socketRenewals(gw *testGateway, d rules.Time, each func()) (at []rules.Time) {
 	from := gw.now
 	for end := gw.now + d; gw.now < end; {
@@ -444,8 +442,8 @@
 	return at
 }
 
-// A name service that falls silent is asked from a new socket after a second, and then after twice as long each time;
-// one that answers never is, however late it does.
+// A name service that falls silent is asked from a new socket after a second, and then after twice as long each time; one that answers
+// is not, however late its answers come.
 func TestSilentNameServiceGetsANewSocket(t *testing.T) {
 	gw := newTestGateway(t)
 	at := socketRenewals(gw, 20*rules.Second, nil)
@@ -476,7 +474,7 @@
 	}
 }
 
-// An answer that is seconds late still counts: what it tells counts as told.
+// An answer that is seconds late still counts.
 func TestLateList(t *testing.T) {
 	gw := newTestGateway(t)
 	id := gw.g.queryIDs[0]
@@ -493,7 +491,7 @@
 	}
 }
 
-// Behind many reloads, each of which asks as well, an answer that is seconds late still counts.
+// After many reloads, each of which sends a query as well, an answer that is seconds late still counts.
 func TestLateListBehindManyReloads(t *testing.T) {
 	gw := newTestGateway(t)
 	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); maxQueries < 2*polls {
@@ -509,8 +507,8 @@
 	gw.checkDrainNoticed(id, "3 s")
 }
 
-// A reload that moves the name service: an older list in the file changes nothing, a newer one counts, and going back
-// to the first address asks there again, on a new socket each time.
+// A reload that moves the name service: an older list in the file changes nothing, a newer one counts, and a return to the first address
+// asks there again, from a new socket each time.
 func TestReloadBackAndForth(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.list = discovery.New(9, gw.g.cfg.InitialList.Engines)
@@ -536,27 +534,27 @@
 	}
 }
 
-// The key by which engines drop repeats, and notes of progress: deployments have both that the first one had not. The
-// key goes on as it came, with every attempt; one that would break the list of fields is refused; a note ends nothing.
+// Some deployments use idempotency keys and progress reports. A key is forwarded as it came, with every attempt; one that would break the
+// list of fields is an error; a progress report ends nothing.
 func TestRepeatKeyAndNotes(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
 	gw.receive(1, string(queryPacket("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
-	link := gw.dials[0]
-	gw.step(DialSucceeded{Conn: link})
-	if got := gw.takeOutput(link); !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
+	connID := gw.dials[0]
+	gw.step(DialSucceeded{Conn: connID})
+	if got := gw.takeOutput(connID); !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the engine got %q", got)
 	}
-	gw.receive(link, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
-	if gw.closed[link] || gw.g.requests[idA] == nil || gw.g.requests[idA].inFlight != 1 {
-		t.Fatal("a note of progress ended the attempt, or its connection")
+	gw.receive(connID, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
+	if gw.closed[connID] || gw.g.requests[idA] == nil || gw.g.requests[idA].inFlight != 1 {
+		t.Fatal("a progress report ended the attempt, or its connection")
 	}
 	gw.advance(20 * rules.Millisecond)
-	gw.closeConn(link)
+	gw.closeConn(connID)
 	gw.advance(rules.Millisecond)
 	gw.step(DialSucceeded{Conn: gw.dials[len(gw.dials)-1]})
 	if got := gw.takeOutput(gw.dials[len(gw.dials)-1]); len(gw.dials) < 2 || !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
-		t.Errorf("the further attempt: %d dials, the engine got %q", len(gw.dials), got)
+		t.Errorf("the retry: %d dials, the engine got %q", len(gw.dials), got)
 	}
 	gw.client(2)
 	for _, key := range []string{"", "a b", "a=b", strings.Repeat("k", 200), "k\x01"} {
@@ -568,11 +566,11 @@
 	}
 }
 
-// Where a request may have no two attempts out at once, an engine that may run one has heard of its end before another is
-// asked, however the attempt ended: on a way of up to 40 ms, as its connection took to come up. A proof that nothing ran
-// needs no wait, and neither does a site that allows second copies.
+// Where no two attempts of a request may be in flight at once, an engine that may run one has been told of its end before another engine is
+// asked, however the attempt ended: over a network delay of up to 40 ms, as its connection took to come up. A proof that nothing ran
+// needs no wait, and neither do settings that allow hedged requests.
 func TestNoAttemptOvertakesAnEnd(t *testing.T) {
-	const way = 40 * rules.Millisecond
+	const delay = 40 * rules.Millisecond
 	for name, c := range map[string]struct {
 		end  func(x *interleaving)
 		wait bool
@@ -585,17 +583,17 @@
 		"a connection that can't be read": {func(x *interleaving) { x.receive(x.lastDial(), "\x00\x01\x02") }, true},
 		"reset":                           {func(x *interleaving) { x.closeConn(x.lastDial()) }, true},
 		"full":                            {func(x *interleaving) { x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
-		"never taken": {func(x *interleaving) {
+		"never accepted": {func(x *interleaving) {
 			x.written[x.lastDial()] = 0
 			x.closeConn(x.lastDial())
 		}, false},
 	} {
-		for _, copies := range []bool{false, true} {
+		for _, hedging := range []bool{false, true} {
 			x := newInterleaving(t, "point")
-			x.g.cfg.Settings.Rules.Limits.HedgedRequests = copies
+			x.g.cfg.Settings.Rules.Limits.HedgedRequests = hedging
 			x.receive(1, askText("point", idA))
 			first := x.lastDial()
-			x.now += way
+			x.now += delay
 			x.step(DialSucceeded{Conn: first})
 			x.observe()
 			if x.asks != 1 {
@@ -608,28 +606,28 @@
 				x.observe()
 				return x.asks > 1 || len(x.dials) > 1
 			}
-			if waits := c.wait && !copies; waits {
-				x.advance(way - rules.Millisecond)
+			if waits := c.wait && !hedging; waits {
+				x.advance(delay - rules.Millisecond)
 				if again() {
 					t.Errorf("%s: another attempt began while the end of the first was on its way", name)
 				}
 			}
 			x.advance(2 * rules.Millisecond)
 			if !again() {
-				t.Errorf("%s, copies %v: no further attempt began", name, copies)
+				t.Errorf("%s, hedging %v: no further attempt began", name, hedging)
 			}
 		}
 	}
 }
 
-// While the end of an attempt is on its way its client goes or kills the query, its deadline comes, or the process ends: the
-// request ends as ever, its engine hears once, and nothing stays. A connection that came up late makes nobody wait for long.
+// While the end of an attempt is on its way, its client goes or kills the query, its deadline comes, or the process shuts down: the request
+// ends as usual, its engine is told once, and no state is left. A connection that took long to come up makes no request wait for long.
 func TestTerminatingAttemptEndsWithItsRequest(t *testing.T) {
-	const way = 40 * rules.Millisecond
+	const delay = 40 * rules.Millisecond
 	start := func(timeout int, took rules.Time) *interleaving {
 		x := newInterleaving(t, "point")
 		x.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
-		x.g.armedAt = x.now + took // the process does not stand still: no timer is late
+		x.g.armedAt = x.now + took // the process is not stopped: no timer is late
 		x.now += took
 		x.step(DialSucceeded{Conn: x.lastDial()})
 		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
@@ -650,14 +648,14 @@
 			x.advance(30 * rules.Millisecond)
 		}},
 	} {
-		x := start(c.timeout, way)
+		x := start(c.timeout, delay)
 		first := x.lastDial()
 		c.end(x)
 		x.observe()
 		if len(x.g.requests) != 0 || x.answers != c.answers {
 			t.Errorf("%s: %d requests stay, %d answers, want %d", name, len(x.g.requests), x.answers, c.answers)
 		}
-		x.advance(2 * way)
+		x.advance(2 * delay)
 		x.observe()
 		if got := string(x.output[first]); strings.Count(got, "QUIT") != 1 || len(x.dials) > 1 || x.answers != c.answers {
 			t.Errorf("%s: the engine got %q, %d dials, %d answers", name, got, len(x.dials), x.answers)
@@ -675,13 +673,13 @@
 	}
 }
 
-// Answers that can't be read end their connection; what was asked on it is given up there first, by name.
+// Answers that can't be read end their connection; the requests on it are cancelled there first, by name.
 func TestMalformedConnectionCancelsByName(t *testing.T) {
 	gw := newTestGateway(t)
-	link := gw.sendToEngine("point")
-	gw.takeOutput(link)
-	gw.receive(link, "\x00\x01\x02")
-	if got := gw.takeOutput(link); got != "QUIT "+idA+"\r\n" || !gw.closed[link] {
-		t.Errorf("the engine got %q, closed %v", got, gw.closed[link])
+	connID := gw.sendToEngine("point")
+	gw.takeOutput(connID)
+	gw.receive(connID, "\x00\x01\x02")
+	if got := gw.takeOutput(connID); got != "QUIT "+idA+"\r\n" || !gw.closed[connID] {
+		t.Errorf("the engine got %q, closed %v", got, gw.closed[connID])
 	}
 }
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -11,7 +11,7 @@
 	"foxlane/rules"
 )
 
-// listChange is a gateway that knows one engine, which is about to leave the list, and gets a second one with that.
+// listChange is a gateway that knows one engine, which is about to drain or to be removed while a second one is added.
 type listChange struct {
 	*testGateway
 	serial     uint32
@@ -42,7 +42,7 @@
 	}
 }
 
-// list has the name service tell a list now.
+// list has the name service answer with a newer list.
 func (c *listChange) list(hosts ...standin.Host) {
 	c.observe()
 	c.serial++
@@ -78,7 +78,7 @@
 	c.asksByAddr = map[netip.AddrPort]int{}
 }
 
-// listChanges are what may become of the engine, by name: the list that tells it.
+// listChanges are what may become of the engine, by name, and the list that says so.
 var listChanges = map[string]func() []standin.Host{
 	"draining": func() []standin.Host { host := oneHost; host.Draining = true; return []standin.Host{host, otherHost} },
 	"gone":     func() []standin.Host { return []standin.Host{otherHost} },
@@ -99,8 +99,8 @@
 func TestNoSendCrossesTheList(t *testing.T) {
 	for name, leaving := range listChanges {
 		t.Run(name, func(t *testing.T) {
-			for place, cross := range map[string]func(change *listChange, tell func()){
-				"queued": func(change *listChange, tell func()) {
+			for place, cross := range map[string]func(change *listChange, apply func()){
+				"queued": func(change *listChange, apply func()) {
 					change.serveOne() // a connection is up
 					drained := oneHost
 					drained.Draining = true
@@ -108,24 +108,24 @@
 					for i := range 8 {
 						change.sendRequest(fmt.Sprintf("%016x", 0xc0+i))
 					}
-					tell()
+					apply()
 				},
-				"waits for a dial": func(change *listChange, tell func()) { change.sendRequest(idA); tell() },
-				"waits behind a stall": func(change *listChange, tell func()) {
+				"waits for a dial": func(change *listChange, apply func()) { change.sendRequest(idA); apply() },
+				"waits behind a stall": func(change *listChange, apply func()) {
 					change.serveOne()
 					change.now += 400 * rules.Millisecond // its timers are late
 					change.sendRequest(idA)
-					tell()
+					apply()
 				},
-				"to be repeated": func(change *listChange, tell func()) {
+				"to be retried": func(change *listChange, apply func()) {
 					change.sendRequest(idA)
 					change.completeDials()
 					change.observe()
 					change.asksByAddr = map[netip.AddrPort]int{}
-					tell()
+					apply()
 					change.receive(change.dials[0], idA+" overload - 0\r\n\r\n")
 				},
-				"told by a reload": func(change *listChange, tell func()) {
+				"listed by a reload": func(change *listChange, apply func()) {
 					change.sendRequest(idA)
 					cfg := change.g.cfg
 					cfg.InitialList.Seq, cfg.InitialList.Engines = 9, nil
@@ -170,7 +170,7 @@
 	change.sendRequest(idA)
 	change.list(listChanges["replaced by another at its address"]()...)
 	if len(change.dials) < 2 || !change.closed[change.dials[0]] {
-		t.Fatalf("%d dials, the first one given up: %v", len(change.dials), change.closed[change.dials[0]])
+		t.Fatalf("%d dials, the first one cancelled: %v", len(change.dials), change.closed[change.dials[0]])
 	}
 	change.step(DialSucceeded{Conn: change.dials[0]})
 	if out := string(change.output[change.dials[0]]); strings.Contains(out, "ASK") {
--- a/internal/gateway/localexhaustion_test.go
+++ b/internal/gateway/localexhaustion_test.go
@@ -9,8 +9,8 @@
 	"foxlane/rules"
 )
 
-// A gateway that lacks something of its own, so that all its dials fail for seconds, takes no zone for lost and no engine
-// for failing: once it has what it lacked, it serves at once.
+// A gateway whose dials all fail for seconds because a local resource is exhausted takes no zone for lost and no engine for failing: it
+// serves at once when the resource is back.
 func TestLocalExhaustionLosesNoZone(t *testing.T) {
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  settle = \"100ms\"\n}"))
 	sim.localExhaustion = true
@@ -21,11 +21,11 @@
 		}
 	}
 	if sim.localDialFailures == 0 {
-		t.Error("no dial failed: nothing is shown")
+		t.Error("no dial failed: the test has lost its subject")
 	}
 }
 
-// A probe that could not be made for want of something here is no word of the engine, even where others doubt it.
+// A probe that failed because a local resource is exhausted says nothing of the engine, even where other gateways suspect it.
 func TestLocalExhaustionIsNoProbeResult(t *testing.T) {
 	sim := newSimulationWith(t, 4, 0, func(cfg *config.Config) {})
 	eng := sim.g.engineOrder[0]
@@ -37,7 +37,7 @@
 	}
 	for _, belief := range sim.g.module.EngineViews() {
 		if belief.Engine == eng.id && belief.Ejected {
-			t.Error("an engine that was never reached is left out")
+			t.Error("an engine that was never reached is ejected")
 		}
 	}
 }
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -12,7 +12,7 @@
 	"foxlane/rules"
 )
 
-// Whatever a client sends, it alone is concerned.
+// Whatever a client sends, no other client is affected.
 func TestBadClients(t *testing.T) {
 	long := strings.Repeat("x", 1<<20)
 	for name, c := range map[string]struct {
@@ -46,7 +46,7 @@
 				t.Errorf("answered %q, closed %v", got, gw.closed[2])
 			}
 			if gw.closed[1] || gw.takeOutput(1) != "" || gw.g.requests[idA] == nil {
-				t.Error("another client was concerned")
+				t.Error("another client was affected")
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// Random bytes from all sides never break the reducer.
+// Random bytes from clients, engines and the name service leave no state behind.
 func TestNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -103,13 +103,13 @@
 	}
 }
 
-// What an engine says wrong ends that attempt, or the connection, and claims no more than is known:
-// a load that may have run is never refused and never sent again.
+// A malformed answer of an engine ends that attempt, or the connection, and claims no more than is known: a load that may have run is
+// never rejected and never sent again.
 func TestBadEngines(t *testing.T) {
 	for name, c := range map[string]struct {
 		data  string
 		shut  bool // the connection
-		again bool // a safe query is tried again
+		again bool // an idempotent query is retried
 	}{
 		"a line too long":     {strings.Repeat("x", 5000), true, true},
 		"an unknown word":     {idA + " dance - 0\r\n\r\n", true, true},
@@ -131,17 +131,17 @@
 	} {
 		for _, class := range []string{"point", "load"} {
 			gw := newTestGateway(t)
-			link := gw.sendToEngine(class)
-			if got := gw.takeOutput(link); !strings.HasPrefix(got, "ASK "+idA+" lane="+class) {
+			connID := gw.sendToEngine(class)
+			if got := gw.takeOutput(connID); !strings.HasPrefix(got, "ASK "+idA+" lane="+class) {
 				t.Fatalf("the engine got %q", got)
 			}
 			gw.takeOutput(1)
-			gw.receive(link, c.data)
-			if gw.closed[link] != c.shut {
-				t.Errorf("%s: connection closed: %v", name, gw.closed[link])
+			gw.receive(connID, c.data)
+			if gw.closed[connID] != c.shut {
+				t.Errorf("%s: connection closed: %v", name, gw.closed[connID])
 			}
 			if gw.closed[1] {
-				t.Errorf("%s: the client was concerned", name)
+				t.Errorf("%s: the client was affected", name)
 			}
 			req := gw.g.requests[idA]
 			switch {
@@ -154,38 +154,38 @@
 					t.Errorf("%s: a load that may have run: %q", name, got)
 				}
 			case req == nil || req.answered:
-				t.Errorf("%s: a safe query was given up", name)
+				t.Errorf("%s: an idempotent query was abandoned", name)
 			}
 		}
 	}
 }
 
-// Pages may come in any order, and reach the client in theirs.
+// Pages may come in any order, and reach the client in the order of their numbers.
 func TestPagesInAnyOrder(t *testing.T) {
 	gw := newTestGateway(t)
-	link := gw.sendToEngine("point")
-	gw.takeOutput(link)
-	gw.receive(link, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
-	if got := gw.takeOutput(link); got != "NEXT "+idA+" 1\r\nNEXT "+idA+" 2\r\n" {
+	connID := gw.sendToEngine("point")
+	gw.takeOutput(connID)
+	gw.receive(connID, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
+	if got := gw.takeOutput(connID); got != "NEXT "+idA+" 1\r\nNEXT "+idA+" 2\r\n" {
 		t.Fatalf("asked for %q", got)
 	}
 	gw.takeOutput(1)
-	gw.receive(link, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
+	gw.receive(connID, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
 	if gw.takeOutput(1) != "" {
-		t.Fatal("the client has rows of a result that is not whole")
+		t.Fatal("the client has rows of a result that is not complete")
 	}
-	gw.receive(link, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
+	gw.receive(connID, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
 	got := gw.takeOutput(1)
 	at := []int{strings.Index(got, "\x011\x01a"), strings.Index(got, "\x012\x01a"), strings.Index(got, "\x013\x01a")}
 	if at[0] < 0 || at[1] < at[0] || at[2] < at[1] {
 		t.Errorf("rows at %v of %q", at, got)
 	}
-	if got := gw.takeOutput(link); got != "FREE "+idA+"\r\n" {
+	if got := gw.takeOutput(connID); got != "FREE "+idA+"\r\n" {
 		t.Errorf("the engine got %q", got)
 	}
 }
 
-// A queued request meets the list anew when its connection comes up: an engine that drains meanwhile gets nothing.
+// A request that waits for its connection is checked against the list once that comes up: an engine that drains meanwhile gets nothing.
 func TestListIsCheckedWhenWritten(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -198,7 +198,7 @@
 		t.Errorf("a draining engine got %q", got)
 	}
 	if req := gw.g.requests[idA]; req == nil || req.answered {
-		t.Error("a load that never ran was given up")
+		t.Error("a load that never ran was abandoned")
 	}
 }
 
@@ -226,8 +226,8 @@
 	}
 }
 
-// A machine that vanishes says nothing. Once an attempt was given up on a silent connection, the next
-// one dials anew: that fails soon where the machine is gone, and proves that nothing ran.
+// A machine that vanishes closes nothing. Once an attempt was abandoned on a silent connection, the next one dials anew: that fails soon
+// where the machine is gone, and proves that nothing ran.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -244,7 +244,7 @@
 	}
 }
 
-// SIGTERM brings the answers of patient clients forward, and the process ends behind them.
+// SIGTERM brings the answers forward of clients that would wait for long, and the process exits after them.
 func TestTerminateAnswersAll(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -275,23 +275,23 @@
 	}
 }
 
-// The session id of KILL concerns the query of that session only, and the killed one hears nothing.
+// KILL ends the query of the session that it names and no other, and that session gets no answer.
 func TestKill(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
 	gw.receive(1, askText("point", idA))
 	gw.client(2)
 	gw.receive(2, askText("point", idB))
-	link := gw.dials[0]
-	gw.step(DialSucceeded{Conn: link})
-	gw.takeOutput(link)
+	connID := gw.dials[0]
+	gw.step(DialSucceeded{Conn: connID})
+	gw.takeOutput(connID)
 	gw.takeOutput(1)
 	gw.client(3)
 	gw.receive(3, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
-	if got := gw.takeOutput(link); got != "QUIT "+idA+"\r\n" {
+	if got := gw.takeOutput(connID); got != "QUIT "+idA+"\r\n" {
 		t.Errorf("the engine got %q", got)
 	}
-	gw.receive(link, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
+	gw.receive(connID, idA+" served total=1 0\r\n\r\n") // crosses the QUIT
 	if got := gw.takeOutput(1); got != "" {
 		t.Errorf("the killed session got %q", got)
 	}
@@ -324,11 +324,11 @@
 		}
 	}
 	if out < 20 || out > 21 || gw.closed[99] {
-		t.Errorf("%d of those that hold most were turned out, and one with half a query: %v", out, gw.closed[99])
+		t.Errorf("%d of those that hold most were closed, and one with half a query: %v", out, gw.closed[99])
 	}
 }
 
-// An answer given at the client's deadline by our clock was too late by both ways: it leaves ahead.
+// An answer that left at the client's deadline by our clock would come too late, by the delay of both directions: it leaves earlier.
 func TestAnswerLeavesAhead(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -345,7 +345,7 @@
 	}
 }
 
-// What client libraries ask of their own accord is answered, and nothing of it reaches an engine.
+// What client libraries send of their own accord is answered, and nothing of it reaches an engine.
 func TestClientLibraryCommands(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -363,35 +363,35 @@
 	}
 }
 
-// A probe reaches its engine as INFO, and its answer, a silence or a lost connection the module.
+// A probe reaches its engine as INFO; its answer, its timeout or the loss of its connection ends it.
 func TestProbe(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(gw *testGateway, link ConnID)
+		do   func(gw *testGateway, connID ConnID)
 		left int
 	}{
-		"green":   {func(gw *testGateway, link ConnID) { gw.receive(link, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
-		"silence": {func(gw *testGateway, link ConnID) { gw.advance(300 * rules.Millisecond) }, 0},
-		"lost":    {func(gw *testGateway, link ConnID) { gw.closeConn(link) }, 0},
-		"waiting": {func(gw *testGateway, link ConnID) {}, 1},
+		"green":   {func(gw *testGateway, connID ConnID) { gw.receive(connID, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
+		"silence": {func(gw *testGateway, connID ConnID) { gw.advance(300 * rules.Millisecond) }, 0},
+		"lost":    {func(gw *testGateway, connID ConnID) { gw.closeConn(connID) }, 0},
+		"waiting": {func(gw *testGateway, connID ConnID) {}, 1},
 	} {
 		gw := newTestGateway(t)
 		gw.g.runAction(rules.Probe{Engine: gw.g.engineOrder[0].id})
 		gw.flush()
-		link := gw.dials[0]
-		gw.step(DialSucceeded{Conn: link})
-		if got := gw.takeOutput(link); got != "INFO p1\r\n" {
+		connID := gw.dials[0]
+		gw.step(DialSucceeded{Conn: connID})
+		if got := gw.takeOutput(connID); got != "INFO p1\r\n" {
 			t.Fatalf("the engine got %q", got)
 		}
-		conn := gw.g.engineConns[link]
-		c.do(gw, link)
+		conn := gw.g.engineConns[connID]
+		c.do(gw, connID)
 		if n := len(conn.probes); n != c.left {
-			t.Errorf("%s: %d probes are open, want %d", name, n, c.left)
+			t.Errorf("%s: %d probes are in flight, want %d", name, n, c.left)
 		}
 	}
 }
 
-// A configuration that was read again moves the gateway to another name service and asks there at
-// once. Its numbers continue: a list in the file counts only if it is newer than the one held.
+// A reloaded configuration moves the gateway to another name service, which is asked at once. Its serials continue: a list in the file
+// counts only if it is newer than the valid one.
 func TestReload(t *testing.T) {
 	gw := newTestGateway(t)
 	two := []standin.Host{oneHost, otherHost}
@@ -415,17 +415,17 @@
 	}
 	cfg.InitialList.Seq++
 	if reload(); len(gw.g.engines) != 2 || gw.g.list.Serial() != cfg.InitialList.Seq {
-		t.Errorf("a newer list in the file: %d engines, at event %d", len(gw.g.engines), gw.g.list.Serial())
+		t.Errorf("a newer list in the file: %d engines, serial %d", len(gw.g.engines), gw.g.list.Serial())
 	}
 	gw.client(1)
 	gw.receive(1, askText("point", idA))
 	if reload(); gw.closed[1] || gw.g.requests[idA] == nil {
-		t.Error("a client was concerned")
+		t.Error("a client was affected")
 	}
 }
 
-// Hundreds of connections that say nothing took all places for 10 s, and everybody else was turned
-// away. A silent one gives way now, the longest silent first, and is told so.
+// Hundreds of connections that send nothing must not keep other clients out: a new connection evicts a silent one, the longest silent
+// first, which gets an error.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -443,7 +443,7 @@
 	gw.client(3)
 	gw.receive(3, askText("point", idB))
 	if gw.closed[3] || gw.g.requests[idB] == nil {
-		t.Fatal("a client that asks at once was turned away for silent ones")
+		t.Fatal("a client that asks at once was rejected in favour of silent ones")
 	}
 	if got := gw.takeOutput(100); !gw.closed[100] || !strings.Contains(got, "no room") {
 		t.Errorf("the longest silent one: closed %v, got %q", gw.closed[100], got)
@@ -457,8 +457,7 @@
 	}
 }
 
-// Who stops within a packet, or asks once and never again, is closed in time; a client that comes back
-// after 4 s is not.
+// A client that stops within a packet, or sends one command and no other, is closed in time; one that returns after 4 s is not.
 func TestSessionsThatOutstay(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.client(1)
@@ -479,11 +478,11 @@
 	gw.receive(gw.dials[0], idB+" served total=1 0\r\n\r\n")
 	gw.advance(5 * rules.Second)
 	if !gw.closed[1] || len(gw.g.clients) != 0 || gw.g.idleClients.Len()+gw.g.newClients.Len() != 0 {
-		t.Error("a connection held for good is kept")
+		t.Error("a connection that is idle for good stays open")
 	}
 }
 
-// What no client would say of itself never reaches an engine, and who goes on saying it is closed.
+// Fields that are out of range never reach an engine, and a client that goes on sending them is closed.
 func TestFiguresOutOfRange(t *testing.T) {
 	for _, fields := range []string{"timeout=0", "timeout=-5", "timeout=99999999", "timeout=1e3", "timeout=2000,ms=-1", "timeout=2000,ms=NaN",
 		"timeout=2000,ms=1e12", "timeout=2000,need_mb=Inf", "timeout=2000,need_mb=1e300", "timeout=2000,need_mb=x"} {
@@ -500,13 +499,13 @@
 			}
 		}
 		if len(gw.dials) > 0 || len(gw.g.requests) > 0 {
-			t.Errorf("%s: it was taken", fields)
+			t.Errorf("%s: it was accepted", fields)
 		}
 	}
 }
 
-// An answer that stops short left its connection waiting, and all requests on it until their time-out.
-// The connection is ended soon, and none of them counts against the engine.
+// An answer that stops short must not keep all requests on its connection waiting until they time out: the connection is ended soon, and
+// none of them counts against the engine.
 func TestAnswerThatStopsShort(t *testing.T) {
 	for name, piece := range map[string]string{
 		"in its line": idA + " served tot", "in its body": idA + " served total=1 600\r\n1\ta", "behind it": idA + " served total=1 0\r\n",
@@ -516,16 +515,16 @@
 			gw.client(id)
 			gw.receive(id, askText("point", req))
 		}
-		link := gw.dials[0]
-		gw.step(DialSucceeded{Conn: link})
-		gw.receive(link, piece)
+		connID := gw.dials[0]
+		gw.step(DialSucceeded{Conn: connID})
+		gw.receive(connID, piece)
 		gw.advance(gw.g.limits.AnswerStallTimeout - rules.Millisecond)
-		if gw.closed[link] {
+		if gw.closed[connID] {
 			t.Errorf("%s: ended too early", name)
 		}
 		gw.advance(2 * rules.Millisecond)
-		if !gw.closed[link] || len(gw.dials) != 2 {
-			t.Fatalf("%s: closed %v, %d dials: both queries should be under way again", name, gw.closed[link], len(gw.dials))
+		if !gw.closed[connID] || len(gw.dials) != 2 {
+			t.Fatalf("%s: closed %v, %d dials: both queries should be under way again", name, gw.closed[connID], len(gw.dials))
 		}
 		gw.step(DialSucceeded{Conn: gw.dials[1]})
 		if got := gw.takeOutput(gw.dials[1]); strings.Count(got, "ASK ") != 2 {
@@ -534,25 +533,24 @@
 	}
 }
 
-// Good answers that bring more than belongs to them are let pass: a second copy of an answer or a
-// page, or an answer to nothing ahead of it.
+// Duplicates of answers and pages, and answers to nothing that was asked, are ignored.
 func TestAnswersThatComeTwice(t *testing.T) {
 	gw := newTestGateway(t)
-	link := gw.sendToEngine("point")
+	connID := gw.sendToEngine("point")
 	gw.takeOutput(1)
 	first := idA + " served total=3 6\r\n1\ta\tb\n\r\n"
 	page := idA + " rows index=1 6\r\n2\ta\tb\n\r\n"
-	gw.receive(link, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
-	if got := gw.takeOutput(1); strings.Count(got, "\x01a") != 3 || gw.closed[link] {
+	gw.receive(connID, idB+" served total=1 0\r\n\r\n"+first+first+page+page+first+idA+" rows index=2 6\r\n3\ta\tb\n\r\n"+page)
+	if got := gw.takeOutput(1); strings.Count(got, "\x01a") != 3 || gw.closed[connID] {
 		t.Errorf("got %q", got)
 	}
 	if len(gw.g.requests) != 0 {
-		t.Error("the request is still open")
+		t.Error("the request is still in flight")
 	}
 }
 
-// A load rode on a connection with queries, and an answer to one of these that could not be read made
-// it fail, though it ran on and must not be sent again. Each class has connections of its own.
+// Each class has connections of its own: a load that shares a connection with queries would fail with the first malformed answer to one
+// of them, though it runs on and must not be sent again.
 func TestClassesUseSeparateConnections(t *testing.T) {
 	gw := newTestGateway(t)
 	for i, class := range []string{"load", "load", "point", "point", "report"} {
@@ -577,13 +575,12 @@
 	}
 	gw.receive(gw.dials[1], "\x00\r\n")
 	if !gw.closed[gw.dials[1]] || gw.closed[gw.dials[0]] || gw.closed[gw.dials[2]] || gw.g.requests["0000000000000000"].inFlight != 1 {
-		t.Error("more than the queries of one class were concerned")
+		t.Error("more than the queries of one class were affected")
 	}
 }
 
-// Three classes made three connections to each engine, though hardly two of their requests were open at a
-// time: 300 gateways paid for 30,000 handshakes with 60,000 requests. One that carries nothing may change
-// its class, and one that does may not.
+// Where few requests are in flight, a connection for each class and engine costs more handshakes than it saves (30,000 for 60,000 requests
+// of 300 gateways). So a connection that carries nothing may change its class, and one that does may not.
 func TestIdleConnectionChangesItsClass(t *testing.T) {
 	gw := newTestGateway(t)
 	ask := func(client int, class string) string {
@@ -621,9 +618,8 @@
 	}
 }
 
-// Connections are reset though their engine is well. A reset told of the engine once for each request
-// on the connection, and two in a row left the engine out. Now one tells of it only if the engine has
-// answered nothing since the last one.
+// Connections are reset though their engine is healthy. A reset counts against the engine once, not for each request on the connection,
+// and only if the engine has answered nothing since the last one.
 func TestResetsOfAnEngineThatAnswers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		gw := newTestGateway(t)
@@ -633,22 +629,22 @@
 				gw.client(id + i)
 				gw.receive(id+i, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
 			}
-			link := gw.dials[len(gw.dials)-1]
-			gw.step(DialSucceeded{Conn: link})
+			connID := gw.dials[len(gw.dials)-1]
+			gw.step(DialSucceeded{Conn: connID})
 			if answers {
-				gw.receive(link, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
+				gw.receive(connID, fmt.Sprintf("%016x served total=1 0\r\n\r\n", 16*round))
 			}
 			gw.advance(rules.Millisecond)
-			gw.closeConn(link)
+			gw.closeConn(connID)
 			gw.advance(rules.Millisecond)
 		}
 		if left := gw.g.module.EngineViews()[0].Ejected; left == answers {
-			t.Errorf("answers between resets %v: left out %v", answers, left)
+			t.Errorf("answers between resets %v: ejected %v", answers, left)
 		}
 	}
 }
 
-// Figures that no engine of the kind can have spent are not learned from, though the answer is good.
+// Work and memory that no engine of the kind can have spent are not learned from, though the answer is used.
 func TestImplausibleUsage(t *testing.T) {
 	for _, c := range []struct {
 		work, memory float64
@@ -671,8 +667,7 @@
 	}
 }
 
-// Engines answer errors to requests of bad clients, and two in a row left an engine out, whatever it
-// served beside. An error tells of its engine only if nothing good came since the last one.
+// Engines answer errors to faulty queries. An error counts against the engine only if it has served nothing since its last error.
 func TestErrorsOfAnEngineThatServes(t *testing.T) {
 	for _, serves := range []bool{true, false} {
 		gw := newTestGateway(t)
@@ -699,7 +694,7 @@
 			gw.advance(50 * rules.Millisecond)
 		}
 		if left := gw.g.module.EngineViews()[0].Ejected; left == serves {
-			t.Errorf("serves beside: %v, left out: %v", serves, left)
+			t.Errorf("serves beside: %v, ejected: %v", serves, left)
 		}
 	}
 }
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -26,12 +26,12 @@
 	diskSpool   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
 )
 
-// The seven rules hold with results kept, in memory and on a disk that fails at times, with the door and without.
+// The seven rules hold with results stored, in memory and on a disk that fails at times, with and without admission control.
 func TestRulesWithResultsKept(t *testing.T) {
-	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and door": diskSpool + "fair {\n}\n"} {
+	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and admission control": diskSpool + "fair {\n}\n"} {
 		for _, faultRate := range []float64{0, 0.4, 1} {
 			for seed := range uint64(5) {
-				t.Run(fmt.Sprintf("%s rough %v seed %d", name, faultRate, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s fault rate %v seed %d", name, faultRate, seed), func(t *testing.T) {
 					sim := newSimulationWith(t, seed, faultRate, withSpool(t, text))
 					sim.play(6 * rules.Second)
 					sim.reportViolations()
@@ -40,7 +40,7 @@
 					}
 					stats := sim.g.results.spool.Stats()
 					if stats.Completed < 100 || stats.Results != 0 || stats.Readers != 0 || stats.MemoryBytes != 0 || stats.DiskBytes != 0 || len(sim.g.results.filling) != 0 {
-						t.Errorf("left on the shelf: %+v, %d on their way", stats, len(sim.g.results.filling))
+						t.Errorf("left in the result store: %+v, %d being filled", stats, len(sim.g.results.filling))
 					}
 				})
 			}
@@ -48,7 +48,7 @@
 	}
 }
 
-// spoolGateway is a bench whose spool has a disk, that does all at once unless it is told to wait.
+// spoolGateway is a testGateway whose spool has a disk, which works at once unless it is paused.
 type spoolGateway struct {
 	*testGateway
 	records     [][]byte
@@ -142,25 +142,25 @@
 }
 
 // startResult asks for a result of so many pages and lets the engine give the first.
-func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (link ConnID) {
+func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (connID ConnID) {
 	gw.send(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, more))))
 	if len(gw.dials) == 0 {
 		return 0
 	}
-	link = gw.dials[len(gw.dials)-1]
-	gw.run(DialSucceeded{Conn: link})
-	gw.takeOutput(link)
+	connID = gw.dials[len(gw.dials)-1]
+	gw.run(DialSucceeded{Conn: connID})
+	gw.takeOutput(connID)
 	p := bigPage(0)
-	gw.send(link, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
-	return link
+	gw.send(connID, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
+	return connID
 }
 
 var nextCommand = regexp.MustCompile(`NEXT ([0-9a-f]{16}) (\d+)\r\n`)
 
 // serveEngine answers all that the engine is asked for, until it is freed. It returns the commands that it saw.
-func (gw *spoolGateway) serveEngine(link ConnID) (saw string) {
+func (gw *spoolGateway) serveEngine(connID ConnID) (saw string) {
 	for {
-		got := gw.takeOutput(link)
+		got := gw.takeOutput(connID)
 		saw += got
 		asks := nextCommand.FindAllStringSubmatch(got, -1)
 		if len(asks) == 0 {
@@ -169,7 +169,7 @@
 		for _, m := range asks {
 			n := number(gw.t, m[2])
 			p := bigPage(n)
-			gw.send(link, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
+			gw.send(connID, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	return rows
 }
 
-// plain are the rows without those that tell of the spool, and the handle and the chunks that these tell.
+// plain returns the rows of the result, and the handle and the chunk numbers from the rows that the spool adds.
 func plain(t *testing.T, rows []string) (out []string, handle string, pages []int) {
 	for _, r := range rows {
 		switch f := strings.Split(r, "\t"); f[0] {
@@ -237,19 +237,19 @@
 	return out, handle, pages
 }
 
-// The engine is free as soon as it has given all, while the client has not read a byte; and the client gets
-// every row, far beyond what a gateway holds.
+// The engine is free as soon as it has given all pages, while the client has not read a byte; and the client gets every row, far more
+// than a gateway holds in memory.
 func TestEngineIsFreeWhateverTheClientDoes(t *testing.T) {
 	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool} {
 		gw := newSpoolGateway(t, text)
 		gw.connect(1)
-		link := gw.startResult(1, "point", idA, "", 150) // 700 KB
-		saw := gw.serveEngine(link)
+		connID := gw.startResult(1, "point", idA, "", 150) // 700 KB
+		saw := gw.serveEngine(connID)
 		if !strings.HasSuffix(saw, "FREE "+idA+"\r\n") {
 			t.Fatalf("%s: the engine saw %.80q ... %.60q", name, saw, saw[max(0, len(saw)-60):])
 		}
 		if req := gw.g.requests[idA]; req != nil {
-			t.Errorf("%s: the request is still open", name)
+			t.Errorf("%s: the request is still in flight", name)
 		}
 		first := len(gw.output[1])
 		if first > 128<<10 {
@@ -264,41 +264,41 @@
 		}
 		gw.send(1, string(queryPacket("SET x = 1"))) // and the session goes on
 		if gw.closed[1] || gw.takeOutput(1) == "" {
-			t.Errorf("%s: the session is of no more use", name)
+			t.Errorf("%s: the session can't go on", name)
 		}
 	}
 }
 
-// A client that leaves half way reads on from where it was, on another connection, without the query running again.
+// A client that goes half way reads on from where it was, on another connection, without the query running again.
 func TestResumeReadsOnWithoutRunningAgain(t *testing.T) {
 	gw := newSpoolGateway(t, diskSpool)
 	gw.connect(1)
-	link := gw.startResult(1, "point", idA, ",spool=1", 60)
-	gw.serveEngine(link)
+	connID := gw.startResult(1, "point", idA, ",spool=1", 60)
+	gw.serveEngine(connID)
 	rows, _ := gw.readRows(1, 3)
 	_, handle, pages := plain(t, rows)
 	if len(handle) != spool.HandleSize || len(pages) < 2 {
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
 	gw.run(ConnectionClosed{Conn: 1})
-	asks := gw.takeOutput(link)
+	asks := gw.takeOutput(connID)
 	gw.connect(2)
 	last := pages[len(pages)-1]
-	// The rows behind the last whole chunk are read again.
-	whole := 0
+	// The rows after the last complete chunk are read again.
+	complete := 0
 	for i, r := range rows {
 		if strings.HasPrefix(r, fmt.Sprintf("#page\t%d\t", last)) {
-			whole = i + 1
+			complete = i + 1
 		}
 	}
-	got, _, _ := plain(t, rows[:whole])
+	got, _, _ := plain(t, rows[:complete])
 	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s,page=%d,timeout=2000 */ FETCH", handle, last+1))))
 	rest, end := gw.readRows(2, 1000)
 	more, again, _ := plain(t, rest)
 	if end != "end" || again != handle || !slices.Equal(append(got, more...), wantRows(0, 60)) {
 		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
 	}
-	if asks += gw.takeOutput(link); strings.Contains(asks, "ASK") {
+	if asks += gw.takeOutput(connID); strings.Contains(asks, "ASK") {
 		t.Error("the query ran again")
 	}
 	// It is kept until it is acknowledged: a second read of all, then not any more.
@@ -352,7 +352,7 @@
 	}
 }
 
-// A full spool refuses before anything runs, and the refusal names a time.
+// A full spool rejects before anything runs, and the rejection names a Retry-After.
 func TestFullSpoolRejects(t *testing.T) {
 	gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"128KB\"\n tenant = \"128KB\"\n}\n")
 	gw.connect(1)
@@ -369,8 +369,8 @@
 	}
 }
 
-// A result that fits nowhere ends with an error: failed where it may have run and must not again, else refused
-// or, if it never can be kept, failed. The engine is given up.
+// A result that can't be stored ends with an error: failed where the query must not run again or the result never fits, else rejected.
+// The engine is released.
 func TestResultThatCanNotBeKept(t *testing.T) {
 	for _, c := range []struct {
 		class, want string
@@ -378,8 +378,8 @@
 	}{{"point", "could not be kept: size", 40}, {"load", "could not be kept: size", 40}} {
 		gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"64KB\"\n tenant = \"128KB\"\n}\n")
 		gw.connect(1)
-		link := gw.startResult(1, c.class, idA, "", c.pages)
-		saw := gw.serveEngine(link)
+		connID := gw.startResult(1, c.class, idA, "", c.pages)
+		saw := gw.serveEngine(connID)
 		out := gw.takeOutput(1)
 		if !strings.Contains(out, c.want) || strings.Contains(out, "refused") {
 			t.Errorf("%s: %q", c.class, out)
@@ -441,15 +441,15 @@
 func TestEngineDiesHalfWay(t *testing.T) {
 	gw := newSpoolGateway(t, memorySpool)
 	gw.connect(1)
-	link := gw.startResult(1, "point", idA, "", 30)
-	gw.takeOutput(link)
-	gw.run(ConnectionClosed{Conn: link, AcceptedBytes: math.MaxInt64})
+	connID := gw.startResult(1, "point", idA, "", 30)
+	gw.takeOutput(connID)
+	gw.run(ConnectionClosed{Conn: connID, AcceptedBytes: math.MaxInt64})
 	gw.run(TimerFired{})
 	if out := gw.takeOutput(1); out != "" {
 		t.Fatalf("the client has %q", out)
 	}
 	link2 := gw.dials[len(gw.dials)-1]
-	if link2 == link {
+	if link2 == connID {
 		t.Fatal("no further attempt")
 	}
 	gw.run(DialSucceeded{Conn: link2})
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -111,7 +111,7 @@
 		in[2] |= 1 // a packet larger than any login
 	}
 	sim.step(ConnectionAccepted{Conn: conn.id})
-	if req := sim.requestsByID[open]; req != nil && req.finished { // it gave way to this connection: its id is free again
+	if req := sim.requestsByID[open]; req != nil && req.finished { // it was evicted for this connection: its id is free again
 		in = append(loginPacket(), queryPacket("SELECT 1")...)
 	}
 	sim.send(conn, in)
@@ -146,7 +146,7 @@
 				sim.connEnded(conn, true)
 				return
 			}
-			if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither was turned away for the other
+			if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither was evicted for the other
 				req.killed, req.finished, req.goneAt = true, true, sim.now
 				sim.step(&DataReceived{Conn: killer.id, Data: queryPacket(fmt.Sprintf("KILL QUERY %d", conn.session))})
 			}
@@ -212,7 +212,7 @@
 	}
 }
 
-// readResult reads a whole result set and checks it against the pages.
+// readResult reads a complete result set and checks it against the pages.
 func (sim *simulation) readResult(conn *simConn, req *simRequest) bool {
 	var packets [][]byte
 	b, ends := conn.input, 0
@@ -281,14 +281,14 @@
 	}
 }
 
-// checkRejection: a refusal says that trying again is harmless (rule 2).
+// checkRejection checks that a retry is harmless, as a rejection says (rule 2).
 func (sim *simulation) checkRejection(req *simRequest) {
 	if req.class != classLoad && req.class != classNote {
 		return
 	}
 	for _, attempt := range req.attempts {
 		if !attempt.neverRan {
-			sim.violation(2, "%s is refused and may have run", req.id)
+			sim.violation(2, "%s is rejected and may have run", req.id)
 		}
 	}
 }
@@ -330,12 +330,12 @@
 			}
 			out := slices.ContainsFunc(other.attempts, func(attempt *simAttempt) bool { return !attempt.ended })
 			if other.key == req.key && (out || sim.now+slack < other.quarantinedUntil) {
-				sim.violation(5, "%s is sent before its turn, after %s", req.id, other.id)
+				sim.violation(5, "%s is sent out of order, after %s", req.id, other.id)
 			}
 			if other.key == req.key && !other.finished {
 				sim.schedule(0, func() { // what was written at once may come in another order
 					if !other.finished {
-						sim.violation(5, "%s is sent before its turn, while %s is open", req.id, other.id)
+						sim.violation(5, "%s is sent out of order, while %s is in flight", req.id, other.id)
 					}
 				})
 			}
@@ -359,7 +359,7 @@
 			}
 		}
 		if float64(n) > 3+0.2*float64(taken) {
-			sim.violation(7, "%d further attempts, %d requests", n, taken)
+			sim.violation(7, "%d retries, %d requests", n, taken)
 		}
 	}
 }
@@ -387,7 +387,7 @@
 	}
 }
 
-// injectFaults befall the engines and the list now and then.
+// injectFaults has engines and the list fail now and then.
 func (sim *simulation) injectFaults(until rules.Time) {
 	for at := 500 * rules.Millisecond; at < until; at += rules.Time(200+sim.rng.IntN(600)) * rules.Millisecond {
 		sim.schedule(at, func() {
@@ -443,7 +443,7 @@
 func TestRulesUnderFailures(t *testing.T) {
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range uint64(12) {
-			t.Run(fmt.Sprintf("rough %v seed %d", faultRate, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("fault rate %v seed %d", faultRate, seed), func(t *testing.T) {
 				sim := newSimulation(t, seed, faultRate)
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
@@ -451,18 +451,17 @@
 					t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
 				}
 				if faultRate > 0 && (sim.badClientsEnded < 50 || sim.malformedAnswers < 2) {
-					t.Errorf("only %d bad clients and %d spoilt answers: the test has lost its subject", sim.badClientsEnded, sim.malformedAnswers)
+					t.Errorf("only %d bad clients and %d malformed answers: the test has lost its subject", sim.badClientsEnded, sim.malformedAnswers)
 				}
 				if faultRate == 0 && sim.failed > 0 {
-					t.Errorf("%d failures on a calm day", sim.failed)
+					t.Errorf("%d failures without faults", sim.failed)
 				}
 			})
 		}
 	}
 }
 
-// play lets requests come for a time, then ends the gateway by SIGTERM and
-// checks that nothing is left of them.
+// play lets requests come for a time, then shuts the gateway down by SIGTERM and checks that no state is left.
 func (sim *simulation) play(length rules.Time) {
 	for at := rules.Time(0); at < length; at += rules.Time(sim.rng.IntN(20)) * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
@@ -490,7 +489,7 @@
 	sim.checkShutdown()
 }
 
-// checkShutdown checks what a gateway leaves that was asked to end.
+// checkShutdown checks that a gateway that got SIGTERM has answered all requests and exited in time.
 func (sim *simulation) checkShutdown() {
 	for i, n := range sim.g.violations {
 		if n > 0 {
@@ -498,14 +497,14 @@
 		}
 	}
 	if !sim.exited {
-		sim.t.Errorf("not ended %d ms after SIGTERM, %d requests open", (sim.now-sim.terminatedAt)/rules.Millisecond, sim.g.unanswered)
+		sim.t.Errorf("not ended %d ms after SIGTERM, %d requests in flight", (sim.now-sim.terminatedAt)/rules.Millisecond, sim.g.unanswered)
 	}
 	if late := sim.now - sim.terminatedAt; late > 3700*rules.Millisecond {
 		sim.t.Errorf("ended %d ms after SIGTERM", late/rules.Millisecond)
 	}
 	for _, req := range sim.requests {
 		if !req.finished {
-			sim.t.Errorf("request %s was left without an answer", req.id)
+			sim.t.Errorf("request %s has no answer", req.id)
 		}
 	}
 	if sim.g.unanswered != 0 || sim.g.statementBytes != 0 {
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -18,9 +18,8 @@
 	"foxlane/rules"
 )
 
-// simulation is clients, engines and a name service on a fake clock round one
-// reducer. It keeps its own books and judges the seven rules by the bytes that
-// it sees alone.
+// simulation is clients, engines and a name service on a fake clock around one reducer. It keeps its own record of requests, and judges the
+// seven rules by the bytes that it sees alone.
 type simulation struct {
 	t                 *testing.T
 	g                 *Gateway
@@ -52,10 +51,10 @@
 	reloadChange      func(*config.Config) // what changes at a reload; nil: nothing
 	diskRecords       [][]byte             // on the spool's disk
 	commandAnswers    []string             // to operators' commands
-	localExhaustion   bool                 // dials fail for want of something at the gateway
+	localExhaustion   bool                 // dials fail because a local resource is exhausted
 	localDialFailures int                  // that did
 	lastReadAt        rules.Time           // when the last of what came while it was stopped is read
-	pausedUntil       rules.Time           // until when the gateway's process is stopped
+	pausedUntil       rules.Time           // the gateway's process is stopped until then
 	clockSkew         rules.Time           // by how much the wall clock was stepped
 }
 
@@ -96,7 +95,7 @@
 	notifiedAt      rules.Time
 	warmupSince     rules.Time
 	warmupSends     []timedWork
-	startNotifiedAt rules.Time // when the gateway was told of its start
+	startNotifiedAt rules.Time // when the gateway was notified of its start
 }
 
 type timedWork struct {
@@ -404,7 +403,7 @@
 		delay += 400 * rules.Millisecond
 	}
 	sim.schedule(delay, func() {
-		if serial == sim.serial { // what it says was told
+		if serial == sim.serial { // the gateway is notified of what it says
 			for _, host := range hosts {
 				if engine := sim.engines[host.ID]; engine.startNotifiedAt == 0 && engine.warmupSince != 0 && host.Started == engine.host.Started {
 					engine.startNotifiedAt = sim.now
@@ -506,13 +505,13 @@
 	}
 }
 
-func (sim *simulation) respond(conn *simConn, text string, told func()) {
+func (sim *simulation) respond(conn *simConn, text string, answered func()) {
 	sim.schedule(sim.latency(), func() {
 		if conn.closed || conn.engine.silent {
 			return
 		}
-		if told != nil {
-			told()
+		if answered != nil {
+			answered()
 		}
 		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // in two pieces
 			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text[:cut])})
@@ -626,7 +625,7 @@
 	}[sim.rng.IntN(9)]
 }
 
-// connEnded closes a connection from outside, or notes that the gateway did.
+// connEnded ends a connection by its peer, or notes that the gateway closed it.
 func (sim *simulation) connEnded(conn *simConn, byPeer bool) {
 	conn.closed = true
 	if conn.replyDue {
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// What was read behind a stall may have waited for as long: its engine is told to run for no longer than its client waits.
+// A request that is read after a stall may have waited for as long: its engine may run it for no longer than its client waits.
 func TestDeadlinesBehindAStall(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -20,7 +20,7 @@
 		"sites {\n  settle = \"0s\"\n  damping {\n    half_life = \"200ms\"\n  }\n}"}
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range uint64(6) {
-			t.Run(fmt.Sprintf("rough %v seed %d", faultRate, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("fault rate %v seed %d", faultRate, seed), func(t *testing.T) {
 				sim := newSimulationWith(t, seed, faultRate, withSite(t, texts[0]))
 				n := 0
 				sim.reloadChange = func(cfg *config.Config) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// injectZoneFaults befall whole zones now and then: silence, processes that die together and come back cold, drains by the list.
+// injectZoneFaults has whole zones fail now and then: they fall silent, their processes die together and restart cold, the list drains
+// them.
 func (sim *simulation) injectZoneFaults(until rules.Time) {
 	for at := 400 * rules.Millisecond; at < until; at += rules.Time(300+sim.rng.IntN(1200)) * rules.Millisecond {
 		zone, kind := []string{"hall-a", "hall-b"}[sim.rng.IntN(2)], sim.rng.IntN(3)
@@ -74,15 +75,15 @@
 	}
 }
 
-// The seven rules hold while whole zones fall silent, die and come back cold, and are drained, with all limits of the plan on: no
-// unsafe query runs twice, no cold engine gets too much of us, nothing new goes where it is drained.
+// The seven rules hold while whole zones fall silent, die and restart cold, and are drained, with all limits of the zone plan on: no unsafe
+// query runs twice, no warming engine gets more than its budget from us, nothing new goes to drained zones.
 func TestRulesUnderLossesOfZones(t *testing.T) {
 	const text = "sites {\n  settle = \"100ms\"\n  ramp = \"800ms\"\n  spill = 0.3\n  retries = 0.2\n  damping {\n    half_life = \"500ms\"\n  }\n" +
 		"  shedding {\n    settle = \"100ms\"\n    up = 1.05\n    slack = 0.02\n  }\n}"
 	lost, spilled, sent, served := 0, 0, 0, 0
 	for _, faultRate := range []float64{0, 0.4} {
 		for seed := range uint64(10) {
-			t.Run(fmt.Sprintf("rough %v seed %d", faultRate, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("fault rate %v seed %d", faultRate, seed), func(t *testing.T) {
 				sim := newSimulationWith(t, seed, faultRate, withSite(t, text))
 				sim.injectZoneFaults(6 * rules.Second)
 				sim.play(6 * rules.Second)
