--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -164,7 +164,7 @@
 		History: inForce.History,
 		AgeMS:   -1, // never confirmed
 		IsVoter: state.proposer.IsVoter(),
-		Voters:  g.cfg.Site.Directives.Voters,
+		Voters:  state.voters,
 	}
 	if staleness, ok := state.proposer.Staleness(g.now); ok {
 		status.AgeMS = milliseconds(staleness)
@@ -185,7 +185,7 @@
 	case state == nil:
 		err = errDirectivesOff
 	case err == nil && !state.proposer.IsVoter():
-		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, g.cfg.Site.Directives.Voters)
+		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, state.voters)
 	case err == nil:
 		err = command.Validate()
 	}
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -10,11 +10,15 @@
 
 // This file carries out the operators' directives: drains of zones and engines, the limit of spillover, classes that are rejected.
 // Which directives are in force, and who may change them, is decided by package directives; this file decides nothing. Without the
-// block `directives` in the operator's file there are none.
+// block `directives` in the operator's file there are none. A reload that takes the block away leaves the directives as they are until
+// the next start, with the settings that the block had last: what an operator has ordered must not end by an edit of another block, and
+// the block `members`, which this one needs, may come and go.
 
 // directiveState is this gateway's replica of the directives and what it has taken from them.
 type directiveState struct {
 	proposer        *directives.Node
+	tickInterval    rules.Time
+	voters          []string
 	rejectedClasses []bool            // by class
 	lastCommand     uint64            // number of the last operators' command
 	waiting         map[uint64]ConnID // connections whose commands wait for an answer, by number
@@ -28,6 +32,8 @@
 	settings := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.TickInterval}
 	return &directiveState{
 		proposer:        directives.NewNode(settings, cfg.Seed),
+		tickInterval:    settings.TickInterval,
+		voters:          settings.Voters,
 		rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)),
 		waiting:         map[uint64]ConnID{},
 	}
@@ -35,7 +41,14 @@
 
 func (g *Gateway) startDirectives() {
 	if g.directives = newDirectives(&g.cfg); g.directives != nil {
-		g.timers.add(timer{at: g.now + g.cfg.Site.Directives.TickInterval, kind: timerDirectives})
+		g.timers.add(timer{at: g.now + g.directives.tickInterval, kind: timerDirectives})
+	}
+}
+
+// reconfigureDirectives takes over the settings of a configuration that was reloaded, if it still has the block.
+func (g *Gateway) reconfigureDirectives() {
+	if g.directives != nil && g.cfg.Site != nil && g.cfg.Site.Directives != nil {
+		g.directives.tickInterval, g.directives.voters = g.cfg.Site.Directives.TickInterval, g.cfg.Site.Directives.Voters
 	}
 }
 
@@ -55,7 +68,7 @@
 	if g.directives == nil {
 		return
 	}
-	g.timers.add(timer{at: g.now + g.cfg.Site.Directives.TickInterval, kind: timerDirectives})
+	g.timers.add(timer{at: g.now + g.directives.tickInterval, kind: timerDirectives})
 	if g.peers == nil { // no other gateway is reached: the directives stay as they are, and become stale
 		return
 	}
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -105,3 +105,30 @@
 	}
 	sim.reportViolations()
 }
+
+// A reload that takes the block `directives` away, with or without the block `members`, leaves the directives in force, and a question
+// about them is still answered. It crashed the gateway at its next tick.
+func TestDirectivesOutlastTheirBlock(t *testing.T) {
+	for name, text := range map[string]string{"without directives": membersText, "without members": "sites {\n}\n", "no blocks": ""} {
+		t.Run(name, func(t *testing.T) {
+			gw := newTestGatewayWith(t, withSite(t, membersText+"directives {\n  voters = [\"n0\"]\n}\n"), oneHost)
+			gw.step(VoterLogOpened{State: &directives.PersistedState{Initialized: true}})
+			cfg := gw.g.cfg
+			if cfg.Site = nil; text != "" {
+				cfg.Site = parseSite(t, text)
+			}
+			gw.step(ConfigReloaded{Config: &cfg})
+			gw.advance(3 * rules.Second)
+			gw.g.Step(gw.now, ControlRequest{Conn: 8, Data: []byte("book")})
+			answer := ""
+			for _, effect := range gw.g.Flush() {
+				if response, ok := effect.(ControlResponse); ok {
+					answer = string(response.Data)
+				}
+			}
+			if !strings.Contains(answer, `"voters":["n0"]`) {
+				t.Errorf("answered %q", answer)
+			}
+		})
+	}
+}
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -21,6 +21,7 @@
 	g.reconfigureAdmission()
 	g.reconfigureZones()
 	g.reconfigurePeers()
+	g.reconfigureDirectives()
 	if g.results != nil {
 		budget := cfg.Site.Spool.Budget
 		g.handleSpool(spool.Event{Kind: spool.SetBudget, Budget: &budget})
