--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,6 @@
-// Package gateway owns all state of a gateway on sockets, in one reducer:
-// events with their time go in, effects come out. It calls the decision module
-// and carries its actions out. It must never read, write, dial, log or look at
-// a clock itself, nor decide what the module should: where a query runs, how
-// long it may take and how it ends when that is a choice.
+// Package gateway owns all state of a gateway on sockets, in one reducer: events with their time go in, effects come out. It calls the
+// decision module and carries out its actions. It must never read, write, dial, log or look at a clock itself, nor decide what the
+// module should: where a query runs, how long it may take, and how it ends where that is a choice.
 //
 // This file has the state and the loop between module and host; events.go and effects.go have what passes between
 // the reducer and its host.
@@ -33,22 +31,22 @@
 	freeBuffers  [][]byte     // large buffers
 	dirtyBuffers []*outputBuffer
 	timers       timers
-	armedAt      rules.Time
+	armedAt      rules.Time // the time of the last SetTimer; 0: it has fired
 	moduleQueue  serialQueue[rules.Event]
 
 	clients        map[ConnID]*clientConn
 	sessions       map[uint32]*clientConn
-	newClients     list.List // of clients that have asked for nothing yet, oldest first
-	idleClients    list.List // of other clients without a request, longest idle first
-	statementBytes int       // bytes of statements held for all clients
-	partialBytes   int       // bytes of unfinished packets of all clients
-	lastSession    uint32    // last id given
+	newClients     list.List // clients that have sent no command yet, oldest first
+	idleClients    list.List // other clients without a request, longest idle first
+	statementBytes int       // of statements of all requests that are not answered
+	partialBytes   int       // of unfinished packets of all clients
+	lastSession    uint32    // the last session id that was given
 
 	requests    map[rules.RequestID]*queryRequest
 	unanswered  int
 	classIndex  map[string]int
-	resultBytes int              // bytes of results that wait for their last page
-	pageQueue   []*engineAttempt // want pages, wait for others to free room
+	resultBytes int              // reserved for results whose pages were requested
+	pageQueue   []*engineAttempt // that wait for memory for their pages
 
 	engines      map[rules.EngineID]*engineState
 	engineOrder  []*engineState
@@ -60,15 +58,15 @@
 	queryIDs    [maxQueries]uint16     // ids of the latest queries
 	queryTimes  [maxQueries]rules.Time // and when they were sent
 	queryCount  int
-	nameService nameService // of the list: the name service
+	nameService nameService // that answers with the list
 	clockSteps  wallclock.Steps
-	lastStall   stall // the last one
+	lastStall   stall
 
-	results     *resultStore              // nil: no spool is set, results are passed on at once
-	admission   *admissionControl         // nil: the door is off, all requests go to the module at once
-	zones       *zoneRouting              // nil: no plan for the loss of a zone is set
+	results     *resultStore              // nil: results are not stored but passed on at once
+	admission   *admissionControl         // nil: it is off, all requests go to the module at once
+	zones       *zoneRouting              // nil: there is no plan for the loss of a zone
 	sightBuffer []zones.EngineObservation // scratch
-	peers       *peerState                // nil: other gateways are not talked to
+	peers       *peerState                // nil: other gateways are not contacted
 	directives  *directiveState           // nil: no directives are followed
 
 	stats           gatewayStats
@@ -80,8 +78,8 @@
 	drainPeriodOver bool
 }
 
-// maxQueries is how many queries to the name service are remembered: those of the time in which an answer may come, polls and as
-// many again for reloads.
+// maxQueries is how many queries to the name service are remembered: the polls in the time in which an answer may come, and as many again
+// for reloads.
 const maxQueries = 192
 
 // New returns a gateway that has just started.
