--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -101,7 +101,7 @@
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, more)))
 }
 
-// A queued request has one final answer: none after a KILL or a close by its client, a rejection after SIGTERM or ahead of its
+// A queued request has one final answer: none after a KILL or a close by its client, a rejection after SIGTERM or before its
 // deadline.
 func TestQueuedRequestEndsOnce(t *testing.T) {
 	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// This file owns attempts: how one starts at an engine, how the module changes or cancels it, and how it ends. The module hears of
+// This file owns attempts: how one starts at an engine, how the module changes or cancels it, and how it ends. The module is told of
 // each end exactly once, and never more than is known: an attempt that was written may have run unless the engine or the connection
 // proves that it did not.
 
@@ -22,7 +22,7 @@
 	endOffset       int64       // where it ends in all that is written on its connection
 	done            bool
 	status          rules.Status // once done
-	terminating     bool         // ended by us or by its connection, but its engine may not have heard of that yet
+	terminating     bool         // ended by us or by its connection, but its engine may not know that yet
 	blameless       bool         // how it ends does not count against its engine
 	localExhaustion bool         // it had no connection because a local resource was exhausted
 	startedAt       rules.Time   // when the module asked for it
@@ -118,16 +118,16 @@
 		} else {
 			attempt.conn.output = engine.AppendCancel(attempt.conn.output, id)
 		}
-		g.flushNow(&attempt.conn.outputBuffer) // ahead of another attempt, whose connection may come before this one in the batch
+		g.flushNow(&attempt.conn.outputBuffer) // before another attempt is, whose connection may come first in the batch
 		g.retireIfSilent(attempt)
 	}
 	g.terminateAttempt(attempt, status)
 }
 
-// terminateAttempt ends an attempt that its engine may still run, since word of the end takes time to reach it. Where no two
-// attempts of a request may run at once, the next one could reach a nearer engine ahead of that word. So the module hears of the
-// end only after the time that the connection took to come up, which covers the way to the engine. Where nothing can follow, or the
-// engine ends the attempt by its own deadline, the module hears at once.
+// terminateAttempt ends an attempt that its engine may still run, since the cancel takes time to reach it. Where no two attempts of a
+// request may run at once, the next one could reach a nearer engine before the cancel reaches the first. So the module is told of
+// the end only after the time that the connection took to come up, which covers the way to the engine. Where nothing can follow, or
+// the engine ends the attempt by its own deadline, the module is told at once.
 func (g *Gateway) terminateAttempt(attempt *engineAttempt, status rules.Status) {
 	req, settings := attempt.request, &g.cfg.Settings.Rules
 	if !attempt.sent || req.answered || status == rules.StatusTimeout || settings.Limits.HedgedRequests ||
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -127,7 +127,7 @@
 // graceMarginDivisor is the part of a drain's grace, as a divisor, that is left for resetting connections.
 const graceMarginDivisor = 10
 
-// armGrace sets a timer ahead of the end of the grace of an engine that drains or has gone: by then nothing may be on its way to it.
+// armGrace sets a timer shortly before the end of the grace of an engine that drains or has gone: by then nothing may be on its way to it.
 func (g *Gateway) armGrace(eng *engineState) {
 	grace := g.cfg.Settings.Rules.Constraints.DrainGrace
 	if grace > 0 && len(eng.conns) > 0 {
--- a/internal/gateway/engineread.go
+++ b/internal/gateway/engineread.go
@@ -58,7 +58,7 @@
 var errAnswerIncomplete = errors.New("engine: answer incomplete")
 
 // awaitCompletion sets a timer by which an answer that has begun must be complete: one that stops short would leave all requests on its
-// connection waiting, and take the answers behind it for its own rest.
+// connection waiting, and take the answers after it for its own rest.
 func (g *Gateway) awaitCompletion(conn *engineConn) {
 	if conn.decoder.Buffered() > 0 && !conn.completionTimerSet {
 		conn.completionTimerSet = true
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// indexOf is a name's index in its list; an unknown name has the index behind the last.
+// indexOf is a name's index in its list; an unknown name has the index after the last.
 func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -167,7 +167,7 @@
 	g.tellModule(rules.Arrival{Request: *arrival})
 }
 
-// finishRequest notes that no answer is due any more. Each request comes here once, behind its final answer if it has one.
+// finishRequest notes that no answer is due any more. Each request comes here once, after its final answer if it has one.
 func (g *Gateway) finishRequest(req *queryRequest, how outcome) {
 	g.checkAnswer(req, how)
 	if g.cfg.Trace {
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// resultLost answers a request whose result can't be stored. The query has run, so only where it is idempotent does the client
-// hear that a retry is harmless. A result that is too large would be too large again.
+// resultLost answers a request whose result can't be stored. The query has run, so only where it is idempotent is the client
+// told that a retry is harmless. A result that is too large would be too large again.
 func (g *Gateway) resultLost(req *queryRequest, reason spool.Reason) {
 	if req.answered {
 		return
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -84,7 +84,7 @@
 	inFlight map[string]*simAttempt
 	closed   bool
 	written  int64      // bytes that the system took for it
-	delay    rules.Time // to its engine; 0: of a client, whose end hears at once
+	delay    rules.Time // to its engine; 0: of a client, which is notified at once
 }
 
 type simEngine struct {
@@ -328,7 +328,7 @@
 				sim.connEnded(conn, false)
 				continue
 			}
-			sim.schedule(conn.delay, func() { // behind what was written
+			sim.schedule(conn.delay, func() { // after what was written
 				if !conn.closed {
 					sim.connEnded(conn, false)
 				}
@@ -560,7 +560,7 @@
 	sim.sent++
 	conn.inFlight[id] = attempt
 	if engine.silent || sim.chance(0.02) {
-		return // nothing is ever heard of it
+		return // it is never answered
 	}
 	spend := rules.Time(float64(req.work/simClasses[req.class].threads) * (0.9 + 0.4*sim.rng.Float64()))
 	if sim.chance(0.05) {
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -27,7 +27,7 @@
 }
 
 // A process that is stopped for a while, or starved, finds its timers due before it has read what came meanwhile: clients
-// that have gone, queries that were killed. Nothing of these is sent to an engine behind that.
+// that have gone, queries that were killed. Nothing of these is sent to an engine after that.
 func TestNothingIsSentForWhoLeftDuringAStall(t *testing.T) {
 	gone := 0
 	for seed := range uint64(12) {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -19,7 +19,7 @@
 	timerStats                           // figures are logged
 	timerAnswerComplete                  // an answer that has begun must be complete
 	timerResultStored                    // a result that the engine has given must be stored
-	timerTerminated                      // the engine has heard of an attempt's end
+	timerTerminated                      // the engine knows of an attempt's end
 	timerPeers                           // the replicated state of peers is exchanged
 	timerDirectives                      // the directives' consensus group gets its tick
 	timerCaughtUp                        // input that came during a stall was read
