--- a/internal/gateway/resultread.go
+++ b/internal/gateway/resultread.go
@@ -75,16 +75,16 @@
 		reader.headerWritten = true
 		client.output, reader.nextSeq = mysql.AppendColumns(client.output, reader.nextSeq, columnNames)
 		if reader.resumable {
-			client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#handle\t"+reader.handle.String()+"\t"+strconv.Itoa(effect.End)), columnCount)
+			client.output = reader.appendRow(client.output, []byte("#handle\t"+reader.handle.String()+"\t"+strconv.Itoa(effect.End)))
 		}
 	}
 	for page := effect.Data; len(page) > 0; {
 		var row []byte
 		row, page, _ = bytes.Cut(page, []byte{'\n'})
-		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, row, columnCount) // checked by pageWellFormed
+		client.output = reader.appendRow(client.output, row)
 	}
 	if reader.resumable {
-		client.output, reader.nextSeq, _ = mysql.AppendRow(client.output, reader.nextSeq, []byte("#page\t"+strconv.Itoa(effect.Index)+"\t"+strconv.Itoa(effect.End)), columnCount)
+		client.output = reader.appendRow(client.output, []byte("#page\t"+strconv.Itoa(effect.Index)+"\t"+strconv.Itoa(effect.End)))
 	}
 	reader.lastChunk, reader.complete = effect.Index, effect.Last
 	g.markDirty(&client.outputBuffer)
@@ -102,6 +102,12 @@
 	g.clientBecameIdle(client)
 }
 
+// appendRow appends the next row of the result. It is well-formed: pages were checked when they came.
+func (r *resultReader) appendRow(output, row []byte) []byte {
+	output, r.nextSeq, _ = mysql.AppendRow(output, r.nextSeq, row, columnCount)
+	return output
+}
+
 // watchClient asks to be notified once the client's connection has taken all that was written to it.
 func (g *Gateway) watchClient(client *clientConn) {
 	g.flushNow(&client.outputBuffer)
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -117,7 +117,8 @@
 		if change.To == zones.Lost {
 			level = Warn
 		}
-		g.log(level, "zone", Attr{keyZone, routing.names[change.Zone]}, Attr{"from", change.From.String()}, Attr{"to", change.To.String()}, Attr{"damped", change.Damped})
+		g.log(level, "zone", Attr{keyZone, routing.names[change.Zone]}, Attr{"from", change.From.String()},
+			Attr{"to", change.To.String()}, Attr{"damped", change.Damped})
 	}
 	for _, id := range observed.Probe {
 		g.startProbe(id)
