--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -6,44 +6,31 @@
 	"testing"
 
 	"foxlane/internal/guard"
-	"foxlane/internal/standin"
 	"foxlane/rules"
 )
 
-// What the module must never ask for, and what the reducer must never do, is counted by name at the place where it is
-// carried out, and logged once with the request's id.
+// What the module must never ask for, and what the reducer must never do, is counted by name where it is carried out, and logged once
+// with the request's id.
 func TestGuardsCountWhatMustNotBe(t *testing.T) {
 	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
-	open := func(gw *testGateway, class string) { // one attempt is in flight
-		gw.client(1)
-		gw.step(DataReceived, 1, askText(class, idA))
-		gw.step(DialSucceeded, gw.dials[0], "")
+	sendAgain := func(gw *testGateway, class string) { // one attempt is in flight, and the module asks for another
+		gw.sendToEngine(class)
+		gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
+		gw.flush()
+		gw.step(DialSucceeded{Conn: gw.dials[len(gw.dials)-1]})
 	}
 	for name, c := range map[string]struct {
 		do   func(gw *testGateway)
 		want guard.Invariant
 	}{
-		"an unsafe class sent again": {func(gw *testGateway) {
-			open(gw, "load")
-			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
-			gw.flush()
-			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
-		}, guard.RetryUnsafe},
-		"two attempts in flight": {func(gw *testGateway) {
-			open(gw, "point")
-			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
-			gw.flush()
-			gw.step(DialSucceeded, gw.dials[len(gw.dials)-1], "")
-		}, guard.SendParallel},
+		"an unsafe class sent again": {func(gw *testGateway) { sendAgain(gw, "load") }, guard.RetryUnsafe},
+		"two attempts in flight":     {func(gw *testGateway) { sendAgain(gw, "point") }, guard.SendParallel},
 		"an engine that drains": {func(gw *testGateway) {
 			gw.client(1)
-			host := oneHost
-			host.Draining = true
-			gw.step(DNSResponse, 0, string(standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})))
+			gw.answerList(2, draining(oneHost))
 			gw.advance(1100 * rules.Millisecond)
-			gw.step(ConnectionAccepted, 2, "")
-			gw.step(DataReceived, 2, string(loginPacket()))
-			gw.step(DataReceived, 2, askText("load", idB))
+			gw.client(2)
+			gw.receive(2, askText("load", idB))
 			gw.g.runAction(rules.Send{ID: idB, Engine: engineID(gw)})
 			attempt := gw.g.requests[idB].attempts[0]
 			gw.g.writeAttempt(attempt)
@@ -51,38 +38,38 @@
 		"a zone that the class must not use": {func(gw *testGateway) {
 			gw.client(1)
 			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
-			gw.step(DataReceived, 1, askText("report", idA))
+			gw.receive(1, askText("report", idA))
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
-			gw.step(DialSucceeded, gw.dials[0], "")
+			gw.step(DialSucceeded{Conn: gw.dials[0]})
 		}, guard.SendMisplaced},
 		"a client that has gone": {func(gw *testGateway) {
-			open(gw, "point")
+			gw.sendToEngine("point")
 			req := gw.g.requests[idA]
 			attempt := req.attempts[0]
-			gw.step(ConnectionClosed, 1, "")
+			gw.closeConn(1)
 			gw.g.writeAttempt(attempt)
 		}, guard.SendAfterEnd},
-		"a refusal of what may have run": {func(gw *testGateway) {
-			open(gw, "load")
+		"a rejection of what may have run": {func(gw *testGateway) {
+			gw.sendToEngine("load")
 			gw.g.reject(gw.g.requests[idA], 0, EndOverCapacity)
 		}, guard.RejectedMayHaveRun},
 		"a second answer": {func(gw *testGateway) {
-			open(gw, "point")
+			gw.sendToEngine("point")
 			req := gw.g.requests[idA]
 			gw.g.failRequest(req, EndDeadlineUnreachable)
 			gw.g.checkAnswer(req, outcomeFailed)
 		}, guard.AnswerTwice},
 		"a connection closed without an answer": {func(gw *testGateway) {
-			open(gw, "point")
+			gw.sendToEngine("point")
 			gw.g.closeClient(gw.g.clients[1], CloseIdle)
 		}, guard.CloseUnanswered},
 		"a connection closed under an attempt": {func(gw *testGateway) {
-			open(gw, "point")
+			gw.sendToEngine("point")
 			gw.g.closeEngineConn(gw.g.engineConns[gw.dials[0]], CloseEngineIdle)
 		}, guard.CloseInFlight},
 		"an id that is open": {func(gw *testGateway) {
-			open(gw, "point")
+			gw.sendToEngine("point")
 			gw.g.checkStart(&queryRequest{id: idA, client: &clientConn{}})
 		}, guard.StartTwice},
 	} {
@@ -94,36 +81,36 @@
 	}
 }
 
-// One request is followed by its id through all that becomes of it, and each connection's end has a reason.
+// One request can be followed by its id through the log, and the end of each connection has a reason.
 func TestTraceFollowsARequest(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.cfg.Trace = true
 	var lines []string
 	take := func() {
-		for _, effect := range gw.g.effects {
-			if effect.Kind == Log && effect.Level == Debug {
+		for _, effect := range gw.g.effects.list {
+			if effect, ok := effect.(Log); ok && effect.Level == Debug {
 				lines = append(lines, fmt.Sprint(effect.Text, effect.Attrs))
 			}
 		}
 		gw.flush()
 	}
-	step := func(kind EventKind, conn ConnID, data string) {
-		gw.g.Step(gw.now, Event{Kind: kind, Conn: conn, Data: []byte(data), AcceptedBytes: gw.written[conn]})
+	step := func(event Event) {
+		gw.g.Step(gw.now, event)
 		take()
 	}
-	step(ConnectionAccepted, 1, "")
-	step(DataReceived, 1, string(loginPacket()))
-	step(DataReceived, 1, askText("point", idA))
-	step(DialSucceeded, gw.dials[0], "")
+	step(ConnectionAccepted{Conn: 1})
+	step(&DataReceived{Conn: 1, Data: loginPacket()})
+	step(&DataReceived{Conn: 1, Data: []byte(askText("point", idA))})
+	step(DialSucceeded{Conn: gw.dials[0]})
 	gw.now += 10 * rules.Millisecond
-	step(DataReceived, gw.dials[0], idA+" overload - 0\r\n\r\n")
+	step(&DataReceived{Conn: gw.dials[0], Data: []byte(idA + " overload - 0\r\n\r\n")})
 	gw.now += 10 * rules.Millisecond
-	step(ConnectionClosed, 1, "")
-	step(ConnectionClosed, gw.dials[0], "")
-	for _, want := range []string{"request: begins[{request " + idA, "request: queued[{request " + idA + "} {where module}",
-		"attempt: begins[{request " + idA + "} {attempt 0} {engine s-00000001} {why first}", "attempt: sent[{request " + idA,
-		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {verdict full} {sent true}", "request: ends[{request " + idA + "} {how left} {why client_left}",
-		"client: closed[{session", "{why peer_closed}", "engine: connection closed[{connection", "{why engine_lost}"} {
+	step(ConnectionClosed{Conn: 1, AcceptedBytes: gw.written[1]})
+	step(ConnectionClosed{Conn: gw.dials[0], AcceptedBytes: gw.written[gw.dials[0]]})
+	for _, want := range []string{"request: started[{request " + idA, "request: queued[{request " + idA + "} {where module}",
+		"attempt: started[{request " + idA + "} {attempt 0} {engine s-00000001} {reason first}", "attempt: sent[{request " + idA,
+		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {status rejected} {sent true}", "request: ended[{request " + idA + "} {outcome abandoned} {reason client_left}",
+		"client: closed[{session", "{reason peer_closed}", "engine: connection closed[{connection", "{reason engine_lost}"} {
 		if !strings.Contains(strings.Join(lines, "\n"), want) {
 			t.Errorf("no line has %q:\n%s", want, strings.Join(lines, "\n"))
 		}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -1,10 +1,6 @@
 package gateway
 
 import (
-	"encoding/json"
-	"fmt"
-	"time"
-
 	"foxlane/internal/config"
 	"foxlane/internal/directives"
 	"foxlane/internal/gossip"
@@ -12,10 +8,11 @@
 	"foxlane/rules"
 )
 
-// This file carries what other gateways say to the copies, and what is made of it to the module and the zones. It decides
-// nothing; without the operator's block `members` it does nothing, and nobody ever waits for a peer.
+// This file connects the reducer with the other gateways: it hands their messages to the replicated state, and what package gossip makes
+// of that to the module and the zones. It decides nothing, and nothing here ever waits for a peer. Without the block `members` in
+// the operator's file no other gateway is contacted.
 
-// PeerKind is what a PeerEvent tells.
+// PeerKind is the kind of a PeerEvent.
 type PeerKind int
 
 // Kinds of peer events.
@@ -23,63 +20,64 @@
 	PeerJoined PeerKind = iota + 1
 	PeerLeft
 	PeerMessage
-	PeerNameConflict // another process has a member's name
+	PeerNameConflict // another process uses a member's name
 )
 
-// PeerEvent is something that happened among the members.
+// PeerEvent is an Event: something that happened among the members.
 type PeerEvent struct {
 	Kind    PeerKind
 	Name    string
 	Zone    string
-	Channel byte
-	Text    string
+	Channel byte   // with PeerMessage, as Data
+	Data    []byte // valid during Step only
+	Text    string // with PeerNameConflict: the other's address
 }
 
-// Channels of what members say.
+// Channels of messages among members.
 const (
 	ChannelReplica    byte = iota + 1
 	ChannelConsensus       // among the voters on directives
-	ChannelDirectives      // of directives, to all
+	ChannelDirectives      // directives in force, to all members
 )
 
-// peerState is what is held of other gateways.
+// peerState is what this gateway knows of the others.
 type peerState struct {
 	replica    *replica.Store
 	gossip     *gossip.Observations
-	lastStats  replica.Stats
-	lastCounts gossip.Counts
-	oddTick    bool                  // ticks
-	joinedAt   map[string]rules.Time // members, by when they came
+	lastStats  replica.Stats         // when figures were last logged
+	lastCounts gossip.Counts         // when figures were last logged
+	oddTick    bool                  // of the current tick
+	joinedAt   map[string]rules.Time // when each member joined
 }
 
-// newPeers returns the copies of a gateway that may talk, or nil.
+// newPeers returns the state that the operator has configured, or nil.
 func newPeers(cfg *config.Config, now rules.Time) *peerState {
 	if cfg.Site == nil || cfg.Site.Members == nil {
 		return nil
 	}
-	set := cfg.Site.Members.Replica
-	set.Name, set.Incarnation, set.Seed = cfg.Name, uint64(now), cfg.Seed
+	settings := cfg.Site.Members.Replica
+	settings.Name, settings.Incarnation, settings.Seed = cfg.Name, uint64(now), cfg.Seed
 	if i := cfg.Settings.Rules.Zone; i >= 0 && i < len(cfg.Settings.ZoneNames) {
-		set.Zone = cfg.Settings.ZoneNames[i]
+		settings.Zone = cfg.Settings.ZoneNames[i]
 	}
-	peers := &peerState{replica: replica.New(set, now), joinedAt: map[string]rules.Time{}}
+	peers := &peerState{replica: replica.New(settings, now), joinedAt: map[string]rules.Time{}}
 	peers.gossip = gossip.New(cfg.Site.Members.Gossip, peers.replica, now)
 	return peers
 }
 
-// reconfigurePeers goes over to what the operator's file says now: the block may come and go. What other settings of it mean
-// holds from the next start of the talk on.
+// reconfigurePeers takes over the operator's file as it is now: the block may come and go. Its settings take effect when members are
+// joined the next time.
 func (g *Gateway) reconfigurePeers() {
 	on := g.cfg.Site != nil && g.cfg.Site.Members != nil
 	switch {
 	case on == (g.peers != nil):
 	case !on:
-		g.peers = nil // the book stays as it is, and grows old
-		g.log(Info, "members: talk ends")
-		g.emit(Effect{Kind: LeaveMembers})
+		g.peers = nil // the directives stay as they are, and become stale
+		g.log(Info, "members: leaving")
+		g.emit(LeaveMembers{})
 	default:
 		g.startPeers()
-		g.emit(Effect{Kind: JoinMembers})
+		g.emit(JoinMembers{})
 	}
 }
 
@@ -89,56 +87,57 @@
 	}
 }
 
-// handlePeer takes what has happened among the members.
-func (g *Gateway) handlePeer(event Event) {
+// handlePeer takes an event among the members.
+func (g *Gateway) handlePeer(event PeerEvent) {
 	peers := g.peers
 	if peers == nil {
 		return
 	}
-	switch notice := event.Peer; notice.Kind {
+	switch event.Kind {
 	case PeerJoined:
-		peers.joinedAt[notice.Name] = g.now
-		g.log(Info, "members: joined", Attr{"member", notice.Name}, Attr{"zone", notice.Zone}, Attr{"members", len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: notice.Name, Zone: notice.Zone}})
+		peers.joinedAt[event.Name] = g.now
+		g.log(Info, "members: joined", Attr{keyMember, event.Name}, Attr{keyZone, event.Zone}, Attr{keyMembers, len(peers.joinedAt)})
+		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: event.Name, Zone: event.Zone}})
 	case PeerLeft:
-		delete(peers.joinedAt, notice.Name)
-		g.log(Info, "members: left", Attr{"member", notice.Name}, Attr{"members", len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: notice.Name}})
+		delete(peers.joinedAt, event.Name)
+		g.log(Info, "members: left", Attr{keyMember, event.Name}, Attr{keyMembers, len(peers.joinedAt)})
+		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: event.Name}})
 	case PeerMessage:
 		switch {
-		case notice.Channel == ChannelReplica:
-			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: notice.Name}, Data: event.Data})
+		case event.Channel == ChannelReplica:
+			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: event.Name}, Data: event.Data})
 		case g.directives == nil:
-		case notice.Channel == ChannelConsensus:
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Received{From: notice.Name, Data: event.Data}))
-		case notice.Channel == ChannelDirectives:
-			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, notice.Name, event.Data))
+		case event.Channel == ChannelConsensus:
+			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
+		case event.Channel == ChannelDirectives:
+			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
 		}
 	case PeerNameConflict:
-		g.log(Warn, "members: a name comes twice", Attr{"member", notice.Name}, Attr{"at", notice.Text})
+		g.log(Warn, "members: duplicate name", Attr{keyMember, event.Name}, Attr{"at", event.Text})
 	}
 }
 
-// handleReplica hands an event to the copies and carries out what they ask for.
+// handleReplica hands an event to the replicated state and carries out what that asks for.
 func (g *Gateway) handleReplica(event replica.Event) {
 	for _, effect := range g.peers.replica.Handle(g.now, event) {
 		switch effect.Kind {
 		case replica.Send:
-			g.emit(Effect{Kind: SendToMember, To: effect.To, Channel: ChannelReplica, Data: effect.Data})
+			g.emit(SendToMember{To: effect.To, Channel: ChannelReplica, Data: effect.Data})
 		case replica.Reject:
-			g.log(Warn, "members: message refused", Attr{"member", effect.Origin}, Attr{"error", effect.Err.Error()})
+			g.log(Warn, "members: message rejected", Attr{keyMember, effect.Origin}, Attr{keyError, effect.Err.Error()})
 		}
 	}
 }
 
-// tickPeers lets time pass among the copies: ours are written, those of others looked at.
+// tickPeers lets time pass for the replicated state. On every other tick our own observations are published and those of others are
+// evaluated, since they change slower than messages must be sent.
 func (g *Gateway) tickPeers() {
 	peers := g.peers
 	if peers == nil {
 		return
 	}
 	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
-	if peers.oddTick = !peers.oddTick; peers.oddTick { // what we hold changes slower than what is said
+	if peers.oddTick = !peers.oddTick; peers.oddTick {
 		g.handleReplica(replica.Event{Kind: replica.Tick})
 		return
 	}
@@ -148,21 +147,21 @@
 	}
 	peers.gossip.Publish(g.now, view)
 	g.handleReplica(replica.Event{Kind: replica.Tick})
-	weighed := peers.gossip.Evaluate(g.now, view)
+	advice := peers.gossip.Evaluate(g.now, view)
 	if g.cfg.Settings.Rules.Limits.Probes {
-		for _, id := range weighed.Probe {
+		for _, id := range advice.Probe {
 			g.probeEngine(id, true)
 		}
 	}
-	for _, zone := range weighed.Suspect {
+	for _, zone := range advice.Suspect {
 		g.zones.router.Suspect(zone)
 	}
-	for _, lesson := range weighed.Events {
-		g.tellModule(lesson)
+	for _, event := range advice.Events {
+		g.tellModule(event)
 	}
 }
 
-// logPeers notes what was said since the last line.
+// logPeers logs what was exchanged with other gateways since the last such line.
 func (g *Gateway) logPeers() {
 	peers := g.peers
 	if peers == nil {
@@ -171,109 +170,12 @@
 	stats, last, counts := peers.replica.Stats(), peers.lastStats, peers.gossip.Counts()
 	lastCounts := peers.lastCounts
 	peers.lastStats, peers.lastCounts = stats, counts
-	g.log(Info, "copies", Attr{"members", stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries}, Attr{"sent_bytes", stats.BytesSent - last.BytesSent},
-		Attr{"received_bytes", stats.BytesReceived - last.BytesReceived}, Attr{"news", stats.NewEntries - last.NewEntries}, Attr{"known", stats.KnownEntries - last.KnownEntries}, Attr{"refused", stats.Rejected - last.Rejected},
-		Attr{"mended", stats.Repaired - last.Repaired}, Attr{"held_back", stats.OverBudget - last.OverBudget}, Attr{"lag_ms", int64(stats.Lag / rules.Millisecond)},
-		Attr{"engines_looked_at", counts.EnginesProbed - lastCounts.EnginesProbed}, Attr{"zones_doubted", counts.ZonesSuspected - lastCounts.ZonesSuspected}, Attr{"classes_taught", counts.ClassesLearned - lastCounts.ClassesLearned})
-}
-
-// ---- operators' questions
-
-// answerInquiry answers a question of an operator's command with one line of JSON.
-func (g *Gateway) answerInquiry(event Event) {
-	var answer any
-	switch what := string(event.Data); {
-	case len(event.Data) > 0 && event.Data[0] == '{':
-		g.proposeDirective(event.Conn, event.Data)
-		return
-	case what == "book":
-		answer = g.directiveStatus()
-	case g.peers == nil:
-		answer = map[string]string{"error": "talk is off"}
-	case what == "members":
-		answer = g.memberStatus()
-	case what == "copies":
-		answer = g.replicaEntries()
-	default:
-		answer = map[string]string{"error": fmt.Sprintf("unknown question %.40q", what)}
-	}
-	g.reply(event.Conn, answer)
-}
-
-func (g *Gateway) reply(conn ConnID, answer any) {
-	line, err := json.Marshal(answer)
-	if err != nil {
-		line = []byte(`{"error":"the answer can't be written"}`)
-	}
-	g.emit(Effect{Kind: ControlResponse, Conn: conn, Data: append(line, '\n')})
-}
-
-// MemberStatus is a member as `foxlane members` shows it.
-type MemberStatus struct {
-	Name               string  `json:"name"`
-	Zone               string  `json:"zone"`
-	SinceMS            int64   `json:"since_ms"` // how long it has been there; of ourselves how long we run
-	Entries            int     `json:"entries"`  // copies that are held of it
-	NewestEntryMS      int64   `json:"newest_ms"`
-	Counter            uint64  `json:"counter"`
-	Incarnation        string  `json:"life"` // when it began
-	Self               bool    `json:"us,omitempty"`
-	LagMS              int64   `json:"lag_ms,omitempty"` // ours
-	SentBytesPerSecond float64 `json:"sent_bytes_s,omitempty"`
-}
-
-func (g *Gateway) memberStatus() any {
-	peers := g.peers
-	zone := map[string]string{}
-	for _, member := range peers.replica.Members() {
-		zone[member.Name] = member.Zone
-	}
-	stats := peers.replica.Stats()
-	out := []MemberStatus{}
-	for _, entries := range peers.replica.Copies() {
-		_, there := peers.joinedAt[entries.Origin]
-		us := entries.Origin == g.cfg.Name
-		if !there && !us {
-			continue
-		}
-		status := MemberStatus{Name: entries.Origin, Zone: zone[entries.Origin], Entries: len(entries.Entries), Counter: entries.Counter, NewestEntryMS: -1,
-			Incarnation: time.UnixMicro(int64(entries.Incarnation)).UTC().Format(time.RFC3339), Self: us}
-		for _, entry := range entries.Entries {
-			if age := int64((g.now - entry.WrittenAt) / rules.Millisecond); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
-				status.NewestEntryMS = age
-			}
-		}
-		if us {
-			status.SinceMS, status.LagMS = int64((g.now-rules.Time(entries.Incarnation))/rules.Millisecond), int64(stats.Lag/rules.Millisecond)
-			status.SentBytesPerSecond = float64(stats.BytesSent) / max(float64(status.SinceMS)/1000, 1)
-		} else {
-			status.SinceMS = int64((g.now - peers.joinedAt[entries.Origin]) / rules.Millisecond)
-		}
-		out = append(out, status)
-	}
-	return out
-}
-
-// ReplicaEntry is an entry as `foxlane replica diff` compares it.
-type ReplicaEntry struct {
-	Origin      string        `json:"origin"`
-	Incarnation uint64        `json:"life"`
-	Kind        string        `json:"kind"`
-	Subject     uint64        `json:"subject"`
-	Counter     uint64        `json:"counter"`
-	AgeMS       int64         `json:"age_ms"`
-	ExpiresInMS int64         `json:"left_ms"` // until it is forgotten
-	Value       replica.Value `json:"value"`
-}
-
-func (g *Gateway) replicaEntries() any {
-	out := []ReplicaEntry{}
-	set := &g.cfg.Site.Members.Replica
-	for _, entries := range g.peers.replica.Copies() {
-		for _, entry := range entries.Entries {
-			out = append(out, ReplicaEntry{entries.Origin, entries.Incarnation, entry.Kind.String(), entry.Subject, entry.Counter, int64((g.now - entry.WrittenAt) / rules.Millisecond),
-				int64((entry.WrittenAt + set.MaxAge[entry.Kind] - g.now) / rules.Millisecond), entry.Value})
-		}
-	}
-	return out
+	g.log(Info, "replica", Attr{keyMembers, stats.Members}, Attr{"origins", stats.Origins}, Attr{"entries", stats.Entries},
+		Attr{"sent_bytes", stats.BytesSent - last.BytesSent}, Attr{"received_bytes", stats.BytesReceived - last.BytesReceived},
+		Attr{"new_entries", stats.NewEntries - last.NewEntries}, Attr{"known_entries", stats.KnownEntries - last.KnownEntries},
+		Attr{keyRejected, stats.Rejected - last.Rejected}, Attr{"repaired", stats.Repaired - last.Repaired},
+		Attr{"over_budget", stats.OverBudget - last.OverBudget}, Attr{"lag_ms", milliseconds(stats.Lag)},
+		Attr{"engines_probed", counts.EnginesProbed - lastCounts.EnginesProbed},
+		Attr{"zones_suspected", counts.ZonesSuspected - lastCounts.ZonesSuspected},
+		Attr{"classes_learned", counts.ClassesLearned - lastCounts.ClassesLearned})
 }
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -6,13 +6,13 @@
 	"math"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
 	"foxlane/internal/config"
 	"foxlane/internal/spool"
 	"foxlane/internal/spool/segment"
-	"foxlane/internal/standin"
 	"foxlane/rules"
 )
 
@@ -26,23 +26,21 @@
 	diskSpool   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
 )
 
-// The seven rules hold with results kept, in memory and on a disk that fails at times, with the door and without.
+// The seven rules hold with results stored, in memory and on a disk that fails at times, with and without admission control.
 func TestRulesWithResultsKept(t *testing.T) {
-	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and door": diskSpool + "fair {\n}\n"} {
+	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and admission control": diskSpool + "fair {\n}\n"} {
 		for _, faultRate := range []float64{0, 0.4, 1} {
 			for seed := range uint64(5) {
-				t.Run(fmt.Sprintf("%s rough %v seed %d", name, faultRate, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s fault rate %v seed %d", name, faultRate, seed), func(t *testing.T) {
 					sim := newSimulationWith(t, seed, faultRate, withSpool(t, text))
 					sim.play(6 * rules.Second)
-					for _, b := range sim.violations[:min(len(sim.violations), 5)] {
-						t.Error(b)
-					}
+					sim.reportViolations()
 					if sim.sent < 250 || sim.served < 100 {
 						t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
 					}
 					stats := sim.g.results.spool.Stats()
 					if stats.Completed < 100 || stats.Results != 0 || stats.Readers != 0 || stats.MemoryBytes != 0 || stats.DiskBytes != 0 || len(sim.g.results.filling) != 0 {
-						t.Errorf("left on the shelf: %+v, %d on their way", stats, len(sim.g.results.filling))
+						t.Errorf("left in the result store: %+v, %d being filled", stats, len(sim.g.results.filling))
 					}
 				})
 			}
@@ -50,7 +48,7 @@
 	}
 }
 
-// spoolGateway is a bench whose spool has a disk, that does all at once unless it is told to wait.
+// spoolGateway is a testGateway whose spool has a disk, which works at once unless it is paused.
 type spoolGateway struct {
 	*testGateway
 	records     [][]byte
@@ -61,24 +59,20 @@
 }
 
 func newSpoolGateway(t *testing.T, text string) *spoolGateway {
-	gw := &spoolGateway{testGateway: &testGateway{t: t, now: 1_700_000_000 * rules.Second, output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}},
-		watched: map[ConnID]bool{}}
-	cfg := simConfig(t, []standin.Host{oneHost})
-	withSpool(t, text)(&cfg)
-	gw.g = New(cfg, gw.now)
-	gw.run(Event{})
+	gw := &spoolGateway{testGateway: startTestGateway(t, withSpool(t, text), oneHost), watched: map[ConnID]bool{}}
+	gw.run(nil)
 	return gw
 }
 
 func (gw *spoolGateway) run(event Event) {
-	if event.Kind != 0 {
+	if event != nil {
 		gw.g.Step(gw.now, event)
 	}
 	for again := true; again; {
 		again = false
 		for _, effect := range slices.Clone(gw.g.Flush()) {
-			switch effect.Kind {
-			case Write:
+			switch effect := effect.(type) {
+			case *Write:
 				gw.output[effect.Conn] = append(gw.output[effect.Conn], effect.Data...)
 			case CloseConnection:
 				gw.closed[effect.Conn] = true
@@ -89,7 +83,7 @@
 			case Exit:
 				gw.exited = true
 			case SubmitSpool:
-				gw.pendingDisk = append(gw.pendingDisk, effect.Spool)
+				gw.pendingDisk = append(gw.pendingDisk, effect.Effect)
 			}
 		}
 		if !gw.diskPaused && len(gw.pendingDisk) > 0 {
@@ -118,16 +112,16 @@
 		default:
 			continue
 		}
-		gw.g.Step(gw.now, Event{Kind: SpoolCompleted, Spool: events})
+		gw.g.Step(gw.now, SpoolCompleted{Events: events})
 	}
 }
 
 func (gw *spoolGateway) send(id ConnID, text string) {
-	gw.run(Event{Kind: DataReceived, Conn: id, Data: []byte(text)})
+	gw.run(&DataReceived{Conn: id, Data: []byte(text)})
 }
 
 func (gw *spoolGateway) connect(id ConnID) {
-	gw.run(Event{Kind: ConnectionAccepted, Conn: id})
+	gw.run(ConnectionAccepted{Conn: id})
 	gw.send(id, string(loginPacket()))
 	gw.takeOutput(id)
 }
@@ -137,36 +131,45 @@
 	return strings.Repeat(fmt.Sprintf("%d\tfield\t%s\n", n, strings.Repeat("x", 180)), 25)
 }
 
+// number reads a decimal number.
+func number(t *testing.T, text string) int {
+	t.Helper()
+	n, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
 // startResult asks for a result of so many pages and lets the engine give the first.
-func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (link ConnID) {
+func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (connID ConnID) {
 	gw.send(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, more))))
 	if len(gw.dials) == 0 {
 		return 0
 	}
-	link = gw.dials[len(gw.dials)-1]
-	gw.run(Event{Kind: DialSucceeded, Conn: link})
-	gw.takeOutput(link)
+	connID = gw.dials[len(gw.dials)-1]
+	gw.run(DialSucceeded{Conn: connID})
+	gw.takeOutput(connID)
 	p := bigPage(0)
-	gw.send(link, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
-	return link
+	gw.send(connID, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
+	return connID
 }
 
 var nextCommand = regexp.MustCompile(`NEXT ([0-9a-f]{16}) (\d+)\r\n`)
 
 // serveEngine answers all that the engine is asked for, until it is freed. It returns the commands that it saw.
-func (gw *spoolGateway) serveEngine(link ConnID) (saw string) {
+func (gw *spoolGateway) serveEngine(connID ConnID) (saw string) {
 	for {
-		got := gw.takeOutput(link)
+		got := gw.takeOutput(connID)
 		saw += got
 		asks := nextCommand.FindAllStringSubmatch(got, -1)
 		if len(asks) == 0 {
 			return saw
 		}
 		for _, m := range asks {
-			n := 0
-			fmt.Sscan(m[2], &n)
+			n := number(gw.t, m[2])
 			p := bigPage(n)
-			gw.send(link, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
+			gw.send(connID, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
 		}
 	}
 }
@@ -180,7 +183,7 @@
 			break
 		}
 		delete(gw.watched, id)
-		gw.run(Event{Kind: WriteDrained, Conn: id})
+		gw.run(WriteDrained{Conn: id})
 	}
 	all = append(all, gw.takeOutput(id)...)
 	ends, n := 0, 0
@@ -219,16 +222,14 @@
 	return rows
 }
 
-// plain are the rows without those that tell of the spool, and the handle and the chunks that these tell.
-func plain(rows []string) (out []string, handle string, pages []int) {
+// plain returns the rows of the result, and the handle and the chunk numbers from the rows that the spool adds.
+func plain(t *testing.T, rows []string) (out []string, handle string, pages []int) {
 	for _, r := range rows {
 		switch f := strings.Split(r, "\t"); f[0] {
 		case "#handle":
 			handle = f[1]
 		case "#page":
-			n := 0
-			fmt.Sscan(f[1], &n)
-			pages = append(pages, n)
+			pages = append(pages, number(t, f[1]))
 		default:
 			out = append(out, r)
 		}
@@ -236,19 +237,19 @@
 	return out, handle, pages
 }
 
-// The engine is free as soon as it has given all, while the client has not read a byte; and the client gets
-// every row, far beyond what a gateway holds.
+// The engine is free as soon as it has given all pages, while the client has not read a byte; and the client gets every row, far more
+// than a gateway holds in memory.
 func TestEngineIsFreeWhateverTheClientDoes(t *testing.T) {
 	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool} {
 		gw := newSpoolGateway(t, text)
 		gw.connect(1)
-		link := gw.startResult(1, "point", idA, "", 150) // 700 KB
-		saw := gw.serveEngine(link)
+		connID := gw.startResult(1, "point", idA, "", 150) // 700 KB
+		saw := gw.serveEngine(connID)
 		if !strings.HasSuffix(saw, "FREE "+idA+"\r\n") {
 			t.Fatalf("%s: the engine saw %.80q ... %.60q", name, saw, saw[max(0, len(saw)-60):])
 		}
 		if req := gw.g.requests[idA]; req != nil {
-			t.Errorf("%s: the request is still open", name)
+			t.Errorf("%s: the request is still in flight", name)
 		}
 		first := len(gw.output[1])
 		if first > 128<<10 {
@@ -263,47 +264,47 @@
 		}
 		gw.send(1, string(queryPacket("SET x = 1"))) // and the session goes on
 		if gw.closed[1] || gw.takeOutput(1) == "" {
-			t.Errorf("%s: the session is of no more use", name)
+			t.Errorf("%s: the session can't go on", name)
 		}
 	}
 }
 
-// A client that leaves half way reads on from where it was, on another connection, without the query running again.
+// A client that goes half way reads on from where it was, on another connection, without the query running again.
 func TestResumeReadsOnWithoutRunningAgain(t *testing.T) {
 	gw := newSpoolGateway(t, diskSpool)
 	gw.connect(1)
-	link := gw.startResult(1, "point", idA, ",spool=1", 60)
-	gw.serveEngine(link)
+	connID := gw.startResult(1, "point", idA, ",spool=1", 60)
+	gw.serveEngine(connID)
 	rows, _ := gw.readRows(1, 3)
-	got, handle, pages := plain(rows)
+	_, handle, pages := plain(t, rows)
 	if len(handle) != spool.HandleSize || len(pages) < 2 {
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
-	gw.run(Event{Kind: ConnectionClosed, Conn: 1})
-	asks := gw.takeOutput(link)
+	gw.run(ConnectionClosed{Conn: 1})
+	asks := gw.takeOutput(connID)
 	gw.connect(2)
 	last := pages[len(pages)-1]
-	// The rows behind the last whole chunk are read again.
-	whole := 0
+	// The rows after the last complete chunk are read again.
+	complete := 0
 	for i, r := range rows {
 		if strings.HasPrefix(r, fmt.Sprintf("#page\t%d\t", last)) {
-			whole = i + 1
+			complete = i + 1
 		}
 	}
-	got, _, _ = plain(rows[:whole])
+	got, _, _ := plain(t, rows[:complete])
 	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s,page=%d,timeout=2000 */ FETCH", handle, last+1))))
 	rest, end := gw.readRows(2, 1000)
-	more, again, _ := plain(rest)
+	more, again, _ := plain(t, rest)
 	if end != "end" || again != handle || !slices.Equal(append(got, more...), wantRows(0, 60)) {
 		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
 	}
-	if asks += gw.takeOutput(link); strings.Contains(asks, "ASK") {
+	if asks += gw.takeOutput(connID); strings.Contains(asks, "ASK") {
 		t.Error("the query ran again")
 	}
 	// It is kept until it is acknowledged: a second read of all, then not any more.
 	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", handle))))
 	rest, end = gw.readRows(2, 1000)
-	if all, _, _ := plain(rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
+	if all, _, _ := plain(t, rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
 		t.Errorf("read twice: %s, %d rows", end, len(all))
 	}
 	gw.send(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", handle))))
@@ -321,7 +322,7 @@
 	gw.connect(1)
 	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
 	rows, _ := gw.readRows(1, 10)
-	_, handle, _ := plain(rows)
+	_, handle, _ := plain(t, rows)
 	gw.connect(2)
 	words := map[string]bool{}
 	for _, h := range []string{"", "0", strings.Repeat("0", 64), handle[:32] + strings.Repeat("0", 32), handle + ",owner=other",
@@ -351,7 +352,7 @@
 	}
 }
 
-// A full spool refuses before anything runs, and the refusal names a time.
+// A full spool rejects before anything runs, and the rejection names a Retry-After.
 func TestFullSpoolRejects(t *testing.T) {
 	gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"128KB\"\n tenant = \"128KB\"\n}\n")
 	gw.connect(1)
@@ -368,8 +369,8 @@
 	}
 }
 
-// A result that fits nowhere ends with an error: failed where it may have run and must not again, else refused
-// or, if it never can be kept, failed. The engine is given up.
+// A result that can't be stored ends with an error: failed where the query must not run again or the result never fits, else rejected.
+// The engine is released.
 func TestResultThatCanNotBeKept(t *testing.T) {
 	for _, c := range []struct {
 		class, want string
@@ -377,8 +378,8 @@
 	}{{"point", "could not be kept: size", 40}, {"load", "could not be kept: size", 40}} {
 		gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"64KB\"\n tenant = \"128KB\"\n}\n")
 		gw.connect(1)
-		link := gw.startResult(1, c.class, idA, "", c.pages)
-		saw := gw.serveEngine(link)
+		connID := gw.startResult(1, c.class, idA, "", c.pages)
+		saw := gw.serveEngine(connID)
 		out := gw.takeOutput(1)
 		if !strings.Contains(out, c.want) || strings.Contains(out, "refused") {
 			t.Errorf("%s: %q", c.class, out)
@@ -412,13 +413,13 @@
 		t.Fatalf("answered before it is safe: %q", out)
 	}
 	for end := gw.now + 2*rules.Second; gw.now < end; gw.now += 10 * rules.Millisecond {
-		gw.run(Event{Kind: TimerFired})
+		gw.run(TimerFired{})
 	}
 	if out := gw.takeOutput(1); !strings.Contains(out, "failed") || len(gw.g.requests) != 0 {
 		t.Errorf("a disk that hangs: %q", out)
 	}
 	gw.diskPaused = false
-	gw.run(Event{Kind: TimerFired})
+	gw.run(TimerFired{})
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 {
 		t.Errorf("left %+v", stats)
 	}
@@ -440,18 +441,18 @@
 func TestEngineDiesHalfWay(t *testing.T) {
 	gw := newSpoolGateway(t, memorySpool)
 	gw.connect(1)
-	link := gw.startResult(1, "point", idA, "", 30)
-	gw.takeOutput(link)
-	gw.run(Event{Kind: ConnectionClosed, Conn: link, AcceptedBytes: math.MaxInt64})
-	gw.run(Event{Kind: TimerFired})
+	connID := gw.startResult(1, "point", idA, "", 30)
+	gw.takeOutput(connID)
+	gw.run(ConnectionClosed{Conn: connID, AcceptedBytes: math.MaxInt64})
+	gw.run(TimerFired{})
 	if out := gw.takeOutput(1); out != "" {
 		t.Fatalf("the client has %q", out)
 	}
 	link2 := gw.dials[len(gw.dials)-1]
-	if link2 == link {
+	if link2 == connID {
 		t.Fatal("no further attempt")
 	}
-	gw.run(Event{Kind: DialSucceeded, Conn: link2})
+	gw.run(DialSucceeded{Conn: link2})
 	gw.takeOutput(link2)
 	p := bigPage(0)
 	gw.send(link2, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
@@ -469,7 +470,7 @@
 	gw.takeOutput(1)
 	gw.connect(2)
 	gw.send(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
-	gw.run(Event{Kind: WriteDrained, Conn: 1})
+	gw.run(WriteDrained{Conn: 1})
 	if out := gw.takeOutput(1); out != "" || !gw.closed[1] {
 		t.Errorf("after KILL the client got %d bytes", len(out))
 	}
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
@@ -12,22 +11,22 @@
 	"testing"
 
 	"foxlane/internal/config"
+	"foxlane/internal/minheap"
 	"foxlane/internal/spool"
 	"foxlane/internal/spool/segment"
 	"foxlane/internal/standin"
 	"foxlane/rules"
 )
 
-// simulation is clients, engines and a name service on a fake clock round one
-// reducer. It keeps its own books and judges the seven rules by the bytes that
-// it sees alone.
+// simulation is clients, engines and a name service on a fake clock around one reducer. It keeps its own record of requests, and judges the
+// seven rules by the bytes that it sees alone.
 type simulation struct {
 	t                 *testing.T
 	g                 *Gateway
 	rng               *rand.Rand
 	now               rules.Time
 	start             rules.Time
-	queue             simEventQueue
+	queue             minheap.Heap[simEvent]
 	eventSeq          int
 	wake              rules.Time
 	faultRate         float64 // how often things fail
@@ -52,32 +51,23 @@
 	reloadChange      func(*config.Config) // what changes at a reload; nil: nothing
 	diskRecords       [][]byte             // on the spool's disk
 	commandAnswers    []string             // to operators' commands
-	localExhaustion   bool                 // dials fail for want of something at the gateway
+	localExhaustion   bool                 // dials fail because a local resource is exhausted
 	localDialFailures int                  // that did
 	lastReadAt        rules.Time           // when the last of what came while it was stopped is read
-	pausedUntil       rules.Time           // until when the gateway's process is stopped
+	pausedUntil       rules.Time           // the gateway's process is stopped until then
 	clockSkew         rules.Time           // by how much the wall clock was stepped
 }
 
+// simEvent is something that is to happen in the simulation.
 type simEvent struct {
-	at    rules.Time
-	order int
-	do    func()
+	at  rules.Time
+	seq int // events of one time happen in the order in which they were scheduled
+	do  func()
 }
 
-type simEventQueue []simEvent
-
-func (h simEventQueue) Len() int { return len(h) }
-func (h simEventQueue) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
-}
-func (h simEventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *simEventQueue) Push(x any)   { *h = append(*h, x.(simEvent)) }
-func (h *simEventQueue) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
+// Before orders events by time, then by when they were scheduled.
+func (e simEvent) Before(other simEvent) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
 // simConn is a client's or an engine's end of a connection.
@@ -94,7 +84,7 @@
 	inFlight map[string]*simAttempt
 	closed   bool
 	written  int64      // bytes that the system took for it
-	delay    rules.Time // to its engine; 0: of a client, whose end hears at once
+	delay    rules.Time // to its engine; 0: of a client, which is notified at once
 }
 
 type simEngine struct {
@@ -105,7 +95,7 @@
 	notifiedAt      rules.Time
 	warmupSince     rules.Time
 	warmupSends     []timedWork
-	startNotifiedAt rules.Time // when the gateway was told of its start
+	startNotifiedAt rules.Time // when the gateway was notified of its start
 }
 
 type timedWork struct {
@@ -217,7 +207,15 @@
 
 func (sim *simulation) schedule(d rules.Time, do func()) {
 	sim.eventSeq++
-	heap.Push(&sim.queue, simEvent{sim.now + d, sim.eventSeq, do})
+	sim.queue.Push(simEvent{sim.now + d, sim.eventSeq, do})
+}
+
+// reportViolations fails the test by the first violations of the rules, if there are any.
+func (sim *simulation) reportViolations() {
+	sim.t.Helper()
+	for _, text := range sim.violations[:min(len(sim.violations), 5)] {
+		sim.t.Error(text)
+	}
 }
 
 func (sim *simulation) violation(rule int, format string, args ...any) {
@@ -229,21 +227,46 @@
 		return
 	}
 	if sim.now < sim.pausedUntil { // it waits in the system, and is read a moment after the process goes on
-		event.Data = bytes.Clone(event.Data)
+		event = cloneData(event)
 		sim.lastReadAt = max(sim.lastReadAt, sim.pausedUntil) + readAfterPause
 		sim.schedule(sim.lastReadAt-sim.now, func() { sim.step(event) })
 		return
 	}
-	if event.Kind == ConnectionAccepted && sim.nextClientAddr != nil {
-		event.From = sim.nextClientAddr()
-	}
-	if event.Kind == DNSResponse || event.Kind == ConfigReloaded {
-		event.ClockSkew = sim.clockSkew
+	switch e := event.(type) {
+	case ConnectionAccepted:
+		if sim.nextClientAddr != nil {
+			e.From = sim.nextClientAddr()
+		}
+		event = e
+	case DNSResponse:
+		e.ClockSkew = sim.clockSkew
+		event = e
+	case ConfigReloaded:
+		e.ClockSkew = sim.clockSkew
+		event = e
 	}
 	sim.g.Step(sim.now, event)
 	sim.executeEffects()
 }
 
+// cloneData copies the bytes of an event that is kept until later.
+func cloneData(event Event) Event {
+	switch e := event.(type) {
+	case *DataReceived:
+		return &DataReceived{Conn: e.Conn, Data: bytes.Clone(e.Data)}
+	case DNSResponse:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	case PeerEvent:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	case ControlRequest:
+		e.Data = bytes.Clone(e.Data)
+		return e
+	}
+	return event
+}
+
 // readAfterPause is how long the process takes to read each of the things that came while it was stopped: its timers are first,
 // and where many have come, or other processes want the processor too, the last is read late.
 const readAfterPause = 300
@@ -263,22 +286,22 @@
 		}
 		if sim.wake != 0 && sim.wake <= at {
 			sim.now, sim.wake = max(sim.now, sim.wake), 0
-			sim.step(Event{Kind: TimerFired})
+			sim.step(TimerFired{})
 			continue
 		}
 		sim.now = max(sim.now, at)
 		if len(sim.queue) == 0 || sim.queue[0].at > until {
 			return
 		}
-		heap.Pop(&sim.queue).(simEvent).do()
+		sim.queue.Pop().do()
 	}
 }
 
 func (sim *simulation) executeEffects() {
 	for _, effect := range sim.g.Flush() {
-		conn := sim.conns[effect.Conn]
-		switch effect.Kind {
-		case Write:
+		switch effect := effect.(type) {
+		case *Write:
+			conn := sim.conns[effect.Conn]
 			if conn == nil || conn.closed {
 				continue
 			}
@@ -297,6 +320,7 @@
 				}
 			})
 		case CloseConnection:
+			conn := sim.conns[effect.Conn]
 			if conn == nil || conn.closed {
 				continue
 			}
@@ -304,7 +328,7 @@
 				sim.connEnded(conn, false)
 				continue
 			}
-			sim.schedule(conn.delay, func() { // behind what was written
+			sim.schedule(conn.delay, func() { // after what was written
 				if !conn.closed {
 					sim.connEnded(conn, false)
 				}
@@ -313,15 +337,14 @@
 			sim.dial(effect)
 		case QueryDNS:
 			sim.answerNameQuery(effect.Data)
-		case SetTimer:
+		case *SetTimer:
 			sim.wake = effect.At
 		case SubmitSpool:
-			sim.disk(effect.Spool)
+			sim.disk(effect.Effect)
 		case NotifyDrained:
-			id := effect.Conn
-			sim.schedule(sim.latency(), func() { sim.step(Event{Kind: WriteDrained, Conn: id}) })
+			sim.schedule(sim.latency(), func() { sim.step(WriteDrained(effect)) })
 		case PersistVoterLog:
-			sim.schedule(sim.latency(), func() { sim.step(Event{Kind: VoterLogPersisted}) })
+			sim.schedule(sim.latency(), func() { sim.step(VoterLogPersisted{}) })
 		case ControlResponse:
 			sim.commandAnswers = append(sim.commandAnswers, string(effect.Data))
 		case Exit:
@@ -348,7 +371,7 @@
 		default:
 			return
 		}
-		sim.step(Event{Kind: SpoolCompleted, Spool: events})
+		sim.step(SpoolCompleted{Events: events})
 	})
 }
 
@@ -380,7 +403,7 @@
 		delay += 400 * rules.Millisecond
 	}
 	sim.schedule(delay, func() {
-		if serial == sim.serial { // what it says was told
+		if serial == sim.serial { // the gateway is notified of what it says
 			for _, host := range hosts {
 				if engine := sim.engines[host.ID]; engine.startNotifiedAt == 0 && engine.warmupSince != 0 && host.Started == engine.host.Started {
 					engine.startNotifiedAt = sim.now
@@ -392,13 +415,13 @@
 				}
 			}
 		}
-		sim.step(Event{Kind: DNSResponse, Data: msg})
+		sim.step(DNSResponse{Data: msg})
 	})
 }
 
 // ---- engines
 
-func (sim *simulation) dial(effect Effect) {
+func (sim *simulation) dial(effect Dial) {
 	var engine *simEngine
 	for _, other := range sim.engines {
 		if other.host.Addr == effect.Addr {
@@ -409,17 +432,17 @@
 	switch {
 	case sim.localExhaustion:
 		sim.localDialFailures++
-		sim.schedule(sim.latency(), func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: errLocalExhaustion, Local: true}) })
+		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: errLocalExhaustion, Local: true}) })
 	case engine == nil || engine.refusing:
-		sim.schedule(sim.latency(), func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("refused")}) })
+		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("refused")}) })
 	case engine.silent:
-		sim.schedule(effect.Timeout, func() { sim.step(Event{Kind: DialFailed, Conn: id, Err: fmt.Errorf("timeout")}) })
+		sim.schedule(effect.Timeout, func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("timeout")}) })
 	default:
 		conn := &simConn{id: id, engine: engine, inFlight: map[string]*simAttempt{}, delay: sim.latency()}
 		sim.conns[id] = conn
 		sim.schedule(2*conn.delay, func() {
 			if !sim.conns[id].closed {
-				sim.step(Event{Kind: DialSucceeded, Conn: id})
+				sim.step(DialSucceeded{Conn: id})
 			}
 		})
 	}
@@ -482,20 +505,20 @@
 	}
 }
 
-func (sim *simulation) respond(conn *simConn, text string, told func()) {
+func (sim *simulation) respond(conn *simConn, text string, answered func()) {
 	sim.schedule(sim.latency(), func() {
 		if conn.closed || conn.engine.silent {
 			return
 		}
-		if told != nil {
-			told()
+		if answered != nil {
+			answered()
 		}
 		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // in two pieces
-			sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: []byte(text[:cut])})
+			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text[:cut])})
 			text = text[cut:]
 		}
 		if !conn.closed {
-			sim.step(Event{Kind: DataReceived, Conn: conn.id, Data: []byte(text)})
+			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text)})
 		}
 	})
 }
@@ -537,7 +560,7 @@
 	sim.sent++
 	conn.inFlight[id] = attempt
 	if engine.silent || sim.chance(0.02) {
-		return // nothing is ever heard of it
+		return // it is never answered
 	}
 	spend := rules.Time(float64(req.work/simClasses[req.class].threads) * (0.9 + 0.4*sim.rng.Float64()))
 	if sim.chance(0.05) {
@@ -602,7 +625,7 @@
 	}[sim.rng.IntN(9)]
 }
 
-// connEnded closes a connection from outside, or notes that the gateway did.
+// connEnded ends a connection by its peer, or notes that the gateway closed it.
 func (sim *simulation) connEnded(conn *simConn, byPeer bool) {
 	conn.closed = true
 	if conn.replyDue {
@@ -619,5 +642,5 @@
 			sim.violation(1, "the connection of %s ended with no answer", req.id)
 		}
 	}
-	sim.schedule(sim.latency(), func() { sim.step(Event{Kind: ConnectionClosed, Conn: conn.id, AcceptedBytes: conn.written}) })
+	sim.schedule(sim.latency(), func() { sim.step(ConnectionClosed{Conn: conn.id, AcceptedBytes: conn.written}) })
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// What was read behind a stall may have waited for as long: its engine is told to run for no longer than its client waits.
+// A request that is read after a stall may have waited for as long: its engine may run it for no longer than its client waits.
 func TestDeadlinesBehindAStall(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -27,7 +27,7 @@
 }
 
 // A process that is stopped for a while, or starved, finds its timers due before it has read what came meanwhile: clients
-// that have gone, queries that were killed. Nothing of these is sent to an engine behind that.
+// that have gone, queries that were killed. Nothing of these is sent to an engine after that.
 func TestNothingIsSentForWhoLeftDuringAStall(t *testing.T) {
 	gone := 0
 	for seed := range uint64(12) {
