--- a/internal/net/close.go
+++ b/internal/net/close.go
@@ -23,21 +23,21 @@
 
 // closeGracefully ends a connection behind what was written on it. That of an engine ends at once: nothing of ours is open
 // on it, and what it still says answers nothing.
-func (e *Server) closeGracefully(c *conn) {
+func (s *Server) closeGracefully(c *conn) {
 	if !c.accepted {
-		e.shutdownConn(c, errClosedHere)
+		s.shutdownConn(c, errClosedHere)
 		return
 	}
-	e.mu.Lock()
+	s.mu.Lock()
 	var oldest *conn
-	if known := e.conns[c.id] == c && e.closeWrite(c); known && len(e.lingering) > e.limits.MaxLingering {
-		oldest = e.lingering[0]
+	if known := s.conns[c.id] == c && s.closeWrite(c); known && len(s.lingering) > s.limits.MaxLingering {
+		oldest = s.lingering[0]
 	}
-	e.mu.Unlock()
+	s.mu.Unlock()
 	if oldest != nil {
-		e.shutdownConn(oldest, errClosedHere)
+		s.shutdownConn(oldest, errClosedHere)
 	}
-	e.after(e.limits.FlushTimeout, func() { e.shutdownConn(c, errClosedHere) })
+	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errClosedHere) })
 }
 
 var errClosedHere = errors.New("done with")
@@ -45,30 +45,30 @@
 // shutdownConn ends a connection at once. It shuts it down, and the poller closes it when it sees that. The poller works off events
 // in batches, by number of the descriptor: one that is closed from elsewhere within the batch may be a new connection's
 // before its old event has its turn, which then ends the wrong one.
-func (e *Server) shutdownConn(c *conn, why error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.conns[c.id] != c || c.closeErr != nil {
+func (s *Server) shutdownConn(c *conn, why error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conns[c.id] != c || c.closeErr != nil {
 		return
 	}
 	c.closeErr = why
 	if c.ownsDescriptor() {
 		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR)
 	}
-	e.after(e.limits.FlushTimeout, func() { // should the system tell the poller nothing
-		if e.connByID(c.id) == c {
+	s.after(s.limits.FlushTimeout, func() { // should the system tell the poller nothing
+		if s.connByID(c.id) == c {
 			_ = c.nb.Close()
-			e.reserveDescriptor(c.nb.Hash())
+			s.reserveDescriptor(c.nb.Hash())
 		}
 	})
 }
 
 // reset resets a connection: neither side reads what the system still holds of it.
-func (e *Server) reset(c *conn) {
+func (s *Server) reset(c *conn) {
 	if c.ownsDescriptor() {
 		_ = syscall.SetsockoptLinger(c.nb.Hash(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1, Linger: 0})
 	}
-	e.shutdownConn(c, errPeerNotReading)
+	s.shutdownConn(c, errPeerNotReading)
 }
 
 // ownsDescriptor answers whether the connection's number is still its own. Nbio tells of a close behind it, from another goroutine:
@@ -97,20 +97,20 @@
 
 // send writes to a connection. Where it turns out to be broken nbio closes it here and now, and its number must not be
 // given out while the poller may still hold an event of it (see cut).
-func (e *Server) send(c *conn, data []byte) {
+func (s *Server) send(c *conn, data []byte) {
 	if c.pending.Add(int64(len(data))) > c.maxPending {
-		e.shutdownConn(c, errPeerNotReading)
+		s.shutdownConn(c, errPeerNotReading)
 		return
 	}
 	if _, err := c.nb.Write(data); err != nil && !errors.Is(err, stdnet.ErrClosed) {
-		e.reserveDescriptor(c.nb.Hash())
+		s.reserveDescriptor(c.nb.Hash())
 	}
-	e.noteBlocked(c)
+	s.noteBlocked(c)
 }
 
 // reserveDescriptor holds the number of a descriptor that was closed a moment ago, until the poller has done with its batch. Few are held
 // at a time: the oldest gives way.
-func (e *Server) reserveDescriptor(fd int) {
+func (s *Server) reserveDescriptor(fd int) {
 	var lower []int
 	defer func() {
 		for _, n := range lower {
@@ -118,19 +118,19 @@
 		}
 	}()
 	for range maxReserveAttempts {
-		n, err := syscall.Dup(int(e.devNull.Fd())) // the lowest number that is free
+		n, err := syscall.Dup(int(s.devNull.Fd())) // the lowest number that is free
 		switch {
 		case err != nil:
 			return
 		case n == fd:
-			e.mu.Lock()
-			e.reserved = append(e.reserved, n)
-			if len(e.reserved) > e.limits.MaxReservedDescriptors {
-				syscall.Close(e.reserved[0])
-				e.reserved = e.reserved[1:]
+			s.mu.Lock()
+			s.reserved = append(s.reserved, n)
+			if len(s.reserved) > s.limits.MaxReservedDescriptors {
+				syscall.Close(s.reserved[0])
+				s.reserved = s.reserved[1:]
 			}
-			e.mu.Unlock()
-			e.after(e.limits.FlushTimeout, func() { e.releaseDescriptor(n) })
+			s.mu.Unlock()
+			s.after(s.limits.FlushTimeout, func() { s.releaseDescriptor(n) })
 			return
 		case n > fd: // somebody has it
 			syscall.Close(n)
@@ -144,21 +144,21 @@
 const maxReserveAttempts = 8
 
 // releaseDescriptor gives a number free that is still held.
-func (e *Server) releaseDescriptor(fd int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if i := slices.Index(e.reserved, fd); i >= 0 {
+func (s *Server) releaseDescriptor(fd int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if i := slices.Index(s.reserved, fd); i >= 0 {
 		syscall.Close(fd)
-		e.reserved = slices.Delete(e.reserved, i, i+1)
+		s.reserved = slices.Delete(s.reserved, i, i+1)
 	}
 }
 
-func (e *Server) after(d rules.Time, do func()) {
+func (s *Server) after(d rules.Time, do func()) {
 	time.AfterFunc(time.Duration(d)*time.Microsecond, do)
 }
 
 // closeWrite closes our half of a connection that is known. The caller holds the lock.
-func (e *Server) closeWrite(c *conn) bool {
+func (s *Server) closeWrite(c *conn) bool {
 	if c.halfClosed {
 		return true
 	}
@@ -166,30 +166,30 @@
 		return false
 	}
 	c.halfClosed = true
-	e.lingering = append(e.lingering, c)
+	s.lingering = append(s.lingering, c)
 	return true
 }
 
 // cancelDial ends a dial whose connection is wanted no more.
-func (e *Server) cancelDial(id gateway.ConnID) {
-	e.mu.Lock()
-	giveUp := e.pendingDials[id]
-	delete(e.pendingDials, id)
-	e.mu.Unlock()
+func (s *Server) cancelDial(id gateway.ConnID) {
+	s.mu.Lock()
+	giveUp := s.pendingDials[id]
+	delete(s.pendingDials, id)
+	s.mu.Unlock()
 	if giveUp != nil {
 		giveUp()
 	}
 }
 
 // uncountReads notes which bytes the reducer takes from the mailbox.
-func (e *Server) uncountReads(events []queuedEvent) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (s *Server) uncountReads(events []queuedEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for i := range events {
 		if events[i].event != nil {
 			continue
 		}
-		if c := e.conns[events[i].received.Conn]; c != nil {
+		if c := s.conns[events[i].received.Conn]; c != nil {
 			c.queuedReads--
 		}
 	}
@@ -213,27 +213,27 @@
 // advanceShutdown goes on with the end of the process, once all is answered: nothing is accepted any more, and each client's
 // connection is hung up on which no byte waits to be read. What waits goes to the reducer first. It answers whether
 // all of them have ended, or the time for it is over.
-func (e *Server) advanceShutdown(s *shutdownState) bool {
-	if s.deadline.IsZero() {
-		s.deadline = time.Now().Add(time.Duration(e.limits.FlushTimeout) * time.Microsecond)
-		e.shuttingDown.Store(true)
-		e.listener.Close()
-	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	left := len(e.queue.ready) > 0
-	for _, c := range e.conns {
+func (s *Server) advanceShutdown(state *shutdownState) bool {
+	if state.deadline.IsZero() {
+		state.deadline = time.Now().Add(time.Duration(s.limits.FlushTimeout) * time.Microsecond)
+		s.shuttingDown.Store(true)
+		s.listener.Close()
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	left := len(s.queue.ready) > 0
+	for _, c := range s.conns {
 		switch {
 		case c.pending.Load() > 0:
 			left = true
 		case c.accepted:
 			left = true
 			if !c.halfClosed && c.queuedReads == 0 && unreadBytes(c) == 0 {
-				e.closeWrite(c)
+				s.closeWrite(c)
 			}
 		}
 	}
-	return !left || !time.Now().Before(s.deadline)
+	return !left || !time.Now().Before(state.deadline)
 }
 
 // unreadBytes is how many bytes wait to be read on a connection.
--- a/internal/net/close_test.go
+++ b/internal/net/close_test.go
@@ -37,46 +37,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := newServer(System(), cfg, zap.NewNop())
-	if err := e.open(); err != nil {
+	server := newServer(System(), cfg, zap.NewNop())
+	if err := server.open(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.close)
+	t.Cleanup(server.close)
 	// The library's loops begin in goroutines of their own, and one that is stopped ahead of its beginning goes on for
 	// ever: both have begun once a byte has come. (A gateway lives 0.9 s at least.)
-	client, c := e.connectClient(t)
+	client, c := server.connectClient(t)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "a byte", func() bool {
-		e.queue.mu.Lock()
-		defer e.queue.mu.Unlock()
-		return e.queue.queuedBytes > 0
+		server.queue.mu.Lock()
+		defer server.queue.mu.Unlock()
+		return server.queue.queuedBytes > 0
 	})
 	client.Close()
-	waitFor(t, "its end", func() bool { return e.connByID(c.id) == nil })
+	waitFor(t, "its end", func() bool { return server.connByID(c.id) == nil })
 	waitFor(t, "the event of it", func() bool {
-		e.queue.mu.Lock()
-		defer e.queue.mu.Unlock()
-		return len(e.queue.events) == 3
+		server.queue.mu.Lock()
+		defer server.queue.mu.Unlock()
+		return len(server.queue.events) == 3
 	})
-	e.queue.drain(nil, nil)
-	return e
+	server.queue.drain(nil, nil)
+	return server
 }
 
 // connectClient connects a client to a bare edge.
-func (e *Server) connectClient(t *testing.T) (client stdnet.Conn, c *conn) {
+func (s *Server) connectClient(t *testing.T) (client stdnet.Conn, c *conn) {
 	t.Helper()
-	e.mu.Lock()
-	had := e.lastAccepted
-	e.mu.Unlock()
-	client, err := stdnet.Dial("tcp", e.cfg.Listen.String())
+	s.mu.Lock()
+	had := s.lastAccepted
+	s.mu.Unlock()
+	client, err := stdnet.Dial("tcp", s.cfg.Listen.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
 	waitFor(t, "the connection", func() bool {
-		c = e.connByID(had + 1)
+		c = s.connByID(had + 1)
 		return c != nil
 	})
 	return client, c
@@ -90,21 +90,21 @@
 }
 
 func testStaleEvent(t *testing.T, write bool) {
-	e := newBareServer(t)
+	server := newBareServer(t)
 	low, err := syscall.Dup(0) // the system gives out the lowest number that is free
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _ := e.connectClient(t)
-	second, c2 := e.connectClient(t)
-	third, _ := e.connectClient(t)
+	first, _ := server.connectClient(t)
+	second, c2 := server.connectClient(t)
+	third, _ := server.connectClient(t)
 	room := func(most, bytes int) {
-		e.queue.mu.Lock()
-		e.queue.maxBytes, e.queue.queuedBytes = most, bytes
-		e.queue.notFull.Broadcast()
-		e.queue.mu.Unlock()
+		server.queue.mu.Lock()
+		server.queue.maxBytes, server.queue.queuedBytes = most, bytes
+		server.queue.notFull.Broadcast()
+		server.queue.mu.Unlock()
 	}
-	most := e.queue.maxBytes
+	most := server.queue.maxBytes
 	room(0, 1) // the poller waits in a batch, on the first connection's bytes
 	send := func(nc stdnet.Conn) {
 		if _, err := nc.Write([]byte("x")); err != nil {
@@ -118,16 +118,16 @@
 	time.Sleep(50 * time.Millisecond)
 	room(0, 0) // and now in its next, on the third's bytes, with the end of the second behind them
 	waitFor(t, "the first's bytes", func() bool {
-		e.queue.mu.Lock()
-		defer e.queue.mu.Unlock()
-		return e.queue.queuedBytes > 0
+		server.queue.mu.Lock()
+		defer server.queue.mu.Unlock()
+		return server.queue.queuedBytes > 0
 	})
 	time.Sleep(50 * time.Millisecond)
 	// New connections wait at the accepting goroutine, which holds one.
-	e.mu.Lock()
-	e.clientCount += 1000
-	had := e.lastAccepted
-	e.mu.Unlock()
+	server.mu.Lock()
+	server.clientCount += 1000
+	had := server.lastAccepted
+	server.mu.Unlock()
 	var fillers []int
 	for fd := 0; fd < c2.nb.Hash(); {
 		if fd, err = syscall.Dup(0); err != nil {
@@ -137,36 +137,36 @@
 	}
 	const fresh = 3
 	for range fresh {
-		nc, err := stdnet.Dial("tcp", e.cfg.Listen.String())
+		nc, err := stdnet.Dial("tcp", server.cfg.Listen.String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
 	}
 	time.Sleep(50 * time.Millisecond)
-	e.mu.Lock() // the second ends from here, as an engine's connection does
+	server.mu.Lock() // the second ends from here, as an engine's connection does
 	c2.accepted = false
-	e.clientCount--
-	e.mu.Unlock()
+	server.clientCount--
+	server.mu.Unlock()
 	if write {
 		for range 3 {
-			e.execute(&gateway.Write{Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
+			server.execute(&gateway.Write{Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	e.execute(gateway.CloseConnection{Conn: c2.id})
+	server.execute(gateway.CloseConnection{Conn: c2.id})
 	time.Sleep(50 * time.Millisecond)
 	syscall.Close(low)
-	e.mu.Lock()
-	e.clientCount -= 1000
-	e.clientClosed.Broadcast()
-	e.mu.Unlock()
-	waitFor(t, "the new connections", func() bool { return e.connByID(had+fresh) != nil })
+	server.mu.Lock()
+	server.clientCount -= 1000
+	server.clientClosed.Broadcast()
+	server.mu.Unlock()
+	waitFor(t, "the new connections", func() bool { return server.connByID(had+fresh) != nil })
 	room(most, 0)
-	waitFor(t, "the second to be gone", func() bool { return e.connByID(c2.id) == nil })
+	waitFor(t, "the second to be gone", func() bool { return server.connByID(c2.id) == nil })
 	time.Sleep(50 * time.Millisecond)
 	for i := range gateway.ConnID(fresh) {
-		if e.connByID(had+1+i) == nil {
+		if server.connByID(had+1+i) == nil {
 			t.Errorf("new connection %d was ended by the old event of another", i)
 		}
 	}
@@ -209,16 +209,16 @@
 
 // Small writes are not held back, on accepted connections and dialled ones.
 func TestNoDelay(t *testing.T) {
-	e := newBareServer(t)
-	_, accepted := e.connectClient(t)
+	server := newBareServer(t)
+	_, accepted := server.connectClient(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	e.startDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), e.limits.ConnectTimeout)
-	waitFor(t, "the dial", func() bool { return e.connByID(1<<63|1) != nil })
-	for name, c := range map[string]*conn{"accepted": accepted, "dialled": e.connByID(1<<63 | 1)} {
+	server.startDial(1<<63|1, netip.MustParseAddrPort(ln.Addr().String()), server.limits.ConnectTimeout)
+	waitFor(t, "the dial", func() bool { return server.connByID(1<<63|1) != nil })
+	for name, c := range map[string]*conn{"accepted": accepted, "dialled": server.connByID(1<<63 | 1)} {
 		if on, err := syscall.GetsockoptInt(c.nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 			t.Errorf("%s: TCP_NODELAY is %d, %v", name, on, err)
 		}
@@ -227,18 +227,18 @@
 
 // A dial that is given up ends at once, and a connection that comes up in that moment is closed: nobody would use it.
 func TestDialCancelled(t *testing.T) {
-	e := newBareServer(t)
+	server := newBareServer(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	const id = gateway.ConnID(1<<63 | 7)
-	e.mu.Lock() // it comes up while the close is on its way
-	e.pendingDials[id] = func() {}
-	e.mu.Unlock()
-	e.cancelDial(id)
-	e.dial(t.Context(), id, netip.MustParseAddrPort(ln.Addr().String()))
+	server.mu.Lock() // it comes up while the close is on its way
+	server.pendingDials[id] = func() {}
+	server.mu.Unlock()
+	server.cancelDial(id)
+	server.dial(t.Context(), id, netip.MustParseAddrPort(ln.Addr().String()))
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the other side read %v, want the end", err)
 	}
-	if e.connByID(id) != nil || len(e.pendingDials) != 0 {
+	if server.connByID(id) != nil || len(server.pendingDials) != 0 {
 		t.Error("the edge still knows it")
 	}
 	// One that never comes up: a listener whose line is full.
@@ -266,14 +266,14 @@
 	}
 	full := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port))
 	for i := range gateway.ConnID(4) {
-		e.startDial(1<<63|(100+i), full, 60_000_000)
+		server.startDial(1<<63|(100+i), full, 60_000_000)
 	}
 	time.Sleep(50 * time.Millisecond)
 	for i := range gateway.ConnID(4) {
-		e.execute(gateway.CloseConnection{Conn: 1<<63 | (100 + i)})
+		server.execute(gateway.CloseConnection{Conn: 1<<63 | (100 + i)})
 	}
 	done := make(chan struct{})
-	go func() { e.dialWorkers.Wait(); close(done) }()
+	go func() { server.dialWorkers.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
@@ -283,7 +283,7 @@
 
 // With no descriptor left the gateway still turns to another name service: the old socket's serves.
 func TestNameServiceMoveAtDescriptorLimit(t *testing.T) {
-	e := newBareServer(t)
+	server := newBareServer(t)
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -297,15 +297,15 @@
 		t.Fatal(err)
 	}
 	_, full := syscall.Dup(0)
-	first := e.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
-	second := e.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
+	first := server.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
+	second := server.openDNS(netip.MustParseAddrPort("127.0.0.1:10"))
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 	if full == nil {
 		t.Fatal("descriptors are free below the limit: nothing is shown")
 	}
-	if first != nil || second != nil || e.dnsConn == nil || e.dnsConn.RemoteAddr().String() != "127.0.0.1:10" {
+	if first != nil || second != nil || server.dnsConn == nil || server.dnsConn.RemoteAddr().String() != "127.0.0.1:10" {
 		t.Errorf("moved with %v, again with %v", first, second)
 	}
 }
@@ -313,19 +313,19 @@
 // Reading stops while the mailbox is full, and with it word of those that leave: one turn of the reducer later all is
 // heard, however many they are.
 func TestClosesBehindAFullQueue(t *testing.T) {
-	e := newBareServer(t)
+	server := newBareServer(t)
 	const leaving = 200
-	sender, _ := e.connectClient(t)
+	sender, _ := server.connectClient(t)
 	var gone []stdnet.Conn
 	ids := map[gateway.ConnID]bool{}
 	for range leaving {
-		nc, c := e.connectClient(t)
+		nc, c := server.connectClient(t)
 		gone, ids[c.id] = append(gone, nc), true
 	}
-	e.queue.drain(nil, nil)
-	e.queue.mu.Lock()
-	e.queue.maxBytes = 1000
-	e.queue.mu.Unlock()
+	server.queue.drain(nil, nil)
+	server.queue.mu.Lock()
+	server.queue.maxBytes = 1000
+	server.queue.mu.Unlock()
 	for range 2 { // the first fills it, the second has the poller wait
 		if _, err := sender.Write(make([]byte, 4000)); err != nil {
 			t.Fatal(err)
@@ -337,7 +337,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	heard := func() (n int) {
-		events, _ := e.queue.drain(nil, nil)
+		events, _ := server.queue.drain(nil, nil)
 		for _, ev := range events {
 			if closed, ok := ev.event.(gateway.ConnectionClosed); ok && ids[closed.Conn] {
 				n++
@@ -349,9 +349,9 @@
 		t.Fatalf("%d were heard of ahead of the turn: the test has lost its subject", n)
 	}
 	waitFor(t, "word of all", func() bool {
-		e.queue.mu.Lock()
-		defer e.queue.mu.Unlock()
-		return len(e.queue.events) > leaving
+		server.queue.mu.Lock()
+		defer server.queue.mu.Unlock()
+		return len(server.queue.events) > leaving
 	})
 	if n := heard(); n != leaving {
 		t.Errorf("%d of %d were heard of within one turn", n, leaving)
@@ -360,27 +360,27 @@
 
 // Nbio tells of a close behind it: by then the number may be another connection's, which must not be shut down for it.
 func TestReusedDescriptorIsNotShutDown(t *testing.T) {
-	e := newBareServer(t)
-	_, old := e.connectClient(t)
-	client, other := e.connectClient(t)
+	server := newBareServer(t)
+	_, old := server.connectClient(t)
+	client, other := server.connectClient(t)
 	if err := syscall.Dup3(other.nb.Hash(), old.nb.Hash(), 0); err != nil { // as if it were closed and given out again
 		t.Fatal(err)
 	}
-	e.execute(gateway.CloseConnection{Conn: old.id})
-	e.shutdownConn(old, errClosedHere)
+	server.execute(gateway.CloseConnection{Conn: old.id})
+	server.shutdownConn(old, errClosedHere)
 	time.Sleep(20 * time.Millisecond)
 	_ = client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the other connection's client read %v", err)
 	}
-	if e.connByID(other.id) == nil {
+	if server.connByID(other.id) == nil {
 		t.Error("the other connection has ended")
 	}
 }
 
 // The reducer closes a connection that is up, and of which it will hear in a moment: it is found all the same.
 func TestCloseBetweenDialAndEvent(t *testing.T) {
-	e := newBareServer(t)
+	server := newBareServer(t)
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -391,18 +391,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.mu.Lock()
-	e.pendingDials[id] = func() {}
-	e.mu.Unlock()
-	c, err := e.registerDialed(id, std)
+	server.mu.Lock()
+	server.pendingDials[id] = func() {}
+	server.mu.Unlock()
+	c, err := server.registerDialed(id, std)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.execute(gateway.CloseConnection{Conn: id})
-	if _, err := e.poller.AddConn(c.nb); err != nil {
+	server.execute(gateway.CloseConnection{Conn: id})
+	if _, err := server.poller.AddConn(c.nb); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the connection to be gone", func() bool { return e.connByID(id) == nil })
+	waitFor(t, "the connection to be gone", func() bool { return server.connByID(id) == nil })
 }
 
 // Dials that fail for want of something here are told apart from those that the engine refuses.
@@ -419,39 +419,39 @@
 // At the end a connection with bytes that nobody has read, in its socket or in the mailbox, is left open until the
 // reducer had them; one that rests is ended cleanly, and what comes on it behind that counts no more.
 func TestShutdownWaitsForUnreadBytes(t *testing.T) {
-	e := newBareServer(t)
-	resting, rest := e.connectClient(t)
-	asking, ask := e.connectClient(t)
+	server := newBareServer(t)
+	resting, rest := server.connectClient(t)
+	asking, ask := server.connectClient(t)
 	if _, err := asking.Write([]byte("a request")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the bytes in the mailbox", func() bool {
-		e.mu.Lock()
-		defer e.mu.Unlock()
+		server.mu.Lock()
+		defer server.mu.Unlock()
 		return ask.queuedReads > 0
 	})
 	s := shutdownState{}.next(true)
-	if e.advanceShutdown(&s) {
+	if server.advanceShutdown(&s) {
 		t.Fatal("over with a request in the mailbox")
 	}
-	e.mu.Lock()
+	server.mu.Lock()
 	if ask.halfClosed || !rest.halfClosed {
 		t.Errorf("hung up: the one that asks %v, the one that rests %v", ask.halfClosed, rest.halfClosed)
 	}
-	e.mu.Unlock()
-	if _, err := stdnet.DialTimeout("tcp", e.cfg.Listen.String(), time.Second); err == nil {
+	server.mu.Unlock()
+	if _, err := stdnet.DialTimeout("tcp", server.cfg.Listen.String(), time.Second); err == nil {
 		t.Error("a new connection was taken")
 	}
-	events, _ := e.queue.drain(nil, nil)
-	e.uncountReads(events)
-	if s = s.next(false).next(true); e.advanceShutdown(&s) {
+	events, _ := server.queue.drain(nil, nil)
+	server.uncountReads(events)
+	if s = s.next(false).next(true); server.advanceShutdown(&s) {
 		t.Error("over with two clients that have not closed yet")
 	}
-	e.mu.Lock()
+	server.mu.Lock()
 	if !ask.halfClosed {
 		t.Error("what was read and answered is not hung up")
 	}
-	e.mu.Unlock()
+	server.mu.Unlock()
 	_ = resting.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if _, err := resting.Write([]byte("a request that crosses")); err != nil {
 		t.Fatal(err)
@@ -460,7 +460,7 @@
 	if _, err := resting.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the resting client read %v, want the end", err)
 	}
-	events, _ = e.queue.drain(nil, nil)
+	events, _ = server.queue.drain(nil, nil)
 	for _, ev := range events {
 		if received, ok := ev.get().(*gateway.DataReceived); ok {
 			t.Errorf("the reducer hears %q of a connection that was hung up", received.Data)
@@ -468,7 +468,7 @@
 	}
 	resting.Close()
 	asking.Close()
-	waitFor(t, "both to be gone", func() bool { return e.advanceShutdown(&s) })
+	waitFor(t, "both to be gone", func() bool { return server.advanceShutdown(&s) })
 }
 
 // Requests that cross the end of the process, one by one from well ahead of it to well behind: each is answered, or its
--- a/internal/net/connections.go
+++ b/internal/net/connections.go
@@ -19,24 +19,24 @@
 // onOpen takes in a connection that a client has opened, or that a dial has. Where clients come
 // faster than the reducer can close others for them, the accepting goroutine waits here: descriptors
 // must not run out, or dials to engines fail with them.
-func (e *Server) onOpen(nb *nbio.Conn) {
-	e.mu.Lock()
-	c := e.connsByNB[nb]
+func (s *Server) onOpen(nb *nbio.Conn) {
+	s.mu.Lock()
+	c := s.connsByNB[nb]
 	if c == nil {
-		for e.clientCount >= e.limits.MaxClients+e.limits.AcceptOverflow && !e.shuttingDown.Load() {
-			e.clientClosed.Wait()
+		for s.clientCount >= s.limits.MaxClients+s.limits.AcceptOverflow && !s.shuttingDown.Load() {
+			s.clientClosed.Wait()
 		}
-		e.lastAccepted++
-		e.clientCount++
-		c = &conn{id: e.lastAccepted, nb: nb, maxPending: int64(e.limits.ClientSendBuffer), accepted: true}
-		e.connsByNB[nb] = c
+		s.lastAccepted++
+		s.clientCount++
+		c = &conn{id: s.lastAccepted, nb: nb, maxPending: int64(s.limits.ClientSendBuffer), accepted: true}
+		s.connsByNB[nb] = c
 	}
-	e.conns[c.id] = c
-	e.mu.Unlock()
+	s.conns[c.id] = c
+	s.mu.Unlock()
 	if c.accepted {
-		e.queue.enqueue(gateway.ConnectionAccepted{Conn: c.id, From: remoteIP(nb.RemoteAddr())})
+		s.queue.enqueue(gateway.ConnectionAccepted{Conn: c.id, From: remoteIP(nb.RemoteAddr())})
 	} else {
-		e.queue.enqueue(gateway.DialSucceeded{Conn: c.id})
+		s.queue.enqueue(gateway.DialSucceeded{Conn: c.id})
 	}
 }
 
@@ -49,32 +49,32 @@
 }
 
 // startDial connects in a goroutine of its own, for so long at most and until the reducer closes the connection.
-func (e *Server) startDial(id gateway.ConnID, addr netip.AddrPort, wait rules.Time) {
+func (s *Server) startDial(id gateway.ConnID, addr netip.AddrPort, wait rules.Time) {
 	ctx, giveUp := context.WithTimeout(context.Background(), time.Duration(wait)*time.Microsecond)
-	e.mu.Lock()
-	e.pendingDials[id] = giveUp
-	e.mu.Unlock()
-	e.dialWorkers.Go(func() {
+	s.mu.Lock()
+	s.pendingDials[id] = giveUp
+	s.mu.Unlock()
+	s.dialWorkers.Go(func() {
 		defer giveUp()
-		e.dial(ctx, id, addr)
+		s.dial(ctx, id, addr)
 	})
 }
 
 // dial connects by the standard library, which tells a refusal from a silence.
-func (e *Server) dial(ctx context.Context, id gateway.ConnID, addr netip.AddrPort) {
-	std, err := e.dialWithRetry(ctx, addr)
+func (s *Server) dial(ctx context.Context, id gateway.ConnID, addr netip.AddrPort) {
+	std, err := s.dialWithRetry(ctx, addr)
 	var c *conn
 	if err == nil {
-		c, err = e.registerDialed(id, std)
+		c, err = s.registerDialed(id, std)
 	}
 	if c != nil {
-		if _, err = e.poller.AddConn(c.nb); err == nil {
+		if _, err = s.poller.AddConn(c.nb); err == nil {
 			return
 		}
-		_ = e.removeConn(c)
+		_ = s.removeConn(c)
 	}
-	e.cancelDial(id)
-	e.queue.enqueue(gateway.DialFailed{Conn: id, Err: err, Local: syserr.Local(err)})
+	s.cancelDial(id)
+	s.queue.enqueue(gateway.DialFailed{Conn: id, Err: err, Local: syserr.Local(err)})
 }
 
 // A connection that this machine could not make is tried again a few times: what it lacks may be back at once. Who waits
@@ -85,9 +85,9 @@
 )
 
 // dialWithRetry dials, and dials again where the call failed for want of something on this machine.
-func (e *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+func (s *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
 	for try := 1; ; try++ {
-		conn, err := e.platform.Dial(ctx, addr)
+		conn, err := s.platform.Dial(ctx, addr)
 		if err == nil || try == maxDialAttempts || !syserr.Local(err) || !sleep(ctx, dialRetryPause) {
 			return conn, err
 		}
@@ -108,21 +108,21 @@
 
 // registerDialed makes a connection that came up one of the edge's. One that was given up meanwhile is closed: nobody would
 // ever use it.
-func (e *Server) registerDialed(id gateway.ConnID, std stdnet.Conn) (*conn, error) {
+func (s *Server) registerDialed(id gateway.ConnID, std stdnet.Conn) (*conn, error) {
 	nb, err := nbio.NBConn(std)
 	if err != nil {
 		std.Close()
 		return nil, err
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	_, wanted := e.pendingDials[id]
-	delete(e.pendingDials, id)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, wanted := s.pendingDials[id]
+	delete(s.pendingDials, id)
 	if !wanted {
 		_ = nb.Close()
 		return nil, errDialCancelled
 	}
-	c := &conn{id: id, nb: nb, maxPending: int64(e.limits.EngineSendBuffer)}
-	e.connsByNB[nb], e.conns[id] = c, c // from here on the reducer's close finds it
+	c := &conn{id: id, nb: nb, maxPending: int64(s.limits.EngineSendBuffer)}
+	s.connsByNB[nb], s.conns[id] = c, c // from here on the reducer's close finds it
 	return c, nil
 }
--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -42,13 +42,13 @@
 }
 
 // openVoterLog reads the voter's log, if we are one, before anything else: another process that uses its folder ends this one.
-func (e *Server) openVoterLog() error {
-	if e.cfg.Site == nil || e.cfg.Site.Directives == nil || e.cfg.Site.Members == nil || e.cfg.Site.Directives.LogFolder == "" ||
-		!slices.Contains(e.cfg.Site.Directives.Voters, e.cfg.Name) {
+func (s *Server) openVoterLog() error {
+	if s.cfg.Site == nil || s.cfg.Site.Directives == nil || s.cfg.Site.Members == nil || s.cfg.Site.Directives.LogFolder == "" ||
+		!slices.Contains(s.cfg.Site.Directives.Voters, s.cfg.Name) {
 		return nil
 	}
-	v, err := retryStart(e, "voter's log", func() (*voterWorker, error) {
-		l, kept, err := e.platform.OpenVoterLog(e.cfg.Site.Directives.LogFolder)
+	v, err := retryStart(s, "voter's log", func() (*voterWorker, error) {
+		l, kept, err := s.platform.OpenVoterLog(s.cfg.Site.Directives.LogFolder)
 		return &voterWorker{log: l, batches: make(chan directives.Batch, maxQueuedBatches), recovered: kept}, err
 	})
 	if err != nil {
@@ -57,11 +57,11 @@
 	kept := v.recovered
 	v.wg.Go(func() {
 		for b := range v.batches {
-			e.queue.enqueue(gateway.VoterLogPersisted{Err: e.persistWithRetry(v.log, b)})
+			s.queue.enqueue(gateway.VoterLogPersisted{Err: s.persistWithRetry(v.log, b)})
 		}
 	})
-	e.voter = v
-	e.log.Info("directives: voter's log opened", zap.Bool("made", kept.Initialized), zap.Int("entries", len(kept.Entries)), zap.Bool("snapshot", kept.Snapshot != nil))
+	s.voter = v
+	s.log.Info("directives: voter's log opened", zap.Bool("made", kept.Initialized), zap.Int("entries", len(kept.Entries)), zap.Bool("snapshot", kept.Snapshot != nil))
 	return nil
 }
 
@@ -70,37 +70,37 @@
 
 // persistWithRetry keeps a batch, and tries again where that fails, until it is kept or the process ends. Nothing is said
 // that rests on it meanwhile: a voter whose disk fails is one that is slow.
-func (e *Server) persistWithRetry(l VoterLog, b directives.Batch) error {
+func (s *Server) persistWithRetry(l VoterLog, b directives.Batch) error {
 	for failed := false; ; failed = true {
 		err := l.Persist(b)
 		if err == nil {
 			if failed {
-				e.log.Info("directives: the voter's disk works again")
+				s.log.Info("directives: the voter's disk works again")
 			}
 			return nil
 		}
-		e.log.Warn("directives: the voter's disk fails", zap.Error(err))
+		s.log.Warn("directives: the voter's disk fails", zap.Error(err))
 		for {
-			if !sleep(e.ctx, voterRepairPause) {
+			if !sleep(s.ctx, voterRepairPause) {
 				return err
 			}
 			if err = l.Repair(); err == nil {
 				break
 			}
-			e.log.Warn("directives: the voter's log can't be repaired yet", zap.Error(err))
+			s.log.Warn("directives: the voter's log can't be repaired yet", zap.Error(err))
 		}
 	}
 }
 
-func (e *Server) closeVoterLog() {
-	v := e.voter
+func (s *Server) closeVoterLog() {
+	v := s.voter
 	if v == nil {
 		return
 	}
-	e.cancel()
+	s.cancel()
 	close(v.batches)
 	if !returnsWithin(diskCloseTimeout, func() { v.wg.Wait(); v.log.Close() }) {
-		e.log.Warn("directives: the voter's disk hangs, left as it is")
+		s.log.Warn("directives: the voter's disk hangs, left as it is")
 	}
 }
 
@@ -120,15 +120,15 @@
 }
 
 // persist hands a batch to the disk's goroutine. Few are ever on their way: one, and a snapshot.
-func (e *Server) persist(b directives.Batch) {
-	if e.voter == nil {
-		e.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
+func (s *Server) persist(b directives.Batch) {
+	if s.voter == nil {
+		s.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
 		return
 	}
 	select {
-	case e.voter.batches <- b:
+	case s.voter.batches <- b:
 	default:
-		e.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
+		s.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
 	}
 }
 
@@ -152,50 +152,50 @@
 )
 
 // joinMembers begins to look for members, if the operator's file says so.
-func (e *Server) joinMembers() error {
-	if e.cfg.Site == nil || e.cfg.Site.Members == nil || e.membership != nil {
+func (s *Server) joinMembers() error {
+	if s.cfg.Site == nil || s.cfg.Site.Members == nil || s.membership != nil {
 		return nil
 	}
-	set := e.cfg.Site.Members
+	set := s.cfg.Site.Members
 	may, err := set.AllowedSet()
 	if err != nil {
 		return err
 	}
 	zone := ""
-	if i := e.cfg.Settings.Rules.Zone; i >= 0 && i < len(e.cfg.Settings.ZoneNames) {
-		zone = e.cfg.Settings.ZoneNames[i]
+	if i := s.cfg.Settings.Rules.Zone; i >= 0 && i < len(s.cfg.Settings.ZoneNames) {
+		zone = s.cfg.Settings.ZoneNames[i]
 	}
-	if e.leaving.Load() > 0 {
+	if s.leaving.Load() > 0 {
 		return errLeaving // its address is still taken, and the reducer waits for nobody
 	}
-	t := &membership{small: make(chan memberMessage, maxQueuedMessages), large: make(chan memberMessage, maxQueuedLargeMessages), controlConns: map[gateway.ConnID]stdnet.Conn{}}
+	m := &membership{small: make(chan memberMessage, maxQueuedMessages), large: make(chan memberMessage, maxQueuedLargeMessages), controlConns: map[gateway.ConnID]stdnet.Conn{}}
 	poke := func() {
 		select {
-		case e.queue.ready <- struct{}{}:
+		case s.queue.ready <- struct{}{}:
 		default:
 		}
 	}
-	if t.members, err = members.Start(members.Settings{Name: e.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.AddressMap,
+	if m.members, err = members.Start(members.Settings{Name: s.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.AddressMap,
 		FastDetection: set.FastTimers}, poke); err != nil {
 		return err
 	}
 	if set.Control.IsValid() {
-		if t.control, err = stdnet.Listen("tcp", set.Control.String()); err != nil {
-			t.members.Close()
+		if m.control, err = stdnet.Listen("tcp", set.Control.String()); err != nil {
+			m.members.Close()
 			return err
 		}
-		t.wg.Go(func() { e.serveControl(t) })
+		m.wg.Go(func() { s.serveControl(m) })
 	}
-	for _, ring := range []chan memberMessage{t.small, t.large} {
-		t.wg.Go(func() {
+	for _, ring := range []chan memberMessage{m.small, m.large} {
+		m.wg.Go(func() {
 			for x := range ring {
-				if !t.leaving.Load() {
-					_ = t.members.Send(x.to, x.channel, x.data) // whoever has gone hears nothing
+				if !m.leaving.Load() {
+					_ = m.members.Send(x.to, x.channel, x.data) // whoever has gone hears nothing
 				}
 			}
 		})
 	}
-	e.membership = t
+	s.membership = m
 	return nil
 }
 
@@ -205,11 +205,11 @@
 var errLeaving = errors.New("members: still being left")
 
 // joinMembersOrRetry looks for members, and tries again later where that can't begin: its address may still be another process's.
-func (e *Server) joinMembersOrRetry() {
-	e.rejoin = nil
-	if err := e.joinMembers(); err != nil {
-		e.log.Warn("members: talk can't begin", zap.Error(err))
-		e.rejoin = time.After(rejoinPause)
+func (s *Server) joinMembersOrRetry() {
+	s.rejoin = nil
+	if err := s.joinMembers(); err != nil {
+		s.log.Warn("members: talk can't begin", zap.Error(err))
+		s.rejoin = time.After(rejoinPause)
 	}
 }
 
@@ -217,52 +217,52 @@
 const leaveTimeout = time.Second
 
 // awaitLeave waits until talks that are being ended have, for a bounded time.
-func (e *Server) awaitLeave() {
-	if !returnsWithin(leaveTimeout, e.leaveWorkers.Wait) {
-		e.log.Warn("members: not left in time, the process ends without")
+func (s *Server) awaitLeave() {
+	if !returnsWithin(leaveTimeout, s.leaveWorkers.Wait) {
+		s.log.Warn("members: not left in time, the process ends without")
 	}
 }
 
 // leaveMembers leaves the members. It takes a while, for which the reducer does not wait: hushing ends with it.
-func (e *Server) leaveMembers() {
-	t := e.membership
-	if t == nil {
+func (s *Server) leaveMembers() {
+	m := s.membership
+	if m == nil {
 		return
 	}
-	e.membership = nil
-	t.leaving.Store(true)
-	close(t.small)
-	close(t.large)
-	e.leaving.Add(1)
-	e.leaveWorkers.Go(func() {
-		defer e.leaving.Add(-1)
-		t.close()
+	s.membership = nil
+	m.leaving.Store(true)
+	close(m.small)
+	close(m.large)
+	s.leaving.Add(1)
+	s.leaveWorkers.Go(func() {
+		defer s.leaving.Add(-1)
+		m.close()
 	})
 }
 
-func (t *membership) close() {
-	t.mu.Lock()
-	t.closed = true
-	if t.control != nil {
-		t.control.Close()
+func (m *membership) close() {
+	m.mu.Lock()
+	m.closed = true
+	if m.control != nil {
+		m.control.Close()
 	}
-	for _, c := range t.controlConns {
+	for _, c := range m.controlConns {
 		c.Close()
 	}
-	t.mu.Unlock()
-	t.members.Close()
-	t.wg.Wait()
+	m.mu.Unlock()
+	m.members.Close()
+	m.wg.Wait()
 }
 
 // sendToMember hands a datagram to the goroutine that sends.
-func (e *Server) sendToMember(f gateway.SendToMember) {
-	t := e.membership
-	if t == nil {
+func (s *Server) sendToMember(f gateway.SendToMember) {
+	m := s.membership
+	if m == nil {
 		return
 	}
-	ring := t.small
+	ring := m.small
 	if len(f.Data) > largeMessageSize {
-		ring = t.large
+		ring = m.large
 	}
 	select {
 	case ring <- memberMessage{f.To, f.Channel, bytes.Clone(f.Data)}:
@@ -274,20 +274,20 @@
 	members.Received: gateway.PeerMessage, members.NameConflict: gateway.PeerNameConflict}
 
 // stepMemberEvents hands what has happened among the members to the reducer, a bounded part in each turn.
-func (e *Server) stepMemberEvents(now rules.Time, g Reducer) {
-	t := e.membership
-	if t == nil {
+func (s *Server) stepMemberEvents(now rules.Time, g Reducer) {
+	m := s.membership
+	if m == nil {
 		return
 	}
 	for range maxMemberEventsPerStep {
-		x, ok := t.members.Next()
+		x, ok := m.members.Next()
 		if !ok {
 			return
 		}
 		g.Step(now, gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Data: x.Data, Text: x.Text})
 	}
 	select { // the rest has its turn
-	case e.queue.ready <- struct{}{}:
+	case s.queue.ready <- struct{}{}:
 	default:
 	}
 }
@@ -295,47 +295,47 @@
 // ---- operators' commands
 
 // serveControl takes questions, a line each, and gives each to the reducer.
-func (e *Server) serveControl(t *membership) {
+func (s *Server) serveControl(m *membership) {
 	for {
-		c, err := t.control.Accept()
+		c, err := m.control.Accept()
 		if err != nil {
-			t.mu.Lock()
-			closed := t.closed
-			t.mu.Unlock()
+			m.mu.Lock()
+			closed := m.closed
+			m.mu.Unlock()
 			if closed {
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		t.mu.Lock()
-		if t.closed || len(t.controlConns) >= maxControlConns {
-			t.mu.Unlock()
+		m.mu.Lock()
+		if m.closed || len(m.controlConns) >= maxControlConns {
+			m.mu.Unlock()
 			c.Close()
 			continue
 		}
-		t.lastControlConn++
-		id := t.lastControlConn
-		t.controlConns[id] = c
-		t.mu.Unlock()
-		t.wg.Go(func() {
+		m.lastControlConn++
+		id := m.lastControlConn
+		m.controlConns[id] = c
+		m.mu.Unlock()
+		m.wg.Go(func() {
 			_ = c.SetDeadline(time.Now().Add(controlTimeout))
 			in := bufio.NewScanner(c)
 			in.Buffer(make([]byte, 0, 512), maxControlRequestSize)
 			if in.Scan() {
-				e.queue.enqueueBytes(in.Bytes(), func(data []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: data} })
+				s.queue.enqueueBytes(in.Bytes(), func(data []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: data} })
 				return // answer closes it
 			}
-			t.closeControlConn(id)
+			m.closeControlConn(id)
 		})
 	}
 }
 
-func (t *membership) closeControlConn(id gateway.ConnID) stdnet.Conn {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := t.controlConns[id]
-	delete(t.controlConns, id)
+func (m *membership) closeControlConn(id gateway.ConnID) stdnet.Conn {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.controlConns[id]
+	delete(m.controlConns, id)
 	if c != nil {
 		c.Close()
 	}
@@ -343,22 +343,22 @@
 }
 
 // sendControlResponse writes what the reducer says off its goroutine, and closes the connection.
-func (e *Server) sendControlResponse(f gateway.ControlResponse) {
-	t := e.membership
-	if t == nil {
+func (s *Server) sendControlResponse(f gateway.ControlResponse) {
+	m := s.membership
+	if m == nil {
 		return
 	}
-	t.mu.Lock()
-	c := t.controlConns[f.Conn]
-	t.mu.Unlock()
+	m.mu.Lock()
+	c := m.controlConns[f.Conn]
+	m.mu.Unlock()
 	if c == nil {
 		return
 	}
 	line := bytes.Clone(f.Data)
-	t.wg.Go(func() {
+	m.wg.Go(func() {
 		if _, err := c.Write(line); err != nil {
-			e.log.Debug("control: answer not written", zap.Error(err))
+			s.log.Debug("control: answer not written", zap.Error(err))
 		}
-		t.closeControlConn(f.Conn)
+		m.closeControlConn(f.Conn)
 	})
 }
--- a/internal/net/queue.go
+++ b/internal/net/queue.go
@@ -41,67 +41,67 @@
 }
 
 func newEventQueue(l config.Limits) *eventQueue {
-	m := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.EventQueueBytes, maxArena: l.EventBufferBytes}
-	m.notFull.L = &m.mu
-	return m
+	q := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.EventQueueBytes, maxArena: l.EventBufferBytes}
+	q.notFull.L = &q.mu
+	return q
 }
 
 // enqueue adds an event that carries no bytes. It never waits.
-func (m *eventQueue) enqueue(event gateway.Event) {
-	m.mu.Lock()
-	m.add(queuedEvent{event: event})
-	m.mu.Unlock()
-	m.wakeReducer()
+func (q *eventQueue) enqueue(event gateway.Event) {
+	q.mu.Lock()
+	q.add(queuedEvent{event: event})
+	q.mu.Unlock()
+	q.wakeReducer()
 }
 
 // enqueueReceived adds bytes that came on a connection, once there is room.
-func (m *eventQueue) enqueueReceived(conn gateway.ConnID, data []byte) {
-	m.mu.Lock()
-	m.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: m.copyIn(data)}})
-	m.mu.Unlock()
-	m.wakeReducer()
+func (q *eventQueue) enqueueReceived(conn gateway.ConnID, data []byte) {
+	q.mu.Lock()
+	q.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: q.copyIn(data)}})
+	q.mu.Unlock()
+	q.wakeReducer()
 }
 
 // enqueueBytes adds an event that is made from a copy of bytes, once there is room.
-func (m *eventQueue) enqueueBytes(data []byte, event func(copied []byte) gateway.Event) {
-	m.mu.Lock()
-	m.add(queuedEvent{event: event(m.copyIn(data))})
-	m.mu.Unlock()
-	m.wakeReducer()
+func (q *eventQueue) enqueueBytes(data []byte, event func(copied []byte) gateway.Event) {
+	q.mu.Lock()
+	q.add(queuedEvent{event: event(q.copyIn(data))})
+	q.mu.Unlock()
+	q.wakeReducer()
 }
 
 // copyIn copies bytes into the arena. Where too many wait, it first waits for room. The caller holds the lock.
-func (m *eventQueue) copyIn(data []byte) []byte {
+func (q *eventQueue) copyIn(data []byte) []byte {
 	if len(data) == 0 {
 		return data
 	}
-	for m.queuedBytes > m.maxBytes && !m.closed {
-		m.notFull.Wait()
+	for q.queuedBytes > q.maxBytes && !q.closed {
+		q.notFull.Wait()
 	}
-	from := len(m.arena)
-	m.arena = append(m.arena, data...)
-	m.queuedBytes += len(data)
-	return m.arena[from:len(m.arena):len(m.arena)]
+	from := len(q.arena)
+	q.arena = append(q.arena, data...)
+	q.queuedBytes += len(data)
+	return q.arena[from:len(q.arena):len(q.arena)]
 }
 
 // add appends an event. The caller holds the lock.
-func (m *eventQueue) add(event queuedEvent) {
-	if len(m.events) == 0 {
-		m.oldestAt = time.Now()
+func (q *eventQueue) add(event queuedEvent) {
+	if len(q.events) == 0 {
+		q.oldestAt = time.Now()
 	}
-	m.events = append(m.events, event)
+	q.events = append(q.events, event)
 }
 
-func (m *eventQueue) wakeReducer() {
-	if m.signal() {
+func (q *eventQueue) wakeReducer() {
+	if q.signal() {
 		runtime.Gosched() // the reducer may go at once, not when the poller's next wait has lost its processor
 	}
 }
 
 // signal has the reducer's goroutine look at the queue. It answers whether no signal was under way.
-func (m *eventQueue) signal() bool {
+func (q *eventQueue) signal() bool {
 	select {
-	case m.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 		return true
 	default:
 		return false
@@ -109,32 +109,32 @@
 }
 
 // oldestAge is for how long the oldest event has waited.
-func (m *eventQueue) oldestAge() time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.events) == 0 {
+func (q *eventQueue) oldestAge() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.events) == 0 {
 		return 0
 	}
-	return time.Since(m.oldestAt)
+	return time.Since(q.oldestAt)
 }
 
 // drain swaps what has come for the buffers of the last turn.
-func (m *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
+func (q *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
 	clear(events)
-	if cap(arena) > m.maxArena {
+	if cap(arena) > q.maxArena {
 		arena = nil
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	outEvents, outArena := m.events, m.arena
-	m.events, m.arena, m.queuedBytes = events[:0], arena[:0], 0
-	m.notFull.Broadcast()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	outEvents, outArena := q.events, q.arena
+	q.events, q.arena, q.queuedBytes = events[:0], arena[:0], 0
+	q.notFull.Broadcast()
 	return outEvents, outArena
 }
 
-func (m *eventQueue) close() {
-	m.mu.Lock()
-	m.closed = true
-	m.notFull.Broadcast()
-	m.mu.Unlock()
+func (q *eventQueue) close() {
+	q.mu.Lock()
+	q.closed = true
+	q.notFull.Broadcast()
+	q.mu.Unlock()
 }
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -40,18 +40,18 @@
 }
 
 // begin reads the configuration again, off the reducer's goroutine.
-func (e *Server) startReload(r *reloadState) {
+func (s *Server) startReload(r *reloadState) {
 	if r.hanging >= maxHangingReloads {
-		e.log.Warn("configuration kept as it was: earlier reads of it hang", zap.Int("reads", r.hanging))
+		s.log.Warn("configuration kept as it was: earlier reads of it hang", zap.Int("reads", r.hanging))
 		return
 	}
 	r.last++
 	r.current = r.last
 	r.hanging++
 	r.timeout = time.After(reloadTimeout)
-	number, old := r.current, e.cfg
+	number, old := r.current, s.cfg
 	go func() {
-		cfg, err := readConfigWithRetry(e.ctx, old)
+		cfg, err := readConfigWithRetry(s.ctx, old)
 		r.results <- reloadResult{number, cfg, err} // there is room for all that may be under way
 	}()
 }
@@ -69,21 +69,21 @@
 }
 
 // ended takes what a read came to. It answers whether the configuration is to be gone over to.
-func (e *Server) finishReload(r *reloadState, x reloadResult) bool {
+func (s *Server) finishReload(r *reloadState, x reloadResult) bool {
 	r.hanging--
 	if x.number != r.current {
 		return false // it was given up, and another may have begun since
 	}
 	r.current, r.timeout = 0, nil
 	if x.err != nil {
-		e.log.Warn("configuration kept as it was", zap.Error(x.err))
+		s.log.Warn("configuration kept as it was", zap.Error(x.err))
 		return false
 	}
 	return true
 }
 
 // abandonReload leaves a read to itself that hangs.
-func (e *Server) abandonReload(r *reloadState) {
+func (s *Server) abandonReload(r *reloadState) {
 	r.current, r.timeout = 0, nil
-	e.log.Warn("configuration kept as it was: reading it takes too long", zap.Duration("waited", reloadTimeout))
+	s.log.Warn("configuration kept as it was: reading it takes too long", zap.Duration("waited", reloadTimeout))
 }
--- a/internal/net/resultstore.go
+++ b/internal/net/resultstore.go
@@ -27,12 +27,12 @@
 )
 
 // openResultStore opens the operator's folder before anything else: another process that uses it ends this one.
-func (e *Server) openResultStore() error {
-	if e.cfg.Site == nil || e.cfg.Site.Spool == nil || e.cfg.Site.Spool.Folder == "" {
+func (s *Server) openResultStore() error {
+	if s.cfg.Site == nil || s.cfg.Site.Spool == nil || s.cfg.Site.Spool.Folder == "" {
 		return nil
 	}
-	set := e.cfg.Site.Spool
-	folder, err := retryStart(e, "spool", func() (Folder, error) { return e.platform.OpenFolder(set.Folder) })
+	set := s.cfg.Site.Spool
+	folder, err := retryStart(s, "spool", func() (Folder, error) { return s.platform.OpenFolder(set.Folder) })
 	if err != nil {
 		return err
 	}
@@ -41,9 +41,9 @@
 		folder.Close()
 		return err
 	}
-	start := e.now()
+	start := s.now()
 	var rec *disk.Recovery
-	store, err := retryStart(e, "spool", func() (store *disk.Store, err error) {
+	store, err := retryStart(s, "spool", func() (store *disk.Store, err error) {
 		store, rec, err = disk.Open(folder, disk.Options{SegmentBytes: segmentSize, Salt: binary.LittleEndian.Uint64(salt[:])})
 		return store, err
 	})
@@ -51,60 +51,60 @@
 		folder.Close()
 		return err
 	}
-	e.results = &resultStore{folder: folder}
+	s.results = &resultStore{folder: folder}
 	for _, f := range rec.Results {
-		e.results.recovered = append(e.results.recovered, spool.Event{Kind: spool.ResultRecovered, ID: f.ID, Secret: f.Meta.Secret, Tenant: f.Meta.Tenant,
+		s.results.recovered = append(s.results.recovered, spool.Event{Kind: spool.ResultRecovered, ID: f.ID, Secret: f.Meta.Secret, Tenant: f.Meta.Tenant,
 			Class: int(f.Meta.Class), Created: rules.Time(f.Meta.Created), LeaseEnd: rules.Time(f.Meta.LeaseEnd), Locations: f.Locations})
 	}
-	e.log.Info("spool opened", zap.String("folder", set.Folder), zap.Int("results", len(rec.Results)), zap.Int("damaged", len(rec.Lost)),
-		zap.Int("unfinished", rec.Unfinished), zap.Int64("torn_bytes", rec.TornBytes), zap.Int64("took_ms", int64((e.now()-start)/rules.Millisecond)))
+	s.log.Info("spool opened", zap.String("folder", set.Folder), zap.Int("results", len(rec.Results)), zap.Int("damaged", len(rec.Lost)),
+		zap.Int("unfinished", rec.Unfinished), zap.Int64("torn_bytes", rec.TornBytes), zap.Int64("took_ms", int64((s.now()-start)/rules.Millisecond)))
 	for _, d := range rec.Damage {
-		e.log.Warn("spool: damaged", zap.Uint32("segment", d.Segment), zap.Int64("at", d.Offset), zap.Int64("bytes", d.Size),
+		s.log.Warn("spool: damaged", zap.Uint32("segment", d.Segment), zap.Int64("at", d.Offset), zap.Int64("bytes", d.Size),
 			zap.String("result", fmt.Sprintf("%x", d.ID[:])))
 	}
-	e.results.runner = disk.NewWorker(store, maxQueuedDiskEffects, set.Budget.DiskBytes/wasteDivisor,
+	s.results.runner = disk.NewWorker(store, maxQueuedDiskEffects, set.Budget.DiskBytes/wasteDivisor,
 		func(events []spool.Event) {
-			e.queue.enqueue(gateway.SpoolCompleted{Events: events})
+			s.queue.enqueue(gateway.SpoolCompleted{Events: events})
 		},
-		func(err error) { e.log.Warn("spool: the disk fails", zap.Error(err)) })
+		func(err error) { s.log.Warn("spool: the disk fails", zap.Error(err)) })
 	return nil
 }
 
 // closeResultStore writes what is still to be written and lets the folder go.
-func (e *Server) closeResultStore() {
-	if e.results == nil {
+func (s *Server) closeResultStore() {
+	if s.results == nil {
 		return
 	}
 	if !returnsWithin(diskCloseTimeout, func() {
-		if err := e.results.runner.Close(); err != nil {
-			e.log.Warn("spool: not closed in order", zap.Error(err))
+		if err := s.results.runner.Close(); err != nil {
+			s.log.Warn("spool: not closed in order", zap.Error(err))
 		}
-		e.results.folder.Close()
+		s.results.folder.Close()
 	}) {
-		e.log.Warn("spool: the disk hangs, left as it is")
+		s.log.Warn("spool: the disk hangs, left as it is")
 	}
 }
 
 // submitToResultStore hands an effect to the disk. What it can't take is answered as failed, for the reducer to see.
-func (e *Server) submitToResultStore(s spool.Effect) {
-	if e.results != nil && e.results.runner.Submit(s) == nil {
+func (s *Server) submitToResultStore(effect spool.Effect) {
+	if s.results != nil && s.results.runner.Submit(effect) == nil {
 		return
 	}
-	ev := spool.Event{ID: s.ID, Index: s.Index, Failed: true}
-	switch s.Kind {
+	ev := spool.Event{ID: effect.ID, Index: effect.Index, Failed: true}
+	switch effect.Kind {
 	case spool.WriteRecord:
-		ev.Kind, ev.Record = spool.RecordWritten, s.Record
+		ev.Kind, ev.Record = spool.RecordWritten, effect.Record
 	case spool.LoadChunk:
-		ev.Kind, ev.Reader = spool.ChunkLoaded, s.Reader
+		ev.Kind, ev.Reader = spool.ChunkLoaded, effect.Reader
 	default:
 		return
 	}
-	e.queue.enqueue(gateway.SpoolCompleted{Events: []spool.Event{ev}})
+	s.queue.enqueue(gateway.SpoolCompleted{Events: []spool.Event{ev}})
 }
 
 // reportDrained tells the reducer once that a connection has taken all that was written to it.
-func (e *Server) reportDrained(c *conn) {
+func (s *Server) reportDrained(c *conn) {
 	if c.notifyDrained.Swap(false) {
-		e.queue.enqueue(gateway.WriteDrained{Conn: c.id})
+		s.queue.enqueue(gateway.WriteDrained{Conn: c.id})
 	}
 }
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -109,33 +109,33 @@
 
 // RunOn serves as Run does, on a platform that may be a test double.
 func RunOn(platform Platform, cfg config.Config, log *zap.Logger, signals Signals) error {
-	e := newServer(platform, cfg, log)
-	defer e.cancel()
-	if _, err := rand.Read(e.cfg.Entropy[:]); err != nil {
+	server := newServer(platform, cfg, log)
+	defer server.cancel()
+	if _, err := rand.Read(server.cfg.Entropy[:]); err != nil {
 		return err
 	}
-	if err := e.openResultStore(); err != nil {
+	if err := server.openResultStore(); err != nil {
 		return err
 	}
-	defer e.closeResultStore()
-	if err := e.openVoterLog(); err != nil {
+	defer server.closeResultStore()
+	if err := server.openVoterLog(); err != nil {
 		return err
 	}
-	defer e.closeVoterLog()
-	if _, err := retryStart(e, "members", func() (struct{}, error) { return struct{}{}, e.joinMembers() }); err != nil {
+	defer server.closeVoterLog()
+	if _, err := retryStart(server, "members", func() (struct{}, error) { return struct{}{}, server.joinMembers() }); err != nil {
 		return err
 	}
-	defer e.awaitLeave()
-	defer e.leaveMembers()
+	defer server.awaitLeave()
+	defer server.leaveMembers()
 	// The sockets come last: once their library's loops are started they must have begun before they are stopped, which a
 	// start that fails behind them does not wait for.
-	if err := e.open(); err != nil {
+	if err := server.open(); err != nil {
 		return err
 	}
-	defer e.close()
+	defer server.close()
 	log.Info("serving", zap.String("name", cfg.Name), zap.Stringer("listen", cfg.Listen),
 		zap.Int("engines", len(cfg.InitialList.Engines)))
-	e.run(signals)
+	server.run(signals)
 	return nil
 }
 
@@ -147,23 +147,23 @@
 	return e
 }
 
-func (e *Server) now() rules.Time { return e.clock.now() }
+func (s *Server) now() rules.Time { return s.clock.now() }
 
 // open opens the sockets. What fails for a moment is tried again for a while: a start must not hang on one call.
-func (e *Server) open() (err error) {
+func (s *Server) open() (err error) {
 	logging.SetLogger(silentLogger{})
-	nbio.MaxOpenFiles = max(e.limits.Sockets, 4096) // numbers of descriptors that its table holds
-	if e.devNull, err = retryStart(e, "open "+os.DevNull, func() (*os.File, error) { return os.Open(os.DevNull) }); err != nil {
+	nbio.MaxOpenFiles = max(s.limits.Sockets, 4096) // numbers of descriptors that its table holds
+	if s.devNull, err = retryStart(s, "open "+os.DevNull, func() (*os.File, error) { return os.Open(os.DevNull) }); err != nil {
 		return err
 	}
-	if _, err = retryStart(e, "name service", func() (struct{}, error) { return struct{}{}, e.openDNS(e.cfg.DNS) }); err != nil {
-		e.devNull.Close()
+	if _, err = retryStart(s, "name service", func() (struct{}, error) { return struct{}{}, s.openDNS(s.cfg.DNS) }); err != nil {
+		s.devNull.Close()
 		return err
 	}
-	if _, err = retryStart(e, "listen", func() (struct{}, error) { return struct{}{}, e.startPoller() }); err != nil {
-		e.closeDNS()
-		e.dnsReaders.Wait()
-		e.devNull.Close()
+	if _, err = retryStart(s, "listen", func() (struct{}, error) { return struct{}{}, s.startPoller() }); err != nil {
+		s.closeDNS()
+		s.dnsReaders.Wait()
+		s.devNull.Close()
 	}
 	return err
 }
@@ -175,12 +175,12 @@
 )
 
 // retryStart tries a call of the start again where it failed for a moment.
-func retryStart[T any](e *Server, what string, call func() (T, error)) (out T, err error) {
+func retryStart[T any](s *Server, what string, call func() (T, error)) (out T, err error) {
 	for until := time.Now().Add(startRetryTimeout); ; {
 		if out, err = call(); err == nil || !transient(err) || time.Now().After(until) {
 			return out, err
 		}
-		e.log.Warn("start: tried again", zap.String("what", what), zap.Error(err))
+		s.log.Warn("start: tried again", zap.String("what", what), zap.Error(err))
 		time.Sleep(startRetryPause)
 	}
 }
@@ -189,109 +189,109 @@
 func transient(err error) bool { return syserr.Transient(err) || errors.Is(err, members.ErrListen) }
 
 // startPoller begins to listen, and to read and write connections.
-func (e *Server) startPoller() error {
-	e.poller = nbio.NewEngine(nbio.Config{
-		Network: "tcp", Addrs: []string{e.cfg.Listen.String()}, NPoller: 1, ReadBufferSize: readBufferSize,
+func (s *Server) startPoller() error {
+	s.poller = nbio.NewEngine(nbio.Config{
+		Network: "tcp", Addrs: []string{s.cfg.Listen.String()}, NPoller: 1, ReadBufferSize: readBufferSize,
 		MaxConnReadTimesPerEventLoop: maxReadsPerEvent,
 		Listen: func(_, addr string) (ln stdnet.Listener, err error) {
-			ln, err = e.platform.Listen(addr)
-			e.listener = ln
+			ln, err = s.platform.Listen(addr)
+			s.listener = ln
 			return ln, err
 		},
 	})
-	e.poller.OnOpen(e.onOpen)
-	e.poller.OnData(func(nb *nbio.Conn, data []byte) {
-		if c := e.countRead(nb); c != nil {
-			e.queue.enqueueReceived(c.id, data)
+	s.poller.OnOpen(s.onOpen)
+	s.poller.OnData(func(nb *nbio.Conn, data []byte) {
+		if c := s.countRead(nb); c != nil {
+			s.queue.enqueueReceived(c.id, data)
 		}
 	})
-	e.poller.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
-		if c := e.connByNB(nb); c != nil {
+	s.poller.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
+		if c := s.connByNB(nb); c != nil {
 			c.acceptedBytes.Add(int64(n))
 			if c.pending.Add(-int64(n)) <= 0 {
-				e.noteUnblocked(c)
+				s.noteUnblocked(c)
 				if c.closing.Load() {
-					go e.closeGracefully(c) // this runs under the connection's lock
+					go s.closeGracefully(c) // this runs under the connection's lock
 				}
-				e.reportDrained(c)
+				s.reportDrained(c)
 			}
 		}
 	})
-	e.poller.OnClose(func(nb *nbio.Conn, err error) {
-		if c := e.connByNB(nb); c != nil {
-			if ours := e.removeConn(c); ours != nil {
+	s.poller.OnClose(func(nb *nbio.Conn, err error) {
+		if c := s.connByNB(nb); c != nil {
+			if ours := s.removeConn(c); ours != nil {
 				err = ours
 			}
-			e.queue.enqueue(gateway.ConnectionClosed{Conn: c.id, Err: err, AcceptedBytes: c.acceptedBytes.Load()})
+			s.queue.enqueue(gateway.ConnectionClosed{Conn: c.id, Err: err, AcceptedBytes: c.acceptedBytes.Load()})
 		}
 	})
-	e.poller.OnAcceptError(func(err error) {
-		if !e.shuttingDown.Load() {
-			e.log.Warn("accept failed", zap.Error(err))
+	s.poller.OnAcceptError(func(err error) {
+		if !s.shuttingDown.Load() {
+			s.log.Warn("accept failed", zap.Error(err))
 		}
 		time.Sleep(10 * time.Millisecond) // descriptors ran out: they come back when something closes; or nothing more is accepted
 	})
-	return e.poller.Start()
+	return s.poller.Start()
 }
 
-func (e *Server) close() {
-	e.mu.Lock()
-	e.shuttingDown.Store(true)
-	e.cancel()
-	e.clientClosed.Broadcast()
-	for _, giveUp := range e.pendingDials {
+func (s *Server) close() {
+	s.mu.Lock()
+	s.shuttingDown.Store(true)
+	s.cancel()
+	s.clientClosed.Broadcast()
+	for _, giveUp := range s.pendingDials {
 		giveUp()
 	}
-	e.mu.Unlock()
-	e.queue.close()
-	e.closeDNS()
-	e.dnsReaders.Wait()
-	e.dialWorkers.Wait()
-	e.poller.Stop()
-	e.mu.Lock()
-	for _, fd := range e.reserved {
+	s.mu.Unlock()
+	s.queue.close()
+	s.closeDNS()
+	s.dnsReaders.Wait()
+	s.dialWorkers.Wait()
+	s.poller.Stop()
+	s.mu.Lock()
+	for _, fd := range s.reserved {
 		syscall.Close(fd)
 	}
-	e.reserved = nil
-	e.mu.Unlock()
-	e.devNull.Close()
+	s.reserved = nil
+	s.mu.Unlock()
+	s.devNull.Close()
 }
 
 // removeConn drops what is remembered of a connection. It answers why we have cut it, if we have.
-func (e *Server) removeConn(c *conn) error {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.conns, c.id)
-	delete(e.connsByNB, c.nb)
+func (s *Server) removeConn(c *conn) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c.id)
+	delete(s.connsByNB, c.nb)
 	if c.halfClosed {
-		e.lingering = slices.DeleteFunc(e.lingering, func(o *conn) bool { return o == c })
+		s.lingering = slices.DeleteFunc(s.lingering, func(o *conn) bool { return o == c })
 	}
 	if c.accepted {
-		e.clientCount--
-		e.clientClosed.Signal()
+		s.clientCount--
+		s.clientClosed.Signal()
 	}
 	return c.closeErr
 }
 
-func (e *Server) connByID(id gateway.ConnID) *conn {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.conns[id]
+func (s *Server) connByID(id gateway.ConnID) *conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.conns[id]
 }
 
 // connByNB finds what is remembered of a connection of nbio. Its own place for that
 // is not synchronised between its goroutines.
-func (e *Server) connByNB(nb *nbio.Conn) *conn {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.connsByNB[nb]
+func (s *Server) connByNB(nb *nbio.Conn) *conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.connsByNB[nb]
 }
 
 // countRead finds the connection on which bytes have come that count: those of one that was hung up don't.
-func (e *Server) countRead(nb *nbio.Conn) *conn {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	c := e.connsByNB[nb]
+func (s *Server) countRead(nb *nbio.Conn) *conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.connsByNB[nb]
 	if c == nil || c.halfClosed {
 		return nil
 	}
@@ -310,37 +310,37 @@
 }
 
 // run is the reducer's goroutine.
-func (e *Server) run(signals Signals) {
-	g := e.platform.Reducer(e.cfg, e.now())
+func (s *Server) run(signals Signals) {
+	g := s.platform.Reducer(s.cfg, s.now())
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
-	if e.results != nil {
-		g.Step(e.now(), gateway.SpoolCompleted{Events: e.results.recovered})
-		e.results.recovered = nil
+	if s.results != nil {
+		g.Step(s.now(), gateway.SpoolCompleted{Events: s.results.recovered})
+		s.results.recovered = nil
 	}
-	if e.voter != nil {
-		kept := e.voter.recovered
-		g.Step(e.now(), gateway.VoterLogOpened{State: &kept})
+	if s.voter != nil {
+		kept := s.voter.recovered
+		g.Step(s.now(), gateway.VoterLogOpened{State: &kept})
 	}
 	var events []queuedEvent
 	var arena []byte
 	var end shutdownState
 	reading := newReloadState()
-	armed, turns := rules.Time(0), pacer{interval: e.limits.MinBatchInterval}
+	armed, turns := rules.Time(0), pacer{interval: s.limits.MinBatchInterval}
 	for {
 		over := false
 		for _, f := range g.Flush() {
 			switch f := f.(type) {
 			case *gateway.SetTimer:
 				armed = f.At
-				wake.Reset(time.Duration(f.At-e.now()) * time.Microsecond)
+				wake.Reset(time.Duration(f.At-s.now()) * time.Microsecond)
 			case gateway.Exit:
 				over = true
 			default:
-				e.execute(f)
+				s.execute(f)
 			}
 		}
-		if end = end.next(over); over && e.advanceShutdown(&end) {
+		if end = end.next(over); over && s.advanceShutdown(&end) {
 			return
 		}
 		again := signals.Reload
@@ -348,37 +348,37 @@
 			again = nil // one at a time: what is asked for meanwhile comes behind
 		}
 		select {
-		case <-e.queue.ready:
+		case <-s.queue.ready:
 		case <-wake.C:
 		case <-end.tick:
 		case <-signals.Terminate:
-			g.Step(e.now(), gateway.ShutdownRequested{})
+			g.Step(s.now(), gateway.ShutdownRequested{})
 		case <-again:
-			e.startReload(&reading)
-		case <-e.rejoin:
-			e.joinMembersOrRetry()
+			s.startReload(&reading)
+		case <-s.rejoin:
+			s.joinMembersOrRetry()
 		case <-reading.timeout:
-			e.abandonReload(&reading)
+			s.abandonReload(&reading)
 		case x := <-reading.results:
-			if e.finishReload(&reading, x) {
-				e.cfg = x.cfg
-				g.Step(e.now(), gateway.ConfigReloaded{Config: &x.cfg, ClockSkew: e.clock.skew()})
+			if s.finishReload(&reading, x) {
+				s.cfg = x.cfg
+				g.Step(s.now(), gateway.ConfigReloaded{Config: &x.cfg, ClockSkew: s.clock.skew()})
 			}
 		}
-		if rest := turns.wait(e.now()); rest > 0 {
+		if rest := turns.wait(s.now()); rest > 0 {
 			time.Sleep(time.Duration(rest) * time.Microsecond)
 		}
-		if waited := e.queue.oldestAge(); waited >= slowThreshold {
-			e.log.Warn("events waited for the reducer", zap.Int64("ms", waited.Milliseconds()))
+		if waited := s.queue.oldestAge(); waited >= slowThreshold {
+			s.log.Warn("events waited for the reducer", zap.Int64("ms", waited.Milliseconds()))
 		}
-		events, arena = e.queue.drain(events, arena)
-		e.uncountReads(events)
-		now := e.now()
+		events, arena = s.queue.drain(events, arena)
+		s.uncountReads(events)
+		now := s.now()
 		turns.last = now
 		for i := range events {
 			g.Step(now, events[i].get())
 		}
-		e.stepMemberEvents(now, g)
+		s.stepMemberEvents(now, g)
 		if now >= armed {
 			g.Step(now, gateway.TimerFired{})
 		}
@@ -386,21 +386,21 @@
 }
 
 // noteBlocked tells the reducer that an engine does not take what was written to it, if it does not.
-func (e *Server) noteBlocked(c *conn) {
+func (s *Server) noteBlocked(c *conn) {
 	if c.accepted || c.pending.Load() <= 0 || c.blockedSince.Load() != 0 {
 		return
 	}
 	c.blockedMu.Lock()
-	c.blockedSince.Store(int64(e.now()))
-	e.queue.enqueue(gateway.WriteBlocked{Conn: c.id})
+	c.blockedSince.Store(int64(s.now()))
+	s.queue.enqueue(gateway.WriteBlocked{Conn: c.id})
 	c.blockedMu.Unlock()
 	if c.pending.Load() <= 0 { // it was taken meanwhile
-		e.noteUnblocked(c)
+		s.noteUnblocked(c)
 	}
 }
 
 // noteUnblocked tells the reducer that an engine has taken what it did not before, and the log how long that took.
-func (e *Server) noteUnblocked(c *conn) {
+func (s *Server) noteUnblocked(c *conn) {
 	if c.blockedSince.Load() == 0 {
 		return
 	}
@@ -410,63 +410,63 @@
 	if since == 0 {
 		return
 	}
-	e.queue.enqueue(gateway.WriteDrained{Conn: c.id})
-	if waited := e.now() - rules.Time(since); waited >= rules.Time(slowThreshold.Microseconds()) {
-		e.log.Warn("engine: bytes written waited", zap.Uint64("connection", uint64(c.id)&^(1<<63)), zap.Int64("ms", int64(waited/rules.Millisecond)))
+	s.queue.enqueue(gateway.WriteDrained{Conn: c.id})
+	if waited := s.now() - rules.Time(since); waited >= rules.Time(slowThreshold.Microseconds()) {
+		s.log.Warn("engine: bytes written waited", zap.Uint64("connection", uint64(c.id)&^(1<<63)), zap.Int64("ms", int64(waited/rules.Millisecond)))
 	}
 }
 
-func (e *Server) execute(effect gateway.Effect) {
+func (s *Server) execute(effect gateway.Effect) {
 	switch f := effect.(type) {
 	case *gateway.Write:
-		if c := e.connByID(f.Conn); c != nil {
-			e.send(c, f.Data)
+		if c := s.connByID(f.Conn); c != nil {
+			s.send(c, f.Data)
 		}
 	case gateway.CloseConnection:
-		if c := e.connByID(f.Conn); c != nil {
+		if c := s.connByID(f.Conn); c != nil {
 			c.closing.Store(true)
 			if c.pending.Load() <= 0 {
-				e.closeGracefully(c)
+				s.closeGracefully(c)
 				return
 			}
-			e.after(e.limits.FlushTimeout, func() { e.shutdownConn(c, errPeerNotReading) })
+			s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errPeerNotReading) })
 		} else {
-			e.cancelDial(f.Conn)
+			s.cancelDial(f.Conn)
 		}
 	case gateway.ResetConnection:
-		if c := e.connByID(f.Conn); c != nil {
-			e.reset(c)
+		if c := s.connByID(f.Conn); c != nil {
+			s.reset(c)
 		}
 	case gateway.Dial:
-		e.startDial(f.Conn, f.Addr, f.Timeout)
+		s.startDial(f.Conn, f.Addr, f.Timeout)
 	case gateway.QueryDNS:
-		e.queryDNS(f.Data)
+		s.queryDNS(f.Data)
 	case gateway.SetNameServer:
-		if err := e.openDNS(f.Addr); err != nil {
-			e.log.Warn("name service: not reached at its new address", zap.Error(err))
+		if err := s.openDNS(f.Addr); err != nil {
+			s.log.Warn("name service: not reached at its new address", zap.Error(err))
 		}
 	case gateway.SubmitSpool:
-		e.submitToResultStore(f.Effect)
+		s.submitToResultStore(f.Effect)
 	case gateway.NotifyDrained:
-		if c := e.connByID(f.Conn); c != nil {
+		if c := s.connByID(f.Conn); c != nil {
 			c.notifyDrained.Store(true)
 			if c.pending.Load() <= 0 {
-				e.reportDrained(c)
+				s.reportDrained(c)
 			}
 		}
 	case gateway.SendToMember:
-		e.sendToMember(f)
+		s.sendToMember(f)
 	case gateway.JoinMembers:
-		e.joinMembersOrRetry()
+		s.joinMembersOrRetry()
 	case gateway.LeaveMembers:
-		e.rejoin = nil
-		e.leaveMembers()
+		s.rejoin = nil
+		s.leaveMembers()
 	case gateway.ControlResponse:
-		e.sendControlResponse(f)
+		s.sendControlResponse(f)
 	case gateway.PersistVoterLog:
-		e.persist(f.Batch)
+		s.persist(f.Batch)
 	case gateway.Log:
-		e.writeLog(f)
+		s.writeLog(f)
 	}
 }
 
@@ -474,8 +474,8 @@
 	gateway.Debug: zapcore.DebugLevel, gateway.Info: zapcore.InfoLevel, gateway.Warn: zapcore.WarnLevel,
 }
 
-func (e *Server) writeLog(f gateway.Log) {
-	entry := e.log.Check(logLevels[f.Level], f.Text)
+func (s *Server) writeLog(f gateway.Log) {
+	entry := s.log.Check(logLevels[f.Level], f.Text)
 	if entry == nil {
 		return
 	}
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -104,15 +104,15 @@
 			}
 			return System().Dial(ctx, addr)
 		}
-		e := newBareServerOn(t, p)
+		server := newBareServerOn(t, p)
 		addr := netip.MustParseAddrPort(engine.Addr().String())
-		e.startDial(1<<63|1, addr, rules.Second)
-		if ev := e.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
+		server.startDial(1<<63|1, addr, rules.Second)
+		if ev := server.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
 			t.Errorf("%v twice: %#v", errno, ev)
 		}
 		calls.left.Store(1 << 40)
-		e.startDial(1<<63|2, addr, rules.Second)
-		if ev, ok := e.awaitDialResult(t).(gateway.DialFailed); !ok || !ev.Local {
+		server.startDial(1<<63|2, addr, rules.Second)
+		if ev, ok := server.awaitDialResult(t).(gateway.DialFailed); !ok || !ev.Local {
 			t.Errorf("%v for long: failed %v, ours %v", errno, ok, ev.Local)
 		}
 		engine.Close()
@@ -122,30 +122,30 @@
 // newBareServerOn is an edge without a reducer, on a platform.
 func newBareServerOn(t *testing.T, p Platform) *Server {
 	t.Helper()
-	e := newServer(p, loopbackConfig(t), zap.NewNop())
-	if err := e.open(); err != nil {
+	server := newServer(p, loopbackConfig(t), zap.NewNop())
+	if err := server.open(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.close)
-	client, c := e.connectClient(t) // the library's loops have begun once a byte has come (see bareEdge)
+	t.Cleanup(server.close)
+	client, c := server.connectClient(t) // the library's loops have begun once a byte has come (see bareEdge)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "a byte", func() bool {
-		e.queue.mu.Lock()
-		defer e.queue.mu.Unlock()
-		return e.queue.queuedBytes > 0
+		server.queue.mu.Lock()
+		defer server.queue.mu.Unlock()
+		return server.queue.queuedBytes > 0
 	})
 	client.Close()
-	waitFor(t, "its end", func() bool { return e.connByID(c.id) == nil })
-	return e
+	waitFor(t, "its end", func() bool { return server.connByID(c.id) == nil })
+	return server
 }
 
 // awaitDialResult waits for what becomes of a dial.
-func (e *Server) awaitDialResult(t *testing.T) (out gateway.Event) {
+func (s *Server) awaitDialResult(t *testing.T) (out gateway.Event) {
 	t.Helper()
 	waitFor(t, "the end of the dial", func() bool {
-		events, _ := e.queue.drain(nil, nil)
+		events, _ := s.queue.drain(nil, nil)
 		for _, ev := range events {
 			switch ev.event.(type) {
 			case gateway.DialSucceeded, gateway.DialFailed:
@@ -173,12 +173,12 @@
 		}
 		return System().DialUDP(addr)
 	}
-	e := newBareServerOn(t, p)
+	server := newBareServerOn(t, p)
 	calls.left.Store(4)
-	e.execute(gateway.SetNameServer{Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
+	server.execute(gateway.SetNameServer{Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
 	buf := make([]byte, 16)
 	for range 4 { // polls
-		e.execute(gateway.QueryDNS{Data: []byte("who is there")})
+		server.execute(gateway.QueryDNS{Data: []byte("who is there")})
 	}
 	_ = service.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 	if n, _, err := service.ReadFrom(buf); err != nil || string(buf[:n]) != "who is there" {
@@ -210,16 +210,16 @@
 	p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
 		return log, directives.PersistedState{}, nil
 	}
-	e := newBareServerOn(t, p)
-	e.cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{e.cfg.Name}, LogFolder: t.TempDir()}}
-	if err := e.openVoterLog(); err != nil {
+	server := newBareServerOn(t, p)
+	server.cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{server.cfg.Name}, LogFolder: t.TempDir()}}
+	if err := server.openVoterLog(); err != nil {
 		t.Fatal(err)
 	}
-	defer e.closeVoterLog()
+	defer server.closeVoterLog()
 	log.left.Store(3)
-	e.persist(directives.Batch{})
+	server.persist(directives.Batch{})
 	waitFor(t, "the batch to be kept", func() bool {
-		events, _ := e.queue.drain(nil, nil)
+		events, _ := server.queue.drain(nil, nil)
 		for _, ev := range events {
 			if persisted, ok := ev.event.(gateway.VoterLogPersisted); ok {
 				if persisted.Err != nil {
@@ -263,12 +263,12 @@
 
 // The end of the process does not wait for members that do not answer.
 func TestShutdownWaitsForMembersWithinBounds(t *testing.T) {
-	e := newBareServerOn(t, System())
+	server := newBareServerOn(t, System())
 	stopped := make(chan struct{})
 	defer close(stopped)
-	e.leaveWorkers.Go(func() { <-stopped })
+	server.leaveWorkers.Go(func() { <-stopped })
 	ended := make(chan struct{})
-	go func() { e.awaitLeave(); close(ended) }()
+	go func() { server.awaitLeave(); close(ended) }()
 	select {
 	case <-ended:
 	case <-time.After(leaveTimeout + 2*time.Second):
