--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog owns the way of log lines out of the process: a bounded buffer and a goroutine that empties it.
-// Writing a line never waits for whoever reads the log. Lines that find no room, or that could not be written, are
-// counted, and the count is written as a line of its own once there is room again.
+// Package asynclog writes log lines asynchronously: a bounded buffer and a goroutine that empties it. Writing a line never
+// waits for whoever reads the log. Lines that find no room, or that could not be written, are counted, and the count is
+// written as a line of its own once there is room again.
 package asynclog
 
 import (
@@ -12,7 +12,7 @@
 // Writer takes log lines without ever blocking and writes them from a goroutine of its own.
 type Writer struct {
 	out        io.Writer
-	maxBytes   int // bytes that may wait
+	maxBytes   int // that may be pending
 	formatLost func(lines int) []byte
 	wake       chan struct{}
 	done       chan struct{}
@@ -24,14 +24,15 @@
 	closed       bool
 }
 
-// New starts a writer that holds at most so many bytes. Lost renders the line that reports lost lines.
+// New starts a writer that holds at most so many bytes. Lost formats the line that reports lost lines. The writer's
+// goroutine ends with Close.
 func New(out io.Writer, most int, lost func(lines int) []byte) *Writer {
 	w := &Writer{out: out, maxBytes: most, formatLost: lost, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line, or drops it where it finds no room. It never fails and never waits for the reader.
+// Write takes one line, or drops and counts it where there is no room. It never fails and never waits for the reader.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	switch {
@@ -49,8 +50,8 @@
 // Sync does nothing: whoever logs must not wait for the reader. Close waits, for a bounded time.
 func (w *Writer) Sync() error { return nil }
 
-// Close writes what still waits, for so long at most. It answers whether all was written. The goroutine ends with the
-// write that is under way.
+// Close writes what is pending, for so long at most. It answers whether all was written; if not, the goroutine ends once
+// the write that is under way has returned.
 func (w *Writer) Close(within time.Duration) bool {
 	w.mu.Lock()
 	w.closed = true
@@ -95,7 +96,7 @@
 	}
 }
 
-// swap swaps the waiting lines for an empty buffer.
+// swap takes the pending lines and leaves an empty buffer in their place.
 func (w *Writer) swap(empty []byte) (batch []byte, lines, lost int, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,8 +8,13 @@
 	"sync"
 	"testing"
 	"time"
+
+	"go.uber.org/goleak"
 )
 
+// No goroutine of a writer is left behind.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
 // stalledWriter is a writer that stands still until it is opened.
 type stalledWriter struct {
 	mu   sync.Mutex
@@ -34,6 +39,14 @@
 	return g.out.String()
 }
 
+// writeLine writes a line, which never fails.
+func writeLine(t *testing.T, w *Writer, line string) {
+	t.Helper()
+	if n, err := w.Write([]byte(line + "\n")); err != nil || n != len(line)+1 {
+		t.Fatalf("wrote %d of %q: %v", n, line, err)
+	}
+}
+
 func lost(lines int) []byte { return fmt.Appendf(nil, "lost %d\n", lines) }
 
 // With a reader that stands still no line waits, memory stays under the bound, and the loss is told when it reads again.
@@ -43,7 +56,7 @@
 	const lines = 5000
 	begin := time.Now()
 	for i := range lines {
-		fmt.Fprintf(w, "line %05d\n", i)
+		writeLine(t, w, fmt.Sprintf("line %05d", i))
 	}
 	if took := time.Since(begin); took > 2*time.Second {
 		t.Errorf("%d lines took %v", lines, took)
@@ -77,7 +90,7 @@
 	g := &stalledWriter{open: make(chan struct{}), err: errors.New("broken pipe")}
 	close(g.open)
 	w := New(g, 1000, lost)
-	fmt.Fprintln(w, "one")
+	writeLine(t, w, "one")
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
 		n := w.lostLines
@@ -92,7 +105,7 @@
 	g.mu.Lock()
 	g.err = nil
 	g.mu.Unlock()
-	fmt.Fprintln(w, "two")
+	writeLine(t, w, "two")
 	if !w.Close(5*time.Second) || g.text() != "two\nlost 1\n" {
 		t.Errorf("got %q", g.text())
 	}
@@ -102,7 +115,7 @@
 func TestCloseIsBounded(t *testing.T) {
 	g := &stalledWriter{open: make(chan struct{})}
 	w := New(g, 1000, lost)
-	fmt.Fprintln(w, "one")
+	writeLine(t, w, "one")
 	if w.Close(20 * time.Millisecond) {
 		t.Error("all is said to be written")
 	}
--- a/internal/framebuf/buffer.go
+++ b/internal/framebuf/buffer.go
@@ -1,15 +1,14 @@
-// Package feed owns the buffer in which bytes of a stream wait until a message
-// is whole. It must never read from anywhere itself, and holds no more than
-// its user allows.
+// Package framebuf has the buffer in which bytes of a stream wait until a message is complete. It never reads from anywhere
+// itself; its user limits how much it holds.
 package framebuf
 
-// maxIdleCapacity is how large an empty buffer may stay between messages.
+// maxIdleCapacity is the capacity, in bytes, that an empty buffer may keep between messages.
 const maxIdleCapacity = 4096
 
-// Buffer holds the bytes that have come and are not yet used. The zero value is ready.
+// Buffer holds bytes that have come and are not used yet. The zero value is ready for use.
 type Buffer struct {
 	data  []byte
-	start int
+	start int // of the bytes that are not used yet
 }
 
 // Add appends bytes that have come. They are copied.
@@ -26,11 +25,11 @@
 	b.data = append(b.data, p...)
 }
 
-// Bytes are those not yet used, valid until the next Add.
+// Bytes returns the bytes that are not used yet. They are valid until the next Add.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
-// Len is how many there are.
+// Len is the number of bytes that are not used yet.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Skip uses n bytes up.
+// Skip uses n bytes, at most Len.
 func (b *Buffer) Skip(n int) { b.start += n }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,80 +1,82 @@
-// Package guard checks, while a gateway runs, that what it is about to do keeps the rules. It is pure: the caller says
-// what is to be done and what it knows, and is told which invariants that would break. It never stops anything: whoever
-// decides has decided, and a gateway in service must not fall over a check. A broken invariant is counted by name.
+// Package guard checks invariants while a gateway runs. It is pure: the caller passes what is about to be done and what it
+// knows, and gets the invariants that this would violate. It never prevents anything: the decision has been made elsewhere,
+// and a gateway in service must not fail for a check. Violations are counted by name.
 package guard
 
 import "foxlane/rules"
 
-// Invariant is one that is checked at run time.
+// Invariant is a condition that holds for everything a gateway does.
 type Invariant int
 
-// Invariants, by what they are about: a send, a repeat, an answer, a close, the start of a request.
+// Invariants, by what they are about: an attempt, a retry, an answer, a close, the start of a request. The comment says what
+// violates it.
 const (
 	SendAfterEnd       Invariant = iota // an attempt begins for a request that needs no answer any more
-	SendAfterDeadline                   // an attempt begins, or its engine is told to run on, behind what its client waits
-	SendToDraining                      // an attempt goes to an engine that was told to drain or to be gone for longer than the grace
+	SendAfterDeadline                   // an attempt begins, or its engine may run on, after its client's deadline
+	SendToDraining                      // an attempt goes to an engine that has been draining or delisted for longer than the grace
 	SendMisplaced                       // an attempt goes to a zone or kind that its class must not use
 	SendParallel                        // an attempt begins while another is in flight and no two may be
-	SendOverBudget                      // one gateway alone sends a cold engine more than all together may
-	RetryUnsafe                         // a further attempt of an unsafe class, and an earlier one may have run
-	RetryOutsideWindow                  // a further attempt of a keyed class outside its group or its window
+	SendOverBudget                      // one gateway alone sends an engine in slow start more than all together may
+	RetryUnsafe                         // a retry of a class that is not idempotent, after an attempt that may have run
+	RetryOutsideWindow                  // a retry with an idempotency key outside the key's group or window
 	RetryOverLimit                      // more attempts than a request may have
 	AnswerTwice                         // a final answer to a request that has one
-	AnswerLate                          // a final answer behind what its client waits
-	RejectedMayHaveRun                  // a refusal promises that nothing ran, and something may have
-	CloseUnanswered                     // a connection is closed by us while its request has no answer
-	CloseInFlight                       // a connection to an engine is closed by us under an attempt that was not given up
-	StartTwice                          // a request begins with an id that is open, or on a connection with an open one
-	StartAfterEnd                       // a request begins on a connection that we have ended
+	AnswerLate                          // a final answer long after its client's deadline
+	RejectedMayHaveRun                  // a rejection promises that nothing ran, and something may have
+	CloseUnanswered                     // the gateway closes a client's connection while its request has no answer
+	CloseInFlight                       // the gateway closes an engine's connection with an attempt in flight that was not abandoned
+	StartTwice                          // a request begins with an ID that is in use, or on a connection with an unanswered request
+	StartAfterEnd                       // a request begins on a connection that the gateway has closed
 	count
 )
 
 // Count is the number of invariants.
 const Count = int(count)
 
-var names = [...]string{"send_after_end", "send_after_deadline", "send_to_drained", "send_misplaced", "send_parallel", "send_over_budget",
+// invariantNames are the names under which operators find the invariants in the log and the statistics.
+var invariantNames = [...]string{"send_after_end", "send_after_deadline", "send_to_drained", "send_misplaced", "send_parallel", "send_over_budget",
 	"repeat_unsafe", "repeat_outside", "repeat_over_limit", "answer_twice", "answer_late", "refused_may_have_run", "close_unanswered",
 	"close_in_flight", "start_twice", "start_after_end"}
 
-func (i Invariant) String() string { return names[i] }
+func (i Invariant) String() string { return invariantNames[i] }
 
-// Violations counts broken invariants by name.
+// Violations counts, by invariant, how often it was violated.
 type Violations [Count]int
 
-// Record counts one. It answers whether it is the first of its name, which is worth a line in the log.
-func (b *Violations) Record(i Invariant) (first bool) {
-	b[i]++
-	return b[i] == 1
+// Record counts a violation. It answers whether it is the first of its invariant, which is worth a line in the log.
+func (v *Violations) Record(i Invariant) (first bool) {
+	v[i]++
+	return v[i] == 1
 }
 
-// Sum is how often any was broken.
-func (b *Violations) Sum() (n int) {
-	for _, k := range b {
+// Sum is how many violations there were, of all invariants.
+func (v *Violations) Sum() (n int) {
+	for _, k := range v {
 		n += k
 	}
 	return n
 }
 
-// Findings are the invariants that something would break. Its zero value is none.
+// Findings are the invariants that something would violate. The zero value has none.
 type Findings struct {
 	list [Count]Invariant
 	n    int
 }
 
-func (f *Findings) add(broken bool, i Invariant) {
-	if broken {
+func (f *Findings) add(violated bool, i Invariant) {
+	if violated {
 		f.list[f.n] = i
 		f.n++
 	}
 }
 
-// All lists them.
+// All returns them, in the order of the checks.
 func (f *Findings) All() []Invariant { return f.list[:f.n] }
 
-// Slack is how far beyond a time limit something may be before it counts as broken: ways and timers take time.
+// Slack is how far beyond a time limit something may be before it is a violation: delivery and timers take time.
 const Slack = 50 * rules.Millisecond
 
-// DeadlineSlack is by how much an engine's deadline may lie behind what the client waits.
+// DeadlineSlack is by how much an engine's deadline may lie after its client's.
 const DeadlineSlack = 150 * rules.Millisecond
 
 // PriorAttempt is an earlier attempt of a request.
@@ -88,28 +90,28 @@
 }
 
 // MayHaveRun answers whether the attempt may have had an effect.
-func (p *PriorAttempt) MayHaveRun() bool { return p.Sent && !(p.Ended && p.NeverRan) }
+func (p *PriorAttempt) MayHaveRun() bool { return p.Sent && (!p.Ended || !p.NeverRan) }
 
 // Send is an attempt that is about to be written to an engine.
 type Send struct {
 	Now             rules.Time
 	Answered        bool // the request has its final answer, or its client has gone
 	Deadline        rules.Time
-	ClientDeadline  rules.Time // the client waits until then
+	ClientDeadline  rules.Time // until when the client waits
 	State           rules.EngineState
-	NotifiedAt      rules.Time // when we were told of that state
+	NotifiedAt      rules.Time // when the gateway was notified of that state
 	Zone            int
 	Kind            int
 	Cell            int
-	SlowStartSent   float64 // work that we alone have sent it within the window, this included
-	SlowStartBudget float64 // what it bears from all within that; 0: it is warm
+	SlowStartSent   float64 // work that this gateway alone has sent it within the window, this attempt included
+	SlowStartBudget float64 // what it may get from all gateways within that; 0: it is not in slow start
 	Class           *rules.Class
 	Duties          *rules.Constraints
 	Limits          *rules.Limits
 	PriorAttempts   []PriorAttempt // earlier attempts
 }
 
-// Check names what a send would break.
+// Check returns what the attempt would violate.
 func (s *Send) Check() (f Findings) {
 	f.add(s.Answered, SendAfterEnd)
 	f.add(s.Now >= s.ClientDeadline+Slack || s.Deadline > s.ClientDeadline+DeadlineSlack, SendAfterDeadline)
@@ -146,7 +148,7 @@
 	return true
 }
 
-// allowed answers whether a place is among those of a class; nil: any is.
+// allowed answers whether a zone or kind is among those of a class; nil: any is.
 func allowed(places []int, place int) bool {
 	if places == nil {
 		return true
@@ -172,7 +174,7 @@
 // lateAnswerSlack is how far behind its time an answer still only earns nothing.
 const lateAnswerSlack = 500 * rules.Millisecond
 
-// Check names what an answer would break.
+// Check returns what the answer would violate.
 func (a *Answer) Check() (f Findings) {
 	f.add(a.Answered, AnswerTwice)
 	f.add(a.Now > a.ClientDeadline+lateAnswerSlack, AnswerLate)
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,5 +1,5 @@
-// Package wallclock owns how a stamp of the wall clock is read by a process whose own time does not move with a step of
-// that clock. It is pure: what it knows of steps it is told.
+// Package wallclock converts timestamps of the wall clock to the time of a process, which a step of the wall clock does
+// not move. It is pure: its caller tells it of steps.
 package wallclock
 
 import (
@@ -17,10 +17,11 @@
 	maxSteps = 8
 )
 
-// Steps are those of the wall clock since the process began, each as its distance from the process's time.
+// Steps are the steps of the wall clock since the process began, the last few of them, each as the wall clock's distance from
+// the process's time. The zero value has none.
 type Steps struct{ skews []rules.Time }
 
-// Note takes by how much the wall clock is ahead of the process's time now.
+// Note records by how much the wall clock is ahead of the process's time now.
 func (s *Steps) Note(skew rules.Time) {
 	last := rules.Time(0)
 	if n := len(s.skews); n > 0 {
@@ -34,10 +35,10 @@
 	}
 }
 
-// ProcessTime is when something began, in the process's time, that was stamped so by the wall clock. A stamp may have been
-// made before or behind any step. The latest reading that is not in the future is taken: what is wrongly held to be
-// younger than it is gets less for a while, what is wrongly held to be older would be overloaded. A stamp that lies in
-// the future by all readings began now.
+// ProcessTime converts a timestamp of when something started. The timestamp may have been made before or after any step, so
+// there are several readings of it; the latest that is not in the future counts: what is taken for younger than it is gets
+// less load for a while, what is taken for older would be overloaded. A timestamp that is in the future by all readings
+// is taken as now.
 func (s *Steps) ProcessTime(stamp, now rules.Time) rules.Time {
 	best, found := rules.Time(0), false
 	for _, skew := range append([]rules.Time{0}, s.skews...) {
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,18 +1,20 @@
-// Package window owns sums over a sliding span of time, in steps: what was added within the last span, and up to a step more. A
-// bucket that fills evenly would let twice as much through within one span. It must never look at a clock.
+// Package window has sums over a sliding window of time: what was added within the last span, and up to a bucket more. A
+// token bucket would let twice as much through within one span. It never looks at a clock.
 package window
 
 import "foxlane/rules"
 
+// bucketCount is how many buckets a span has.
 const bucketCount = 10
 
-// Sum is a sum over the last span. The zero value with a Span is empty.
+// Sum is a sum over the last span. The zero value with a Span set is empty.
 type Sum struct {
 	Span    rules.Time
-	buckets [bucketCount + 1]float64
-	current rules.Time // the step that is filled, counted from the start of time
+	buckets [bucketCount + 1]float64 // latest first
+	current rules.Time               // number of the latest bucket, counted from time 0
 }
 
+// advance drops the buckets that are too old.
 func (s *Sum) advance(now rules.Time) {
 	at := now / (s.Span / bucketCount)
 	for n := min(at-s.current, rules.Time(len(s.buckets))); n > 0; n-- {
@@ -22,13 +24,13 @@
 	s.current = max(s.current, at)
 }
 
-// Add adds to it.
+// Add adds to the sum.
 func (s *Sum) Add(now rules.Time, x float64) {
 	s.advance(now)
 	s.buckets[0] += x
 }
 
-// Total is what was added within the span.
+// Total is what was added within the last span.
 func (s *Sum) Total(now rules.Time) (sum float64) {
 	s.advance(now)
 	for _, x := range s.buckets {
