--- a/internal/net/backpressure_test.go
+++ b/internal/net/backpressure_test.go
@@ -60,14 +60,15 @@
 	return e
 }
 
-func (e *stalledEngine) close() {
-	e.ln.Close()
+func (e *stalledEngine) close(t *testing.T) {
+	t.Helper()
+	mustClose(t, e.ln)
 	e.done.Wait()
 }
 
 // serve counts the requests that come on a connection.
 func (e *stalledEngine) serve(c stdnet.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }() // the gateway may have reset it
 	<-e.read
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
 	in := bufio.NewReader(c)
@@ -107,8 +108,8 @@
 				return c, err
 			}
 			stuck := newStalledEngine(t)
-			s := newTestbedOn(t, platform, `{"cores":1,"memory_mb":192,"sockets":1024}`, served(time.Millisecond, "a\tb\tc\n"))
-			defer stuck.close()
+			s := newTestbedOn(t, platform, ordinaryLimits, served(time.Millisecond, "a\tb\tc\n"))
+			defer stuck.close(t)
 			defer s.end()
 			host := s.hosts[0]
 			host.ID, host.Addr = "s-unread", netip.MustParseAddrPort(stuck.ln.Addr().String())
--- /dev/null
+++ b/internal/net/dial_test.go
@@ -0,0 +1,115 @@
+package net
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	stdnet "net"
+	"net/netip"
+	"syscall"
+	"testing"
+	"time"
+
+	"foxlane/internal/gateway"
+	"foxlane/internal/syserr"
+)
+
+// Small writes are not held back, on accepted connections and dialled ones.
+func TestNoDelay(t *testing.T) {
+	server := newBareServer(t)
+	_, accepted := server.connectClient(t)
+	ln := listenLoopback(t)
+	server.startDial(1<<63|1, addrOf(ln), server.limits.ConnectTimeout)
+	waitFor(t, "the dial", func() bool { return server.connByID(1<<63|1) != nil })
+	for name, c := range map[string]*conn{"accepted": accepted, "dialled": server.connByID(1<<63 | 1)} {
+		if on, err := syscall.GetsockoptInt(c.nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
+			t.Errorf("%s: TCP_NODELAY is %d, %v", name, on, err)
+		}
+	}
+}
+
+// A dial that is cancelled ends at once, and a connection that comes up in that moment is closed: nothing would use it.
+func TestDialCancelled(t *testing.T) {
+	server := newBareServer(t)
+	ln := listenLoopback(t)
+	const id = gateway.ConnID(1<<63 | 7)
+	server.mu.Lock() // it comes up while the close is on its way
+	server.pendingDials[id] = func() {}
+	server.mu.Unlock()
+	server.cancelDial(id)
+	server.dial(t.Context(), id, addrOf(ln))
+	nc, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer mustClose(t, nc)
+	_ = nc.SetReadDeadline(time.Now().Add(2 * time.Second))
+	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the other side read %v, want the end", err)
+	}
+	if server.connByID(id) != nil || len(server.pendingDials) != 0 {
+		t.Error("the edge still knows it")
+	}
+	// One that never comes up: a listener whose line is full.
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer mustCloseFD(t, fd)
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	full := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port))
+	for i := range gateway.ConnID(4) {
+		server.startDial(1<<63|(100+i), full, 60_000_000)
+	}
+	time.Sleep(50 * time.Millisecond)
+	for i := range gateway.ConnID(4) {
+		server.execute(gateway.CloseConnection{Conn: 1<<63 | (100 + i)})
+	}
+	done := make(chan struct{})
+	go func() { server.dialWorkers.Wait(); close(done) }()
+	select {
+	case <-done:
+	case <-time.After(5 * time.Second):
+		t.Error("a dial that was given up goes on")
+	}
+}
+
+// The reducer closes a connection that is up, and of which it will hear in a moment: it is found all the same.
+func TestCloseBetweenDialAndEvent(t *testing.T) {
+	server := newBareServer(t)
+	ln := listenLoopback(t)
+	const id = gateway.ConnID(1<<63 | 9)
+	std, err := stdnet.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.mu.Lock()
+	server.pendingDials[id] = func() {}
+	server.mu.Unlock()
+	c, err := server.registerDialed(id, std)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.execute(gateway.CloseConnection{Conn: id})
+	if _, err := server.poller.AddConn(c.nb); err != nil {
+		t.Fatal(err)
+	}
+	waitFor(t, "the connection to be gone", func() bool { return server.connByID(id) == nil })
+}
+
+// Dials that fail for a cause on this machine are distinguished from those that the engine refuses.
+func TestLocalDialErrors(t *testing.T) {
+	for err, ours := range map[error]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
+		syscall.ENOMEM: true, syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false} {
+		wrapped := &stdnet.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
+		if syserr.Local(wrapped) != ours {
+			t.Errorf("%v counts as ours: %v", err, !ours)
+		}
+	}
+}
--- a/internal/net/dns.go
+++ b/internal/net/dns.go
@@ -11,11 +11,14 @@
 	"foxlane/internal/gateway"
 )
 
-// This file owns the sockets by which the name service is asked.
+// This file has the sockets by which the name service is queried.
 
-// openDNS asks a name service from a new socket. Only what comes from there is read from then on; where it is the
-// one that was asked before, what it still says to the last socket counts too. Where descriptors have run out, those
-// of the old sockets serve.
+// readErrorPause is between reads of a socket whose reads fail, as they do while the name service refuses.
+const readErrorPause = time.Millisecond
+
+// openDNS moves to a name service, with a new socket. Only its datagrams are read from then on; where it is the one that
+// was queried before, those that still come to the last socket count too. Where no descriptor is left for a new socket,
+// the old ones are closed for it.
 func (s *Server) openDNS(addr netip.AddrPort) error {
 	s.dnsAddr = addr
 	udp, err := s.platform.DialUDP(addr)
@@ -27,30 +30,29 @@
 		return err
 	}
 	if s.previousDNSConn != nil {
-		s.previousDNSConn.Close()
+		_ = s.previousDNSConn.Close() // UDP: nothing is lost that matters
 		s.previousDNSConn = nil
 	}
 	if old := s.dnsConn; old != nil && old.RemoteAddr().String() == udp.RemoteAddr().String() {
 		s.previousDNSConn = old
 	} else if old != nil {
-		old.Close()
+		_ = old.Close() // as above
 	}
 	s.dnsConn = udp
-	s.dnsReaders.Add(1)
-	go s.readDNS(udp)
+	s.dnsReaders.Go(func() { s.readDNS(udp) })
 	return nil
 }
 
 func (s *Server) closeDNS() {
 	for _, udp := range []stdnet.Conn{s.dnsConn, s.previousDNSConn} {
 		if udp != nil {
-			udp.Close()
+			_ = udp.Close() // UDP: nothing is lost that matters
 		}
 	}
 	s.dnsConn, s.previousDNSConn = nil, nil
 }
 
-// queryDNS asks the name service. Where its socket could not be opened the last time, that is tried again first.
+// queryDNS sends a query. Where the socket could not be opened the last time, that is tried again first.
 func (s *Server) queryDNS(question []byte) {
 	if s.dnsConn == nil {
 		if err := s.openDNS(s.dnsAddr); err != nil {
@@ -63,8 +65,8 @@
 	}
 }
 
+// readDNS queues what comes on a socket, until the socket is closed.
 func (s *Server) readDNS(udp stdnet.Conn) {
-	defer s.dnsReaders.Done()
 	buf := make([]byte, s.limits.MaxDatagramBytes)
 	for {
 		n, err := udp.Read(buf)
@@ -74,8 +76,8 @@
 			s.queue.enqueueBytes(buf[:n], func(data []byte) gateway.Event { return gateway.DNSResponse{Data: data, ClockSkew: skew} })
 		case errors.Is(err, stdnet.ErrClosed):
 			return
-		default: // refused, for now
-			time.Sleep(time.Millisecond)
+		default:
+			time.Sleep(readErrorPause)
 		}
 	}
 }
--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -1,139 +1,33 @@
 package net
 
 import (
-	"bufio"
 	"bytes"
 	"errors"
-	stdnet "net"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
 
-	"foxlane/internal/directives"
 	"foxlane/internal/gateway"
 	"foxlane/internal/members"
 	"foxlane/rules"
 )
 
-// membership is the way to other gateways: who is there, what is said, and the listener for operators' commands. What is sent goes through a
-// ring to a goroutine of its own; when it is full, it is lost.
-type membership struct {
-	members         *members.Membership
-	small           chan memberMessage // datagrams
-	large           chan memberMessage // what takes a connection: it may stand still, and must not hold the others up
-	leaving         atomic.Bool        // what still waits is not sent any more
-	wg              sync.WaitGroup
-	control         stdnet.Listener // nil: no commands are answered
-	mu              sync.Mutex
-	controlConns    map[gateway.ConnID]stdnet.Conn
-	lastControlConn gateway.ConnID
-	closed          bool
-}
-
-// voterWorker is the disk of a voter on directives, and the goroutine that writes to it.
-type voterWorker struct {
-	log       VoterLog
-	batches   chan directives.Batch
-	wg        sync.WaitGroup
-	recovered directives.PersistedState // at the start, until the reducer has it
-}
-
-// openVoterLog reads the voter's log, if we are one, before anything else: another process that uses its folder ends this one.
-func (s *Server) openVoterLog() error {
-	if s.cfg.Site == nil || s.cfg.Site.Directives == nil || s.cfg.Site.Members == nil || s.cfg.Site.Directives.LogFolder == "" ||
-		!slices.Contains(s.cfg.Site.Directives.Voters, s.cfg.Name) {
-		return nil
-	}
-	v, err := retryStart(s, "voter's log", func() (*voterWorker, error) {
-		l, kept, err := s.platform.OpenVoterLog(s.cfg.Site.Directives.LogFolder)
-		return &voterWorker{log: l, batches: make(chan directives.Batch, maxQueuedBatches), recovered: kept}, err
-	})
-	if err != nil {
-		return err
-	}
-	kept := v.recovered
-	v.wg.Go(func() {
-		for b := range v.batches {
-			s.queue.enqueue(gateway.VoterLogPersisted{Err: s.persistWithRetry(v.log, b)})
-		}
-	})
-	s.voter = v
-	s.log.Info("directives: voter's log opened", zap.Bool("made", kept.Initialized), zap.Int("entries", len(kept.Entries)), zap.Bool("snapshot", kept.Snapshot != nil))
-	return nil
-}
-
-// voterRepairPause is how long a disk that failed is left alone.
-const voterRepairPause = 100 * time.Millisecond
-
-// persistWithRetry keeps a batch, and tries again where that fails, until it is kept or the process ends. Nothing is said
-// that rests on it meanwhile: a voter whose disk fails is one that is slow.
-func (s *Server) persistWithRetry(l VoterLog, b directives.Batch) error {
-	for failed := false; ; failed = true {
-		err := l.Persist(b)
-		if err == nil {
-			if failed {
-				s.log.Info("directives: the voter's disk works again")
-			}
-			return nil
-		}
-		s.log.Warn("directives: the voter's disk fails", zap.Error(err))
-		for {
-			if !sleep(s.ctx, voterRepairPause) {
-				return err
-			}
-			if err = l.Repair(); err == nil {
-				break
-			}
-			s.log.Warn("directives: the voter's log can't be repaired yet", zap.Error(err))
-		}
-	}
-}
+// This file has the way to other gateways: who the members are, and what is sent among them.
 
-func (s *Server) closeVoterLog() {
-	v := s.voter
-	if v == nil {
-		return
-	}
-	s.cancel()
-	close(v.batches)
-	if !returnsWithin(diskCloseTimeout, func() { v.wg.Wait(); v.log.Close() }) {
-		s.log.Warn("directives: the voter's disk hangs, left as it is")
-	}
-}
-
-// diskCloseTimeout is how long the end of the process waits for a disk: what was acknowledged is on it.
-const diskCloseTimeout = time.Second
-
-// returnsWithin answers whether a call has come back in time. It goes on by itself if not.
-func returnsWithin(d time.Duration, call func()) bool {
-	done := make(chan struct{})
-	go func() { defer close(done); call() }()
-	select {
-	case <-done:
-		return true
-	case <-time.After(d):
-		return false
-	}
-}
-
-// persist hands a batch to the disk's goroutine. Few are ever on their way: one, and a snapshot.
-func (s *Server) persist(b directives.Batch) {
-	if s.voter == nil {
-		s.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
-		return
-	}
-	select {
-	case s.voter.batches <- b:
-	default:
-		s.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
-	}
+// membership is the way to other gateways, from joining them to leaving them. What is sent goes through a bounded queue to
+// a goroutine of its own; when the queue is full, it is lost.
+type membership struct {
+	members *members.Membership
+	small   chan memberMessage // datagrams
+	large   chan memberMessage // what takes a connection: it may stall, and must not hold up the others
+	leaving atomic.Bool        // what is still queued is not sent any more
+	senders sync.WaitGroup
+	control *controlServer // nil: operators' commands are not answered
 }
 
-var errNoVoterLog = errors.New("directives: no disk to keep a vote on")
-
+// memberMessage is a message to a member.
 type memberMessage struct {
 	to      string
 	channel byte
@@ -141,23 +35,25 @@
 }
 
 const (
-	maxQueuedMessages      = 512  // that wait to be sent
-	maxQueuedLargeMessages = 16   // of what takes a connection
-	largeMessageSize       = 1200 // bytes
-	maxMemberEventsPerStep = 256  // events of members in one turn of the reducer
-	maxControlConns        = 8    // operators' commands at a time
-	controlTimeout         = 6 * time.Second
-	maxQueuedBatches       = 64       // batches that wait for the voter's disk
-	maxControlRequestSize  = 64 << 10 // bytes of a question
+	maxQueuedMessages      = 512
+	maxQueuedLargeMessages = 16
+	largeMessageSize       = 1200 // bytes that still fit into a datagram
+	maxMemberEventsPerStep = 256  // member events in one iteration of the reducer
+
+	rejoinPause  = 250 * time.Millisecond // between attempts to join
+	leaveTimeout = time.Second            // for which the end of the process waits: some members may not answer
 )
 
+// errLeaving is why members can't be joined again yet: the address is still in use, and the reducer waits for nobody.
+var errLeaving = errors.New("members: still being left")
+
 // joinMembers begins to look for members, if the operator's file says so.
 func (s *Server) joinMembers() error {
 	if s.cfg.Site == nil || s.cfg.Site.Members == nil || s.membership != nil {
 		return nil
 	}
 	set := s.cfg.Site.Members
-	may, err := set.AllowedSet()
+	allowed, err := set.AllowedSet()
 	if err != nil {
 		return err
 	}
@@ -166,45 +62,37 @@
 		zone = s.cfg.Settings.ZoneNames[i]
 	}
 	if s.leaving.Load() > 0 {
-		return errLeaving // its address is still taken, and the reducer waits for nobody
-	}
-	m := &membership{small: make(chan memberMessage, maxQueuedMessages), large: make(chan memberMessage, maxQueuedLargeMessages), controlConns: map[gateway.ConnID]stdnet.Conn{}}
-	poke := func() {
-		select {
-		case s.queue.ready <- struct{}{}:
-		default:
-		}
+		return errLeaving
 	}
-	if m.members, err = members.Start(members.Settings{Name: s.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: may, DialAddrs: set.AddressMap,
-		FastDetection: set.FastTimers}, poke); err != nil {
+	m := &membership{small: make(chan memberMessage, maxQueuedMessages), large: make(chan memberMessage, maxQueuedLargeMessages)}
+	settings := members.Settings{Name: s.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: allowed,
+		DialAddrs: set.AddressMap, FastDetection: set.FastTimers}
+	if m.members, err = members.Start(settings, func() { s.queue.signal() }); err != nil {
 		return err
 	}
 	if set.Control.IsValid() {
-		if m.control, err = stdnet.Listen("tcp", set.Control.String()); err != nil {
+		if m.control, err = startControl(set.Control, s.queue, s.log); err != nil {
 			m.members.Close()
 			return err
 		}
-		m.wg.Go(func() { s.serveControl(m) })
 	}
-	for _, ring := range []chan memberMessage{m.small, m.large} {
-		m.wg.Go(func() {
-			for x := range ring {
-				if !m.leaving.Load() {
-					_ = m.members.Send(x.to, x.channel, x.data) // whoever has gone hears nothing
-				}
-			}
-		})
+	for _, queue := range []chan memberMessage{m.small, m.large} {
+		m.senders.Go(func() { m.send(queue) })
 	}
 	s.membership = m
 	return nil
 }
 
-// rejoinPause is how long members are not looked for after that could not begin.
-const rejoinPause = 250 * time.Millisecond
-
-var errLeaving = errors.New("members: still being left")
+// send sends what is queued, until the queue is closed.
+func (m *membership) send(queue <-chan memberMessage) {
+	for message := range queue {
+		if !m.leaving.Load() {
+			_ = m.members.Send(message.to, message.channel, message.data) // a member that has left loses it
+		}
+	}
+}
 
-// joinMembersOrRetry looks for members, and tries again later where that can't begin: its address may still be another process's.
+// joinMembersOrRetry looks for members, and again later where that fails: the address may still be another process's.
 func (s *Server) joinMembersOrRetry() {
 	s.rejoin = nil
 	if err := s.joinMembers(); err != nil {
@@ -213,18 +101,9 @@
 	}
 }
 
-// leaveTimeout is how long the end of the process waits until the members were left: some of them may not answer.
-const leaveTimeout = time.Second
-
-// awaitLeave waits until talks that are being ended have, for a bounded time.
-func (s *Server) awaitLeave() {
-	if !returnsWithin(leaveTimeout, s.leaveWorkers.Wait) {
-		s.log.Warn("members: not left in time, the process ends without")
-	}
-}
-
-// leaveMembers leaves the members. It takes a while, for which the reducer does not wait: hushing ends with it.
+// leaveMembers leaves the members. That takes a while, for which the reducer does not wait: awaitLeave does.
 func (s *Server) leaveMembers() {
+	s.rejoin = nil
 	m := s.membership
 	if m == nil {
 		return
@@ -241,31 +120,35 @@
 }
 
 func (m *membership) close() {
-	m.mu.Lock()
-	m.closed = true
 	if m.control != nil {
-		m.control.Close()
-	}
-	for _, c := range m.controlConns {
-		c.Close()
+		m.control.stop()
 	}
-	m.mu.Unlock()
 	m.members.Close()
-	m.wg.Wait()
+	m.senders.Wait()
+	if m.control != nil {
+		m.control.wait()
+	}
+}
+
+// awaitLeave waits, for a bounded time, until all members are left.
+func (s *Server) awaitLeave() {
+	if !returnsWithin(leaveTimeout, s.leaveWorkers.Wait) {
+		s.log.Warn("members: not left in time, the process ends without")
+	}
 }
 
-// sendToMember hands a datagram to the goroutine that sends.
+// sendToMember queues a message to a member.
 func (s *Server) sendToMember(f gateway.SendToMember) {
 	m := s.membership
 	if m == nil {
 		return
 	}
-	ring := m.small
+	queue := m.small
 	if len(f.Data) > largeMessageSize {
-		ring = m.large
+		queue = m.large
 	}
 	select {
-	case ring <- memberMessage{f.To, f.Channel, bytes.Clone(f.Data)}:
+	case queue <- memberMessage{f.To, f.Channel, bytes.Clone(f.Data)}:
 	default: // it is lost, as on the network
 	}
 }
@@ -273,8 +156,8 @@
 var peerKinds = map[members.Kind]gateway.PeerKind{members.Joined: gateway.PeerJoined, members.Left: gateway.PeerLeft,
 	members.Received: gateway.PeerMessage, members.NameConflict: gateway.PeerNameConflict}
 
-// stepMemberEvents hands what has happened among the members to the reducer, a bounded part in each turn.
-func (s *Server) stepMemberEvents(now rules.Time, g Reducer) {
+// stepMemberEvents passes what has happened among the members to the reducer, a bounded number in each iteration.
+func (s *Server) stepMemberEvents(now rules.Time, reducer Reducer) {
 	m := s.membership
 	if m == nil {
 		return
@@ -284,81 +167,7 @@
 		if !ok {
 			return
 		}
-		g.Step(now, gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Data: x.Data, Text: x.Text})
-	}
-	select { // the rest has its turn
-	case s.queue.ready <- struct{}{}:
-	default:
-	}
-}
-
-// ---- operators' commands
-
-// serveControl takes questions, a line each, and gives each to the reducer.
-func (s *Server) serveControl(m *membership) {
-	for {
-		c, err := m.control.Accept()
-		if err != nil {
-			m.mu.Lock()
-			closed := m.closed
-			m.mu.Unlock()
-			if closed {
-				return
-			}
-			time.Sleep(10 * time.Millisecond)
-			continue
-		}
-		m.mu.Lock()
-		if m.closed || len(m.controlConns) >= maxControlConns {
-			m.mu.Unlock()
-			c.Close()
-			continue
-		}
-		m.lastControlConn++
-		id := m.lastControlConn
-		m.controlConns[id] = c
-		m.mu.Unlock()
-		m.wg.Go(func() {
-			_ = c.SetDeadline(time.Now().Add(controlTimeout))
-			in := bufio.NewScanner(c)
-			in.Buffer(make([]byte, 0, 512), maxControlRequestSize)
-			if in.Scan() {
-				s.queue.enqueueBytes(in.Bytes(), func(data []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: data} })
-				return // answer closes it
-			}
-			m.closeControlConn(id)
-		})
-	}
-}
-
-func (m *membership) closeControlConn(id gateway.ConnID) stdnet.Conn {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	c := m.controlConns[id]
-	delete(m.controlConns, id)
-	if c != nil {
-		c.Close()
+		reducer.Step(now, gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Data: x.Data, Text: x.Text})
 	}
-	return c
-}
-
-// sendControlResponse writes what the reducer says off its goroutine, and closes the connection.
-func (s *Server) sendControlResponse(f gateway.ControlResponse) {
-	m := s.membership
-	if m == nil {
-		return
-	}
-	m.mu.Lock()
-	c := m.controlConns[f.Conn]
-	m.mu.Unlock()
-	if c == nil {
-		return
-	}
-	line := bytes.Clone(f.Data)
-	m.wg.Go(func() {
-		if _, err := c.Write(line); err != nil {
-			s.log.Debug("control: answer not written", zap.Error(err))
-		}
-		m.closeControlConn(f.Conn)
-	})
+	s.queue.signal() // the rest comes in the next iteration
 }
--- a/internal/net/platform.go
+++ b/internal/net/platform.go
@@ -14,7 +14,7 @@
 	"foxlane/rules"
 )
 
-// This file owns what a gateway takes from the system it runs on. Tests put doubles in their place that fail as systems
+// This file has what the server takes from the system it runs on. Tests put doubles in its place that fail as systems
 // do; the released program has no way to choose anything but System.
 
 // Reducer is the gateway's state: events with their time go in, effects come out.
@@ -23,16 +23,16 @@
 	Flush() []gateway.Effect
 }
 
-// Folder is one in which results are kept, held by this process alone until Close.
+// Folder is one in which results are kept, locked for this process until Close.
 type Folder interface {
 	disk.FS
 	Close() error
 }
 
-// VoterLog keeps what a voter on directives has promised.
+// VoterLog persists what a voter on directives has promised.
 type VoterLog interface {
 	Persist(batch directives.Batch) error
-	Repair() error // after Keep has failed, ahead of the next call
+	Repair() error // after Persist has failed, before the next call
 	Close()
 }
 
@@ -85,35 +85,3 @@
 	}
 	return conn, nil
 }
-
-// Clock tells the wall clock's time, which may be stepped, and the time that has passed since some moment, which may not.
-type Clock interface {
-	Wall() time.Time
-	Elapsed() time.Duration
-}
-
-// systemClock is that of the operating system.
-type systemClock struct{ origin time.Time }
-
-func (c systemClock) Wall() time.Time        { return time.Now() }
-func (c systemClock) Elapsed() time.Duration { return time.Since(c.origin) }
-
-// clock is the Unix time of the start, carried on by the monotonic clock: a step of the wall clock does not move it.
-type clock struct {
-	Clock
-	startElapsed time.Duration
-	startUnix    int64 // microseconds at the start
-}
-
-func newClock(c Clock) *clock {
-	return &clock{Clock: c, startElapsed: c.Elapsed(), startUnix: c.Wall().UnixMicro()}
-}
-
-func (c *clock) now() rules.Time {
-	return rules.Time(c.startUnix + (c.Elapsed() - c.startElapsed).Microseconds())
-}
-
-// skew is by how much the wall clock is ahead of this one: by what it was stepped since the start.
-func (c *clock) skew() rules.Time {
-	return rules.Time(c.Wall().UnixMicro()) - c.now()
-}
--- a/internal/net/queue.go
+++ b/internal/net/queue.go
@@ -9,7 +9,7 @@
 	"foxlane/internal/gateway"
 )
 
-// This file owns the queue of events on their way to the reducer.
+// This file has the queue of events on their way to the reducer.
 
 // queuedEvent is an event in the queue. Received bytes lie in it by value, so that they cost no allocation each.
 type queuedEvent struct {
@@ -25,17 +25,17 @@
 	return q.event
 }
 
-// eventQueue holds what has happened until the reducer takes it. Its bytes lie in
-// an arena that is used again once the reducer is done with them.
+// eventQueue holds events until the reducer's goroutine takes them. The bytes of events lie in an arena. Events and arena
+// are used again, in turn with those that the reducer's goroutine has taken.
 type eventQueue struct {
 	mu          sync.Mutex
 	notFull     sync.Cond
 	events      []queuedEvent
 	arena       []byte
 	queuedBytes int
-	maxBytes    int // bytes that wait before reading stops
-	maxArena    int // room of an arena that is used again
-	ready       chan struct{}
+	maxBytes    int           // beyond which no more bytes are taken, and reading stops
+	maxArena    int           // capacity of an arena that is used again
+	ready       chan struct{} // holds a value once there is something to take
 	closed      bool
 	oldestAt    time.Time // when the oldest event came
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// oldestAge is for how long the oldest event has waited.
+// oldestAge is for how long the oldest event has waited; 0: there is none.
 func (q *eventQueue) oldestAge() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,7 +118,7 @@
 	return time.Since(q.oldestAt)
 }
 
-// drain swaps what has come for the buffers of the last turn.
+// drain takes all events, and gives the buffers of the last iteration back.
 func (q *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
 	clear(events)
 	if cap(arena) > q.maxArena {
@@ -132,6 +132,7 @@
 	return outEvents, outArena
 }
 
+// close ends all waits for room, now and later.
 func (q *eventQueue) close() {
 	q.mu.Lock()
 	q.closed = true
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -10,7 +10,7 @@
 	"foxlane/internal/syserr"
 )
 
-// This file owns the reading of the configuration while the gateway serves. A read may fail for a moment, or hang where a
+// This file has the reading of the configuration while the gateway serves. A read may fail transiently, or hang where a
 // mount does: neither holds up serving, a later SIGHUP or the end.
 
 const (
@@ -19,13 +19,13 @@
 	maxHangingReloads = 4 // that may hang at once
 )
 
-// reloadState is how far the reading of the configuration has come. The reducer's goroutine has it.
+// reloadState is how far the reading of the configuration has got. Only the reducer's goroutine uses it.
 type reloadState struct {
 	results chan reloadResult
-	current int // the read that is waited for; 0: none
-	last    int
-	hanging int
-	timeout <-chan time.Time
+	current int              // number of the read that is waited for; 0: none
+	last    int              // number of the latest read
+	hanging int              // reads that have not returned
+	timeout <-chan time.Time // of the current read
 }
 
 // reloadResult is a configuration that was read, or why it could not be.
@@ -39,7 +39,7 @@
 	return reloadState{results: make(chan reloadResult, maxHangingReloads)}
 }
 
-// begin reads the configuration again, off the reducer's goroutine.
+// startReload reads the configuration again, in a goroutine of its own: one that hangs can't be stopped.
 func (s *Server) startReload(r *reloadState) {
 	if r.hanging >= maxHangingReloads {
 		s.log.Warn("configuration kept as it was: earlier reads of it hang", zap.Int("reads", r.hanging))
@@ -52,11 +52,11 @@
 	number, old := r.current, s.cfg
 	go func() {
 		cfg, err := readConfigWithRetry(s.ctx, old)
-		r.results <- reloadResult{number, cfg, err} // there is room for all that may be under way
+		r.results <- reloadResult{number, cfg, err} // buffered for all that may be under way
 	}()
 }
 
-// readConfigWithRetry reads the configuration, and again where that failed for a moment.
+// readConfigWithRetry reads the configuration, and again where that fails transiently.
 func readConfigWithRetry(ctx context.Context, old config.Config) (config.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, reloadTimeout/2)
 	defer cancel()
@@ -68,11 +68,11 @@
 	}
 }
 
-// ended takes what a read came to. It answers whether the configuration is to be gone over to.
+// finishReload takes what a read came to. It answers whether its configuration holds from now on.
 func (s *Server) finishReload(r *reloadState, x reloadResult) bool {
 	r.hanging--
 	if x.number != r.current {
-		return false // it was given up, and another may have begun since
+		return false // it was abandoned, and another may have begun since
 	}
 	r.current, r.timeout = 0, nil
 	if x.err != nil {
--- a/internal/net/server_test.go
+++ b/internal/net/server_test.go
@@ -7,10 +7,8 @@
 	"fmt"
 	"io"
 	stdnet "net"
-	"net/netip"
 	"os"
 	"path/filepath"
-	"runtime"
 	"strings"
 	"sync"
 	"syscall"
@@ -25,131 +23,6 @@
 	"foxlane/rules"
 )
 
-const testSettings = `{"classes":[
- {"name":"point","aim":200000,"aimStretch":1.5,"giveUp":1500000,"effect":"pure","group":"all","lateValue":0.1,"worth":1},
- {"name":"load","aim":1300000,"aimStretch":3,"giveUp":4000000,"effect":"side_effect","group":"all","lateValue":0.6,"worth":25}],
-"extra":{"classThreads":[1,2],"cpuOfKind":[16],"ramOfKindMb":[65536],"isLoad":[false,true],"takesGrants":true,"ranksHeeded":true,"tellsCost":true},
-"limits":{"cancel":true,"connIdle":15000000,"connectTimeout":250000,"maxAttempts":3,"maxOpen":20000,"multiplex":32,"parallelTries":true},
-"machineTypes":["std-16"],"membershipMode":"push","rules":{"answerSlack":5000,"stopSendingWithin":1000000},"siblings":1,"tick":1000,"zones":["hall-a"]}`
-
-// testbed is a gateway between stand-ins, on loopback.
-type testbed struct {
-	t       *testing.T
-	addr    string
-	names   *standin.NameServer
-	engines []*standin.Engine
-	hosts   []standin.Host
-	config  string
-	stop    chan os.Signal
-	hup     chan os.Signal
-	ended   chan error
-	db      *sql.DB
-}
-
-func newTestbed(t *testing.T, answers ...func(standin.Request) standin.Reply) *testbed {
-	t.Helper()
-	return newTestbedWithLimits(t, `{"cores":1,"memory_mb":192,"sockets":1024}`, answers...)
-}
-
-// newTestbedWithLimits has a gateway with other limits.
-func newTestbedWithLimits(t *testing.T, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
-	t.Helper()
-	return newTestbedOn(t, System(), limits, answers...)
-}
-
-// newTestbedOn has a gateway on a platform that may be a double.
-func newTestbedOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
-	t.Helper()
-	s := &testbed{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	goroutines, files, heap := runtime.NumGoroutine(), descriptors(t), heapAlloc()
-	t.Cleanup(func() { s.checkNoLeaks(goroutines, files, heap) }) // behind all that the test defers
-	var err error
-	if s.names, err = standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
-		t.Fatal(err)
-	}
-	var servers []string
-	for i, answer := range answers {
-		e, err := standin.NewEngine("127.0.0.1:0", answer)
-		if err != nil {
-			t.Fatal(err)
-		}
-		h := standin.Host{ID: fmt.Sprintf("s-%08x", i), Zone: "hall-a", Kind: "std-16", Weight: 4, Addr: netip.MustParseAddrPort(e.Addr())}
-		s.engines, s.hosts = append(s.engines, e), append(s.hosts, h)
-		servers = append(servers, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall-a","kind":"std-16","state":"active","weight":4}`, h.ID, h.Addr))
-	}
-	s.names.SetHosts(1, s.hosts)
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.addr = ln.Addr().String()
-	ln.Close()
-	s.config = `{"name":"n0","listen":"` + s.addr + `","seed":"01","limits":` + limits + `,
-		"dns":"` + s.names.Addr() + `","known":{"seq":1,"results":[{"seq":1,"fleet":{"full":true,"servers":[` +
-		strings.Join(servers, ",") + `]}}]},"settings":` + testSettings + `}`
-	cfg, err := config.Parse([]byte(s.config))
-	if err != nil {
-		t.Fatal(err)
-	}
-	go func() { s.ended <- RunOn(platform, cfg, zap.NewNop(), Signals{Reload: s.hup, Terminate: s.stop}) }()
-	if s.db, err = sql.Open("mysql", "app@tcp("+s.addr+")/main?interpolateParams=true"); err != nil {
-		t.Fatal(err)
-	}
-	for i := 0; s.db.Ping() != nil; i++ {
-		if i > 200 {
-			t.Fatal("the gateway does not answer")
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	return s
-}
-
-// end asks the gateway to end and closes the rest.
-func (s *testbed) end() {
-	s.t.Helper()
-	s.stop <- syscall.SIGTERM
-	select {
-	case err := <-s.ended:
-		if err != nil {
-			s.t.Errorf("ended with %v", err)
-		}
-	case <-time.After(5 * time.Second):
-		s.t.Error("not ended 5 s after SIGTERM")
-	}
-	s.db.Close()
-	for _, e := range s.engines {
-		e.Close()
-	}
-	s.names.Close()
-}
-
-func statement(class, id string, timeout int) string {
-	return fmt.Sprintf("/* kind=%s,req=%s,timeout=%d */ SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = 'x''y'", class, id, timeout)
-}
-
-// rows reads all of a result.
-func rows(ctx context.Context, db *sql.DB, text string) (out []string, err error) {
-	r, err := db.QueryContext(ctx, text)
-	if err != nil {
-		return nil, err
-	}
-	defer r.Close()
-	for r.Next() {
-		var a, b, c string
-		if err := r.Scan(&a, &b, &c); err != nil {
-			return out, err
-		}
-		out = append(out, a+"|"+b+"|"+c)
-	}
-	return out, r.Err()
-}
-
-func served(after time.Duration, pages ...string) func(standin.Request) standin.Reply {
-	return func(standin.Request) standin.Reply {
-		return standin.Reply{Delay: after, Status: "served", Pages: pages}
-	}
-}
-
 // A whole life on loopback, with an ordinary client library as the peer: many
 // queries at a time, an engine that dies, a killed query, SIGTERM with queries
 // open. Nothing of it is left behind.
@@ -184,42 +57,6 @@
 	s.end()
 }
 
-// checkNoLeaks checks, behind each scene, that goroutines, descriptors and memory are as before.
-func (s *testbed) checkNoLeaks(goroutines, files int, heap uint64) {
-	const spare = 4 << 20 // what libraries keep for later, and the books of the stage
-	if s.t.Failed() {
-		return
-	}
-	for i := 0; ; i++ {
-		n, f, h := runtime.NumGoroutine(), descriptors(s.t), heapAlloc()
-		if n <= goroutines && f <= files && h <= heap+spare {
-			return
-		}
-		if i > 100 {
-			s.t.Fatalf("%d goroutines, %d descriptors and %d bytes are left; %d, %d and %d before", n, f, h, goroutines, files, heap)
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-}
-
-// heapAlloc is how much memory is in use once all that nobody holds is given up.
-func heapAlloc() uint64 {
-	runtime.GC()
-	runtime.GC() // pools keep theirs over one
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
-}
-
-func descriptors(t *testing.T) int {
-	t.Helper()
-	list, err := os.ReadDir("/proc/self/fd")
-	if err != nil {
-		t.Skip("no /proc here")
-	}
-	return len(list)
-}
-
 // KILL QUERY from another session gives a query up at its engine, and the killed session gets nothing.
 func TestKillQuery(t *testing.T) {
 	s := newTestbed(t, served(time.Hour))
@@ -228,18 +65,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer mustClose(t, conn)
 	nc, err := stdnet.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer mustClose(t, nc)
 	// A client of our own that writes login and query ahead of the greeting.
-	login := append([]byte{0, 0x82, 8, 0, 0, 0, 0, 1, 45}, make([]byte, 23)...)
-	login = append(login, "app\x00\x00"...)
 	q := append([]byte{3}, statement("load", "00000000000000aa", 4000)...)
-	ahead := append([]byte{byte(len(login)), 0, 0, 1}, login...)
-	ahead = append(append(ahead, byte(len(q)), 0, 0, 0), q...)
+	ahead := append(append(loginPacket(), byte(len(q)), 0, 0, 0), q...)
 	if _, err := nc.Write(ahead); err != nil {
 		t.Fatal(err)
 	}
@@ -255,24 +89,15 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the query given up", func() bool { return len(s.engines[0].Cancelled()) == 1 })
-	nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	if err := nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
 	rest, err := io.ReadAll(nc)
 	if !errors.Is(err, os.ErrDeadlineExceeded) || len(rest) > 11 { // the OK of the login at most
 		t.Errorf("the killed session got %q, %v", rest, err)
 	}
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for range 200 {
-		if ok() {
-			return
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	t.Fatalf("waited in vain for %s", what)
-}
-
 // SIGTERM: what is open is answered, new connections are still taken, and all ends in time.
 func TestTerminate(t *testing.T) {
 	s := newTestbed(t, func(a standin.Request) standin.Reply {
@@ -294,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer fresh.Close()
+	defer mustClose(t, fresh)
 	if got, err := rows(t.Context(), fresh, statement("point", "00000000000000cc", 1500)); err != nil || len(got) != 1 {
 		t.Errorf("a query after SIGTERM: %v, %v", got, err)
 	}
@@ -371,13 +196,7 @@
 
 // An address that is taken is an error, and nothing runs on.
 func TestListenFails(t *testing.T) {
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	cfg, err := config.Parse([]byte(`{"name":"n0","listen":"` + ln.Addr().String() + `","seed":"01",
-		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"dns":"127.0.0.1:9","known":{"seq":0},"settings":` + testSettings + `}`))
+	cfg, err := config.Parse(configText(listenLoopback(t).Addr().String(), ordinaryLimits))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -386,8 +205,8 @@
 	}
 }
 
-// Single turns for every event kept the other sides busy with many small reads: turns keep an
-// interval, but the first after a quiet time comes at once.
+// An iteration for every event would keep the other sides busy with many small reads: iterations keep an interval, but the
+// first after a quiet time comes at once.
 func TestPacer(t *testing.T) {
 	p := pacer{interval: 2000, last: 10_000}
 	for _, c := range []struct{ now, rest rules.Time }{{10_000, 2000}, {11_500, 500}, {12_000, 0}, {90_000, -78_000}, {9_000, 2000}} {
@@ -409,11 +228,13 @@
 			t.Fatal(err)
 		}
 		crowd.Go(func() {
-			defer nc.Close()
+			defer mustClose(t, nc)
 			if i%3 == 0 {
-				nc.Write([]byte(strings.Repeat("\xff", 1+i)))
+				_, _ = nc.Write([]byte(strings.Repeat("\xff", 1+i))) // it may be closed already
+			}
+			if err := nc.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
+				t.Error(err)
 			}
-			nc.SetReadDeadline(time.Now().Add(3 * time.Second))
 			if _, err := io.Copy(io.Discard, nc); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("connection %d of the crowd was left open", i)
 			}
@@ -428,7 +249,7 @@
 		if _, err := rows(t.Context(), fresh, statement("point", fmt.Sprintf("%016x", 300+i), 1500)); err != nil || time.Since(began) > time.Second {
 			t.Errorf("a client beside the crowd: %v after %v", err, time.Since(began))
 		}
-		fresh.Close()
+		mustClose(t, fresh)
 	}
 	crowd.Wait()
 }
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -14,40 +14,14 @@
 
 	"go.uber.org/zap"
 
-	"foxlane/internal/config"
 	"foxlane/internal/directives"
 	"foxlane/internal/gateway"
 	"foxlane/internal/site"
 	"foxlane/rules"
 )
 
-// transientFault answers an error for so many calls, then none.
-type transientFault struct {
-	left atomic.Int64
-	err  error
-}
-
-func (f *transientFault) next() error {
-	if f.left.Add(-1) >= 0 {
-		return &stdnet.OpError{Op: "dial", Err: os.NewSyscallError("call", f.err)}
-	}
-	return nil
-}
-
-func loopbackConfig(t *testing.T) config.Config {
-	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	cfg, err := config.Parse([]byte(`{"name":"n0","listen":"` + ln.Addr().String() + `","seed":"01","limits":{"cores":1,"memory_mb":64,"sockets":256},
-		"dns":"127.0.0.1:9","known":{"seq":0},"settings":` + testSettings + `}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return cfg
-}
+// smallLimits are those of a small machine.
+const smallLimits = `{"cores":1,"memory_mb":64,"sockets":256}`
 
 // A start at which socket calls fail for a moment goes on once they don't.
 func TestStartRetriesTransientErrors(t *testing.T) {
@@ -68,14 +42,14 @@
 		}
 		return System().DialUDP(addr)
 	}
-	cfg := loopbackConfig(t)
+	cfg := loopbackConfig(t, smallLimits)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{Terminate: stop}) }()
 	served := false
 	for i := 0; i < 200 && !served; i++ {
 		if c, err := stdnet.DialTimeout("tcp", cfg.Listen.String(), time.Second); err == nil {
 			served = true
-			c.Close()
+			mustClose(t, c)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -91,10 +65,7 @@
 // A dial that fails because this machine has no way out for a moment is tried again, and says nothing of the engine.
 func TestDialRetriesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN} {
-		engine, err := stdnet.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
+		engine := listenLoopback(t)
 		p := System()
 		calls := transientFault{err: errno}
 		calls.left.Store(2)
@@ -105,7 +76,7 @@
 			return System().Dial(ctx, addr)
 		}
 		server := newBareServerOn(t, p)
-		addr := netip.MustParseAddrPort(engine.Addr().String())
+		addr := addrOf(engine)
 		server.startDial(1<<63|1, addr, rules.Second)
 		if ev := server.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
 			t.Errorf("%v twice: %#v", errno, ev)
@@ -115,56 +86,16 @@
 		if ev, ok := server.awaitDialResult(t).(gateway.DialFailed); !ok || !ev.Local {
 			t.Errorf("%v for long: failed %v, ours %v", errno, ok, ev.Local)
 		}
-		engine.Close()
 	}
 }
 
-// newBareServerOn is an edge without a reducer, on a platform.
-func newBareServerOn(t *testing.T, p Platform) *Server {
-	t.Helper()
-	server := newServer(p, loopbackConfig(t), zap.NewNop())
-	if err := server.open(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(server.close)
-	client, c := server.connectClient(t) // the library's loops have begun once a byte has come (see bareEdge)
-	if _, err := client.Write([]byte("x")); err != nil {
-		t.Fatal(err)
-	}
-	waitFor(t, "a byte", func() bool {
-		server.queue.mu.Lock()
-		defer server.queue.mu.Unlock()
-		return server.queue.queuedBytes > 0
-	})
-	client.Close()
-	waitFor(t, "its end", func() bool { return server.connByID(c.id) == nil })
-	return server
-}
-
-// awaitDialResult waits for what becomes of a dial.
-func (s *Server) awaitDialResult(t *testing.T) (out gateway.Event) {
-	t.Helper()
-	waitFor(t, "the end of the dial", func() bool {
-		events, _ := s.queue.drain(nil, nil)
-		for _, ev := range events {
-			switch ev.event.(type) {
-			case gateway.DialSucceeded, gateway.DialFailed:
-				out = ev.event
-				return true
-			}
-		}
-		return false
-	})
-	return out
-}
-
 // The name service is asked again within moments where its socket could not be opened at a reload.
 func TestNameServiceSocketRetried(t *testing.T) {
 	service, err := stdnet.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer service.Close()
+	defer mustClose(t, service)
 	p := System()
 	calls := transientFault{err: syscall.ENOBUFS}
 	p.DialUDP = func(addr netip.AddrPort) (stdnet.Conn, error) {
@@ -203,7 +134,7 @@
 func (l *brokenLog) Repair() error { l.repaired.Add(1); return nil }
 func (l *brokenLog) Close()        {}
 
-// A voter whose disk fails for a while goes on once it works again: the batch is kept then, and not told as failed.
+// A voter whose disk fails for a while goes on once it works again: the batch is persisted then, and not reported as failed.
 func TestVoterDiskRetried(t *testing.T) {
 	p := System()
 	log := &brokenLog{transientFault: transientFault{err: syscall.EIO}}
@@ -244,7 +175,7 @@
 		p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
 			return nil, directives.PersistedState{}, errDamaged
 		}
-		cfg := loopbackConfig(t)
+		cfg := loopbackConfig(t, smallLimits)
 		cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{cfg.Name}, LogFolder: t.TempDir()}}
 		ended := make(chan error, 1)
 		go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{}) }()
