--- a/internal/net/members.go
+++ b/internal/net/members.go
@@ -96,7 +96,7 @@
 func (s *Server) joinMembersOrRetry() {
 	s.rejoin = nil
 	if err := s.joinMembers(); err != nil {
-		s.log.Warn("members: talk can't begin", zap.Error(err))
+		s.log.Warn("members: not joined, to be tried again", zap.Error(err))
 		s.rejoin = time.After(rejoinPause)
 	}
 }
