--- a/internal/net/dial_test.go
+++ b/internal/net/dial_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("the other side read %v, want the end", err)
 	}
 	if server.connByID(id) != nil || len(server.pendingDials) != 0 {
-		t.Error("the edge still knows it")
+		t.Error("the server still knows it")
 	}
 	// One that never comes up: a listener whose line is full.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/net/helpers_test.go
+++ b/internal/net/helpers_test.go
@@ -158,7 +158,7 @@
 
 // checkNoLeaks checks, behind each scene, that goroutines, descriptors and memory are as before.
 func (s *testbed) checkNoLeaks(goroutines, files int, heap uint64) {
-	const spare = 4 << 20 // what libraries keep for later, and the books of the stage
+	const spare = 4 << 20 // what libraries keep for later, and what the testbed itself holds
 	if s.t.Failed() {
 		return
 	}
