--- /dev/null
+++ b/internal/net/control_test.go
@@ -0,0 +1,121 @@
+package net
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	stdnet "net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"foxlane/internal/config"
+	"foxlane/internal/gateway"
+)
+
+// newControl is a control server whose requests stay in the queue.
+func newControl(t *testing.T) (*controlServer, func(line string) (stdnet.Conn, *bufio.Reader)) {
+	t.Helper()
+	c, err := startControl(netip.MustParseAddrPort(freeAddress(t)), newEventQueue(config.Limits{EventQueueBytes: 1 << 20}), zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.stop(); c.wait() })
+	return c, func(line string) (stdnet.Conn, *bufio.Reader) {
+		t.Helper()
+		conn, err := stdnet.Dial("tcp", c.listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { mustClose(t, conn) })
+		if err := conn.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.WriteString(conn, line); err != nil {
+			t.Fatal(err)
+		}
+		return conn, bufio.NewReader(conn)
+	}
+}
+
+func (c *controlServer) takeRequest(t *testing.T) (out gateway.ControlRequest) {
+	t.Helper()
+	waitFor(t, "a request", func() bool {
+		events, _ := c.queue.drain(nil, nil)
+		if len(events) == 0 {
+			return false
+		}
+		out = events[0].event.(gateway.ControlRequest)
+		return true
+	})
+	return out
+}
+
+// A request reaches the reducer as one line, its response reaches the command, and the connection ends with it.
+func TestControlRequestIsAnswered(t *testing.T) {
+	c, dial := newControl(t)
+	_, in := dial("members\n")
+	request := c.takeRequest(t)
+	if string(request.Data) != "members" {
+		t.Errorf("the reducer got %q", request.Data)
+	}
+	c.respond(gateway.ControlResponse{Conn: request.Conn + 1, Data: []byte("to nobody\n")})
+	c.respond(gateway.ControlResponse{Conn: request.Conn, Data: []byte("[]\n")})
+	if line, err := in.ReadString('\n'); err != nil || line != "[]\n" {
+		t.Errorf("the command got %q, %v", line, err)
+	}
+	waitFor(t, "the connection to be forgotten", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return len(c.conns) == 0
+	})
+}
+
+// Commands beyond the limit are closed at once; those that are there still get their responses.
+func TestControlConnectionsAreLimited(t *testing.T) {
+	c, dial := newControl(t)
+	var readers []*bufio.Reader
+	for range maxControlConns {
+		_, in := dial("copies\n")
+		readers = append(readers, in)
+	}
+	waitFor(t, "all connections", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return len(c.conns) == maxControlConns
+	})
+	_, in := dial("")
+	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("one command too many read %v, want the end", err)
+	}
+	for id := range gateway.ConnID(maxControlConns) {
+		c.respond(gateway.ControlResponse{Conn: id + 1, Data: []byte("{}\n")})
+	}
+	for i, in := range readers {
+		if line, err := in.ReadString('\n'); err != nil || line != "{}\n" {
+			t.Errorf("command %d got %q, %v", i, line, err)
+		}
+	}
+}
+
+// The end closes commands that wait for a response, and those that have not sent their request.
+func TestControlEnds(t *testing.T) {
+	c, dial := newControl(t)
+	_, waits := dial("members\n")
+	c.takeRequest(t)
+	_, silent := dial("")
+	waitFor(t, "both connections", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return len(c.conns) == 2
+	})
+	c.stop()
+	c.wait()
+	for what, in := range map[string]*bufio.Reader{"that waits": waits, "that is silent": silent} {
+		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("the command %s read %v, want the end", what, err)
+		}
+	}
+}
