--- a/internal/site/directives.go
+++ b/internal/site/directives.go
@@ -37,7 +37,11 @@
 		d.Voters = append(d.Voters, w.text)
 	}
 	if n := len(d.Voters); !r.failed() && n != 1 && n != 3 && n != 5 {
-		r.errorf(b.Voters.Range, "voters: %d are named; 1, 3 or 5 are possible", n)
+		at := b.Range
+		if b.Voters != nil {
+			at = b.Voters.Range
+		}
+		r.errorf(at, "voters: %d are named; 1, 3 or 5 are possible", n)
 	}
 	r.text(b.Folder, &d.LogFolder)
 	r.duration(b.Tick, &d.TickInterval)
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -53,6 +53,7 @@
 		"members {\n  bind = \"10.0.0.4:1\"\n  budget = 5\n}":                         "5 is not within 1000",
 		"members {\n  bind = \"10.0.0.4:1\"\n  via \"x\" {\n    at = \"y:1\"\n  }\n}": "\"x\" is no address",
 		"directives {\n  voters = [\"a\"]\n}":                                         "directives needs the block members",
+		"members {\n  bind = \"10.0.0.4:1\"\n}\ndirectives {\n}":                      "4:1: voters: 0 are named; 1, 3 or 5",
 		"directives {\n  voters = [\"a\", \"b\"]\n}":                                  "2 are named; 1, 3 or 5",
 		"directives {\n  voters = [\"a\", \"a\", \"b\"]\n}":                           "\"a\" comes twice",
 		"members {\n  bind = \"10.0.0.4:1\"\n  seed = []\n}":                          "3:3: Unsupported argument",
