--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,14 +1,11 @@
-// Package door owns who a request belongs to, what each principal may have
-// open, the order in which held requests pass to the decision module, the
-// refusals at the door and the times of return that these name. It must never
-// see bytes of a protocol, a clock, a socket or a goroutine, nor decide what is
-// the module's: the engine, the attempt, the class lottery, the draw among the
-// requests that were passed.
+// Package admission is the admission control of a gateway: it owns to which tenant and client a request belongs, how much
+// each of them may have open, the order in which queued requests are admitted to the decision module, the rejections and
+// their Retry-After. It must never see bytes of a protocol, a clock, a socket or a goroutine, nor decide what belongs
+// to the decision module: the engine, the attempt, the class, the choice among the requests that were admitted.
 //
-// Events with their time go in, effects come out, in order. A request and a
-// connection are named by slots that the caller chooses, below Sizes.Asks and
-// Sizes.Conns; a slot is free again once its Done or Closed was told. All state
-// has a size that follows from Sizes, however many principals come.
+// Events go in with their time, effects come out in order. The caller names requests and connections by slots,
+// below Limits.Requests and Limits.ConnectionSlots; a slot is free again after its RequestDone or ConnectionClosed. The size of all
+// state follows from Limits, however many tenants come.
 package admission
 
 import (
@@ -18,104 +15,18 @@
 	"foxlane/rules"
 )
 
-// EventKind is what an Event tells.
-type EventKind uint8
-
-// Kinds of events.
-const (
-	ConnectionOpened EventKind = iota + 1 // a connection came: Conn, From
-	ConnectionClosed                      // a connection has gone, its request before it: Conn
-	ConnectionIdle                        // a connection that has asked before waits for its client: Conn
-	InputBuffered                         // Bytes of an unfinished packet are held for a connection: Conn
-	RequestArrived                        // a request came on a connection: Slot, Conn, Ask
-	RequestForwarded                      // a request has its first attempt: Slot
-	EngineTimeUsed                        // an attempt of a request held an engine for Took: Slot, Took
-	RequestDone                           // a request is over, served or not: Slot, Served
-	RequestRejected                       // the module refuses a request; a Refuse with the time of return follows: Slot
-	TimerFired                            // the time asked for has come
-	Reconfigured                          // other settings hold from now on: Settings, Declared
-	Stopping                              // the gateway ends: all deadlines come forward to By, nobody is told to return
-)
-
-// Event is something the door is told. Only the fields named at its kind count.
-type Event struct {
-	Kind       EventKind
-	Conn       int
-	Slot       int
-	From       Address
-	Bytes      int
-	Request    Request
-	EngineTime rules.Time
-	Served     bool
-	Deadline   rules.Time
-
-	Settings        *Settings
-	DeclaredTenants []string
-}
-
-// Request is a request as the door sees it.
-type Request struct {
-	Class          int
-	Tenant         string // as told; empty: none
-	OrderKey       string // requests of one key pass in the order in which they came; empty: none
-	Deadline       rules.Time
-	DeclaredWork   rules.Time // told work of all threads; 0: not told
-	StatementBytes int        // of its statement
-}
-
-// EffectKind is what an Effect asks for.
-type EffectKind uint8
-
-// Kinds of effects.
-const (
-	Admit      EffectKind = iota + 1 // hand Slot to the module; it has waited for After
-	Reject                           // answer Slot with a refusal that names After, if over 0; it never passed, or TurnDown asked
-	Evict                            // close Conn, with an error that names After, if over 0
-	AbortInput                       // close Conn: its unfinished input is more than its part
-	SetTimer                         // tell Tick at At; only the latest Wake counts
-)
-
-// Reason says for what an Effect was chosen.
-type Reason uint8
-
-// Reasons.
-const (
-	ReasonNone        Reason = iota
-	ReasonCapacity           // requests or bytes of statements are at their limit, and its principal holds most
-	ReasonDeadline           // it can't be in time any more, or could not from the start
-	ReasonConnections        // connections are at their limit, and its principal holds most
-	ReasonSilence            // connections are at their limit, and nothing was asked on it
-	ReasonEarlyReturn        // it keeps coming before the time that it was told
-	ReasonInput              // unfinished input is at its limit, and its principal holds most
-	ReasonModule             // the module refused it
-	reasonCount       = iota
-)
-
-var reasonNames = [reasonCount]string{"nothing", "room", "time", "connections", "silence", "ignoring", "input", "module"}
-
-func (w Reason) String() string { return reasonNames[w] }
-
-// Effect is something to do.
-type Effect struct {
-	Kind   EffectKind
-	Slot   int
-	Conn   int
-	After  rules.Time
-	At     rules.Time
-	Reason Reason
-}
-
-// Limits bound the door.
+// Limits bound the controller. All its state follows from them.
 type Limits struct {
-	ConnectionSlots int // slots of connections: over Room, and one more for who is turned away
-	Connections     int // connections that may ask; more may stay until they do, since it may be a KILL that comes
-	Requests        int // requests
-	StatementBytes  int // bytes of the statements of all requests
-	InputBytes      int // bytes of all unfinished packets
-	StateBytes      int // bytes that remember principals which have nothing open
+	ConnectionSlots int // more than Connections: the rest may be open but may not send requests
+	Connections     int // connections that may send requests
+	Requests        int
+	StatementBytes  int // of the statements of all open requests
+	InputBytes      int // of all incomplete packets
+	StateBytes      int // of what is remembered of clients that have nothing open
 }
 
-// Controller is the door's whole state.
+// Controller holds the whole state of admission control. It starts no goroutine, reads no clock
+// and calls nobody back; its owner serializes the calls.
 type Controller struct {
 	settings         Settings
 	limits           Limits
@@ -123,54 +34,58 @@
 	resolver         *identityResolver
 	seed             uint64
 	rng              *rand.Rand
-	now              rules.Time
-	effects          []Effect
-	timerAt          rules.Time // the Wake that holds
+	now              rules.Time // never falls
+	effects          []Effect   // of the call in progress
+	timerAt          rules.Time // of the last SetTimer
 	shutdownDeadline rules.Time
 	stopping         bool
 
-	requests    []openRequest
-	connections []connection
-	expiry      expiryHeap // of held requests, by when they are refused
+	requests    []openRequest // by slot
+	connections []connection  // by slot
+	expiry      expiryHeap    // of queued requests
 	lastOfKey   map[uint64]int32
-	flows       []classFlow
+	flows       []classFlow // by class
 
-	tenantByKey     map[uint64]*tenantAccount // with a connection or a request
+	tenantByKey     map[uint64]*tenantAccount // tenants that have a connection or a request
 	tenants         []*tenantAccount          // the same, in no order
-	freeTenants     []*tenantAccount
-	freeClients     []*clientAccount
-	virtualTime     float64 // where a tenant that comes back starts
-	queuedWeight    float64 // of tenants that have something held
+	freeTenants     []*tenantAccount          // for reuse
+	freeClients     []*clientAccount          // for reuse
+	virtualTime     float64                   // least virtual time of the tenants with a queued request; never falls
+	queuedWeight    float64                   // sum of the weights of tenants with a queued request
 	epoch           uint64
 	tenantDebts     debtTable // of tenants that have left
-	clientDebts     debtTable // of clients that have left a tenant that has not
+	clientDebts     debtTable // of clients that have left while their tenant has not
 	lightDebts      debtSketch
-	openConnections int // connections
-	openRequests    int // requests
-	queued          int // of these, those that have not passed
-	statementBytes  int // of statements
-	inputBytes      int // of unfinished packets
+	openConnections int
+	openRequests    int
+	queued          int // of the open requests, those that are not admitted
+	statementBytes  int // of open requests
+	inputBytes      int // of incomplete packets
 	meanWork        []decayingMean
 	capacity        decayingRate
-	retryAfterBias  float64 // log of time needed over time told
+	retryAfterBias  float64 // logarithm of the time needed over the Retry-After sent
 	bookings        bookingTable
 	seq             uint64
 	stats           Stats
 }
 
-// Stats count since the start, but for those that say now.
+// Stats are counts since the start, but for those marked as current.
 type Stats struct {
-	Admitted, Delayed                            int // requests that passed; of these, those that were held first
-	Rejected                                     [reasonCount]int
-	Evicted                                      [reasonCount]int
-	RetryAfterSent, ReturnsServed, ReturnsMissed int // promises that were given; those that came back and were served; those that were not
-	RetryAfterCorrection                         float64
-	Queued, Connections, Tenants                 int // now
-	CapacityMS                                   float64
+	Admitted, Delayed    int // requests admitted; of these, those that were queued first
+	Rejected             [reasonCount]int
+	Evicted              [reasonCount]int
+	RetryAfterSent       int
+	ReturnsServed        int     // requests that came at their Retry-After and were served
+	ReturnsMissed        int     // requests that came at their Retry-After and were not served
+	RetryAfterCorrection float64 // factor by which a predicted Retry-After is multiplied
+	Queued               int     // current
+	Connections          int     // current
+	Tenants              int     // current
+	CapacityMS           float64 // current: engine time used, in milliseconds per second
 }
 
-// New returns the door of a gateway that has just started. The seed must not
-// be known to clients, or they could choose names that share a place.
+// New returns the controller of a gateway that has just started. Clients must not know the seed, or they
+// could choose names whose hashes collide.
 func New(set Settings, sizes Limits, classes []rules.Class, declared []string, seed uint64) *Controller {
 	controller := &Controller{settings: set, limits: sizes, classes: classes, seed: seed, shutdownDeadline: math.MaxInt64,
 		rng:         rand.New(rand.NewPCG(seed, seed^0x6a09e667f3bcc909)),
@@ -180,7 +95,7 @@
 		tenantByKey: make(map[uint64]*tenantAccount, sizes.ConnectionSlots),
 		flows:       make([]classFlow, len(classes)),
 	}
-	controller.resolver = newDirectory(set, declared, seed)
+	controller.resolver = newIdentityResolver(set, declared, seed)
 	rows := sizes.StateBytes / 4
 	controller.tenantDebts, controller.clientDebts = newDebtTable(rows), newDebtTable(rows)
 	controller.lightDebts, controller.bookings = newDebtSketch(rows), newBookingTable(rows)
@@ -198,10 +113,10 @@
 	return controller
 }
 
-// Handle takes one event and returns what to do. The result is valid until the next call.
+// Handle takes one event and returns what to do, in order. The result is valid until the next call.
 func (c *Controller) Handle(now rules.Time, e Event) []Effect {
 	c.effects = c.effects[:0]
-	c.now = max(c.now, now) // a clock that steps back stands still here
+	c.now = max(c.now, now) // a clock that steps back stands still
 	switch e.Kind {
 	case ConnectionOpened:
 		c.connectionOpened(e.Conn, e.From)
@@ -229,13 +144,14 @@
 	}
 	c.admitQueued()
 	c.expire()
-	c.admitQueued() // what stood behind a key, or what no longer counts as ahead, left room
+	c.admitQueued() // an expired request frees its order key, a stale one a pending place
 	c.setTimer()
 	return c.effects
 }
 
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
+// threads is the number of threads that a request of a class uses.
 func (c *Controller) threads(class int32) float64 { return float64(max(1, c.classes[class].Threads)) }
 
 // Stats returns the counts.
@@ -247,7 +163,7 @@
 	return s
 }
 
-// stop brings all deadlines forward: who can't be served by then has its answer at once.
+// stop brings the deadlines of all queued requests forward to that of the shutdown: what can't meet it is rejected at once.
 func (c *Controller) stop(by rules.Time) {
 	c.stopping, c.shutdownDeadline = true, by
 	for i := range c.requests {
@@ -259,7 +175,7 @@
 	}
 }
 
-// setTimer asks for a Tick when the next held request is to be refused or stops counting as ahead.
+// setTimer asks for a TimerFired when the next queued request is to be rejected, or the next pending one stops counting as pending.
 func (c *Controller) setTimer() {
 	at := rules.Time(math.MaxInt64)
 	if len(c.expiry) > 0 {
--- a/internal/admission/identity.go
+++ b/internal/admission/identity.go
@@ -7,25 +7,26 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file owns the question whose a request is. It never keeps a name that
-// a client told: names become seeded hashes at once.
+// This file owns to which tenant and client a request belongs. It never keeps a name that a client declared: names
+// become seeded hashes at once.
 
 // Address is where a connection comes from.
 type Address = netip.Addr
 
-// principal is a tenant and a client within it.
+// principal is a tenant and a client within it, as hashes.
 type principal struct {
 	tenant uint64
 	client uint64
 	weight float64 // of the tenant
 }
 
-// origin is what a connection's address says.
+// origin is what the address of a connection says: the principal of requests that declare no tenant, and the network.
 type origin struct {
 	principal
 	network int // index, -1: none
 }
 
+// identityResolver tells to which principal a request belongs.
 type identityResolver struct {
 	settings Settings
 	seed     uint64
@@ -33,7 +34,7 @@
 	networks map[string]int
 }
 
-func newDirectory(set Settings, declared []string, seed uint64) *identityResolver {
+func newIdentityResolver(set Settings, declared []string, seed uint64) *identityResolver {
 	r := &identityResolver{settings: set, seed: seed, tenants: map[uint64]Tenant{}, networks: map[string]int{}}
 	for _, name := range declared {
 		r.tenants[r.hashName(spaceTenant, name)] = Tenant{Name: name, Weight: 1}
@@ -47,7 +48,7 @@
 	return r
 }
 
-// Spaces of hashes, so that a tenant can't pass for an address.
+// Hashes of different kinds are kept apart, so that the name of a tenant can't pass for an address.
 const (
 	spaceTenant = iota + 1
 	spaceNetwork
@@ -58,7 +59,7 @@
 func (r *identityResolver) hash(space byte, data []byte) uint64 {
 	h := xxh3.HashSeed(data, r.seed^uint64(space)*0x9e3779b97f4a7c15)
 	if h == 0 {
-		h = 1 // 0 is no principal
+		h = 1 // 0 stands for no principal
 	}
 	return h
 }
@@ -71,8 +72,8 @@
 	return h
 }
 
-// hashAddress is the hash of an IPv4 address, or of the /64 that an IPv6 address lies in: a host there
-// has as many as it likes.
+// hashAddress is the hash of an IPv4 address, or of the /64 of an IPv6 address: a host there has as many
+// addresses as it likes.
 func (r *identityResolver) hashAddress(a netip.Addr) uint64 {
 	a = a.Unmap()
 	if a.Is6() {
@@ -83,7 +84,7 @@
 	return r.hash(spaceAddress, four[:])
 }
 
-// originOf answers whose a connection is by its address alone.
+// originOf returns what is known of a connection by its address alone.
 func (r *identityResolver) originOf(a netip.Addr) origin {
 	if !a.IsValid() {
 		a = netip.IPv4Unspecified()
@@ -103,8 +104,8 @@
 	return origin{principal{host, host, r.settings.UnlistedWeight}, -1}
 }
 
-// principalOf answers whose a request is that tells a tenant, by the hash of its name; 0: none. One that is not declared, or not from there, shares
-// as a client of the address that tells it, so that new names win nothing.
+// principalOf returns the principal of a request that declares a tenant, by the hash of the name; 0: none. A name that is neither declared
+// in the settings nor trusted from its network makes a client of the address that declares it, so that new names gain nothing.
 func (r *identityResolver) principalOf(o origin, name uint64) principal {
 	if name == 0 {
 		return o.principal
@@ -135,7 +136,7 @@
 	return false
 }
 
-// AcceptsTenant answers whether a tenant may be told: the others are an error to their clients.
+// AcceptsTenant reports whether clients may declare a tenant: any other name is an error to its client.
 func (c *Controller) AcceptsTenant(tenant string) bool {
 	if c.settings.AnyTenant || tenant == "" {
 		return true
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -30,7 +30,7 @@
 		{Name: "proxy", Addresses: addressSet(t, "192.0.2.7/32"), Weight: 3, Trusted: true},
 	}
 	s.Tenants = []Tenant{{Name: "coop", Weight: 4}, {Name: "inner", Weight: 5, Networks: []string{"offices"}}}
-	r := newDirectory(s, []string{"site"}, 9)
+	r := newIdentityResolver(s, []string{"site"}, 9)
 	of := func(from, tenant string) principal {
 		name := uint64(0)
 		if tenant != "" {
@@ -84,7 +84,7 @@
 func TestHashCollisionsDependOnTheSeed(t *testing.T) {
 	const tenants, places = 2000, 1 << 10
 	pairs := func(seed uint64, addresses bool) map[[2]int]bool {
-		r := newDirectory(Defaults(), nil, seed)
+		r := newIdentityResolver(Defaults(), nil, seed)
 		at := map[uint64][]int{}
 		for i := range tenants {
 			h := r.hashName(spaceTenant, fmt.Sprint("tenant-", i)) % places
@@ -120,7 +120,7 @@
 // The heaviest of those that have left are followed exactly.
 func TestHeaviestDebtsAreExact(t *testing.T) {
 	tb := newDebtTable(32 << 10)
-	r := newDirectory(Defaults(), nil, 9)
+	r := newIdentityResolver(Defaults(), nil, 9)
 	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range 20_000 {
 		v := 1.0
@@ -152,7 +152,7 @@
 // What light ones owe is never less than they do, and seldom more.
 func TestSketchSeldomOverstates(t *testing.T) {
 	s := newDebtSketch(8 << 10) // 256 places a row
-	r := newDirectory(Defaults(), nil, 9)
+	r := newIdentityResolver(Defaults(), nil, 9)
 	const n = 100
 	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range n {
