--- a/internal/zones/probes.go
+++ b/internal/zones/probes.go
@@ -1,76 +1,27 @@
 package zones
 
-import (
-	"math"
+import "foxlane/rules"
 
-	"foxlane/rules"
-)
-
-// This file takes what a gateway holds of its engines for what it sees of zones, and decides which engines are asked:
-// a lost zone gets nothing by which it could be seen to be well again.
-
-// EngineObservation is what a gateway holds of one engine that the list has as serving.
-type EngineObservation struct {
-	Engine       rules.EngineID
-	Zone         int
-	Cores        float64    // warm
-	WarmFraction float64    // part of its speed that it has
-	Slowdown     float64    // times that queries take there of what they take alone
-	Excluded     bool       // it fails or is silent
-	Overdue      bool       // something of ours has been out there for longer than it should
-	LastRequest  rules.Time // when it was last asked for something
-	LastResponse rules.Time // when it last said something
-	LastFailure  rules.Time // when an attempt there last ended otherwise than well
-}
+// This file decides which engines are probed. A lost zone gets no requests, so that only probes can show that it has recovered.
 
-// probeState is what probes say: of a lost zone, whose engines the module leaves out and hears of no more; and of one in which everything is
-// late, whether it is still there.
+// probeState is what probes say: of a lost zone, whose engines are excluded and get no requests; and of a suspected one, whether it is
+// still there.
 type probeState struct {
-	nextEngine     int // engine to ask, by the order of the list
+	nextEngine     int // counts probes; the engine is that modulo the number of candidates
 	lastProbe      rules.Time
-	answers        [probeWindow]bool // the newest last
-	suspectedSince rules.Time        // since when the zone is doubted; 0: it is not
+	answers        [probeWindow]bool // of the last probes of a lost zone, the newest last
+	suspectedSince rules.Time        // since when the zone is suspected; 0: it is not
 	unanswered     int               // probes since then without an answer
 }
 
 const (
 	probeWindow          = 4                 // probes by which a lost zone is judged
-	probeInterval        = rules.Second      // between two of them: hundreds of gateways ask as well
-	recentRequestSpan    = 4 * rules.Second  // engines that were asked for something within it tell whether a zone is silent
-	suspectProbeInterval = probeInterval / 4 // between two probes of a zone that is doubted
-	unansweredForSilence = 2                 // probes in a row without an answer that make it silent
+	probeInterval        = rules.Second      // between two probes of a lost zone: hundreds of gateways probe it as well
+	suspectProbeInterval = probeInterval / 4 // between two probes of a suspected zone
+	unansweredForSilence = 2                 // probes in a row without an answer that make a suspected zone silent
 )
 
-// ObserveResult is what a look led to.
-type ObserveResult struct {
-	Changes []Change
-	Probe   []rules.EngineID // engines to be probed now; Answered takes what comes of it
-}
-
-// Observe takes what a gateway holds of all engines that serve, and where it stands itself. Without probes a lost zone is
-// tried after as long as they would have taken, on its ramp: what fails there makes it lost again, and damped.
-func (c *Controller) Observe(now rules.Time, engines []EngineObservation, standing rules.LoadSummary, probesAllowed bool) (out ObserveResult) {
-	c.now = max(c.now, now)
-	out.Changes = c.updateZones(c.now, c.observations(engines))
-	for _, change := range out.Changes {
-		if change.From != change.To {
-			c.zones[change.Zone].probes = probeState{}
-		}
-	}
-	for i := range c.zones {
-		if zone := &c.zones[i]; zone.state == Lost || zone.state == Returning || zone.probes.suspectedSince != 0 {
-			if id, ok := c.chooseProbe(i, zone, engines, probesAllowed); ok {
-				out.Probe = append(out.Probe, id)
-			}
-		}
-	}
-	c.split = c.Split(c.now)
-	c.allocateSpillover()
-	c.updatePressure(standing)
-	return out
-}
-
-// Suspect has a zone looked at because others say that it is lost. What its engines answer us counts, and nothing else.
+// Suspect has a zone probed because other gateways say that it is lost. Only what its engines answer counts.
 func (c *Controller) Suspect(index int) {
 	if index < 0 || index >= len(c.zones) {
 		return
@@ -80,7 +31,7 @@
 	}
 }
 
-// ProbeAnswered takes what a probe of an engine in a zone said.
+// ProbeAnswered takes the result of a probe of an engine in a zone.
 func (c *Controller) ProbeAnswered(index int, ok bool) {
 	if index < 0 || index >= len(c.zones) {
 		return
@@ -97,8 +48,8 @@
 	}
 }
 
-// chooseProbe chooses the engine of a lost zone that is asked whether it is there again, one after the other, and of one that
-// returns, more often, those that the module still leaves out: it hears of what they say. In a zone that is doubted any is asked.
+// chooseProbe chooses an engine to probe: of a lost or suspected zone any, one after the other; of a recovering zone those that are still
+// excluded.
 func (c *Controller) chooseProbe(index int, zone *zoneRecord, engines []EngineObservation, probesAllowed bool) (id rules.EngineID, ok bool) {
 	probes, all := &zone.probes, zone.state == Lost || zone.probes.suspectedSince != 0
 	interval := probeInterval
@@ -137,66 +88,8 @@
 	return 0, false
 }
 
-// observations adds up what is held of all engines. Those of no zone are let pass. What is left out for faults from before a
-// return is well until it faults again: the module hears that by its trickle, and a zone whose engines all wait for
-// theirs is not lost once more.
-func (c *Controller) observations(engines []EngineObservation) []Observation {
-	out, logSlowdown := make([]Observation, len(c.zones)), make([]float64, len(c.zones))
-	lastResponse := make([]rules.Time, len(c.zones)) // the last word of any engine there
-	for _, engine := range engines {
-		if engine.Zone >= 0 && engine.Zone < len(out) {
-			lastResponse[engine.Zone] = max(lastResponse[engine.Zone], engine.LastResponse)
-		}
-	}
-	overdue := make([]int, len(c.zones))
-	for _, engine := range engines {
-		if engine.Zone < 0 || engine.Zone >= len(out) {
-			continue
-		}
-		observation, zone := &out[engine.Zone], &c.zones[engine.Zone]
-		excluded := engine.Excluded && !(zone.state == Returning && engine.LastFailure < zone.since)
-		observation.ListedCores += engine.Cores
-		if !excluded {
-			observation.HealthyCores += engine.Cores
-			observation.WarmCores += engine.Cores * engine.WarmFraction
-		}
-		if c.now-engine.LastRequest < recentRequestSpan {
-			observation.ActiveEngines++
-			if excluded && engine.LastResponse < engine.LastRequest {
-				observation.SilentEngines++
-			}
-			if lastResponse[engine.Zone] < engine.LastRequest && (engine.Overdue || engine.LastFailure > lastResponse[engine.Zone]) {
-				overdue[engine.Zone]++
-			}
-		}
-		logSlowdown[engine.Zone] += engine.Cores * math.Log(max(engine.Slowdown, 1))
-	}
-	for i := range out {
-		observation := &out[i]
-		if observation.ListedCores > 0 {
-			observation.Slowdown = math.Exp(logSlowdown[i] / observation.ListedCores)
-		}
-		zone := &c.zones[i]
-		if c.updateSuspicion(zone, overdue[i], lastResponse[i]); zone.probes.unanswered >= unansweredForSilence {
-			observation.ActiveEngines = max(observation.ActiveEngines, 2)
-			observation.SilentEngines = observation.ActiveEngines
-		}
-		if zone.state == Lost {
-			good := 0
-			for _, ok := range zone.probes.answers {
-				if ok {
-					good++
-				}
-			}
-			observation.HealthyCores = observation.ListedCores * float64(good) / probeWindow
-			observation.WarmCores, observation.SilentEngines, observation.UnansweredCores = observation.HealthyCores, 0, observation.ListedCores-observation.HealthyCores
-		}
-	}
-	return out
-}
-
-// updateSuspicion begins when more than one engine of a zone owes us something that is late, or has ended badly, and none has said anything
-// since it was asked: a loss is seen by it long before what is there is given up. It ends with a word from any of them.
+// updateSuspicion suspects a zone when more than one of its engines has an overdue or failed request and no engine of it has sent anything since: that
+// shows a loss long before its engines are excluded one by one. Any response from the zone ends the suspicion.
 func (c *Controller) updateSuspicion(zone *zoneRecord, overdue int, lastResponse rules.Time) {
 	probes := &zone.probes
 	switch {
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -7,28 +7,28 @@
 	"foxlane/rules"
 )
 
-// This file decides what is refused first when more is asked for than can be done: a ladder, each rung of which is one kind
-// of request. As much is shed as must be, from the first rung up; of the rung on which that ends only a part. What a request
-// earns for its work counts, not its class: a class shed as a whole takes its many light requests along with the few heavy ones
-// that need the room, and lost 0.07 of all worth in the model of a lost site.
+// This file decides which requests are shed first when more is asked for than can be done. Load is shed by priority tiers, each of
+// which is one kind of request: as much as must be, from the first tier on; of the tier on which that ends only a part. What
+// counts is the priority weight of a request for its work, and not its class: a class that is shed as a whole loses its many light
+// requests along with the few heavy ones that need the capacity, and lost 0.07 of all value in the model of a lost site.
 
-// PriorityTier is a kind of request that a ladder sheds.
+// PriorityTier is a kind of request by which load is shed.
 type PriorityTier int
 
-// Rungs, in the order in which they are climbed.
+// Tiers, in the order in which they are shed.
 const (
-	TierOverQuota   PriorityTier = iota // of tenants over their share
-	TierRetries                         // of requests that failed before
-	TierLowestValue                     // of those that earn least for their work, and further rungs up to those that earn most
+	TierOverQuota   PriorityTier = iota // requests of tenants over their quota
+	TierRetries                         // requests that failed before
+	TierLowestValue                     // the first of the value tiers: requests with the least priority weight for their work
 )
 
-// Rungs by what a request earns for a second of work on one core: half a power of two each, the middle one at 1.
+// Value tiers are by the priority weight of a request over the seconds of work on one core: two tiers a power of two, the middle one at 1.
 const (
 	valueTiers       = 48
 	tiersPerDoubling = 2
 )
 
-// ValueTier is the place of a request among the rungs by worth, from 0: work in microseconds, all threads together.
+// ValueTier returns the value tier of a request, from 0: by its priority weight and its work in microseconds, all threads together.
 func ValueTier(worth, work float64) int {
 	if worth <= 0 || work <= 0 {
 		return 0
@@ -36,106 +36,106 @@
 	return min(max(int(math.Floor(tiersPerDoubling*math.Log2(worth*float64(rules.Second)/work)))+valueTiers/2, 0), valueTiers-1)
 }
 
-// SheddingSettings is how it is climbed. Pressure is 1 and what waits over what is worked off within heldSpan.
+// SheddingSettings say when load is shed. The pressure is 1, and the queued work over the work that is done within queueTarget.
 type SheddingSettings struct {
 	Threshold    float64    // pressure from which more is shed
-	Hysteresis   float64    // less is shed when pressure is this much under it
+	Hysteresis   float64    // less is shed when the pressure is this much under the threshold
 	SettlingTime rules.Time // how long either must last
 }
 
-// DefaultShedding sheds nothing until a quarter of heldSpan's work waits.
+// DefaultShedding sheds nothing until the work done in a quarter of queueTarget is queued.
 func DefaultShedding() SheddingSettings {
 	return SheddingSettings{Threshold: 1.25, Hysteresis: 0.1, SettlingTime: 500 * rules.Millisecond}
 }
 
-func (l SheddingSettings) validate() error {
-	if !(l.Threshold > 1) || !(l.Hysteresis >= 0 && l.Hysteresis < l.Threshold-1) || l.SettlingTime < 0 {
+func (s SheddingSettings) validate() error {
+	if !(s.Threshold > 1) || !(s.Hysteresis >= 0 && s.Hysteresis < s.Threshold-1) || s.SettlingTime < 0 {
 		return errors.New("shedding: up must be over 1, slack at least 0 and under up - 1, settle at least 0")
 	}
 	return nil
 }
 
 const (
-	demandWindow    = 4 * rules.Second // over which what is asked for and done is averaged
-	queueAveraging  = rules.Second     // over which what waits is averaged
-	queueTarget     = 2 * rules.Second // within which what waits should be worked off
+	demandWindow    = 4 * rules.Second // over which demand and forwarded work are averaged
+	queueAveraging  = rules.Second     // over which queued work is averaged
+	queueTarget     = 2 * rules.Second // within which queued work should be done
 	queueDrainTime  = 4 * rules.Second // within which a queue that is too long should be gone
-	maxShedIncrease = 0.5              // most of what is asked for that a second adds to what is shed
-	minShedDecrease = 0.02             // and that a second without a queue takes away,
-	shedDecay       = 0.4              // or this part of what is shed, whichever is more
-	maxShedFraction = 0.95             // what earns most is let in even then
-	quotaDeviations = 2.0              // deviations by which a tenant may pass its share by chance
-	limitedGap      = 2 * rules.Second // what was shed or kept waiting within it makes one stretch
+	maxShedIncrease = 0.5              // of the demand, added to the shed fraction in a second at most
+	minShedDecrease = 0.02             // taken from it in a second at least when the pressure has fallen,
+	shedDecay       = 0.4              // or this fraction of it, whichever is more
+	maxShedFraction = 0.95             // so that requests of the highest value are admitted even then
+	quotaDeviations = 2.0              // standard deviations by which a tenant may pass its quota by chance
+	limitedGap      = 2 * rules.Second // a longer time without anything shed or blocked ends an overload
 	minRetryAfter   = rules.Second
 )
 
-// demandState is what our clients ask for, and what becomes of it.
+// demandState is what the clients of this gateway ask for, and what becomes of it.
 type demandState struct {
 	tiers          []tierDemand
-	forwarded      decayingSum   // work that was sent on for the first time
-	queuedWork     float64       // work that waits, averaged
-	tenantRequests []decayingSum // requests
-	usualWork      []float64
-	updatedAt      rules.Time // of the last look
-	changingSince  rules.Time // since when more, or less, should be shed
+	forwarded      decayingSum   // work of first attempts
+	queuedWork     float64       // averaged
+	tenantRequests []decayingSum // by tenant
+	usualWork      []float64     // of a request, by class
+	updatedAt      rules.Time
+	changingSince  rules.Time // since when the shed fraction should rise, or fall; 0: neither
 	increasing     bool       // which of the two
-	shedFraction   float64    // of what is asked for that is shed
-	pressure       float64    // pressure
+	shedFraction   float64    // of the demand
+	pressure       float64    // 1, and queued work over what is done in queueTarget
 }
 
-// tierDemand is one kind of request. Of a part that is shed every so many are: carry is what is left over.
+// tierDemand is the demand of one tier.
 type tierDemand struct {
-	work         decayingSum // work
+	work         decayingSum // arrived
 	shedFraction float64
-	carry        float64
+	carry        float64 // part of a request to shed that is left over from those before
 }
 
-// decayingSum is a sum that forgets, by e in demandSpan.
+// decayingSum is a sum that decays by e over demandWindow.
 type decayingSum struct {
 	sum       float64
 	updatedAt rules.Time
 }
 
-func (f *decayingSum) value(now rules.Time) float64 {
-	f.sum *= math.Exp(-float64(now-f.updatedAt) / float64(demandWindow))
-	f.updatedAt = now
-	return f.sum
+func (s *decayingSum) value(now rules.Time) float64 {
+	s.sum *= math.Exp(-float64(now-s.updatedAt) / float64(demandWindow))
+	s.updatedAt = now
+	return s.sum
 }
 
-func (f *decayingSum) add(now rules.Time, x float64) { f.sum = f.value(now) + x }
+func (s *decayingSum) add(now rules.Time, amount float64) { s.sum = s.value(now) + amount }
 
 func newDemandState(f Fleet) demandState {
 	demand := demandState{tenantRequests: make([]decayingSum, len(f.Tenants)), tiers: make([]tierDemand, int(TierLowestValue)+valueTiers)}
-	for i := range demand.tiers { // gateways that shed alike begin apart
+	for i := range demand.tiers { // the jitter spreads gateways that shed alike
 		_, demand.tiers[i].carry = math.Modf(f.Jitter + float64(i)*math.Phi)
 	}
 	return demand
 }
 
-// Request is what is known of a request ahead of the decision module: nothing of it has run here.
+// Request is what is known of a request on its arrival.
 type Request struct {
 	Class        int
 	Tenant       int
-	DeclaredWork float64 // told, all threads together, in microseconds; 0: not told
+	DeclaredWork float64 // all threads together, in microseconds; 0: not declared
 	Retry        bool    // its client has tried before
 }
 
-// RequestArrived takes a request before anything of it runs. If it is refused, after is how long its client should stay away.
-func (c *Controller) RequestArrived(now rules.Time, a Request) (refuse bool, after rules.Time) {
+// RequestArrived counts a request before anything of it runs, and reports whether it is to be rejected, and with which Retry-After.
+func (c *Controller) RequestArrived(now rules.Time, request Request) (reject bool, retryAfter rules.Time) {
 	c.now = max(c.now, now)
 	demand := &c.demand
-	work := a.DeclaredWork
-	if work <= 0 && a.Class < len(demand.usualWork) {
-		work = demand.usualWork[a.Class]
+	work := request.DeclaredWork
+	if work <= 0 && request.Class < len(demand.usualWork) {
+		work = demand.usualWork[request.Class]
 	}
 	tier := TierLowestValue
-	switch overQuota := c.countOverQuota(a.Tenant); {
+	switch overQuota := c.countOverQuota(request.Tenant); {
 	case overQuota:
 		tier = TierOverQuota
-	case a.Retry:
+	case request.Retry:
 		tier = TierRetries
-	case a.Class < len(c.fleet.Classes):
-		tier += PriorityTier(ValueTier(c.fleet.Classes[a.Class].PriorityWeight, work))
+	case request.Class < len(c.fleet.Classes):
+		tier += PriorityTier(ValueTier(c.fleet.Classes[request.Class].PriorityWeight, work))
 	}
 	load := &demand.tiers[tier]
 	load.work.add(c.now, work)
@@ -151,7 +151,7 @@
 	return true, c.RetryAfter(c.now)
 }
 
-// countOverQuota counts a tenant's request, and answers whether its tenant asks for more than its agreed share here.
+// countOverQuota counts a request of a tenant, and reports whether the tenant is over its quota at this gateway.
 func (c *Controller) countOverQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(c.demand.tenantRequests) || c.fleet.Tenants[tenant].QuotaPerSecond <= 0 {
 		return false
@@ -162,7 +162,7 @@
 	return requests.sum > quota+quotaDeviations*math.Sqrt(quota)+1
 }
 
-// updatePressure takes the pressure anew, and how much is shed.
+// updatePressure computes the pressure and how much is shed.
 func (c *Controller) updatePressure(s rules.LoadSummary) {
 	demand, set := &c.demand, c.settings.Shedding
 	demand.usualWork = s.MeanWork
@@ -200,8 +200,8 @@
 	c.distributeShedding(demand.shedFraction)
 }
 
-// excessFraction is the part of what is asked for that can't be done, while a queue stands: then what is done is all that can be, and some
-// of that is for the queue.
+// excessFraction is the fraction of the demand that can not be served. It is meaningful while a queue stands: then what is done is all that can
+// be done, and some of it is for the queue.
 func (c *Controller) excessFraction() float64 {
 	demand := &c.demand
 	asked := 0.0
@@ -213,8 +213,7 @@
 	return 1 - (done-min(queue, done/2))/max(asked, 1e-9)
 }
 
-// minWorkRate is a rate of work, in cores, under which a gateway does too little to tell a pressure: a request of each class in
-// the time over which it is averaged.
+// minWorkRate is a rate of work, in cores: below one request of each class in a demandWindow the gateway does too little to tell a pressure.
 func (c *Controller) minWorkRate() (sum float64) {
 	for _, w := range c.demand.usualWork {
 		sum += w
@@ -222,7 +221,7 @@
 	return max(sum/float64(demandWindow), 1e-9)
 }
 
-// distributeShedding spreads a part of what is asked for over the rungs, from the first one up.
+// distributeShedding spreads a fraction of the demand over the tiers: each tier is shed completely before the next one, the last one in part.
 func (c *Controller) distributeShedding(part float64) {
 	demand := &c.demand
 	total := 0.0
@@ -243,7 +242,7 @@
 	}
 }
 
-// noteLimited notes that something was shed or kept waiting.
+// noteLimited notes that something was shed or blocked.
 func (c *Controller) noteLimited() {
 	if c.limitedSince == 0 {
 		c.limitedSince = max(c.now, 1)
@@ -251,8 +250,8 @@
 	c.limitedLast = c.now
 }
 
-// RetryAfter is how long a client that is refused should stay away, 0 if nothing of the zones keeps it waiting: until a zone that
-// returns has its share again, else as long as it has lasted, since that is all that is known of an outage.
+// RetryAfter is the Retry-After of a rejection, 0 if nothing is shed or blocked: until a recovering zone has its full
+// share, else for as long as the overload has lasted, since nothing else is known of an outage.
 func (c *Controller) RetryAfter(now rules.Time) rules.Time {
 	c.now = max(c.now, now)
 	if c.limitedSince == 0 {
@@ -267,7 +266,7 @@
 	return min(max(c.now-c.limitedSince, minRetryAfter), longest)
 }
 
-// SheddingStatus tells the pressure, the part of what is asked for that is shed, and what limits have done since the start.
+// SheddingStatus returns the pressure, the fraction of the demand that is shed, and what the limits have done since the start.
 func (c *Controller) SheddingStatus() (pressure, part float64, counts Counts) {
 	return c.demand.pressure, c.demand.shedFraction, c.counts
 }
--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -7,55 +7,55 @@
 	"foxlane/rules"
 )
 
-// This file plays a loss and a return with the very code that decides at run time, so that plan and conduct can't
-// differ: the gateways of each zone are one that sees what all of them would.
+// This file simulates the loss and the recovery of zones with the code that decides at run time, so that `foxlane plan` can't differ from
+// it. One controller stands for all gateways of a zone.
 
-// ZoneSpec is a zone as a plan takes it.
+// ZoneSpec is a zone of a scenario.
 type ZoneSpec struct {
 	Name   string
 	Cores  float64 // of its engines, warm
 	Demand float64 // of its own clients, in cores
 }
 
-// ClassSpec is a class as a plan takes it.
+// ClassSpec is a class of a scenario.
 type ClassSpec struct {
 	Name               string
 	DemandFraction     float64 // of the demand
-	ValuePerCoreSecond float64 // worth for a second of work on one core
+	ValuePerCoreSecond float64 // priority weight over the seconds of work on one core
 }
 
-// Scenario is what a plan plays.
+// Scenario is the loss of zones that Simulate plays.
 type Scenario struct {
 	Zones            []ZoneSpec
 	Classes          []ClassSpec
-	LostZones        []int      // zones that are lost, engines and gateways
-	LostAt           rules.Time // when
-	ReturnAt         rules.Time // when they come back, cold; 0: they don't
-	UnlistAfter      rules.Time // after a loss, until their engines leave the list
-	ClientsMoveAfter rules.Time // after a loss, until their clients come to the other zones' gateways
-	ColdSpeed        float64    // part of its speed that an engine has at its start
+	LostZones        []int // zones that are lost with their engines and gateways
+	LostAt           rules.Time
+	ReturnAt         rules.Time // when they come back, cold; 0: never
+	UnlistAfter      rules.Time // from the loss until their engines leave the endpoint list
+	ClientsMoveAfter rules.Time // from the loss until their clients come to the gateways of other zones
+	ColdSpeed        float64    // fraction of its speed that an engine has at its start
 	WarmupTime       rules.Time // until it has all
 	Duration         rules.Time
 }
 
-// Moment is one second of a plan.
+// Moment is the state in one second of a simulation.
 type Moment struct {
 	At       rules.Time
 	Zones    []ZoneMoment
 	Demand   float64 // cores
-	Unserved float64 // of these, refused by the ladder, held by the limits of spill, or over what engines can do
+	Unserved float64 // of these, shed, blocked by spillover limits, or more than the engines can do
 }
 
-// ZoneMoment is one zone in it. Loads are in cores.
+// ZoneMoment is the state of one zone in it. Loads are in cores.
 type ZoneMoment struct {
 	State           State
-	LoadShare       float64  // of its ordinary use
+	LoadShare       float64  // fraction of its usual load that it takes
 	Capacity        float64  // what its engines can do
 	OwnLoad         float64  // load of its own gateways that goes there
-	ForeignLoad     float64  // and of others
-	BlockedLoad     float64  // foreign load over the limit of spill
-	RejectedClasses []string // classes of which its gateways refuse some
-	ShedLoad        float64  // load of its gateways that the ladder refuses
+	ForeignLoad     float64  // load of other gateways that goes there
+	BlockedLoad     float64  // foreign load over the spillover limit
+	RejectedClasses []string // classes of which its gateways shed some
+	ShedLoad        float64  // load of its gateways that is shed
 }
 
 const simulationStep = 100 * rules.Millisecond
@@ -101,24 +101,24 @@
 	return observation
 }
 
-// demand is what the gateways of a zone are asked for: those of a lost zone are gone, and its clients come to the
-// others once they have noticed, and go back as gateways do.
+// demand is the load that arrives at the gateways of a zone. The clients of a lost zone come to the others' gateways
+// ClientsMoveAfter its loss, and go back when its gateways return.
 func (sc *Scenario) demand(i int, now rules.Time) float64 {
 	if sc.lost(i, now) {
 		return 0
 	}
-	strange, here := 0.0, 0.0
+	moved, present := 0.0, 0.0
 	for j, z := range sc.Zones {
 		if !sc.lost(j, now) {
-			here += z.Demand
+			present += z.Demand
 		} else if now >= sc.LostAt+sc.ClientsMoveAfter {
-			strange += z.Demand
+			moved += z.Demand
 		}
 	}
-	if here <= 0 {
+	if present <= 0 {
 		return 0
 	}
-	return sc.Zones[i].Demand * (1 + strange/here)
+	return sc.Zones[i].Demand * (1 + moved/present)
 }
 
 func (sc *Scenario) simulateStep(gateways []*Controller, observations []Observation, now rules.Time) Moment {
@@ -164,8 +164,8 @@
 	return m
 }
 
-// shedExcess has the ladder shed what is asked for beyond what takes it: that is where pressure brings it at run time, once it has
-// settled. In a plan nothing is a repeat, and no tenant is over its share.
+// shedExcess sheds the demand that exceeds the cores available to it: that is where the pressure leads at run time, once it has
+// settled. A simulation has no retries and no tenants over their quota.
 func (c *Controller) shedExcess(sc *Scenario, asked float64) {
 	demand := &c.demand
 	for i := range demand.tiers {
@@ -181,16 +181,16 @@
 	}
 }
 
-// availableCores is what takes the load of a zone's gateways, in cores: their zone, and of others what they may spill there.
+// availableCores are the cores that take the load of the gateways of a zone: those of the zone, and what they may send to others.
 func (c *Controller) availableCores() (cores float64) {
 	for i := range c.zones {
-		switch room := c.capacity(&c.zones[i]); {
+		switch capacity := c.capacity(&c.zones[i]); {
 		case i == c.ownZone:
-			cores += room
+			cores += capacity
 		case c.spilloverLimited(i):
 			cores += c.zones[i].spillover.allowance / float64(spilloverWindow)
 		default:
-			cores += room * c.split.Fractions[i]
+			cores += capacity * c.split.Fractions[i]
 		}
 	}
 	return cores
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -6,24 +6,24 @@
 	"foxlane/rules"
 )
 
-// This file decides where the load of a gateway goes: over the tiers of preference, as priority levels with
-// overprovisioning do it.
+// This file decides where the load of a gateway goes: over tiers of preference, as priority levels with
+// overprovisioning do.
 
-// Split is where load goes, in parts of 1 by zone. Panic tells that too little is well to believe what is seen:
-// then all that is listed gets load by its size.
+// Split is where load goes, in fractions of 1 by zone. With Panic too little is healthy for health to be
+// trusted, and all that is listed gets load by its size.
 type Split struct {
 	Fractions []float64
 	Panic     bool
-	Unplaced  float64 // part of the load for which no zone has room
+	Unplaced  float64 // fraction of the load for which no zone has capacity
 }
 
-// crowdedSlowdown is the slowdown from which a zone counts as crowded: its capacity then counts by what is over it. It
-// is the factor by which a query may take longer than alone before the decision module counts it as too slow,
-// twice: a zone gives load away when its engines are clearly slower than that, not at the first slow query.
+// crowdedSlowdown is the slowdown from which a zone counts as crowded: the part over it is taken off its capacity. It
+// is the square of the factor by which a query may take longer than alone before the decision module counts it as too
+// slow: a zone loses load when its engines are clearly slower than that, and not at the first slow query.
 const crowdedSlowdown = 1.35 * 1.35
 
-// capacity is what a zone can take now, in cores: a return is paced by the ramp or by how warm its engines are,
-// whichever is less.
+// capacity is the load that a zone can take now, in cores: in a recovery the lesser of what the ramp and the
+// warmth of its engines allow.
 func (c *Controller) capacity(zone *zoneRecord) float64 {
 	if zone.observation.unreachable() {
 		return 0
@@ -35,9 +35,9 @@
 	return cores
 }
 
-// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have died leave the list after a
-// while: what was listed counts on, fading by half in the longest time that a zone is kept away, or the half that
-// is left of a zone would be taken for a whole one.
+// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have failed leave the endpoint list after a
+// while: their cores count on, decaying by half in Damping.MaxSuppression, or the half that is left of a
+// zone would be taken for a complete one.
 func (c *Controller) usualCores(zone *zoneRecord) float64 {
 	faded := zone.usualCores * math.Exp2(-float64(c.now-zone.usualCoresAt)/float64(max(c.settings.Damping.MaxSuppression, 1)))
 	return max(zone.observation.ListedCores, faded, minCores/2)
@@ -46,7 +46,7 @@
 // minCores is less than any engine has.
 const minCores = 1e-6
 
-// preferenceTiers are all zones in the order in which a zone's load goes to them.
+// preferenceTiers are all zones, in the order in which the load of a zone goes to them.
 func (c *Controller) preferenceTiers(from int) [][]int {
 	placed := make([]bool, len(c.zones))
 	levels := [][]int{}
@@ -74,8 +74,8 @@
 	return levels
 }
 
-// Split says where this gateway's load goes now. A zone keeps all of its load while its capacity, counted
-// Overprovision times, is at least what it lists; what is over goes to the next tier, within a tier by capacity.
+// Split returns where the load of this gateway goes now. A zone keeps all of its load while its capacity times
+// Overprovision is at least its usual cores; the rest goes to the next tier, within a tier by capacity.
 func (c *Controller) Split(now rules.Time) Split { return c.splitFrom(now, c.ownZone) }
 
 func (c *Controller) splitFrom(now rules.Time, from int) Split {
@@ -98,17 +98,17 @@
 	}
 	left := 1.0
 	for _, level := range c.preferenceTiers(from) {
-		room, whole := 0.0, 0.0
+		capacity, usual := 0.0, 0.0
 		for _, i := range level {
-			room += c.capacity(&c.zones[i])
-			whole += c.usualCores(&c.zones[i])
+			capacity += c.capacity(&c.zones[i])
+			usual += c.usualCores(&c.zones[i])
 		}
-		if room <= 0 {
+		if capacity <= 0 {
 			continue
 		}
-		part := min(left, c.settings.Overprovision*room/whole)
+		part := min(left, c.settings.Overprovision*capacity/usual)
 		for _, i := range level {
-			s.Fractions[i] += part * c.capacity(&c.zones[i]) / room
+			s.Fractions[i] += part * c.capacity(&c.zones[i]) / capacity
 		}
 		if left -= part; left <= 0 {
 			return s
@@ -118,8 +118,8 @@
 	return s
 }
 
-// spreadRemainder gives what no level took to all in proportion: nothing is kept back here, the limits of spill and the
-// ladder say what is held or refused.
+// spreadRemainder gives the load for which no tier has capacity to all zones in proportion: nothing is held back here; spillover limits
+// and load shedding decide what is blocked or rejected.
 func (c *Controller) spreadRemainder(s *Split, left, listed float64) {
 	s.Unplaced = left
 	taken := 0.0
@@ -136,12 +136,12 @@
 	}
 }
 
-// presentCores is what of a zone may be believed to be there, whatever we hold of its health: that nobody answers a probe is no belief.
+// presentCores are the cores of a zone that exist, whatever their health is taken to be: that a probe was not answered is a fact.
 func (z *zoneRecord) presentCores() float64 {
 	return max(z.observation.ListedCores-z.observation.UnansweredCores, 0)
 }
 
-// splitBySize gives to each zone by what is there of it, but to what is drained on purpose, which nothing makes come back.
+// splitBySize splits the load by the present cores of each zone, without zones that are drained: no panic undoes the operator's order.
 func (c *Controller) splitBySize(s *Split, listed float64) {
 	total := 0.0
 	size := func(zone *zoneRecord) float64 {
