--- a/internal/zones/settings.go
+++ b/internal/zones/settings.go
@@ -1,7 +1,6 @@
 package zones
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 
@@ -45,28 +44,38 @@
 	}
 }
 
-// Validate returns an error if the settings can't be used. It names them by their keys in the operator's file.
+// SettingsError says which settings can't be used, by their keys in the operator's file, and what is allowed.
+type SettingsError struct{ Problem string }
+
+// Error returns the problem.
+func (e *SettingsError) Error() string { return e.Problem }
+
+func settingsErrorf(format string, args ...any) error {
+	return &SettingsError{fmt.Sprintf(format, args...)}
+}
+
+// Validate returns a *SettingsError if the settings can't be used.
 func (s Settings) Validate() error {
 	switch {
 	case !(s.Overprovision >= 1 && s.Overprovision <= 10):
-		return fmt.Errorf("overprovision is %v, 1 to 10 is possible", s.Overprovision)
+		return settingsErrorf("overprovision is %v, 1 to 10 is possible", s.Overprovision)
 	case !(s.PanicThreshold >= 0 && s.PanicThreshold <= 1), !(s.SpilloverLimit >= 0 && s.SpilloverLimit <= 1), !(s.RampJitter >= 0 && s.RampJitter <= 1), !(s.RetryBudget >= 0 && s.RetryBudget <= 1):
-		return errors.New("panic, spill, retries and jitter are parts: 0 to 1")
+		return settingsErrorf("panic, spill, retries and jitter are parts: 0 to 1")
 	case !(s.LostBelow > 0 && s.LostBelow < s.RecoverAbove && s.RecoverAbove <= 1):
-		return fmt.Errorf("lost_below is %v and back_over %v: 0 < lost_below < back_over <= 1", s.LostBelow, s.RecoverAbove)
+		return settingsErrorf("lost_below is %v and back_over %v: 0 < lost_below < back_over <= 1", s.LostBelow, s.RecoverAbove)
 	case s.SettlingTime < 0, s.RecoveryRamp <= 0, s.DrainTime <= 0:
-		return errors.New("ramp and drain must be over 0, settle at least 0")
+		return settingsErrorf("ramp and drain must be over 0, settle at least 0")
 	case !(s.Damping.Penalty >= 0), s.Damping.HalfLife <= 0, s.Damping.MaxSuppression < 0:
-		return errors.New("damping: half_life must be over 0, penalty and longest at least 0")
+		return settingsErrorf("damping: half_life must be over 0, penalty and longest at least 0")
 	case !(s.Damping.ReuseBelow > 0 && s.Damping.ReuseBelow < s.Damping.SuppressAbove):
-		return fmt.Errorf("damping: reuse is %v and suppress %v: 0 < reuse < suppress", s.Damping.ReuseBelow, s.Damping.SuppressAbove)
+		return settingsErrorf("damping: reuse is %v and suppress %v: 0 < reuse < suppress", s.Damping.ReuseBelow, s.Damping.SuppressAbove)
 	}
 	for from, tiers := range s.Tiers {
 		seen := []int{from}
 		for _, t := range tiers {
 			for _, z := range t {
 				if slices.Contains(seen, z) {
-					return fmt.Errorf("tiers: a zone comes twice for zone %d", from)
+					return settingsErrorf("tiers: a zone comes twice for zone %d", from)
 				}
 				seen = append(seen, z)
 			}
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -1,7 +1,6 @@
 package zones
 
 import (
-	"errors"
 	"math"
 
 	"foxlane/rules"
@@ -50,7 +49,7 @@
 
 func (s SheddingSettings) validate() error {
 	if !(s.Threshold > 1) || !(s.Hysteresis >= 0 && s.Hysteresis < s.Threshold-1) || s.SettlingTime < 0 {
-		return errors.New("shedding: up must be over 1, slack at least 0 and under up - 1, settle at least 0")
+		return settingsErrorf("shedding: up must be over 1, slack at least 0 and under up - 1, settle at least 0")
 	}
 	return nil
 }
