--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -1,274 +1,15 @@
 package admission
 
 import (
-	"flag"
 	"fmt"
 	"math"
-	"net/netip"
-	"os"
 	"testing"
 
-	"go4.org/netipx"
 	"pgregory.net/rapid"
 
 	"foxlane/rules"
 )
 
-const ms = rules.Millisecond
-
-// The random days are the same in each run, unless a seed is given: one verdict for one program.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
-			_ = flag.Set(name, value)
-		}
-	}
-	os.Exit(m.Run())
-}
-
-// simulation is a door with a module that sends at once while one of so many slots
-// of engines is free, on a clock of its own.
-type simulation struct {
-	t           testing.TB
-	controller  *Controller
-	now         rules.Time
-	slots       int // of the engines
-	running     []run
-	waiting     []int // passed, not sent
-	requests    []*simulatedRequest
-	connections []*simulatedConnection
-	timerAt     rules.Time
-	served      map[string]float64 // work by tenant
-	waits       map[string][]rules.Time
-	admitted    []string // ids, in order
-	aborted     []int
-	evicted     []int
-	onRejected  func(request *simulatedRequest, after rules.Time, why Reason)
-	onServed    func(request *simulatedRequest)
-	outcomes    map[string]int
-	neverRuns   func(request *simulatedRequest) bool // it fits nowhere: never sent
-}
-
-type run struct {
-	slot int
-	end  rules.Time
-}
-
-type simulatedRequest struct {
-	id, tenant string
-	connection int
-	arrivedAt  rules.Time
-	runTime    rules.Time
-	admitted   bool
-	request    Request
-}
-
-type simulatedConnection struct {
-	from    netip.Addr
-	request int // -1: none
-}
-
-func oneClass() []rules.Class {
-	return []rules.Class{{LatencyObjective: 500 * ms, ClientTimeout: 5 * rules.Second, LateValue: 0.1, Threads: 1}}
-}
-
-func newSimulation(t testing.TB, set Settings, sizes Limits, classes []rules.Class, declared ...string) *simulation {
-	if err := set.Validate(); err != nil {
-		t.Fatal(err)
-	}
-	return &simulation{t: t, controller: New(set, sizes, classes, declared, 7), now: rules.Second, slots: 4, requests: make([]*simulatedRequest, sizes.Requests),
-		connections: make([]*simulatedConnection, sizes.ConnectionSlots), timerAt: math.MaxInt64, served: map[string]float64{}, waits: map[string][]rules.Time{},
-		outcomes: map[string]int{}}
-}
-
-func testLimits() Limits {
-	return Limits{ConnectionSlots: 66, Connections: 64, Requests: 64, StatementBytes: 64 << 10, InputBytes: 16 << 10, StateBytes: 64 << 10}
-}
-
-func (sim *simulation) handle(e Event) {
-	inbox := []Event{e}
-	for len(inbox) > 0 {
-		e, inbox = inbox[0], inbox[1:]
-		for _, f := range append([]Effect(nil), sim.controller.Handle(sim.now, e)...) {
-			switch f.Kind {
-			case Admit:
-				request := sim.requests[f.Slot]
-				if request.admitted {
-					sim.t.Fatalf("%s passes twice", request.id)
-				}
-				if f.After < 0 {
-					sim.t.Fatalf("%s was held for %d us", request.id, f.After)
-				}
-				request.admitted = true
-				sim.admitted = append(sim.admitted, request.id)
-				sim.waits[request.tenant] = append(sim.waits[request.tenant], sim.now-request.arrivedAt)
-				if sim.neverRuns == nil || !sim.neverRuns(request) {
-					sim.waiting = append(sim.waiting, f.Slot)
-				}
-			case Reject:
-				request := sim.requests[f.Slot]
-				sim.finish(f.Slot)
-				if sim.onRejected != nil {
-					sim.onRejected(request, f.After, f.Reason)
-				}
-			case Evict:
-				sim.evicted = append(sim.evicted, f.Conn)
-				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
-			case AbortInput:
-				sim.aborted = append(sim.aborted, f.Conn)
-				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
-			case SetTimer:
-				sim.timerAt = f.At
-			}
-		}
-		for len(sim.waiting) > 0 && len(sim.running) < sim.slots {
-			slot := sim.waiting[0]
-			sim.waiting = sim.waiting[1:]
-			sim.running = append(sim.running, run{slot, sim.now + sim.requests[slot].runTime})
-			inbox = append(inbox, Event{Kind: RequestForwarded, Slot: slot})
-		}
-	}
-	if got, most := sim.controller.StateBytes(), sim.controller.StateBound(); got > most {
-		sim.t.Fatalf("state holds %d bytes, %d at most", got, most)
-	}
-}
-
-func (sim *simulation) finish(slot int) {
-	request := sim.requests[slot]
-	sim.requests[slot] = nil
-	sim.outcomes[request.id]++
-	if conn := sim.connections[request.connection]; conn != nil {
-		conn.request = -1
-	}
-}
-
-// disconnectEvents are the events of a connection that ends.
-func (sim *simulation) disconnectEvents(index int) (out []Event) {
-	conn := sim.connections[index]
-	if conn == nil {
-		return nil
-	}
-	sim.connections[index] = nil
-	if conn.request >= 0 {
-		slot := conn.request
-		if request := sim.requests[slot]; request.admitted {
-			for i, w := range sim.waiting {
-				if w == slot {
-					sim.waiting = append(sim.waiting[:i], sim.waiting[i+1:]...)
-					break
-				}
-			}
-			for i, r := range sim.running {
-				if r.slot == slot {
-					sim.running = append(sim.running[:i], sim.running[i+1:]...)
-					break
-				}
-			}
-		}
-		sim.finish(slot)
-		out = append(out, Event{Kind: RequestDone, Slot: slot})
-	}
-	return append(out, Event{Kind: ConnectionClosed, Conn: index})
-}
-
-func (sim *simulation) disconnect(conn int) {
-	for _, e := range sim.disconnectEvents(conn) {
-		sim.handle(e)
-	}
-}
-
-func (sim *simulation) connect(from string) int {
-	for i, conn := range sim.connections {
-		if conn == nil {
-			sim.connections[i] = &simulatedConnection{from: netip.MustParseAddr(from), request: -1}
-			sim.handle(Event{Kind: ConnectionOpened, Conn: i, From: sim.connections[i].from})
-			return i
-		}
-	}
-	sim.t.Fatal("no slot for a connection")
-	return 0
-}
-
-func (sim *simulation) send(conn int, id, tenant string, took rules.Time, change func(*Request)) *simulatedRequest {
-	slot := 0
-	for sim.requests[slot] != nil {
-		slot++
-	}
-	request := &simulatedRequest{id: id, tenant: tenant, connection: conn, arrivedAt: sim.now, runTime: took,
-		request: Request{Tenant: tenant, Deadline: sim.now + 5*rules.Second, DeclaredWork: took, StatementBytes: 100}}
-	if change != nil {
-		change(&request.request)
-	}
-	sim.requests[slot], sim.connections[conn].request = request, slot
-	sim.handle(Event{Kind: RequestArrived, Slot: slot, Conn: conn, Request: request.request})
-	return request
-}
-
-// advance plays for a while.
-func (sim *simulation) advance(by rules.Time) {
-	until := sim.now + by
-	for {
-		next, which := min(until, sim.timerAt), -1
-		for i, r := range sim.running {
-			if r.end < next {
-				next, which = r.end, i
-			}
-		}
-		sim.now = max(sim.now, next)
-		if which < 0 {
-			if sim.timerAt <= sim.now {
-				sim.timerAt = math.MaxInt64
-				sim.handle(Event{Kind: TimerFired})
-				continue
-			}
-			if next == until {
-				return
-			}
-			continue
-		}
-		r := sim.running[which]
-		sim.running = append(sim.running[:which], sim.running[which+1:]...)
-		request := sim.requests[r.slot]
-		sim.served[request.tenant] += float64(request.runTime)
-		sim.handle(Event{Kind: EngineTimeUsed, Slot: r.slot, EngineTime: request.runTime})
-		sim.finish(r.slot)
-		sim.handle(Event{Kind: RequestDone, Slot: r.slot, Served: true})
-		if sim.connections[request.connection] != nil {
-			sim.handle(Event{Kind: ConnectionIdle, Conn: request.connection})
-			if sim.onServed != nil {
-				sim.onServed(request)
-			}
-		}
-	}
-}
-
-// startClosedLoop asks on so many connections again as soon as it is answered.
-func (sim *simulation) startClosedLoop(from, tenant string, conns int, took rules.Time) {
-	for i := range conns {
-		c := sim.connect(from)
-		sim.send(c, fmt.Sprintf("%s-%d-%d", tenant, c, i), tenant, took, nil)
-	}
-}
-
-func (sim *simulation) repeatRequests() {
-	n := 0
-	sim.onServed = func(request *simulatedRequest) {
-		n++
-		sim.send(request.connection, fmt.Sprintf("%s+%d", request.id[:min(len(request.id), 12)], n), request.tenant, request.runTime, nil)
-	}
-}
-
-func trustingSettings() Settings {
-	s := Defaults()
-	s.AnyTenant = true
-	all := netipx.IPSetBuilder{}
-	all.AddPrefix(netip.MustParsePrefix("10.0.0.0/8"))
-	set, _ := all.IPSet()
-	s.Networks = []Network{{Name: "office", Addresses: set, Weight: 1, Trusted: true}}
-	return s
-}
-
 func TestLightTenantIsAdmittedBeforeAFlood(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	sim.repeatRequests()
@@ -285,9 +26,9 @@
 		sim.advance(500 * ms)
 	}
 	for _, w := range sim.waits["quiet"] {
-		if w > 0 { // the module has room for one of it before anybody else's
+		if w > 0 { // the decision module takes one of it before any other
 			if w > 100*ms {
-				t.Errorf("a quiet request waited %d ms at the door", w/ms)
+				t.Errorf("a quiet request was queued for %d ms", w/ms)
 			}
 		}
 	}
@@ -400,12 +141,7 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "flood", 30, 100*ms)
 	sim.advance(rules.Second)
-	again := sim.onServed
-	sim.onServed = func(request *simulatedRequest) {
-		if request.tenant == "flood" {
-			again(request)
-		}
-	}
+	sim.repeatOnly("flood")
 	key := func(q *Request) { q.OrderKey = "k" }
 	c1, c2, c3 := sim.connect("10.0.0.1"), sim.connect("10.0.0.9"), sim.connect("10.0.0.9")
 	sim.send(c1, "first", "flood", 50*ms, key) // of the heavy tenant: waits
@@ -419,13 +155,13 @@
 		case "first":
 			first = i
 		case "second":
-			t.Error("one whose client left was passed")
+			t.Error("a request whose client has left was admitted")
 		case "third":
 			third = i
 		}
 	}
 	if first < 0 || third < 0 || third < first {
-		t.Errorf("of one key the first passed as %d, the third as %d", first, third)
+		t.Errorf("of one order key the first was admitted as number %d, the third as %d", first, third)
 	}
 	if len(sim.controller.lastOfKey) != 0 {
 		t.Errorf("%d keys are kept", len(sim.controller.lastOfKey))
@@ -444,14 +180,14 @@
 		if request.id == "short" {
 			refused = sim.now
 			if after <= 0 {
-				t.Error("no time to return was named")
+				t.Error("no Retry-After was sent")
 			}
 		}
 	}
 	request := sim.send(c, "short", "flood", 100*ms, func(q *Request) { q.Deadline = sim.now + 300*ms })
 	sim.advance(400 * ms)
 	if request.admitted || refused == 0 || refused > request.request.Deadline-100*ms {
-		t.Errorf("passed %v, refused at %d ms, due at %d ms", request.admitted, refused/ms, request.request.Deadline/ms)
+		t.Errorf("admitted %v, rejected at %d ms, deadline at %d ms", request.admitted, refused/ms, request.request.Deadline/ms)
 	}
 }
 
@@ -508,11 +244,11 @@
 		}
 	}
 	if kept+lost < 300 || float64(kept)/float64(kept+lost) < 0.9 {
-		t.Errorf("of %d that came back when told %d were served", kept+lost, kept)
+		t.Errorf("of %d that came back at their Retry-After %d were served", kept+lost, kept)
 	}
 	s := sim.controller.Stats()
 	if s.ReturnsServed < 300 || s.RetryAfterCorrection < 0.5 || s.RetryAfterCorrection > 2 {
-		t.Errorf("the door counts %d kept, %d lost, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
+		t.Errorf("counted: %d returns served, %d missed, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
 	}
 	middle := 0
 	for _, r := range told {
@@ -521,7 +257,7 @@
 		}
 	}
 	if float64(middle) < 0.5*float64(len(told)) {
-		t.Errorf("%d of %d times of return were within a half and twice", middle, len(told))
+		t.Errorf("%d of %d Retry-After were within a half and twice what was needed", middle, len(told))
 	}
 }
 
@@ -534,12 +270,12 @@
 	n := 0
 	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
 		if n++; after != 0 {
-			t.Error("a time of return was named")
+			t.Error("a Retry-After was sent")
 		}
 	}
 	sim.startClosedLoop("10.0.0.1", "flood", 20, 100*ms)
 	if n == 0 {
-		t.Error("nothing was refused")
+		t.Error("nothing was rejected")
 	}
 }
 
@@ -555,11 +291,11 @@
 	for range 5 {
 		c := sim.connect("192.0.2.8")
 		if sim.connections[c] == nil {
-			t.Fatal("a newcomer was turned away for a flood of logins")
+			t.Fatal("a new connection was evicted for a flood of logins")
 		}
 	}
 	if sim.connections[quiet] == nil {
-		t.Error("a quiet connection gave way to a flood of logins")
+		t.Error("a quiet connection was evicted for a flood of logins")
 	}
 	if sim.controller.openConnections > sim.controller.limits.Connections {
 		t.Errorf("%d connections are open", sim.controller.openConnections)
@@ -577,15 +313,15 @@
 	sim.onRejected = func(*simulatedRequest, rules.Time, Reason) { refused++ }
 	c := sim.connect("192.0.2.9")
 	if sim.connections[c] == nil || refused != 1 || len(sim.evicted) != 1 {
-		t.Errorf("newcomer in: %v, refused %d, evicted %v", sim.connections[c] != nil, refused, sim.evicted)
+		t.Errorf("new connection open: %v, rejected %d, evicted %v", sim.connections[c] != nil, refused, sim.evicted)
 	}
 	own := sim.connect("192.0.2.1")
 	if sim.connections[own] == nil {
-		t.Fatal("the flood's own newcomer can't say KILL")
+		t.Fatal("the new connection of the flood's own tenant can't send KILL")
 	}
 	sim.send(own, "own", "", 100*ms, nil)
 	if sim.connections[own] != nil || sim.outcomes["own"] != 1 {
-		t.Error("the flood's own newcomer took a place")
+		t.Error("the new connection of the flood's own tenant took a place")
 	}
 }
 
@@ -604,7 +340,7 @@
 		t.Errorf("the small client is there: %v, %d connections were ended", sim.connections[small] != nil, len(sim.aborted))
 	}
 	if sim.controller.inputBytes > sim.controller.limits.InputBytes {
-		t.Errorf("%d bytes are held", sim.controller.inputBytes)
+		t.Errorf("%d bytes are buffered", sim.controller.inputBytes)
 	}
 	for _, c := range append(flood, small) {
 		sim.disconnect(c)
@@ -624,7 +360,7 @@
 			n++
 		}
 	}
-	for i := range 40 { // of them 25 wait at the door or are turned away
+	for i := range 40 { // of them 25 are queued or rejected
 		c := sim.connect("192.0.2.1")
 		sim.send(c, fmt.Sprint("f", i), "", 100*ms, nil)
 	}
@@ -640,7 +376,7 @@
 		t.Error("a client that never heeds its times keeps its connections")
 	}
 	if n > 40*(Defaults().MaxEarlyReturns+2) {
-		t.Errorf("%d refusals were sent to it", n)
+		t.Errorf("%d rejections were sent to it", n)
 	}
 }
 
@@ -690,18 +426,18 @@
 	sim.advance(350 * ms)
 	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
 		if after != 0 {
-			t.Error("told to return to a gateway that ends")
+			t.Error("a gateway that shuts down sent a Retry-After")
 		}
 	}
 	sim.handle(Event{Kind: Stopping, Deadline: sim.now + rules.Second})
 	sim.advance(rules.Second)
 	if sim.controller.queued != 0 {
-		t.Errorf("%d are held at the end", sim.controller.queued)
+		t.Errorf("%d are queued at the end", sim.controller.queued)
 	}
 }
 
-// Whatever comes: each taken request has one end, state stays in bounds, keys stay in order, the module
-// is never left without work that is held, and nobody who stays is passed over for ever.
+// For random events: each request ends once, state stays within its bounds, requests of an order key stay in order, no
+// request is queued while an engine is idle, and nothing is left when all clients have gone.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sizes := Limits{ConnectionSlots: 18, Connections: 16, Requests: 12, StatementBytes: 1500, InputBytes: 2000, StateBytes: 16 << 10}
@@ -770,8 +506,8 @@
 	})
 }
 
-// Nobody starves: beside greedy tenants of any weights and runs, whoever asks passes within the time in which
-// every tenant gets one run, and the work that it owes for what it had.
+// Beside closed loops of tenants of any weight and run time, a request is admitted within the time in which every
+// tenant gets one run, and the debt of its own tenant is worked off.
 func TestNoTenantStarves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		set := Defaults()
@@ -806,13 +542,13 @@
 		for i := range 5 {
 			run := rules.Time(rapid.IntRange(5, 50).Draw(rt, "small run")) * ms
 			sim.send(c, fmt.Sprint("small", i), "small", run, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
-			sim.advance(longest + run) // it owes no more than this one once it asks again
+			sim.advance(longest + run) // its debt is this run at most when it sends the next request
 			for sim.outcomes[fmt.Sprint("small", i)] == 0 && sim.now < 60*rules.Second {
 				sim.advance(longest)
 			}
 		}
-		// The tenants' runs that are on their way, one of each, and for what it owes of its own last run as much
-		// work of each as that has weight.
+		// The runs of the other tenants that have begun, one of each, and for the debt of its own last run as much
+		// work of each as its weight says.
 		bound := longest*rules.Time(set.ModuleQueueDepth+sim.slots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.slots)
 		for _, w := range sim.waits["small"] {
 			if w > bound {
@@ -820,64 +556,7 @@
 			}
 		}
 		if len(sim.waits["small"]) != 5 {
-			rt.Fatalf("only %d of 5 passed", len(sim.waits["small"]))
+			rt.Fatalf("only %d of 5 were admitted", len(sim.waits["small"]))
 		}
 	})
 }
-
-func idleConnection(rt *rapid.T, sim *simulation) int {
-	var idle []int
-	for i, conn := range sim.connections {
-		if conn != nil && conn.request < 0 {
-			idle = append(idle, i)
-		}
-	}
-	if len(idle) == 0 {
-		return -1
-	}
-	return rapid.SampledFrom(idle).Draw(rt, "conn")
-}
-
-func (sim *simulation) checkInvariants(rt *rapid.T, keys map[string][]string) {
-	controller := sim.controller
-	if controller.queued > 0 && len(sim.waiting) == 0 && len(sim.running) < sim.slots {
-		rt.Fatalf("%d are held while an engine stands idle", controller.queued)
-	}
-	if controller.openRequests > controller.limits.Requests || controller.statementBytes > controller.limits.StatementBytes || controller.inputBytes > controller.limits.InputBytes || controller.openConnections >= controller.limits.ConnectionSlots {
-		rt.Fatalf("over the bounds: %d requests, %d bytes, %d unfinished, %d connections", controller.openRequests, controller.statementBytes, controller.inputBytes, controller.openConnections)
-	}
-	at := map[string]int{}
-	for i, id := range sim.admitted {
-		at[id] = i + 1
-	}
-	for key, ids := range keys {
-		last := 0
-		for _, id := range ids {
-			if n := at[id]; n > 0 {
-				if n < last {
-					rt.Fatalf("key %s: %s passed ahead of an earlier one", key, id)
-				}
-				last = n
-			}
-		}
-	}
-	held := 0
-	for i := range controller.requests {
-		if request := &controller.requests[i]; request.state == requestBlocked || request.state == requestQueued {
-			held++
-			if request.client.tenant == nil {
-				rt.Fatal("held by nobody")
-			}
-		}
-	}
-	if held != controller.queued || held != len(controller.expiry) {
-		rt.Fatalf("%d held, %d counted, %d with a deadline", held, controller.queued, len(controller.expiry))
-	}
-	for class := range controller.flows {
-		for i, tn := range controller.flows[class].heap {
-			if tn.flows[class].heapIndex != int32(i) || i > 0 && controller.flows[class].heap[(i-1)/2].virtualTime > tn.virtualTime {
-				rt.Fatal("a heap is out of order")
-			}
-		}
-	}
-}
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// Each of these fails without the one guard that it is named for.
+// Each of these tests fails without the one guard that it is named for.
 
 func TestIdleClientEarnsNoCreditWithinItsTenant(t *testing.T) {
 	set := Defaults()
@@ -115,10 +115,10 @@
 	}
 	sim.advance(20 * rules.Second)
 	if part := sim.served["liar"] / (sim.served["liar"] + sim.served["honest"]); math.Abs(part-0.5) > 0.03 {
-		t.Errorf("who tells too little work got %.2f of it", part)
+		t.Errorf("a client that understates its work got %.2f of it", part)
 	}
 	if w := sim.controller.predictWork(0, 1); w < 0.1*float64(50*ms) {
-		t.Errorf("a request of 50 ms whose client tells a microsecond counts for %.0f us until it has run", w)
+		t.Errorf("a request of 50 ms whose client declares a microsecond counts for %.0f us until it has run", w)
 	}
 }
 
@@ -131,7 +131,7 @@
 	request := sim.send(sim.connect("10.0.0.2"), "small", "small", 50*ms, nil)
 	sim.advance(400 * ms)
 	if sim.outcomes["small"] != 1 {
-		t.Errorf("passed %v: one that fits waits behind those that fit nowhere", request.admitted)
+		t.Errorf("admitted %v: a request that fits an engine waits behind those that fit none", request.admitted)
 	}
 }
 
@@ -148,13 +148,13 @@
 	}
 	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms }) // 36 ahead of it, of 4 at a time
 	if refused != request.arrivedAt {
-		t.Errorf("came at %d ms, refused at %d ms", request.arrivedAt/ms, refused/ms)
+		t.Errorf("arrived at %d ms, rejected at %d ms", request.arrivedAt/ms, refused/ms)
 	}
 	hopeful := sim.send(sim.connect("10.0.0.1"), "hopeful", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 4*rules.Second })
 	sim.onServed = nil
 	sim.advance(4 * rules.Second)
 	if !hopeful.admitted {
-		t.Error("one with patience enough was given up")
+		t.Error("a request with a later deadline was rejected")
 	}
 }
 
@@ -164,7 +164,7 @@
 		sim.send(sim.connect("10.0.0.1"), fmt.Sprint("first", i), "coop", 100*ms, nil)
 	}
 	c := sim.connect("10.0.0.1")
-	sim.controller.book(sim.controller.connections[0].client.key, 100*ms) // it was told to come back then
+	sim.controller.book(sim.controller.connections[0].client.key, 100*ms) // as if its Retry-After had said so
 	sim.advance(100 * ms)
 	sim.send(c, "back", "coop", 100*ms, nil)
 	held := map[string]bool{}
@@ -184,10 +184,10 @@
 		}
 	}
 	if len(held) < 10 || sim.outcomes["back"] != 1 || before > 0 {
-		t.Errorf("ended %d times, behind %d of the %d that were held when it came", sim.outcomes["back"], before, len(held))
+		t.Errorf("ended %d times, behind %d of the %d that were queued when it came", sim.outcomes["back"], before, len(held))
 	}
 	if s := sim.controller.Stats(); s.ReturnsServed != 1 {
-		t.Errorf("%d promises are counted as kept", s.ReturnsServed)
+		t.Errorf("%d returns are counted as served", s.ReturnsServed)
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	for _, c := range pool {
 		if sim.connections[c] == nil {
-			t.Error("a connection in use gave way while others say nothing")
+			t.Error("a connection in use was evicted while others were silent")
 		}
 	}
 }
@@ -222,7 +222,7 @@
 		controller.book(uint64(i+1), rules.Second)
 	}
 	if len(controller.bookings.byClient) != room || controller.bookings.firstFree != noSlot {
-		t.Fatalf("%d clients hold %d pledges", len(controller.bookings.byClient), room)
+		t.Fatalf("%d clients have %d bookings", len(controller.bookings.byClient), room)
 	}
 	controller.now += 100 * rules.Second
 	for i := range room {
@@ -235,7 +235,7 @@
 		}
 	}
 	if fresh < room*9/10 {
-		t.Errorf("of %d pledges %d are kept: the room is taken by those that are over", room, fresh)
+		t.Errorf("of %d bookings %d were made: the table is full of expired ones", room, fresh)
 	}
 }
 
@@ -247,7 +247,7 @@
 	}
 	controller.book(2, rules.Second)
 	if list := controller.bookings.byClient[1]; int(list.count) > len(controller.bookings.bookings)/4 || controller.bookings.byClient[2].count != 1 {
-		t.Errorf("one client holds %d of %d, the other %d", list.count, len(controller.bookings.bookings), controller.bookings.byClient[2].count)
+		t.Errorf("one client has %d of %d bookings, the other %d", list.count, len(controller.bookings.bookings), controller.bookings.byClient[2].count)
 	}
 }
 
@@ -265,13 +265,13 @@
 	for _, id := range sim.admitted {
 		if id[0] == 'k' {
 			if id != fmt.Sprint("k", next) {
-				t.Fatalf("passed in the order %v", sim.admitted)
+				t.Fatalf("admitted in the order %v", sim.admitted)
 			}
 			next++
 		}
 	}
 	if next != 6 {
-		t.Errorf("%d of 6 passed", next)
+		t.Errorf("%d of 6 were admitted", next)
 	}
 }
 
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Who knows the names but not the seed can't tell which share a place.
+// Without the seed nobody can tell which names share a cell.
 func TestHashCollisionsDependOnTheSeed(t *testing.T) {
 	const tenants, places = 2000, 1 << 10
 	pairs := func(seed uint64, addresses bool) map[[2]int]bool {
@@ -112,12 +112,12 @@
 			}
 		}
 		if len(a) < 1000 || both > len(a)/100 {
-			t.Errorf("addresses %v: of %d pairs that share a place under one seed, %d do under another", addresses, len(a), both)
+			t.Errorf("addresses %v: of %d pairs that share a cell under one seed, %d do under another", addresses, len(a), both)
 		}
 	}
 }
 
-// The heaviest of those that have left are followed exactly.
+// The heaviest debts are remembered exactly.
 func TestHeaviestDebtsAreExact(t *testing.T) {
 	tb := newDebtTable(32 << 10)
 	r := newIdentityResolver(Defaults(), nil, 9)
@@ -139,17 +139,17 @@
 		full.put(debt{key(i), float64(10 + i), 0}, 0, 0)
 	}
 	if lost := full.put(debt{key(100), 5, 0}, 0, 0); lost.key != key(100) {
-		t.Error("a light one took the place of a heavier one")
+		t.Error("a light entry evicted a heavier one")
 	}
 	if lost := full.put(debt{key(101), 50, 0}, 0, 0); lost.key != key(0) {
-		t.Error("not the lightest gave way")
+		t.Error("the lightest entry was not the one that was evicted")
 	}
 	if lost := full.put(debt{key(102), 5, 0}, 11, 0); lost.key != 0 {
-		t.Error("one that owes nothing any more kept its place")
+		t.Error("an entry without a debt stayed")
 	}
 }
 
-// What light ones owe is never less than they do, and seldom more.
+// The debt of a light tenant is never understated, and seldom overstated.
 func TestSketchSeldomOverstates(t *testing.T) {
 	s := newDebtSketch(8 << 10) // 256 places a row
 	r := newIdentityResolver(Defaults(), nil, 9)
@@ -172,7 +172,7 @@
 	}
 }
 
-// A tenant that comes once is not worse off than a regular, after a million of them.
+// After many tenants that came once, another one is served like a regular one.
 func TestOneTimeTenantIsServedLikeARegularOne(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	for i := range 30_000 {
@@ -184,19 +184,14 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "regular", 30, 50*ms)
 	sim.advance(5 * rules.Second)
-	again := sim.onServed
-	sim.onServed = func(request *simulatedRequest) {
-		if request.tenant == "regular" {
-			again(request)
-		}
-	}
+	sim.repeatOnly("regular")
 	for i := range 20 {
 		name := fmt.Sprint("newcomer", i)
 		c := sim.connect(fmt.Sprintf("10.9.9.%d", i+1))
 		sim.send(c, name, name, 50*ms, nil)
 		sim.advance(100 * ms)
 		if w := sim.waits[name]; len(w) != 1 || w[0] > 50*ms {
-			t.Errorf("%s waited %v at the door", name, w)
+			t.Errorf("%s was queued for %v", name, w)
 		}
 		sim.disconnect(c)
 	}
@@ -208,12 +203,7 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "heavy", 20, 400*ms)
 	sim.advance(4 * rules.Second)
-	again := sim.onServed
-	sim.onServed = func(request *simulatedRequest) {
-		if request.tenant == "heavy" {
-			again(request)
-		}
-	}
+	sim.repeatOnly("heavy")
 	c := sim.connect("10.0.0.2")
 	for i := range 30 {
 		sim.send(c, fmt.Sprint("light", i), "light", 10*ms, nil)
@@ -225,19 +215,18 @@
 		}
 	}
 	if len(sim.waits["light"]) != 30 {
-		t.Errorf("%d of 30 light queries passed", len(sim.waits["light"]))
+		t.Errorf("%d of 30 light queries were admitted", len(sim.waits["light"]))
 	}
 }
 
-// A flood that takes a new address of one network for each connection is one tenant where the operator
-// has put the network together.
+// A flood from new addresses of one network is one tenant where the operator has made the network
+// one tenant.
 func TestNewAddressesOfOneNetworkGainNothing(t *testing.T) {
 	s := Defaults()
 	s.Networks = []Network{{Name: "pool", Addresses: addressSet(t, "10.0.0.0/8"), Weight: 1, SharedTenant: true}}
 	sim := newSimulation(t, s, testLimits(), oneClass())
 	n := 0
-	var fresh func(request *simulatedRequest)
-	fresh = func(request *simulatedRequest) {
+	fresh := func(request *simulatedRequest) {
 		if request.tenant == "" && request.id[0] == 'p' {
 			sim.disconnect(request.connection)
 			n++
@@ -274,8 +263,8 @@
 	}
 }
 
-// A clock that steps back stands still for the door: nothing is refused or forgotten for it, and nobody
-// was held for less than no time.
+// A clock that steps back stands still for the controller: nothing is rejected for it, and no request was queued for
+// less than no time.
 func TestClockStepsBack(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	c := sim.connect("10.0.0.1")
