--- a/internal/admission/accounts.go
+++ b/internal/admission/accounts.go
@@ -59,7 +59,8 @@
 	return h
 }
 
-// findOrAddClient returns the account of a principal. A new account starts with the debt that is remembered of the principal.
+// findOrAddClient returns the account of a principal. A new account starts with the debt that is remembered of the
+// principal.
 func (c *Controller) findOrAddClient(p principal) *clientAccount {
 	tenant := c.tenantByKey[p.tenant]
 	if tenant == nil {
@@ -116,7 +117,8 @@
 	return tenant
 }
 
-// removeIfUnused removes the account of a client that has nothing open, and that of its tenant with the last one. Their debts are remembered.
+// removeIfUnused removes the account of a client that has nothing open, and that of its tenant with the last one.
+// Their debts are remembered.
 func (c *Controller) removeIfUnused(client *clientAccount) {
 	if client.connections > 0 || client.requests > 0 {
 		return
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// admitNext admits the request at the head of a class: of the tenant with the least virtual time, and within it of the client with the least.
+// admitNext admits the request at the head of a class: of the tenant with the least virtual time, and within it of
+// the client with the least.
 func (c *Controller) admitNext(flow *classFlow, class int32) {
 	tenant := flow.heap[0]
 	least := tenant.virtualTime
--- a/internal/admission/bookings.go
+++ b/internal/admission/bookings.go
@@ -12,7 +12,8 @@
 	next     int32 // of the same client, or of the free places
 }
 
-// bookingTable holds the bookings that are not expired, in a table of fixed size: per client, in the order in which they were made.
+// bookingTable holds the bookings that are not expired, in a table of fixed size: per client, in the order in which
+// they were made.
 type bookingTable struct {
 	bookings   []booking
 	firstFree  int32
@@ -64,7 +65,8 @@
 	return list
 }
 
-// expireSome drops the expired bookings of the clients at two places of the table, the next two at each call, so that no sweep is needed.
+// expireSome drops the expired bookings of the clients at two places of the table, the next two at each call, so
+// that no sweep is needed.
 func (t *bookingTable) expireSome(now rules.Time) {
 	for range 2 {
 		t.sweepIndex = (t.sweepIndex + 1) % len(t.bookings)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -3,9 +3,9 @@
 // their Retry-After. It must never see bytes of a protocol, a clock, a socket or a goroutine, nor decide what belongs
 // to the decision module: the engine, the attempt, the class, the choice among the requests that were admitted.
 //
-// Events go in with their time, effects come out in order. The caller names requests and connections by slots,
-// below Limits.Requests and Limits.ConnectionSlots; a slot is free again after its RequestDone or ConnectionClosed. The size of all
-// state follows from Limits, however many tenants come.
+// Events go in with their time, effects come out in order. The caller names requests and connections by slots, below
+// Limits.Requests and Limits.ConnectionSlots; a slot is free again after its RequestDone or ConnectionClosed. The
+// size of all state follows from Limits, however many tenants come.
 package admission
 
 import (
@@ -175,7 +175,8 @@
 	}
 }
 
-// setTimer asks for a TimerFired when the next queued request is to be rejected, or the next pending one stops counting as pending.
+// setTimer asks for a TimerFired when the next queued request is to be rejected, or the next pending one stops
+// counting as pending.
 func (c *Controller) setTimer() {
 	at := rules.Time(math.MaxInt64)
 	if len(c.expiry) > 0 {
--- a/internal/admission/debts.go
+++ b/internal/admission/debts.go
@@ -7,8 +7,8 @@
 )
 
 // This file owns what is remembered of tenants and clients that have nothing open, in memory of fixed size. The
-// heaviest are remembered exactly; the others share cells, which nobody can choose, since the hash is seeded. A debt is never
-// remembered as less than it is.
+// heaviest are remembered exactly; the others share cells, which nobody can choose, since the hash is seeded. A debt
+// is never remembered as less than it is.
 
 const tableWays = 8 // entries of a set
 
@@ -75,9 +75,9 @@
 	return lost
 }
 
-// debtSketch holds the debts that were evicted from the table: two rows of cells, in each the greatest virtual time that
-// was put there. The lesser of a key's two cells is never under its debt, and seldom over: a count-min sketch of maxima. Debts
-// are virtual times, which the virtual time of all overtakes, so that the sketch needs no sweep.
+// debtSketch holds the debts that were evicted from the table: two rows of cells, in each the greatest virtual time
+// that was put there. The lesser of a key's two cells is never under its debt, and seldom over: a count-min sketch
+// of maxima. Debts are virtual times, which the virtual time of all overtakes, so that the sketch needs no sweep.
 type debtSketch struct {
 	rows [2][]float64
 	mask uint64
--- a/internal/admission/identity.go
+++ b/internal/admission/identity.go
@@ -104,8 +104,9 @@
 	return origin{principal{host, host, r.settings.UnlistedWeight}, -1}
 }
 
-// principalOf returns the principal of a request that declares a tenant, by the hash of the name; 0: none. A name that is neither declared
-// in the settings nor trusted from its network makes a client of the address that declares it, so that new names gain nothing.
+// principalOf returns the principal of a request that declares a tenant, by the hash of the name; 0: none. A name
+// that is neither declared in the settings nor trusted from its network makes a client of the address that declares
+// it, so that new names gain nothing.
 func (r *identityResolver) principalOf(o origin, name uint64) principal {
 	if name == 0 {
 		return o.principal
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// dequeueFromClient removes a request from the queue of its client, and the client from the heaps if that leaves the queue empty.
+// dequeueFromClient removes a request from the queue of its client, and the client from the heaps if that leaves the
+// queue empty.
 func (c *Controller) dequeueFromClient(request *openRequest) {
 	class := request.class
 	queue := &request.client.queues[class]
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -10,7 +10,8 @@
 // where connections are at their limit. A login is followed by a command at once.
 const silenceLimit = 500 * rules.Millisecond
 
-// mostOverQuota returns the tenant whose usage exceeds its weighted part of the limit by the most, nil if no tenant uses anything.
+// mostOverQuota returns the tenant whose usage exceeds its weighted part of the limit by the most, nil if no tenant
+// uses anything.
 func (c *Controller) mostOverQuota(limit int, usage func(*tenantAccount) int) (heaviest *tenantAccount) {
 	weights, most := 0.0, 0.0
 	for _, tenant := range c.tenants {
@@ -67,7 +68,8 @@
 	}
 }
 
-// longestInState returns the connection that has been in a state for longest, and since before or longer, of one tenant (nil: of all); never except.
+// longestInState returns the connection that has been in a state for longest, and since before or longer, of one
+// tenant (nil: of all); never except.
 func (c *Controller) longestInState(state connectionState, tenant *tenantAccount, except *connection, before rules.Time) (longest *connection) {
 	for i := range c.connections {
 		conn := &c.connections[i]
@@ -126,7 +128,8 @@
 	return true
 }
 
-// inputBuffered notes how many bytes of an incomplete packet a connection holds. Over the limit of all, the tenant most over its quota loses the connection that holds most.
+// inputBuffered notes how many bytes of an incomplete packet a connection holds. Over the limit of all, the tenant
+// most over its quota loses the connection that holds most.
 func (c *Controller) inputBuffered(conn *connection, bytes int) {
 	if conn.client == nil {
 		return
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// reassignRequest moves a request that is in no queue to another client. An admitted request stays with the client that was charged for it.
+// reassignRequest moves a request that is in no queue to another client. An admitted request stays with the client
+// that was charged for it.
 func (c *Controller) reassignRequest(request *openRequest, client *clientAccount) {
 	old := request.client
 	if old == client {
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -6,8 +6,9 @@
 	"foxlane/rules"
 )
 
-// This file owns the Retry-After of rejections: how it is predicted, and how later predictions are corrected by
-// what clients that obeyed it needed. It never keeps a client away for longer than its tenant's part of the capacity requires.
+// This file owns the Retry-After of rejections: how it is predicted, and how later predictions are corrected by what
+// clients that obeyed it needed. It never keeps a client away for longer than its tenant's part of the capacity
+// requires.
 
 const (
 	biasGain         = 0.1                    // weight of one observation in the correction
@@ -23,8 +24,9 @@
 // request must be for it to be rejected on arrival.
 const hopelessWaitFactor = 1.25
 
-// cannotMeetDeadline reports whether the predicted wait of a request that has just come exceeds, by far, the time until
-// its deadline. The prediction counts only once its tenant has had queued requests for longer than the capacity is averaged over.
+// cannotMeetDeadline reports whether the predicted wait of a request that has just come exceeds, by far, the time
+// until its deadline. The prediction counts only once its tenant has had queued requests for longer than the
+// capacity is averaged over.
 func (c *Controller) cannotMeetDeadline(request *openRequest) bool {
 	tenant := request.client.tenant
 	if request.state != requestQueued && request.state != requestBlocked || tenant.queued < 2 || c.now-tenant.queuedSince < 2*capacitySpan {
@@ -49,7 +51,8 @@
 	return max(fairRate, min(tenant.servedRate.rate(c.now), capacity), 1e-3)
 }
 
-// expectedWait is how long it takes until what a client has queued is run, in microseconds, but for an excluded amount of work.
+// expectedWait is how long it takes until what a client has queued is run, in microseconds, but for an excluded
+// amount of work.
 func (c *Controller) expectedWait(client *clientAccount, excluded float64) float64 {
 	tenant := client.tenant
 	ahead := tenant.queuedWork - excluded
@@ -59,8 +62,9 @@
 	return max(ahead, 0) / c.tenantRate(tenant)
 }
 
-// retryAfter is the Retry-After of a rejected request: the time until the backlog of its tenant and the work that is booked
-// for it have run. Bookings follow one another at the rate at which the tenant is served, so that clients do not all come at once.
+// retryAfter is the Retry-After of a rejected request: the time until the backlog of its tenant and the work that is
+// booked for it have run. Bookings follow one another at the rate at which the tenant is served, so that clients do
+// not all come at once.
 func (c *Controller) retryAfter(client *clientAccount, work float64, conn *connection) rules.Time {
 	if c.settings.MaxRetryAfter <= 0 || c.stopping {
 		return 0
@@ -82,9 +86,10 @@
 	return after
 }
 
-// learnFromReturn corrects later predictions by a request that came at its Retry-After: by the time that it would have
-// needed, over the Retry-After. One that was admitted at once could have come as soon as nothing of its tenant was queued.
-// A wait no longer than its run is the queue that keeps engines busy, and no error. The correction decays unless it is confirmed.
+// learnFromReturn corrects later predictions by a request that came at its Retry-After: by the time that it would
+// have needed, over the Retry-After. One that was admitted at once could have come as soon as nothing of its tenant
+// was queued. A wait no longer than its run is the queue that keeps engines busy, and no error. The correction
+// decays unless it is confirmed.
 func (c *Controller) learnFromReturn(request *openRequest, served bool) {
 	if !request.booked {
 		return
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -253,7 +253,8 @@
 	}
 }
 
-// startClosedLoop opens so many connections and sends a request on each; repeatRequests makes them send the next as soon as it is served.
+// startClosedLoop opens so many connections and sends a request on each; repeatRequests makes them send the next as
+// soon as it is served.
 func (sim *simulation) startClosedLoop(from, tenant string, conns int, took rules.Time) {
 	for i := range conns {
 		c := sim.connect(from)
--- a/internal/zones/observation.go
+++ b/internal/zones/observation.go
@@ -33,8 +33,8 @@
 	SilentEngines   int // active engines that are excluded and have sent nothing since the last request
 }
 
-// unreachable reports whether all active engines of a zone are silent, and these are more than one: the zone, or the network to it,
-// is down. That is one failure, and not one of each engine.
+// unreachable reports whether all active engines of a zone are silent, and these are more than one: the zone, or the
+// network to it, is down. That is one failure, and not one of each engine.
 func (s Observation) unreachable() bool {
 	return s.SilentEngines > 1 && s.SilentEngines == s.ActiveEngines
 }
@@ -56,8 +56,9 @@
 // recentRequestSpan is how recently an engine must have been sent something to count as active.
 const recentRequestSpan = 4 * rules.Second
 
-// Observe takes what a gateway knows of all serving engines, and of its own load. Where probes are not allowed, a lost zone begins
-// its recovery ramp after the time that probes would have taken: if requests fail there it is lost again, with one more penalty.
+// Observe takes what a gateway knows of all serving engines, and of its own load. Where probes are not allowed, a
+// lost zone begins its recovery ramp after the time that probes would have taken: if requests fail there it is lost
+// again, with one more penalty.
 func (c *Controller) Observe(now rules.Time, engines []EngineObservation, standing rules.LoadSummary, probesAllowed bool) (out ObserveResult) {
 	c.now = max(c.now, now)
 	out.Changes = c.updateZones(c.now, c.observations(engines))
@@ -118,9 +119,9 @@
 	return last
 }
 
-// countEngine adds an engine to the observation of its zone. An engine that is excluded for failures from before the recovery of its zone
-// counts as healthy until it fails again: requests reach excluded engines seldom, and a zone whose engines all wait for
-// one would be lost again.
+// countEngine adds an engine to the observation of its zone. An engine that is excluded for failures from before the
+// recovery of its zone counts as healthy until it fails again: requests reach excluded engines seldom, and a zone
+// whose engines all wait for one would be lost again.
 func (c *Controller) countEngine(observation *Observation, engine EngineObservation) {
 	zone := &c.zones[engine.Zone]
 	excluded := engine.Excluded && (zone.state != Returning || engine.LastFailure >= zone.since)
@@ -137,8 +138,8 @@
 	}
 }
 
-// applyProbes overrides an observation by what probes say: a suspected zone that does not answer them is silent, and a lost zone is as
-// healthy as its last probes.
+// applyProbes overrides an observation by what probes say: a suspected zone that does not answer them is silent, and
+// a lost zone is as healthy as its last probes.
 func applyProbes(observation *Observation, zone *zoneRecord) {
 	if zone.probes.unanswered >= unansweredForSilence {
 		observation.ActiveEngines = max(observation.ActiveEngines, 2)
--- a/internal/zones/probes.go
+++ b/internal/zones/probes.go
@@ -2,10 +2,11 @@
 
 import "foxlane/rules"
 
-// This file decides which engines are probed. A lost zone gets no requests, so that only probes can show that it has recovered.
+// This file decides which engines are probed. A lost zone gets no requests, so that only probes can show that it has
+// recovered.
 
-// probeState is what probes say: of a lost zone, whose engines are excluded and get no requests; and of a suspected one, whether it is
-// still there.
+// probeState is what probes say: of a lost zone, whose engines are excluded and get no requests; and of a suspected
+// one, whether it is still there.
 type probeState struct {
 	nextEngine     int // counts probes; the engine is that modulo the number of candidates
 	lastProbe      rules.Time
@@ -48,8 +49,8 @@
 	}
 }
 
-// chooseProbe chooses an engine to probe: of a lost or suspected zone any, one after the other; of a recovering zone those that are still
-// excluded.
+// chooseProbe chooses an engine to probe: of a lost or suspected zone any, one after the other; of a recovering zone
+// those that are still excluded.
 func (c *Controller) chooseProbe(index int, zone *zoneRecord, engines []EngineObservation, probesAllowed bool) (id rules.EngineID, ok bool) {
 	probes, all := &zone.probes, zone.state == Lost || zone.probes.suspectedSince != 0
 	interval := probeInterval
@@ -88,8 +89,9 @@
 	return 0, false
 }
 
-// updateSuspicion suspects a zone when more than one of its engines has an overdue or failed request and no engine of it has sent anything since: that
-// shows a loss long before its engines are excluded one by one. Any response from the zone ends the suspicion.
+// updateSuspicion suspects a zone when more than one of its engines has an overdue or failed request and no engine
+// of it has sent anything since: that shows a loss long before its engines are excluded one by one. Any response
+// from the zone ends the suspicion.
 func (c *Controller) updateSuspicion(zone *zoneRecord, overdue int, lastResponse rules.Time) {
 	probes := &zone.probes
 	switch {
--- a/internal/zones/retries.go
+++ b/internal/zones/retries.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// retryAllowed reports whether a zone may get one more retry. The decision module's own retry budget bounds all retries of the gateway; this one
-// bounds those that a zone gets on top of the load that it has taken over.
+// retryAllowed reports whether a zone may get one more retry. The decision module's own retry budget bounds all
+// retries of the gateway; this one bounds those that a zone gets on top of the load that it has taken over.
 func (c *Controller) retryAllowed(zone *zoneRecord) bool {
 	if c.settings.RetryBudget >= 1 {
 		return true
--- a/internal/zones/routing.go
+++ b/internal/zones/routing.go
@@ -8,9 +8,9 @@
 
 // This file answers the decision module: in which zone a query may run.
 
-// PickZone returns the zone from which the engine of a query is to be drawn (rules.ZonePlan): at random by the last split, among the zones
-// that admit it and had no attempt of it. For a gateway that has observed nothing yet, or a query that all zones of the split have had,
-// it returns any zone.
+// PickZone returns the zone from which the engine of a query is to be drawn (rules.ZonePlan): at random by the last
+// split, among the zones that admit it and had no attempt of it. For a gateway that has observed nothing yet, or a
+// query that all zones of the split have had, it returns any zone.
 func (c *Controller) PickZone(now rules.Time, drawn, work float64, tried []int) (int, bool) {
 	c.now = max(c.now, now)
 	total, blocked := 0.0, false
@@ -46,8 +46,8 @@
 	return last, true
 }
 
-// Admits reports whether a query may run in a zone now (rules.ZonePlan): not in one that is lost or drained while others are taken for
-// healthy, nor over the spillover limit or the retry budget.
+// Admits reports whether a query may run in a zone now (rules.ZonePlan): not in one that is lost or drained while
+// others are taken for healthy, nor over the spillover limit or the retry budget.
 func (c *Controller) Admits(now rules.Time, i int, work float64, retry bool) bool {
 	if i < 0 || i >= len(c.zones) || len(c.split.Fractions) == 0 {
 		return true
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -6,10 +6,11 @@
 	"foxlane/rules"
 )
 
-// This file decides which requests are shed first when more is asked for than can be done. Load is shed by priority tiers, each of
-// which is one kind of request: as much as must be, from the first tier on; of the tier on which that ends only a part. What
-// counts is the priority weight of a request for its work, and not its class: a class that is shed as a whole loses its many light
-// requests along with the few heavy ones that need the capacity, and lost 0.07 of all value in the model of a lost site.
+// This file decides which requests are shed first when more is asked for than can be done. Load is shed by priority
+// tiers, each of which is one kind of request: as much as must be, from the first tier on; of the tier on which that
+// ends only a part. What counts is the priority weight of a request for its work, and not its class: a class that is
+// shed as a whole loses its many light requests along with the few heavy ones that need the capacity, and lost 0.07
+// of all value in the model of a lost site.
 
 // PriorityTier is a kind of request by which load is shed.
 type PriorityTier int
@@ -21,13 +22,15 @@
 	TierLowestValue                     // the first of the value tiers: requests with the least priority weight for their work
 )
 
-// Value tiers are by the priority weight of a request over the seconds of work on one core: two tiers a power of two, the middle one at 1.
+// Value tiers are by the priority weight of a request over the seconds of work on one core: two tiers a power of
+// two, the middle one at 1.
 const (
 	valueTiers       = 48
 	tiersPerDoubling = 2
 )
 
-// ValueTier returns the value tier of a request, from 0: by its priority weight and its work in microseconds, all threads together.
+// ValueTier returns the value tier of a request, from 0: by its priority weight and its work in microseconds, all
+// threads together.
 func ValueTier(worth, work float64) int {
 	if worth <= 0 || work <= 0 {
 		return 0
@@ -35,7 +38,8 @@
 	return min(max(int(math.Floor(tiersPerDoubling*math.Log2(worth*float64(rules.Second)/work)))+valueTiers/2, 0), valueTiers-1)
 }
 
-// SheddingSettings say when load is shed. The pressure is 1, and the queued work over the work that is done within queueTarget.
+// SheddingSettings say when load is shed. The pressure is 1, and the queued work over the work that is done within
+// queueTarget.
 type SheddingSettings struct {
 	Threshold    float64    // pressure from which more is shed
 	Hysteresis   float64    // less is shed when the pressure is this much under the threshold
@@ -119,7 +123,8 @@
 	Retry        bool    // its client has tried before
 }
 
-// RequestArrived counts a request before anything of it runs, and reports whether it is to be rejected, and with which Retry-After.
+// RequestArrived counts a request before anything of it runs, and reports whether it is to be rejected, and with
+// which Retry-After.
 func (c *Controller) RequestArrived(now rules.Time, request Request) (reject bool, retryAfter rules.Time) {
 	c.now = max(c.now, now)
 	demand := &c.demand
@@ -199,8 +204,8 @@
 	c.distributeShedding(demand.shedFraction)
 }
 
-// excessFraction is the fraction of the demand that can not be served. It is meaningful while a queue stands: then what is done is all that can
-// be done, and some of it is for the queue.
+// excessFraction is the fraction of the demand that can not be served. It is meaningful while a queue stands: then
+// what is done is all that can be done, and some of it is for the queue.
 func (c *Controller) excessFraction() float64 {
 	demand := &c.demand
 	asked := 0.0
@@ -212,7 +217,8 @@
 	return 1 - (done-min(queue, done/2))/max(asked, 1e-9)
 }
 
-// minWorkRate is a rate of work, in cores: below one request of each class in a demandWindow the gateway does too little to tell a pressure.
+// minWorkRate is a rate of work, in cores: below one request of each class in a demandWindow the gateway does too
+// little to tell a pressure.
 func (c *Controller) minWorkRate() (sum float64) {
 	for _, w := range c.demand.usualWork {
 		sum += w
@@ -220,7 +226,8 @@
 	return max(sum/float64(demandWindow), 1e-9)
 }
 
-// distributeShedding spreads a fraction of the demand over the tiers: each tier is shed completely before the next one, the last one in part.
+// distributeShedding spreads a fraction of the demand over the tiers: each tier is shed completely before the next
+// one, the last one in part.
 func (c *Controller) distributeShedding(part float64) {
 	demand := &c.demand
 	total := 0.0
@@ -265,7 +272,8 @@
 	return min(max(c.now-c.limitedSince, minRetryAfter), longest)
 }
 
-// SheddingStatus returns the pressure, the fraction of the demand that is shed, and what the limits have done since the start.
+// SheddingStatus returns the pressure, the fraction of the demand that is shed, and what the limits have done since
+// the start.
 func (c *Controller) SheddingStatus() (pressure, part float64, counts Counts) {
 	return c.demand.pressure, c.demand.shedFraction, c.counts
 }
--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -7,8 +7,8 @@
 	"foxlane/rules"
 )
 
-// This file simulates the loss and the recovery of zones with the code that decides at run time, so that `foxlane plan` can't differ from
-// it. One controller stands for all gateways of a zone.
+// This file simulates the loss and the recovery of zones with the code that decides at run time, so that `foxlane
+// plan` can't differ from it. One controller stands for all gateways of a zone.
 
 // ZoneSpec is a zone of a scenario.
 type ZoneSpec struct {
@@ -164,8 +164,8 @@
 	return m
 }
 
-// shedExcess sheds the demand that exceeds the cores available to it: that is where the pressure leads at run time, once it has
-// settled. A simulation has no retries and no tenants over their quota.
+// shedExcess sheds the demand that exceeds the cores available to it: that is where the pressure leads at run time,
+// once it has settled. A simulation has no retries and no tenants over their quota.
 func (c *Controller) shedExcess(sc *Scenario, asked float64) {
 	demand := &c.demand
 	for i := range demand.tiers {
@@ -181,7 +181,8 @@
 	}
 }
 
-// availableCores are the cores that take the load of the gateways of a zone: those of the zone, and what they may send to others.
+// availableCores are the cores that take the load of the gateways of a zone: those of the zone, and what they may
+// send to others.
 func (c *Controller) availableCores() (cores float64) {
 	for i := range c.zones {
 		switch capacity := c.capacity(&c.zones[i]); {
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -21,16 +21,17 @@
 	samplingDeviations = 3.0          // standard deviations by which what gateways send by sampling must stay under a limit
 )
 
-// spilloverLimited reports whether the spillover limit holds for our load in a zone. It does not in our own zone, nor for engines of no
-// zone, nor for a gateway whose own zone never had an engine: it has nowhere else to go.
+// spilloverLimited reports whether the spillover limit holds for our load in a zone. It does not in our own zone,
+// nor for engines of no zone, nor for a gateway whose own zone never had an engine: it has nowhere else to go.
 func (c *Controller) spilloverLimited(i int) bool {
 	return c.settings.SpilloverLimit < 1 && i != c.ownZone && (!c.fleet.HasUnassignedZone || i != len(c.zones)-1) &&
 		c.ownZone >= 0 && c.ownZone < len(c.zones) && c.zones[c.ownZone].usualCores >= minCores
 }
 
-// allocateSpillover computes our part of the spillover limit of each zone. Gateways whose own zone is unavailable get most of it, those whose own
-// zone overflows share the rest. Each gateway is certain of its own zone only: one whose own zone is there assumes that all others are
-// unavailable, so that the parts of all gateways never add up to more than the limit. Gateways are taken to be spread evenly over the zones.
+// allocateSpillover computes our part of the spillover limit of each zone. Gateways whose own zone is unavailable
+// get most of it, those whose own zone overflows share the rest. Each gateway is certain of its own zone only: one
+// whose own zone is there assumes that all others are unavailable, so that the parts of all gateways never add up to
+// more than the limit. Gateways are taken to be spread evenly over the zones.
 func (c *Controller) allocateSpillover() {
 	if c.settings.SpilloverLimit >= 1 {
 		return
@@ -66,9 +67,9 @@
 	return s == Lost || s == Returning || s == Draining || s == Drained
 }
 
-// spilloverAllowed reports whether work may go to a zone now. Among hundreds of gateways the part of one is smaller than a query, and no heavy
-// query would ever go: then sampling, anew for each window, lets some gateways send one query each, so many that all
-// together stay under the limit with a margin for chance.
+// spilloverAllowed reports whether work may go to a zone now. Among hundreds of gateways the part of one is smaller
+// than a query, and no heavy query would ever go: then sampling, anew for each window, lets some gateways send one
+// query each, so many that all together stay under the limit with a margin for chance.
 func (c *Controller) spilloverAllowed(i int, work float64) bool {
 	if !c.spilloverLimited(i) {
 		return true
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -35,9 +35,9 @@
 	return cores
 }
 
-// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have failed leave the endpoint list after a
-// while: their cores count on, decaying by half in Damping.MaxSuppression, or the half that is left of a
-// zone would be taken for a complete one.
+// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have failed leave the endpoint
+// list after a while: their cores count on, decaying by half in Damping.MaxSuppression, or the half that is left of
+// a zone would be taken for a complete one.
 func (c *Controller) usualCores(zone *zoneRecord) float64 {
 	faded := zone.usualCores * math.Exp2(-float64(c.now-zone.usualCoresAt)/float64(max(c.settings.Damping.MaxSuppression, 1)))
 	return max(zone.observation.ListedCores, faded, minCores/2)
@@ -118,8 +118,8 @@
 	return s
 }
 
-// spreadRemainder gives the load for which no tier has capacity to all zones in proportion: nothing is held back here; spillover limits
-// and load shedding decide what is blocked or rejected.
+// spreadRemainder gives the load for which no tier has capacity to all zones in proportion: nothing is held back
+// here; spillover limits and load shedding decide what is blocked or rejected.
 func (c *Controller) spreadRemainder(s *Split, left, listed float64) {
 	s.Unplaced = left
 	taken := 0.0
@@ -136,12 +136,14 @@
 	}
 }
 
-// presentCores are the cores of a zone that exist, whatever their health is taken to be: that a probe was not answered is a fact.
+// presentCores are the cores of a zone that exist, whatever their health is taken to be: that a probe was not
+// answered is a fact.
 func (z *zoneRecord) presentCores() float64 {
 	return max(z.observation.ListedCores-z.observation.UnansweredCores, 0)
 }
 
-// splitBySize splits the load by the present cores of each zone, without zones that are drained: no panic undoes the operator's order.
+// splitBySize splits the load by the present cores of each zone, without zones that are drained: no panic undoes the
+// operator's order.
 func (c *Controller) splitBySize(s *Split, listed float64) {
 	total := 0.0
 	size := func(zone *zoneRecord) float64 {
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -161,7 +161,8 @@
 	return c.penalty(zone) >= c.settings.Damping.SuppressAbove
 }
 
-// beginRamp begins the recovery ramp. Gateways that see a recovery together begin apart, each by its own fraction of the jitter.
+// beginRamp begins the recovery ramp. Gateways that see a recovery together begin apart, each by its own fraction of
+// the jitter.
 func (c *Controller) beginRamp(zone *zoneRecord, from float64) {
 	zone.rampFrom, zone.rampBegins = from, c.now+rules.Time(c.jitter*c.settings.RampJitter*float64(c.settings.RecoveryRamp))
 	zone.damped = false
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -4,8 +4,8 @@
 // Every gateway decides from its own traffic and endpoint list alone, and hundreds of them decide alike: what they do
 // at the same time is spread by a jitter of their own and paced in fractions of warm capacity.
 //
-// Observe takes what a gateway knows of its engines, in regular intervals; PickZone, Admits and RecordSend are the calls of the
-// decision module (rules.ZonePlan); RequestArrived is called ahead of it.
+// Observe takes what a gateway knows of its engines, in regular intervals; PickZone, Admits and RecordSend are the
+// calls of the decision module (rules.ZonePlan); RequestArrived is called ahead of it.
 //
 // The package owns the state of zones only. It must never pick an engine, queue a query, read a clock or draw at
 // random: time and random numbers are arguments, and the jitter of the gateway is given at the start.
@@ -56,8 +56,8 @@
 	Shed           [int(TierLowestValue) + 1]int
 }
 
-// New returns the controller of a gateway that has just started. All zones are taken for present until it observes otherwise: a
-// gateway that starts while a zone is lost does what it would do without zones.
+// New returns the controller of a gateway that has just started. All zones are taken for present until it observes
+// otherwise: a gateway that starts while a zone is lost does what it would do without zones.
 func New(set Settings, fleet Fleet, now rules.Time) *Controller {
 	fleet.Gateways = max(fleet.Gateways, 1)
 	controller := &Controller{settings: set, fleet: fleet, ownZone: fleet.OwnZone, jitter: fleet.Jitter, zones: make([]zoneRecord, fleet.Zones), now: now,
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,12 +14,12 @@
 	second = rules.Second
 )
 
-// observedZone is a zone of 100 cores of which a part is well, all of it warm.
+// observedZone is a zone of 100 cores of which a fraction is healthy, all of it warm.
 func observedZone(well float64) Observation {
 	return Observation{ListedCores: 100, HealthyCores: 100 * well, WarmCores: 100 * well, ActiveEngines: 4}
 }
 
-// observeFor shows the same sights for a while and returns the last of them.
+// observeFor repeats the same observations for a while and returns the time after it.
 func (c *Controller) observeFor(from, length rules.Time, observations ...Observation) rules.Time {
 	for now := from; now < from+length; now += 50 * ms {
 		c.updateZones(now, observations)
@@ -45,7 +45,7 @@
 	}
 	now = controller.observeFor(now, 600*ms, observedZone(1), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Returning || s.LoadShare != 0 {
-		t.Fatalf("back for 0.6 s, our jitter not over: %+v", s)
+		t.Fatalf("recovered for 0.6 s, before the ramp with its jitter begins: %+v", s)
 	}
 	last := 0.0
 	for range 30 {
@@ -62,26 +62,26 @@
 	}
 }
 
-// A zone that is half well stays as it is, whichever way it came there.
+// A zone that is half healthy stays in its state, whichever that is.
 func TestHysteresis(t *testing.T) {
 	controller := threeZones()
 	now := controller.observeFor(1, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0].State; s != Present {
-		t.Errorf("present and half well: %v", s)
+		t.Errorf("present and half healthy: %v", s)
 	}
 	now = controller.observeFor(now, second, observedZone(0.2), observedZone(1), observedZone(1))
 	now = controller.observeFor(now, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0].State; s != Lost {
-		t.Errorf("lost and half well: %v", s)
+		t.Errorf("lost and half healthy: %v", s)
 	}
 	now = controller.observeFor(now, 400*ms, observedZone(0.8), observedZone(1), observedZone(1))
 	controller.observeFor(now, 100*ms, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now + 600*ms)[0].State; s != Lost {
-		t.Errorf("well for less than the settling time: %v", s)
+		t.Errorf("healthy for less than the settling time: %v", s)
 	}
 }
 
-// After its third loss a zone that flaps every 2 s is kept away until it has been still, and no longer than the longest.
+// After its third loss a zone that flaps every 2 s is suppressed until it has been stable, and no longer than MaxSuppression.
 func TestFlapsAreDamped(t *testing.T) {
 	for _, every := range []rules.Time{2 * second, 10 * second, 60 * second} {
 		controller := threeZones()
@@ -108,12 +108,12 @@
 		}
 		now = controller.observeFor(now, controller.settings.Damping.MaxSuppression+2*second, observedZone(1), observedZone(1), observedZone(1))
 		if s := controller.Status(now)[0]; s.State != Present {
-			t.Errorf("flaps every %d s, then still for the longest time: %+v", every/second, s)
+			t.Errorf("flaps every %d s, then stable for MaxSuppression: %+v", every/second, s)
 		}
 	}
 }
 
-// All that we have out in a zone is silent: that is a cut link at once, however well its engines are held to be.
+// A zone whose active engines are all silent is unreachable, however healthy its engines are taken to be.
 func TestSilentZoneIsUnreachable(t *testing.T) {
 	controller := threeZones()
 	cut := observedZone(1)
@@ -140,7 +140,7 @@
 		t.Fatalf("half way %+v", s)
 	}
 	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
-		t.Errorf("half drained, it keeps %v of its load: half of its capacity counts 1.4 times", to[0])
+		t.Errorf("half drained, it keeps %v of its load: half of its capacity counts with the factor 1.4", to[0])
 	}
 	now = controller.observeFor(now, 6*second, all...)
 	if s := controller.Status(now)[0]; s.State != Drained || s.Losses != 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Where too little is well to believe it, health is let pass: leaving so much out would push the rest over.
+// Where too little is healthy, health is ignored: the rest could not take the load of what is excluded.
 func TestPanic(t *testing.T) {
 	controller := threeZones()
 	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(0), observedZone(0.9))
@@ -176,11 +176,11 @@
 		t.Errorf("and half of zone 2 gone: %v", to)
 	}
 	if s := controller.Split(now + 1); s.Panic {
-		t.Error("5 of 8 well is no panic")
+		t.Error("5 of 8 healthy is no panic")
 	}
 }
 
-// A zone whose engines have died and left the list is not taken for whole.
+// A zone whose engines have failed and left the endpoint list is not taken for complete.
 func TestHalfOfAZoneLeavesTheList(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 2}, 0)
 	now := controller.observeFor(1, 2*second, observedZone(1), observedZone(1))
@@ -195,14 +195,14 @@
 	}
 }
 
-// settingsWithSpillover are what tests of the limit of spill and of the ladder set.
+// settingsWithSpillover are the settings of tests of the spillover limit and of load shedding.
 func settingsWithSpillover(spill float64) Settings {
 	s := Defaults()
 	s.SpilloverLimit, s.SheddingEnabled = spill, true
 	return s
 }
 
-// engineObservations are four of 25 cores in each zone, of which a part fails.
+// engineObservations are four engines of 25 cores in each zone, of which a fraction is healthy.
 func engineObservations(well ...float64) (out []EngineObservation) {
 	for zone, part := range well {
 		for i := range 4 {
@@ -213,8 +213,8 @@
 	return out
 }
 
-// Gateways that all see a zone's limit keep to it together within any second, with queries smaller and larger than their
-// part, and use most of it; those of zones that stay at home need none of it.
+// All gateways together stay within the spillover limit of a zone in any second, with queries smaller and larger than
+// the part of one, and use most of it; gateways whose own zone is there need none of it.
 func TestSpilloverStaysUnderItsLimit(t *testing.T) {
 	for _, work := range []rules.Time{5 * ms, 200 * ms, 2 * second} {
 		const gateways, length = 300, 40 * second
@@ -239,7 +239,7 @@
 						sent[now/second] += float64(work) / float64(second)
 					} else if !ok {
 						if waits++; controller.RetryAfter(now) <= 0 {
-							t.Fatal("kept waiting without a time of return")
+							t.Fatal("blocked without a Retry-After")
 						}
 					}
 				}
@@ -251,14 +251,14 @@
 				t.Errorf("queries of %d ms, second %d: %v cores of foreign load, the limit is %v", work/ms, at+2, s, limit)
 			}
 		}
-		t.Logf("queries of %d ms: %.1f cores of a limit of %.0f, %d draws wait", work/ms, sum/float64(len(sent)-2), limit, waits)
+		t.Logf("queries of %d ms: %.1f cores of a limit of %.0f, %d draws are blocked", work/ms, sum/float64(len(sent)-2), limit, waits)
 		if mean := sum / float64(len(sent)-2); mean < 0.35*limit || waits == 0 {
-			t.Errorf("queries of %d ms: %v cores of a limit of %v used, %d draws wait", work/ms, mean, limit, waits)
+			t.Errorf("queries of %d ms: %v cores of a limit of %v used, %d draws are blocked", work/ms, mean, limit, waits)
 		}
 	}
 }
 
-// A gateway without a zone of its own engines, engines that belong to no zone, and a single zone know no limit.
+// There is no spillover limit for a gateway whose own zone has no engines, for engines of no zone, nor with one zone only.
 func TestNoSpilloverLimitWithoutAnOwnZone(t *testing.T) {
 	for name, controller := range map[string]*Controller{
 		"no engine of its own zone": New(settingsWithSpillover(0.01), Fleet{Zones: 3, OwnZone: 2, Gateways: 9}, 0),
@@ -270,7 +270,7 @@
 			for range 50 {
 				zone, ok := controller.PickZone(now, 0.7, float64(second), nil)
 				if !ok {
-					t.Fatalf("%s: kept waiting", name)
+					t.Fatalf("%s: blocked", name)
 				}
 				controller.RecordSend(now, zone, float64(second), false)
 			}
@@ -280,13 +280,13 @@
 	controller.Observe(1, engineObservations(1, 1), rules.LoadSummary{Share: 1}, true)
 	for range 50 {
 		if !controller.Admits(1, 1, float64(second), false) {
-			t.Fatal("engines of no zone are held for foreign ones")
+			t.Fatal("engines of no zone are taken for those of another zone")
 		}
 		controller.RecordSend(1, 1, float64(second), false)
 	}
 }
 
-// Further attempts into a zone stay within a part of the first ones there; other zones keep their own budget.
+// Retries into a zone stay within a fraction of the first attempts there; other zones have their own budget.
 func TestRetriesByZone(t *testing.T) {
 	set := Defaults()
 	set.RetryBudget = 0.2
@@ -299,28 +299,29 @@
 	for controller.Admits(now, 1, float64(ms), true) {
 		controller.RecordSend(now, 1, float64(ms), true)
 		if sent++; sent > 100 {
-			t.Fatal("no end of further attempts")
+			t.Fatal("retries without end")
 		}
 	}
 	if sent != freeRetries+20 {
-		t.Errorf("%d further attempts on 100 first ones", sent)
+		t.Errorf("%d retries on 100 first attempts", sent)
 	}
 	if !controller.Admits(now, 2, float64(ms), true) || !controller.Admits(now, 1, float64(ms), false) {
-		t.Error("the budget of one zone keeps another's, or first attempts, back")
+		t.Error("the budget of one zone blocks retries into another, or first attempts")
 	}
 	if !controller.Admits(now+3*retryWindow, 1, float64(ms), true) {
-		t.Error("the budget does not come back")
+		t.Error("the budget does not recover")
 	}
 }
 
-// Nothing is drawn in, or let into, a zone that is lost or drained while others are well; where none is believed any more all are open.
+// No query is drawn in or admitted to a zone that is lost or drained while others are healthy; in a panic all zones
+// admit queries.
 func TestOpenZones(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 3, Gateways: 1}, 0)
 	for now := rules.Time(1); now < 2*second; now += 200 * ms {
 		controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{}, true)
 	}
 	if controller.Admits(2*second, 0, 1, false) || !controller.Admits(2*second, 1, 1, false) {
-		t.Error("the lost zone is open, or another is not")
+		t.Error("the lost zone admits queries, or another does not")
 	}
 	for drawn := 0.0; drawn < 1; drawn += 0.05 {
 		if zone, ok := controller.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
@@ -328,18 +329,18 @@
 		}
 	}
 	if zone, ok := controller.PickZone(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
-		t.Errorf("all zones with a part had an attempt: %d, %v", zone, ok)
+		t.Errorf("all zones of the split had an attempt: %d, %v", zone, ok)
 	}
 	for now := 2 * second; now < 5*second; now += 200 * ms {
 		controller.Observe(now, engineObservations(0, 0, 0), rules.LoadSummary{}, true)
 	}
 	if !controller.Admits(5*second, 0, 1, false) {
-		t.Error("nothing is well, and a zone is shut all the same")
+		t.Error("nothing is healthy, and a zone admits no queries all the same")
 	}
 }
 
-// Under a standing queue the ladder sheds what earns least, as much as the queue needs to go; calm again it is left. Without the
-// block nothing is shed.
+// With a standing queue requests of the lowest value are shed, as many as the queue needs to drain; without pressure
+// nothing is. Nothing is shed where shedding is not enabled.
 func TestArriveUnderPressure(t *testing.T) {
 	classes := []rules.Class{{PriorityWeight: 1, LatencyObjective: second}, {PriorityWeight: 20, LatencyObjective: second}}
 	const work = float64(second) / 2
@@ -363,33 +364,33 @@
 					held -= work
 					controller.RecordSend(now, 0, work, false)
 				}
-				held = min(held, 400*float64(second)) // the rest has become hopeless
+				held = min(held, 400*float64(second)) // the rest has missed its deadline
 			}
 			return refused
 		}
 		if got := run(1, 20*second, 0.9); got != [2]int{} {
-			t.Errorf("shedding %v, a load of 0.9: %v refused", shed, got)
+			t.Errorf("shedding %v, a load of 0.9: %v rejected", shed, got)
 		}
 		run(20*second, 20*second, 1.4)
 		got := run(40*second, 20*second, 1.4)
 		if part := float64(got[0]) / (20 * 1.4 * 200); shed && (math.Abs(part-0.286) > 0.06 || got[1] != 0) || !shed && got != [2]int{} {
-			t.Errorf("shedding %v, a load of 1.4: %v refused, %.3f of all; 0.286 is over", shed, got, part)
+			t.Errorf("shedding %v, a load of 1.4: %v rejected, %.3f of all; 0.286 is too much", shed, got, part)
 		}
 		run(60*second, 60*second, 0.8)
-		if _, rungs, _ := controller.SheddingStatus(); rungs > 0.01 || controller.RetryAfter(120*second) != 0 {
-			t.Errorf("shedding %v, after the pressure: %v shed, return %d", shed, rungs, controller.RetryAfter(120*second))
+		if _, shedNow, _ := controller.SheddingStatus(); shedNow > 0.01 || controller.RetryAfter(120*second) != 0 {
+			t.Errorf("shedding %v, after the overload: %v shed, Retry-After %d", shed, shedNow, controller.RetryAfter(120*second))
 		}
 	}
 }
 
-// A tenant that asks for more than its agreed share is shed first.
+// Requests of a tenant over its quota are shed first.
 func TestTenantsOverQuotaAreShedFirst(t *testing.T) {
 	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerSecond: 20}, {QuotaPerSecond: 20}},
 		Classes: []rules.Class{{PriorityWeight: 1, LatencyObjective: second}}}, 0)
 	controller.demand.tiers[TierOverQuota].shedFraction = 1
 	refused := [2]int{}
 	for now := rules.Time(1); now < 20*second; now += 50 * ms {
-		for tenant, n := range []int{3, 0} { // 60 a second, and 5: our even part of the quota is 10
+		for tenant, n := range []int{3, 0} { // 60 a second, and 5: the even part of the quota for one gateway is 10
 			if tenant == 1 && now%(200*ms) == 1 {
 				n = 1
 			}
@@ -401,17 +402,17 @@
 		}
 	}
 	if refused[0] < 500 || refused[1] != 0 {
-		t.Errorf("refused by tenant: %v", refused)
+		t.Errorf("rejected by tenant: %v", refused)
 	}
 }
 
-// As much is shed as must be, from the first rung up, and of the last only a part: tenants over their share, repeats, then what
-// earns least for its work.
+// As much is shed as must be, from the first tier on, and of the last one only a part: tenants over their quota,
+// retries, then the lowest value.
 func TestTiersAreShedInOrder(t *testing.T) {
 	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{PriorityWeight: 1}, {PriorityWeight: 16}}}, 0)
 	light, heavy := TierLowestValue+PriorityTier(ValueTier(1, float64(second))), TierLowestValue+PriorityTier(ValueTier(16, float64(second)))
 	if heavy-light != 4*tiersPerDoubling {
-		t.Fatalf("16 times the worth is %d rungs up", heavy-light)
+		t.Fatalf("16 times the priority weight is %d tiers up", heavy-light)
 	}
 	for _, c := range []struct{ part, over, again, less, more float64 }{{0, 0, 0, 0, 0}, {0.1, 1, 0, 0, 0}, {0.2, 1, 0.5, 0, 0},
 		{0.4, 1, 1, 1.0 / 3, 0}, {0.7, 1, 1, 1, 1.0 / 4}} {
@@ -424,7 +425,7 @@
 		controller.distributeShedding(c.part)
 		for tier, want := range map[PriorityTier]float64{TierOverQuota: c.over, TierRetries: c.again, light: c.less, heavy: c.more} {
 			if got := controller.demand.tiers[tier].shedFraction; math.Abs(got-want) > 1e-9 {
-				t.Errorf("of %v of all, rung %d sheds %v, want %v", c.part, tier, got, want)
+				t.Errorf("of %v of all, tier %d sheds %v, want %v", c.part, tier, got, want)
 			}
 		}
 	}
@@ -434,20 +435,20 @@
 	for range 100 {
 		if refuse, after := controller.RequestArrived(second, Request{Class: 0, DeclaredWork: float64(second)}); refuse {
 			if shed++; after <= 0 {
-				t.Fatal("refused without a time of return")
+				t.Fatal("rejected without a Retry-After")
 			}
 		}
 		if refuse, _ := controller.RequestArrived(second, Request{Class: 1, DeclaredWork: float64(second)}); refuse {
-			t.Fatal("what earns more is refused")
+			t.Fatal("a request of higher value is rejected")
 		}
 	}
 	if shed != 25 {
-		t.Errorf("%d of 100 of a rung that sheds a quarter", shed)
+		t.Errorf("%d of 100 of a tier that sheds a quarter", shed)
 	}
 }
 
-// Whatever is seen: parts add up to one and lie within 0 and 1, nothing goes to a zone that lists nothing, a share
-// never jumps up, and what is drained gets nothing while another zone is there.
+// For random observations: fractions add up to one and lie within 0 and 1, nothing goes to a zone that lists nothing, and a
+// share never rises faster than the ramp.
 func TestSplitIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "zones")
@@ -496,7 +497,7 @@
 	})
 }
 
-// A plan of three halls: the loss of one is taken by the others within the limit of spill, and its return is paced.
+// A simulation of three zones: the others take the load of a lost one within the spillover limit, and its recovery is paced.
 func TestPlan(t *testing.T) {
 	sc := Scenario{
 		Zones:     []ZoneSpec{{"a", 100, 60}, {"b", 100, 60}, {"c", 100, 60}},
@@ -517,18 +518,18 @@
 			t.Errorf("second %d: %v cores asked for, %v accounted for", at, m.Demand, asked)
 		}
 		if (at < 5 || at > 55) && (m.Unserved > 1e-6 || m.Zones[0].OwnLoad < 59) {
-			t.Errorf("second %d, all is well: %+v", at, m)
+			t.Errorf("second %d, nothing is lost: %+v", at, m)
 		}
 		if at > 7 && at < 30 && (m.Zones[0].OwnLoad+m.Zones[0].ForeignLoad > 1e-9 || m.Unserved > 1) {
 			t.Errorf("second %d, a is lost and its clients fit the others: %+v", at, m)
 		}
 		if at == 33 && (m.Zones[0].OwnLoad > 30 || m.Zones[0].State != Returning) {
-			t.Errorf("second %d, a is back for 3 s: %+v", at, m.Zones[0])
+			t.Errorf("second %d, a has been back for 3 s: %+v", at, m.Zones[0])
 		}
 	}
 }
 
-// What the module leaves out for faults from before a return does not make the zone lost once more; faults from after it do.
+// Engines that are excluded for failures from before a recovery do not make the zone lost again; failures after it do.
 func TestFailuresFromBeforeARecovery(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 	look := func(from, length rules.Time, fault rules.Time, answers bool) rules.Time {
@@ -547,11 +548,11 @@
 	}
 	now := look(second, 3*second, second, false)
 	if s := controller.Status(now)[0].State; s != Lost {
-		t.Fatalf("all left out for 3 s: %v", s)
+		t.Fatalf("all excluded for 3 s: %v", s)
 	}
 	now = look(now, 7*second, second, true)
 	if s := controller.Status(now)[0]; s.State != Returning || s.Losses != 1 {
-		t.Fatalf("its engines answer probes, and are still left out for what was before: %+v", s)
+		t.Fatalf("its engines answer probes, and are still excluded for failures from before: %+v", s)
 	}
 	now = look(now, 2*second, now, true)
 	if s := controller.Status(now)[0]; s.State != Lost || s.Losses != 2 {
@@ -559,13 +560,14 @@
 	}
 }
 
-// Two engines of a zone that owe what is late, and none that has said a word since: the zone is asked, and lost within a second and a
-// half if nobody answers, long before any of its engines is left out. One late engine is no doubt; a word from any ends it.
+// A zone with two engines with overdue requests and no response since is probed, and lost within a second and a half if no
+// probe is answered, long before any of its engines is excluded. One overdue engine is no reason for suspicion; a
+// response from any ends it.
 func TestSilentZoneIsSuspected(t *testing.T) {
 	type run struct {
-		late   int // engines of the first zone that owe something late
+		late   int // engines of the first zone with an overdue request
 		answer bool
-		word   rules.Time // when another engine there says something; 0: never
+		word   rules.Time // when another engine there sends a response; 0: never
 	}
 	play := func(r run) (asked int, lostAt rules.Time) {
 		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
@@ -601,20 +603,20 @@
 		return asked, lostAt
 	}
 	if asked, lostAt := play(run{late: 2}); asked < 2 || lostAt == 0 || lostAt > 1500*ms {
-		t.Errorf("silent: asked %d times, lost after %d ms", asked, lostAt/ms)
+		t.Errorf("silent: probed %d times, lost after %d ms", asked, lostAt/ms)
 	}
 	if asked, lostAt := play(run{late: 1}); asked != 0 || lostAt != 0 {
-		t.Errorf("one late engine: asked %d times, lost after %d ms", asked, lostAt/ms)
+		t.Errorf("one overdue engine: probed %d times, lost after %d ms", asked, lostAt/ms)
 	}
 	if asked, lostAt := play(run{late: 2, answer: true}); asked == 0 || lostAt != 0 {
-		t.Errorf("it answers: asked %d times, lost after %d ms", asked, lostAt/ms)
+		t.Errorf("it answers: probed %d times, lost after %d ms", asked, lostAt/ms)
 	}
 	if asked, lostAt := play(run{late: 2, word: 300 * ms}); asked > 2 || lostAt != 0 {
-		t.Errorf("another engine speaks: asked %d times, lost after %d ms", asked, lostAt/ms)
+		t.Errorf("another engine responds: probed %d times, lost after %d ms", asked, lostAt/ms)
 	}
 }
 
-// A zone that others say is lost is asked, and stays as it is while it answers.
+// A zone that other gateways say is lost is probed, and keeps its state while it answers.
 func TestSuspicionFromPeers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
@@ -632,7 +634,7 @@
 			}
 		}
 		if s := controller.Status(4 * second)[0].State; asked == 0 || (s == Lost) == answers {
-			t.Errorf("answers %v: asked %d times, then %v", answers, asked, s)
+			t.Errorf("answers %v: probed %d times, then %v", answers, asked, s)
 		}
 	}
 }
