--- a/internal/admission/bookings.go
+++ b/internal/admission/bookings.go
@@ -111,8 +111,8 @@
 	return first, true
 }
 
-// book records a Retry-After, so that the client is queued first if it comes then.
-func (c *Controller) book(client uint64, after rules.Time) { c.bookings.add(client, c.now, after) }
+// addBooking records a Retry-After, so that the client is queued first if it comes then.
+func (c *Controller) addBooking(client uint64, after rules.Time) { c.bookings.add(client, c.now, after) }
 
 // claimBooking marks a request as booked if its client comes at its Retry-After.
 func (c *Controller) claimBooking(request *openRequest) {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -195,7 +195,7 @@
 	sizes := testLimits()
 	sizes.Requests = 16
 	sim := newSimulation(t, trustingSettings(), sizes, oneClass())
-	kept, lost, told := 0, 0, []float64{}
+	served, missed, overNeeded := 0, 0, []float64{}
 	n := 0
 	type back struct {
 		at, granted rules.Time
@@ -205,15 +205,15 @@
 	first := map[string]back{}
 	sim.onRejected = func(request *simulatedRequest, after rules.Time, _ Reason) {
 		if _, ok := first[request.id]; ok {
-			lost++
+			missed++
 		}
 		delete(first, request.id)
 		backs = append(backs, back{sim.now + after, sim.now, request.connection})
 	}
 	sim.onServed = func(request *simulatedRequest) {
 		if f, ok := first[request.id]; ok {
-			kept++
-			told = append(told, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
+			served++
+			overNeeded = append(overNeeded, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
 			delete(first, request.id)
 		}
 		backs = append(backs, back{sim.now, 0, request.connection})
@@ -243,21 +243,21 @@
 			sim.send(k.conn, id, "coop", 50*ms, nil)
 		}
 	}
-	if kept+lost < 300 || float64(kept)/float64(kept+lost) < 0.9 {
-		t.Errorf("of %d that came back at their Retry-After %d were served", kept+lost, kept)
+	if served+missed < 300 || float64(served)/float64(served+missed) < 0.9 {
+		t.Errorf("of %d that came back at their Retry-After %d were served", served+missed, served)
 	}
 	s := sim.controller.Stats()
 	if s.ReturnsServed < 300 || s.RetryAfterCorrection < 0.5 || s.RetryAfterCorrection > 2 {
 		t.Errorf("counted: %d returns served, %d missed, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
 	}
 	middle := 0
-	for _, r := range told {
+	for _, r := range overNeeded {
 		if r >= 0.5 && r <= 2 {
 			middle++
 		}
 	}
-	if float64(middle) < 0.5*float64(len(told)) {
-		t.Errorf("%d of %d Retry-After were within a half and twice what was needed", middle, len(told))
+	if float64(middle) < 0.5*float64(len(overNeeded)) {
+		t.Errorf("%d of %d Retry-After were within a half and twice what was needed", middle, len(overNeeded))
 	}
 }
 
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -97,7 +97,7 @@
 func TestUnderstatedWorkGainsNothing(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	n := 0
-	tell := func(tenant string) func(*Request) {
+	declare := func(tenant string) func(*Request) {
 		return func(q *Request) {
 			if tenant == "liar" {
 				q.DeclaredWork = 1
@@ -106,11 +106,11 @@
 	}
 	sim.onServed = func(request *simulatedRequest) {
 		n++
-		sim.send(request.connection, fmt.Sprint("r", n), request.tenant, request.runTime, tell(request.tenant))
+		sim.send(request.connection, fmt.Sprint("r", n), request.tenant, request.runTime, declare(request.tenant))
 	}
 	for i, tenant := range []string{"liar", "honest"} {
 		for j := range 20 {
-			sim.send(sim.connect(fmt.Sprintf("10.0.0.%d", i+1)), fmt.Sprint("first", i, j), tenant, 50*ms, tell(tenant))
+			sim.send(sim.connect(fmt.Sprintf("10.0.0.%d", i+1)), fmt.Sprint("first", i, j), tenant, 50*ms, declare(tenant))
 		}
 	}
 	sim.advance(20 * rules.Second)
@@ -164,13 +164,13 @@
 		sim.send(sim.connect("10.0.0.1"), fmt.Sprint("first", i), "coop", 100*ms, nil)
 	}
 	c := sim.connect("10.0.0.1")
-	sim.controller.book(sim.controller.connections[0].client.key, 100*ms) // as if its Retry-After had said so
+	sim.controller.addBooking(sim.controller.connections[0].client.key, 100*ms) // as if its Retry-After had said so
 	sim.advance(100 * ms)
 	sim.send(c, "back", "coop", 100*ms, nil)
-	held := map[string]bool{}
+	queued := map[string]bool{}
 	for _, request := range sim.requests {
 		if request != nil && !request.admitted {
-			held[request.id] = true
+			queued[request.id] = true
 		}
 	}
 	sim.advance(3 * rules.Second)
@@ -179,12 +179,12 @@
 		if id == "back" {
 			break
 		}
-		if held[id] {
+		if queued[id] {
 			before++
 		}
 	}
-	if len(held) < 10 || sim.outcomes["back"] != 1 || before > 0 {
-		t.Errorf("ended %d times, behind %d of the %d that were queued when it came", sim.outcomes["back"], before, len(held))
+	if len(queued) < 10 || sim.outcomes["back"] != 1 || before > 0 {
+		t.Errorf("ended %d times, behind %d of the %d that were queued when it came", sim.outcomes["back"], before, len(queued))
 	}
 	if s := sim.controller.Stats(); s.ReturnsServed != 1 {
 		t.Errorf("%d returns are counted as served", s.ReturnsServed)
@@ -219,14 +219,14 @@
 	controller := sim.controller
 	room := len(controller.bookings.bookings)
 	for i := range 4 * room {
-		controller.book(uint64(i+1), rules.Second)
+		controller.addBooking(uint64(i+1), rules.Second)
 	}
 	if len(controller.bookings.byClient) != room || controller.bookings.firstFree != noSlot {
 		t.Fatalf("%d clients have %d bookings", len(controller.bookings.byClient), room)
 	}
 	controller.now += 100 * rules.Second
 	for i := range room {
-		controller.book(uint64(1_000_000+i), rules.Second)
+		controller.addBooking(uint64(1_000_000+i), rules.Second)
 	}
 	fresh := 0
 	for i := range room {
@@ -243,9 +243,9 @@
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	controller := sim.controller
 	for range 10 * len(controller.bookings.bookings) {
-		controller.book(1, rules.Second)
+		controller.addBooking(1, rules.Second)
 	}
-	controller.book(2, rules.Second)
+	controller.addBooking(2, rules.Second)
 	if list := controller.bookings.byClient[1]; int(list.count) > len(controller.bookings.bookings)/4 || controller.bookings.byClient[2].count != 1 {
 		t.Errorf("one client has %d of %d bookings, the other %d", list.count, len(controller.bookings.bookings), controller.bookings.byClient[2].count)
 	}
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -76,7 +76,7 @@
 		after = most - rules.Time(spreadFraction*c.rng.Float64()*float64(most))
 	} else {
 		tenant.bookedUntil = c.now + after
-		c.book(client.key, after)
+		c.addBooking(client.key, after)
 	}
 	after = max(after, rules.Millisecond)
 	if conn != nil {
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -303,17 +303,17 @@
 			}
 		}
 	}
-	held := 0
+	queued := 0
 	for i := range controller.requests {
 		if request := &controller.requests[i]; request.state == requestBlocked || request.state == requestQueued {
-			held++
+			queued++
 			if request.client.tenant == nil {
 				rt.Fatal("queued for no tenant")
 			}
 		}
 	}
-	if held != controller.queued || held != len(controller.expiry) {
-		rt.Fatalf("%d queued, %d counted, %d in the expiry heap", held, controller.queued, len(controller.expiry))
+	if queued != controller.queued || queued != len(controller.expiry) {
+		rt.Fatalf("%d queued, %d counted, %d in the expiry heap", queued, controller.queued, len(controller.expiry))
 	}
 	for class := range controller.flows {
 		for i, tn := range controller.flows[class].heap {
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -348,23 +348,23 @@
 		set := settingsWithSpillover(1)
 		set.SheddingEnabled = shed
 		controller := New(set, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
-		held := 0.0
+		queued := 0.0
 		run := func(from, length rules.Time, load float64) (refused [2]int) {
 			due := 0.0
 			for now := from; now < from+length; now += 50 * ms {
-				controller.Observe(now, engineObservations(1), rules.LoadSummary{Share: 1, QueuedWork: held, MeanWork: []float64{work, work}}, true)
+				controller.Observe(now, engineObservations(1), rules.LoadSummary{Share: 1, QueuedWork: queued, MeanWork: []float64{work, work}}, true)
 				for due += load * 100 * float64(50*ms) / work; due >= 1; due-- { // 100 cores do their work
 					if refuse, _ := controller.RequestArrived(now, Request{Class: int(due) % 2, DeclaredWork: work}); refuse {
 						refused[int(due)%2]++
 					} else {
-						held += work
+						queued += work
 					}
 				}
-				for did := 0.0; did < 100*float64(50*ms) && held >= work; did += work {
-					held -= work
+				for did := 0.0; did < 100*float64(50*ms) && queued >= work; did += work {
+					queued -= work
 					controller.RecordSend(now, 0, work, false)
 				}
-				held = min(held, 400*float64(second)) // the rest has missed its deadline
+				queued = min(queued, 400*float64(second)) // the rest has missed its deadline
 			}
 			return refused
 		}
