--- a/internal/admission/bookings.go
+++ b/internal/admission/bookings.go
@@ -112,7 +112,9 @@
 }
 
 // addBooking records a Retry-After, so that the client is queued first if it comes then.
-func (c *Controller) addBooking(client uint64, after rules.Time) { c.bookings.add(client, c.now, after) }
+func (c *Controller) addBooking(client uint64, after rules.Time) {
+	c.bookings.add(client, c.now, after)
+}
 
 // claimBooking marks a request as booked if its client comes at its Retry-After.
 func (c *Controller) claimBooking(request *openRequest) {
