--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -86,17 +86,17 @@
 
 // New returns the controller of a gateway that has just started. Clients must not know the seed, or they
 // could choose names whose hashes collide.
-func New(set Settings, sizes Limits, classes []rules.Class, declared []string, seed uint64) *Controller {
-	controller := &Controller{settings: set, limits: sizes, classes: classes, seed: seed, shutdownDeadline: math.MaxInt64,
+func New(set Settings, limits Limits, classes []rules.Class, declared []string, seed uint64) *Controller {
+	controller := &Controller{settings: set, limits: limits, classes: classes, seed: seed, shutdownDeadline: math.MaxInt64,
 		rng:         rand.New(rand.NewPCG(seed, seed^0x6a09e667f3bcc909)),
-		requests:    make([]openRequest, sizes.Requests),
-		connections: make([]connection, sizes.ConnectionSlots),
-		lastOfKey:   make(map[uint64]int32, sizes.Requests),
-		tenantByKey: make(map[uint64]*tenantAccount, sizes.ConnectionSlots),
+		requests:    make([]openRequest, limits.Requests),
+		connections: make([]connection, limits.ConnectionSlots),
+		lastOfKey:   make(map[uint64]int32, limits.Requests),
+		tenantByKey: make(map[uint64]*tenantAccount, limits.ConnectionSlots),
 		flows:       make([]classFlow, len(classes)),
 	}
 	controller.resolver = newIdentityResolver(set, declared, seed)
-	rows := sizes.StateBytes / 4
+	rows := limits.StateBytes / 4
 	controller.tenantDebts, controller.clientDebts = newDebtTable(rows), newDebtTable(rows)
 	controller.lightDebts, controller.bookings = newDebtSketch(rows), newBookingTable(rows)
 	for _, c := range classes {
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -73,7 +73,10 @@
 func (c *Controller) longestInState(state connectionState, tenant *tenantAccount, except *connection, before rules.Time) (longest *connection) {
 	for i := range c.connections {
 		conn := &c.connections[i]
-		if conn.state == state && conn != except && conn.stateSince <= before && (tenant == nil || conn.client.tenant == tenant) && (longest == nil || conn.stateSince < longest.stateSince) {
+		if conn.state != state || conn == except || conn.stateSince > before || tenant != nil && conn.client.tenant != tenant {
+			continue
+		}
+		if longest == nil || conn.stateSince < longest.stateSince {
 			longest = conn
 		}
 	}
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -160,7 +160,8 @@
 // rejectAdmitted rejects a request that the decision module has. Its slot stays in use until RequestDone.
 func (c *Controller) rejectAdmitted(request *openRequest, reason Reason) {
 	c.stats.Rejected[reason]++
-	c.emit(Effect{Kind: Reject, Slot: int(request.slot), After: c.retryAfter(request.client, request.work, &c.connections[request.connection]), Reason: reason})
+	after := c.retryAfter(request.client, request.work, &c.connections[request.connection])
+	c.emit(Effect{Kind: Reject, Slot: int(request.slot), After: after, Reason: reason})
 }
 
 func (c *Controller) releaseRequest(request *openRequest) {
--- a/internal/zones/settings.go
+++ b/internal/zones/settings.go
@@ -59,7 +59,7 @@
 	switch {
 	case !(s.Overprovision >= 1 && s.Overprovision <= 10):
 		return settingsErrorf("overprovision is %v, 1 to 10 is possible", s.Overprovision)
-	case !(s.PanicThreshold >= 0 && s.PanicThreshold <= 1), !(s.SpilloverLimit >= 0 && s.SpilloverLimit <= 1), !(s.RampJitter >= 0 && s.RampJitter <= 1), !(s.RetryBudget >= 0 && s.RetryBudget <= 1):
+	case !isFraction(s.PanicThreshold), !isFraction(s.SpilloverLimit), !isFraction(s.RampJitter), !isFraction(s.RetryBudget):
 		return settingsErrorf("panic, spill, retries and jitter are parts: 0 to 1")
 	case !(s.LostBelow > 0 && s.LostBelow < s.RecoverAbove && s.RecoverAbove <= 1):
 		return settingsErrorf("lost_below is %v and back_over %v: 0 < lost_below < back_over <= 1", s.LostBelow, s.RecoverAbove)
@@ -83,3 +83,6 @@
 	}
 	return s.Shedding.validate()
 }
+
+// isFraction is false for NaN.
+func isFraction(x float64) bool { return x >= 0 && x <= 1 }
