--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -353,6 +353,94 @@
 	}
 }
 
+// A message that no voter sends is ignored. One that contradicts the log ends the voter's part until a restart; the process, and the other
+// voters, go on.
+func TestForgedMessages(t *testing.T) {
+	committed := func(v *Voter) (index, term uint64) {
+		index = v.Status().Commit
+		term, err := v.storage.Term(index)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return index, term
+	}
+	entry := func(index, term uint64) *pb.Entry {
+		return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte("x")}
+	}
+	for _, c := range []struct {
+		name   string
+		change func(v *Voter, m *pb.Message)
+		broken bool
+	}{
+		{"of the process itself", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgReadIndex.Enum() }, false},
+		{"of the caller", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgTransferLeader.Enum() }, false},
+		{"a proposal with a term", func(_ *Voter, m *pb.Message) {
+			m.Type, m.Term, m.Entries = pb.MsgProp.Enum(), proto.Uint64(9), []*pb.Entry{entry(9, 9)}
+		}, false},
+		{"a proposal of nothing", func(_ *Voter, m *pb.Message) { m.Type, m.Term = pb.MsgProp.Enum(), nil }, false},
+		{"of the voter itself", func(_ *Voter, m *pb.Message) { m.Type, m.From = pb.MsgHeartbeat.Enum(), m.To }, false},
+		{"entries that undo a committed one", func(v *Voter, m *pb.Message) {
+			index, term := committed(v)
+			m.Type, m.Index, m.LogTerm, m.Entries = pb.MsgApp.Enum(), proto.Uint64(index), proto.Uint64(term), []*pb.Entry{entry(index, term+9)}
+		}, true},
+	} {
+		p := newTestCluster(t, 3, 6)
+		p.run(3 * second)
+		p.propose("v0", testCommand(1))
+		p.run(second)
+		i := (slices.Index(p.names, p.leader()) + 1) % 3
+		name, v := p.names[i], p.voters[p.names[i]]
+		m := &pb.Message{To: proto.Uint64(uint64(i + 1)), From: proto.Uint64(uint64((i+1)%3 + 1)), Term: proto.Uint64(99)}
+		c.change(v, m)
+		raw, err := proto.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		logged := len(p.logged)
+		p.handle(name, Received{From: p.names[m.GetFrom()-1], Data: raw})
+		if v.Status().Broken != c.broken || len(p.logged) != logged+1 {
+			t.Errorf("%s: broken %v, logged %v", c.name, v.Status().Broken, p.logged[logged:])
+		}
+		p.run(second)
+		p.propose(name, testCommand(2))
+		p.propose(p.names[(i+1)%3], testCommand(3))
+		p.run(4 * second)
+		if p.acks["c2"] == c.broken || p.failed["c2"] != c.broken || !p.acks["c3"] {
+			t.Errorf("%s: acknowledged %v, failed %v", c.name, p.acks, p.failed)
+		}
+	}
+}
+
+// No message, whatever a claimed sender puts into it, panics or keeps a voter from returning.
+func TestRandomMessages(t *testing.T) {
+	for seed := range uint64(200) {
+		rng := rand.New(rand.NewPCG(seed, 77))
+		p := newTestCluster(t, 3, seed)
+		p.run(3 * second)
+		p.propose("v0", testCommand(1))
+		p.run(second)
+		to := rng.IntN(3)
+		small := func() *uint64 { return proto.Uint64(uint64(rng.IntN(10))) }
+		for range 30 {
+			from := rng.IntN(3)
+			m := &pb.Message{Type: pb.MessageType(rng.IntN(len(pb.MessageType_name))).Enum(), To: proto.Uint64(uint64(to + 1)), From: proto.Uint64(uint64(from + 1)),
+				Term: small(), LogTerm: small(), Index: small(), Commit: small(), Reject: proto.Bool(rng.IntN(2) == 0), RejectHint: small()}
+			for range rng.IntN(3) {
+				m.Entries = append(m.Entries, &pb.Entry{Index: small(), Term: small(), Data: []byte("x")})
+			}
+			if rng.IntN(4) == 0 {
+				m.Snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: small(), Term: small(), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}, Data: []byte("{}")}
+			}
+			raw, err := proto.Marshal(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			p.handle(p.names[to], Received{From: p.names[from], Data: raw})
+			p.run(50 * ms)
+		}
+	}
+}
+
 // Long logs are compacted, and a voter that was down for long receives a snapshot.
 func TestSnapshots(t *testing.T) {
 	p := newTestCluster(t, 3, 4)
--- a/internal/directives/events.go
+++ b/internal/directives/events.go
@@ -93,4 +93,5 @@
 	ErrNoQuorum   = errors.New("directives: no quorum of voters answers: the command may or may not come to hold; ask for the list")
 	ErrBusy       = errors.New("directives: too many commands are on their way")
 	ErrDiskFailed = errors.New("directives: the disk failed, this voter takes part again after a restart")
+	ErrLogInvalid = errors.New("directives: the log contradicts what a voter sent, this voter takes part again after a restart")
 )
--- a/internal/directives/node.go
+++ b/internal/directives/node.go
@@ -80,7 +80,7 @@
 
 // seesQuorum reports whether this gateway votes and knows a leader.
 func (n *Node) seesQuorum() bool {
-	if n.voter == nil || n.voter.diskFailed {
+	if n.voter == nil || n.voter.failure != nil {
 		return false
 	}
 	return n.voter.Status().Leader != ""
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -68,7 +68,7 @@
 	listenTicksLeft  int    // ticks for which the voter still listens only; 0: it votes
 	highestTerm      uint64 // heard of while it listens
 	lastUnsafeTerm   uint64 // the voter may have voted in terms up to this one, and votes in later ones only
-	diskFailed       bool
+	failure          error  // ErrDiskFailed or ErrLogInvalid: the voter does nothing until a restart; nil: none
 	effects          []Effect
 }
 
@@ -166,13 +166,13 @@
 	Term    uint64
 	Commit  uint64
 	Listens bool // it has lost its log and does not vote yet
-	Broken  bool // its disk failed
+	Broken  bool // its disk failed, or its log is invalid
 }
 
 // Status returns the voter's status.
 func (v *Voter) Status() Status {
 	b := v.raftNode.BasicStatus()
-	s := Status{Term: b.GetTerm(), Commit: b.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.diskFailed}
+	s := Status{Term: b.GetTerm(), Commit: b.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.failure != nil}
 	if leader := int(b.Lead); leader >= 1 && leader <= len(v.settings.Voters) {
 		s.Leader = v.settings.Voters[leader-1]
 	}
@@ -181,16 +181,41 @@
 
 func (v *Voter) emit(e Effect) { v.effects = append(v.effects, e) }
 
+// fail ends the voter's part until a restart.
+func (v *Voter) fail(failure error, text string) {
+	v.failure = failure
+	v.emit(Log{text})
+	for _, p := range v.pendingRequests {
+		v.emit(Reply{RequestID: p.requestID, Err: failure})
+	}
+	v.pendingRequests = nil
+}
+
 // Handle takes one event and returns what to do. The result is valid until the next call.
 func (v *Voter) Handle(now rules.Time, e Event) []Effect {
 	v.effects = v.effects[:0]
 	v.now = max(v.now, now)
-	if v.diskFailed {
+	if v.failure != nil {
 		if p, ok := e.(Propose); ok {
-			v.emit(Reply{RequestID: p.RequestID, Err: ErrDiskFailed})
+			v.emit(Reply{RequestID: p.RequestID, Err: v.failure})
 		}
 		return v.effects
 	}
+	if err := v.step(e); err != nil {
+		v.effects = v.effects[:0] // nothing may be sent that rests on this log
+		v.fail(ErrLogInvalid, fmt.Sprintf("%v: %v", ErrLogInvalid, err))
+	}
+	return v.effects
+}
+
+// step hands an event to raft. Raft panics where a message contradicts its log, as where it would undo a committed entry. Senders are not
+// authenticated, so such a message must not end the process: step returns what raft says of it.
+func (v *Voter) step(e Event) (err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			err = fmt.Errorf("raft: %v", p)
+		}
+	}()
 	switch e := e.(type) {
 	case Tick:
 		v.tick()
@@ -201,8 +226,7 @@
 	case Persisted:
 		v.handlePersisted(e.OK)
 	}
-	v.collectReady()
-	return v.effects
+	return v.collectReady()
 }
 
 func (v *Voter) tick() {
@@ -261,7 +285,9 @@
 		return
 	}
 	m := &pb.Message{}
-	if len(data) > 2*maxMessageBytes || proto.Unmarshal(data, m) != nil || m.GetTo() != v.settings.voterID(v.settings.Self) || m.GetFrom() != v.settings.voterID(from) || m.GetFrom() == 0 {
+	self := v.settings.voterID(v.settings.Self)
+	if len(data) > 2*maxMessageBytes || proto.Unmarshal(data, m) != nil || m.GetTo() != self || m.GetFrom() != v.settings.voterID(from) || m.GetFrom() == 0 ||
+		m.GetFrom() == self || !isPeerMessage(m) {
 		v.emit(Log{fmt.Sprintf("directives: a message of %q can't be used", from)})
 		return
 	}
@@ -285,6 +311,18 @@
 	_ = v.raftNode.Step(m) // raft recovers from a message that it does not accept as from one that is lost
 }
 
+// isPeerMessage reports whether voters send one another messages of this kind. Raft takes others from its own process only, and panics at
+// some of them.
+func isPeerMessage(m *pb.Message) bool {
+	switch m.GetType() {
+	case pb.MsgApp, pb.MsgAppResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgSnap, pb.MsgTimeoutNow:
+		return true
+	case pb.MsgProp: // which a follower forwards to its leader
+		return m.GetTerm() == 0 && len(m.GetEntries()) > 0
+	}
+	return false
+}
+
 // transferLeadership hands over to a voter other than the given one, if this voter leads.
 func (v *Voter) transferLeadership(except string) {
 	if v.Status().Leader != v.settings.Self {
@@ -298,9 +336,15 @@
 	}
 }
 
+// maxBatches bounds the batches of one event that need no disk. A log whose committed entries can't be read offers the same batch for ever.
+const maxBatches = 1000
+
 // collectReady takes the next batch out of raft, unless one is being persisted.
-func (v *Voter) collectReady() {
-	for v.pendingReady == nil && !v.diskFailed && v.raftNode.HasReady() {
+func (v *Voter) collectReady() error {
+	for n := 0; v.pendingReady == nil && v.failure == nil && v.raftNode.HasReady(); n++ {
+		if n == maxBatches {
+			return fmt.Errorf("raft: %d batches without progress", n)
+		}
 		ready := v.raftNode.Ready()
 		v.pendingReady = &ready
 		b := Batch{HardState: ready.HardState, Entries: ready.Entries}
@@ -314,6 +358,7 @@
 		v.inFlightPersists = append(v.inFlightPersists, true)
 		v.emit(Persist{b})
 	}
+	return nil
 }
 
 // handlePersisted goes on with a batch that is persisted. If the disk failed, the voter sends nothing any more: what it would send may
@@ -325,12 +370,7 @@
 	isReady := v.inFlightPersists[0]
 	v.inFlightPersists = v.inFlightPersists[1:]
 	if !ok {
-		v.diskFailed = true
-		v.emit(Log{ErrDiskFailed.Error()})
-		for _, p := range v.pendingRequests {
-			v.emit(Reply{RequestID: p.requestID, Err: ErrDiskFailed})
-		}
-		v.pendingRequests = nil
+		v.fail(ErrDiskFailed, ErrDiskFailed.Error())
 		return
 	}
 	if isReady {
