--- a/internal/harness/checks.go
+++ b/internal/harness/checks.go
@@ -9,83 +9,38 @@
 	"foxlane/internal/faultproxy"
 )
 
-// This file judges a run by what clients and engines saw on the wire, and by what gateways counted themselves.
+// This file checks single requests by what clients and engines see on the wire, and gateways by the invariants they log.
 
-// ViolationKind is a kind of violation.
-type ViolationKind int
-
-// Kinds of violations.
 const (
-	LostRequest         ViolationKind = iota // a request that was read has no final answer, or a result that was kept is not there
-	DuplicateExecution                       // an engine was asked again for what may have run and must not run twice
-	SentAfterDisconnect                      // an engine was asked for a request whose client had gone
-	PastDeadline                             // an engine was told to run for longer than its client waits
-	SentWhileDraining                        // an engine was asked that its gateway knew to drain or to be gone
-	SlowStartExceeded                        // a cold engine was sent more than it bears by gateways that knew
-	WrongResponse                            // rows that no engine made for the request
-	Crashed                                  // a process ended by itself, or not when it was asked to, or not with 0
-	NotReady                                 // a process was not ready within 10 s
-	OrderViolated                            // two requests of an ordered class with one key ran at once
-	WrongZone                                // a request ran in a zone that its class must not use
-	RetryBudgetExceeded                      // a gateway made more further attempts than its settings allow
-	InvariantBroken                          // an invariant that a gateway checks itself
-	violationKindCount
+	disconnectSlack = 100 * time.Millisecond // an attempt may begin this long after its client has disconnected
+	deadlineSlack   = 150 * time.Millisecond // the deadline passed to an engine may be this much later than the client's
+	drainGrace      = time.Second            // a gateway may use an engine this long after it was notified of its drain
+	socketSlack     = 50 * time.Millisecond  // added to each limit, for the system's sockets
+	harnessSlack    = 100 * time.Millisecond // added to each limit, for the harness's own goroutines and timers
+	maxLateness     = 500 * time.Millisecond // a response later than this is lost
 )
 
-var violationNames = [...]string{"lost", "duplicated", "sent_after_gone", "past_deadline", "drain_broken", "failback_broken", "wrong_answer",
-	"crashed", "not_ready_10s", "order_broken", "misplaced", "ration_broken", "guarded"}
-
-func (v ViolationKind) String() string { return violationNames[v] }
-
-// addViolation counts a violation and keeps what is said of it.
-func (r *Report) addViolation(v ViolationKind, format string, args ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.addViolationLocked(v, format, args...)
-}
-
-func (r *Report) addViolationLocked(v ViolationKind, format string, args ...any) {
-	r.ViolationCounts[v]++
-	r.appendViolationLocked(v.String()+": "+format, args...)
-}
-
-// TotalViolations is how many there were, of all kinds.
-func (r *Report) TotalViolations() (n int) {
-	for _, k := range r.ViolationCounts {
-		n += k
-	}
-	return n
-}
-
-const (
-	disconnectSlack = 100 * time.Millisecond // an attempt may begin so long after its client has gone
-	deadlineSlack   = 150 * time.Millisecond
-	drainGrace      = time.Second
-	socketSlack     = 50 * time.Millisecond  // each limit is so much longer on sockets
-	harnessSlack    = 100 * time.Millisecond // what the rig's own goroutines and timers may add
-	maxLateness     = 500 * time.Millisecond // an answer so late earns nothing; later it is lost
-)
-
-// checkEngineRequest judges one request at an engine by when it came. The books are locked.
-func (r *Report) checkEngineRequest(attempt *clientAttempt, e *engine, now time.Time, ttl time.Duration) {
-	way := r.fleet.slowest(attempt.gateway.party, e.party) + r.fleet.pauses.totalSince(attempt.sentAt)
+// checkEngineRequest checks a request that reached an engine by when it came. r.mu is held.
+func (r *recorder) checkEngineRequest(attempt *clientAttempt, e *engine, now time.Time, ttl time.Duration) {
+	transit := r.fleet.slowest(attempt.gateway.party, e.party) + r.fleet.pauses.totalSince(attempt.sentAt)
 	if !attempt.abandonedAt.IsZero() {
-		if late := now.Sub(attempt.abandonedAt); late > disconnectSlack+socketSlack+harnessSlack+way+r.fleet.slowest(party{"clients", "", "clients"}, attempt.gateway.party) {
+		if late := now.Sub(attempt.abandonedAt); late > disconnectSlack+socketSlack+harnessSlack+transit+r.fleet.slowest(clientsParty, attempt.gateway.party) {
 			r.addViolationLocked(SentAfterDisconnect, "%s came to %s %v after its client had gone from %s", attempt.id, e.name, late.Round(time.Millisecond), attempt.gateway.name)
 		}
 	}
-	if left := attempt.deadline.Sub(now); ttl > 0 && ttl > left+deadlineSlack+socketSlack+harnessSlack+way && !attempt.gateway.disturbedSince(attempt.sentAt) {
+	if left := attempt.deadline.Sub(now); ttl > 0 && ttl > left+deadlineSlack+socketSlack+harnessSlack+transit && !attempt.gateway.disturbedSince(attempt.sentAt) {
 		r.addViolationLocked(PastDeadline, "%s came to %s with %v to run, and its client waits for %v", attempt.id, e.name, ttl, left.Round(time.Millisecond))
 	}
-	if told := e.drainNotifiedAt(attempt.gateway.index); !told.IsZero() {
-		r.SlowestDrain = max(r.SlowestDrain, now.Sub(told)-way)
-	}
-	if told := e.drainNotifiedAt(attempt.gateway.index); !told.IsZero() && now.Sub(told) > drainGrace+socketSlack+harnessSlack+way {
-		r.addViolationLocked(SentWhileDraining, "%s came from %s to %s, which it knew to drain for %v", attempt.id, attempt.gateway.name, e.name, now.Sub(told).Round(time.Millisecond))
+	if notified := e.drainNotifiedAt(attempt.gateway.index); !notified.IsZero() {
+		known := now.Sub(notified)
+		r.SlowestDrain = max(r.SlowestDrain, known-transit)
+		if known > drainGrace+socketSlack+harnessSlack+transit {
+			r.addViolationLocked(SentWhileDraining, "%s came from %s to %s, which it knew to drain for %v", attempt.id, attempt.gateway.name, e.name, known.Round(time.Millisecond))
+		}
 	}
 }
 
-// slowest is how much longer than usual a way between two parties may be now.
+// slowest is the most that the links between two parties, there and back, may add to the usual transit time now.
 func (f *fleet) slowest(from, to party) time.Duration {
 	sum := time.Duration(0)
 	for _, link := range []*faultproxy.Link{f.link(from, to), f.link(to, from)} {
@@ -102,12 +57,12 @@
 }
 
 const (
-	retransmissionDelay = 200 * time.Millisecond // a lost segment comes so much later
-	cutSettleTime       = 5 * time.Second        // what waited in a way that was cut may come as late as that
+	retransmissionDelay = 200 * time.Millisecond // of a lost TCP segment
+	cutSettleTime       = 5 * time.Second        // after a cut, what waited in the link may arrive this late
 )
 
-// allowedRequests is how many requests of mean work a cold engine bears within the span, of n that the settings allow: chance
-// gets some room.
+// allowedRequests is how many requests of mean work may reach a cold engine within the window, if the settings allow n on
+// average: the terms in the square root leave room for chance.
 func allowedRequests(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -115,12 +70,13 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// checkSlowStart judges what came to a cold engine. Its lock is held.
+// checkSlowStart checks what a cold engine received of late. Sends count against the gateways only if two thirds of the work
+// came from gateways that were notified of the start. e.mu is held.
 func (e *engine) checkSlowStart(now time.Time) (broken string) {
 	warm := e.warmth(now)
 	mean := e.fleet.meanWork()
 	n := e.fleet.overloadFactor() * warm * float64(e.fleet.Cores) * float64(overloadWindow) / mean
-	sum, informed := 0.0, 0.0
+	sum, informed := 0.0, 0.0 // requests of mean work
 	for _, s := range e.coldSends {
 		sum += float64(s.work) / mean
 		if s.informed {
@@ -137,9 +93,9 @@
 	return ""
 }
 
-// checkInvariants takes what a gateway has counted itself from its log.
-func (r *Report) checkInvariants(g *gateway, log string) {
-	for _, line := range strings.Split(log, "\n") {
+// checkInvariants adds a violation for each broken invariant in a gateway's log.
+func (r *recorder) checkInvariants(g *gateway) {
+	for _, line := range strings.Split(g.log.String(), "\n") {
 		if strings.Contains(line, `"msg":"invariant broken"`) {
 			r.addViolation(InvariantBroken, "%s: %s", g.name, line)
 		}
--- a/internal/harness/classchecks.go
+++ b/internal/harness/classchecks.go
@@ -1,38 +1,43 @@
 package harness
 
-import "time"
+import (
+	"time"
+)
 
-// This file judges what classes and gateways keep to beyond single requests: order by key, placement, the ration of further
-// attempts.
+// This file checks the rules that span several requests: duplicates, order by key, placement, and the retry budget.
 
-// orderKey is what ordered requests share: their gateway, the life of its process, and their key.
+// orderKey identifies requests that must run one after another: one key, at one incarnation of one gateway.
 type orderKey struct {
 	gateway     *gateway
 	incarnation int64
 	key         string
 }
 
-// clientSend is when a try was sent to a gateway, and in which life.
-type clientSend struct {
+// gatewayEvent is an attempt counted for a gateway, with the incarnation it belongs to.
+type gatewayEvent struct {
 	at          time.Time
 	incarnation int64
 }
 
-// retry is a further attempt of a request.
-type retry struct {
-	at          time.Time
-	incarnation int64
+// countWithin counts the events of an incarnation that lie less than span before now.
+func countWithin(events []gatewayEvent, incarnation int64, now time.Time, span time.Duration) (n int) {
+	for _, event := range events {
+		if event.incarnation == incarnation && now.Sub(event.at) < span {
+			n++
+		}
+	}
+	return n
 }
 
 const (
 	freeRetries        = 3
 	retryWindow        = 2 * time.Second
-	retryBudgetSlack   = 300 * time.Millisecond // requests take so long from client to gateway, and from there to an engine, at most
-	maxOrderedAttempts = 64                     // ordered requests of a key that are remembered
+	retryBudgetSlack   = 300 * time.Millisecond // longest time from client to gateway, and from there to an engine
+	maxOrderedAttempts = 64                     // remembered by key
 )
 
-// checkClassRules judges a request at an engine by its class. The books are locked.
-func (r *Report) checkClassRules(attempt *clientAttempt, e *engine, now time.Time) {
+// checkClassRules checks a request at an engine against its class. r.mu is held.
+func (r *recorder) checkClassRules(attempt *clientAttempt, e *engine, now time.Time) {
 	class := &r.fleet.classes[attempt.request.class]
 	if class.firstZoneOnly && e.zone != r.fleet.Zones[0].Name {
 		r.addViolationLocked(WrongZone, "%s of class %s came to %s", attempt.id, class.name, e.name)
@@ -45,14 +50,15 @@
 	}
 }
 
-// checkOrder judges a request of an ordered class at an engine: no other one with its key may be under way.
-func (r *Report) checkOrder(attempt *clientAttempt, now time.Time) {
+// checkOrder checks a request of an ordered class at an engine: no other with its key may run, and none may begin while its key
+// is in quarantine behind an attempt whose client has disconnected.
+func (r *recorder) checkOrder(attempt *clientAttempt, now time.Time) {
 	key := orderKey{attempt.gateway, attempt.incarnation, attempt.request.key}
 	for _, other := range r.orderedAttempts[key] {
 		switch slack := socketSlack + harnessSlack; {
 		case other == attempt || other.engineRequests == 0:
 		case other.abandonedAt.IsZero() && other.answeredAt.IsZero() && other.runEnd.After(now.Add(slack)):
-			r.overlaps = append(r.overlaps, overlap{attempt, other, now}) // its answer may be on its way
+			r.overlaps = append(r.overlaps, overlap{attempt, other, now}) // its response may be in transit
 		case !other.abandonedAt.IsZero() && other.runEnd.After(other.abandonedAt.Add(slack)) && now.After(other.abandonedAt) && now.Before(other.abandonedAt.Add(keyQuarantine-slack)):
 			r.addViolationLocked(OrderViolated, "%s came to an engine %v after the client of %s with the same key had gone", attempt.id, now.Sub(other.abandonedAt).Round(time.Millisecond), other.id)
 		}
@@ -63,14 +69,15 @@
 	}
 }
 
-// overlap is a request of an ordered class that came to an engine while another one with its key ran.
+// overlap is a request of an ordered class that reached an engine while another with its key seemed to run.
 type overlap struct {
 	second, first *clientAttempt
 	at            time.Time
 }
 
-// checkOverlaps judges in the end which of them ran at once: the answer of the first one had not been given by then.
-func (r *Report) checkOverlaps() {
+// checkOverlaps decides, when all responses are known, which overlaps were real: those whose first request had no response by
+// then.
+func (r *recorder) checkOverlaps() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.overlaps {
@@ -81,29 +88,24 @@
 	}
 }
 
-// checkRetryBudget judges a further attempt by how many its gateway has made of late.
-func (r *Report) checkRetryBudget(attempt *clientAttempt, now time.Time) {
+// checkRetryBudget checks a retry against the number that its gateway sent within the window.
+func (r *recorder) checkRetryBudget(attempt *clientAttempt, now time.Time) {
 	g := attempt.gateway
-	r.retries[g] = append(r.retries[g], retry{now, attempt.incarnation})
-	further, taken := 0, 0
-	for _, x := range r.retries[g] {
-		if x.incarnation == attempt.incarnation && now.Sub(x.at) < retryWindow-retryBudgetSlack {
-			further++
-		}
-	}
-	for _, send := range r.sends[g] {
-		if send.incarnation == attempt.incarnation && now.Sub(send.at) < retryWindow+retryBudgetSlack {
-			taken++
-		}
-	}
-	if float64(further) > freeRetries+r.fleet.RetryBudget*float64(taken) {
-		r.addViolationLocked(RetryBudgetExceeded, "%s made %d further attempts, with %d requests taken", g.name, further, taken)
+	r.retries[g] = append(r.retries[g], gatewayEvent{now, attempt.incarnation})
+	retries := countWithin(r.retries[g], attempt.incarnation, now, retryWindow-retryBudgetSlack)
+	accepted := countWithin(r.sends[g], attempt.incarnation, now, retryWindow+retryBudgetSlack)
+	if float64(retries) > freeRetries+r.fleet.RetryBudget*float64(accepted) {
+		r.addViolationLocked(RetryBudgetExceeded, "%s made %d further attempts, with %d requests taken", g.name, retries, accepted)
 	}
 }
 
-// recordRun notes until when a request runs at an engine.
-func (r *Report) recordRun(attempt *clientAttempt, until time.Time) {
-	r.mu.Lock()
-	attempt.runEnd = until
-	r.mu.Unlock()
+// checkDuplicate checks that a request that is not idempotent reaches engines once, and one with an idempotency key only
+// within its window.
+func (r *recorder) checkDuplicate(attempt *clientAttempt, e *engine, now time.Time) {
+	class := &r.fleet.classes[attempt.request.class]
+	sinceFirst := now.Sub(attempt.firstEngineAt)
+	outsideWindow := class.idempotencyWindow > 0 && sinceFirst > class.idempotencyWindow+socketSlack+harnessSlack+r.fleet.slowest(attempt.gateway.party, e.party)
+	if attempt.engineRequests > 1 && (class.nonIdempotent || outsideWindow) {
+		r.addViolationLocked(DuplicateExecution, "%s of class %s came to an engine %d times, %v apart", attempt.id, class.name, attempt.engineRequests, sinceFirst.Round(time.Millisecond))
+	}
 }
--- /dev/null
+++ b/internal/harness/clientfaults.go
@@ -0,0 +1,83 @@
+package harness
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"sync"
+	"time"
+)
+
+// This file owns the faults of clients.
+
+// abandonMore has a fault's part of clients abandon their request, instead of the script's.
+func (f *fleet) abandonMore(fault *Fault) (revertFunc, error) {
+	set := func(share float64) { f.abandonPermille.Store(int64(share * 1000)) }
+	set(fault.Factor)
+	return func() error { set(f.AbandonShare); return nil }, nil
+}
+
+// startRogueClients starts a rogue client for each gateway of the target; reverting stops them and waits for them.
+func (f *fleet) startRogueClients(fault *Fault) (revertFunc, error) {
+	var clients sync.WaitGroup
+	stop := make(chan struct{})
+	f.eachGateway(fault.Target, func(g *gateway) {
+		rng := rand.New(rand.NewPCG(f.Seed, uint64(g.index)+77))
+		clients.Go(func() { runRogueClient(g.clientProxy.Addr().String(), rng, stop) })
+	})
+	return func() error { close(stop); clients.Wait(); return nil }, nil
+}
+
+// runRogueClient opens connections one after another and breaks the protocol on each, until it is stopped.
+func runRogueClient(addr string, rng *rand.Rand, stop <-chan struct{}) {
+	const maxConns = 400
+	for range maxConns {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Duration(rng.IntN(10)) * time.Millisecond):
+		}
+		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
+		if err != nil {
+			continue
+		}
+		_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
+		switch rng.IntN(5) {
+		case 0: // half a login
+			_, _ = c.Write([]byte{60, 0, 0, 1, 3})
+		case 1: // not a packet
+			_, _ = c.Write([]byte(strings.Repeat("\xff\x00junk", rng.IntN(4000))))
+		case 2: // a large query, whose answer is not read
+			_, _ = c.Write(loginWithQuery(strings.Repeat("x", 60000)))
+		case 3: // a query, closed before its answer
+			_, _ = c.Write(loginWithQuery(fmt.Sprintf("/* kind=point,req=%016x,timeout=900,ms=5.0 */ SELECT 1 FROM sales_1.x", rogueIDBits|rng.Uint64()>>8)))
+		}
+		if tcp, ok := c.(*net.TCPConn); ok && rng.IntN(2) == 0 {
+			_ = tcp.SetLinger(0)
+		}
+		_ = c.Close() // the gateway may have reset it
+	}
+}
+
+// Ids of rogue clients' requests begin with these bits, which are these digits: no response is owed for them.
+const (
+	rogueIDBits   = 0xff00000000000000
+	rogueIDPrefix = "ff"
+)
+
+// loginWithQuery is the bytes of a login followed by one query, sent without waiting for the greeting.
+func loginWithQuery(query string) []byte {
+	p := binary.LittleEndian.AppendUint32(nil, 1<<9|1<<15|1<<3|1<<19)
+	p = binary.LittleEndian.AppendUint32(p, 1<<24)
+	p = append(append(p, 45), make([]byte, 23)...)
+	p = append(p, "app\x00\x00main\x00mysql_native_password\x00"...)
+	return append(packet(1, p), packet(0, append([]byte{3}, query...))...)
+}
+
+// packet is a MySQL packet.
+func packet(seq byte, payload []byte) []byte {
+	n := len(payload)
+	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
+}
--- a/internal/harness/directives.go
+++ b/internal/harness/directives.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"slices"
@@ -10,17 +11,20 @@
 	"time"
 )
 
-// This file gives orders as operators do, and judges at the end whether what was said to hold does, everywhere.
+// This file requests directives as operators do, and checks at the end that those a gateway confirmed are in effect everywhere.
 
-const controlTimeout = 7 * time.Second
+const (
+	controlTimeout  = 7 * time.Second
+	convergeTimeout = 6 * time.Second // until all gateways report what any of them has confirmed
+)
 
-// controlRequest asks a gateway something where it answers operators.
+// controlRequest sends a line to the gateway's control address and decodes the answer.
 func (g *gateway) controlRequest(text string, answer any) error {
 	c, err := net.DialTimeout("tcp", g.controlAddr.String(), time.Second)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(controlTimeout))
 	if _, err := fmt.Fprintln(c, text); err != nil {
 		return err
@@ -31,12 +35,12 @@
 	}
 	var failed struct{ Error string }
 	if json.Unmarshal(line, &failed) == nil && failed.Error != "" {
-		return fmt.Errorf("%s", failed.Error)
+		return errors.New(failed.Error)
 	}
 	return json.Unmarshal(line, answer)
 }
 
-// setDirective asks a gateway for a directive, without waiting for its answer here.
+// setDirective requests a directive at a gateway, in a goroutine of pendingDirectives.
 func (f *fleet) setDirective(g *gateway, text string) {
 	kind, subject, _ := strings.Cut(text, " ")
 	f.mu.Lock()
@@ -48,51 +52,51 @@
 		err := g.controlRequest(fmt.Sprintf(`{"id":%q,"op":"set","kind":%q,"subject":%q}`, id, kind, subject), &answer)
 		f.recorder.mu.Lock()
 		defer f.recorder.mu.Unlock()
-		said := fmt.Sprintf("holds as of %d", answer.Index)
+		outcome := fmt.Sprintf("holds as of %d", answer.Index)
 		if err != nil {
-			said = err.Error()
+			outcome = err.Error()
 			f.recorder.FailedDirectives++
 		} else {
 			f.recorder.AcceptedDirectives = append(f.recorder.AcceptedDirectives, kind+" "+subject)
 		}
-		f.recorder.Events = append(f.recorder.Events, Event{At: time.Since(f.recorder.start), Source: g.name, Text: "order " + text + ": " + said})
+		f.recorder.Events = append(f.recorder.Events, Event{At: time.Since(f.recorder.start), Source: g.name, Text: "order " + text + ": " + outcome})
 	})
 }
 
-const convergeTimeout = 6 * time.Second
-
-// checkDirectives waits until the books of all gateways agree, and looks for what was said to hold.
+// checkDirectives waits until all gateways report each directive that was confirmed, and adds a violation if they don't.
 func (f *fleet) checkDirectives() {
 	if f.Voters == 0 {
 		return
 	}
 	f.pendingDirectives.Wait()
-	type book struct {
-		Index uint64
-		Held  []struct{ Kind, Subject string }
-	}
-	var last string
+	var missing string
 	for until := time.Now().Add(convergeTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		last = ""
-		for _, g := range f.gateways {
-			var b book
-			if err := g.controlRequest("book", &b); err != nil {
-				last = fmt.Sprintf("%s does not tell its book: %v", g.name, err)
-				break
-			}
-			var held []string
-			for _, d := range b.Held {
-				held = append(held, d.Kind+" "+d.Subject)
-			}
-			for _, o := range f.recorder.AcceptedDirectives {
-				if !slices.Contains(held, o) {
-					last = fmt.Sprintf("%s was said to hold, and %s holds %v as of %d", o, g.name, held, b.Index)
-				}
-			}
-		}
-		if last == "" {
+		if missing = f.missingDirective(); missing == "" {
 			return
 		}
 	}
-	f.recorder.addUnclassified("%s", last)
+	f.recorder.addUnclassified("%s", missing)
+}
+
+// missingDirective is what a gateway lacks of the confirmed directives, as a text; empty if they are in effect everywhere.
+func (f *fleet) missingDirective() (missing string) {
+	for _, g := range f.gateways {
+		var state struct {
+			Index uint64
+			Held  []struct{ Kind, Subject string }
+		}
+		if err := g.controlRequest("book", &state); err != nil { // the control protocol's word for the directives in effect
+			return fmt.Sprintf("%s does not report its directives: %v", g.name, err)
+		}
+		var inEffect []string
+		for _, d := range state.Held {
+			inEffect = append(inEffect, d.Kind+" "+d.Subject)
+		}
+		for _, accepted := range f.recorder.AcceptedDirectives {
+			if !slices.Contains(inEffect, accepted) {
+				missing = fmt.Sprintf("%s was said to hold, and %s holds %v as of %d", accepted, g.name, inEffect, state.Index)
+			}
+		}
+	}
+	return missing
 }
--- a/internal/harness/endpointlist.go
+++ b/internal/harness/endpointlist.go
@@ -11,41 +11,41 @@
 	"foxlane/internal/standin"
 )
 
-// This file owns what the name service tells: the list, its numbers, which begin anew with each start of a gateway as the
-// operators' protocol has it, answers that bring something else, and when an event counts as told.
+// This file owns the engine list that name servers publish: its versions, its serial numbers, which by the operators' protocol
+// begin anew with each start of a gateway, faults of answers, and when a gateway counts as notified of a change.
 
-// endpointList is what one gateway is told.
+// endpointList is the list as the name server of one gateway publishes it.
 type endpointList struct {
 	mu            sync.Mutex
-	version       uint32 // of the list that the service has now
-	serialBase    uint32 // this less than a version is its number in the present life
-	incarnation   int
+	version       uint32 // published now
+	serialBase    uint32 // a version less this is its serial number in the present incarnation
+	incarnation   int    // of the serial numbers
 	hosts         []standin.Host
-	past          []pastList
-	notifications []notification // versions that the gateway was told of in this life
+	past          []pastList     // the last maxPastLists
+	notifications []notification // of the present incarnation, in order of versions; never empty
 	rng           *rand.Rand
 }
 
-// pastList is one that the service had before, under the number it had then.
+// pastList is a list that was published before, under the serial number it had then.
 type pastList struct {
 	incarnation int
 	serial      uint32
 	hosts       []standin.Host
 }
 
-// notification is when a gateway was first told of a version.
+// notification is when a gateway was first notified of a version.
 type notification struct {
 	version uint32
-	at      time.Time
-	sends   int
+	at      time.Time // zero: not yet, as far as is known
+	sends   int       // answers sent with it
 }
 
 const (
-	maxPastLists   = 32              // lists remembered
-	maxNotifyDelay = 7 * time.Second // an event counts as told so long after it happened, whether or not it arrived
+	maxPastLists   = 32              // of one gateway
+	maxNotifyDelay = 7 * time.Second // a gateway counts as notified this long after a change, whether or not an answer arrived
 )
 
-// publishList puts the list as it is now before all gateways, after a while.
+// publishList publishes the present list to all gateways as a new version, after a delay.
 func (f *fleet) publishList(after time.Duration) {
 	f.mu.Lock()
 	f.listVersion++
@@ -55,7 +55,7 @@
 		all[i] = f.hosts(i)
 	}
 	f.mu.Unlock()
-	put := func() {
+	publish := func() {
 		f.mu.Lock()
 		for len(f.publishedAt) <= int(version) {
 			f.publishedAt = append(f.publishedAt, time.Now())
@@ -66,13 +66,13 @@
 		}
 	}
 	if after <= 0 {
-		put()
+		publish()
 		return
 	}
-	time.AfterFunc(after, put)
+	time.AfterFunc(after, publish)
 }
 
-// hosts is the list as a gateway is to have it. The rig is locked.
+// hosts is the present list for a gateway, with the addresses of its proxies. f.mu is held.
 func (f *fleet) hosts(gateway int) (out []standin.Host) {
 	for _, e := range f.engines {
 		draining, unlisted := e.listStatus(f.listVersion)
@@ -83,7 +83,7 @@
 	return out
 }
 
-// publish has the service tell the gateway a version from now on.
+// publish has the gateway's name server answer with a version from now on, unless a later one is published.
 func (g *gateway) publish(version uint32, hosts []standin.Host) {
 	l := &g.list
 	l.mu.Lock()
@@ -95,7 +95,7 @@
 	l.publishLocked(g)
 }
 
-// publishLocked has the service tell the present version under its number. The lists are locked.
+// publishLocked has the name server answer with the present version. l.mu is held.
 func (l *endpointList) publishLocked(g *gateway) {
 	serial := l.version - l.serialBase
 	l.past = append(l.past, pastList{l.incarnation, serial, l.hosts})
@@ -105,7 +105,8 @@
 	g.nameServer.SetHosts(serial, l.hosts)
 }
 
-// startList begins a life of the gateway: its numbers begin anew, and it knows what is told now.
+// startList prepares the list for a start of the gateway: serial numbers begin anew, and the gateway learns the present list from
+// its configuration.
 func (g *gateway) startList() {
 	f, l := g.fleet, &g.list
 	f.mu.Lock()
@@ -122,7 +123,7 @@
 	l.publishLocked(g)
 }
 
-// restartSerials has the service begin its numbers anew in the middle of a life.
+// restartSerials has serial numbers begin anew while the gateway runs.
 func (g *gateway) restartSerials() {
 	l := &g.list
 	l.mu.Lock()
@@ -132,7 +133,7 @@
 	l.publishLocked(g)
 }
 
-// knownList is the list for the gateway's configuration, with its number.
+// knownList is the list for the gateway's configuration, with its serial number.
 func (g *gateway) knownList() (serial uint32, hosts []standin.Host) {
 	l := &g.list
 	l.mu.Lock()
@@ -140,7 +141,7 @@
 	return l.version - l.serialBase, l.hosts
 }
 
-// recordListSent notes that a good answer of the name service was sent to the gateway.
+// recordListSent records a good answer that the name server has sent to the gateway.
 func (g *gateway) recordListSent(reply standin.ListReply) {
 	c := g.dnsProxy.Reverse().Conditions()
 	if c.Cut {
@@ -153,18 +154,18 @@
 	if version > l.notifications[len(l.notifications)-1].version {
 		l.notifications = append(l.notifications, notification{version: version})
 	}
-	i := slices.IndexFunc(l.notifications, func(t notification) bool { return t.version == version })
+	i := slices.IndexFunc(l.notifications, func(n notification) bool { return n.version == version })
 	if i < 0 {
-		return // late: a later version was told meanwhile
+		return // an old answer: a later version was notified meanwhile
 	}
-	t := &l.notifications[i]
-	if t.sends++; t.at.IsZero() && (c.Loss == 0 || t.sends >= sendsDespiteLoss) {
-		t.at = time.Now().Add(c.Delay + c.Jitter)
+	n := &l.notifications[i]
+	if n.sends++; n.at.IsZero() && (c.Loss == 0 || n.sends >= sendsDespiteLoss) {
+		n.at = time.Now().Add(c.Delay + c.Jitter)
 	}
 }
 
-// versionOf is the version that a reply holds; one that was sent late may be of an earlier life and tells nothing. The lists
-// are locked.
+// versionOf is the version that a reply holds; 0 if it was delayed from an earlier incarnation, whose serial numbers say nothing
+// now. l.mu is held.
 func (l *endpointList) versionOf(reply standin.ListReply) uint32 {
 	if version := l.serialBase + reply.Serial; version <= l.version {
 		return version
@@ -172,10 +173,10 @@
 	return 0
 }
 
-// sendsDespiteLoss is how many answers are sent over a way that loses some until one has come.
+// sendsDespiteLoss is the number of answers over a link with loss after which one counts as received.
 const sendsDespiteLoss = 8
 
-// notifiedAt is when the gateway was told of a version or of a later one, as the operators' protocol counts; zero: not yet.
+// notifiedAt is when the gateway was notified of a version or a later one, as the operators' protocol counts; zero: not yet.
 func (g *gateway) notifiedAt(version uint32) time.Time {
 	g.fleet.mu.Lock()
 	first := time.Time{}
@@ -186,9 +187,9 @@
 	l := &g.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.notifications {
-		if t.version >= version && !t.at.IsZero() && (first.IsZero() || t.at.Before(first)) {
-			first = t.at
+	for _, n := range l.notifications {
+		if n.version >= version && !n.at.IsZero() && (first.IsZero() || n.at.Before(first)) {
+			first = n.at
 		}
 	}
 	if time.Now().Before(first) {
@@ -197,23 +198,24 @@
 	return first
 }
 
-// Troubles with answers of the name service.
+// Faults of the name service's answers, by the text of the fault.
 const (
-	listStale          = "stale"   // a list from before, under the number it had then
-	listEarlier        = "earlier" // the last list of the life before
+	listStale          = "stale"   // a past list, under the serial number it had then
+	listEarlier        = "earlier" // the last list of the previous incarnation
 	listLost           = "lost"
 	listFailed         = "failed"
 	listTruncated      = "short"
 	listOtherID        = "other-id"
 	listTwice          = "twice"
 	listLate           = "late"
-	listMixed          = "mixed" // any of these, but for the earlier list
-	listSerialsRestart = "anew"  // the numbers begin anew, once
+	listMixed          = "mixed" // any of the faults before it in listFaults
+	listSerialsRestart = "anew"  // the serial numbers begin anew, once
 )
 
+// listFaults are all of them. Those before listMixed are the ones it draws from.
 var listFaults = []string{listStale, listLost, listFailed, listTruncated, listOtherID, listTwice, listLate, listMixed, listEarlier, listSerialsRestart}
 
-// validateListFault says what is wrong with a trouble of the lists.
+// validateListFault checks a fault of lists, which stands at a place in the script.
 func validateListFault(fault *Fault, at string) error {
 	if !slices.Contains(listFaults, fault.Text) {
 		return fmt.Errorf("%s: lists needs a text out of %s", at, strings.Join(listFaults, ", "))
@@ -224,22 +226,22 @@
 	return nil
 }
 
-// alterReply has troubles that hold meet an answer to the gateway.
+// alterReply applies the active list faults to an answer to the gateway.
 func (g *gateway) alterReply(reply *standin.ListReply) {
-	var on []Fault
+	var active []Fault
 	g.fleet.mu.Lock()
-	for _, f := range g.fleet.activeFaults {
-		if f.Kind == "lists" && g.matches(f.Target) {
-			on = append(on, *f)
+	for _, fault := range g.fleet.activeFaults {
+		if fault.Kind == "lists" && g.matches(fault.Target) {
+			active = append(active, *fault)
 		}
 	}
 	g.fleet.mu.Unlock()
-	for i := range on {
-		g.list.applyFault(&on[i], reply)
+	for i := range active {
+		g.list.applyFault(&active[i], reply)
 	}
 }
 
-// applyFault has one trouble meet an answer.
+// applyFault applies a fault to an answer, with the fault's probability.
 func (l *endpointList) applyFault(fault *Fault, reply *standin.ListReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,14 +256,14 @@
 	case listStale:
 		l.replaceWithPast(reply, l.past)
 	case listEarlier:
-		var before []pastList
-		for _, p := range l.past {
-			if p.incarnation == l.incarnation-1 {
-				before = append(before, p)
+		var previous []pastList
+		for _, past := range l.past {
+			if past.incarnation == l.incarnation-1 {
+				previous = append(previous, past)
 			}
 		}
-		if len(before) > 0 {
-			l.replaceWithPast(reply, before[len(before)-1:])
+		if len(previous) > 0 {
+			l.replaceWithPast(reply, previous[len(previous)-1:])
 		}
 	case listLost:
 		reply.Dropped = true
@@ -278,9 +280,9 @@
 	}
 }
 
-// replaceWithPast puts one of some earlier lists into an answer. The lists are locked.
+// replaceWithPast replaces an answer's list by one of some past lists. l.mu is held.
 func (l *endpointList) replaceWithPast(reply *standin.ListReply, from []pastList) {
-	p := from[l.rng.IntN(len(from))]
-	reply.Stale = p.incarnation != l.incarnation || p.serial != l.version-l.serialBase
-	reply.Serial, reply.Hosts = p.serial, p.hosts
+	past := from[l.rng.IntN(len(from))]
+	reply.Stale = past.incarnation != l.incarnation || past.serial != l.version-l.serialBase
+	reply.Serial, reply.Hosts = past.serial, past.hosts
 }
--- a/internal/harness/endpointlist_test.go
+++ b/internal/harness/endpointlist_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Drains are heard of whatever number the list has that tells them: numbers begin anew with each start of a gateway, and an
-// answer may bring a list from before that, under the number it had then.
+// A gateway is notified of drains whatever serial number the list has: serial numbers begin anew with each start of a gateway, and
+// an answer may bring a list from before that, under the number it had then.
 func TestDrainsAreNotifiedWhateverTheSerials(t *testing.T) {
 	const fleet = `
 zone "hall-a" {
@@ -34,7 +34,7 @@
 }
 `
 	for name, faults := range map[string]string{
-		"a list of the life before, and a drain behind it": restarted + `
+		"a list of the previous incarnation, then a drain": restarted + `
 fault "lists" {
   of     = "gateways"
   text   = "earlier"
@@ -48,7 +48,7 @@
   for = "3s"
 }
 `,
-		"a drain, and a list of the life before behind it": restarted + `
+		"a drain, then a list of the previous incarnation": restarted + `
 fault "retire" {
   of  = "hall-a/e2"
   at  = "3s"
@@ -62,7 +62,7 @@
   for    = "150ms"
 }
 `,
-		"numbers that begin anew in the middle of a life": `
+		"serial numbers that begin anew while the gateway runs": `
 fault "lists" {
   of   = "gateways"
   text = "anew"
@@ -79,7 +79,7 @@
 			t.Parallel()
 			report := playScript(t, fleet+faults)
 			if report.Attempts < 100 {
-				t.Errorf("%d attempts at engines: the test has lost its subject", report.Attempts)
+				t.Errorf("%d attempts at engines: the test does not test what it should", report.Attempts)
 			}
 		})
 	}
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -10,40 +10,41 @@
 	"foxlane/internal/standin"
 )
 
-// engine is a stand-in with cores, queries in line for them, a cold start, and books of what it was sent.
+// engine is a fake engine with cores, a queue for them, and a slow start, which checks what it is sent while it is cold.
 type engine struct {
 	party
 	fleet   *fleet
-	index   int
-	proxies []*faultproxy.TCP // from each gateway
+	index   int               // in fleet.engines
+	proxies []*faultproxy.TCP // from each gateway, by its index
 
 	mu           sync.Mutex
-	server       *standin.Engine
+	server       *standin.Engine // nil: stopped
 	id           string
-	started      time.Time // zero: long ago
+	started      time.Time // zero: so long ago that it is warm
 	coreFreeAt   []time.Time
-	slowdown     float64
-	coldSends    []coldSend
+	slowdown     float64    // times that its work takes as long
+	coldSends    []coldSend // within overloadWindow
 	overloads    int
 	overloadedAt time.Time
-	faultMode    string  // a trouble it has; empty: none
-	faultShare   float64 // of the requests that feel it
+	faultMode    string  // empty: none
+	faultShare   float64 // part of the requests that it affects
 	rng          *rand.Rand
 
 	listMu       sync.Mutex
-	draining     bool // as the list says
-	unlisted     bool
-	drainVersion uint32 // of the list that first said so
-	startVersion uint32 // of the list that first tells of its latest start
+	draining     bool   // in the list
+	unlisted     bool   // dropped from the list
+	drainVersion uint32 // of the list that first said either; 0: none has
+	startVersion uint32 // of the list that first has its latest start
 }
 
+// coldSend is a request that reached a cold engine.
 type coldSend struct {
 	at       time.Time
 	work     time.Duration
-	informed bool // its gateway knew of the start
+	informed bool // its gateway was notified of the start
 }
 
-// listStatus is how the engine stands in the list of a number, which may be the first that says so.
+// listStatus is how the engine stands in the list of a version, which is remembered if it is the first to say so.
 func (e *engine) listStatus(version uint32) (draining, unlisted bool) {
 	e.listMu.Lock()
 	defer e.listMu.Unlock()
@@ -56,7 +57,7 @@
 	return e.draining, e.unlisted
 }
 
-// drainNotifiedAt is when a gateway was told that the engine drains or is gone; zero: it was not, or the engine does not.
+// drainNotifiedAt is when a gateway was notified that the engine is draining or removed; zero: it was not, or the engine is not.
 func (e *engine) drainNotifiedAt(gateway int) time.Time {
 	e.listMu.Lock()
 	version := e.drainVersion
@@ -67,7 +68,7 @@
 	return e.fleet.gateways[gateway].notifiedAt(version)
 }
 
-// startNotified answers whether a gateway was told of the engine's latest start.
+// startNotified reports whether a gateway was notified of the engine's latest start.
 func (e *engine) startNotified(gateway int) bool {
 	e.listMu.Lock()
 	version := e.startVersion
@@ -75,9 +76,9 @@
 	return !e.fleet.gateways[gateway].notifiedAt(version).IsZero()
 }
 
-// start starts the engine's process anew: it knows nothing of what came before.
+// start starts the engine as a new process, without any state of the one before.
 func (e *engine) start(cold bool) error {
-	srv, err := standin.NewEngine("127.0.0.1:0", e.respond)
+	server, err := standin.NewEngine("127.0.0.1:0", e.respond)
 	if err != nil {
 		return err
 	}
@@ -88,7 +89,7 @@
 	e.startVersion = version + 1
 	e.listMu.Unlock()
 	e.mu.Lock()
-	e.server, e.slowdown, e.coldSends, e.faultMode = srv, 1, nil, ""
+	e.server, e.slowdown, e.coldSends, e.faultMode = server, 1, nil, ""
 	e.rng = rand.New(rand.NewPCG(e.fleet.Seed, uint64(e.index)+1000))
 	e.coreFreeAt = make([]time.Time, e.fleet.Cores)
 	e.started = time.Time{}
@@ -99,23 +100,25 @@
 	return nil
 }
 
+// stop stops the engine. Its connections are reset.
 func (e *engine) stop() {
 	e.mu.Lock()
-	srv := e.server
+	server := e.server
 	e.server = nil
 	e.mu.Unlock()
-	if srv != nil {
-		srv.Close()
+	if server != nil {
+		server.Close()
 	}
 }
 
+// addr is the address of the engine itself, behind its proxies. It runs.
 func (e *engine) addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.server.Addr()
 }
 
-// warmth is the part of its speed that the engine has: it warms evenly.
+// warmth is the part of its full speed that the engine has, which grows evenly from its start. e.mu is held.
 func (e *engine) warmth(now time.Time) float64 {
 	if e.started.IsZero() || e.fleet.Cold <= 0 || now.Sub(e.started) >= e.fleet.Cold {
 		return 1
@@ -123,7 +126,8 @@
 	return e.fleet.ColdFrom + (1-e.fleet.ColdFrom)*float64(now.Sub(e.started))/float64(e.fleet.Cold)
 }
 
-// recordColdSend counts what comes to a cold engine against what it bears. It returns what is to be judged of it.
+// recordColdSend counts a request at a cold engine against what it can bear. It returns the text of a violation, if there is one.
+// e.mu is held.
 func (e *engine) recordColdSend(now time.Time, work time.Duration, informed bool) (broken string) {
 	warm := e.warmth(now)
 	if warm >= 1 {
@@ -132,14 +136,14 @@
 	}
 	e.coldSends = append(e.coldSends, coldSend{now, work, informed})
 	sum := time.Duration(0)
-	kept := e.coldSends[:0]
+	recent := e.coldSends[:0]
 	for _, s := range e.coldSends {
 		if now.Sub(s.at) <= overloadWindow {
-			kept = append(kept, s)
+			recent = append(recent, s)
 			sum += s.work
 		}
 	}
-	e.coldSends = kept
+	e.coldSends = recent
 	broken = e.checkSlowStart(now)
 	if float64(sum) > e.fleet.overloadFactor()*warm*float64(e.fleet.Cores)*float64(overloadWindow) && now.Sub(e.overloadedAt) > overloadWindow {
 		e.overloads++
@@ -148,12 +152,12 @@
 	return broken
 }
 
-// respond has a query wait for a core, and run.
-func (e *engine) respond(ask standin.Request) standin.Reply {
+// respond records a request and returns the reply to it.
+func (e *engine) respond(query standin.Request) standin.Reply {
 	now := time.Now()
-	attempt := e.fleet.recorder.recordEngineRequest(ask, e, now)
+	attempt := e.fleet.recorder.recordEngineRequest(query, e, now)
 	informed := attempt.gateway != nil && e.startNotified(attempt.gateway.index)
-	reply, broken := e.execute(ask, attempt, now, informed)
+	reply, broken := e.execute(query, attempt, now, informed)
 	if reply.Status == "served" && !reply.Reset {
 		e.fleet.recorder.recordRun(attempt, now.Add(reply.Delay))
 	}
@@ -163,8 +167,9 @@
 	return reply
 }
 
-// execute has a query wait for a core, and run, or meet the engine's trouble.
-func (e *engine) execute(ask standin.Request, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
+// execute queues a request for a core and runs it, or applies the engine's fault. It returns the text of a violation, if there is
+// one.
+func (e *engine) execute(query standin.Request, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
 	work := attempt.work
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,15 +178,15 @@
 	}
 	broken = e.recordColdSend(now, work, informed)
 	if e.faultMode != "" && e.rng.Float64() < e.faultShare {
-		return e.faultResponse(ask, work), broken
+		return e.faultResponse(query, work), broken
 	}
-	first := 0
+	core := 0
 	for i := range e.coreFreeAt {
-		if e.coreFreeAt[i].Before(e.coreFreeAt[first]) {
-			first = i
+		if e.coreFreeAt[i].Before(e.coreFreeAt[core]) {
+			core = i
 		}
 	}
-	start := e.coreFreeAt[first]
+	start := e.coreFreeAt[core]
 	if start.Before(now) {
 		start = now
 	}
@@ -189,18 +194,17 @@
 		e.fleet.recorder.recordEngineRejection(attempt)
 		return standin.Reply{Delay: time.Millisecond, Status: "overload"}, broken
 	}
-	e.coreFreeAt[first] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slowdown))
-	id := ask.ID
-	return standin.Reply{Delay: e.coreFreeAt[first].Sub(now), ReportedWork: work, Status: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", id)}}, broken
+	e.coreFreeAt[core] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slowdown))
+	return standin.Reply{Delay: e.coreFreeAt[core].Sub(now), ReportedWork: work, Status: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", query.ID)}}, broken
 }
 
-// faultResponse is what becomes of a request that meets the engine's trouble.
-func (e *engine) faultResponse(ask standin.Request, work time.Duration) standin.Reply {
+// faultResponse is the reply to a request that the engine's fault affects. e.mu is held.
+func (e *engine) faultResponse(query standin.Request, work time.Duration) standin.Reply {
 	switch e.faultMode {
 	case modeError:
 		return standin.Reply{Delay: work / 4, Status: "crashed"}
 	case modeMalformed:
-		texts := []string{ask.ID + " served total=1 600\r\n1\t2", ask.ID + " served total=1 4\r\n1\t2\n\r\n", "\x00\xff served", ask.ID + " rows index=3 0\r\n\r\n"}
+		texts := []string{query.ID + " served total=1 600\r\n1\t2", query.ID + " served total=1 4\r\n1\t2\n\r\n", "\x00\xff served", query.ID + " rows index=3 0\r\n\r\n"}
 		return standin.Reply{Delay: work, Raw: texts[e.rng.IntN(len(texts))]}
 	case modeReset:
 		return standin.Reply{Delay: work / 2, Reset: true, Status: "served"}
@@ -209,11 +213,11 @@
 }
 
 const (
-	overloadWindow = 2 * time.Second
-	maxQueueTime   = 2 * time.Second
+	overloadWindow = 2 * time.Second // over which the load of a cold engine is summed
+	maxQueueTime   = 2 * time.Second // a request that would wait longer for a core is rejected
 )
 
-// listEntry is the engine as a gateway's list has it, at the relay for that gateway.
+// listEntry is the engine in the list of a gateway, with the address of the proxy for that gateway.
 func (e *engine) listEntry(gateway int, draining bool) standin.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -3,112 +3,114 @@
 import (
 	"context"
 	"strings"
-	"syscall"
 	"time"
 
 	"foxlane/internal/faultproxy"
 )
 
-// inject carries a fault out, and takes it back after its time.
+// This file owns the life of a fault: it begins, holds for its time on links and parties, and is reverted.
+
+// revertFunc takes a fault back; nil: there is nothing to take back.
+type revertFunc func() error
+
+// faultKind is what a kind of fault needs in a script, and how it begins. A kind without inject acts only while it is active: on
+// the conditions of links, on the rate of clients, or on answers of the name service.
+type faultKind struct {
+	target bool // it needs `of`
+	link   bool // it needs `from` and `to`
+	inject func(*fleet, *Fault) (revertFunc, error)
+}
+
+// faultKinds are the kinds of faults by their name in scripts. Those marked with * need a fault gateway (Process.AcceptsCommands).
+var faultKinds = map[string]faultKind{
+	"lose":       {target: true, inject: (*fleet).loseZone},               // a zone, gateways killed and engines silent; it comes back cold after `for`
+	"silence":    {target: true},                                          // nothing comes to or from it
+	"freeze":     {target: true, inject: (*fleet).freezeGateways},         // gateways are stopped and go on after `for`
+	"kill":       {target: true, inject: (*fleet).killGateways},           // gateways are killed, and started after `for`
+	"restart":    {target: true, inject: (*fleet).restartGateways},        // gateways get SIGTERM, and are started again once they have exited
+	"reset":      {target: true, inject: (*fleet).resetConnections},       // its connections are reset
+	"drain":      {target: true, inject: (*fleet).drainZone},              // the operator's file drains a zone
+	"burst":      {target: true},                                          // clients of a zone send `factor` times as much
+	"slow":       {target: true, inject: (*fleet).slowEngines},            // engines take `factor` times as long
+	"order":      {target: true, inject: (*fleet).setDirectives},          // a gateway is asked for a directive: `text` is its kind and subject
+	"hush":       {inject: (*fleet).switchGossipOff},                      // the operator's file switches gossip among gateways off
+	"mode":       {target: true, inject: (*fleet).breakEngines},           // engines answer a part (`factor`) of requests by `text`: hang, error, spoil, break
+	"retire":     {target: true, inject: (*fleet).retire},                 // engines drain, stop after `for`, and come back cold; `text` is gone, both, flap or newid
+	"term":       {target: true, inject: (*fleet).terminateGateways},      // gateways get SIGTERM, SIGKILL as early as the operators allow, and are started again
+	"signals":    {target: true, inject: (*fleet).signalGateways},         // gateways get a series: `text` is "HUP TERM STOP CONT"; after a TERM as with term
+	"late-dials": {target: true, inject: (*fleet).delayDials},             // * a part (`factor`) of connections to engines are delayed by up to `delay`
+	"reload":     {target: true, inject: (*fleet).reloadTargets},          // gateways read their files again
+	"step":       {target: true, inject: (*fleet).stepClocks},             // * the wall clock is stepped by `factor` seconds
+	"calls":      {target: true, inject: (*fleet).failCalls},              // * a part (`factor`) of calls fails: `text` is "dial,accept ENETUNREACH"
+	"disk":       {target: true, inject: (*fleet).failDisk},               // * a part of calls on the folder of results fails: `text` is "write,sync EIO"
+	"files":      {target: true, inject: (*fleet).limitFiles},             // gateways may open few descriptors beyond those that are open
+	"log":        {target: true, inject: (*fleet).stallLogs},              // nobody reads the log
+	"rogue":      {target: true, inject: (*fleet).startRogueClients},      // clients that break the protocol
+	"leave":      {inject: (*fleet).abandonMore},                          // a part (`factor`) of clients abandon their request
+	"fifo":       {target: true, inject: (*fleet).replaceConfigsWithFIFO}, // the configuration is replaced by a pipe, and back
+	"dark":       {inject: (*fleet).silenceNameServers},                   // the name service says nothing
+	"late":       {},                                                      // what it says is late by `delay`
+	"lists":      {target: true, inject: (*fleet).restartListSerials},     // a part (`factor`) of its answers is `text`: see endpointlist.go; late ones by up to `delay`
+	"cut":        {link: true},                                            // nothing comes through from one to the other
+	"link":       {link: true},                                            // delay, jitter, loss, rate
+}
+
+// inject carries a fault out and, if it has a time, reverts it after that.
 func (f *fleet) inject(ctx context.Context, fault *Fault) error {
 	f.recorder.recordFault(fault)
 	f.setActive(fault, true)
-	back, mine, err := f.injectProcessFault(ctx, fault)
-	if mine {
-		return f.revertAfter(ctx, fault, back, err)
-	}
-	switch fault.Kind {
-	case "lose":
-		back, err = f.loseZone(ctx, fault)
-	case "freeze":
-		back = f.freeze(fault)
-	case "kill":
-		f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
-		back = func() error { return f.startGateways(fault.Target) }
-	case "restart":
-		f.eachGateway(fault.Target, func(g *gateway) {
-			if e := g.stop(syscall.SIGTERM); e != nil {
-				f.recorder.addViolation(Crashed, "%s ended with %v: %s", g.name, e, tail(g.log.String()))
-			}
-		})
-		back = func() error { return f.startGateways(fault.Target) }
-	case "reset":
-		f.resetConnections(fault.Target)
-	case "drain":
-		back, err = f.drainZone(fault)
-	case "slow":
-		f.slowEngines(fault.Target, fault.Factor)
-		back = func() error { f.slowEngines(fault.Target, 1); return nil }
-	case "order":
-		f.eachGateway(fault.Target, func(g *gateway) { f.setDirective(g, fault.Text) })
-	case "hush": // the operator's file switches the talk off
-		set := func(off bool) error {
-			f.gossipOff.Store(off)
-			return f.reloadAll()
+	var revert revertFunc
+	if inject := faultKinds[fault.Kind].inject; inject != nil {
+		var err error
+		if revert, err = inject(f, fault); err != nil {
+			return err
 		}
-		back, err = func() error { return set(false) }, set(true)
-	case "dark":
-		f.mangleNames(func([]byte) []byte { return nil })
-		back = func() error { f.mangleNames(nil); return nil }
 	}
-	return f.revertAfter(ctx, fault, back, err)
-}
-
-// revertAfter waits for a fault's time and takes it back.
-func (f *fleet) revertAfter(ctx context.Context, fault *Fault, back func() error, err error) error {
-	if err != nil {
-		return err
+	if fault.For <= 0 {
+		return nil
 	}
-	if fault.For > 0 {
-		select {
-		case <-time.After(fault.For):
-		case <-ctx.Done():
-		}
-		f.setActive(fault, false)
-		if back != nil {
-			return back()
-		}
+	select {
+	case <-time.After(fault.For):
+	case <-ctx.Done():
 	}
-	return nil
+	f.setActive(fault, false)
+	if revert == nil {
+		return nil
+	}
+	return revert()
 }
 
-// setActive has a fault hold, or hold no more, and takes all ways anew.
+// setActive adds a fault to the active ones or removes it, and sets the conditions of all links anew.
 func (f *fleet) setActive(fault *Fault, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kept := f.activeFaults[:0:0]
-	for _, o := range f.activeFaults {
-		if o != fault {
-			kept = append(kept, o)
+	active := f.activeFaults[:0:0]
+	for _, other := range f.activeFaults {
+		if other != fault {
+			active = append(active, other)
 		}
 	}
 	if on {
-		kept = append(kept, fault)
+		active = append(active, fault)
 	}
-	f.activeFaults = kept
+	f.activeFaults = active
 	for _, link := range f.links {
 		link.SetConditions(f.conditions(link))
 	}
 }
 
-// conditions are what all faults that hold make of a way.
+// conditions are what all active faults together make of a link. f.mu is held.
 func (f *fleet) conditions(link *link) (c faultproxy.Conditions) {
 	for _, fault := range f.activeFaults {
 		switch fault.Kind {
-		case "lose": // its engines say nothing; its gateways are dead
+		case "lose": // its engines fall silent; its gateways have been killed
 			c.Cut = c.Cut || link.from.kind == "engines" && link.from.matches(fault.Target) || link.to.kind == "engines" && link.to.matches(fault.Target)
 		case "silence":
 			c.Cut = c.Cut || link.from.matches(fault.Target) || link.to.matches(fault.Target)
-		case "cut", "link":
-			there := link.from.matches(fault.From) && link.to.matches(fault.To)
-			if fault.Both {
-				there = there || link.from.matches(fault.To) && link.to.matches(fault.From)
-			}
-			if !there || link.from.zone == link.to.zone && link.from.zone != "" && !strings.Contains(fault.From, "/") { // within a site all stays as it is
-				continue
-			}
-			if fault.Kind == "cut" {
-				c.Cut = true
+		case "cut":
+			c.Cut = c.Cut || fault.affects(link)
+		case "link":
+			if !fault.affects(link) {
 				continue
 			}
 			c.Delay += fault.Delay
@@ -126,130 +128,29 @@
 	return c
 }
 
-func (f *fleet) eachGateway(of string, do func(*gateway)) {
-	for _, g := range f.gateways {
-		if g.matches(of) {
-			do(g)
-		}
-	}
-}
-
-// startGateways starts the gateways that a fault has ended.
-func (f *fleet) startGateways(of string) error {
-	for _, g := range f.gateways {
-		if g.matches(of) {
-			if err := g.startIfStopped(); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// loseZone takes a zone away: gateways die, engines fall silent, and after a while the list says so. It comes back with new
-// processes, cold.
-func (f *fleet) loseZone(ctx context.Context, fault *Fault) (func() error, error) {
-	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
-	var lost []*engine
-	for _, e := range f.engines {
-		if e.matches(fault.Target) {
-			lost = append(lost, e)
-		}
-	}
-	list := func(gone bool) {
-		f.mu.Lock()
-		for _, e := range lost {
-			f.unlisted[e.index] = gone
-		}
-		f.mu.Unlock()
-		f.publishList(publishDelay)
-	}
-	unlist := time.AfterFunc(fault.unlistAfter, func() { list(true) })
-	if fault.For <= 0 {
-		return nil, nil
-	}
-	return func() error {
-		unlist.Stop()
-		for _, e := range lost {
-			e.stop() // what ran there is gone
-			if err := e.start(true); err != nil {
-				return err
-			}
-			for _, t := range e.proxies {
-				t.Reset()
-				t.SetTarget(e.addr())
-			}
-		}
-		list(false)
-		return f.startGateways(fault.Target)
-	}, nil
-}
-
-func (f *fleet) freeze(fault *Fault) func() error {
-	f.eachGateway(fault.Target, func(g *gateway) {
-		g.frozen.Store(true)
-		g.signal(syscall.SIGSTOP)
-	})
-	return func() error {
-		f.eachGateway(fault.Target, func(g *gateway) {
-			g.signal(syscall.SIGCONT)
-			g.resumedAt.Store(time.Now().UnixNano())
-			time.AfterFunc(time.Second, func() { g.frozen.Store(false) })
-		})
-		return nil
-	}
+// affects reports whether a link lies between the ends that the fault names. Links within a zone are affected only if the fault
+// names single parties.
+func (f *Fault) affects(link *link) bool {
+	between := link.from.matches(f.From) && link.to.matches(f.To) ||
+		f.Both && link.from.matches(f.To) && link.to.matches(f.From)
+	withinZone := link.from.zone == link.to.zone && link.from.zone != ""
+	return between && (!withinZone || strings.Contains(f.From, "/"))
 }
 
-func (f *fleet) resetConnections(of string) {
-	for _, e := range f.engines {
-		for i, t := range e.proxies {
-			if e.matches(of) || f.gateways[i].matches(of) {
-				t.Reset()
-			}
-		}
-	}
-	f.eachGateway(of, func(g *gateway) {
-		g.resetAt.Store(time.Now().UnixNano())
-		g.clientProxy.Reset()
-	})
-}
-
-// drainZone has the operator's file drain a zone, and all gateways read it again.
-func (f *fleet) drainZone(fault *Fault) (func() error, error) {
-	set := func(on bool) error {
-		f.mu.Lock()
-		if f.drainedZones[fault.Target] = on; !on {
-			delete(f.drainedZones, fault.Target)
-		}
-		f.mu.Unlock()
-		return f.reloadAll()
-	}
-	return func() error { return set(false) }, set(true)
-}
-
-// reloadAll has all gateways read their files again.
-func (f *fleet) reloadAll() error {
+// eachGateway calls do for each gateway that the selector matches.
+func (f *fleet) eachGateway(selector string, do func(*gateway)) {
 	for _, g := range f.gateways {
-		if err := g.writeFiles(); err != nil {
-			return err
+		if g.matches(selector) {
+			do(g)
 		}
-		g.signal(syscall.SIGHUP)
 	}
-	return nil
 }
 
-func (f *fleet) slowEngines(of string, factor float64) {
+// eachEngine calls do for each engine that the selector matches.
+func (f *fleet) eachEngine(selector string, do func(*engine)) {
 	for _, e := range f.engines {
-		if e.matches(of) {
-			e.mu.Lock()
-			e.slowdown = factor
-			e.mu.Unlock()
+		if e.matches(selector) {
+			do(e)
 		}
 	}
 }
-
-func (f *fleet) mangleNames(mangle func([]byte) []byte) {
-	for _, g := range f.gateways {
-		g.nameServer.SetRewrite(mangle)
-	}
-}
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -1,17 +1,13 @@
-// Package rig owns fleets of several processes on this machine: real gateways in two or more sites, stand-ins for their
-// engines and name services, clients, and relays between all of them, with faults from one script. It keeps books of
-// what clients and engines saw, and judges the rules by these alone. It must never look into a gateway, be part of
-// one, or reach any address but this machine's.
+// Package harness runs fleets of several processes on this machine: real gateways in one or more zones, fake engines and name
+// servers, clients, and fault-injecting proxies between all of them, with faults from one script. It records what clients and
+// engines see and checks the rules by that, and by what gateways log. It must never look into a gateway in another way, be part
+// of one, or reach any address but this machine's.
 package harness
 
 import (
-	"bytes"
 	"cmp"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -28,119 +24,67 @@
 )
 
 const (
-	serviceName  = "_data._tcp.farm.lan"
-	startTimeout = 10 * time.Second
-	stopTimeout  = 8 * time.Second
-	memoryMB     = 64
-	maxSockets   = 512
-	maxLogBytes  = 16 << 20 // bytes kept of a gateway's log
-	publishDelay = 150 * time.Millisecond
+	serviceName           = "_data._tcp.farm.lan"  // that the name servers answer for
+	maxLogBytes           = 16 << 20               // kept of a gateway's log
+	publishDelay          = 150 * time.Millisecond // from a loss of engines until the list says so
+	defaultOverloadFactor = 3
 )
 
-// fleet is one fleet.
+// fleet is the gateways, engines and clients of one run of a script, and the proxies between them.
 type fleet struct {
 	Script
-	recorder      *Report
+	recorder      *recorder
 	classes       []requestClass
 	clients       *clientPool
 	gateways      []*gateway
 	engines       []*engine
-	dir           string
+	dir           string // temporary, removed by close
 	process       Process
-	logFolder     string
+	logFolder     string // empty: logs are not kept
 	resultClients []*resultClient
 	pauses        pauses
 	startedAt     time.Time
 
 	mu              sync.Mutex
-	links           map[[2]string]*link
-	activeFaults    []*Fault     // that are on
-	listVersion     uint32       // of the list, as the rig counts
-	publishedAt     []time.Time  // when each version came before the gateways
-	unlisted        map[int]bool // engines that the list does not name
-	drainedZones    map[string]bool
-	gossipOff       atomic.Bool  // talk is switched off
-	abandonPermille atomic.Int64 // thousandths of all clients that leave early
-	lastID          int          // engine ids given
-	directiveCount  int          // given
-
-	pendingDirectives sync.WaitGroup // that orders wait for
+	links           map[[2]string]*link // by the names of their ends
+	activeFaults    []*Fault
+	listVersion     uint32          // of the engine list, for all gateways alike
+	publishedAt     []time.Time     // by version of the list
+	unlisted        map[int]bool    // engines of lost zones that the list has dropped
+	drainedZones    map[string]bool // by the operator's file
+	gossipOff       atomic.Bool
+	abandonPermille atomic.Int64 // thousandths of all clients that abandon their request
+	lastID          int          // of engines
+	directiveCount  int
+
+	pendingDirectives sync.WaitGroup // goroutines that wait for a gateway's answer to a directive
 }
 
+// link is one direction between two parties.
 type link struct {
 	*faultproxy.Link
 	from, to party
 }
 
-// gateway is a process, over all of its lives.
-type gateway struct {
-	party
-	fleet         *fleet
-	index         int
-	zoneIndex     int
-	startMu       sync.Mutex // one start at a time
-	nameServer    *standin.NameServer
-	dnsProxy      *faultproxy.UDP
-	clientProxy   *faultproxy.TCP
-	listenAddr    string
-	gossipAddr    netip.AddrPort          // where other gateways find it
-	controlAddr   netip.AddrPort          // and operators' commands
-	peerProxies   []*faultproxy.TCPAndUDP // to each other gateway, by its index
-	incarnation   atomic.Int64
-	frozen        atomic.Bool
-	resumedAt     atomic.Int64 // when it last went on after a stop; Unix nanoseconds, as those that follow
-	resetAt       atomic.Int64 // when its clients' connections were last reset
-	killedAt      atomic.Int64 // when it was last killed outright
-	endedAt       atomic.Int64 // when a process of it last ended
-	strainedUntil atomic.Int64 // until when it may lack descriptors or calls that work
-
-	mu      sync.Mutex
-	current *process  // nil: it is ended, or being ended
-	latest  *process  // the one that was started last
-	termAt  time.Time // when it was last asked to end
-	log     cappedLog
-
-	list endpointList // what the name service tells it
-}
-
-// cappedLog keeps the beginning of a log.
-type cappedLog struct {
-	mu  sync.Mutex
-	buf bytes.Buffer
-}
-
-func (l *cappedLog) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.buf.Len()+len(p) <= maxLogBytes {
-		l.buf.Write(p)
-	}
-	return len(p), nil
-}
-
-func (l *cappedLog) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.String()
-}
-
-// Run plays a script with a gateway's program and returns the books. Logs of the gateways are kept in a folder, if one is
-// named.
+// Run plays a script with a gateway's program and returns the report, also the report so far with an error that occurs later
+// than the start. The gateways' logs are kept in the folder logs, unless that is empty.
 func Run(ctx context.Context, program string, s Script, logs string) (report *Report, err error) {
 	return RunProcess(ctx, Process{Program: program}, s, logs)
 }
 
-// RunProcess plays a script with gateways that run a process.
+// RunProcess is Run with gateways that run any process, such as a fault gateway.
 func RunProcess(ctx context.Context, p Process, s Script, logs string) (report *Report, err error) {
-	f := &fleet{Script: s, classes: classesOf(&s), process: p, logFolder: logs, links: map[[2]string]*link{}, unlisted: map[int]bool{}, drainedZones: map[string]bool{}, listVersion: 1}
+	f := &fleet{Script: s, classes: classesOf(&s), process: p, logFolder: logs, listVersion: 1,
+		links: map[[2]string]*link{}, unlisted: map[int]bool{}, drainedZones: map[string]bool{}}
 	defer func() {
 		if end := f.close(); err == nil {
 			err = end
 		}
 	}()
 	watching, stop := context.WithCancel(ctx)
-	defer stop()
-	go f.pauses.watch(watching)
+	var watcher sync.WaitGroup
+	watcher.Go(func() { f.pauses.watch(watching) })
+	defer func() { stop(); watcher.Wait() }()
 	if err := f.build(); err != nil {
 		return nil, err
 	}
@@ -151,67 +95,49 @@
 	return report, err
 }
 
-// overloadFactor is how many times its speed a cold engine bears.
+// overloadFactor is how many times its present speed a cold engine can bear.
 func (f *fleet) overloadFactor() float64 {
 	if f.OverloadFactor > 0 {
 		return f.OverloadFactor
 	}
-	return 3
+	return defaultOverloadFactor
 }
 
-// link is the one from one party to another.
+// link returns the link from one party to another, the same for each call.
 func (f *fleet) link(from, to party) *faultproxy.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := [2]string{from.name, to.name}
-	w := f.links[key]
-	if w == nil {
-		w = &link{faultproxy.NewLink(f.Seed + uint64(len(f.links))), from, to}
-		f.links[key] = w
+	found := f.links[key]
+	if found == nil {
+		found = &link{faultproxy.NewLink(f.Seed + uint64(len(f.links))), from, to}
+		f.links[key] = found
 	}
-	return w.Link
+	return found.Link
 }
 
+// build starts all that the script names: engines, name servers, proxies, and the gateways last.
 func (f *fleet) build() (err error) {
 	if f.dir, err = os.MkdirTemp("", "foxrig"); err != nil {
 		return err
 	}
-	names, clients := party{"names", "", "names"}, party{"clients", "", "clients"}
-	for zi, z := range f.Zones {
+	for zoneIndex, z := range f.Zones {
 		for i := range z.Engines {
 			f.engines = append(f.engines, &engine{party: party{fmt.Sprintf("%s/e%d", z.Name, i), z.Name, "engines"}, fleet: f, index: len(f.engines), id: f.newEngineID()})
 		}
 		for i := range z.Gateways {
-			f.gateways = append(f.gateways, &gateway{party: party{fmt.Sprintf("%s/g%d", z.Name, i), z.Name, "gateways"}, fleet: f, index: len(f.gateways), zoneIndex: zi})
+			f.gateways = append(f.gateways, &gateway{party: party{fmt.Sprintf("%s/g%d", z.Name, i), z.Name, "gateways"}, fleet: f, index: len(f.gateways), zoneIndex: zoneIndex})
 		}
 	}
-	f.recorder = newReport(f)
+	f.recorder = newRecorder(f)
 	f.clients = newClientPool(len(f.gateways))
 	for _, e := range f.engines {
-		if err := e.start(false); err != nil {
+		if err := e.build(); err != nil {
 			return err
 		}
-		for _, g := range f.gateways {
-			t, err := faultproxy.NewTCP("127.0.0.1:0", e.addr(), f.link(g.party, e.party), f.link(e.party, g.party))
-			if err != nil {
-				return err
-			}
-			e.proxies = append(e.proxies, t)
-		}
 	}
 	for _, g := range f.gateways {
-		if g.nameServer, err = standin.NewNameServer("127.0.0.1:0", serviceName); err != nil {
-			return err
-		}
-		if g.dnsProxy, err = faultproxy.NewUDP("127.0.0.1:0", g.nameServer.Addr(), f.link(g.party, names), f.link(names, g.party)); err != nil {
-			return err
-		}
-		g.nameServer.OnSent(g.recordListSent)
-		g.nameServer.OnReply(g.alterReply)
-		if g.listenAddr, err = unusedAddr(g.index); err != nil {
-			return err
-		}
-		if g.clientProxy, err = faultproxy.NewTCP("127.0.0.1:0", g.listenAddr, f.link(clients, g.party), f.link(g.party, clients)); err != nil {
+		if err := g.build(); err != nil {
 			return err
 		}
 	}
@@ -234,219 +160,73 @@
 	return nil
 }
 
-// buildGossip puts a relay between each two gateways, in each direction.
+// build starts the engine, and a proxy to it for each gateway.
+func (e *engine) build() error {
+	if err := e.start(false); err != nil {
+		return err
+	}
+	for _, g := range e.fleet.gateways {
+		proxy, err := faultproxy.NewTCP("127.0.0.1:0", e.addr(), e.fleet.link(g.party, e.party), e.fleet.link(e.party, g.party))
+		if err != nil {
+			return err
+		}
+		e.proxies = append(e.proxies, proxy)
+	}
+	return nil
+}
+
+// build starts the gateway's name server, and the proxies to that and to the gateway itself.
+func (g *gateway) build() (err error) {
+	f := g.fleet
+	if g.nameServer, err = standin.NewNameServer("127.0.0.1:0", serviceName); err != nil {
+		return err
+	}
+	if g.dnsProxy, err = faultproxy.NewUDP("127.0.0.1:0", g.nameServer.Addr(), f.link(g.party, namesParty), f.link(namesParty, g.party)); err != nil {
+		return err
+	}
+	g.nameServer.OnSent(g.recordListSent)
+	g.nameServer.OnReply(g.alterReply)
+	if g.listenAddr, err = unusedAddr(g.index); err != nil {
+		return err
+	}
+	g.clientProxy, err = faultproxy.NewTCP("127.0.0.1:0", g.listenAddr, f.link(clientsParty, g.party), f.link(g.party, clientsParty))
+	return err
+}
+
+// buildGossip starts a proxy from each gateway to each other one, for gossip.
 func (f *fleet) buildGossip() error {
 	for _, g := range f.gateways {
-		for _, at := range []*netip.AddrPort{&g.gossipAddr, &g.controlAddr} {
+		for _, target := range []*netip.AddrPort{&g.gossipAddr, &g.controlAddr} {
 			addr, err := unusedAddr(g.index)
 			if err != nil {
 				return err
 			}
-			*at = netip.MustParseAddrPort(addr)
+			*target = netip.MustParseAddrPort(addr)
 		}
 	}
 	for _, g := range f.gateways {
-		for _, o := range f.gateways {
-			if o == g {
+		for _, other := range f.gateways {
+			if other == g {
 				g.peerProxies = append(g.peerProxies, nil)
 				continue
 			}
-			p, err := faultproxy.NewTCPAndUDP(g.gossipAddr.Addr().String(), o.gossipAddr.String(), f.link(g.party, o.party), f.link(o.party, g.party))
+			proxy, err := faultproxy.NewTCPAndUDP(g.gossipAddr.Addr().String(), other.gossipAddr.String(), f.link(g.party, other.party), f.link(other.party, g.party))
 			if err != nil {
 				return err
 			}
-			g.peerProxies = append(g.peerProxies, p)
+			g.peerProxies = append(g.peerProxies, proxy)
 		}
 	}
 	return nil
 }
 
-// membersBlock is the block by which a gateway finds the others.
-func (g *gateway) membersBlock() string {
-	if !g.fleet.Gossip || g.fleet.gossipOff.Load() {
-		return ""
-	}
-	text := fmt.Sprintf("members {\n  bind = %q\n  control = %q\n  fast = true\n  seeds = [", g.gossipAddr, g.controlAddr)
-	for _, o := range g.fleet.gateways {
-		if o != g {
-			text += fmt.Sprintf("%q, ", o.gossipAddr)
-		}
-	}
-	text += "]\n"
-	for i, p := range g.peerProxies {
-		if p != nil {
-			text += fmt.Sprintf("  via %q {\n    at = %q\n  }\n", g.fleet.gateways[i].gossipAddr, p.Addr())
-		}
-	}
-	text += "}\n"
-	if n := g.fleet.Voters; n > 0 {
-		text += "directives {\n  voters = ["
-		for i := range n {
-			text += fmt.Sprintf("\"n%d\", ", i)
-		}
-		text += fmt.Sprintf("]\n  folder = %q\n  tick = \"50ms\"\n}\n", g.path("votes"))
-	}
-	return text
-}
-
+// newEngineID returns an id that no engine had before. f.mu is held once the fleet runs.
 func (f *fleet) newEngineID() string {
 	f.lastID++
 	return fmt.Sprintf("s-%08x", f.lastID)
 }
 
-var addressesGiven atomic.Uint32 // of this process
-
-// Ports of gateways lie below those that the system gives out by itself: one that is free now could else be a relay's or a
-// connection's when its gateway starts.
-const (
-	firstPort = 20_000
-	portCount = 10_000
-)
-
-// unusedAddr is an address of this machine that nobody listens on, and nobody else is given: each process has a part of the loopback
-// range to itself, and each call another port.
-func unusedAddr(i int) (string, error) {
-	pid, n := uint32(os.Getpid()), addressesGiven.Add(1)
-	for try := range uint32(portCount) {
-		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%128, pid%256, i+1, firstPort+(n+try)%portCount)
-		ln, err := net.Listen("tcp", at)
-		if errors.Is(err, syscall.EADDRINUSE) {
-			continue
-		}
-		if err != nil {
-			return "", err
-		}
-		ln.Close()
-		return at, nil
-	}
-	return "", errNoPort
-}
-
-var errNoPort = errors.New("rig: no port is free")
-
-// ---- gateways
-
-type object = map[string]any
-
-func (g *gateway) config() object {
-	f := g.fleet
-	var servers []object
-	serial, hosts := g.knownList()
-	for _, h := range hosts {
-		state := "active"
-		if h.Draining {
-			state = "leaving"
-		}
-		servers = append(servers, object{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": state, "weight": 4,
-			"started_ms": h.Started})
-	}
-	var list []object
-	var threads []int
-	var loads []bool
-	for _, c := range f.classes {
-		effect := "pure"
-		if c.nonIdempotent {
-			effect = "side_effect"
-		}
-		if c.idempotencyWindow > 0 {
-			effect = "token"
-		}
-		entry := object{"dedupWindow": c.idempotencyWindow.Microseconds(), "name": c.name, "aim": c.latencyObjective.Microseconds(), "aimStretch": objectiveStretch, "giveUp": c.timeout.Microseconds(),
-			"effect": effect, "group": "all", "lateValue": 0.2, "worth": c.weight, "serialByKey": c.ordered}
-		if c.firstZoneOnly {
-			entry["staysIn"] = []int{0}
-		}
-		list = append(list, entry)
-		threads, loads = append(threads, 1), append(loads, false)
-	}
-	var zones []string
-	for _, z := range f.Zones {
-		zones = append(zones, z.Name)
-	}
-	return object{
-		"name": fmt.Sprint("n", g.index), "listen": g.listenAddr, "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(g.index)*10+uint64(g.incarnation.Load())),
-		"dns":    g.dnsProxy.Addr().String(),
-		"limits": object{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
-		"known":  object{"seq": serial, "results": []object{{"seq": serial, "fleet": object{"version": 1, "full": true, "servers": servers}}}},
-		"settings": object{
-			"classes": list, "clients": object{"marksRetry": true}, "fees": object{"crossZone": 0.05},
-			"extra": object{"classThreads": threads, "isLoad": loads, "cpuOfKind": []int{f.Cores}, "ramOfKindMb": []int{65536}, "tellsCost": true},
-			"limits": object{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
-				"multiplex": 32, "retryAfter": true, "maxRetryAfter": 2_000_000, "probes": true},
-			"machineTypes": []string{"std"}, "membershipMode": "push", "me": g.index, "siblings": len(f.gateways), "tick": 1000, "zone": g.zoneIndex,
-			"zones": zones,
-			"rules": f.ruleSettings(),
-		},
-	}
-}
-
-// ruleSettings are the figures of the rules.
-func (f *fleet) ruleSettings() object {
-	out := object{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
-		"coldFrom": f.ColdFrom, "tipAfter": overloadWindow.Microseconds(), "keyRest": keyQuarantine.Microseconds()}
-	if f.RetryBudget > 0 {
-		out["freeResends"], out["extraPerRequest"], out["lookBack"] = freeRetries, f.RetryBudget, retryWindow.Microseconds()
-	}
-	return out
-}
-
-func (g *gateway) path(name string) string {
-	return filepath.Join(g.fleet.dir, fmt.Sprintf("g%d-%s", g.index, name))
-}
-
-// writeFiles puts the gateway's files where it reads them.
-func (g *gateway) writeFiles() error {
-	raw, err := json.Marshal(g.config())
-	if err != nil {
-		return err
-	}
-	if err := replaceFile(g.path("config.json"), raw); err != nil {
-		return err
-	}
-	return replaceFile(g.path("site.hcl"), []byte(strings.ReplaceAll(g.fleet.operatorFile(), "{folder}", g.path("results"))+"\n"+g.membersBlock()))
-}
-
-// replaceFile puts a file in the place of whatever is there.
-func replaceFile(path string, data []byte) error {
-	if err := os.WriteFile(path+".next", data, 0o600); err != nil {
-		return err
-	}
-	return os.Rename(path+".next", path)
-}
-
-// operatorFile is the operator's file as it is now.
-func (f *fleet) operatorFile() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	text := f.OperatorFile
-	if len(f.drainedZones) == 0 {
-		return text
-	}
-	zones := ""
-	for _, z := range f.Zones {
-		if f.drainedZones[z.Name] {
-			zones += fmt.Sprintf("  zone %q {\n    drain = true\n  }\n", z.Name)
-		}
-	}
-	return string(bytes.Replace([]byte(text), []byte("sites {\n"), []byte("sites {\n"+zones), 1))
-}
-
-// disturbed answers whether clients can't count on an answer in time: it is frozen, or cut off from them.
-func (g *gateway) disturbed() bool {
-	if g.frozen.Load() {
-		return true
-	}
-	clients := party{"clients", "", "clients"}
-	for _, link := range []*faultproxy.Link{g.fleet.link(clients, g.party), g.fleet.link(g.party, clients)} {
-		if c := link.Conditions(); c.Cut || c.Delay > 0 || c.Loss > 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// ---- a run
-
+// play runs the script's clients and faults for its time, then what is checked at the end.
 func (f *fleet) play(ctx context.Context) (*Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.Length)
 	defer cancel()
@@ -454,48 +234,59 @@
 	f.startedAt = time.Now()
 	f.recorder.start = f.startedAt
 	var clients, faults sync.WaitGroup
-	errs := make(chan error, 4*len(f.Faults)+1)
+	errs := make(chan error, len(f.Faults))
 	for i := range f.Faults {
-		fault := &f.Faults[i]
 		faults.Go(func() {
-			select {
-			case <-ctx.Done():
-			case <-time.After(fault.At):
-				if err := f.inject(ctx, fault); err != nil {
-					errs <- err
-				}
+			if err := f.injectAt(ctx, &f.Faults[i]); err != nil {
+				errs <- err
 			}
 		})
 	}
 	if strings.Contains(f.OperatorFile, "{folder}") {
 		f.storeResults(ctx, &clients)
 	}
-	whole, total := 0.0, 0.0
-	for _, z := range f.Zones {
-		whole += float64(z.Engines * f.Cores)
-		total += z.clientWeight()
-	}
-	var asking sync.WaitGroup
-	for i, z := range f.Zones {
-		if rate := f.Load * whole / f.meanWork() * float64(time.Second) * z.clientWeight() / total; rate > 0 {
-			asking.Go(func() { f.generateLoad(ctx, i, rate, &clients) })
-		}
-	}
-	asking.Wait()
+	f.generateAllLoad(ctx, &clients)
 	clients.Wait()
 	faults.Wait()
 	select {
 	case err := <-errs:
-		return f.recorder, err
+		return &f.recorder.Report, err
 	default:
 	}
 	if err := f.verifyStoredResults(); err != nil {
-		return f.recorder, err
+		return &f.recorder.Report, err
 	}
 	f.finish()
-	return f.recorder, nil
+	return &f.recorder.Report, nil
 }
 
+// injectAt injects a fault at its time, unless the context ends before.
+func (f *fleet) injectAt(ctx context.Context, fault *Fault) error {
+	select {
+	case <-ctx.Done():
+		return nil
+	case <-time.After(fault.At):
+		return f.inject(ctx, fault)
+	}
+}
+
+// generateAllLoad generates the load of all zones' clients until the context ends. Their requests run in goroutines of wg.
+func (f *fleet) generateAllLoad(ctx context.Context, wg *sync.WaitGroup) {
+	cores, totalWeight := 0.0, 0.0
+	for _, z := range f.Zones {
+		cores += float64(z.Engines * f.Cores)
+		totalWeight += z.clientWeight()
+	}
+	var zones sync.WaitGroup
+	for i, z := range f.Zones {
+		if rate := f.Load * cores / f.meanWork() * float64(time.Second) * z.clientWeight() / totalWeight; rate > 0 {
+			zones.Go(func() { f.generateLoad(ctx, i, rate, wg) })
+		}
+	}
+	zones.Wait()
+}
+
+// clientWeight is the zone's part of all requests, in any unit.
 func (z Zone) clientWeight() float64 {
 	if z.ClientShare > 0 {
 		return z.ClientShare
@@ -503,48 +294,34 @@
 	return float64(z.Engines)
 }
 
-// burstFactor is how many times as much clients of a zone ask for now.
+// burstFactor is how many times their usual load a zone's clients generate now.
 func (f *fleet) burstFactor(zone int) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	times := 1.0
+	factor := 1.0
 	for _, fault := range f.activeFaults {
 		if fault.Kind == "burst" && (party{zone: f.Zones[zone].Name}).matches(fault.Target) {
-			times *= fault.Factor
+			factor *= fault.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-// finish takes the last figures, and ends all gateways as operators do.
+// finish makes the checks that need the whole run, stops all gateways by SIGTERM, and completes the report.
 func (f *fleet) finish() {
 	f.checkDirectives()
 	f.recorder.checkOverlaps()
+	f.recordUsage()
+	var exits sync.WaitGroup
 	for _, g := range f.gateways {
-		if pid := g.pid(); pid != 0 {
-			if u, err := UsageOf(pid); err == nil {
-				f.recorder.RSSMB += u.RSSMB / float64(len(f.gateways))
-				f.recorder.CPUSeconds += u.CPUSeconds
-			}
-		}
-	}
-	var ends sync.WaitGroup
-	for _, g := range f.gateways {
-		ends.Go(func() {
-			if err := g.stop(syscall.SIGTERM); err != nil {
-				f.recorder.addViolation(Crashed, "%s ended with %v: %s", g.name, err, tail(g.log.String()))
-			}
-		})
+		exits.Go(g.stopGracefully)
 	}
-	ends.Wait()
+	exits.Wait()
 	for _, g := range f.gateways {
 		f.recorder.recordLogEvents(g)
-		f.recorder.checkInvariants(g, g.log.String())
-		if f.logFolder != "" {
-			name := filepath.Join(f.logFolder, strings.ReplaceAll(g.name, "/", "-")+".log")
-			if err := os.WriteFile(name, []byte(g.log.String()), 0o600); err != nil {
-				f.recorder.addUnclassified("the log of %s was not kept: %v", g.name, err)
-			}
+		f.recorder.checkInvariants(g)
+		if err := g.keepLog(); err != nil {
+			f.recorder.addUnclassified("the log of %s was not kept: %v", g.name, err)
 		}
 	}
 	slices.SortStableFunc(f.recorder.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -555,27 +332,46 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for key, w := range f.links {
-		f.recorder.Links[key[0]+" > "+key[1]] = w.Counts()
+	for ends, link := range f.links {
+		f.recorder.Links[ends[0]+" > "+ends[1]] = link.Counts()
 	}
 }
 
-func tail(text string) string { return text[max(0, len(text)-2000):] }
+// recordUsage adds the memory and processor time of the gateways that run.
+func (f *fleet) recordUsage() {
+	for _, g := range f.gateways {
+		if pid := g.pid(); pid != 0 {
+			if u, err := UsageOf(pid); err == nil {
+				f.recorder.RSSMB += u.RSSMB / float64(len(f.gateways))
+				f.recorder.CPUSeconds += u.CPUSeconds
+			}
+		}
+	}
+}
+
+// keepLog writes the gateway's log to the folder of logs, if there is one.
+func (g *gateway) keepLog() error {
+	if g.fleet.logFolder == "" {
+		return nil
+	}
+	name := filepath.Join(g.fleet.logFolder, strings.ReplaceAll(g.name, "/", "-")+".log")
+	return os.WriteFile(name, []byte(g.log.String()), 0o600)
+}
 
-// close ends all that still runs.
+// close stops all that still runs, also of a fleet that was built in part.
 func (f *fleet) close() error {
 	if f.clients != nil {
 		f.clients.close()
 	}
 	for _, g := range f.gateways {
 		g.signal(syscall.SIGCONT)
-		_ = g.stop(syscall.SIGKILL)
+		_ = g.stop(syscall.SIGKILL) // a kill is expected to end it with an error
 		if g.clientProxy != nil {
 			g.clientProxy.Close()
 		}
-		for _, p := range g.peerProxies {
-			if p != nil {
-				p.Close()
+		for _, proxy := range g.peerProxies {
+			if proxy != nil {
+				proxy.Close()
 			}
 		}
 		if g.dnsProxy != nil {
@@ -586,8 +382,8 @@
 		}
 	}
 	for _, e := range f.engines {
-		for _, t := range e.proxies {
-			t.Close()
+		for _, proxy := range e.proxies {
+			proxy.Close()
 		}
 		e.stop()
 	}
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -9,23 +11,34 @@
 	"strings"
 	"testing"
 	"time"
+
+	"foxlane/internal/faultproxy"
 )
 
+// gatewayProgram is the path of the gateway that TestMain builds.
 var gatewayProgram string
 
 // TestMain builds the gateway once.
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "rigtest")
+	code, err := buildAndRun(m)
 	if err != nil {
-		panic(err)
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
 	}
+	os.Exit(code)
+}
+
+func buildAndRun(m *testing.M) (code int, err error) {
+	dir, err := os.MkdirTemp("", "harnesstest")
+	if err != nil {
+		return 0, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	gatewayProgram = filepath.Join(dir, "foxlane")
 	if out, err := exec.Command("go", "build", "-o", gatewayProgram, "foxlane/cmd/foxlane").CombinedOutput(); err != nil {
-		panic(string(out))
+		return 0, fmt.Errorf("building the gateway: %w: %s", err, out)
 	}
-	code := m.Run()
-	os.RemoveAll(dir)
-	os.Exit(code)
+	return m.Run(), nil
 }
 
 const threeZones = `
@@ -54,6 +67,7 @@
 E
 `
 
+// playScript plays a script, logs its report, and fails the test for each violation.
 func playScript(t *testing.T, text string) *Report {
 	t.Helper()
 	script, err := ParseScript([]byte(text), t.Name()+".hcl")
@@ -71,8 +85,32 @@
 	return report
 }
 
+// wantServed fails the test if less than a share of the weight offered in some seconds was served.
+func wantServed(t *testing.T, report *Report, from, to int, least float64, when string) {
+	t.Helper()
+	if got := report.ServedShare(from, to); got < least {
+		t.Errorf("%.3f of the weight served %s, want %.2f", got, when, least)
+	}
+}
+
+// The keys of the JSON report are those that its readers know, whatever the fields are called.
+func TestReportJSONKeys(t *testing.T) {
+	raw, err := json.Marshal(&Report{Seconds: []Second{{}}, Classes: []ClassReport{{}}, Events: []Event{{}}, Links: map[string]faultproxy.Counts{"a > b": {}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"Seconds":[{"Offered":0,"Worth":0,"To":null,"Foreign":null,"Refused":null,"Again":0,"Failed":0,"Turned":0}],` +
+		`"Classes":[{"Name":"","Asked":0,"InTime":0,"Late":0,"Refused":0,"Failed":0,"Ran":0}],` +
+		`"Breaches":null,"Fallen":0,"Attempts":0,"Tries":0,"RSSMB":0,"CPU":0,"Ordered":null,"Unheld":0,"Copies":0,"Cross":0,` +
+		`"Ways":{"a \u003e b":{"Bytes":0,"Lost":0,"Taken":0,"Resets":0}},"Verdicts":[0,0,0,0,0,0,0,0,0,0,0,0,0],"Kept":0,"Pauses":0,` +
+		`"LongestPause":0,"Late":0,"SlowestDrain":0,"Events":[{"At":0,"Who":"","Text":"","Zone":""}]}`
+	if string(raw) != want {
+		t.Errorf("got  %s\nwant %s", raw, want)
+	}
+}
+
 // A zone is lost, engines and gateways, and comes back cold: the others take over, nothing goes there meanwhile, and it gets its
-// part again without being pushed over.
+// part again without an overload.
 func TestZoneIsLostAndReturns(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
@@ -85,12 +123,8 @@
   unlisted = "2s"
 }
 `)
-	if got := report.ServedShare(5, 7); got < 0.9 {
-		t.Errorf("%.3f of the worth served while the zone was away", got)
-	}
-	if got := report.ServedShare(12, 16); got < 0.95 {
-		t.Errorf("%.3f of the worth served after the return", got)
-	}
+	wantServed(t, report, 5, 7, 0.9, "while the zone was away")
+	wantServed(t, report, 12, 16, 0.95, "after the return")
 	if p := report.WorkByZone(13, 16); p[0] < 0.2 {
 		t.Errorf("6 s after its return the zone gets %.2f of the work", p[0])
 	}
@@ -102,7 +136,7 @@
 	}
 }
 
-// A zone that flaps every two seconds is taken back by a gateway twice in six flaps at most, and the rest serves on.
+// A zone that flaps every two seconds is used again by a gateway twice in six flaps at most, and the others go on serving.
 func TestZoneFlaps(t *testing.T) {
 	t.Parallel()
 	const flaps, every, silent = 6, 2200 * time.Millisecond, 1400 * time.Millisecond
@@ -113,9 +147,7 @@
 		}
 	}
 	report := playScript(t, text)
-	if got := report.ServedShare(9, 15); got < 0.9 {
-		t.Errorf("%.3f of the worth served after the third flap", got)
-	}
+	wantServed(t, report, 9, 15, 0.9, "after the third flap")
 	losses, returns := 0, map[string]int{}
 	for _, e := range report.Events {
 		switch {
@@ -133,8 +165,8 @@
 	}
 }
 
-// One way is cut: queries reach a zone's engines from other zones, answers don't come back. Nothing unsafe is sent twice, each
-// answer is given in time, and the zone's own gateways serve on.
+// One direction is cut: queries reach a zone's engines from other zones, responses don't come back. Nothing that is not idempotent
+// is sent twice, each client has its response in time, and the zone's own gateways go on serving.
 func TestAnswersAreCutOff(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
@@ -153,16 +185,12 @@
   for  = "4s"
 }
 `)
-	if got := report.ServedShare(4, 7); got < 0.85 {
-		t.Errorf("%.3f of the worth served while answers were cut off", got)
-	}
-	if got := report.ServedShare(9, 12); got < 0.95 {
-		t.Errorf("%.3f served after it", got)
-	}
+	wantServed(t, report, 4, 7, 0.85, "while answers were cut off")
+	wantServed(t, report, 9, 12, 0.95, "after it")
 }
 
-// A site is cut off from the others, both ways, but not from its clients: all sites serve on alone.
-func TestSiteServesOnAlone(t *testing.T) {
+// A zone is cut off from the others in both directions, but not from its clients: all zones go on serving alone.
+func TestZoneServesAlone(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
@@ -182,16 +210,14 @@
   for  = "5s"
 }
 `)
-	if got := report.ServedShare(4, 8); got < 0.95 {
-		t.Errorf("%.3f of the worth served while a site was cut off", got)
-	}
+	wantServed(t, report, 4, 8, 0.95, "while a site was cut off")
 	if p := report.WorkByZone(4, 8); p[0] < 0.25 {
 		t.Errorf("the site that is cut off serves %.2f of the work", p[0])
 	}
 }
 
-// A zone is drained by the operators' file while the name service says nothing, and another is lost meanwhile; a gateway starts in
-// the middle of it, another is frozen and thawed.
+// A zone is drained by the operator's file while the name service is silent, and another is lost meanwhile; a gateway starts in
+// the middle of it, another is frozen and resumed.
 func TestLostWhileAnotherDrainsInTheDark(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+strings.Replace(siteSettings, "ramp", "drain_over = \"2s\"\n  ramp", 1)+`
@@ -223,22 +249,18 @@
   for = "1s"
 }
 `)
-	if got := report.ServedShare(6, 8); got < 0.8 {
-		t.Errorf("%.3f of the worth served with one zone of three", got)
-	}
+	wantServed(t, report, 6, 8, 0.8, "with one zone of three")
 	if p := report.WorkByZone(6, 8); p[1] > 0.1 || p[0] > 0.05 {
 		t.Errorf("parts %.2f with the first zone lost and the second drained", p)
 	}
-	if got := report.ServedShare(14, 17); got < 0.95 {
-		t.Errorf("%.3f served in the end", got)
-	}
+	wantServed(t, report, 14, 17, 0.95, "in the end")
 	if p := report.WorkByZone(14, 17); p[1] < 0.15 {
 		t.Errorf("parts %.2f in the end: the drained zone does not come back", p)
 	}
 }
 
-// The smaller of two sites takes over from the larger, with a ladder: what earns least for its work is refused, what earns most is
-// not.
+// The smaller of two zones takes over from the larger, with load shedding: what earns least for its work is rejected, what earns
+// most is not.
 func TestSmallSiteTakesOver(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, `
@@ -270,23 +292,23 @@
   unlisted = "1s"
 }
 `)
-	var part [3]float64
-	for c := range part {
+	var rejected [3]float64 // part of the first attempts, by class
+	for c := range rejected {
 		for _, s := range report.Seconds[5:9] {
-			part[c] += float64(s.Rejected[c]) / float64(report.Classes[c].Requests) * float64(len(report.Seconds)) / 4
+			rejected[c] += float64(s.Rejected[c]) / float64(report.Classes[c].Requests) * float64(len(report.Seconds)) / 4
 		}
 	}
-	if part[1] < 0.2 || part[0] > part[1]/2 {
-		t.Errorf("with a quarter of the engines %.2f of the first tries are refused, by class; the first earns most for its work, the second least", part)
-	}
-	if got := report.ServedShare(15, 18); got < 0.93 {
-		t.Errorf("%.3f served after the return", got)
+	if rejected[1] < 0.2 || rejected[0] > rejected[1]/2 {
+		t.Errorf("with a quarter of the engines %.2f of the first attempts are rejected, by class; the first earns most for its work, the second least", rejected)
 	}
+	wantServed(t, report, 15, 18, 0.93, "after the return")
 }
 
+// What can't be played is an error that names its place and reason.
 func TestInvalidScripts(t *testing.T) {
 	base := threeZones + "load = 0.5\nlength = \"5s\"\n"
 	for text, want := range map[string]string{
+		base + "talk = true\nvoters = -1\n":                               "voters need talk",
 		"load = 0.5\nlength = \"5s\"\ncores = 4\n":                        "0 gateways and 0 engines",
 		threeZones + "load = 0.5\nlength = \"5m\"\n":                      "at most 3m0s",
 		threeZones + "load = 0.5\nlength = \"soon\"\n":                    "\"soon\" is no span of time",
--- /dev/null
+++ b/internal/harness/gatewayconfig.go
@@ -0,0 +1,192 @@
+package harness
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"syscall"
+)
+
+// This file owns the files that a gateway reads, and the addresses in them.
+
+// Limits of a gateway, as the configuration declares them.
+const (
+	memoryMB   = 64
+	maxSockets = 512
+)
+
+// object is a JSON object.
+type object = map[string]any
+
+// config is the gateway's configuration as it is to be now, in the form that the module's platform gives.
+func (g *gateway) config() object {
+	f := g.fleet
+	var servers []object
+	serial, hosts := g.knownList()
+	for _, h := range hosts {
+		state := "active"
+		if h.Draining {
+			state = "leaving"
+		}
+		servers = append(servers, object{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": state, "weight": 4,
+			"started_ms": h.Started})
+	}
+	var classes []object
+	var threads []int
+	var loads []bool
+	for _, c := range f.classes {
+		classes = append(classes, c.config())
+		threads, loads = append(threads, 1), append(loads, false)
+	}
+	var zones []string
+	for _, z := range f.Zones {
+		zones = append(zones, z.Name)
+	}
+	return object{
+		"name": fmt.Sprint("n", g.index), "listen": g.listenAddr, "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(g.index)*10+uint64(g.incarnation.Load())),
+		"dns":    g.dnsProxy.Addr().String(),
+		"limits": object{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
+		"known":  object{"seq": serial, "results": []object{{"seq": serial, "fleet": object{"version": 1, "full": true, "servers": servers}}}},
+		"settings": object{
+			"classes": classes, "clients": object{"marksRetry": true}, "fees": object{"crossZone": 0.05},
+			"extra": object{"classThreads": threads, "isLoad": loads, "cpuOfKind": []int{f.Cores}, "ramOfKindMb": []int{65536}, "tellsCost": true},
+			"limits": object{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
+				"multiplex": 32, "retryAfter": true, "maxRetryAfter": 2_000_000, "probes": true},
+			"machineTypes": []string{"std"}, "membershipMode": "push", "me": g.index, "siblings": len(f.gateways), "tick": 1000, "zone": g.zoneIndex,
+			"zones": zones,
+			"rules": f.ruleSettings(),
+		},
+	}
+}
+
+// config is the class as the configuration declares it.
+func (c *requestClass) config() object {
+	effect := "pure"
+	if c.nonIdempotent {
+		effect = "side_effect"
+	}
+	if c.idempotencyWindow > 0 {
+		effect = "token"
+	}
+	entry := object{"dedupWindow": c.idempotencyWindow.Microseconds(), "name": c.name, "aim": c.latencyObjective.Microseconds(), "aimStretch": objectiveStretch, "giveUp": c.timeout.Microseconds(),
+		"effect": effect, "group": "all", "lateValue": lateValue, "worth": c.weight, "serialByKey": c.ordered}
+	if c.firstZoneOnly {
+		entry["staysIn"] = []int{0}
+	}
+	return entry
+}
+
+// ruleSettings are the settings of the rules that the harness checks.
+func (f *fleet) ruleSettings() object {
+	out := object{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
+		"coldFrom": f.ColdFrom, "tipAfter": overloadWindow.Microseconds(), "keyRest": keyQuarantine.Microseconds()}
+	if f.RetryBudget > 0 {
+		out["freeResends"], out["extraPerRequest"], out["lookBack"] = freeRetries, f.RetryBudget, retryWindow.Microseconds()
+	}
+	return out
+}
+
+// membersBlock is the part of the operator's file by which a gateway finds the others; empty without gossip.
+func (g *gateway) membersBlock() string {
+	if !g.fleet.Gossip || g.fleet.gossipOff.Load() {
+		return ""
+	}
+	text := fmt.Sprintf("members {\n  bind = %q\n  control = %q\n  fast = true\n  seeds = [", g.gossipAddr, g.controlAddr)
+	for _, other := range g.fleet.gateways {
+		if other != g {
+			text += fmt.Sprintf("%q, ", other.gossipAddr)
+		}
+	}
+	text += "]\n"
+	for i, proxy := range g.peerProxies {
+		if proxy != nil {
+			text += fmt.Sprintf("  via %q {\n    at = %q\n  }\n", g.fleet.gateways[i].gossipAddr, proxy.Addr())
+		}
+	}
+	text += "}\n"
+	if n := g.fleet.Voters; n > 0 {
+		text += "directives {\n  voters = ["
+		for i := range n {
+			text += fmt.Sprintf("\"n%d\", ", i)
+		}
+		text += fmt.Sprintf("]\n  folder = %q\n  tick = \"50ms\"\n}\n", g.path("votes"))
+	}
+	return text
+}
+
+// path is where a file of the gateway lies.
+func (g *gateway) path(name string) string {
+	return filepath.Join(g.fleet.dir, fmt.Sprintf("g%d-%s", g.index, name))
+}
+
+// writeFiles writes the gateway's configuration and operator's file as they are to be now.
+func (g *gateway) writeFiles() error {
+	raw, err := json.Marshal(g.config())
+	if err != nil {
+		return err
+	}
+	if err := replaceFile(g.path("config.json"), raw); err != nil {
+		return err
+	}
+	return replaceFile(g.path("site.hcl"), []byte(strings.ReplaceAll(g.fleet.operatorFile(), "{folder}", g.path("results"))+"\n"+g.membersBlock()))
+}
+
+// replaceFile puts a file in the place of whatever is there, in one step.
+func replaceFile(path string, data []byte) error {
+	if err := os.WriteFile(path+".next", data, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(path+".next", path)
+}
+
+// operatorFile is the operator's file with the zones that are drained now.
+func (f *fleet) operatorFile() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	text := f.OperatorFile
+	if len(f.drainedZones) == 0 {
+		return text
+	}
+	zones := ""
+	for _, z := range f.Zones {
+		if f.drainedZones[z.Name] {
+			zones += fmt.Sprintf("  zone %q {\n    drain = true\n  }\n", z.Name)
+		}
+	}
+	return strings.Replace(text, "sites {\n", "sites {\n"+zones, 1)
+}
+
+// addressesGiven counts the calls of unusedAddr in this process, so that no two of them try the same port first.
+var addressesGiven atomic.Uint32
+
+// Ports of gateways lie below the ephemeral ones: the system could give a port that is free now to a proxy or a connection before
+// its gateway starts.
+const (
+	firstPort = 20_000
+	portCount = 10_000
+)
+
+// unusedAddr is a loopback address that nobody listens on. Processes and calls do not compete for one: the process id chooses a
+// part of the loopback range, and each call begins at another port.
+func unusedAddr(i int) (string, error) {
+	pid, n := uint32(os.Getpid()), addressesGiven.Add(1)
+	for try := range uint32(portCount) {
+		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%128, pid%256, i+1, firstPort+(n+try)%portCount)
+		ln, err := net.Listen("tcp", at)
+		if errors.Is(err, syscall.EADDRINUSE) {
+			continue
+		}
+		if err != nil {
+			return "", err
+		}
+		return at, ln.Close()
+	}
+	return "", errNoPort
+}
+
+var errNoPort = errors.New("harness: no free port")
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -8,9 +8,9 @@
 
 const gossipZones = "talk = true\n" + threeZones
 
-// A fifth of the engines fall silent and others learn of it from one another, through relays that lose a third of all datagrams and
-// delay the rest; a member is killed and comes back, one is frozen, one is cut off one way, and talk is switched off in the end: clients
-// notice nothing of any of it.
+// A fifth of the engines fall silent and the gateways learn of it from one another, through proxies that lose a third of all
+// datagrams and delay the rest; a member is killed and comes back, one is frozen, one is cut off in one direction, and gossip is
+// switched off in the end: clients notice nothing of any of it.
 func TestGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, gossipZones+siteSettings+`
@@ -50,9 +50,7 @@
   at = "15s"
 }
 `)
-	if got := report.ServedShare(11, 17); got < 0.95 {
-		t.Errorf("%.3f of the worth served at the end", got)
-	}
+	wantServed(t, report, 11, 17, 0.95, "at the end")
 	joined, ended := map[string]bool{}, map[string]bool{}
 	for _, e := range report.Events {
 		switch {
@@ -61,20 +59,20 @@
 		case strings.HasPrefix(e.Text, "members: talk ends"):
 			ended[e.Source] = true
 			if e.At < 15*time.Second {
-				t.Errorf("%s ends its talk at %v", e.Source, e.At)
+				t.Errorf("%s stops its gossip at %v", e.Source, e.At)
 			}
 		}
 	}
 	if len(joined) != 6 || len(ended) != 6 {
-		t.Errorf("%d of 6 gateways have met others, %d have ended their talk when told", len(joined), len(ended))
+		t.Errorf("%d of 6 gateways have joined others, %d have stopped their gossip when it was switched off", len(joined), len(ended))
 	}
 	if report.MaxReplicaEntries < 10 {
-		t.Errorf("%d entries of others at the most: nothing was shared", report.MaxReplicaEntries)
+		t.Errorf("%d replicated entries at most: nothing was shared", report.MaxReplicaEntries)
 	}
 }
 
-// Three of six gateways vote: a directive holds at all six; the leader's site is cut off, voters are killed, and a majority still takes
-// orders; what was said to hold holds everywhere in the end, and an engine that is drained gets nothing.
+// Three of six gateways vote, and a directive is in effect at all six. While the leader's zone is cut off and voters are killed, a
+// majority still accepts directives; in the end those confirmed are in effect everywhere, and a drained engine gets nothing.
 func TestDirectivesThroughFaults(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, gossipZones+siteSettings+`
@@ -115,12 +113,10 @@
 }
 `)
 	if n := len(report.AcceptedDirectives); n < 3 {
-		t.Errorf("%d of 4 orders were said to hold: %v", n, report.AcceptedDirectives)
+		t.Errorf("%d of 4 directives were confirmed: %v", n, report.AcceptedDirectives)
 	}
 	if refused := report.Classes[2].Rejected; refused < 10 {
-		t.Errorf("%d requests of the class that is refused were", refused)
-	}
-	if got := report.ServedShare(1, 6); got < 0.95 {
-		t.Errorf("%.3f of the worth served with one engine drained", got)
+		t.Errorf("%d requests of the rejected class were rejected", refused)
 	}
+	wantServed(t, report, 1, 6, 0.95, "with one engine drained")
 }
--- a/internal/harness/pauses.go
+++ b/internal/harness/pauses.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// This file watches the rig itself: where its own goroutines don't run for a while, what it saw late is not late by fault of
-// a gateway. Each such pause is counted and told.
+// This file watches the harness itself: while its own goroutines don't run, what it sees late is not late by a gateway's fault.
+// Each such pause is counted and reported.
 
 const (
 	pausePollInterval = 10 * time.Millisecond
-	minPause          = 100 * time.Millisecond // a tick that is so late is a pause
+	minPause          = 100 * time.Millisecond // a poll this late is a pause
 )
 
-// pauses are those of the rig's process.
+// pauses are the times in which this process did not run.
 type pauses struct {
 	mu   sync.Mutex
 	list []pause
@@ -25,7 +25,7 @@
 	length time.Duration
 }
 
-// watch notes pauses until the context ends.
+// watch records pauses until the context ends.
 func (p *pauses) watch(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// totalSince is for how long the rig has not run, in all, since a time.
+// totalSince is the total length of the pauses that ended after a time.
 func (p *pauses) totalSince(t time.Time) (sum time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 	return sum
 }
 
-// summary is how many there were, and how long the longest one was.
+// summary returns the number of pauses and the longest one.
 func (p *pauses) summary() (n int, longest time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -1,6 +1,7 @@
 package harness
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -16,7 +17,7 @@
 	"foxlane/internal/standin"
 )
 
-// testProcess is one gateway with what it shares with its surroundings in the test's hands.
+// testProcess is one gateway whose standard error and configuration the test controls.
 type testProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -25,7 +26,7 @@
 	done   chan error
 }
 
-// startProcess starts a gateway with an engine that serves all, its standard error led to a file.
+// startProcess starts a gateway with one engine, which serves all, and with a file as its standard error.
 func startProcess(t *testing.T, stderr *os.File) *testProcess {
 	t.Helper()
 	e, err := standin.NewEngine("127.0.0.1:0", func(a standin.Request) standin.Reply {
@@ -68,7 +69,7 @@
 	}
 }
 
-// query asks the gateway for one row.
+// query queries the gateway for one row.
 func (p *testProcess) query(n int) error {
 	c, err := standin.Connect(p.listen, netip.Addr{}, time.Second)
 	if err != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// checkServes fails the test if a query is not answered.
+// checkServes fails the test if a query gets no response.
 func (p *testProcess) checkServes(when string) {
 	p.t.Helper()
 	if err := p.query(0); err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// checkStops asks the process to end, which must take 5 s at most and exit with 0.
+// checkStops sends SIGTERM, after which the process must exit with code 0 within 5 s.
 func (p *testProcess) checkStops() {
 	p.t.Helper()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -123,19 +124,19 @@
 	if _, err := unix.FcntlInt(w.Fd(), unix.F_SETPIPE_SZ, 4096); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close(); w.Close() })
+	t.Cleanup(func() { _, _ = r.Close(), w.Close() }) // the test may have closed them
 	return r, w
 }
 
-// fill writes to a pipe until it holds no more. It does so through a description of its own: the process at the other
-// one still finds its writes blocking.
+// fill writes to a pipe until it holds no more, through a file description of its own, so that writes of the process through the
+// other one still block.
 func fill(t *testing.T, w *os.File) {
 	t.Helper()
 	fd, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", w.Fd()), unix.O_WRONLY|unix.O_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }()
 	for {
 		if _, err := unix.Write(fd, []byte("\n")); err == unix.EAGAIN {
 			return
@@ -145,19 +146,20 @@
 	}
 }
 
-// A log collector that goes away takes no gateway with it: writes to its pipe fail, and the gateway serves on.
+// A log collector that exits does not take the gateway down: writes to its pipe fail, and the gateway goes on serving.
 func TestStandardErrorGoesAway(t *testing.T) {
 	r, w := smallPipe(t)
 	p := startProcess(t, w)
-	w.Close()
-	r.Close()
+	if err := errors.Join(w.Close(), r.Close()); err != nil {
+		t.Fatal(err)
+	}
 	p.signal(syscall.SIGHUP, 20)
 	time.Sleep(100 * time.Millisecond)
 	p.checkServes("with nobody at the other end of standard error")
 	p.checkStops()
 }
 
-// A log collector that stops reading holds nobody up: queries are answered and SIGTERM is heeded with the pipe full.
+// A log collector that stops reading blocks nothing: with the pipe full queries are served and SIGTERM takes effect.
 func TestStandardErrorIsFull(t *testing.T) {
 	_, w := smallPipe(t)
 	p := startProcess(t, w)
@@ -168,13 +170,13 @@
 	p.checkStops()
 }
 
-// A reload of a file that can't be read to its end, such as one on a mount that hangs, holds neither the gateway nor its end.
+// A reload of a file whose read never ends, such as one on a mount that hangs, blocks neither the gateway nor its shutdown.
 func TestReloadOfAFileThatHangs(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	p := startProcess(t, log)
 	whole, err := os.ReadFile(p.config)
 	if err != nil {
--- a/internal/harness/restart_test.go
+++ b/internal/harness/restart_test.go
@@ -17,7 +17,7 @@
 	_ "github.com/go-sql-driver/mysql"
 )
 
-// silentConfig is that of a gateway whose engines and name service say nothing.
+// silentConfig is the configuration of a gateway with one engine, which may be silent like its name server.
 func silentConfig(name, listen, dns, engine string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"01","limits":{"cores":0.1,"memory_mb":32,"sockets":256},"dns":%q,
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"version":1,"full":true,"servers":[
@@ -27,16 +27,15 @@
  "membershipMode":"push","siblings":30,"tick":1000,"zones":["a"]}}`, name, listen, dns, engine)
 }
 
-// Thirty processes start at once on one core, with engines and the name service dark and clients that come before they
-// are ready: nine in ten answer a ping within 10 s, none ends by it. A burst of SIGHUPs hides no SIGTERM, and each
-// then ends with 0.
+// Thirty processes start at once on one core, with a silent engine and name server, and clients that connect before they are
+// ready: nine in ten answer a ping within 10 s, and none exits. A burst of SIGHUPs hides no SIGTERM: each then exits with code 0.
 func TestThirtyStartAtOnce(t *testing.T) {
 	const n, within = 30, 10 * time.Second
 	dark, err := net.ListenPacket("udp", "127.0.0.1:0") // asked, and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dark.Close()
+	defer func() { _ = dark.Close() }()
 	dir := t.TempDir()
 	type process struct {
 		cmd   *exec.Cmd
@@ -68,11 +67,11 @@
 				t.Error(err)
 				return
 			}
-			defer db.Close()
+			defer func() { _ = db.Close() }()
 			for time.Since(began) < 2*within {
 				if half, err := net.DialTimeout("tcp", listen, time.Second); err == nil { // an early client that sends half a login
 					_, _ = half.Write([]byte{60, 0, 0, 1, 3})
-					half.Close()
+					_ = half.Close()
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				err := db.PingContext(ctx)
--- a/internal/harness/storedresults.go
+++ b/internal/harness/storedresults.go
@@ -12,16 +12,15 @@
 	"foxlane/internal/standin"
 )
 
-// This file owns clients that ask for results to be kept, and come for them again once their gateway was killed.
+// This file owns clients that have results stored by their gateway, and fetch them again once it was killed.
 
-// resultClient is the client of one gateway.
+// resultClient stores results at one gateway.
 type resultClient struct {
 	gateway *gateway
-	last    uint64
 	results []storedResult
 }
 
-// storedResult is one that a gateway has said to keep.
+// storedResult is a result that a gateway has confirmed as stored.
 type storedResult struct {
 	handle string
 	row    string
@@ -32,11 +31,11 @@
 	storeInterval = 250 * time.Millisecond
 	storeTimeout  = 3 * time.Second
 	handlePrefix  = "\x07#handle"
-	handleOffset  = 9 // where a handle begins in its row
+	handleOffset  = 9 // of the handle in its row
 	handleSize    = 64
 )
 
-// storeResults has a client of each gateway ask for results to be kept, until the context ends.
+// storeResults has a client of each gateway store results until the context ends, in goroutines of wg.
 func (f *fleet) storeResults(ctx context.Context, wg *sync.WaitGroup) {
 	for _, g := range f.gateways {
 		client := &resultClient{gateway: g}
@@ -53,15 +52,15 @@
 	}
 }
 
-// store asks for one. What ends without a whole answer was not taken on.
+// store has one result stored. A gateway owes only those whose answer was complete.
 func (c *resultClient) store() {
 	f := c.gateway.fleet
-	conn, err := standin.Connect(c.gateway.clientProxy.Addr().String(), netip.Addr{}, 300*time.Millisecond)
+	conn, err := standin.Connect(c.gateway.clientProxy.Addr().String(), netip.Addr{}, connectTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	req := &request{class: 1, work: 20 * time.Millisecond, at: time.Now()}
+	req := &request{class: reportClass, work: 20 * time.Millisecond, at: time.Now()}
 	id := f.recorder.startAttempt(req, c.gateway, storeTimeout)
 	handle, row, err := readStored(conn, fmt.Sprintf("/* kind=report,req=%s,timeout=%d,ms=20,spool=1 */ SELECT 1 FROM sales_1.x", id, storeTimeout.Milliseconds()))
 	if err == nil && handle != "" {
@@ -69,7 +68,7 @@
 	}
 }
 
-// readStored reads a result with the handle ahead of its rows.
+// readStored runs a query for a stored result and returns its handle, which comes before the rows, and its row.
 func readStored(conn *standin.Client, text string) (handle, row string, err error) {
 	err = conn.QueryRows(text, storeTimeout, func(b []byte) {
 		switch {
@@ -82,7 +81,7 @@
 	return handle, row, err
 }
 
-// verifyStoredResults kills all gateways, starts them again, and has each keeper read all that was said to be kept.
+// verifyStoredResults kills all gateways, starts them again, and fetches all stored results.
 func (f *fleet) verifyStoredResults() error {
 	if len(f.resultClients) == 0 {
 		return nil
@@ -105,6 +104,7 @@
 	return nil
 }
 
+// verify fetches a result and adds a violation if it is not as it was stored.
 func (c *resultClient) verify(result storedResult) {
 	conn, err := standin.Connect(c.gateway.listenAddr, netip.Addr{}, time.Second)
 	row := ""
--- a/internal/harness/usage.go
+++ b/internal/harness/usage.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Usage is what a process holds and has used.
+// Usage is the memory a process holds and the processor time it has used.
 type Usage struct {
 	RSSMB      float64
-	CPUSeconds float64 // seconds
+	CPUSeconds float64
 }
 
 const ticksPerSecond = 100 // USER_HZ on Linux
 
-// UsageOf reads it from /proc.
+// UsageOf reads a process's usage from /proc.
 func UsageOf(pid int) (u Usage, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -24,7 +24,7 @@
 	_, rest, ok := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 22 {
-		return u, fmt.Errorf("rig: %q is no stat of a process", raw)
+		return u, fmt.Errorf("harness: stat of process %d has an unknown form: %q", pid, raw)
 	}
 	for _, f := range fields[11:13] { // user and system time
 		n, err := strconv.Atoi(f)
