--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -35,7 +35,7 @@
 			if r == nil {
 				return err
 			}
-			r.Write(cmd.OutOrStdout())
+			err = errors.Join(err, r.Write(cmd.OutOrStdout()))
 			if err == nil && (len(r.Failed) > 0 || len(r.NotPlayed) > 0 || r.DefectsFound() < len(r.Detections)) {
 				err = errors.New("soak: something was violated, not played, or planted and not found")
 			}
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -387,6 +387,7 @@
 		}
 		e.stop()
 	}
+	f.pendingDirectives.Wait() // each has a deadline
 	if f.dir == "" {
 		return nil
 	}
--- /dev/null
+++ b/internal/soak/faultgenerators.go
@@ -0,0 +1,115 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"foxlane/internal/harness"
+)
+
+// faultGenerator draws the kind of a fault, and what it needs. Its times are set.
+type faultGenerator func(rng *rand.Rand, s *harness.Script, f *harness.Fault)
+
+// pick draws one of some values.
+func pick[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
+
+// gatewaySelector draws one gateway (half of the time), a zone of them, or all.
+func gatewaySelector(rng *rand.Rand, s *harness.Script) string {
+	z := s.Zones[rng.IntN(len(s.Zones))]
+	switch rng.IntN(4) {
+	case 0:
+		return "gateways"
+	case 1:
+		return z.Name
+	}
+	return randomGateway(rng, s)
+}
+
+// randomGateway draws one gateway.
+func randomGateway(rng *rand.Rand, s *harness.Script) string {
+	z := s.Zones[rng.IntN(len(s.Zones))]
+	return fmt.Sprintf("%s/g%d", z.Name, rng.IntN(z.Gateways))
+}
+
+// randomEngine draws one engine.
+func randomEngine(rng *rand.Rand, s *harness.Script) string {
+	z := s.Zones[rng.IntN(len(s.Zones))]
+	return fmt.Sprintf("%s/e%d", z.Name, rng.IntN(z.Engines))
+}
+
+// targeted generates faults that need no more than a target.
+func targeted(kind string, draw func(*rand.Rand, *harness.Script) string) faultGenerator {
+	return func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind, f.Target = kind, draw(rng, s) }
+}
+
+// abandon generates clients that abandon their requests.
+func abandon(rng *rand.Rand, _ *harness.Script, f *harness.Fault) {
+	f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64()
+}
+
+// faultGenerators are all but those of the disk, drawn evenly. One that stands twice is drawn twice as often.
+var faultGenerators = []faultGenerator{
+	targeted("freeze", randomGateway),
+	targeted("freeze", gatewaySelector),
+	targeted("kill", randomGateway),
+	targeted("restart", randomGateway),
+	targeted("kill", gatewaySelector),
+	targeted("term", gatewaySelector),
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Text = "signals", randomGateway(rng, s), pick(rng, "HUP TERM TERM HUP", "TERM HUP", "HUP HUP HUP HUP", "HUP STOP CONT TERM TERM", "TERM STOP CONT HUP")
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor, f.Delay = "late-dials", gatewaySelector(rng, s), 0.2+0.5*rng.Float64(), 300*time.Millisecond+time.Duration(rng.Int64N(int64(1200*time.Millisecond)))
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.From, f.To, f.Both = "cut", randomGateway(rng, s), "names", true
+	},
+	targeted("reload", gatewaySelector),
+	targeted("fifo", randomGateway),
+	targeted("log", gatewaySelector),
+	targeted("files", randomGateway),
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor = "step", gatewaySelector(rng, s), pick(rng, -3600.0, -5, 5, 3600)
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor = "calls", gatewaySelector(rng, s), 0.3+0.7*rng.Float64()
+		f.Text = pick(rng, "dial ENETUNREACH", "dial EADDRNOTAVAIL", "dial ENOBUFS", "dial EHOSTUNREACH", "dial ETIMEDOUT", "accept ECONNABORTED",
+			"accept ENFILE", "accept EPROTO", "udp ENOBUFS", "send ENETUNREACH", "send ENOBUFS", "receive EHOSTUNREACH", "dial,accept,udp ENFILE")
+	},
+	targeted("retire", randomEngine),
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Text = "retire", randomEngine(rng, s), pick(rng, "", "gone", "flap", "newid")
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Text, f.Factor = "mode", pick(rng, randomEngine(rng, s), "engines"), pick(rng, "hang", "error", "spoil", "break"), 0.1+0.4*rng.Float64()
+	},
+	targeted("silence", randomEngine),
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target = "reset", pick(rng, randomEngine(rng, s), "engines", randomGateway(rng, s))
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor = "slow", randomEngine(rng, s), 2+4*rng.Float64()
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor = "burst", "*", 1.5+2*rng.Float64()
+	},
+	targeted("rogue", gatewaySelector),
+	abandon,
+	abandon,
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind = "dark" },
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.From, f.To, f.Both = "cut", randomGateway(rng, s), randomEngine(rng, s), rng.IntN(2) == 0
+	},
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.From, f.To, f.Both, f.Loss = "link", "gateways", "engines", true, 0.3*rng.Float64()
+	},
+}
+
+// diskFaultGenerators are those of the folder of stored results.
+var diskFaultGenerators = []faultGenerator{
+	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
+		f.Kind, f.Target, f.Factor = "disk", "gateways", 0.3+0.7*rng.Float64()
+		f.Text = pick(rng, "write ENOSPC", "sync EIO", "write,sync EIO", "open,remove ENOSPC", "truncate,sync,write EIO")
+	},
+}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak plays many random fleets of real processes, each with a few troubles that overlap, and judges them by what
-// clients and engines saw. It is built on package rig and must never judge by what a gateway holds inside, other than the
-// invariants that it counts and logs.
+// Package soak runs many random fleets of real processes, each with a few faults that overlap, on package harness, and reports
+// the violations that clients and engines saw. It must never check what a gateway holds inside, other than the invariants that it
+// logs as broken.
 package soak
 
 import (
@@ -12,40 +12,40 @@
 	"foxlane/internal/harness"
 )
 
-// Schedule is what is drawn from a seed.
+// Schedule is a fleet and its faults, as drawn from a seed.
 type Schedule struct {
 	Seed   uint64
 	Script harness.Script
 }
 
 const (
-	engines          = 6
-	coreCount        = 8
+	engines          = 6 // in both zones together
+	coreCount        = 8 // of an engine
 	engineColdStart  = 4 * time.Second
 	firstFaultAt     = 600 * time.Millisecond
-	faultSpread      = 1500 * time.Millisecond // over which troubles begin
+	faultSpread      = 1500 * time.Millisecond // over which faults begin
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
 )
 
 const (
-	largeFleetFrom     = 8  // a fleet of as many processes may be a crowd,
-	largeFleetInterval = 5  // which every such seed is
-	minLargeFleet      = 20 // processes, on one core together
+	largeFleetFrom     = 8  // with at least this many processes asked for, some seeds have a large fleet instead:
+	largeFleetInterval = 5  // those divisible by this
+	minLargeFleet      = 20 // processes, which share one core
 	maxLargeFleet      = 40
 )
 
-// NewSchedule returns the fleet of a seed and what befalls it.
+// NewSchedule draws the fleet of a seed and its faults. The same arguments give the same schedule.
 func NewSchedule(seed uint64, processes int, length time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x50a6))
-	crowd := processes >= largeFleetFrom && seed%largeFleetInterval == 0
-	if crowd {
+	large := processes >= largeFleetFrom && seed%largeFleetInterval == 0
+	if large {
 		processes = minLargeFleet + rng.IntN(maxLargeFleet-minLargeFleet+1)
 	}
 	s := harness.Script{
 		Zones: []harness.Zone{{Name: "hall-a", Gateways: processes - processes/2, Engines: engines / 2}, {Name: "hall-b", Gateways: processes / 2, Engines: engines / 2}},
 		Cores: coreCount, Load: 0.2 + 0.5*rng.Float64(), Seed: seed, ColdFrom: 0.33, Cold: engineColdStart, OverloadFactor: 0.3, Length: length, KeyedShare: 0.1, AbandonShare: 0.08,
-		OrderedShare: 0.06, FirstZoneShare: 0.05, OneCore: crowd,
+		OrderedShare: 0.06, FirstZoneShare: 0.05, OneCore: large,
 	}
 	if rng.IntN(3) == 0 {
 		s.RetryBudget = 0.1 + 0.2*rng.Float64()
@@ -65,7 +65,7 @@
 		operator = append(operator, "fair {\n}")
 	}
 	s.OperatorFile = strings.Join(operator, "\n")
-	s.Gossip = rng.IntN(8) == 0 && !crowd
+	s.Gossip = rng.IntN(8) == 0 && !large
 	for range 2 + rng.IntN(3) {
 		s.Faults = append(s.Faults, randomFault(rng, &s, spooled, length))
 	}
@@ -75,19 +75,19 @@
 	return Schedule{seed, s}
 }
 
-// randomFault draws one trouble.
+// randomFault draws one fault.
 func randomFault(rng *rand.Rand, s *harness.Script, spooled bool, length time.Duration) harness.Fault {
 	f := harness.Fault{At: firstFaultAt + time.Duration(rng.Int64N(int64(faultSpread))), For: minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))}
 	f.For = min(f.For, length-f.At-200*time.Millisecond)
-	kinds := faultGenerators
+	generators := faultGenerators
 	if spooled && rng.IntN(2) == 0 {
-		kinds = diskFaultGenerators
+		generators = diskFaultGenerators
 	}
-	kinds[rng.IntN(len(kinds))](rng, s, &f)
+	generators[rng.IntN(len(generators))](rng, s, &f)
 	return f
 }
 
-// randomListFaults draws engines that leave the list and answers of the name service that don't say so, at times behind a kill of
+// randomListFaults draws engines that leave the list while answers of the name service don't say so, sometimes after a kill of
 // several gateways.
 func randomListFaults(rng *rand.Rand, s *harness.Script, length time.Duration) (out []harness.Fault) {
 	if rng.IntN(3) == 0 {
@@ -115,144 +115,22 @@
 	return append(out, lists, leave)
 }
 
-// randomRestartFaults draws gateways that are killed and started again, lists from before that, and engines that leave behind it.
+// randomRestartFaults draws gateways that are killed and started again, then answers with lists from before that, and engines that
+// leave the list.
 func randomRestartFaults(rng *rand.Rand, s *harness.Script, length time.Duration) []harness.Fault {
-	const killAt, begun = 900 * time.Millisecond, 1300 * time.Millisecond
+	const killAt, restartedAt = 900 * time.Millisecond, 1300 * time.Millisecond
 	of := gatewaySelector(rng, s)
-	from := begun + 200*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
+	from := restartedAt + 200*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
 	return []harness.Fault{
 		{Kind: "retire", Target: randomEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
 		{Kind: "kill", Target: of, At: killAt, For: 200 * time.Millisecond},
-		{Kind: "lists", Target: of, Text: pick(rng, "earlier", "stale", "mixed"), Factor: 0.05 + 0.25*rng.Float64(), Delay: time.Second, At: begun,
-			For: from - begun + time.Duration(rng.Int64N(int64(time.Second)))},
+		{Kind: "lists", Target: of, Text: pick(rng, "earlier", "stale", "mixed"), Factor: 0.05 + 0.25*rng.Float64(), Delay: time.Second, At: restartedAt,
+			For: from - restartedAt + time.Duration(rng.Int64N(int64(time.Second)))},
 		{Kind: "retire", Target: randomEngine(rng, s), Text: pick(rng, "", "gone", "both"), At: from, For: length - from - 700*time.Millisecond},
 	}
 }
 
-// faultGenerator completes a fault whose time is drawn.
-type faultGenerator func(rng *rand.Rand, s *harness.Script, f *harness.Fault)
-
-func pick[T any](rng *rand.Rand, from ...T) T { return from[rng.IntN(len(from))] }
-
-// gatewaySelector names one gateway, a zone of them, or all.
-func gatewaySelector(rng *rand.Rand, s *harness.Script) string {
-	z := s.Zones[rng.IntN(len(s.Zones))]
-	switch rng.IntN(4) {
-	case 0:
-		return "gateways"
-	case 1:
-		return z.Name
-	}
-	return randomGateway(rng, s)
-}
-
-func randomGateway(rng *rand.Rand, s *harness.Script) string {
-	z := s.Zones[rng.IntN(len(s.Zones))]
-	return fmt.Sprintf("%s/g%d", z.Name, rng.IntN(z.Gateways))
-}
-
-func randomEngine(rng *rand.Rand, s *harness.Script) string {
-	z := s.Zones[rng.IntN(len(s.Zones))]
-	return fmt.Sprintf("%s/e%d", z.Name, rng.IntN(z.Engines))
-}
-
-// faultGenerators are drawn evenly.
-var faultGenerators = []faultGenerator{
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "freeze", randomGateway(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "freeze", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "kill", randomGateway(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "restart", randomGateway(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "kill", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "term", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Text = "signals", randomGateway(rng, s), pick(rng, "HUP TERM TERM HUP", "TERM HUP", "HUP HUP HUP HUP", "HUP STOP CONT TERM TERM", "TERM STOP CONT HUP")
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor, f.Delay = "late-dials", gatewaySelector(rng, s), 0.2+0.5*rng.Float64(), 300*time.Millisecond+time.Duration(rng.Int64N(int64(1200*time.Millisecond)))
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.From, f.To, f.Both = "cut", randomGateway(rng, s), "names", true
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "reload", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "fifo", randomGateway(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "log", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "files", randomGateway(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor = "step", gatewaySelector(rng, s), pick(rng, -3600.0, -5, 5, 3600)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor = "calls", gatewaySelector(rng, s), 0.3+0.7*rng.Float64()
-		f.Text = pick(rng, "dial ENETUNREACH", "dial EADDRNOTAVAIL", "dial ENOBUFS", "dial EHOSTUNREACH", "dial ETIMEDOUT", "accept ECONNABORTED",
-			"accept ENFILE", "accept EPROTO", "udp ENOBUFS", "send ENETUNREACH", "send ENOBUFS", "receive EHOSTUNREACH", "dial,accept,udp ENFILE")
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "retire", randomEngine(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Text = "retire", randomEngine(rng, s), pick(rng, "", "gone", "flap", "newid")
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Text, f.Factor = "mode", pick(rng, randomEngine(rng, s), "engines"), pick(rng, "hang", "error", "spoil", "break"), 0.1+0.4*rng.Float64()
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "silence", randomEngine(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "reset", pick(rng, randomEngine(rng, s), "engines", randomGateway(rng, s))
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor = "slow", randomEngine(rng, s), 2+4*rng.Float64()
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor = "burst", "*", 1.5+2*rng.Float64()
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target = "rogue", gatewaySelector(rng, s)
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64()
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Factor = "leave", 0.2+0.6*rng.Float64()
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) { f.Kind = "dark" },
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.From, f.To, f.Both = "cut", randomGateway(rng, s), randomEngine(rng, s), rng.IntN(2) == 0
-	},
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.From, f.To, f.Both, f.Loss = "link", "gateways", "engines", true, 0.3*rng.Float64()
-	},
-}
-
-// diskFaultGenerators are those of the folder of results.
-var diskFaultGenerators = []faultGenerator{
-	func(rng *rand.Rand, s *harness.Script, f *harness.Fault) {
-		f.Kind, f.Target, f.Factor = "disk", "gateways", 0.3+0.7*rng.Float64()
-		f.Text = pick(rng, "write ENOSPC", "sync EIO", "write,sync EIO", "open,remove ENOSPC", "truncate,sync,write EIO")
-	},
-}
-
-// processes is how many gateways the fleet has.
+// processes is the number of gateways in the fleet.
 func (s *Schedule) processes() (n int) {
 	for _, z := range s.Script.Zones {
 		n += z.Gateways
@@ -260,7 +138,7 @@
 	return n
 }
 
-// Overlapping answers whether two troubles hold at once.
+// Overlapping reports whether two faults are active at once.
 func (s *Schedule) Overlapping() bool {
 	for i, a := range s.Script.Faults {
 		for _, b := range s.Script.Faults[:i] {
@@ -272,7 +150,7 @@
 	return false
 }
 
-// String tells the schedule, a line a trouble.
+// String prints the schedule, a line for each fault.
 func (s *Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d+%d gateways, load %.2f, one core %v, ration %.2f, deadlines %.2f, windows %.2f, talk %v, operator %q\n", s.Seed,
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 
@@ -16,58 +13,28 @@
 	"foxlane/internal/harness"
 )
 
-// Options say what is played.
+// Options are the settings of a soak.
 type Options struct {
-	Process     harness.Process // the test double
+	Process     harness.Process // the fault gateway
 	Seeds       int             // how many
 	First       uint64          // the first one
 	Length      time.Duration   // of each, without its start and end
 	Processes   int             // gateways of each
 	Parallel    int             // seeds at once
-	Shrink      int             // runs that a failing seed is shrunk by, at most; 0: none
-	DefectSeeds int             // seeds that each planted defect is looked for with, at most; 0: none are planted
-	Defects     []string        // defects to plant; nil: all
+	Shrink      int             // runs to shrink a failing seed, at most; 0: none
+	DefectSeeds int             // seeds to detect each planted defect, at most; 0: none are planted
+	Defects     []string        // to plant; nil: all
 	Logs        string          // folder for the logs of failing seeds
-	Progress    io.Writer
-}
-
-// Result is what came of a soak.
-type Result struct {
-	Seeds, Overlapping, Faults             int
-	Requests, LateResponses, StoredResults int
-	ViolationCounts                        map[harness.ViolationKind]int
-	Pauses                                 int // of the rig itself
-	LongestPause                           time.Duration
-	FaultKinds                             map[string]int // troubles played, by kind
-	Failed                                 []Failure
-	SlowestDrain                           time.Duration
-	LargeFleets                            int      // seeds with twenty processes or more
-	NotPlayed                              []string // seeds that could not be played to their end, and why
-	Detections                             []Detection
-}
-
-// Failure is a seed in which something was violated.
-type Failure struct {
-	Schedule   Schedule
-	Violations []string
-	Logs       string
-	Shrunk     *Schedule // with the fewest troubles that still fail; nil: it was not shrunk, or never failed again
-}
-
-// Detection is what became of a planted defect.
-type Detection struct {
-	Defect      string
-	SeedsPlayed int // that were played until it was found
-	Evidence    string
-	Detected    bool
+	Progress    io.Writer       // what happens, for people
 }
 
 const (
 	maxSeeds     = 100_000
 	maxProcesses = 40
-	seedSlack    = 90 * time.Second // for start and end of one seed
+	seedSlack    = 90 * time.Second // for the start and the checks at the end of one seed
 )
 
+// validate returns an error that names what can't be run.
 func (o *Options) validate() error {
 	switch {
 	case o.Seeds < 0 || o.Seeds > maxSeeds:
@@ -82,7 +49,7 @@
 	return nil
 }
 
-// maxFleet is how many processes a seed may have.
+// maxFleet is the largest number of processes that a seed may have.
 func (o *Options) maxFleet() int {
 	if o.Processes >= largeFleetFrom {
 		return maxLargeFleet
@@ -90,7 +57,8 @@
 	return o.Processes
 }
 
-// Run plays all seeds, then looks for planted defects. It returns what it has when the context ends.
+// Run plays all seeds, shrinks those that fail, then looks for planted defects. When the context ends it returns what it has with
+// the context's error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -123,52 +91,7 @@
 	return r, ctx.Err()
 }
 
-// add takes in what came of a seed.
-func (r *Result) add(ctx context.Context, o *Options, s *Schedule, report *harness.Report, logs string, err error) {
-	if ctx.Err() != nil {
-		return // it was cut short
-	}
-	r.Seeds++
-	r.Faults += len(s.Script.Faults)
-	for _, f := range s.Script.Faults {
-		r.FaultKinds[f.Kind]++
-	}
-	if s.Overlapping() {
-		r.Overlapping++
-	}
-	if s.processes() >= minLargeFleet {
-		r.LargeFleets++
-	}
-	if report != nil {
-		r.Requests += report.ClientAttempts
-		r.LateResponses += report.LateResponses
-		r.StoredResults += report.StoredResults
-		r.Pauses += report.Pauses
-		r.LongestPause = max(r.LongestPause, report.LongestPause)
-		r.SlowestDrain = max(r.SlowestDrain, report.SlowestDrain)
-		for v, n := range report.ViolationCounts {
-			r.ViolationCounts[harness.ViolationKind(v)] += n
-		}
-	}
-	switch {
-	case err != nil:
-		r.NotPlayed = append(r.NotPlayed, fmt.Sprintf("seed %d: %v", s.Seed, err))
-		fmt.Fprintf(o.Progress, "NOT PLAYED to its end: %v\n%slogs in %s\n", err, s, logs)
-	case len(report.Violations) > 0:
-		r.Failed = append(r.Failed, Failure{Schedule: *s, Violations: report.Violations, Logs: logs})
-		fmt.Fprintf(o.Progress, "FAILED %s", s)
-		for _, x := range report.Violations[:min(len(report.Violations), 6)] {
-			fmt.Fprintln(o.Progress, "   ", x)
-		}
-		fmt.Fprintf(o.Progress, "    again: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", s.Seed, o.Processes, o.Length, logs)
-	default:
-		if logs != "" {
-			os.RemoveAll(logs)
-		}
-	}
-}
-
-// play plays one schedule, with a defect planted if one is named. Logs is the folder of its logs, if any are kept.
+// play plays one schedule, with a defect planted if one is named. It returns the folder of the gateways' logs, if they are kept.
 func (o *Options) play(ctx context.Context, s *Schedule, defect string) (report *harness.Report, logs string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, o.Length+seedSlack)
 	defer cancel()
@@ -186,7 +109,7 @@
 	return report, logs, err
 }
 
-// fails answers whether a schedule is violated when it is played.
+// fails reports whether a schedule has violations when it is played.
 func (o *Options) fails(ctx context.Context, s *Schedule) bool {
 	quiet := *o
 	quiet.Logs = ""
@@ -194,7 +117,7 @@
 	return err == nil && len(report.Violations) > 0
 }
 
-// shrinkAll looks for the fewest troubles with which failing seeds still fail.
+// shrinkAll looks for the fewest faults with which failing seeds still fail.
 func (o *Options) shrinkAll(ctx context.Context, r *Result) {
 	for i := range r.Failed {
 		left := o.Shrink
@@ -211,91 +134,10 @@
 			}
 		}
 		if f.Shrunk != nil {
-			fmt.Fprintf(o.Progress, "still fails with fewer troubles: %s", f.Shrunk)
+			o.printf("still fails with fewer faults: %s", f.Shrunk)
 		}
 	}
 }
 
-// detectDefects plants each defect and plays seeds until it is found.
-func (o *Options) detectDefects(ctx context.Context, r *Result) {
-	if o.DefectSeeds <= 0 {
-		return
-	}
-	defects := o.Defects
-	if defects == nil {
-		defects = faultgateway.Defects
-	}
-	found := make([]Detection, len(defects))
-	var players sync.WaitGroup
-	slots := make(chan struct{}, o.Parallel)
-	for i, defect := range defects {
-		players.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			found[i] = o.detect(ctx, defect)
-		})
-	}
-	players.Wait()
-	r.Detections = found
-}
-
-// detect plays seeds with a defect until something is violated.
-func (o *Options) detect(ctx context.Context, defect string) Detection {
-	detection := Detection{Defect: defect}
-	for detection.SeedsPlayed < o.DefectSeeds && ctx.Err() == nil {
-		s := NewSchedule(o.First+uint64(detection.SeedsPlayed), o.Processes, o.Length)
-		detection.SeedsPlayed++
-		report, _, err := o.play(ctx, &s, defect)
-		switch {
-		case errors.Is(err, context.Canceled):
-		case err != nil:
-			detection.Evidence = err.Error()
-		case len(report.Violations) > 0:
-			detection.Detected, detection.Evidence = true, report.Violations[0]
-			fmt.Fprintf(o.Progress, "planted %s: found in seed %d, the %d. played: %.160s\n", defect, s.Seed, detection.SeedsPlayed, detection.Evidence)
-			return detection
-		}
-	}
-	fmt.Fprintf(o.Progress, "planted %s: NOT found in %d seeds\n", defect, detection.SeedsPlayed)
-	return detection
-}
-
-// TotalViolations is how many there were in all.
-func (r *Result) TotalViolations() (n int) {
-	for _, k := range r.ViolationCounts {
-		n += k
-	}
-	return n
-}
-
-// DefectsFound is how many planted defects were found.
-func (r *Result) DefectsFound() (n int) {
-	for _, f := range r.Detections {
-		if f.Detected {
-			n++
-		}
-	}
-	return n
-}
-
-// Write prints the figures, a line `name: value` each.
-func (r *Result) Write(w io.Writer) {
-	for _, f := range r.Detections {
-		fmt.Fprintf(w, "planted_%s_seeds: %d\n", f.Defect, f.SeedsPlayed)
-	}
-	for _, kind := range slices.Sorted(maps.Keys(r.FaultKinds)) {
-		fmt.Fprintf(w, "fault_%s: %d\n", kind, r.FaultKinds[kind])
-	}
-	fmt.Fprintf(w, "seeds: %d\nseeds_failed: %d\nseeds_not_played: %d\nrequests: %d\nkept_results: %d\nfaults: %d\noverlapping: %d\nviolations: %d\n", r.Seeds, len(r.Failed),
-		len(r.NotPlayed), r.Requests, r.StoredResults, r.Faults, r.Overlapping, r.TotalViolations())
-	for _, v := range []harness.ViolationKind{harness.LostRequest, harness.DuplicateExecution} {
-		fmt.Fprintf(w, "%s: %d\n", v, r.ViolationCounts[v])
-	}
-	fmt.Fprintf(w, "late: %d\n", r.LateResponses)
-	for _, v := range []harness.ViolationKind{harness.SentAfterDisconnect, harness.PastDeadline, harness.SentWhileDraining, harness.SlowStartExceeded, harness.WrongResponse, harness.OrderViolated, harness.WrongZone, harness.RetryBudgetExceeded, harness.InvariantBroken, harness.Crashed, harness.NotReady} {
-		fmt.Fprintf(w, "%s: %d\n", v, r.ViolationCounts[v])
-	}
-	fmt.Fprintf(w, "crowds: %d\ndrain_slowest_ms: %d\n", r.LargeFleets, r.SlowestDrain.Milliseconds())
-	fmt.Fprintf(w, "rig_pauses: %d\nrig_longest_pause_ms: %d\n", r.Pauses, r.LongestPause.Milliseconds())
-	fmt.Fprintf(w, "planted: %d\nplanted_found: %d\n", len(r.Detections), r.DefectsFound())
-}
+// printf prints progress. A failure to print does not stop a soak.
+func (o *Options) printf(format string, args ...any) { _, _ = fmt.Fprintf(o.Progress, format, args...) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"foxlane/internal/harness"
 )
 
-// The test's own program is the test double, where it is started as one.
+// TestMain runs the fault gateway where the test's own program is started as one.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "double" {
 		site := ""
@@ -42,7 +42,7 @@
 
 func (l testLog) Write(p []byte) (int, error) { l.t.Log(string(p)); return len(p), nil }
 
-// A few seeds, with troubles that overlap, break nothing.
+// A few seeds, with faults that overlap, have no violations.
 func TestSeeds(t *testing.T) {
 	o := testOptions(t)
 	o.Seeds = 10
@@ -54,11 +54,11 @@
 		t.Errorf("%d seeds played, %d failed, not played: %v, violations %v", r.Seeds, len(r.Failed), r.NotPlayed, r.ViolationCounts)
 	}
 	if r.Requests < 200 || r.Overlapping == 0 {
-		t.Errorf("%d requests, %d seeds with troubles that overlap: the test has lost its subject", r.Requests, r.Overlapping)
+		t.Errorf("%d requests, %d seeds with faults that overlap: the test does not test what it should", r.Requests, r.Overlapping)
 	}
 }
 
-// Defects that are planted are found.
+// Planted defects are detected.
 func TestDefectsAreDetected(t *testing.T) {
 	o := testOptions(t)
 	o.DefectSeeds, o.Defects = 3, []string{faultgateway.DefectNonIdempotentTwice, faultgateway.DefectClosedWithoutResponse, faultgateway.DefectResponseLate, faultgateway.DefectListIgnoredAtStart}
@@ -71,7 +71,7 @@
 	}
 }
 
-// One seed is one schedule; others are others; all can be played.
+// A seed always gives the same schedule, seeds differ, and each fault ends within its run.
 func TestNewSchedule(t *testing.T) {
 	kinds := map[string]bool{}
 	overlapping := 0
@@ -91,7 +91,7 @@
 		}
 	}
 	if len(kinds) < 20 || overlapping < 350 {
-		t.Errorf("%d kinds of troubles, %d of 400 seeds with some that overlap", len(kinds), overlapping)
+		t.Errorf("%d kinds of faults, %d of 400 seeds with some that overlap", len(kinds), overlapping)
 	}
 }
 
