--- a/internal/faultgateway/defects.go
+++ b/internal/faultgateway/defects.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"io"
 	"net/netip"
 	"slices"
 	"strings"
@@ -18,38 +17,39 @@
 	"foxlane/rules"
 )
 
-var errNoSerial = io.ErrUnexpectedEOF
-
-// Defects are the defects that can be planted, to see whether the soak finds them.
+// Defects are the names of the defects that can be planted, to see whether the soak detects them.
 var Defects = []string{
 	DefectDrainIgnored, DefectNonIdempotentTwice, DefectSentAfterDisconnect, DefectSlowStartOverload, DefectResponseLate, DefectClosedWithoutResponse, DefectWallClockDeadline,
 	DefectSyncErrorIgnored, DefectSerialOnly, DefectListIgnoredAtStart, DefectBytesLeftInBuffer, DefectOlderList, DefectOrderKeyIgnored,
 }
 
-// Planted defects.
+// Defects that can be planted.
 const (
-	DefectDrainIgnored          = "drain_ignored"
-	DefectNonIdempotentTwice    = "unsafe_twice"
-	DefectSentAfterDisconnect   = "sent_after_gone"
-	DefectSlowStartOverload     = "cold_overload"
-	DefectResponseLate          = "answer_late"
-	DefectClosedWithoutResponse = "close_unanswered"
-	DefectWallClockDeadline     = "wall_deadline"
-	DefectSyncErrorIgnored      = "sync_ignored"
-	DefectSerialOnly            = "number_only"           // lists are told apart by their number alone
+	DefectDrainIgnored          = "drain_ignored"         // draining engines look active
+	DefectNonIdempotentTwice    = "unsafe_twice"          // a request that is not idempotent is sent to a second engine
+	DefectSentAfterDisconnect   = "sent_after_gone"       // a request is sent after its client has disconnected
+	DefectSlowStartOverload     = "cold_overload"         // engines that have just started receive all requests
+	DefectResponseLate          = "answer_late"           // some responses are delayed beyond their deadline
+	DefectClosedWithoutResponse = "close_unanswered"      // some connections are closed in place of a response
+	DefectWallClockDeadline     = "wall_deadline"         // deadlines follow the wall clock
+	DefectSyncErrorIgnored      = "sync_ignored"          // a sync that failed is taken as done
+	DefectSerialOnly            = "number_only"           // lists are told apart by their serial number alone
 	DefectListIgnoredAtStart    = "list_ignored_at_start" // for the first seconds of the process
 	DefectBytesLeftInBuffer     = "bytes_left"            // in a write buffer to an engine that drains
 	DefectOlderList             = "older_list"            // the list before the last one is taken
 	DefectOrderKeyIgnored       = "key_twice"             // the key of ordered requests is not read
 )
 
-// withDefect puts a defect between sockets and reducer, or into the folder.
+// ErrUnknownDefect is the error of a name that is not in Defects.
+var ErrUnknownDefect = errors.New("faultgateway: unknown defect")
+
+// withDefect puts a defect between sockets and reducer, or into the folder of results.
 func withDefect(name string, p net.Platform, clock *steppedClock) (net.Platform, error) {
 	if name == "" {
 		return p, nil
 	}
 	if !slices.Contains(Defects, name) {
-		return p, fmt.Errorf("double: no defect is called %q", name)
+		return p, fmt.Errorf("%w %q", ErrUnknownDefect, name)
 	}
 	if name == DefectSyncErrorIgnored {
 		open := p.OpenFolder
@@ -62,52 +62,56 @@
 		}
 		return p, nil
 	}
-	make := p.Reducer
+	newReducer := p.Reducer
 	p.Reducer = func(cfg config.Config, now rules.Time) net.Reducer {
-		return &defectiveReducer{Reducer: make(cfg, now), name: name, clock: clock, engines: map[gateway.ConnID]bool{}, clients: map[gateway.ConnID]string{},
+		return &defectiveReducer{Reducer: newReducer(cfg, now), name: name, clock: clock, engines: map[gateway.ConnID]bool{}, clients: map[gateway.ConnID]string{},
 			requests: map[string]engineRequest{}, dials: map[gateway.ConnID]netip.AddrPort{}, coldUntil: map[netip.AddrPort]rules.Time{},
 			highestSerial: cfg.InitialList.Seq, startedAt: now, draining: map[netip.AddrPort]bool{}}
 	}
 	return p, nil
 }
 
-// defectiveReducer is a reducer with a defect.
+// defectiveReducer is a reducer with a planted defect: it changes the events that reach the reducer, and its effects.
 type defectiveReducer struct {
 	net.Reducer
 	name      string
 	clock     *steppedClock
 	now       rules.Time
-	engines   map[gateway.ConnID]bool   // that are up
-	clients   map[gateway.ConnID]string // the id of the request that came last
+	engines   map[gateway.ConnID]bool   // connections to engines
+	clients   map[gateway.ConnID]string // the id of the last request of each client's connection
 	requests  map[string]engineRequest  // by id
 	dials     map[gateway.ConnID]netip.AddrPort
-	coldUntil map[netip.AddrPort]rules.Time // engines that have just started, until when
+	coldUntil map[netip.AddrPort]rules.Time // engines that have just started, and until when they count as cold
 	delayed   []delayedEffect
 	responses int
 	effects   []gateway.Effect
 
-	highestSerial uint32     // number of a list so far
-	startedAt     rules.Time // when the process started
-	lastList      *dns.Msg   // the latest list, and the one before it
-	previousList  *dns.Msg
+	highestSerial uint32     // of a list so far
+	startedAt     rules.Time // of the process
+	lastList      *dns.Msg
+	previousList  *dns.Msg // of an earlier serial number
 	draining      map[netip.AddrPort]bool
 }
 
+// engineRequest is a request as it was written to an engine.
 type engineRequest struct {
 	conn gateway.ConnID
 	text []byte
 }
 
+// delayedEffect is an effect that is held back until a time.
 type delayedEffect struct {
 	at     rules.Time
 	effect gateway.Effect
 }
 
+// dialledBit is set in the ids of connections that the gateway dialled, to engines.
 const dialledBit gateway.ConnID = 1 << 63
 
-// faultyResponseInterval is which of the answers are delayed or replaced by a close.
+// faultyResponseInterval is how many responses there are for one that is delayed or replaced by a close.
 const faultyResponseInterval = 10
 
+// Step passes an event to the reducer, changed or dropped as the defect has it.
 func (d *defectiveReducer) Step(now rules.Time, event gateway.Event) {
 	d.now = now
 	if d.name == DefectWallClockDeadline {
@@ -119,8 +123,8 @@
 	case gateway.ConnectionClosed:
 		delete(d.engines, event.Conn)
 		if id := d.clients[event.Conn]; d.name == DefectSentAfterDisconnect && id != "" {
-			if a, ok := d.requests[id]; ok {
-				d.delayed = append(d.delayed, delayedEffect{d.now + 400*rules.Millisecond, gateway.Effect{Kind: gateway.Write, Conn: a.conn, Data: a.text}})
+			if sent, ok := d.requests[id]; ok {
+				d.delayed = append(d.delayed, delayedEffect{d.now + 400*rules.Millisecond, gateway.Effect{Kind: gateway.Write, Conn: sent.conn, Data: sent.text}})
 			}
 		}
 		delete(d.clients, event.Conn)
@@ -143,129 +147,7 @@
 	d.Reducer.Step(now, event)
 }
 
-// rewriteList is an answer of the name service as the defect has it.
-func (d *defectiveReducer) rewriteList(data []byte) ([]byte, error) {
-	if !slices.Contains([]string{DefectDrainIgnored, DefectSlowStartOverload, DefectSerialOnly, DefectListIgnoredAtStart, DefectBytesLeftInBuffer, DefectOlderList}, d.name) {
-		return data, nil
-	}
-	var m dns.Msg
-	if err := m.Unpack(data); err != nil {
-		return nil, err
-	}
-	switch d.name {
-	case DefectSerialOnly:
-		return data, d.dropLowerSerial(&m)
-	case DefectListIgnoredAtStart:
-		if d.now-d.startedAt < ignoreListsFor {
-			return nil, errDropped
-		}
-		return data, nil
-	case DefectBytesLeftInBuffer:
-		d.holdForDraining(&m)
-		return data, nil
-	case DefectOlderList:
-		return d.replaceWithOlder(&m)
-	}
-	ports, addrs, started := map[string]uint16{}, map[string]netip.Addr{}, map[string]bool{}
-	for _, r := range slices.Concat(m.Answer, m.Extra) {
-		switch r := r.(type) {
-		case *dns.SRV:
-			ports[r.Target] = r.Port
-			if d.name == DefectDrainIgnored {
-				r.Priority = 0
-			}
-		case *dns.A:
-			addrs[r.Hdr.Name], _ = netip.AddrFromSlice(r.A.To4())
-		case *dns.TXT:
-			started[r.Hdr.Name] = !slices.Contains(r.Txt, "started=0")
-		}
-	}
-	for name, late := range started {
-		at := netip.AddrPortFrom(addrs[name], ports[name])
-		if _, known := d.coldUntil[at]; late && !known {
-			d.coldUntil[at] = d.now + coldDuration
-		}
-	}
-	return m.Pack()
-}
-
-var errDropped = errors.New("double: an answer is dropped")
-
-// ignoreListsFor is for how long lists are ignored at the start.
-const ignoreListsFor = 3 * rules.Second
-
-func serialOf(m *dns.Msg) (serial uint32, ok bool) {
-	for _, r := range m.Ns {
-		if soa, is := r.(*dns.SOA); is {
-			return soa.Serial, true
-		}
-	}
-	return 0, false
-}
-
-// dropLowerSerial drops lists whose number is lower than one that came before.
-func (d *defectiveReducer) dropLowerSerial(m *dns.Msg) error {
-	serial, ok := serialOf(m)
-	if ok && serial < d.highestSerial {
-		return errDropped
-	}
-	d.highestSerial = max(d.highestSerial, serial)
-	return nil
-}
-
-// replaceWithOlder puts the records of the list before the last one into an answer.
-func (d *defectiveReducer) replaceWithOlder(m *dns.Msg) ([]byte, error) {
-	serial, ok := serialOf(m)
-	if !ok {
-		return nil, errNoSerial
-	}
-	if d.lastList == nil {
-		d.lastList = m
-	}
-	if was, _ := serialOf(d.lastList); was != serial {
-		d.previousList, d.lastList = d.lastList, m
-	}
-	if d.previousList == nil {
-		return m.Pack()
-	}
-	out := *m
-	out.Answer, out.Extra = d.previousList.Answer, d.previousList.Extra
-	return out.Pack()
-}
-
-const (
-	writeBufferFor    = 60 * rules.Millisecond   // how long all that is written to engines waits
-	drainingBufferFor = 1500 * rules.Millisecond // and where the engine begins to drain meanwhile
-)
-
-// holdForDraining leaves what waits for engines that begin to drain in its buffer.
-func (d *defectiveReducer) holdForDraining(m *dns.Msg) {
-	addrs := map[string]netip.Addr{}
-	for _, r := range m.Extra {
-		if a, ok := r.(*dns.A); ok {
-			addrs[a.Hdr.Name], _ = netip.AddrFromSlice(a.A.To4())
-		}
-	}
-	for _, r := range m.Answer {
-		srv, ok := r.(*dns.SRV)
-		if !ok {
-			continue
-		}
-		at := netip.AddrPortFrom(addrs[srv.Target], srv.Port)
-		began := srv.Priority > 0 && !d.draining[at]
-		d.draining[at] = srv.Priority > 0
-		for i := range d.delayed {
-			if began && d.dials[d.delayed[i].effect.Conn] == at {
-				d.delayed[i].at += drainingBufferFor
-			}
-		}
-	}
-}
-
-// coldDuration is for how long the defect overloads an engine that has just started.
-const coldDuration = 3 * rules.Second
-
-// overloadCold sends what others are asked to engines that have just started as well.
+// overloadCold sends a request to all engines that have just started as well.
 func (d *defectiveReducer) overloadCold(text []byte) {
 	for conn := range d.engines {
 		if until, ok := d.coldUntil[d.dials[conn]]; ok && d.now < until {
@@ -274,24 +156,25 @@
 	}
 }
 
+// Flush returns the reducer's effects, changed as the defect has it, and those whose delay is over.
 func (d *defectiveReducer) Flush() []gateway.Effect {
 	d.effects = d.effects[:0]
 	for _, effect := range d.Reducer.Flush() {
 		d.applyTo(effect)
 	}
-	kept := d.delayed[:0]
+	pending := d.delayed[:0]
 	for _, held := range d.delayed {
 		if held.at <= d.now {
 			d.effects = append(d.effects, held.effect)
 		} else {
-			kept = append(kept, held)
+			pending = append(pending, held)
 		}
 	}
-	d.delayed = kept
+	d.delayed = pending
 	return d.effects
 }
 
-// applyTo lets an effect through, as the defect has it.
+// applyTo applies the defect to one effect.
 func (d *defectiveReducer) applyTo(effect gateway.Effect) {
 	if effect.Kind == gateway.SetTimer && d.name == DefectWallClockDeadline {
 		effect.At -= rules.Time(d.clock.offset() / time.Microsecond)
@@ -303,12 +186,13 @@
 		d.effects = append(d.effects, effect)
 		return
 	}
-	if effect.Conn&dialledBit != 0 && d.name == DefectBytesLeftInBuffer {
+	toEngine := effect.Conn&dialledBit != 0
+	if toEngine && d.name == DefectBytesLeftInBuffer {
 		effect.Data = bytes.Clone(effect.Data)
 		d.delayed = append(d.delayed, delayedEffect{d.now + writeBufferFor, effect})
 		return
 	}
-	if effect.Conn&dialledBit != 0 {
+	if toEngine {
 		d.effects = append(d.effects, effect)
 		d.recordRequests(effect)
 		return
@@ -331,10 +215,10 @@
 	}
 }
 
-// isResponse answers whether bytes are a result set or an error, not a greeting or an OK.
+// isResponse reports whether bytes for a client begin a result set or an error, not a greeting or an OK.
 func isResponse(data []byte) bool { return len(data) > 4 && data[3] == 1 && data[4] != 0 }
 
-// recordRequests notes what engines are asked, and asks another as well where the defect is that.
+// recordRequests records the requests in what is written to an engine, and sends them to others as well where the defect says so.
 func (d *defectiveReducer) recordRequests(effect gateway.Effect) {
 	for _, line := range bytes.SplitAfter(effect.Data, []byte("\r\n")) {
 		words := strings.Fields(string(line))
@@ -363,16 +247,16 @@
 	}
 }
 
-var errIncompleteRequest = errors.New("double: not a whole request")
+var errIncompleteRequest = errors.New("faultgateway: incomplete request")
 
-// cutRequest cuts one request out of what is written.
+// cutRequest returns the request at the start of what is written, whose body has a length.
 func cutRequest(data []byte, length string) ([]byte, error) {
 	var n int
 	if _, err := fmt.Sscan(length, &n); err != nil {
 		return nil, err
 	}
 	end := bytes.Index(data, []byte("\r\n")) + 2 + n + 2
-	if end > len(data) {
+	if n < 0 || end > len(data) {
 		return nil, errIncompleteRequest
 	}
 	return data[:end], nil
--- a/internal/faultgateway/faultgateway.go
+++ b/internal/faultgateway/faultgateway.go
@@ -1,19 +1,17 @@
-// Package double is a test double of the gateway's process: the same net.Run, on a clock, sockets and files that fail as
-// they are told to on standard input, and with a defect planted in its reducer if one is named. Only the lab starts it;
-// the released program has no way to any of this. It must never reach any address but this machine's.
+// Package faultgateway is the gateway's process for fault injection: the same server, on a clock, sockets and files that fail by
+// commands on standard input, and with a planted defect in its reducer if one is named. Only the lab starts it; the released
+// program has no way to any of this. It must never reach any address but this machine's.
 package faultgateway
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"os"
 	"os/signal"
 	"runtime"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
 
@@ -25,140 +23,67 @@
 	"foxlane/internal/net"
 )
 
-// EnvDefect names the defect that is planted; empty: none.
+// EnvDefect is the environment variable that names the planted defect; empty: none.
 const EnvDefect = "FOXLANE_PLANT"
 
-// Command is what the process is told on standard input, a JSON object a line.
+// Command is what the process reads on standard input, a JSON object a line.
 type Command struct {
-	Kind     string  `json:"kind"`            // step, calls, disk or late
-	MS       int64   `json:"ms,omitempty"`    // step: by how much the wall clock is stepped; late: by how much dials are late, at most
-	Calls    string  `json:"calls,omitempty"` // which calls fail: dial, accept, udp; write, sync, open
-	Errno    string  `json:"errno,omitempty"` // as Linux names it
-	Fraction float64 `json:"part,omitempty"`  // of the calls that fail
-	ForMS    int64   `json:"for_ms,omitempty"`
+	Kind     string  `json:"kind"`             // one of the constants below
+	MS       int64   `json:"ms,omitempty"`     // step: of the wall clock; late: by which dials are delayed, at most
+	Calls    string  `json:"calls,omitempty"`  // calls, disk: which fail: dial, accept, udp, send, receive; open, read, write, truncate, sync, remove
+	Errno    string  `json:"errno,omitempty"`  // as Linux names it
+	Fraction float64 `json:"part,omitempty"`   // of the calls that fail
+	ForMS    int64   `json:"for_ms,omitempty"` // calls, disk, late: how long it holds
 }
 
-// Kinds of orders.
+// Kinds of commands.
 const (
-	CommandStep      = "step"
-	CommandCalls     = "calls"
-	CommandDisk      = "disk"
-	CommandLateDials = "late"
+	CommandStep      = "step"  // step the wall clock
+	CommandCalls     = "calls" // have calls on sockets fail
+	CommandDisk      = "disk"  // have calls on the folder of results fail
+	CommandLateDials = "late"  // delay dials
 )
 
-var errnos = map[string]syscall.Errno{
-	"ECONNABORTED": syscall.ECONNABORTED, "ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ENOBUFS": syscall.ENOBUFS,
-	"ENOMEM": syscall.ENOMEM, "EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "EADDRINUSE": syscall.EADDRINUSE, "ENETUNREACH": syscall.ENETUNREACH,
-	"EINTR": syscall.EINTR, "EHOSTUNREACH": syscall.EHOSTUNREACH, "ETIMEDOUT": syscall.ETIMEDOUT, "EPROTO": syscall.EPROTO,
-	"ENOSPC": syscall.ENOSPC, "EIO": syscall.EIO, "EAGAIN": syscall.EAGAIN,
-}
-
-// ParseErrno returns the error of a name.
-func ParseErrno(name string) (syscall.Errno, error) {
-	e, ok := errnos[name]
-	if !ok {
-		return 0, fmt.Errorf("double: unknown error %q", name)
-	}
-	return e, nil
-}
-
-// faults are the calls that fail now, by name.
-type faults struct {
-	mu        sync.Mutex
-	rng       *rand.Rand
-	failing   map[string]fault
-	lateDials dialDelays
-}
-
-// dialDelays are dials that come up late.
-type dialDelays struct {
-	max      time.Duration
-	fraction float64
-	until    time.Time
-}
-
-func (f *faults) setLateDials(o Command) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.lateDials = dialDelays{time.Duration(o.MS) * time.Millisecond, o.Fraction, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
-}
-
-// dialDelay is by how much a dial that begins now comes up late.
-func (f *faults) dialDelay() time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.lateDials.max <= 0 || time.Now().After(f.lateDials.until) || f.rng.Float64() >= f.lateDials.fraction {
-		return 0
+// executeCommands executes the commands that come on standard input. When that ends the lab has exited, and so does the process.
+func executeCommands(in io.Reader, f *faults, clock *steppedClock, onError func(error)) {
+	lines := bufio.NewScanner(in)
+	for lines.Scan() {
+		if err := executeCommand(lines.Bytes(), f, clock); err != nil {
+			onError(err)
+		}
 	}
-	return time.Duration(f.rng.Int64N(int64(f.lateDials.max)))
-}
-
-type fault struct {
-	errno    syscall.Errno
-	fraction float64
-	until    time.Time
+	os.Exit(exitOrphaned)
 }
 
-func newFaults() *faults {
-	return &faults{rng: rand.New(rand.NewPCG(uint64(os.Getpid()), 3)), failing: map[string]fault{}}
-}
+// exitOrphaned is the exit code after the end of standard input.
+const exitOrphaned = 3
 
-// inject answers the error of a call, or nil.
-func (f *faults) inject(call string) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	x, ok := f.failing[call]
-	if !ok || time.Now().After(x.until) || f.rng.Float64() >= x.fraction {
-		return nil
-	}
-	return os.NewSyscallError(call, x.errno)
-}
+// ErrUnknownCommand is the error of a command whose kind is none of the constants.
+var ErrUnknownCommand = errors.New("faultgateway: unknown command")
 
-func (f *faults) setErrors(o Command) error {
-	errno, err := ParseErrno(o.Errno)
-	if err != nil {
-		return err
+func executeCommand(line []byte, f *faults, clock *steppedClock) error {
+	var c Command
+	if err := json.Unmarshal(line, &c); err != nil {
+		return fmt.Errorf("faultgateway: command: %w", err)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, call := range strings.Split(o.Calls, ",") {
-		f.failing[call] = fault{errno, o.Fraction, time.Now().Add(time.Duration(o.ForMS) * time.Millisecond)}
+	switch c.Kind {
+	case CommandStep:
+		clock.step(time.Duration(c.MS) * time.Millisecond)
+	case CommandCalls, CommandDisk:
+		return f.setErrors(c)
+	case CommandLateDials:
+		f.setLateDials(c)
+	default:
+		return fmt.Errorf("%w %q", ErrUnknownCommand, c.Kind)
 	}
 	return nil
 }
 
-// executeCommands carries out what comes on standard input until it ends.
-func executeCommands(in io.Reader, f *faults, c *steppedClock, complain func(error)) {
-	lines := bufio.NewScanner(in)
-	for lines.Scan() {
-		var o Command
-		err := json.Unmarshal(lines.Bytes(), &o)
-		switch {
-		case err != nil:
-		case o.Kind == CommandStep:
-			c.step(time.Duration(o.MS) * time.Millisecond)
-		case o.Kind == CommandCalls || o.Kind == CommandDisk:
-			err = f.setErrors(o)
-		case o.Kind == CommandLateDials:
-			f.setLateDials(o)
-		default:
-			err = fmt.Errorf("double: unknown order %q", o.Kind)
-		}
-		if err != nil {
-			complain(err)
-		}
-	}
-	os.Exit(exitOrphaned) // who started us has gone
-}
-
-// exitOrphaned is how a double ends whose starter has gone.
-const exitOrphaned = 3
-
-// Serve serves as `foxlane serve --verbose` does, until SIGTERM. Site names the operator's file; empty: none.
+// Serve serves as `foxlane serve --verbose` does, until SIGTERM. Site is the path of the operator's file; empty: none.
 func Serve(site string) error {
-	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE)
 	cfg, err := config.Load()
 	if err != nil {
@@ -175,10 +100,10 @@
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
 	log := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), lines, zapcore.DebugLevel))
 	f, clock := newFaults(), newSteppedClock()
-	go executeCommands(os.Stdin, f, clock, func(err error) { log.Error("double: order", zap.Error(err)) })
+	go executeCommands(os.Stdin, f, clock, func(err error) { log.Error("faultgateway: command failed", zap.Error(err)) })
 	platform, err := withDefect(os.Getenv(EnvDefect), newPlatform(f, clock), clock)
 	if err != nil {
 		return err
 	}
-	return net.RunOn(platform, cfg, log, net.Signals{Reload: reload, Terminate: end})
+	return net.RunOn(platform, cfg, log, net.Signals{Reload: reload, Terminate: terminate})
 }
--- a/internal/faultgateway/files.go
+++ b/internal/faultgateway/files.go
@@ -1,19 +1,22 @@
 package faultgateway
 
 import (
+	"errors"
+	"io"
 	"sync"
 
 	"foxlane/internal/spool/disk"
 )
 
-// faultyFolder is a folder of a machine that loses its power when the process is killed: what was not synced is gone, but
-// for the first half of each write, which may have reached the disk. A sync that fails loses what it was to make last.
+// faultyFolder is a folder of a machine that loses power when the process is killed: what was not synced is lost, but for the
+// first half of each write, which reaches the disk. After a sync that failed the data before it is never written.
 type faultyFolder struct {
 	*disk.Folder
 	faults         *faults
-	hideSyncErrors bool // the planted defect: a sync that failed is said to have worked
+	hideSyncErrors bool // a planted defect: a sync that failed is reported as done
 }
 
+// Open opens a file, with its content as it would be after a loss of power. Creating one may fail.
 func (f *faultyFolder) Open(name string, create bool) (disk.File, error) {
 	if create {
 		if err := f.faults.inject("open"); err != nil {
@@ -26,19 +29,18 @@
 	}
 	size, err := file.Size()
 	if err != nil {
-		file.Close()
-		return nil, err
+		return nil, errors.Join(err, file.Close())
 	}
 	data := make([]byte, size)
 	if size > 0 {
 		if _, err := file.ReadAt(data, 0); err != nil {
-			file.Close()
-			return nil, err
+			return nil, errors.Join(err, file.Close())
 		}
 	}
 	return &faultyFile{real: file, folder: f, data: data, unsyncedFrom: size}, nil
 }
 
+// Remove removes a file, or fails.
 func (f *faultyFolder) Remove(name string) error {
 	if err := f.faults.inject("remove"); err != nil {
 		return err
@@ -46,6 +48,7 @@
 	return f.Folder.Remove(name)
 }
 
+// Sync fails, or does nothing: the system's folder lasts longer than the process.
 func (f *faultyFolder) Sync() error {
 	if err := f.faults.inject("sync"); err != nil && !f.hideSyncErrors {
 		return err
@@ -53,15 +56,16 @@
 	return nil
 }
 
-// faultyFile holds a file as the process sees it; the real one has what would outlast a loss of power.
+// faultyFile holds a file as the process sees it; the real one holds what would outlast a loss of power.
 type faultyFile struct {
 	mu           sync.Mutex
 	real         disk.File
 	folder       *faultyFolder
 	data         []byte
-	unsyncedFrom int64 // from here on data was not synced
+	unsyncedFrom int64 // offset from which data may not be in the real file
 }
 
+// ReadAt reads what the process has written, synced or not, or fails.
 func (f *faultyFile) ReadAt(p []byte, off int64) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,11 +77,12 @@
 		n = copy(p, f.data[off:])
 	}
 	if n < len(p) {
-		return n, errNoSerial
+		return n, io.ErrUnexpectedEOF
 	}
 	return n, nil
 }
 
+// WriteAt writes all of p, or half of it and fails. Half of what is written reaches the real file at once.
 func (f *faultyFile) WriteAt(p []byte, off int64) (n int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,11 +101,12 @@
 	return n, err
 }
 
+// Sync writes to the real file what it lacks, or fails and loses that.
 func (f *faultyFile) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.folder.faults.inject("sync"); err != nil {
-		f.unsyncedFrom = int64(len(f.data)) // the system takes it for written, and it is not
+		f.unsyncedFrom = int64(len(f.data)) // as on Linux: the pages count as clean, and are not written later
 		if f.folder.hideSyncErrors {
 			return nil
 		}
@@ -115,6 +121,7 @@
 	return nil
 }
 
+// Truncate cuts the file, or fails.
 func (f *faultyFile) Truncate(size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,10 +135,12 @@
 	return f.real.Truncate(size)
 }
 
+// Size is the size as the process sees it.
 func (f *faultyFile) Size() (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return int64(len(f.data)), nil
 }
 
+// Close closes the real file, without a sync.
 func (f *faultyFile) Close() error { return f.real.Close() }
--- a/internal/faultgateway/platform.go
+++ b/internal/faultgateway/platform.go
@@ -12,7 +12,7 @@
 	"foxlane/internal/spool/disk"
 )
 
-// steppedClock is one whose wall part is stepped; its monotonic part runs on.
+// steppedClock is a clock whose wall time is stepped by commands; its monotonic time is the system's.
 type steppedClock struct {
 	origin      time.Time
 	offsetNanos atomic.Int64
@@ -20,12 +20,19 @@
 
 func newSteppedClock() *steppedClock { return &steppedClock{origin: time.Now()} }
 
-func (c *steppedClock) Wall() time.Time        { return time.Now().Add(time.Duration(c.offsetNanos.Load())) }
+// Wall is the wall time, with all steps so far.
+func (c *steppedClock) Wall() time.Time { return time.Now().Add(time.Duration(c.offsetNanos.Load())) }
+
+// Elapsed is the monotonic time since the clock was made.
 func (c *steppedClock) Elapsed() time.Duration { return time.Since(c.origin) }
-func (c *steppedClock) step(by time.Duration)  { c.offsetNanos.Add(int64(by)) }
-func (c *steppedClock) offset() time.Duration  { return time.Duration(c.offsetNanos.Load()) }
 
-// newPlatform is the system's platform with calls that fail.
+// step steps the wall time.
+func (c *steppedClock) step(by time.Duration) { c.offsetNanos.Add(int64(by)) }
+
+// offset is the sum of all steps.
+func (c *steppedClock) offset() time.Duration { return time.Duration(c.offsetNanos.Load()) }
+
+// newPlatform is the system's platform with the given clock, and with calls that fail or are delayed.
 func newPlatform(f *faults, clock *steppedClock) net.Platform {
 	p := net.System()
 	system := p
@@ -65,17 +72,18 @@
 		if err != nil {
 			return nil, err
 		}
-		return &faultyFolder{Folder: folder, faults: f, hideSyncErrors: false}, nil
+		return &faultyFolder{Folder: folder, faults: f}, nil
 	}
 	return p
 }
 
-// faultyListener fails to accept.
+// faultyListener is a listener whose Accept may fail.
 type faultyListener struct {
 	stdnet.Listener
 	faults *faults
 }
 
+// Accept accepts a connection, or fails.
 func (l *faultyListener) Accept() (stdnet.Conn, error) {
 	if err := l.faults.inject("accept"); err != nil {
 		return nil, &stdnet.OpError{Op: "accept", Net: "tcp", Err: err}
@@ -83,12 +91,13 @@
 	return l.Listener.Accept()
 }
 
-// faultyDatagramConn fail to be sent and read.
+// faultyDatagramConn is a UDP socket whose reads and writes may fail.
 type faultyDatagramConn struct {
 	stdnet.Conn
 	faults *faults
 }
 
+// Write sends a datagram, or fails.
 func (d *faultyDatagramConn) Write(p []byte) (int, error) {
 	if err := d.faults.inject("send"); err != nil {
 		return 0, &stdnet.OpError{Op: "write", Net: "udp", Err: err}
@@ -96,6 +105,7 @@
 	return d.Conn.Write(p)
 }
 
+// Read receives a datagram, or loses it and fails.
 func (d *faultyDatagramConn) Read(p []byte) (int, error) {
 	n, err := d.Conn.Read(p)
 	if err == nil {
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -6,15 +6,19 @@
 	"net"
 	"testing"
 	"time"
+
+	"go.uber.org/goleak"
 )
 
-// startEchoServer answers what it is sent.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// startEchoServer starts a TCP server that echoes, and returns its address.
 func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -22,7 +26,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				_, _ = io.Copy(c, c)
 			}()
 		}
@@ -30,9 +34,10 @@
 	return ln.Addr().String()
 }
 
+// dialThroughProxy returns a proxy to an echo server, its links, and a connection through it.
 func dialThroughProxy(t *testing.T) (*TCP, *Link, *Link, net.Conn) {
-	there, back := NewLink(1), NewLink(2)
-	r, err := NewTCP("127.0.0.1:0", startEchoServer(t), there, back)
+	forward, reverse := NewLink(1), NewLink(2)
+	r, err := NewTCP("127.0.0.1:0", startEchoServer(t), forward, reverse)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,11 +46,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return r, there, back, c
+	t.Cleanup(func() { _ = c.Close() })
+	return r, forward, reverse, c
 }
 
-// roundTrip writes, and returns what comes back within a while.
+// roundTrip writes a text, and returns what comes back within a time and how long that took.
 func roundTrip(t *testing.T, c net.Conn, text string, within time.Duration) (string, time.Duration, error) {
 	t.Helper()
 	began := time.Now()
@@ -59,30 +64,30 @@
 }
 
 func TestTCPCarriesAndDelays(t *testing.T) {
-	_, there, back, c := dialThroughProxy(t)
+	_, forward, reverse, c := dialThroughProxy(t)
 	if got, _, err := roundTrip(t, c, "hello", time.Second); got != "hello" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	there.SetConditions(Conditions{Delay: 60 * time.Millisecond})
-	back.SetConditions(Conditions{Delay: 60 * time.Millisecond})
+	forward.SetConditions(Conditions{Delay: 60 * time.Millisecond})
+	reverse.SetConditions(Conditions{Delay: 60 * time.Millisecond})
 	if _, took, err := roundTrip(t, c, "hello", 2*time.Second); took < 120*time.Millisecond || err != nil {
 		t.Errorf("took %v, %v", took, err)
 	}
-	there.SetConditions(Conditions{Rate: 10_000})
-	back.SetConditions(Conditions{})
+	forward.SetConditions(Conditions{Rate: 10_000})
+	reverse.SetConditions(Conditions{})
 	big := string(bytes.Repeat([]byte("x"), 2000))
 	if got, took, err := roundTrip(t, c, big, 2*time.Second); got != big || took < 190*time.Millisecond || err != nil {
 		t.Errorf("2000 bytes at 10,000 a second took %v, %v", took, err)
 	}
-	if n := there.Counts(); n.Bytes != 2010 || n.Accepted != 1 {
+	if n := forward.Counts(); n.Bytes != 2010 || n.Accepted != 1 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// A way that is cut in one direction holds what goes there, and gives it out once it is whole again.
+// A cut of one direction holds back what is sent there, and delivers it once the cut ends.
 func TestTCPIsCutOneWay(t *testing.T) {
-	r, _, back, c := dialThroughProxy(t)
-	back.SetConditions(Conditions{Cut: true})
+	r, _, reverse, c := dialThroughProxy(t)
+	reverse.SetConditions(Conditions{Cut: true})
 	if got, _, err := roundTrip(t, c, "hello", 150*time.Millisecond); err == nil {
 		t.Fatalf("%q came through a cut", got)
 	}
@@ -90,11 +95,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer late.Close()
+	defer func() { _ = late.Close() }()
 	if got, _, err := roundTrip(t, late, "later", 100*time.Millisecond); err == nil {
 		t.Fatalf("%q came through a cut, on a new connection", got)
 	}
-	back.SetConditions(Conditions{})
+	reverse.SetConditions(Conditions{})
 	for _, want := range []struct {
 		c    net.Conn
 		text string
@@ -123,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer server.Close()
+	defer func() { _ = server.Close() }()
 	go func() {
 		buf := make([]byte, 100)
 		for {
@@ -134,8 +139,8 @@
 			_, _ = server.WriteTo(buf[:n], from)
 		}
 	}()
-	there, back := NewLink(1), NewLink(2)
-	r, err := NewUDP("127.0.0.1:0", server.LocalAddr().String(), there, back)
+	forward, reverse := NewLink(1), NewLink(2)
+	r, err := NewUDP("127.0.0.1:0", server.LocalAddr().String(), forward, reverse)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	count := func(n int) (got int) {
 		for range n {
 			_, _ = c.Write([]byte("x"))
@@ -161,15 +166,15 @@
 	if n := count(40); n != 40 {
 		t.Errorf("%d of 40 came back", n)
 	}
-	there.SetConditions(Conditions{Loss: 0.5})
+	forward.SetConditions(Conditions{Loss: 0.5})
 	if n := count(40); n < 5 || n > 35 {
-		t.Errorf("%d of 40 came back over a way that loses half", n)
+		t.Errorf("%d of 40 came back over a link that loses half", n)
 	}
-	there.SetConditions(Conditions{Duplicate: 1})
+	forward.SetConditions(Conditions{Duplicate: 1})
 	if n := count(20); n != 40 {
-		t.Errorf("%d came back of 20 that come twice", n)
+		t.Errorf("%d came back of 20 that are duplicated", n)
 	}
-	there.SetConditions(Conditions{Cut: true})
+	forward.SetConditions(Conditions{Cut: true})
 	if n := count(10); n != 0 {
 		t.Errorf("%d came through a cut", n)
 	}
