--- a/internal/harness/endpointlist_test.go
+++ b/internal/harness/endpointlist_test.go
@@ -7,7 +7,7 @@
 // A gateway is notified of drains whatever serial number the list has: serial numbers begin anew with each start of a gateway, and
 // an answer may bring a list from before that, under the number it had then.
 func TestDrainsAreNotifiedWhateverTheSerials(t *testing.T) {
-	const fleet = `
+	fleet := `
 zone "hall-a" {
   gateways = 2
   engines  = 4
@@ -15,65 +15,17 @@
 cores  = 8
 load   = 0.4
 length = "7s"
-fault "retire" {
-  of  = "hall-a/e0"
-  at  = "200ms"
-  for = "300ms"
-}
-`
-	const restarted = `
-fault "retire" {
-  of  = "hall-a/e1"
-  at  = "1s"
-  for = "300ms"
-}
-fault "kill" {
-  of  = "gateways"
-  at  = "2s"
-  for = "200ms"
-}
-`
+` +
+		fault("retire", `of = "hall-a/e0"`, `at = "200ms"`, `for = "300ms"`)
+	restarted := fault("retire", `of = "hall-a/e1"`, `at = "1s"`, `for = "300ms"`) +
+		fault("kill", `of = "gateways"`, `at = "2s"`, `for = "200ms"`)
 	for name, faults := range map[string]string{
-		"a list of the previous incarnation, then a drain": restarted + `
-fault "lists" {
-  of     = "gateways"
-  text   = "earlier"
-  factor = 1
-  at     = "2700ms"
-  for    = "150ms"
-}
-fault "retire" {
-  of  = "hall-a/e2"
-  at  = "3300ms"
-  for = "3s"
-}
-`,
-		"a drain, then a list of the previous incarnation": restarted + `
-fault "retire" {
-  of  = "hall-a/e2"
-  at  = "3s"
-  for = "3s"
-}
-fault "lists" {
-  of     = "gateways"
-  text   = "earlier"
-  factor = 1
-  at     = "3500ms"
-  for    = "150ms"
-}
-`,
-		"serial numbers that begin anew while the gateway runs": `
-fault "lists" {
-  of   = "gateways"
-  text = "anew"
-  at   = "2s"
-}
-fault "retire" {
-  of  = "hall-a/e2"
-  at  = "2600ms"
-  for = "3s"
-}
-`,
+		"a list of the previous incarnation, then a drain": restarted + fault("lists", `of = "gateways"`, `text = "earlier"`, `factor = 1`, `at = "2700ms"`, `for = "150ms"`) +
+			fault("retire", `of = "hall-a/e2"`, `at = "3300ms"`, `for = "3s"`),
+		"a drain, then a list of the previous incarnation": restarted + fault("retire", `of = "hall-a/e2"`, `at = "3s"`, `for = "3s"`) +
+			fault("lists", `of = "gateways"`, `text = "earlier"`, `factor = 1`, `at = "3500ms"`, `for = "150ms"`),
+		"serial numbers that begin anew while the gateway runs": fault("lists", `of = "gateways"`, `text = "anew"`, `at = "2s"`) +
+			fault("retire", `of = "hall-a/e2"`, `at = "2600ms"`, `for = "3s"`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -67,6 +67,11 @@
 E
 `
 
+// fault is a fault block of a script, with an attribute a line.
+func fault(kind string, attributes ...string) string {
+	return fmt.Sprintf("fault %q {\n%s\n}\n", kind, strings.Join(attributes, "\n"))
+}
+
 // playScript plays a script, logs its report, and fails the test for each violation.
 func playScript(t *testing.T, text string) *Report {
 	t.Helper()
@@ -116,13 +121,8 @@
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "16s"
-fault "lose" {
-  of = "hall-a"
-  at = "3s"
-  for = "4s"
-  unlisted = "2s"
-}
-`)
+`+
+		fault("lose", `of = "hall-a"`, `at = "3s"`, `for = "4s"`, `unlisted = "2s"`))
 	wantServed(t, report, 5, 7, 0.9, "while the zone was away")
 	wantServed(t, report, 12, 16, 0.95, "after the return")
 	if p := report.WorkByZone(13, 16); p[0] < 0.2 {
@@ -172,19 +172,9 @@
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "12s"
-fault "burst" {
-  of     = "hall-b"
-  at     = "1s"
-  for    = "10s"
-  factor = 2
-}
-fault "cut" {
-  from = "hall-a"
-  to   = "gateways"
-  at   = "3s"
-  for  = "4s"
-}
-`)
+`+
+		fault("burst", `of = "hall-b"`, `at = "1s"`, `for = "10s"`, `factor = 2`)+
+		fault("cut", `from = "hall-a"`, `to = "gateways"`, `at = "3s"`, `for = "4s"`))
 	wantServed(t, report, 4, 7, 0.85, "while answers were cut off")
 	wantServed(t, report, 9, 12, 0.95, "after it")
 }
@@ -195,21 +185,9 @@
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "11s"
-fault "cut" {
-  from = "hall-a"
-  to   = "hall-b"
-  both = true
-  at   = "3s"
-  for  = "5s"
-}
-fault "cut" {
-  from = "hall-a"
-  to   = "hall-c"
-  both = true
-  at   = "3s"
-  for  = "5s"
-}
-`)
+`+
+		fault("cut", `from = "hall-a"`, `to = "hall-b"`, `both = true`, `at = "3s"`, `for = "5s"`)+
+		fault("cut", `from = "hall-a"`, `to = "hall-c"`, `both = true`, `at = "3s"`, `for = "5s"`))
 	wantServed(t, report, 4, 8, 0.95, "while a site was cut off")
 	if p := report.WorkByZone(4, 8); p[0] < 0.25 {
 		t.Errorf("the site that is cut off serves %.2f of the work", p[0])
@@ -223,32 +201,12 @@
 	report := playScript(t, threeZones+strings.Replace(siteSettings, "ramp", "drain_over = \"2s\"\n  ramp", 1)+`
 load   = 0.25
 length = "17s"
-fault "dark" {
-  at  = "1s"
-  for = "10s"
-}
-fault "drain" {
-  of  = "hall-b"
-  at  = "2s"
-  for = "8s"
-}
-fault "lose" {
-  of  = "hall-a"
-  at  = "5s"
-  for = "4s"
-  unlisted = "1s"
-}
-fault "kill" {
-  of  = "hall-c/g1"
-  at  = "6s"
-  for = "500ms"
-}
-fault "freeze" {
-  of  = "hall-c/g0"
-  at  = "8s"
-  for = "1s"
-}
-`)
+`+
+		fault("dark", `at = "1s"`, `for = "10s"`)+
+		fault("drain", `of = "hall-b"`, `at = "2s"`, `for = "8s"`)+
+		fault("lose", `of = "hall-a"`, `at = "5s"`, `for = "4s"`, `unlisted = "1s"`)+
+		fault("kill", `of = "hall-c/g1"`, `at = "6s"`, `for = "500ms"`)+
+		fault("freeze", `of = "hall-c/g0"`, `at = "8s"`, `for = "1s"`))
 	wantServed(t, report, 6, 8, 0.8, "with one zone of three")
 	if p := report.WorkByZone(6, 8); p[1] > 0.1 || p[0] > 0.05 {
 		t.Errorf("parts %.2f with the first zone lost and the second drained", p)
@@ -285,13 +243,8 @@
   }
 }
 E
-fault "lose" {
-  of = "big"
-  at = "3s"
-  for = "6s"
-  unlisted = "1s"
-}
-`)
+`+
+		fault("lose", `of = "big"`, `at = "3s"`, `for = "6s"`, `unlisted = "1s"`))
 	var rejected [3]float64 // part of the first attempts, by class
 	for c := range rejected {
 		for _, s := range report.Seconds[5:9] {
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -16,40 +16,13 @@
 	report := playScript(t, gossipZones+siteSettings+`
 load   = 0.4
 length = "18s"
-fault "link" {
-  from   = "gateways"
-  to     = "gateways"
-  at     = "1s"
-  for    = "14s"
-  loss   = 0.3
-  delay  = "20ms"
-  jitter = "100ms"
-}
-fault "kill" {
-  of  = "hall-b/g1"
-  at  = "4s"
-  for = "1s"
-}
-fault "silence" {
-  of  = "hall-a/e0"
-  at  = "5s"
-  for = "5s"
-}
-fault "freeze" {
-  of  = "hall-c/g0"
-  at  = "7s"
-  for = "2s"
-}
-fault "cut" {
-  from = "hall-a/g1"
-  to   = "hall-b/g0"
-  at   = "8s"
-  for  = "4s"
-}
-fault "hush" {
-  at = "15s"
-}
-`)
+`+
+		fault("link", `from = "gateways"`, `to = "gateways"`, `at = "1s"`, `for = "14s"`, `loss = 0.3`, `delay = "20ms"`, `jitter = "100ms"`)+
+		fault("kill", `of = "hall-b/g1"`, `at = "4s"`, `for = "1s"`)+
+		fault("silence", `of = "hall-a/e0"`, `at = "5s"`, `for = "5s"`)+
+		fault("freeze", `of = "hall-c/g0"`, `at = "7s"`, `for = "2s"`)+
+		fault("cut", `from = "hall-a/g1"`, `to = "hall-b/g0"`, `at = "8s"`, `for = "4s"`)+
+		fault("hush", `at = "15s"`))
 	wantServed(t, report, 11, 17, 0.95, "at the end")
 	joined, ended := map[string]bool{}, map[string]bool{}
 	for _, e := range report.Events {
@@ -79,39 +52,13 @@
 voters = 3
 load   = 0.25
 length = "17s"
-fault "order" {
-  of   = "hall-a/g0"
-  at   = "3s"
-  text = "drain-engine s-00000003"
-}
-fault "kill" {
-  of  = "hall-a/g1"
-  at  = "5s"
-  for = "2s"
-}
-fault "order" {
-  of   = "hall-b/g0"
-  at   = "6s"
-  text = "refuse-class load"
-}
-fault "cut" {
-  from = "hall-a/g0"
-  to   = "gateways"
-  both = true
-  at   = "9s"
-  for  = "4s"
-}
-fault "order" {
-  of   = "hall-a/g0"
-  at   = "10s"
-  text = "drain-zone hall-c"
-}
-fault "order" {
-  of   = "hall-b/g0"
-  at   = "11s"
-  text = "drain-engine s-00000001"
-}
-`)
+`+
+		fault("order", `of = "hall-a/g0"`, `at = "3s"`, `text = "drain-engine s-00000003"`)+
+		fault("kill", `of = "hall-a/g1"`, `at = "5s"`, `for = "2s"`)+
+		fault("order", `of = "hall-b/g0"`, `at = "6s"`, `text = "refuse-class load"`)+
+		fault("cut", `from = "hall-a/g0"`, `to = "gateways"`, `both = true`, `at = "9s"`, `for = "4s"`)+
+		fault("order", `of = "hall-a/g0"`, `at = "10s"`, `text = "drain-zone hall-c"`)+
+		fault("order", `of = "hall-b/g0"`, `at = "11s"`, `text = "drain-engine s-00000001"`))
 	if n := len(report.AcceptedDirectives); n < 3 {
 		t.Errorf("%d of 4 directives were confirmed: %v", n, report.AcceptedDirectives)
 	}
