--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -30,7 +30,7 @@
 		{Name: "proxy", Addresses: addressSet(t, "192.0.2.7/32"), Weight: 3, Trusted: true},
 	}
 	s.Tenants = []Tenant{{Name: "coop", Weight: 4}, {Name: "inner", Weight: 5, Networks: []string{"offices"}}}
-	r := newDirectory(s, []string{"site"}, 9)
+	r := newIdentityResolver(s, []string{"site"}, 9)
 	of := func(from, tenant string) principal {
 		name := uint64(0)
 		if tenant != "" {
@@ -59,8 +59,8 @@
 		{"both families of a network", "10.1.0.1", "", "2001:db8:1::7", "", clients, 2},
 		{"a declared tenant from anywhere", "203.0.113.1", "coop", "198.51.100.1", "coop", clients, 4},
 		{"a tenant of the site's", "203.0.113.1", "site", "198.51.100.1", "site", clients, 1},
-		{"a tenant where it may be told", "10.1.0.1", "inner", "10.1.0.2", "inner", clients, 5},
-		{"a tenant where it may not be told", "203.0.113.1", "inner", "203.0.113.1", "", clients, 1},
+		{"a tenant where it may be named", "10.1.0.1", "inner", "10.1.0.2", "inner", clients, 5},
+		{"a tenant where it may not be named", "203.0.113.1", "inner", "203.0.113.1", "", clients, 1},
 		{"an undeclared name", "203.0.113.1", "new", "203.0.113.1", "other", clients, 1},
 		{"an undeclared name from two addresses", "203.0.113.1", "new", "198.51.100.1", "new", strangers, 1},
 		{"an undeclared name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "other", strangers, 3},
@@ -80,11 +80,11 @@
 	}
 }
 
-// Who knows the names but not the seed can't tell which share a place.
+// Without the seed nobody can tell which names share a cell.
 func TestHashCollisionsDependOnTheSeed(t *testing.T) {
 	const tenants, places = 2000, 1 << 10
 	pairs := func(seed uint64, addresses bool) map[[2]int]bool {
-		r := newDirectory(Defaults(), nil, seed)
+		r := newIdentityResolver(Defaults(), nil, seed)
 		at := map[uint64][]int{}
 		for i := range tenants {
 			h := r.hashName(spaceTenant, fmt.Sprint("tenant-", i)) % places
@@ -112,15 +112,15 @@
 			}
 		}
 		if len(a) < 1000 || both > len(a)/100 {
-			t.Errorf("addresses %v: of %d pairs that share a place under one seed, %d do under another", addresses, len(a), both)
+			t.Errorf("addresses %v: of %d pairs that share a cell under one seed, %d do under another", addresses, len(a), both)
 		}
 	}
 }
 
-// The heaviest of those that have left are followed exactly.
+// The heaviest debts are remembered exactly.
 func TestHeaviestDebtsAreExact(t *testing.T) {
 	tb := newDebtTable(32 << 10)
-	r := newDirectory(Defaults(), nil, 9)
+	r := newIdentityResolver(Defaults(), nil, 9)
 	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range 20_000 {
 		v := 1.0
@@ -139,20 +139,20 @@
 		full.put(debt{key(i), float64(10 + i), 0}, 0, 0)
 	}
 	if lost := full.put(debt{key(100), 5, 0}, 0, 0); lost.key != key(100) {
-		t.Error("a light one took the place of a heavier one")
+		t.Error("a light entry evicted a heavier one")
 	}
 	if lost := full.put(debt{key(101), 50, 0}, 0, 0); lost.key != key(0) {
-		t.Error("not the lightest gave way")
+		t.Error("the lightest entry was not the one that was evicted")
 	}
 	if lost := full.put(debt{key(102), 5, 0}, 11, 0); lost.key != 0 {
-		t.Error("one that owes nothing any more kept its place")
+		t.Error("an entry without a debt stayed")
 	}
 }
 
-// What light ones owe is never less than they do, and seldom more.
+// The debt of a light tenant is never understated, and seldom overstated.
 func TestSketchSeldomOverstates(t *testing.T) {
 	s := newDebtSketch(8 << 10) // 256 places a row
-	r := newDirectory(Defaults(), nil, 9)
+	r := newIdentityResolver(Defaults(), nil, 9)
 	const n = 100
 	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
 	for i := range n {
@@ -172,7 +172,7 @@
 	}
 }
 
-// A tenant that comes once is not worse off than a regular, after a million of them.
+// After many tenants that came once, another one is served like a regular one.
 func TestOneTimeTenantIsServedLikeARegularOne(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	for i := range 30_000 {
@@ -184,19 +184,14 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "regular", 30, 50*ms)
 	sim.advance(5 * rules.Second)
-	again := sim.onServed
-	sim.onServed = func(request *simulatedRequest) {
-		if request.tenant == "regular" {
-			again(request)
-		}
-	}
+	sim.repeatOnly("regular")
 	for i := range 20 {
 		name := fmt.Sprint("newcomer", i)
 		c := sim.connect(fmt.Sprintf("10.9.9.%d", i+1))
 		sim.send(c, name, name, 50*ms, nil)
 		sim.advance(100 * ms)
 		if w := sim.waits[name]; len(w) != 1 || w[0] > 50*ms {
-			t.Errorf("%s waited %v at the door", name, w)
+			t.Errorf("%s was queued for %v", name, w)
 		}
 		sim.disconnect(c)
 	}
@@ -208,12 +203,7 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "heavy", 20, 400*ms)
 	sim.advance(4 * rules.Second)
-	again := sim.onServed
-	sim.onServed = func(request *simulatedRequest) {
-		if request.tenant == "heavy" {
-			again(request)
-		}
-	}
+	sim.repeatOnly("heavy")
 	c := sim.connect("10.0.0.2")
 	for i := range 30 {
 		sim.send(c, fmt.Sprint("light", i), "light", 10*ms, nil)
@@ -225,19 +215,18 @@
 		}
 	}
 	if len(sim.waits["light"]) != 30 {
-		t.Errorf("%d of 30 light queries passed", len(sim.waits["light"]))
+		t.Errorf("%d of 30 light queries were admitted", len(sim.waits["light"]))
 	}
 }
 
-// A flood that takes a new address of one network for each connection is one tenant where the operator
-// has put the network together.
+// A flood from new addresses of one network is one tenant where the operator has made the network
+// one tenant.
 func TestNewAddressesOfOneNetworkGainNothing(t *testing.T) {
 	s := Defaults()
 	s.Networks = []Network{{Name: "pool", Addresses: addressSet(t, "10.0.0.0/8"), Weight: 1, SharedTenant: true}}
 	sim := newSimulation(t, s, testLimits(), oneClass())
 	n := 0
-	var fresh func(request *simulatedRequest)
-	fresh = func(request *simulatedRequest) {
+	fresh := func(request *simulatedRequest) {
 		if request.tenant == "" && request.id[0] == 'p' {
 			sim.disconnect(request.connection)
 			n++
@@ -274,8 +263,8 @@
 	}
 }
 
-// A clock that steps back stands still for the door: nothing is refused or forgotten for it, and nobody
-// was held for less than no time.
+// A clock that steps back stands still for the controller: nothing is rejected for it, and no request was queued for
+// less than no time.
 func TestClockStepsBack(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	c := sim.connect("10.0.0.1")
--- /dev/null
+++ b/internal/gateway/control.go
@@ -0,0 +1,213 @@
+package gateway
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"foxlane/internal/directives"
+	"foxlane/internal/replica"
+	"foxlane/rules"
+)
+
+// This file answers what operators' commands ask of the process on its control socket: questions by name, and commands on directives
+// in JSON. Each answer is one line of JSON.
+
+// errDirectivesOff is the answer where the operator's file has no block `directives`.
+var errDirectivesOff = errors.New("directives are off")
+
+// errMembersOff is the answer where it has no block `members`.
+var errMembersOff = errors.New("talk is off")
+
+// answerInquiry answers a question or a command.
+func (g *Gateway) answerInquiry(event ControlRequest) {
+	var answer any
+	switch question := string(event.Data); {
+	case len(event.Data) > 0 && event.Data[0] == '{':
+		g.proposeDirective(event.Conn, event.Data)
+		return
+	case question == "book": // the directives in force
+		answer = g.directiveStatus()
+	case g.peers == nil:
+		answer = errorAnswer(errMembersOff)
+	case question == "members":
+		answer = g.memberStatus()
+	case question == "copies": // the replicated state
+		answer = g.replicaEntries()
+	default:
+		answer = errorAnswer(fmt.Errorf("unknown question %.40q", question))
+	}
+	g.reply(event.Conn, answer)
+}
+
+// errorAnswer is the answer where there is none to give.
+func errorAnswer(err error) map[string]string { return map[string]string{"error": err.Error()} }
+
+func (g *Gateway) reply(conn ConnID, answer any) {
+	line, err := json.Marshal(answer)
+	if err != nil {
+		line = []byte(`{"error":"the answer can't be written"}`)
+	}
+	g.emit(ControlResponse{Conn: conn, Data: append(line, '\n')})
+}
+
+// MemberStatus is a member as `foxlane members` lists it. Its JSON keys are read by operators' scripts and keep the words of the first
+// release.
+type MemberStatus struct {
+	Name               string  `json:"name"`
+	Zone               string  `json:"zone"`
+	SinceMS            int64   `json:"since_ms"` // how long it has been a member; of this gateway how long it runs
+	Entries            int     `json:"entries"`  // that are replicated from it
+	NewestEntryMS      int64   `json:"newest_ms"`
+	Counter            uint64  `json:"counter"`
+	Incarnation        string  `json:"life"` // when its process started
+	Self               bool    `json:"us,omitempty"`
+	LagMS              int64   `json:"lag_ms,omitempty"` // of this gateway only
+	SentBytesPerSecond float64 `json:"sent_bytes_s,omitempty"`
+}
+
+// memberStatus lists the members, this gateway among them.
+func (g *Gateway) memberStatus() any {
+	peers := g.peers
+	zoneOf := map[string]string{}
+	for _, member := range peers.replica.Members() {
+		zoneOf[member.Name] = member.Zone
+	}
+	stats := peers.replica.Stats()
+	list := []MemberStatus{}
+	for _, replicated := range peers.replica.Copies() {
+		joinedAt, joined := peers.joinedAt[replicated.Origin]
+		self := replicated.Origin == g.cfg.Name
+		if !joined && !self {
+			continue
+		}
+		status := MemberStatus{
+			Name:          replicated.Origin,
+			Zone:          zoneOf[replicated.Origin],
+			Entries:       len(replicated.Entries),
+			Counter:       replicated.Counter,
+			NewestEntryMS: -1, // there is none
+			Incarnation:   time.UnixMicro(int64(replicated.Incarnation)).UTC().Format(time.RFC3339),
+			Self:          self,
+		}
+		for _, entry := range replicated.Entries {
+			if age := milliseconds(g.now - entry.WrittenAt); status.NewestEntryMS < 0 || age < status.NewestEntryMS {
+				status.NewestEntryMS = age
+			}
+		}
+		if self {
+			status.SinceMS, status.LagMS = milliseconds(g.now-rules.Time(replicated.Incarnation)), milliseconds(stats.Lag)
+			status.SentBytesPerSecond = float64(stats.BytesSent) / max(float64(status.SinceMS)/1000, 1)
+		} else {
+			status.SinceMS = milliseconds(g.now - joinedAt)
+		}
+		list = append(list, status)
+	}
+	return list
+}
+
+// ReplicaEntry is an entry as `foxlane replica diff` compares it.
+type ReplicaEntry struct {
+	Origin      string        `json:"origin"`
+	Incarnation uint64        `json:"life"`
+	Kind        string        `json:"kind"`
+	Subject     uint64        `json:"subject"`
+	Counter     uint64        `json:"counter"`
+	AgeMS       int64         `json:"age_ms"`
+	ExpiresInMS int64         `json:"left_ms"` // until it expires
+	Value       replica.Value `json:"value"`
+}
+
+// replicaEntries lists all that is replicated here.
+func (g *Gateway) replicaEntries() any {
+	list := []ReplicaEntry{}
+	settings := &g.cfg.Site.Members.Replica
+	for _, replicated := range g.peers.replica.Copies() {
+		for _, entry := range replicated.Entries {
+			list = append(list, ReplicaEntry{
+				Origin:      replicated.Origin,
+				Incarnation: replicated.Incarnation,
+				Kind:        entry.Kind.String(),
+				Subject:     entry.Subject,
+				Counter:     entry.Counter,
+				AgeMS:       milliseconds(g.now - entry.WrittenAt),
+				ExpiresInMS: milliseconds(entry.WrittenAt + settings.MaxAge[entry.Kind] - g.now),
+				Value:       entry.Value,
+			})
+		}
+	}
+	return list
+}
+
+// DirectiveStatus is the directives in force as `foxlane directive list` lists them.
+type DirectiveStatus struct {
+	Index   uint64                 `json:"index"`
+	InForce []directives.Directive `json:"held"`
+	History []directives.Change    `json:"history"`
+	AgeMS   int64                  `json:"age_ms"` // since a voter that sees a quorum confirmed it; -1: never
+	IsVoter bool                   `json:"votes"`
+	Voters  []string               `json:"voters"`
+	Status  *directives.Status     `json:"status,omitempty"`
+}
+
+// directiveStatus lists the directives in force.
+func (g *Gateway) directiveStatus() any {
+	state := g.directives
+	if state == nil {
+		return errorAnswer(errDirectivesOff)
+	}
+	inForce := state.proposer.State()
+	status := DirectiveStatus{
+		Index:   inForce.Index,
+		InForce: inForce.Directives,
+		History: inForce.History,
+		AgeMS:   -1, // never confirmed
+		IsVoter: state.proposer.IsVoter(),
+		Voters:  state.voters,
+	}
+	if staleness, ok := state.proposer.Staleness(g.now); ok {
+		status.AgeMS = milliseconds(staleness)
+	}
+	if voter, ok := state.proposer.Status(); ok {
+		status.Status = &voter
+	}
+	return status
+}
+
+// proposeDirective takes an operator's command. Its answer comes once the voters have agreed on it; one that can't be proposed is answered
+// at once.
+func (g *Gateway) proposeDirective(conn ConnID, raw []byte) {
+	state := g.directives
+	var command directives.Command
+	err := json.Unmarshal(raw, &command)
+	switch {
+	case state == nil:
+		err = errDirectivesOff
+	case err == nil && !state.proposer.IsVoter():
+		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, state.voters)
+	case err == nil:
+		err = command.Validate()
+	}
+	if err != nil {
+		g.reply(conn, errorAnswer(err))
+		return
+	}
+	state.lastCommand++
+	state.waiting[state.lastCommand] = conn
+	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommand}))
+}
+
+// answerProposal answers the operator's command with a number.
+func (g *Gateway) answerProposal(number, index uint64, err error) {
+	conn, ok := g.directives.waiting[number]
+	if !ok {
+		return
+	}
+	delete(g.directives.waiting, number)
+	if err != nil {
+		g.reply(conn, errorAnswer(err))
+		return
+	}
+	g.reply(conn, map[string]uint64{"index": index})
+}
--- a/internal/harness/checks.go
+++ b/internal/harness/checks.go
@@ -96,7 +96,7 @@
 // checkInvariants adds a violation for each broken invariant in a gateway's log.
 func (r *recorder) checkInvariants(g *gateway) {
 	for _, line := range strings.Split(g.log.String(), "\n") {
-		if strings.Contains(line, `"msg":"invariant broken"`) {
+		if strings.Contains(line, `"msg":"invariant violated"`) {
 			r.addViolation(InvariantBroken, "%s: %s", g.name, line)
 		}
 	}
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -29,7 +29,7 @@
 		switch {
 		case strings.HasPrefix(e.Text, "members: joined"):
 			joined[e.Source] = true
-		case strings.HasPrefix(e.Text, "members: talk ends"):
+		case strings.HasPrefix(e.Text, "members: leaving"):
 			ended[e.Source] = true
 			if e.At < 15*time.Second {
 				t.Errorf("%s stops its gossip at %v", e.Source, e.At)
--- a/internal/net/queue.go
+++ b/internal/net/queue.go
@@ -9,80 +9,133 @@
 	"foxlane/internal/gateway"
 )
 
-// This file owns the queue of events on their way to the reducer.
+// This file has the queue of events on their way to the reducer.
 
-// eventQueue holds what has happened until the reducer takes it. Its bytes lie in
-// an arena that is used again once the reducer is done with them.
+// queuedEvent is an event in the queue. Received bytes lie in it by value, so that they cost no allocation each.
+type queuedEvent struct {
+	event    gateway.Event // nil: it is received
+	received gateway.DataReceived
+}
+
+// get returns the event, valid until the queue's buffers are used again.
+func (q *queuedEvent) get() gateway.Event {
+	if q.event == nil {
+		return &q.received
+	}
+	return q.event
+}
+
+// eventQueue holds events until the reducer's goroutine takes them. The bytes of events lie in an arena. Events and arena
+// are used again, in turn with those that the reducer's goroutine has taken.
 type eventQueue struct {
 	mu          sync.Mutex
 	notFull     sync.Cond
-	events      []gateway.Event
+	events      []queuedEvent
 	arena       []byte
 	queuedBytes int
-	maxBytes    int // bytes that wait before reading stops
-	maxArena    int // room of an arena that is used again
-	ready       chan struct{}
+	maxBytes    int           // beyond which no more bytes are taken, and reading stops
+	maxArena    int           // capacity of an arena that is used again
+	ready       chan struct{} // holds a value once there is something to take
 	closed      bool
 	oldestAt    time.Time // when the oldest event came
 }
 
 func newEventQueue(l config.Limits) *eventQueue {
-	m := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.EventQueueBytes, maxArena: l.EventBufferBytes}
-	m.notFull.L = &m.mu
-	return m
+	q := &eventQueue{ready: make(chan struct{}, 1), maxBytes: l.EventQueueBytes, maxArena: l.EventBufferBytes}
+	q.notFull.L = &q.mu
+	return q
+}
+
+// enqueue adds an event that carries no bytes. It never waits.
+func (q *eventQueue) enqueue(event gateway.Event) {
+	q.mu.Lock()
+	q.add(queuedEvent{event: event})
+	q.mu.Unlock()
+	q.wakeReducer()
+}
+
+// enqueueReceived adds bytes that came on a connection, once there is room.
+func (q *eventQueue) enqueueReceived(conn gateway.ConnID, data []byte) {
+	q.mu.Lock()
+	q.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: q.copyIn(data)}})
+	q.mu.Unlock()
+	q.wakeReducer()
+}
+
+// enqueueBytes adds an event that is made from a copy of bytes, once there is room.
+func (q *eventQueue) enqueueBytes(data []byte, event func(copied []byte) gateway.Event) {
+	q.mu.Lock()
+	q.add(queuedEvent{event: event(q.copyIn(data))})
+	q.mu.Unlock()
+	q.wakeReducer()
 }
 
-// enqueue adds an event with a copy of its bytes. Only those that carry bytes wait for room.
-func (m *eventQueue) enqueue(e gateway.Event) {
-	m.mu.Lock()
-	for len(e.Data) > 0 && m.queuedBytes > m.maxBytes && !m.closed {
-		m.notFull.Wait()
+// copyIn copies bytes into the arena. Where too many wait, it first waits for room. The caller holds the lock.
+func (q *eventQueue) copyIn(data []byte) []byte {
+	if len(data) == 0 {
+		return data
 	}
-	if len(e.Data) > 0 {
-		from := len(m.arena)
-		m.arena = append(m.arena, e.Data...)
-		m.queuedBytes += len(e.Data)
-		e.Data = m.arena[from:len(m.arena):len(m.arena)]
+	for q.queuedBytes > q.maxBytes && !q.closed {
+		q.notFull.Wait()
 	}
-	if len(m.events) == 0 {
-		m.oldestAt = time.Now()
+	from := len(q.arena)
+	q.arena = append(q.arena, data...)
+	q.queuedBytes += len(data)
+	return q.arena[from:len(q.arena):len(q.arena)]
+}
+
+// add appends an event. The caller holds the lock.
+func (q *eventQueue) add(event queuedEvent) {
+	if len(q.events) == 0 {
+		q.oldestAt = time.Now()
 	}
-	m.events = append(m.events, e)
-	m.mu.Unlock()
-	select {
-	case m.ready <- struct{}{}:
+	q.events = append(q.events, event)
+}
+
+func (q *eventQueue) wakeReducer() {
+	if q.signal() {
 		runtime.Gosched() // the reducer may go at once, not when the poller's next wait has lost its processor
+	}
+}
+
+// signal has the reducer's goroutine look at the queue. It answers whether no signal was under way.
+func (q *eventQueue) signal() bool {
+	select {
+	case q.ready <- struct{}{}:
+		return true
 	default:
+		return false
 	}
 }
 
-// oldestAge is for how long the oldest event has waited.
-func (m *eventQueue) oldestAge() time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.events) == 0 {
+// oldestAge is for how long the oldest event has waited; 0: there is none.
+func (q *eventQueue) oldestAge() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.events) == 0 {
 		return 0
 	}
-	return time.Since(m.oldestAt)
+	return time.Since(q.oldestAt)
 }
 
-// drain swaps what has come for the buffers of the last turn.
-func (m *eventQueue) drain(events []gateway.Event, arena []byte) ([]gateway.Event, []byte) {
+// drain takes all events, and gives the buffers of the last iteration back.
+func (q *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
 	clear(events)
-	if cap(arena) > m.maxArena {
+	if cap(arena) > q.maxArena {
 		arena = nil
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	outEvents, outArena := m.events, m.arena
-	m.events, m.arena, m.queuedBytes = events[:0], arena[:0], 0
-	m.notFull.Broadcast()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	outEvents, outArena := q.events, q.arena
+	q.events, q.arena, q.queuedBytes = events[:0], arena[:0], 0
+	q.notFull.Broadcast()
 	return outEvents, outArena
 }
 
-func (m *eventQueue) close() {
-	m.mu.Lock()
-	m.closed = true
-	m.notFull.Broadcast()
-	m.mu.Unlock()
+// close ends all waits for room, now and later.
+func (q *eventQueue) close() {
+	q.mu.Lock()
+	q.closed = true
+	q.notFull.Broadcast()
+	q.mu.Unlock()
 }
