--- /dev/null
+++ b/internal/emulator/attempt.go
@@ -0,0 +1,98 @@
+package emulator
+
+import "foxlane/rules"
+
+// This file models attempts: how they reach an engine, and how their outcome reaches the module.
+
+// attempt is one attempt of a request at an engine.
+type attempt struct {
+	request  *request
+	index    int
+	engine   *engine
+	sentAt   rules.Time
+	job      *job // nil until the engine has accepted it
+	done     bool // the gateway has its outcome
+	answered bool // the engine has answered
+}
+
+// connectionIdleTimeout is how long a connection to an engine stays open without a request.
+const connectionIdleTimeout = 13 * rules.Second
+
+// forward sends an attempt of a request to an engine.
+func (g *gateway) forward(r *request, id rules.EngineID) {
+	f := g.fleet
+	a := &attempt{request: r, index: len(r.attempts), engine: f.engineByID(id), sentAt: f.now}
+	r.attempts = append(r.attempts, a)
+	f.Metrics.recordAttempt(g, a)
+	g.observationOf(id).lastAttempt = f.now
+	usedAt, open := g.lastUsed[id]
+	dials := !open || f.now-usedAt > connectionIdleTimeout
+	if dials {
+		f.Metrics.Dials++
+	}
+	g.lastUsed[id] = f.now
+	if dials && (a.engine.silent || f.isCut(g.zone, a.engine.zone) || f.isCut(a.engine.zone, g.zone)) {
+		delete(g.lastUsed, id)
+		g.after(f.scenario.Settings.Limits.ConnectTimeout, func() { g.finishAttempt(a, rules.StatusConnectFailed) })
+	} else {
+		f.after(f.delay(g, a.engine), func() { // the engine gets it even if the gateway has crashed meanwhile
+			if !a.done && !f.isCut(g.zone, a.engine.zone) {
+				a.engine.receive(a)
+			}
+		})
+	}
+	g.after(r.deadline-f.now, func() { g.finishAttempt(a, rules.StatusTimeout) })
+}
+
+// answerGateway sends an engine's answer to its gateway.
+func (f *Fleet) answerGateway(a *attempt, status rules.Status) {
+	a.answered = true
+	g := a.request.gateway
+	if a.engine.silent || f.isCut(a.engine.zone, g.zone) {
+		return
+	}
+	g.afterIn(a.request.incarnation, f.delay(g, a.engine), func() { g.finishAttempt(a, status) })
+}
+
+// cancel gives up an attempt whose outcome the module no longer needs.
+func (g *gateway) cancel(a *attempt) {
+	if a.done {
+		return
+	}
+	if j := a.job; j != nil {
+		g.fleet.after(g.fleet.delay(g, a.engine), func() { a.engine.cancel(j) })
+	}
+	g.finishAttempt(a, rules.StatusCancelled)
+}
+
+// finishAttempt reports to the module how an attempt ended, once; the first good answer is the client's.
+func (g *gateway) finishAttempt(a *attempt, status rules.Status) {
+	if a.done {
+		return
+	}
+	a.done = true
+	f, r := g.fleet, a.request
+	if status != rules.StatusOK && status != rules.StatusSuperseded {
+		g.observationOf(a.engine.id).lastFault = f.now
+	}
+	if a.answered {
+		g.observationOf(a.engine.id).lastAnswer = f.now
+	}
+	if status == rules.StatusTimeout && a.job != nil {
+		a.engine.cancel(a.job)
+	}
+	if status == rules.StatusOK && !r.finished {
+		f.Metrics.recordServed(r)
+		r.finished = true
+	} else if !a.answered || status != rules.StatusOK {
+		f.Metrics.LostAttempts[status]++
+	}
+	outcome := rules.Outcome{ID: r.id, Attempt: a.index, Engine: a.engine.id, Status: status, Latency: f.now - a.sentAt, Closed: r.finished}
+	if status == rules.StatusOK && f.scenario.Settings.ReportsCost {
+		outcome.MeasuredWork = rules.Time(r.work)
+	}
+	if r.finished {
+		g.finish(r)
+	}
+	g.handle(outcome)
+}
--- a/internal/emulator/datagram.go
+++ b/internal/emulator/datagram.go
@@ -4,44 +4,51 @@
 	"math/rand/v2"
 	"slices"
 
+	"foxlane/internal/eventqueue"
 	"foxlane/rules"
 )
 
-// This file models what members of a fleet say to one another: datagrams that are late, lost, doubled and out of order, cuts by
-// pair and direction, members that stand still or die. It is pure, as they are.
+// This file models the datagrams that members send one another: they are delayed, lost, duplicated and reordered, links
+// are cut by pair and direction, and members pause or end. It has no clock and no sockets, as the members have none.
 
-// DatagramModel is how ways between members are.
+// DatagramModel is what happens to datagrams on their way.
 type DatagramModel struct {
-	Loss, Duplicate    float64
-	MinDelay, MaxDelay rules.Time // of a datagram's way
+	Loss, Duplicate    float64 // probabilities
+	MinDelay, MaxDelay rules.Time
 }
 
-// Member is a member: what it hears, and what it says.
+func (m *DatagramModel) drawDelay(rng *rand.Rand) rules.Time {
+	return m.MinDelay + rules.Time(rng.Float64()*float64(m.MaxDelay-m.MinDelay))
+}
+
+// Member is a member of a DatagramNetwork.
 type Member interface {
-	// Receive takes a datagram; Tick lets time pass. Both call say for each datagram of theirs.
-	Receive(now rules.Time, from string, data []byte, say func(to string, data []byte))
-	Tick(now rules.Time, say func(to string, data []byte))
+	// Receive takes a datagram, and calls send for each that the member sends. The data is valid during the call.
+	Receive(now rules.Time, from string, data []byte, send func(to string, data []byte))
+	// Tick is called at intervals, and calls send for each datagram that the member sends.
+	Tick(now rules.Time, send func(to string, data []byte))
 }
 
-// DatagramNetwork is a network of members.
+// DatagramNetwork is a network of members in virtual time.
 type DatagramNetwork struct {
 	Model              DatagramModel
-	TickInterval       rules.Time // between ticks of a member
+	TickInterval       rules.Time // of each member
 	Now                rules.Time
-	SentBytes          map[string]int // bytes, by member
-	PeakBytesPerSecond map[string]int // most bytes that a member sent within a second
+	SentBytes          map[string]int // by member
+	PeakBytesPerSecond map[string]int // by member, the most that it sent within a second
 
 	rng   *rand.Rand
-	queue eventQueue
+	queue eventqueue.Queue
 	nodes map[string]*node
 	names []string // sorted
 	cuts  map[[2]string]bool
 }
 
+// node is a member's process.
 type node struct {
 	name         string
 	member       Member
-	paused       bool // its process stands still: what comes waits
+	paused       bool // its process is stopped: what arrives waits
 	incarnation  int
 	backlog      []func()
 	second       rules.Time
@@ -49,13 +56,13 @@
 }
 
 // NewDatagramNetwork returns a network without members.
-func NewDatagramNetwork(m DatagramModel, every, start rules.Time, seed uint64) *DatagramNetwork {
-	return &DatagramNetwork{Model: m, TickInterval: every, Now: start, SentBytes: map[string]int{}, PeakBytesPerSecond: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 0xa0761d6478bd642f)),
-		nodes: map[string]*node{}, cuts: map[[2]string]bool{}}
+func NewDatagramNetwork(model DatagramModel, tickInterval, start rules.Time, seed uint64) *DatagramNetwork {
+	return &DatagramNetwork{Model: model, TickInterval: tickInterval, Now: start, SentBytes: map[string]int{}, PeakBytesPerSecond: map[string]int{},
+		rng: rand.New(rand.NewPCG(seed, 0xa0761d6478bd642f)), nodes: map[string]*node{}, cuts: map[[2]string]bool{}}
 }
 
-// Add adds a member, or puts another process in its place.
-func (t *DatagramNetwork) Add(name string, s Member) {
+// Add adds a member, or replaces the process of the member with that name.
+func (t *DatagramNetwork) Add(name string, member Member) {
 	n := t.nodes[name]
 	if n == nil {
 		n = &node{name: name}
@@ -64,11 +71,11 @@
 		t.names = slices.Insert(t.names, i, name)
 	}
 	n.incarnation++
-	n.member, n.paused, n.backlog = s, false, nil
-	life := n.incarnation
+	n.member, n.paused, n.backlog = member, false, nil
+	incarnation := n.incarnation
 	var tick func()
 	tick = func() {
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		n.deliver(func() { n.member.Tick(t.Now, t.sender(n)) })
@@ -90,22 +97,22 @@
 // Names are the members, sorted.
 func (t *DatagramNetwork) Names() []string { return t.names }
 
-// SetPaused has a member stand still, or go on: then it hears at once what has come meanwhile.
+// SetPaused pauses a member or has it go on: then it handles at once what has arrived meanwhile.
 func (t *DatagramNetwork) SetPaused(name string, on bool) {
 	n := t.nodes[name]
 	if n == nil {
 		return
 	}
 	n.paused = on
-	if waiting := n.backlog; !on {
+	if backlog := n.backlog; !on {
 		n.backlog = nil
-		for _, do := range waiting {
-			do()
+		for _, handle := range backlog {
+			handle()
 		}
 	}
 }
 
-// Cut has nothing come through from one member to another, or lets it again.
+// Cut cuts the link from one member to another in that direction, or restores it.
 func (t *DatagramNetwork) Cut(from, to string, on bool) {
 	if on {
 		t.cuts[[2]string{from, to}] = true
@@ -114,7 +121,7 @@
 	}
 }
 
-// Partition parts the members into sides that hear nothing of one another. One side is no split.
+// Partition cuts all links between members on different sides, and restores all others.
 func (t *DatagramNetwork) Partition(side func(name string) int) {
 	clear(t.cuts)
 	for _, a := range t.names {
@@ -126,40 +133,27 @@
 	}
 }
 
-// After does something later.
-func (t *DatagramNetwork) After(d rules.Time, do func()) { t.queue.schedule(t.Now+d, do) }
+// After schedules a function.
+func (t *DatagramNetwork) After(d rules.Time, run func()) { t.queue.Schedule(t.Now+d, run) }
 
-// Run goes on until a time.
-func (t *DatagramNetwork) Run(until rules.Time) {
-	for {
-		next, ok := t.queue.popUntil(until)
-		if !ok {
-			break
-		}
-		t.Now = next.at
-		next.run()
-	}
-	t.Now = until
-}
+// Run runs the network until a time.
+func (t *DatagramNetwork) Run(until rules.Time) { t.queue.RunUntil(until, &t.Now) }
 
-const maxBacklog = 256 // datagrams that a process which stands still is kept: the rest is lost, as in a socket's buffer
+// maxBacklog is the number of datagrams that wait for a paused process. Further ones are lost, as in a socket's buffer.
+const maxBacklog = 256
 
-func (n *node) deliver(what func()) {
+func (n *node) deliver(handle func()) {
 	if !n.paused {
-		what()
+		handle()
 	} else if len(n.backlog) < maxBacklog {
-		n.backlog = append(n.backlog, what)
+		n.backlog = append(n.backlog, handle)
 	}
 }
 
+// sender returns the function by which a member sends.
 func (t *DatagramNetwork) sender(n *node) func(to string, data []byte) {
 	return func(to string, data []byte) {
-		t.SentBytes[n.name] += len(data)
-		if s := t.Now / rules.Second; s != n.second {
-			n.second, n.sentInSecond = s, 0
-		}
-		n.sentInSecond += len(data)
-		t.PeakBytesPerSecond[n.name] = max(t.PeakBytesPerSecond[n.name], n.sentInSecond)
+		t.countSent(n, len(data))
 		if t.cuts[[2]string{n.name, to}] || t.rng.Float64() < t.Model.Loss {
 			return
 		}
@@ -167,18 +161,32 @@
 		if t.rng.Float64() < t.Model.Duplicate {
 			copies = 2
 		}
-		held := append([]byte(nil), data...)
+		held := slices.Clone(data) // the sender reuses its buffer
 		for range copies {
-			t.After(t.Model.MinDelay+rules.Time(t.rng.Float64()*float64(t.Model.MaxDelay-t.Model.MinDelay)), func() {
-				if o := t.nodes[to]; o != nil {
-					life := o.incarnation
-					o.deliver(func() {
-						if o.incarnation == life {
-							o.member.Receive(t.Now, n.name, held, t.sender(o))
-						}
-					})
-				}
-			})
+			t.After(t.Model.drawDelay(t.rng), func() { t.arrive(n.name, to, held) })
 		}
 	}
 }
+
+func (t *DatagramNetwork) countSent(n *node, bytes int) {
+	t.SentBytes[n.name] += bytes
+	if s := t.Now / rules.Second; s != n.second {
+		n.second, n.sentInSecond = s, 0
+	}
+	n.sentInSecond += bytes
+	t.PeakBytesPerSecond[n.name] = max(t.PeakBytesPerSecond[n.name], n.sentInSecond)
+}
+
+// arrive has a datagram arrive at the process that has the name now. It is lost if that process ends before handling it.
+func (t *DatagramNetwork) arrive(from, to string, data []byte) {
+	n := t.nodes[to]
+	if n == nil {
+		return
+	}
+	incarnation := n.incarnation
+	n.deliver(func() {
+		if n.incarnation == incarnation {
+			n.member.Receive(t.Now, from, data, t.sender(n))
+		}
+	})
+}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -8,16 +8,18 @@
 	"foxlane/rules"
 )
 
-// EngineModel is a kind of engine. Queries share its cores evenly by thread, those of a high priority ahead
-// of the rest; beyond Knee threads a core the whole engine loses, and a cold one does all of its work
-// slower. Simplified: memory and data sets are not modelled.
+// This file models an engine: its cores, its queue, its warm-up and its collapse under too much work while cold.
+
+// EngineModel is a kind of engine. Queries share its cores evenly by thread, those of a high priority before the rest.
+// Beyond KneeThreads threads a core the whole engine slows down, and a cold one does all of its work slower. Memory and
+// data sets are not modelled.
 type EngineModel struct {
 	Cores        float64
 	Slots        int     // queries that run at once
-	QueueLimit   int     // queries that wait for a slot; more are turned away
-	KneeThreads  float64 // threads a core from which work is lost
-	OverloadLoss float64 // part of its work that it loses at twice as many and beyond
-	WorkNoise    float64 // deviation of the logarithm of a query's work, from one attempt to another
+	QueueLimit   int     // queries that wait for a slot; more are rejected
+	KneeThreads  float64 // threads a core beyond which speed is lost
+	OverloadLoss float64 // part of its speed that is lost at twice as many and beyond
+	WorkNoise    float64 // standard deviation of the logarithm of a query's work, from one attempt to another
 }
 
 // engine is one of the modelled engines.
@@ -25,23 +27,22 @@
 	fleet     *Fleet
 	id        rules.EngineID
 	zone      int
-	state     rules.EngineState
-	startedAt rules.Time // 0: long ago
-	stopped   bool       // its process has ended: connections are refused
-	silent    bool       // it, or the way to it, says nothing
-	collapsed bool       // it was sent more than it bears while cold
-	slowdown  float64    // times that all its work takes
-	errorRate float64    // part of queries that it answers with an error at once
+	state     rules.EngineState // in the list
+	startedAt rules.Time        // 0: long ago
+	stopped   bool              // its process has ended: connections are refused
+	silent    bool              // nothing of it reaches a gateway
+	collapsed bool              // it got more work than it bears while cold
+	slowdown  float64           // multiplies the time that all its work takes
+	errorRate float64           // part of the attempts that it answers with an error at once
 
 	bands       [2]band // by priority, the low one first
-	queue       []*job
+	queue       []*job  // jobs that wait for a slot
 	settledAt   rules.Time
-	timerSerial uint64 // the end that is waited for
+	timerSerial uint64 // of the timer that counts; earlier ones are void
 
-	coldSends      []coldSend
-	coldWork       float64
-	peakColdBudget float64 // largest part of the cold budget that was spent
-	workDone       float64 // work done
+	coldSends      []coldSend // the work of the last OverloadWindow, while cold
+	coldWork       float64    // their sum
+	peakColdBudget float64    // largest part of the slow-start budget that was used
 }
 
 // band is what runs at one priority.
@@ -49,35 +50,41 @@
 	running  jobHeap
 	threads  float64
 	progress float64 // time that each of its threads has run since the start, in microseconds
-	rate     float64 // at which it does
+	rate     float64 // by which progress grows
 }
 
+// coldSend is work that a cold engine got.
 type coldSend struct {
 	at   rules.Time
 	work float64
 }
 
-// job is an attempt at its engine.
+// job is an attempt that an engine runs or queues.
 type job struct {
 	attempt   *attempt
 	threads   float64
 	work      float64
-	endsAt    float64 // of its band's spun
+	endsAt    float64 // in its band's progress
 	band      *band
-	heapIndex int // in the heap; -1: not running
+	heapIndex int // in the band's heap; -1: not running
 	finished  bool
 }
 
+// jobHeap orders the jobs of a band by their end. It implements heap.Interface.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
 func (h jobHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+
+// Push is for container/heap only.
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
 	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
+
+// Pop is for container/heap only.
 func (h *jobHeap) Pop() any {
 	last := len(*h) - 1
 	j := (*h)[last]
@@ -87,18 +94,19 @@
 	return j
 }
 
-// warmUpSpeed is the part of its speed that an engine has: it warms evenly.
+// warmUpSpeed is the fraction of its full speed that an engine has; it rises linearly over the warm-up.
 func (e *engine) warmUpSpeed() float64 {
-	d := e.fleet.scenario.Settings.Constraints
-	if e.startedAt == 0 || d.SlowStartPeriod == 0 || e.fleet.now >= e.startedAt+d.SlowStartPeriod {
+	c := e.fleet.scenario.Settings.Constraints
+	if e.startedAt == 0 || c.SlowStartPeriod == 0 || e.fleet.now >= e.startedAt+c.SlowStartPeriod {
 		return 1
 	}
-	return d.SlowStartInitialSpeed + (1-d.SlowStartInitialSpeed)*float64(e.fleet.now-e.startedAt)/float64(d.SlowStartPeriod)
+	return c.SlowStartInitialSpeed + (1-c.SlowStartInitialSpeed)*float64(e.fleet.now-e.startedAt)/float64(c.SlowStartPeriod)
 }
 
-const minLowPriorityShare = 0.05 // part of the cores that the low band has in any case
+// minLowPriorityShare is the part of the cores that the low band gets in any case.
+const minLowPriorityShare = 0.05
 
-// updateRates takes the bands' rates anew.
+// updateRates recomputes the bands' rates from their threads.
 func (e *engine) updateRates() {
 	m := e.fleet.scenario.Engine
 	speed := e.warmUpSpeed() / e.slowdown
@@ -115,20 +123,19 @@
 	}
 }
 
-// advance brings the engine's books up to now.
+// advance brings the bands' progress up to now. It must be called before anything that their rates depend on changes.
 func (e *engine) advance() {
 	for i := range e.bands {
 		b := &e.bands[i]
-		run := b.rate * float64(e.fleet.now-e.settledAt)
-		b.progress += run
-		e.workDone += run * b.threads
+		b.progress += b.rate * float64(e.fleet.now-e.settledAt)
 	}
 	e.settledAt = e.fleet.now
 }
 
-const warmUpInterval = 100 * rules.Millisecond // how often a warming engine's speed is taken anew
+// warmUpInterval is how often the speed of a warming engine is recomputed.
+const warmUpInterval = 100 * rules.Millisecond
 
-// armTimer waits for the next end.
+// armTimer recomputes the rates and schedules the end of the job that ends next.
 func (e *engine) armTimer() {
 	e.timerSerial++
 	e.updateRates()
@@ -144,9 +151,9 @@
 	if e.warmUpSpeed() < 1 {
 		wait = min(wait, warmUpInterval)
 	}
-	armed := e.timerSerial
+	serial := e.timerSerial
 	e.fleet.after(wait, func() {
-		if e.timerSerial == armed {
+		if e.timerSerial == serial {
 			e.completeAndStart()
 		}
 	})
@@ -154,12 +161,15 @@
 
 func (e *engine) runningJobs() int { return len(e.bands[0].running) + len(e.bands[1].running) }
 
-// completeAndStart ends what has run, and starts what waits.
+// progressTolerance absorbs the rounding of timers to whole microseconds.
+const progressTolerance = 0.5
+
+// completeAndStart completes the jobs that have ended, and starts queued ones.
 func (e *engine) completeAndStart() {
 	e.advance()
 	for i := range e.bands {
 		b := &e.bands[i]
-		for len(b.running) > 0 && b.running[0].endsAt <= b.progress+0.5 {
+		for len(b.running) > 0 && b.running[0].endsAt <= b.progress+progressTolerance {
 			j := heap.Pop(&b.running).(*job)
 			j.finished = true
 			b.threads -= j.threads
@@ -184,62 +194,64 @@
 	heap.Push(&j.band.running, j)
 }
 
-// receive has an attempt come to the engine.
+// receive takes an attempt: it is lost, answered at once, started or queued.
 func (e *engine) receive(a *attempt) {
+	f := e.fleet
 	switch {
 	case e.silent:
 		return
 	case e.stopped || e.collapsed:
-		e.fleet.answerGateway(a, rules.StatusConnectFailed)
+		f.answerGateway(a, rules.StatusConnectFailed)
 		return
-	case e.fleet.rng.Float64() < e.errorRate:
-		e.fleet.answerGateway(a, rules.StatusError)
+	case f.rng.Float64() < e.errorRate:
+		f.answerGateway(a, rules.StatusError)
 		return
 	}
 	e.advance()
-	work := a.request.work * math.Exp(e.fleet.rng.NormFloat64()*e.fleet.scenario.Engine.WorkNoise)
+	work := a.request.work * math.Exp(f.rng.NormFloat64()*f.scenario.Engine.WorkNoise)
 	if e.chargeColdBudget(work); e.collapsed {
-		e.fleet.answerGateway(a, rules.StatusReset)
+		f.answerGateway(a, rules.StatusReset)
 		return
 	}
 	j := &job{attempt: a, threads: float64(max(1, a.request.class.Threads)), work: work, heapIndex: -1}
 	a.job = j
 	switch {
-	case e.runningJobs() < e.fleet.scenario.Engine.Slots:
+	case e.runningJobs() < f.scenario.Engine.Slots:
 		e.startJob(j)
-	case len(e.queue) < e.fleet.scenario.Engine.QueueLimit:
+	case len(e.queue) < f.scenario.Engine.QueueLimit:
 		e.queue = append(e.queue, j)
 	default:
 		j.finished = true
-		e.fleet.answerGateway(a, rules.StatusRejected)
+		f.answerGateway(a, rules.StatusRejected)
 	}
 	e.armTimer()
 }
 
-// chargeColdBudget counts work against what a cold engine bears. Rejected work counts, too.
+// chargeColdBudget charges work to the slow-start budget of a cold engine, which collapses if it is exceeded. Work that
+// is rejected afterwards counts, too.
 func (e *engine) chargeColdBudget(work float64) {
-	d := e.fleet.scenario.Settings.Constraints
-	if e.warmUpSpeed() >= 1 || d.OverloadWindow == 0 {
+	c := e.fleet.scenario.Settings.Constraints
+	if e.warmUpSpeed() >= 1 || c.OverloadWindow == 0 {
 		e.coldSends, e.coldWork = nil, 0
 		return
 	}
 	e.coldSends = append(e.coldSends, coldSend{e.fleet.now, work})
 	e.coldWork += work
-	for e.coldSends[0].at <= e.fleet.now-d.OverloadWindow {
+	for e.coldSends[0].at <= e.fleet.now-c.OverloadWindow {
 		e.coldWork -= e.coldSends[0].work
 		e.coldSends = e.coldSends[1:]
 	}
-	part := e.coldWork / (d.OverloadFactor * e.warmUpSpeed() * e.fleet.scenario.Engine.Cores * float64(d.OverloadWindow))
-	e.peakColdBudget = max(e.peakColdBudget, part)
-	if part > 1 {
+	used := e.coldWork / (c.OverloadFactor * e.warmUpSpeed() * e.fleet.scenario.Engine.Cores * float64(c.OverloadWindow))
+	e.peakColdBudget = max(e.peakColdBudget, used)
+	if used > 1 {
 		e.collapsed = true
 		e.fleet.Metrics.OverloadCollapses++
 		e.endAll(rules.StatusReset)
 	}
 }
 
-// endAll ends all that runs and waits there.
-func (e *engine) endAll(v rules.Status) {
+// endAll ends all jobs, queued or running, with one status.
+func (e *engine) endAll(status rules.Status) {
 	e.advance()
 	all := e.queue
 	for i := range e.bands {
@@ -252,12 +264,12 @@
 	e.queue = nil
 	for _, j := range all {
 		j.finished = true
-		e.fleet.answerGateway(j.attempt, v)
+		e.fleet.answerGateway(j.attempt, status)
 	}
 	e.armTimer()
 }
 
-// cancel gives one attempt up.
+// cancel gives up one job without an answer.
 func (e *engine) cancel(j *job) {
 	if j.finished {
 		return
@@ -268,7 +280,7 @@
 		heap.Remove(&j.band.running, j.heapIndex)
 		j.band.threads -= j.threads
 	} else {
-		e.queue = slices.DeleteFunc(e.queue, func(o *job) bool { return o == j })
+		e.queue = slices.DeleteFunc(e.queue, func(other *job) bool { return other == j })
 	}
 	e.completeAndStart()
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,30 +2,27 @@
 
 import "foxlane/rules"
 
-// Fault is something that befalls a fleet, so long after the start.
+// This file owns the faults of a scenario. Each constructor returns a fault that begins at a time since the start.
+
+// Fault is a fault that is injected into a fleet.
 type Fault struct {
-	At     rules.Time
+	At     rules.Time // since the start
 	Inject func(f *Fleet)
 }
 
-// ReplaceEngines drains a part of the engines one after another over a span, and puts a cold one in the place of
-// each. It is gone after grace.
+// ReplaceEngines drains a part of the engines one after another over a span, and adds a cold one for each, in its zone.
+// A drained engine stops after grace.
 func ReplaceEngines(at rules.Time, part float64, over, grace rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		var old []*engine
-		for _, e := range f.engines {
-			if e.state == rules.EngineServing {
-				old = append(old, e)
-			}
-		}
+		old := f.servingEngines()
 		n := int(part * float64(len(old)))
 		for i, p := range f.rng.Perm(len(old))[:n] {
 			e := old[p]
 			f.after(over*rules.Time(i)/rules.Time(max(1, n)), func() {
-				fresh := f.addEngine(f.now)
-				fresh.zone = e.zone
+				added := f.addEngine(f.now)
+				added.zone = e.zone
 				e.state = rules.EngineDraining
-				f.announce(e, fresh)
+				f.announce(e, added)
 				f.after(grace, func() {
 					e.state, e.stopped = rules.EngineGone, true
 					e.endAll(rules.StatusReset)
@@ -36,22 +33,15 @@
 	}}
 }
 
-// LoseZone takes a zone away, engines and gateways, without a word: connections stay silent. Its engines leave the
-// list after unlisted, and all come back, cold, after away; 0 is never.
+// LoseZone takes a zone away, engines and gateways: connections to it stay silent. Its engines leave the list after
+// unlisted, and all come back, cold, after away; 0 is never.
 func LoseZone(at rules.Time, zone int, unlisted, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		var lost []*engine
-		for _, e := range f.engines {
-			if e.zone == zone && e.state == rules.EngineServing {
-				lost = append(lost, e)
-				e.silent = true
-				e.endAll(rules.StatusReset) // nobody hears of it
-			}
-		}
-		var gone []*gateway
+		lost := f.silenceZone(zone)
+		var crashed []*gateway
 		for _, g := range f.gateways {
 			if g.zone == zone && g.up {
-				gone = append(gone, g)
+				crashed = append(crashed, g)
 				g.crash()
 			}
 		}
@@ -61,55 +51,25 @@
 			}
 			f.announce(lost...)
 		})
-		if away > 0 {
-			f.after(away, func() {
-				for _, e := range lost {
-					e.silent, e.state, e.startedAt = false, rules.EngineServing, f.now
-				}
-				f.announce(lost...)
-				for _, g := range gone {
-					f.after(rules.Time(f.rng.Int64N(int64(rules.Second))), g.start)
-				}
-			})
+		if away == 0 {
+			return
 		}
-	}}
-}
-
-// CutLink has nothing come through from one zone to another for a while: one way only, the other stays open.
-func CutLink(at, length rules.Time, from, to int) Fault {
-	return Fault{at, func(f *Fleet) {
-		f.cutLinks[[2]int{from, to}] = true
-		f.after(length, func() { delete(f.cutLinks, [2]int{from, to}) })
-	}}
-}
-
-// SilenceZone has a part of a zone's engines, the first of them, say nothing for a while.
-func SilenceZone(at, length rules.Time, zone int, part float64) Fault {
-	return Fault{at, func(f *Fleet) {
-		var there []*engine
-		for _, e := range f.engines {
-			if e.zone == zone && e.state == rules.EngineServing {
-				there = append(there, e)
+		f.after(away, func() {
+			for _, e := range lost {
+				e.silent, e.state, e.startedAt = false, rules.EngineServing, f.now
 			}
-		}
-		for _, e := range there[:int(part*float64(len(there)))] {
-			e.silent = true
-			f.after(length, func() { e.silent = false })
-		}
+			f.announce(lost...)
+			for _, g := range crashed {
+				f.after(f.jitter(), g.start)
+			}
+		})
 	}}
 }
 
-// ReplaceZone takes a zone's engines away without a word, and brings as many new ones, cold, after away.
+// ReplaceZone takes the engines of a zone away as LoseZone does, and adds as many new ones, cold, after away.
 func ReplaceZone(at rules.Time, zone int, unlisted, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		var lost []*engine
-		for _, e := range f.engines {
-			if e.zone == zone && e.state == rules.EngineServing {
-				lost = append(lost, e)
-				e.silent = true
-				e.endAll(rules.StatusReset)
-			}
-		}
+		lost := f.silenceZone(zone)
 		f.after(unlisted, func() {
 			for _, e := range lost {
 				e.state, e.stopped = rules.EngineGone, true
@@ -117,18 +77,50 @@
 			f.announce(lost...)
 		})
 		f.after(away, func() {
-			var fresh []*engine
+			var added []*engine
 			for range lost {
 				e := f.addEngine(f.now)
 				e.zone = zone
-				fresh = append(fresh, e)
+				added = append(added, e)
 			}
-			f.announce(fresh...)
+			f.announce(added...)
 		})
 	}}
 }
 
-// DrainZone has all gateways drain a zone on purpose for a while.
+// silenceZone silences the engines of a zone that serve, and ends all that they run. No gateway hears of it.
+func (f *Fleet) silenceZone(zone int) []*engine {
+	lost := f.servingInZone(zone)
+	for _, e := range lost {
+		e.silent = true
+		e.endAll(rules.StatusReset)
+	}
+	return lost
+}
+
+// jitter spreads the starts of gateways over a second.
+func (f *Fleet) jitter() rules.Time { return rules.Time(f.rng.Int64N(int64(rules.Second))) }
+
+// CutLink cuts the network from one zone to another for a while, in that direction only.
+func CutLink(at, length rules.Time, from, to int) Fault {
+	return Fault{at, func(f *Fleet) {
+		f.cutLinks[[2]int{from, to}] = true
+		f.after(length, func() { delete(f.cutLinks, [2]int{from, to}) })
+	}}
+}
+
+// SilenceZone silences a part of a zone's engines, the first of them, for a while.
+func SilenceZone(at, length rules.Time, zone int, part float64) Fault {
+	return Fault{at, func(f *Fleet) {
+		serving := f.servingInZone(zone)
+		for _, e := range serving[:int(part*float64(len(serving)))] {
+			e.silent = true
+			f.after(length, func() { e.silent = false })
+		}
+	}}
+}
+
+// DrainZone has all gateways drain a zone by order for a while.
 func DrainZone(at, length rules.Time, zone int) Fault {
 	set := func(f *Fleet, on bool) {
 		for _, g := range f.gateways {
@@ -143,18 +135,19 @@
 	}}
 }
 
-// DelayList has news of the list take so many times as long for a while.
-func DelayList(at, length rules.Time, times float64) Fault {
+// DelayList multiplies the delay of updates of the list for a while.
+func DelayList(at, length rules.Time, factor float64) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.listDelayFactor = times
+		f.listDelayFactor = factor
 		f.after(length, func() { f.listDelayFactor = 1 })
 	}}
 }
 
-// FlapZone has a zone's engines fall silent and come back, warm, so many times: silent for a while, then well for as long.
-func FlapZone(at rules.Time, zone, times int, every rules.Time) Fault {
+// FlapZone silences a zone's engines several times, each time for an interval, and has them serve, warm, for as long
+// between.
+func FlapZone(at rules.Time, zone, times int, interval rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		set := func(on bool) func() {
+		setSilent := func(on bool) func() {
 			return func() {
 				for _, e := range f.engines {
 					if e.zone == zone {
@@ -164,49 +157,45 @@
 			}
 		}
 		for i := range rules.Time(times) {
-			f.after(2*i*every, set(true))
-			f.after((2*i+1)*every, set(false))
+			f.after(2*i*interval, setSilent(true))
+			f.after((2*i+1)*interval, setSilent(false))
 		}
 	}}
 }
 
-// KillGateways ends a part of the gateways at once; each starts again after away.
+// KillGateways crashes a part of the gateways at once; each starts again after away.
 func KillGateways(at rules.Time, part float64, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		for _, i := range f.rng.Perm(len(f.gateways))[:int(part*float64(len(f.gateways)))] {
 			g := f.gateways[i]
 			g.crash()
-			f.after(away+rules.Time(f.rng.Int64N(int64(rules.Second))), g.start)
+			f.after(away+f.jitter(), g.start)
 		}
 	}}
 }
 
-// RestartGateways ends all gateways on purpose, a part at a time: each answers what it has, takes no more, and
-// starts again after away.
-func RestartGateways(at rules.Time, part float64, every, away rules.Time) Fault {
+// RestartGateways restarts all gateways, a part at a time: each shuts down gracefully, and starts again after away.
+func RestartGateways(at rules.Time, part float64, interval, away rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		n := max(1, int(part*float64(len(f.gateways))))
 		for i, p := range f.rng.Perm(len(f.gateways)) {
 			g := f.gateways[p]
-			f.after(every*rules.Time(i/n), func() {
+			f.after(interval*rules.Time(i/n), func() {
 				if !g.up {
 					return
 				}
 				g.stopping = true
 				g.handle(rules.ShutdownStarted{Deadline: f.now + away})
-				life := g.incarnation
-				f.after(away, func() {
-					if g.incarnation == life {
-						g.crash()
-						g.start()
-					}
+				g.after(away, func() {
+					g.crash()
+					g.start()
 				})
 			})
 		}
 	}}
 }
 
-// ListOutage keeps all news of the list from the gateways for a while.
+// ListOutage keeps all updates of the list from the gateways for a while.
 func ListOutage(at, length rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		f.listOutage = true
@@ -217,40 +206,35 @@
 	}}
 }
 
-// SilenceEngines has a part of the engines say nothing for a while.
+// SilenceEngines silences a part of the engines for a while.
 func SilenceEngines(at, length rules.Time, part float64) Fault {
 	return onSomeEngines(at, length, part, func(e *engine, on bool) { e.silent = on })
 }
 
-// SlowEngines has a part of the engines take so many times as long for a while.
-func SlowEngines(at, length rules.Time, part, times float64) Fault {
+// SlowEngines multiplies the time that the work of a part of the engines takes, for a while.
+func SlowEngines(at, length rules.Time, part, slowdown float64) Fault {
 	return onSomeEngines(at, length, part, func(e *engine, on bool) {
 		e.advance()
 		if e.slowdown = 1; on {
-			e.slowdown = times
+			e.slowdown = slowdown
 		}
 		e.armTimer()
 	})
 }
 
-// EngineErrors has a part of the engines answer a part of what comes with errors, at once.
-func EngineErrors(at, length rules.Time, part, errs float64) Fault {
+// EngineErrors has a part of the engines answer a part of their attempts with an error at once, for a while.
+func EngineErrors(at, length rules.Time, part, errorRate float64) Fault {
 	return onSomeEngines(at, length, part, func(e *engine, on bool) {
 		if e.errorRate = 0; on {
-			e.errorRate = errs
+			e.errorRate = errorRate
 		}
 	})
 }
 
-// onSomeEngines puts a state on a part of the engines that serve, and takes it off again.
+// onSomeEngines sets a state of a part of the engines that serve, and resets it after a while.
 func onSomeEngines(at, length rules.Time, part float64, set func(e *engine, on bool)) Fault {
 	return Fault{at, func(f *Fleet) {
-		var serving []*engine
-		for _, e := range f.engines {
-			if e.state == rules.EngineServing {
-				serving = append(serving, e)
-			}
-		}
+		serving := f.servingEngines()
 		for _, i := range f.rng.Perm(len(serving))[:int(part*float64(len(serving)))] {
 			e := serving[i]
 			set(e, true)
@@ -259,10 +243,10 @@
 	}}
 }
 
-// LoadBurst multiplies what clients ask for during a while.
-func LoadBurst(at, length rules.Time, times float64) Fault {
+// LoadBurst multiplies the rate of new requests for a while.
+func LoadBurst(at, length rules.Time, factor float64) Fault {
 	return Fault{at, func(f *Fleet) {
-		f.requestRate *= times
-		f.after(length, func() { f.requestRate /= times })
+		f.requestRate *= factor
+		f.after(length, func() { f.requestRate /= factor })
 	}}
 }
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"foxlane/internal/gossip"
 	"foxlane/internal/replica"
@@ -9,63 +10,62 @@
 	"foxlane/rules"
 )
 
-// This file has modelled gateways talk, as internal/gateway/peers.go has real ones: the same code decides. Membership is taken for
-// granted: who comes is known at once, who has died after a while.
+// This file connects modelled gateways by gossip, as internal/gateway/peers.go connects real ones: the same code decides.
+// Membership itself is not modelled: a gateway that starts is known to all at once, one that crashed after a delay.
 
-// GossipModel is how gateways talk.
+// GossipModel is how gateways gossip.
 type GossipModel struct {
 	Network           DatagramModel
-	DetectionDelay    rules.Time // from a gateway's death until the others hold it to be dead
+	DetectionDelay    rules.Time // from a gateway's crash until the others take it for dead
 	Settings          gossip.Settings
-	ByzantineGateways int        // gateways, the first ones, that say of all engines that they fail, and of all zones that they are lost
-	SilentFrom        rules.Time // from then on nobody hears anybody; 0: never
+	ByzantineGateways int        // the first gateways, which report that all engines fail and all zones are lost
+	SilentFrom        rules.Time // since the start: from then on all datagrams are lost; 0: never
 }
 
-func memberName(i int) string { return fmt.Sprintf("g%03d", i) }
+func memberName(gateway int) string { return fmt.Sprintf("g%03d", gateway) }
 
-// startGossip has a gateway that has just started meet the others.
+func (g *gateway) member() replica.Member {
+	return replica.Member{Name: memberName(g.index), Zone: fmt.Sprint("zone-", g.zone)}
+}
+
+// gossips reports whether the gateway is up and takes part in gossip.
+func (g *gateway) gossips() bool { return g.up && g.replica != nil }
+
+// startGossip introduces a gateway that has just started to the others.
 func (g *gateway) startGossip() {
 	f := g.fleet
 	m := f.scenario.Gossip
 	if m == nil {
 		return
 	}
-	set := replica.Defaults()
-	set.Name, set.Zone, set.Incarnation, set.Seed = memberName(g.index), fmt.Sprint("zone-", g.zone), uint64(f.now), f.rng.Uint64()
-	g.replica = replica.New(set, f.now)
+	s := replica.Defaults()
+	s.Name, s.Zone, s.Incarnation, s.Seed = g.member().Name, g.member().Zone, uint64(f.now), f.rng.Uint64()
+	g.replica = replica.New(s, f.now)
 	g.gossip = gossip.New(m.Settings, g.replica, f.now)
-	for _, o := range f.gateways {
-		if o == g || !o.up || o.replica == nil {
+	for _, other := range f.gateways {
+		if other == g || !other.gossips() {
 			continue
 		}
-		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: memberName(o.index), Zone: fmt.Sprint("zone-", o.zone)}})
-		o.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: set.Name, Zone: set.Zone}})
-	}
-	life := g.incarnation
-	var tick func()
-	tick = func() {
-		if g.up && g.incarnation == life {
-			g.gossipTick()
-			f.after(set.GossipInterval, tick)
-		}
+		g.handleReplica(replica.Event{Kind: replica.Joined, Member: other.member()})
+		other.handleReplica(replica.Event{Kind: replica.Joined, Member: g.member()})
 	}
-	f.after(rules.Time(f.rng.Int64N(int64(set.GossipInterval))), tick)
+	g.every(s.GossipInterval, g.gossipTick)
 }
 
-// stopGossip: a gateway has died, and the others find out.
+// stopGossip has the others find out, after a delay, that a gateway has crashed.
 func (g *gateway) stopGossip() {
 	f := g.fleet
 	if f.scenario.Gossip == nil {
 		return
 	}
-	life := g.incarnation
+	incarnation := g.incarnation
 	f.after(f.scenario.Gossip.DetectionDelay, func() {
-		if g.up && g.incarnation != life { // it is back
+		if g.up && g.incarnation != incarnation { // it is back, and has joined as a new incarnation
 			return
 		}
-		for _, o := range f.gateways {
-			if o != g && o.up && o.replica != nil {
-				o.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: memberName(g.index)}})
+		for _, other := range f.gateways {
+			if other != g && other.gossips() {
+				other.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: memberName(g.index)}})
 			}
 		}
 	})
@@ -79,62 +79,66 @@
 	return v
 }
 
+// byzantineView is what a byzantine gateway reports in place of what it sees.
+func byzantineView(v gossip.View) gossip.View {
+	v.Engines, v.Zones = slices.Clone(v.Engines), slices.Clone(v.Zones)
+	for i := range v.Engines {
+		v.Engines[i].Excluded = true
+	}
+	for i := range v.Zones {
+		v.Zones[i].State = zones.Lost
+	}
+	for i := range v.Learned { // not cloned: the gateway believes this of its own learning, too
+		v.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
+	}
+	return v
+}
+
+// gossipTick publishes what the gateway sees, and acts on what others have published.
 func (g *gateway) gossipTick() {
-	f, m := g.fleet, g.fleet.scenario.Gossip
-	v := g.gossipView()
-	if g.index < m.ByzantineGateways {
-		lie := v
-		lie.Engines = append([]zones.EngineObservation(nil), v.Engines...)
-		for i := range lie.Engines {
-			lie.Engines[i].Excluded = true
-		}
-		lie.Zones = append([]zones.Status(nil), v.Zones...)
-		for i := range lie.Zones {
-			lie.Zones[i].State = zones.Lost
-		}
-		for i := range lie.Learned {
-			lie.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
-		}
-		g.gossip.Publish(f.now, lie)
-	} else {
-		g.gossip.Publish(f.now, v)
+	f := g.fleet
+	view := g.gossipView()
+	published := view
+	if g.index < f.scenario.Gossip.ByzantineGateways {
+		published = byzantineView(view)
 	}
+	g.gossip.Publish(f.now, published)
 	g.handleReplica(replica.Event{Kind: replica.Tick})
-	w := g.gossip.Evaluate(f.now, v)
-	for _, id := range w.Probe {
+	evaluated := g.gossip.Evaluate(f.now, view)
+	for _, id := range evaluated.Probe {
 		g.sendProbe(f.engineByID(id), true)
 	}
-	for _, zone := range w.Suspect {
+	for _, zone := range evaluated.Suspect {
 		g.zones.Suspect(zone)
 	}
-	for _, lesson := range w.Events {
-		g.handle(lesson)
+	for _, event := range evaluated.Events {
+		g.handle(event)
 	}
 }
 
-// handleReplica hands an event to the copies, and sends what they say.
+// handleReplica hands an event to the gateway's replica, and sends the datagrams that it asks for.
 func (g *gateway) handleReplica(e replica.Event) {
 	f, m := g.fleet, g.fleet.scenario.Gossip
-	for _, x := range g.replica.Handle(f.now, e) {
-		if x.Kind != replica.Send {
+	for _, effect := range g.replica.Handle(f.now, e) {
+		if effect.Kind != replica.Send {
 			continue
 		}
-		f.Metrics.GossipBytes += len(x.Data)
+		f.Metrics.GossipBytes += len(effect.Data)
 		if f.rng.Float64() < m.Network.Loss || m.SilentFrom != 0 && f.now >= f.scenario.Start+m.SilentFrom {
 			continue
 		}
-		var to int
-		if _, err := fmt.Sscanf(x.To, "g%d", &to); err != nil || to >= len(f.gateways) {
+		var index int
+		if _, err := fmt.Sscanf(effect.To, "g%d", &index); err != nil || index >= len(f.gateways) {
 			continue
 		}
-		o, data, from := f.gateways[to], append([]byte(nil), x.Data...), memberName(g.index)
-		if f.isCut(g.zone, o.zone) {
+		// The data is the replica's buffer, valid until its next call.
+		to, data, from := f.gateways[index], slices.Clone(effect.Data), memberName(g.index)
+		if f.isCut(g.zone, to.zone) {
 			continue
 		}
-		life := o.incarnation
-		f.after(m.Network.MinDelay+rules.Time(f.rng.Float64()*float64(m.Network.MaxDelay-m.Network.MinDelay)), func() {
-			if o.up && o.incarnation == life && o.replica != nil {
-				o.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data})
+		to.after(m.Network.drawDelay(f.rng), func() {
+			if to.replica != nil {
+				to.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data})
 			}
 		})
 	}
--- a/internal/emulator/metrics.go
+++ b/internal/emulator/metrics.go
@@ -8,24 +8,25 @@
 	"foxlane/rules"
 )
 
-// Metrics are what came of a run. Worth counts by the second in which a client first asked.
+// Metrics are the results of a run. Values are in priority weight, and count in the second in which a client first
+// sent its request.
 type Metrics struct {
-	Rejected          int // answers that promise that a retry is harmless
-	Failed            int
-	Unanswered        int // requests without a final answer in time
-	OverloadCollapses int // cold engines that were sent more than they bear
-	PeakColdBudget    float64
+	Rejected          int     // requests answered with an error that promises that a retry is safe
+	Failed            int     // requests answered with another error
+	Unanswered        int     // requests without a final answer by their deadline
+	OverloadCollapses int     // cold engines that got more work than they bear
+	PeakColdBudget    float64 // largest part of its slow-start budget that a cold engine got
 	Attempts          int
-	Retries           int // of these, further attempts
-	CrossZone         int // of these, to another zone
-	Dials             int // connections that attempts had to make
+	Retries           int // of the attempts, those after a request's first
+	CrossZone         int // of the attempts, those to another zone
+	Dials             int // connections that were opened for attempts
 	Probes            int
-	SheddingSeconds   int // of gateways, in which the ladder shed some and let some in
-	MisorderedSeconds int // of these, in which something was shed that earns more than what was let in
-	GossipBytes       int // bytes among gateways
+	SheddingSeconds   int // seconds of a gateway in which it shed some requests and admitted some
+	MisorderedSeconds int // of these, seconds in which it shed requests of a higher value than some that it admitted
+	GossipBytes       int // sent among gateways
 	ZoneTransitions   int // states that zones have entered, over all gateways
 	Transitions       []Transition
-	Shed              int // of the refused, for the sake of what earns more
+	Shed              int // of the rejected requests, those shed in favour of requests of a higher value
 	LostAttempts      [rules.StatusSuperseded + 1]int
 	Seconds           []Second
 
@@ -34,13 +35,13 @@
 	classes []ClassMetrics
 }
 
-// Second is what clients asked for in one second, and what came of it.
+// Second is what clients requested in one second, and the results.
 type Second struct {
-	Offered, Served, ServedLate float64 // worth; Late is part of Worth
+	Offered, Served, ServedLate float64 // ServedLate is part of Served
 
-	FirstTries, Rejected, Shed []int     // first tries, by what they earn for their told work (zones.WorthRung); Shed is part of Refused
-	CrossZoneWork              []float64 // work that began in a zone for gateways of others, by zone, in core seconds
-	Capacity                   []float64 // and what the zone's engines could do in it
+	FirstTries, Rejected, Shed []int     // first tries by their value for the declared work (zones.ValueTier); Shed is part of Rejected
+	CrossZoneWork              []float64 // work that began in a zone for gateways of other zones, by zone, in core seconds
+	Capacity                   []float64 // work that a zone's engines could do, by zone, in core seconds
 }
 
 // Transition is a state that a zone has entered at a gateway.
@@ -49,42 +50,44 @@
 	zones.Change
 }
 
-// ClassMetrics are those of one class.
+// ClassMetrics are the results of one class.
 type ClassMetrics struct {
 	Requested, InTime, Late int
 }
 
-func (b *Metrics) second(t rules.Time) *Second {
-	i := int((t - b.start) / rules.Second)
-	for len(b.Seconds) <= i {
-		b.Seconds = append(b.Seconds, Second{FirstTries: make([]int, valueTiers), Rejected: make([]int, valueTiers), Shed: make([]int, valueTiers),
-			CrossZoneWork: make([]float64, b.zones), Capacity: make([]float64, b.zones)})
+// valueTiers is more than the number of tiers that zones.ValueTier returns.
+const valueTiers = 64
+
+// second returns the second that a time is in.
+func (m *Metrics) second(t rules.Time) *Second {
+	i := int((t - m.start) / rules.Second)
+	for len(m.Seconds) <= i {
+		m.Seconds = append(m.Seconds, Second{FirstTries: make([]int, valueTiers), Rejected: make([]int, valueTiers), Shed: make([]int, valueTiers),
+			CrossZoneWork: make([]float64, m.zones), Capacity: make([]float64, m.zones)})
 	}
-	return &b.Seconds[i]
+	return &m.Seconds[i]
 }
 
-func (b *Metrics) recordRequest(a *clientRequest, c rules.Class) {
-	b.classes[a.class].Requested++
-	b.second(a.startedAt).Offered += c.PriorityWeight
+func (m *Metrics) recordRequest(r *clientRequest, c rules.Class) {
+	m.classes[r.class].Requested++
+	m.second(r.startedAt).Offered += c.PriorityWeight
 }
 
-func (b *Metrics) recordAttempt(g *gateway, a *attempt) {
-	b.Attempts++
+func (m *Metrics) recordAttempt(g *gateway, a *attempt) {
+	m.Attempts++
 	if a.index > 0 {
-		b.Retries++
+		m.Retries++
 	}
 	if g.zone != a.engine.zone {
-		b.CrossZone++
-		b.second(g.fleet.now).CrossZoneWork[a.engine.zone] += a.request.work / float64(rules.Second)
+		m.CrossZone++
+		m.second(g.fleet.now).CrossZoneWork[a.engine.zone] += a.request.work / float64(rules.Second)
 	}
 }
 
-const valueTiers = 64 // more than zones.WorthRung tells
-
-// recordFirstTry notes something of a first try that came at some time.
-func (b *Metrics) recordFirstTry(at rules.Time, worth float64, a *clientRequest, to func(*Second) []int) {
-	if a.tries == 1 {
-		to(b.second(at))[zones.ValueTier(worth, a.declaredWork)]++
+// recordFirstTry counts a request in one of its second's counters by value, if it is its client's first try.
+func (m *Metrics) recordFirstTry(r *request, counter func(*Second) []int) {
+	if r.origin.tries == 1 {
+		counter(m.second(r.arrivedAt))[zones.ValueTier(r.class.PriorityWeight, r.origin.declaredWork)]++
 	}
 }
 
@@ -92,63 +95,65 @@
 func rejectedTries(s *Second) []int { return s.Rejected }
 func shedTries(s *Second) []int     { return s.Shed }
 
-func (b *Metrics) recordTransition(now rules.Time, c zones.Change) {
-	b.ZoneTransitions++
-	b.Transitions = append(b.Transitions, Transition{now - b.start, c})
+func (m *Metrics) recordTransition(now rules.Time, c zones.Change) {
+	m.ZoneTransitions++
+	m.Transitions = append(m.Transitions, Transition{now - m.start, c})
 }
 
-func (b *Metrics) recordServed(r *request) {
-	a := r.origin
-	if a.done {
+// recordServed counts the value of a request that was served: the class's weight if it is within the latency
+// objective, a part of it if it is late. A client's request counts once, whichever of its tries is served first.
+func (m *Metrics) recordServed(r *request) {
+	origin := r.origin
+	if origin.done {
 		return
 	}
-	a.done = true
+	origin.done = true
 	f := r.gateway.fleet
 	c := r.class
-	took := f.now + f.scenario.Network.Client - a.startedAt
-	s := b.second(a.startedAt)
-	if took <= c.LatencyObjective+rules.Time(c.ObjectiveStretch*a.work/float64(max(1, c.Threads))) {
+	latency := f.now + f.scenario.Network.Client - origin.startedAt
+	s := m.second(origin.startedAt)
+	if latency <= c.LatencyObjective+rules.Time(c.ObjectiveStretch*origin.work/float64(max(1, c.Threads))) {
 		s.Served += c.PriorityWeight
-		b.classes[a.class].InTime++
+		m.classes[origin.class].InTime++
 		return
 	}
-	b.classes[a.class].Late++
+	m.classes[origin.class].Late++
 	s.Served += c.PriorityWeight * c.LateValue
 	s.ServedLate += c.PriorityWeight * c.LateValue
 }
 
-// ServedShare is the part of the worth offered in the seconds from and before to, counted from the start, that
-// was served.
-func (b *Metrics) ServedShare(from, to int) float64 {
-	offered, worth := 0.0, 0.0
-	for i := from; i < to && i < len(b.Seconds); i++ {
-		offered += b.Seconds[i].Offered
-		worth += b.Seconds[i].Served
+// ServedShare is the part of the value offered in the seconds from from to before to, counted from the start, that was
+// served. It is 1 if nothing was offered.
+func (m *Metrics) ServedShare(from, to int) float64 {
+	offered, served := 0.0, 0.0
+	for i := from; i < to && i < len(m.Seconds); i++ {
+		offered += m.Seconds[i].Offered
+		served += m.Seconds[i].Served
 	}
 	if offered == 0 {
 		return 1
 	}
-	return worth / offered
+	return served / offered
 }
 
-// Class is what came of one class.
-func (b *Metrics) Class(i int) ClassMetrics { return b.classes[i] }
+// Class returns the results of one class.
+func (m *Metrics) Class(i int) ClassMetrics { return m.classes[i] }
 
-// String tells all on a few lines.
-func (b *Metrics) String() string {
+// String returns the totals on a few lines, then the served share by pairs of seconds.
+func (m *Metrics) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "share %.3f; %d sends, %d of them further ones, %d across zones, %d dials\n",
-		b.ServedShare(0, len(b.Seconds)), b.Attempts, b.Retries, b.CrossZone, b.Dials)
-	fmt.Fprintf(&s, "%d refused, %d failed, %d unanswered; %d cold engines fell, at most %.2f of a budget spent\n",
-		b.Rejected, b.Failed, b.Unanswered, b.OverloadCollapses, b.PeakColdBudget)
+	fmt.Fprintf(&s, "share %.3f; %d attempts, %d of them retries, %d across zones, %d dials\n",
+		m.ServedShare(0, len(m.Seconds)), m.Attempts, m.Retries, m.CrossZone, m.Dials)
+	fmt.Fprintf(&s, "%d rejected, %d failed, %d unanswered; %d cold engines collapsed, at most %.2f of a budget used\n",
+		m.Rejected, m.Failed, m.Unanswered, m.OverloadCollapses, m.PeakColdBudget)
 	fmt.Fprintf(&s, "lost attempts: %d error, %d full, %d timeout, %d connect, %d reset, %d cancelled\n",
-		b.LostAttempts[rules.StatusError], b.LostAttempts[rules.StatusRejected], b.LostAttempts[rules.StatusTimeout],
-		b.LostAttempts[rules.StatusConnectFailed], b.LostAttempts[rules.StatusReset], b.LostAttempts[rules.StatusCancelled])
-	for i, c := range b.classes {
-		fmt.Fprintf(&s, "class %d: %d asked, %d in time, %d late\n", i, c.Requested, c.InTime, c.Late)
+		m.LostAttempts[rules.StatusError], m.LostAttempts[rules.StatusRejected], m.LostAttempts[rules.StatusTimeout],
+		m.LostAttempts[rules.StatusConnectFailed], m.LostAttempts[rules.StatusReset], m.LostAttempts[rules.StatusCancelled])
+	for i, c := range m.classes {
+		fmt.Fprintf(&s, "class %d: %d requested, %d in time, %d late\n", i, c.Requested, c.InTime, c.Late)
 	}
-	for i := 0; i < len(b.Seconds); i += 2 {
-		fmt.Fprintf(&s, " %.2f", b.ServedShare(i, i+2))
+	for i := 0; i < len(m.Seconds); i += 2 {
+		fmt.Fprintf(&s, " %.2f", m.ServedShare(i, i+2))
 	}
 	return s.String()
 }
--- a/internal/emulator/replicamember.go
+++ b/internal/emulator/replicamember.go
@@ -5,44 +5,44 @@
 	"foxlane/rules"
 )
 
-// ReplicaMember is a member of a Talk that keeps copies.
+// ReplicaMember is a member of a DatagramNetwork that holds a replica.
 type ReplicaMember struct {
 	Replica  *replica.Store
-	OnEntry  func(now rules.Time, origin string, e replica.Entry) // nil: nobody listens
-	Rejected []error
+	OnEntry  func(now rules.Time, origin string, e replica.Entry) // called for each entry that is new to the replica; may be nil
+	Rejected []error                                              // why datagrams were rejected
 }
 
 // Receive takes a datagram.
-func (c *ReplicaMember) Receive(now rules.Time, from string, data []byte, say func(string, []byte)) {
-	c.handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data}, say)
+func (m *ReplicaMember) Receive(now rules.Time, from string, data []byte, send func(string, []byte)) {
+	m.handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data}, send)
 }
 
-// Tick lets time pass.
-func (c *ReplicaMember) Tick(now rules.Time, say func(string, []byte)) {
-	c.handle(now, replica.Event{Kind: replica.Tick}, say)
+// Tick has the replica do what is due.
+func (m *ReplicaMember) Tick(now rules.Time, send func(string, []byte)) {
+	m.handle(now, replica.Event{Kind: replica.Tick}, send)
 }
 
-// MemberJoined tells the member of another, and Part that it has gone.
-func (c *ReplicaMember) MemberJoined(now rules.Time, m replica.Member) {
-	c.handle(now, replica.Event{Kind: replica.Joined, Member: m}, nil)
+// MemberJoined tells the replica of another member.
+func (m *ReplicaMember) MemberJoined(now rules.Time, member replica.Member) {
+	m.handle(now, replica.Event{Kind: replica.Joined, Member: member}, nil)
 }
 
-// MemberLeft tells the member that another has gone.
-func (c *ReplicaMember) MemberLeft(now rules.Time, name string) {
-	c.handle(now, replica.Event{Kind: replica.Left, Member: replica.Member{Name: name}}, nil)
+// MemberLeft tells the replica that another member has gone.
+func (m *ReplicaMember) MemberLeft(now rules.Time, name string) {
+	m.handle(now, replica.Event{Kind: replica.Left, Member: replica.Member{Name: name}}, nil)
 }
 
-func (c *ReplicaMember) handle(now rules.Time, e replica.Event, say func(string, []byte)) {
-	for _, f := range c.Replica.Handle(now, e) {
-		switch f.Kind {
+func (m *ReplicaMember) handle(now rules.Time, e replica.Event, send func(string, []byte)) {
+	for _, effect := range m.Replica.Handle(now, e) {
+		switch effect.Kind {
 		case replica.Send:
-			say(f.To, f.Data)
+			send(effect.To, effect.Data)
 		case replica.Updated:
-			if c.OnEntry != nil {
-				c.OnEntry(now, f.Origin, f.Entry)
+			if m.OnEntry != nil {
+				m.OnEntry(now, effect.Origin, effect.Entry)
 			}
 		case replica.Reject:
-			c.Rejected = append(c.Rejected, f.Err)
+			m.Rejected = append(m.Rejected, effect.Err)
 		}
 	}
 }
--- a/internal/emulator/slowstart_test.go
+++ b/internal/emulator/slowstart_test.go
@@ -8,10 +8,11 @@
 	"foxlane/rules"
 )
 
-var slowStartSeeds = flag.Uint64("ramp.seeds", 1, "seeds of each ramp; with over one all are played with 300 gateways, too")
+var slowStartSeeds = flag.Uint64("ramp.seeds", 1, "seeds of each slow-start scenario; with more than one all are run with 300 gateways, too")
 
-// runSlowStart is a fleet of which half of the engines are replaced by cold ones, under load, judged by the sum of what all
-// gateways send them. The operators let twice the root of N and 2 pass for chance; here N itself must hold.
+// runSlowStart runs a fleet, under load, of which half of the engines are replaced by cold ones. The slow-start budget N
+// binds the sum of what all gateways send. The operators allow twice the root of N and 2 above it for chance; here N
+// itself must hold.
 func runSlowStart(gateways int, seed uint64, change func(s *Scenario)) *Metrics {
 	s := Warehouse(gateways, min(max(4, gateways/2), 16), 0.85, seed)
 	s.Duration = 20 * second
@@ -20,28 +21,28 @@
 	return New(s).Run()
 }
 
-// plannedBudget is what we plan to spend of a budget, 0.6, and two deviations of chance with 60 queries whose work
-// scatters by its mean.
+// plannedBudget is the part of a budget that gateways plan to use, 0.6, and two standard deviations of the sum of 60
+// queries whose work has a coefficient of variation of 1.
 const plannedBudget = 0.8
 
 var slowStartScenarios = []struct {
 	name   string
-	most   float64 // of a budget
+	most   float64 // part of a budget that may be used
 	change func(s *Scenario)
 }{
 	{"even traffic", 1, func(s *Scenario) { s.Clients.LoadSkew = 0 }},
 	{"uneven traffic", 1, func(s *Scenario) { s.Clients.LoadSkew = 1 }},
-	{"all gateways restart in the ramp", 1, func(s *Scenario) {
+	{"all gateways restart during the warm-up", 1, func(s *Scenario) {
 		s.Faults = append(s.Faults, RestartGateways(6*second, 0.25, 1500*rules.Millisecond, second))
 	}},
-	{"the list comes late to some", 1, func(s *Scenario) { s.Network.MaxListDelay = 6 * second }},
-	{"clients come again and again", 1, func(s *Scenario) {
+	{"the list is late at some gateways", 1, func(s *Scenario) { s.Network.MaxListDelay = 6 * second }},
+	{"clients retry often", 1, func(s *Scenario) {
 		s.Load, s.Clients.MaxTries, s.Clients.Backoff, s.Clients.HonorRetryAfter = 1.1, 4, 100*rules.Millisecond, 0
 	}},
-	{"queries in no hurry, and a small budget", plannedBudget, longDeadlines},
+	{"queries with long deadlines, and a small budget", plannedBudget, longDeadlines},
 }
 
-// longDeadlines has every gateway spend all it may on cold engines, all the time: nothing that runs there is late.
+// longDeadlines has every gateway use all of its budget for cold engines all the time: nothing that runs there is late.
 func longDeadlines(s *Scenario) {
 	s.Load = 1.2
 	s.Settings.Constraints.OverloadFactor, s.Settings.Constraints.OverloadWindow = 1, second
@@ -52,8 +53,8 @@
 	}
 }
 
-// The ramp holds for the fleet: whatever number of gateways there are, however their traffic lies, all together
-// stay within what a cold engine bears.
+// Whatever the number of gateways and however the load is spread over them, all together stay within the slow-start
+// budget of a cold engine.
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, gateways := range []int{2, 20, 30, 300} {
 		seeds := *slowStartSeeds
@@ -67,25 +68,25 @@
 			t.Run(fmt.Sprintf("%d gateways, %s", gateways, r.name), func(t *testing.T) {
 				worst := 0.0
 				for seed := range seeds {
-					b := runSlowStart(gateways, seed+1, r.change)
-					worst = max(worst, b.PeakColdBudget)
-					if b.OverloadCollapses > 0 || b.PeakColdBudget > r.most {
-						t.Errorf("seed %d: %d cold engines fell, %.2f of a budget was spent, %.2f at most", seed+1, b.OverloadCollapses, b.PeakColdBudget, r.most)
+					m := runSlowStart(gateways, seed+1, r.change)
+					worst = max(worst, m.PeakColdBudget)
+					if m.OverloadCollapses > 0 || m.PeakColdBudget > r.most {
+						t.Errorf("seed %d: %d cold engines collapsed, %.2f of a budget was used, %.2f at most", seed+1, m.OverloadCollapses, m.PeakColdBudget, r.most)
 					}
 				}
-				t.Logf("%d gateways, %s: at most %.2f of a budget was spent", gateways, r.name, worst)
+				t.Logf("%d gateways, %s: at most %.2f of a budget was used", gateways, r.name, worst)
 			})
 		}
 	}
 }
 
-// The test above can fail: with a budget believed to be half as much again, more than planned is spent.
+// The test above can fail: with an assumed budget that is half as much again, more than planned is used.
 func TestSlowStartWithTooLargeABudget(t *testing.T) {
 	worst := 0.0
 	for seed := range *slowStartSeeds {
 		worst = max(worst, runSlowStart(20, seed+1, func(s *Scenario) { longDeadlines(s); s.ColdBudgetFactor = 1.5 }).PeakColdBudget)
 	}
-	if t.Logf("%.2f of a budget was spent", worst); worst <= plannedBudget {
-		t.Errorf("under a budget half as much again %.2f of it was spent, no more than planned", worst)
+	if t.Logf("%.2f of a budget was used", worst); worst <= plannedBudget {
+		t.Errorf("under a budget half as much again %.2f of it was used, no more than planned", worst)
 	}
 }
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -1,28 +1,33 @@
 package emulator
 
 import (
+	"slices"
+
 	"foxlane/internal/zones"
 	"foxlane/rules"
 )
 
-// This file joins the zones to modelled gateways, as internal/gateway joins them to real ones: the same code decides.
+// This file connects the plan for the loss of a zone to modelled gateways, as internal/gateway connects it to real ones:
+// the same code decides.
 
-// observation is what a gateway remembers of an engine beside what its module does.
+// observation is what a gateway remembers of an engine besides what its module does.
 type observation struct {
 	lastAttempt, lastAnswer, lastFault rules.Time
 }
 
+// zoneInterval is how often a gateway evaluates the zones.
 const zoneInterval = 200 * rules.Millisecond
 
 func (g *gateway) observationOf(id rules.EngineID) *observation {
-	s := g.observations[id]
-	if s == nil {
-		s = &observation{}
-		g.observations[id] = s
+	o := g.observations[id]
+	if o == nil {
+		o = &observation{}
+		g.observations[id] = o
 	}
-	return s
+	return o
 }
 
+// startZones gives a gateway that has just started its plan: that of the scenario, a static split, or none.
 func (g *gateway) startZones() {
 	s := &g.fleet.scenario
 	switch {
@@ -35,155 +40,148 @@
 	g.zones = zones.New(*s.ZoneFailover, zones.Fleet{Zones: max(1, s.Zones), OwnZone: g.zone, Gateways: s.Gateways, Jitter: g.fleet.rng.Float64(),
 		Classes: s.Settings.Classes}, g.fleet.now)
 	g.handle(rules.ZonePlanChanged{Plan: g.zones})
-	life := g.incarnation
-	var look func()
-	look = func() {
-		if g.up && g.incarnation == life {
-			g.updateZones()
-			g.fleet.after(zoneInterval, look)
-		}
-	}
-	g.fleet.after(rules.Time(g.fleet.rng.Int64N(int64(zoneInterval))), look)
+	g.every(zoneInterval, g.updateZones)
 }
 
-// engineObservations is what is held of each engine that serves.
+// engineObservations is what the gateway knows of each engine that serves.
 func (g *gateway) engineObservations() (list []zones.EngineObservation) {
 	f := g.fleet
-	for _, b := range g.module.EngineViews() {
-		e := f.engineByID(b.Engine)
+	for _, view := range g.module.EngineViews() {
+		e := f.engineByID(view.Engine)
 		if !g.serving[e.id] {
 			continue
 		}
-		k := g.observationOf(b.Engine)
-		list = append(list, zones.EngineObservation{Engine: b.Engine, Zone: e.zone, Cores: f.scenario.Engine.Cores, WarmFraction: b.SpeedFraction, Slowdown: b.Slowdown,
-			Excluded: b.Ejected, Overdue: b.SlowInFlight > 0, LastRequest: k.lastAttempt, LastResponse: k.lastAnswer, LastFailure: k.lastFault})
+		o := g.observationOf(view.Engine)
+		list = append(list, zones.EngineObservation{Engine: view.Engine, Zone: e.zone, Cores: f.scenario.Engine.Cores, WarmFraction: view.SpeedFraction,
+			Slowdown: view.Slowdown, Excluded: view.Ejected, Overdue: view.SlowInFlight > 0,
+			LastRequest: o.lastAttempt, LastResponse: o.lastAnswer, LastFailure: o.lastFault})
 	}
 	return list
 }
 
-// updateZones shows the zones what is held of their engines.
+// updateZones shows the plan what the gateway knows of its engines, and probes those that the plan names.
 func (g *gateway) updateZones() {
 	f := g.fleet
-	looked := g.zones.Observe(f.now, g.engineObservations(), g.module.LoadSummary(), f.scenario.Settings.Limits.Probes)
-	for _, c := range looked.Changes {
+	observed := g.zones.Observe(f.now, g.engineObservations(), g.module.LoadSummary(), f.scenario.Settings.Limits.Probes)
+	for _, c := range observed.Changes {
 		if c.From != c.To {
 			f.Metrics.recordTransition(f.now, c)
 		}
 	}
-	for _, id := range looked.Probe {
-		g.probe(f.engineByID(id))
+	for _, id := range observed.Probe {
+		g.sendProbe(f.engineByID(id), false)
 	}
 }
 
-// admits asks the zones whether a request is let in.
-func (g *gateway) admits(r *request, a *clientRequest) bool {
+// admits asks the plan whether to admit a request, and rejects it if not.
+func (g *gateway) admits(r *request) bool {
 	if g.zones == nil {
 		return true
 	}
-	refuse, after := g.zones.RequestArrived(g.fleet.now, zones.Request{Class: a.class, DeclaredWork: a.declaredWork, Retry: a.tries > 1})
-	if a.tries == 1 {
-		g.recordShed(zones.ValueTier(r.class.PriorityWeight, a.declaredWork), refuse)
+	origin := r.origin
+	shed, retryAfter := g.zones.RequestArrived(g.fleet.now, zones.Request{Class: origin.class, DeclaredWork: origin.declaredWork, Retry: origin.tries > 1})
+	if origin.tries == 1 {
+		g.recordShed(zones.ValueTier(r.class.PriorityWeight, origin.declaredWork), shed)
 	}
-	if refuse {
+	if shed {
 		g.fleet.Metrics.Shed++
-		g.fleet.Metrics.recordFirstTry(r.arrivedAt, r.class.PriorityWeight, a, shedTries)
-		g.reject(r, after)
+		g.fleet.Metrics.recordFirstTry(r, shedTries)
+		g.reject(r, retryAfter)
 	}
-	return !refuse
+	return !shed
 }
 
-// shedOrder is what a gateway let in and shed within one second, of first tries, by what they earn for their told work.
+// shedOrder is what a gateway admitted and shed within one second, of first tries, by their value for the declared work.
 type shedOrder struct {
 	second                      rules.Time
-	lowestAdmitted, highestShed int // least that was let in, most that was shed
+	lowestAdmitted, highestShed int
 	anyAdmitted, anyShed        bool
 }
 
-// recordShed books a second of a gateway in which something was shed that earns more than what was let in: of neighbouring rungs one is
+// recordShed notes whether a first try of a value tier was shed. When a second has passed it is counted, and as
+// misordered if a higher tier was shed than one that was admitted. Neighbouring tiers don't count: one of them may be
 // shed in part.
-func (g *gateway) recordShed(rung int, shed bool) {
-	l := &g.shedOrder
-	if s := g.fleet.now / rules.Second; s != l.second {
-		if l.anyAdmitted && l.anyShed {
+func (g *gateway) recordShed(tier int, shed bool) {
+	o := &g.shedOrder
+	if s := g.fleet.now / rules.Second; s != o.second {
+		if o.anyAdmitted && o.anyShed {
 			g.fleet.Metrics.SheddingSeconds++
-			if l.highestShed > l.lowestAdmitted+1 {
+			if o.highestShed > o.lowestAdmitted+1 {
 				g.fleet.Metrics.MisorderedSeconds++
 			}
 		}
-		*l = shedOrder{second: s}
+		*o = shedOrder{second: s}
 	}
 	switch {
-	case shed && (!l.anyShed || rung > l.highestShed):
-		l.highestShed = rung
-	case !shed && (!l.anyAdmitted || rung < l.lowestAdmitted):
-		l.lowestAdmitted = rung
+	case shed && (!o.anyShed || tier > o.highestShed):
+		o.highestShed = tier
+	case !shed && (!o.anyAdmitted || tier < o.lowestAdmitted):
+		o.lowestAdmitted = tier
 	}
-	l.anyShed, l.anyAdmitted = l.anyShed || shed, l.anyAdmitted || !shed
+	o.anyShed, o.anyAdmitted = o.anyShed || shed, o.anyAdmitted || !shed
 }
 
-func (g *gateway) probe(e *engine) { g.sendProbe(e, false) }
-
-func (g *gateway) sendProbe(e *engine, doubt bool) {
-	f, life := g.fleet, g.incarnation
+// sendProbe sends a health check to an engine; suspected: because other gateways suspect it.
+func (g *gateway) sendProbe(e *engine, suspected bool) {
+	f := g.fleet
 	f.Metrics.Probes++
 	ok := !e.silent && !e.stopped && !e.collapsed && !f.isCut(g.zone, e.zone) && !f.isCut(e.zone, g.zone)
-	took := f.delay(g, e) * 2
+	latency := f.delay(g, e) * 2
+	status := rules.StatusOK
 	if !ok {
-		took = f.scenario.Settings.Limits.ConnectTimeout
+		latency = f.scenario.Settings.Limits.ConnectTimeout
+		status = rules.StatusTimeout
 	}
-	f.after(took, func() {
-		if !g.up || g.incarnation != life {
-			return
-		}
+	g.after(latency, func() {
 		if ok {
 			g.observationOf(e.id).lastAnswer = f.now
 		}
 		if g.zones != nil {
 			g.zones.ProbeAnswered(e.zone, ok)
 		}
-		v := rules.StatusTimeout
-		if ok {
-			v = rules.StatusOK
-		}
-		g.handle(rules.ProbeResult{Engine: e.id, Suspected: doubt, Status: v})
+		g.handle(rules.ProbeResult{Engine: e.id, Suspected: suspected, Status: status})
 	})
 }
 
-// staticSplit is a split that never changes: a part stays at home, the rest is spread evenly. It is a baseline.
+// staticSplit is a zone plan that never changes: a share stays at home, the rest is spread evenly. It is the baseline
+// that plans are compared with.
 type staticSplit struct {
-	own    int
-	shares []float64
+	shares []float64 // by zone
 }
 
-func newStaticSplit(own, n int, home float64) *staticSplit {
-	s := &staticSplit{own: own, shares: make([]float64, max(1, n))}
+func newStaticSplit(own, zoneCount int, homeShare float64) *staticSplit {
+	s := &staticSplit{shares: make([]float64, max(1, zoneCount))}
 	for i := range s.shares {
-		if s.shares[i] = 1; i == own && n > 1 {
-			s.shares[i] = home
-		} else if n > 1 {
-			s.shares[i] = (1 - home) / float64(n-1)
+		if s.shares[i] = 1; i == own && zoneCount > 1 {
+			s.shares[i] = homeShare
+		} else if zoneCount > 1 {
+			s.shares[i] = (1 - homeShare) / float64(zoneCount-1)
 		}
 	}
 	return s
 }
 
+// PickZone draws a zone by its share, of those that have not been tried.
 func (s *staticSplit) PickZone(_ rules.Time, drawn, _ float64, tried []int) (int, bool) {
-	left := append([]float64(nil), s.shares...)
+	left := slices.Clone(s.shares)
 	total := 0.0
 	for _, z := range tried {
 		left[z] = 0
 	}
-	for _, p := range left {
-		total += p
+	for _, share := range left {
+		total += share
 	}
 	drawn *= total
-	for i, p := range left {
-		if drawn -= p; p > 0 && drawn < 0 {
+	for i, share := range left {
+		if drawn -= share; share > 0 && drawn < 0 {
 			return i, true
 		}
 	}
 	return -1, true
 }
 
+// Admits admits every request: the split has no limits.
 func (s *staticSplit) Admits(rules.Time, int, float64, bool) bool { return true }
-func (s *staticSplit) RecordSend(rules.Time, int, float64, bool)  {}
+
+// RecordSend does nothing: the split doesn't depend on what was sent.
+func (s *staticSplit) RecordSend(rules.Time, int, float64, bool) {}
