--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -172,8 +172,9 @@
 		return
 	}
 	g.handling = true
-	for i := 0; i < len(g.pending); i++ {
-		for _, action := range g.module.Handle(g.fleet.now, g.pending[i]) {
+	for next := 0; next < len(g.pending); next++ { // grows meanwhile
+		actions := g.module.Handle(g.fleet.now, g.pending[next])
+		for _, action := range actions {
 			g.execute(action)
 		}
 	}
--- a/internal/measure/cost.go
+++ b/internal/measure/cost.go
@@ -13,63 +13,77 @@
 	"foxlane/internal/standin"
 )
 
-// Cost measures the fast path: processor time a request at 200
-// connections that ask without a pause of engines that take 2 ms, the memory
-// that the gateway holds then, and what it adds to a request where little comes.
-func Cost(ctx context.Context, gateway, site string, seconds int, progress io.Writer) (*Report, error) {
-	r := newReport("cost", "scene", "served", "failed", "p50 ms", "p99 ms", "cpu us/request", "rss MB")
-	play := func(name string, run, length time.Duration, g ClientGroup) (t *ClientStats, cpu, rss float64, err error) {
-		fmt.Fprintf(progress, "%s, %v\n", name, length)
-		w, err := StartTestbed(Setup{Gateway: gateway, Engines: 2, Slots: 200, ServiceTime: run, MemoryMB: 192, Sockets: 1024, SiteConfig: site,
-			RetryAfter: true, Timeout: 2500 * time.Millisecond})
-		if err != nil {
-			return nil, 0, 0, err
-		}
-		defer w.Close()
-		before, err := w.CPU()
-		if err != nil {
-			return nil, 0, 0, err
-		}
-		c, stop := context.WithTimeout(ctx, length)
-		defer stop()
-		t = RunClients(c, w, g)[g.Name]
-		after, err := w.CPU()
-		if err != nil {
-			return nil, 0, 0, err
-		}
-		if rss, err = w.RSS(); err != nil {
-			return nil, 0, 0, err
-		}
-		cpu = float64((after - before).Microseconds()) / float64(max(t.Served.Load(), 1))
-		r.addRow(name, t.Served.Load(), t.Failed.Load()+t.Rejected.Load(), t.LatencyQuantile(50), t.LatencyQuantile(99), cpu, rss)
-		return t, cpu, rss, nil
-	}
-	from := func(i int) netip.Addr { return loopbackAddr(4, i%200) }
+// costTimeout is the timeout of the clients of Cost.
+const costTimeout = 2500 * time.Millisecond
+
+// Cost measures the fast path: processor time a request at 200 connections that send without a pause to engines that
+// take 2 ms, the memory that the gateway holds then, and the latency that it adds to a request at low load.
+func Cost(ctx context.Context, gateway, siteConfig string, seconds int, progress io.Writer) (*Report, error) {
+	r := newReport("cost", "scenario", "served", "failed", "p50 ms", "p99 ms", "cpu us/request", "rss MB")
+	sourceAddr := func(i int) netip.Addr { return loopbackAddr(4, i%200) }
 	length := time.Duration(seconds) * time.Second
-	_, cpu, rss, err := play("200 connections", 2*time.Millisecond, length, ClientGroup{Name: "busy", Clients: 200, Timeout: 2500 * time.Millisecond, SourceAddr: from})
+	setup := Setup{Gateway: gateway, Engines: 2, Slots: 200, ServiceTime: 2 * time.Millisecond, MemoryMB: 192, Sockets: 1024, SiteConfig: siteConfig,
+		RetryAfter: true, Timeout: costTimeout}
+	busy, err := measureUsage(ctx, r, "200 connections", setup, length, progress,
+		ClientGroup{Name: "busy", Clients: 200, Timeout: costTimeout, SourceAddr: sourceAddr})
 	if err != nil {
 		return r, err
 	}
-	const run = 5 * time.Millisecond
-	direct, err := directLatency(run)
+	setup.ServiceTime = 5 * time.Millisecond
+	directMS, err := directLatency(setup.ServiceTime)
 	if err != nil {
 		return r, err
 	}
-	low, _, _, err := play("4 connections, 20 a second", run, length/2, ClientGroup{Name: "calm", Clients: 4, Interval: 200 * time.Millisecond, TimedFromSend: true,
-		Timeout: 2500 * time.Millisecond, SourceAddr: from})
+	calm, err := measureUsage(ctx, r, "4 connections, 20 a second", setup, length/2, progress,
+		ClientGroup{Name: "calm", Clients: 4, Interval: 200 * time.Millisecond, TimedFromSend: true, Timeout: costTimeout, SourceAddr: sourceAddr})
 	if err != nil {
 		return r, err
 	}
-	r.setValue("cpu_us_per_request", cpu, "31 or less")
-	r.setValue("rss_mb", rss, "follows the limits")
-	r.setValue("added_ms_p50", low.LatencyQuantile(50)-direct, "0.5")
+	r.setValue("cpu_us_per_request", busy.cpuUS, "31 or less")
+	r.setValue("rss_mb", busy.rssMB, "follows the limits")
+	r.setValue("added_ms_p50", calm.stats.LatencyQuantile(50)-directMS, "0.5")
 	return r, ctx.Err()
 }
 
-// directLatency is the median of what requests take that go to a stand-in engine without a gateway, in milliseconds.
-func directLatency(run time.Duration) (float64, error) {
+// gatewayUsage is what a gateway used under a load.
+type gatewayUsage struct {
+	stats *ClientStats
+	cpuUS float64 // processor time a served request
+	rssMB float64
+}
+
+// measureUsage runs one group against a testbed of its own, and adds a row for it.
+func measureUsage(ctx context.Context, r *Report, name string, setup Setup, length time.Duration, progress io.Writer, g ClientGroup) (u gatewayUsage, err error) {
+	progressf(progress, "%s, %v\n", name, length)
+	t, err := StartTestbed(setup)
+	if err != nil {
+		return u, fmt.Errorf("%s: %w", name, err)
+	}
+	defer t.discard()
+	before, err := t.CPU()
+	if err != nil {
+		return u, err
+	}
+	running, stop := context.WithTimeout(ctx, length)
+	defer stop()
+	u.stats = RunClients(running, t, g)[g.Name]
+	after, err := t.CPU()
+	if err != nil {
+		return u, err
+	}
+	if u.rssMB, err = t.RSS(); err != nil {
+		return u, err
+	}
+	served := u.stats.Served.Load()
+	u.cpuUS = float64((after - before).Microseconds()) / float64(max(served, 1))
+	r.addRow(name, served, u.stats.Failed.Load()+u.stats.Rejected.Load(), u.stats.LatencyQuantile(50), u.stats.LatencyQuantile(99), u.cpuUS, u.rssMB)
+	return u, nil
+}
+
+// directLatency is the median latency of requests that go to a fake engine without a gateway, in milliseconds.
+func directLatency(serviceTime time.Duration) (float64, error) {
 	e, err := standin.NewEngine("127.0.0.1:0", func(standin.Request) standin.Reply {
-		return standin.Reply{Delay: run, Status: "served", Pages: []string{"a\tb\tc\n"}}
+		return standin.Reply{Delay: serviceTime, Status: "served", Pages: []string{"a\tb\tc\n"}}
 	})
 	if err != nil {
 		return 0, err
@@ -79,26 +93,28 @@
 	if err != nil {
 		return 0, err
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		return 0, err
+	}
 	in := bufio.NewReader(conn)
-	var took []float64
+	var latencies []float64
 	for i := range 60 {
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(20 * time.Millisecond) // low load
 		start := time.Now()
 		if _, err := fmt.Fprintf(conn, "ASK %016x - 8\r\nSELECT 1\r\n", i); err != nil {
-			return 0, err
+			return 0, fmt.Errorf("asking the fake engine at %s: %w", e.Addr(), err)
 		}
-		for range 2 { // the line, and the page with the line feed that ends it
+		for range 2 { // the head, and the page with the line feed that ends it
 			if _, err := in.ReadString('\n'); err != nil {
-				return 0, err
+				return 0, fmt.Errorf("reading from the fake engine at %s: %w", e.Addr(), err)
 			}
 		}
-		took = append(took, float64(time.Since(start).Microseconds())/1000)
+		latencies = append(latencies, float64(time.Since(start).Microseconds())/1000)
 		if _, err := in.ReadString('\n'); err != nil { // behind the page
-			return 0, err
+			return 0, fmt.Errorf("reading from the fake engine at %s: %w", e.Addr(), err)
 		}
 	}
-	slices.Sort(took)
-	return took[len(took)/2], nil
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2], nil
 }
--- a/internal/measure/demo.go
+++ b/internal/measure/demo.go
@@ -1,88 +1,86 @@
 package measure
 
 import (
+	"bytes"
 	"context"
 	"fmt"
 	"io"
-	"sync"
 	"time"
 )
 
-// Demo shows what the door does: quiet clients alone, then beside a flood
-// without the door, then with it. A line is written each second; live
-// rewrites it in place.
+// Demo shows what admission control does: quiet clients alone, then beside a flood without it, then with it. A line is
+// written each second; live rewrites it in place.
 func Demo(ctx context.Context, gateway string, seconds int, out io.Writer, live bool) error {
-	r := newReport("demo", "scene", "quiet served", "p50 ms", "p99 ms", "quiet refused", "flood served", "flood refused")
+	r := newReport("demo", "scenario", "quiet served", "p50 ms", "p99 ms", "quiet rejected", "flood served", "flood rejected")
 	length := time.Duration(seconds) * time.Second
 	for _, s := range []struct {
-		name, site string
-		groups     []ClientGroup
+		name, siteConfig string
+		groups           []ClientGroup
 	}{
 		{"quiet clients alone", "", []ClientGroup{quiet()}},
-		{"beside 280 flooding connections, door off", "", []ClientGroup{quiet(), flood(280)}},
-		{"the same, door on", fairSiteConfig, []ClientGroup{quiet(), flood(280)}},
+		{"beside 280 flooding connections, admission control off", "", []ClientGroup{quiet(), flood(280)}},
+		{"the same, admission control on", fairSiteConfig, []ClientGroup{quiet(), flood(280)}},
 	} {
-		if err := demoScenario(ctx, r, gateway, s.name, s.site, length, s.groups, out, live); err != nil {
-			return err
+		if err := demoScenario(ctx, r, gateway, s.name, s.siteConfig, length, s.groups, out, live); err != nil {
+			return fmt.Errorf("%s: %w", s.name, err)
 		}
 		if ctx.Err() != nil {
-			return nil
+			return nil // interrupted: that is how a demo may end
 		}
 	}
-	fmt.Fprintln(out)
-	if err := r.Write(out); err != nil {
+	var text bytes.Buffer
+	fmt.Fprintln(&text)
+	if err := r.Write(&text); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "The door gives the quiet clients their part whatever the flood asks for; see docs/fair.md.")
-	return nil
+	fmt.Fprintln(&text, "Admission control gives the quiet clients their share whatever the flood asks for; see docs/fair.md.")
+	_, err := out.Write(text.Bytes())
+	return err
 }
 
-func demoScenario(ctx context.Context, r *Report, gateway, name, site string, length time.Duration, groups []ClientGroup, out io.Writer, live bool) error {
-	w, err := StartTestbed(fairSetup(gateway, site))
+// demoScenario runs one scenario and adds its row.
+func demoScenario(ctx context.Context, r *Report, gateway, name, siteConfig string, length time.Duration, groups []ClientGroup, out io.Writer, live bool) error {
+	t, err := StartTestbed(fairSetup(gateway, siteConfig))
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	c, stop := context.WithTimeout(ctx, length)
+	defer t.discard()
+	running, stop := context.WithTimeout(ctx, length)
 	defer stop()
-	tallies := map[string]*ClientStats{}
-	for _, g := range groups {
-		tallies[g.Name] = newClientStats()
-	}
-	var wg sync.WaitGroup
-	for _, g := range groups {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			runGroup(c, w, g, tallies[g.Name])
-		}()
-	}
-	fmt.Fprintf(out, "%s\n", name)
+	stats := map[string]*ClientStats{"quiet": newClientStats(), "flood": newClientStats()}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		runGroups(running, t, groups, stats)
+	}()
+	progressf(out, "%s\n", name)
+	showStats(running, groups, stats, out, live)
+	<-ended
+	q, f := stats["quiet"], stats["flood"]
+	r.addRow(name, q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), q.Rejected.Load(), f.Served.Load(), f.Rejected.Load())
+	return nil
+}
+
+// showStats writes a line each second, and a last one when the context ends.
+func showStats(ctx context.Context, groups []ClientGroup, stats map[string]*ClientStats, out io.Writer, live bool) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	start := time.Now()
 	for done := false; !done; {
 		select {
 		case <-tick.C:
-		case <-c.Done():
+		case <-ctx.Done():
 			done = true
 		}
 		line := fmt.Sprintf("  %3.0f s", time.Since(start).Seconds())
 		for _, g := range groups {
-			t := tallies[g.Name]
-			line += fmt.Sprintf("   %s: %5d served, p99 %4.0f ms, %5d refused", g.Name, t.Served.Load(), t.LatencyQuantile(99), t.Rejected.Load())
+			s := stats[g.Name]
+			line += fmt.Sprintf("   %s: %5d served, p99 %4.0f ms, %5d rejected", g.Name, s.Served.Load(), s.LatencyQuantile(99), s.Rejected.Load())
 		}
 		end := "\n"
 		if live && !done {
 			end = "\r"
 		}
-		fmt.Fprint(out, line, end)
-	}
-	wg.Wait()
-	q, f := tallies["quiet"], tallies["flood"]
-	if f == nil {
-		f = newClientStats()
+		progressf(out, "%s%s", line, end)
 	}
-	r.addRow(name, q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), q.Rejected.Load(), f.Served.Load(), f.Rejected.Load())
-	return nil
 }
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -15,226 +15,193 @@
 	"foxlane/internal/standin"
 )
 
+// This file generates load: groups of clients that query a gateway, and statistics of what they saw.
+
 // ClientGroup is a number of clients that behave alike.
 type ClientGroup struct {
-	Name            string
-	Clients         int
-	SourceAddr      func(client int) netip.Addr
-	Tenant          func(client, n int) string // nil: none is told
-	Interval        time.Duration              // open loop: each client asks at this interval on average; 0: as soon as it is answered
-	HonorRetryAfter bool                       // stays away as long as it is told
-	Timeout         time.Duration
-	TimedFromSend   bool          // waits count from when a request was sent: the lab's own timers are late by up to a millisecond
-	WarmUp          time.Duration // what is meant to be sent before this has passed is not counted
-}
-
-// ClientStats counts what a group's clients saw.
-type ClientStats struct {
-	mu            sync.Mutex
-	latencies     *hdrhistogram.Histogram // of the served, in microseconds, from when the request was meant to be sent
-	Requested     atomic.Int64
-	Served        atomic.Int64
-	Rejected      atomic.Int64
-	Failed        atomic.Int64
-	Disconnected  atomic.Int64 // connections that were closed or refused
-	RetryAfters   atomic.Int64 // refusals with a time of return
-	ReturnsServed atomic.Int64 // served when they came back as told
-	ReturnsFailed atomic.Int64 // not served though they came back as told
-	returnRatios  []float64    // time needed over time told, of the kept
+	Name          string
+	Clients       int
+	SourceAddr    func(client int) netip.Addr
+	Interval      time.Duration // open loop: each client's mean time between requests; 0: closed loop, a request as soon as the last is answered
+	Timeout       time.Duration
+	TimedFromSend bool          // latencies count from when a request was sent: for figures below the accuracy of the lab's own timers, a millisecond
+	WarmUp        time.Duration // requests that are due before this has passed are not counted
 }
 
-func newClientStats() *ClientStats {
-	return &ClientStats{latencies: hdrhistogram.New(1, 120_000_000, 3)}
+// ClientStats are the statistics of a group.
+type ClientStats struct {
+	Requested    atomic.Int64
+	Served       atomic.Int64
+	Rejected     atomic.Int64
+	Failed       atomic.Int64
+	Disconnected atomic.Int64 // connections that were closed or refused
+
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram // of the served requests, in microseconds, from when they were due
 }
 
-// LatencyQuantile is a quantile of the waits, in milliseconds.
-func (t *ClientStats) LatencyQuantile(q float64) float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return float64(t.latencies.ValueAtQuantile(q)) / 1000
+// Latencies are recorded from 1 us to 2 min, which is over every timeout, to three significant digits.
+const (
+	minLatencyUS  = 1
+	maxLatencyUS  = 120_000_000
+	latencyDigits = 3
+)
+
+func newClientStats() *ClientStats {
+	return &ClientStats{latencies: hdrhistogram.New(minLatencyUS, maxLatencyUS, latencyDigits)}
 }
 
-func (t *ClientStats) recordLatency(d time.Duration) {
-	t.mu.Lock()
-	_ = t.latencies.RecordValue(max(d.Microseconds(), 1)) // what is over the range is over any time-out
-	t.mu.Unlock()
+// LatencyQuantile is a quantile of the latencies, by percentage, in milliseconds.
+func (s *ClientStats) LatencyQuantile(percentage float64) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return float64(s.latencies.ValueAtQuantile(percentage)) / 1000
 }
 
-// ReturnRatios are the times that were needed over the times that were told.
-func (t *ClientStats) ReturnRatios() []float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]float64(nil), t.returnRatios...)
+func (s *ClientStats) recordLatency(d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.latencies.RecordValue(max(d.Microseconds(), minLatencyUS)) // fails only for a value over the range
 }
 
+// lastRequestID makes the ids of all requests of this process unique.
 var lastRequestID atomic.Uint64
 
-// RunClients lets groups ask a world until the context ends, and waits for their last answers.
-func RunClients(ctx context.Context, w *Testbed, groups ...ClientGroup) map[string]*ClientStats {
-	out := map[string]*ClientStats{}
-	var wg sync.WaitGroup
+// RunClients runs groups of clients until the context ends, and waits for their last answers.
+func RunClients(ctx context.Context, t *Testbed, groups ...ClientGroup) map[string]*ClientStats {
+	stats := map[string]*ClientStats{}
 	for _, g := range groups {
-		t := newClientStats()
-		out[g.Name] = t
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			runGroup(ctx, w, g, t)
-		}()
+		stats[g.Name] = newClientStats()
 	}
-	wg.Wait()
-	return out
+	runGroups(ctx, t, groups, stats)
+	return stats
 }
 
-// runGroup lets one group ask.
-func runGroup(ctx context.Context, w *Testbed, g ClientGroup, t *ClientStats) {
+// runGroups is RunClients with the statistics, by group, of the caller, who may read them meanwhile.
+func runGroups(ctx context.Context, t *Testbed, groups []ClientGroup, stats map[string]*ClientStats) {
 	var wg sync.WaitGroup
-	for i := range g.Clients {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			c := &loadClient{testbed: w, group: g, stats: t, index: i, rng: rand.New(rand.NewPCG(uint64(i), uint64(len(g.Name))))}
-			c.run(ctx)
-		}()
+	defer wg.Wait()
+	for _, g := range groups {
+		for i := range g.Clients {
+			c := &loadClient{testbed: t, group: g, stats: stats[g.Name], index: i, rng: rand.New(rand.NewPCG(uint64(i), uint64(len(g.Name))))}
+			wg.Go(func() { c.run(ctx) })
+		}
 	}
-	wg.Wait()
 }
 
+// loadClient is one client. It has one connection and one request at a time.
 type loadClient struct {
-	testbed         *Testbed
-	group           ClientGroup
-	stats           *ClientStats
-	index, requests int
-	rng             *rand.Rand
-	conn            *standin.Client
+	testbed *Testbed
+	group   ClientGroup
+	stats   *ClientStats
+	index   int
+	rng     *rand.Rand
+	due     time.Time       // when the next request is meant to be sent
+	conn    *standin.Client // nil: not connected
 }
 
+// reconnectBackoff is how long a client waits after its connection failed.
 const reconnectBackoff = 50 * time.Millisecond
 
-func (p *loadClient) run(ctx context.Context) {
-	defer func() {
-		if p.conn != nil {
-			p.conn.Close()
-		}
-	}()
-	meant := time.Now()
-	if p.group.Interval > 0 {
-		meant = meant.Add(time.Duration(p.rng.Float64() * float64(p.group.Interval)))
+// run sends requests until the context ends.
+func (c *loadClient) run(ctx context.Context) {
+	defer c.disconnect()
+	c.due = time.Now()
+	if c.group.Interval > 0 { // spread over the first interval
+		c.due = c.due.Add(time.Duration(c.rng.Float64() * float64(c.group.Interval)))
 	}
-	var back, granted time.Time // as told by the last refusal
-	from := time.Now().Add(p.group.WarmUp)
-	t := newClientStats() // until then
-	for {
-		if p.group.Interval > 0 {
-			if !sleepContext(ctx, time.Until(meant)) {
+	countFrom := time.Now().Add(c.group.WarmUp)
+	stats := newClientStats() // discarded: those of the warm-up
+	for c.waitUntilDue(ctx) {
+		if err := c.connect(); err != nil {
+			c.stats.Disconnected.Add(1)
+			if !sleepContext(ctx, reconnectBackoff) {
 				return
 			}
-		} else if meant = time.Now(); ctx.Err() != nil {
-			return
-		}
-		if p.conn == nil {
-			c, err := standin.Connect(p.testbed.Addr, p.group.SourceAddr(p.index), p.group.Timeout)
-			if err != nil {
-				p.stats.Disconnected.Add(1)
-				wait := reconnectBackoff
-				var r *standin.ServerError
-				if p.group.HonorRetryAfter && errors.As(err, &r) && r.RetryAfter > 0 {
-					wait = r.RetryAfter
-				}
-				if !sleepContext(ctx, wait) {
-					return
-				}
-				continue
-			}
-			p.conn = c
+			continue
 		}
-		if meant.After(from) {
-			t = p.stats
+		if c.due.After(countFrom) {
+			stats = c.stats
 		}
-		t.Requested.Add(1)
-		sent := time.Now()
-		_, err := p.conn.Query(p.statement(), p.group.Timeout)
-		told := !granted.IsZero()
-		var r *standin.ServerError
-		switch {
-		case err == nil:
-			t.Served.Add(1)
-			if p.group.TimedFromSend {
-				meant = sent
-			}
-			t.recordLatency(time.Since(meant))
-			if told {
-				t.ReturnsServed.Add(1)
-				run := p.testbed.ServiceTime
-				needed := time.Since(granted) - run
-				t.mu.Lock()
-				t.returnRatios = append(t.returnRatios, float64(needed)/float64(back.Sub(granted)))
-				t.mu.Unlock()
-			}
-			granted = time.Time{}
-		case errors.As(err, &r):
-			if told {
-				t.ReturnsFailed.Add(1)
-			}
-			granted = time.Time{}
-			if !r.Retryable() {
-				t.Failed.Add(1)
-				break
-			}
-			t.Rejected.Add(1)
-			if r.RetryAfter > 0 {
-				t.RetryAfters.Add(1)
-				if p.group.HonorRetryAfter {
-					granted = time.Now()
-					back = granted.Add(r.RetryAfter)
-					if !sleepContext(ctx, r.RetryAfter) {
-						return
-					}
-				}
-			}
-		default:
-			p.conn.Close()
-			p.conn = nil
-			if time.Since(sent) >= p.group.Timeout {
-				t.Failed.Add(1)
-			} else {
-				t.Disconnected.Add(1)
-			}
-			if !sleepContext(ctx, reconnectBackoff) {
-				return
-			}
+		if c.query(stats); c.conn == nil && !sleepContext(ctx, reconnectBackoff) {
+			return
 		}
-		if p.group.Interval > 0 {
-			meant = meant.Add(time.Duration((0.5 + p.rng.Float64()) * float64(p.group.Interval)))
+		if c.group.Interval > 0 {
+			c.due = c.due.Add(time.Duration((0.5 + c.rng.Float64()) * float64(c.group.Interval)))
 		}
 	}
 }
 
-func (p *loadClient) statement() string {
-	p.requests++
-	tenant := ""
-	if p.group.Tenant != nil {
-		tenant = ",owner=" + p.group.Tenant(p.index, p.requests)
+// waitUntilDue waits for the time of the next request, and reports whether the context is still alive.
+func (c *loadClient) waitUntilDue(ctx context.Context) bool {
+	if c.group.Interval > 0 {
+		return sleepContext(ctx, time.Until(c.due))
 	}
-	return fmt.Sprintf("/* kind=point,req=%016x,timeout=%d%s */ SELECT day FROM sales_17.orders", lastRequestID.Add(1), p.group.Timeout.Milliseconds(), tenant)
+	c.due = time.Now()
+	return ctx.Err() == nil
+}
+
+func (c *loadClient) connect() (err error) {
+	if c.conn == nil {
+		c.conn, err = standin.Connect(c.testbed.Addr, c.group.SourceAddr(c.index), c.group.Timeout)
+	}
+	return err
+}
+
+func (c *loadClient) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// query sends one request and counts its result. It disconnects if the connection failed.
+func (c *loadClient) query(stats *ClientStats) {
+	stats.Requested.Add(1)
+	sent := time.Now()
+	_, err := c.conn.Query(c.statement(), c.group.Timeout)
+	var serverError *standin.ServerError
+	switch {
+	case err == nil:
+		stats.Served.Add(1)
+		if c.group.TimedFromSend {
+			c.due = sent
+		}
+		stats.recordLatency(time.Since(c.due))
+	case errors.As(err, &serverError) && serverError.Retryable():
+		stats.Rejected.Add(1)
+	case serverError != nil:
+		stats.Failed.Add(1)
+	default:
+		c.disconnect()
+		if time.Since(sent) >= c.group.Timeout {
+			stats.Failed.Add(1)
+		} else {
+			stats.Disconnected.Add(1)
+		}
+	}
+}
+
+func (c *loadClient) statement() string {
+	return fmt.Sprintf("/* kind=point,req=%016x,timeout=%d */ SELECT day FROM sales_17.orders", lastRequestID.Add(1), c.group.Timeout.Milliseconds())
 }
 
-// sleepContext waits, and answers whether there is time left.
+// sleepContext waits, and reports whether the context is still alive. A wait that is over already doesn't wait at all.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// loopbackAddr is an address of this machine's own.
-func loopbackAddr(net, n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, 0, byte(net), byte(n + 1)})
+// loopbackAddr is one of this machine's own addresses.
+func loopbackAddr(net, host int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, 0, byte(net), byte(host + 1)})
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The aims of the door that virtual time decides, so that the verdict is always the same.
+// The targets of admission control that are measured in virtual time, so that the result is always the same.
 func TestAdmissionTargets(t *testing.T) {
 	if j := jainIndex(); j < 0.97 {
 		t.Errorf("Jain's index of 100 greedy tenants is %.3f", j)
@@ -17,10 +17,10 @@
 	if e := weightError(); e > 0.1 {
 		t.Errorf("weights are missed by %.3f", e)
 	}
-	for _, slower := range []float64{1, 2} { // the engines lose half of their capacity on the way
-		kept, p50 := returnsAfterRejection(slower)
-		if kept < 0.9 || p50 < 0.5 || p50 > 2 {
-			t.Errorf("engines %v times slower: %.2f of those that came back were served, after %.2f of the time told", slower, kept, p50)
+	for _, slowdown := range []float64{1, 2} { // 2: the engines lose half of their capacity on the way
+		served, p50 := returnsAfterRejection(slowdown)
+		if served < 0.9 || p50 < 0.5 || p50 > 2 {
+			t.Errorf("engines %v times slower: %.2f of those that came back were served, after %.2f of the Retry-After", slowdown, served, p50)
 		}
 	}
 	bytes, bound := stateSize(10_000)
@@ -29,17 +29,17 @@
 	}
 }
 
-// The clients of a lost site are no flood: they get what those at home leave, nobody's connection gives way, and those at home, who ask
-// for less than an even share, hardly notice.
+// The clients of a lost zone are no flood: they get what those at home leave, no connection is evicted, and those at home,
+// who use less than an even share, hardly lose anything.
 func TestDisplacedClientsAtAdmission(t *testing.T) {
-	before, after, theirs, evicted := displacedClients()
-	t.Logf("at home %.3f, then %.3f; strangers %.3f; %d connections gave way", before, after, theirs, evicted)
-	if before < 0.99 || after < 0.97 || theirs < 0.5 || evicted > 0 {
-		t.Errorf("at home %.3f, then %.3f; strangers %.3f; %d connections gave way", before, after, theirs, evicted)
+	before, after, displaced, evicted := displacedClients()
+	t.Logf("at home %.3f, then %.3f; displaced %.3f; %d connections evicted", before, after, displaced, evicted)
+	if before < 0.99 || after < 0.97 || displaced < 0.5 || evicted > 0 {
+		t.Errorf("at home %.3f, then %.3f; displaced %.3f; %d connections evicted", before, after, displaced, evicted)
 	}
 }
 
-// A flooding client and quiet ones on loopback: the quiet ones are served.
+// Quiet clients beside a flooding one, on sockets, are served.
 func TestQuietClientsBesideAFlood(t *testing.T) {
 	dir := t.TempDir()
 	gateway, err := BuildGateway(t.Context(), dir)
@@ -48,7 +48,7 @@
 	}
 	s := fairSetup(gateway, fairSiteConfig)
 	s.MemoryMB, s.Sockets = 32, 256 // the least machine
-	w, err := StartTestbed(s)
+	testbed, err := StartTestbed(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,20 +56,20 @@
 	defer stop()
 	q, f := quiet(), flood(200) // more than may be connected
 	q.WarmUp, f.WarmUp = time.Second, 0
-	tallies := RunClients(ctx, w, q, f)
-	if err := w.Close(); err != nil {
+	stats := RunClients(ctx, testbed, q, f)
+	if err := testbed.Close(); err != nil {
 		t.Error(err)
 	}
-	got := tallies["quiet"]
-	if asked, served := got.Requested.Load(), got.Served.Load(); asked < 50 || served < asked*9/10 {
-		t.Errorf("of %d queries of quiet clients %d were served, %d refused, %d failed, %d connections cut",
-			asked, served, got.Rejected.Load(), got.Failed.Load(), got.Disconnected.Load())
+	got := stats["quiet"]
+	if requested, served := got.Requested.Load(), got.Served.Load(); requested < 50 || served < requested*9/10 {
+		t.Errorf("of %d requests of quiet clients %d were served, %d rejected, %d failed, %d disconnected",
+			requested, served, got.Rejected.Load(), got.Failed.Load(), got.Disconnected.Load())
 	}
-	if flooded := tallies["flood"]; flooded.Served.Load() < 100 {
-		t.Errorf("the flood was served %d times: the test has lost its subject", flooded.Served.Load())
+	if flooded := stats["flood"]; flooded.Served.Load() < 100 {
+		t.Errorf("the flood was served %d times: the test has no flood", flooded.Served.Load())
 	}
-	if !strings.Contains(w.Log(), "\"stopped\"") {
-		t.Error("the gateway did not end in order")
+	if !strings.Contains(testbed.Log(), "\"stopped\"") {
+		t.Error("the gateway did not shut down in order")
 	}
 }
 
--- a/internal/measure/model.go
+++ b/internal/measure/model.go
@@ -1,110 +1,99 @@
 package measure
 
 import (
-	"container/heap"
 	"fmt"
 	"net/netip"
 
 	"foxlane/internal/admission"
+	"foxlane/internal/eventqueue"
 	"foxlane/rules"
 )
 
-// admissionModel is a door in virtual time with engines behind it that run so many
-// requests at once, in the order in which they pass.
+// admissionModel is admission control in virtual time, with engines behind it that run so many requests at once, in the
+// order in which they are admitted.
 type admissionModel struct {
-	controller   *admission.Controller
-	now          rules.Time
-	cores        int
-	busy         int
-	queue        []int // passed, waiting for a core
-	events       eventHeap
-	lastSequence int
-	wakeAt       rules.Time
-	requests     []*modelRequest
-	freeSlots    []int
-	conns        []*modelConn
-	freeConns    []int
-	slowdown     float64
-	onRejected   func(c *modelConn, after rules.Time)
-	onServed     func(c *modelConn, a *modelRequest)
+	controller *admission.Controller
+	now        rules.Time
+	cores      int
+	busy       int
+	queue      []int // slots of the requests that are admitted and wait for a core
+	events     eventqueue.Queue
+	wakeAt     rules.Time // the controller's timer; 0: not set
+	requests   []*modelRequest
+	freeSlots  []int
+	conns      []*modelConn
+	freeConns  []int
+	slowdown   float64 // multiplies the service times
+	onRejected func(c *modelConn, retryAfter rules.Time)
+	onServed   func(c *modelConn, r *modelRequest)
 }
 
+// modelConn is a client's connection.
 type modelConn struct {
 	slot        int
 	tenant      string
-	serviceTime rules.Time
-	servedWork  float64 // served
+	serviceTime rules.Time // of its requests
+	servedWork  float64
 	open        bool
 
-	rejectedAt, retryAt rules.Time // what it was told last; 0: nothing
+	rejectedAt, retryAt rules.Time // of the last rejection with a Retry-After; rejectedAt 0: none
 }
 
 type modelRequest struct {
 	conn        *modelConn
 	serviceTime rules.Time
-	arrivedAt   rules.Time
 	admittedAt  rules.Time
 }
 
-type event struct {
-	at       rules.Time
-	sequence int
-	run      func()
-}
-
-type eventHeap []event
+const (
+	modelTimeout = 5 * rules.Second
+	modelSeed    = 11
+)
 
-func (a eventHeap) Len() int { return len(a) }
-func (a eventHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
-}
-func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventHeap) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventHeap) Pop() any {
-	old := *a
-	x := old[len(old)-1]
-	*a = old[:len(old)-1]
-	return x
+// modelClasses is the one class of all requests.
+func modelClasses() []rules.Class {
+	return []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelTimeout, LateValue: 0.1, Threads: 1}}
 }
 
-const modelTimeout = 5 * rules.Second
-
-func newAdmissionModel(set admission.Settings, sizes admission.Limits, cores int) *admissionModel {
-	classes := []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelTimeout, LateValue: 0.1, Threads: 1}}
-	m := &admissionModel{controller: admission.New(set, sizes, classes, nil, 11), now: rules.Second, cores: cores, slowdown: 1,
-		requests: make([]*modelRequest, sizes.Requests), conns: make([]*modelConn, sizes.ConnectionSlots)}
-	for i := range sizes.Requests {
+func newAdmissionModel(settings admission.Settings, limits admission.Limits, cores int) *admissionModel {
+	m := &admissionModel{controller: admission.New(settings, limits, modelClasses(), nil, modelSeed), now: rules.Second, cores: cores, slowdown: 1,
+		requests: make([]*modelRequest, limits.Requests), conns: make([]*modelConn, limits.ConnectionSlots)}
+	for i := range limits.Requests {
 		m.freeSlots = append(m.freeSlots, i)
 	}
-	for i := range sizes.ConnectionSlots {
+	for i := range limits.ConnectionSlots {
 		m.freeConns = append(m.freeConns, i)
 	}
 	return m
 }
 
-func (m *admissionModel) schedule(d rules.Time, do func()) {
-	m.lastSequence++
-	heap.Push(&m.events, event{m.now + d, m.lastSequence, do})
+// setGreedy has all clients send their next request as soon as they may.
+func (m *admissionModel) setGreedy() {
+	m.onServed = func(c *modelConn, _ *modelRequest) { m.request(c) }
+	m.onRejected = func(c *modelConn, retryAfter rules.Time) {
+		m.schedule(max(retryAfter, rules.Millisecond), func() { m.request(c) })
+	}
 }
 
+func (m *admissionModel) schedule(d rules.Time, run func()) { m.events.Schedule(m.now+d, run) }
+
+// handle hands an event to the controller and executes its effects, and so on with the events that they cause.
 func (m *admissionModel) handle(e admission.Event) {
-	inbox := []admission.Event{e}
-	for i := 0; i < len(inbox); i++ {
-		for _, f := range m.controller.Handle(m.now, inbox[i]) {
+	pending := []admission.Event{e}
+	for i := 0; i < len(pending); i++ {
+		for _, f := range m.controller.Handle(m.now, pending[i]) {
 			switch f.Kind {
 			case admission.Admit:
 				m.requests[f.Slot].admittedAt = m.now
 				m.queue = append(m.queue, f.Slot)
 			case admission.Reject:
 				c := m.requests[f.Slot].conn
-				m.requests[f.Slot] = nil
-				m.freeSlots = append(m.freeSlots, f.Slot)
-				inbox = append(inbox, admission.Event{Kind: admission.ConnectionIdle, Conn: c.slot})
+				m.freeSlot(f.Slot)
+				pending = append(pending, admission.Event{Kind: admission.ConnectionIdle, Conn: c.slot})
 				m.schedule(0, func() { m.onRejected(c, f.After) })
 			case admission.Evict:
-				c := m.conns[f.Conn]
-				c.open = false
-				inbox = append(inbox, admission.Event{Kind: admission.ConnectionClosed, Conn: f.Conn})
+				m.conns[f.Conn].open = false
+				pending = append(pending, admission.Event{Kind: admission.ConnectionClosed, Conn: f.Conn})
 			case admission.SetTimer:
 				m.wakeAt = f.At
 			}
@@ -113,30 +102,34 @@
 			slot := m.queue[0]
 			m.queue = m.queue[1:]
 			m.busy++
-			a := m.requests[slot]
-			inbox = append(inbox, admission.Event{Kind: admission.RequestForwarded, Slot: slot})
-			run := rules.Time(float64(a.serviceTime) * m.slowdown)
-			m.schedule(run, func() { m.finish(slot, run) })
+			pending = append(pending, admission.Event{Kind: admission.RequestForwarded, Slot: slot})
+			serviceTime := rules.Time(float64(m.requests[slot].serviceTime) * m.slowdown)
+			m.schedule(serviceTime, func() { m.finish(slot, serviceTime) })
 		}
 	}
 }
 
-func (m *admissionModel) finish(slot int, run rules.Time) {
-	m.busy--
-	a := m.requests[slot]
+func (m *admissionModel) freeSlot(slot int) {
 	m.requests[slot] = nil
 	m.freeSlots = append(m.freeSlots, slot)
-	a.conn.servedWork += float64(run)
-	m.handle(admission.Event{Kind: admission.EngineTimeUsed, Slot: slot, EngineTime: run})
+}
+
+// finish ends a request that an engine has served.
+func (m *admissionModel) finish(slot int, serviceTime rules.Time) {
+	m.busy--
+	r := m.requests[slot]
+	m.freeSlot(slot)
+	r.conn.servedWork += float64(serviceTime)
+	m.handle(admission.Event{Kind: admission.EngineTimeUsed, Slot: slot, EngineTime: serviceTime})
 	m.handle(admission.Event{Kind: admission.RequestDone, Slot: slot, Served: true})
-	if a.conn.open {
-		m.handle(admission.Event{Kind: admission.ConnectionIdle, Conn: a.conn.slot})
-		m.onServed(a.conn, a)
+	if r.conn.open {
+		m.handle(admission.Event{Kind: admission.ConnectionIdle, Conn: r.conn.slot})
+		m.onServed(r.conn, r)
 	}
 }
 
-func (m *admissionModel) connect(tenant string, run rules.Time, from netip.Addr) *modelConn {
-	c := &modelConn{slot: m.freeConns[0], tenant: tenant, serviceTime: run, open: true}
+func (m *admissionModel) connect(tenant string, serviceTime rules.Time, from netip.Addr) *modelConn {
+	c := &modelConn{slot: m.freeConns[0], tenant: tenant, serviceTime: serviceTime, open: true}
 	m.freeConns = m.freeConns[1:]
 	m.conns[c.slot] = c
 	m.handle(admission.Event{Kind: admission.ConnectionOpened, Conn: c.slot, From: from})
@@ -149,23 +142,24 @@
 	m.handle(admission.Event{Kind: admission.ConnectionClosed, Conn: c.slot})
 }
 
+// request sends a request on a connection, if that is open and there is a slot for it.
 func (m *admissionModel) request(c *modelConn) {
 	if len(m.freeSlots) == 0 || !c.open {
 		return
 	}
 	slot := m.freeSlots[0]
 	m.freeSlots = m.freeSlots[1:]
-	m.requests[slot] = &modelRequest{conn: c, serviceTime: c.serviceTime, arrivedAt: m.now}
+	m.requests[slot] = &modelRequest{conn: c, serviceTime: c.serviceTime}
 	m.handle(admission.Event{Kind: admission.RequestArrived, Slot: slot, Conn: c.slot,
 		Request: admission.Request{Tenant: c.tenant, Deadline: m.now + modelTimeout, DeclaredWork: c.serviceTime, StatementBytes: 100}})
 }
 
-// advance goes on for a while.
+// advance runs the model for a while. The controller's timer fires before the events of its time.
 func (m *admissionModel) advance(d rules.Time) {
 	for until := m.now + d; ; {
 		next := until
-		if len(m.events) > 0 {
-			next = min(next, m.events[0].at)
+		if at, ok := m.events.NextAt(); ok {
+			next = min(next, at)
 		}
 		if m.wakeAt > 0 && m.wakeAt <= next {
 			m.now, m.wakeAt = max(m.now, m.wakeAt), 0
@@ -173,12 +167,13 @@
 			continue
 		}
 		m.now = max(m.now, next)
-		if len(m.events) == 0 || m.events[0].at > until {
+		_, run, ok := m.events.PopUntil(until)
+		if !ok {
 			return
 		}
-		heap.Pop(&m.events).(event).run()
+		run()
 	}
 }
 
-// tenantName is one of many.
+// tenantName is the name of one of many tenants.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%d", i) }
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -1,6 +1,7 @@
 package measure
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -9,71 +10,73 @@
 	"text/tabwriter"
 )
 
-// Report is what a measurement found: a table to read and values to compare.
+// Report is the result of a measurement: a table to read and values to compare.
 type Report struct {
 	Name    string             `json:"name"`
 	Columns []string           `json:"columns"`
 	Rows    [][]string         `json:"rows"`
 	Values  map[string]float64 `json:"values"`
-	Targets map[string]string  `json:"aims,omitempty"`
+	Targets map[string]string  `json:"aims,omitempty"` // by the name of the value; users know them as aims
 }
 
 func newReport(name string, columns ...string) *Report {
 	return &Report{Name: name, Columns: columns, Values: map[string]float64{}, Targets: map[string]string{}}
 }
 
+// addRow adds a row to the table; floating-point cells have one digit behind the point.
 func (r *Report) addRow(cells ...any) {
-	out := make([]string, len(cells))
+	row := make([]string, len(cells))
 	for i, c := range cells {
 		switch v := c.(type) {
 		case float64:
-			out[i] = strconv.FormatFloat(v, 'f', 1, 64)
+			row[i] = strconv.FormatFloat(v, 'f', 1, 64)
 		default:
-			out[i] = fmt.Sprint(v)
+			row[i] = fmt.Sprint(v)
 		}
 	}
-	r.Rows = append(r.Rows, out)
+	r.Rows = append(r.Rows, row)
 }
 
-func (r *Report) setValue(name string, value float64, aim string) {
+// setValue sets a value and its target; empty: none.
+func (r *Report) setValue(name string, value float64, target string) {
 	r.Values[name] = value
-	if aim != "" {
-		r.Targets[name] = aim
+	if target != "" {
+		r.Targets[name] = target
 	}
 }
 
-// Write writes the table, then a line `name: value` for each value, the aim behind it.
+// Write writes the table, then a line `name: value` for each value, its target behind it.
 func (r *Report) Write(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	line := func(cells []string) {
-		for _, c := range cells {
-			fmt.Fprint(t, c, "\t")
+	var text bytes.Buffer
+	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	for _, row := range append([][]string{r.Columns}, r.Rows...) {
+		var line bytes.Buffer
+		for _, cell := range row {
+			fmt.Fprint(&line, cell, "\t")
+		}
+		fmt.Fprintln(&line)
+		if _, err := table.Write(line.Bytes()); err != nil {
+			return err
 		}
-		fmt.Fprintln(t)
-	}
-	line(r.Columns)
-	for _, row := range r.Rows {
-		line(row)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(&text)
 	names := make([]string, 0, len(r.Values))
 	for name := range r.Values {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		text := strconv.FormatFloat(r.Values[name], 'g', 5, 64)
-		if aim := r.Targets[name]; aim != "" {
-			text += "   (aim: " + aim + ")"
-		}
-		if _, err := fmt.Fprintf(w, "%s: %s\n", name, text); err != nil {
-			return err
+		value := strconv.FormatFloat(r.Values[name], 'g', 5, 64)
+		if target := r.Targets[name]; target != "" {
+			value += "   (aim: " + target + ")"
 		}
+		fmt.Fprintf(&text, "%s: %s\n", name, value)
 	}
-	return nil
+	_, err := w.Write(text.Bytes())
+	return err
 }
 
 // WriteJSON writes the whole report as one object.
--- a/internal/measure/testbed.go
+++ b/internal/measure/testbed.go
@@ -1,11 +1,9 @@
-// Package lab owns measurements of a gateway on loopback: stand-in engines, a
-// name service and clients round a gateway's own process, all bounded in time
-// and count. It must never be part of that process, nor reach any address but
+// Package measure owns the measurements of a gateway on loopback: fake engines, a name server and clients around a
+// gateway's own process, all bounded in time and number. It must never be part of that process, nor use any address but
 // this machine's.
 package measure
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -15,6 +13,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"sync"
 	"syscall"
 	"time"
 
@@ -22,33 +21,61 @@
 	"foxlane/internal/standin"
 )
 
+// listName is the name under which the name server has the list of engines.
 const listName = "_data._tcp.farm.lan"
 
-// Setup says what a World is made of.
+const (
+	startTimeout      = 5 * time.Second
+	startPollInterval = 10 * time.Millisecond
+	stopTimeout       = 8 * time.Second // then the gateway is killed
+)
+
+// Setup is what a Testbed is made of.
 type Setup struct {
-	Gateway     string // the program; empty: built from this module
+	Gateway     string // path of the program; empty: built from this module
 	Engines     int
 	Slots       int           // of an engine
 	ServiceTime time.Duration // of a request
 	MemoryMB    int
 	Sockets     int
-	SiteConfig  string // text of the operator's file; empty: none
-	RetryAfter  bool   // times of return are allowed
-	Timeout     time.Duration
-	Pages       []string // of every result; nil: one row
+	SiteConfig  string        // text of the operator's file; empty: none
+	RetryAfter  bool          // rejections may name a time to come back
+	Timeout     time.Duration // of the clients of all classes
+	Pages       []string      // of every result; nil: one row
 }
 
-// Testbed is a gateway with what it talks to.
+// Testbed is a gateway's process with the fake engines and the fake name server that it talks to.
 type Testbed struct {
 	Setup
-	Addr        string
-	engineSlots []*standin.Slots
-	engines     []*standin.Engine
-	hosts       []standin.Host
-	nameServer  *standin.NameServer
-	gateway     *exec.Cmd
-	log         bytes.Buffer
-	dir         string
+	Addr string // where the gateway listens
+
+	engines    []*standin.Engine
+	hosts      []standin.Host
+	nameServer *standin.NameServer
+	gateway    *exec.Cmd
+	log        gatewayLog
+	dir        string
+}
+
+// gatewayLog holds the gateway's output, which is copied to it while it may be read.
+type gatewayLog struct {
+	text []byte
+	mu   sync.Mutex // guards text
+}
+
+// Write appends to the log.
+func (l *gatewayLog) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.text = append(l.text, p...)
+	return len(p), nil
+}
+
+// String returns what was written so far.
+func (l *gatewayLog) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return string(l.text)
 }
 
 // BuildGateway builds the gateway's program into a folder and returns its path.
@@ -70,28 +97,27 @@
 	if err != nil {
 		return "", nil, err
 	}
-	remove = func() { os.RemoveAll(dir) }
+	remove = func() { _ = os.RemoveAll(dir) } // a temporary folder that stays does no harm
 	if path, err = BuildGateway(ctx, dir); err != nil {
 		remove()
 	}
 	return path, remove, err
 }
 
-// StartTestbed starts a world; Close ends it.
-func StartTestbed(s Setup) (w *Testbed, err error) {
-	w = &Testbed{Setup: s}
+// StartTestbed starts a testbed; Close ends it.
+func StartTestbed(s Setup) (t *Testbed, err error) {
+	t = &Testbed{Setup: s}
 	defer func() {
 		if err != nil {
-			w.Close()
+			t.discard()
 		}
 	}()
-	if w.dir, err = os.MkdirTemp("", "foxlab"); err != nil {
-		return w, err
+	if t.dir, err = os.MkdirTemp("", "foxlab"); err != nil {
+		return t, err
 	}
-	if w.nameServer, err = standin.NewNameServer("127.0.0.1:0", listName); err != nil {
-		return w, err
+	if t.nameServer, err = standin.NewNameServer("127.0.0.1:0", listName); err != nil {
+		return t, err
 	}
-	var hosts []standin.Host
 	for i := range s.Engines {
 		slots := standin.NewSlots(s.Slots)
 		e, err := standin.NewEngine("127.0.0.1:0", func(standin.Request) standin.Reply {
@@ -102,144 +128,149 @@
 			return standin.Reply{Delay: slots.Reserve(s.ServiceTime), ReportedWork: s.ServiceTime, Status: "served", Pages: pages}
 		})
 		if err != nil {
-			return w, err
+			return t, err
 		}
-		w.engineSlots, w.engines = append(w.engineSlots, slots), append(w.engines, e)
-		hosts = append(hosts, standin.Host{ID: fmt.Sprintf("s-%08x", i+1), Zone: "hall-a", Addr: netip.MustParseAddrPort(e.Addr()),
+		t.engines = append(t.engines, e)
+		t.hosts = append(t.hosts, standin.Host{ID: fmt.Sprintf("s-%08x", i+1), Zone: "hall-a", Addr: netip.MustParseAddrPort(e.Addr()),
 			Weight: 4, Kind: "std"})
 	}
-	w.nameServer.SetHosts(2, hosts)
-	w.hosts = hosts
-	return w, w.startGateway(hosts)
+	t.nameServer.SetHosts(2, t.hosts)
+	return t, t.startGateway()
 }
 
-// Requests is how many requests the engines have seen.
-func (w *Testbed) Requests() (n int) {
-	for _, e := range w.engines {
+// Requests is the number of requests that the engines have received.
+func (t *Testbed) Requests() (n int) {
+	for _, e := range t.engines {
 		n += len(e.Requests())
 	}
 	return n
 }
 
-// KillAndRestart ends the gateway outright and starts it again on the same files.
-func (w *Testbed) KillAndRestart() error {
-	_ = w.gateway.Process.Kill()
-	_ = w.gateway.Wait()
-	return w.startGateway(w.hosts)
-}
-
-// SetSpeed makes all engines run at a part of their speed from now on.
-func (w *Testbed) SetSpeed(part float64) {
-	for _, s := range w.engineSlots {
-		s.SetSpeed(part)
-	}
+// KillAndRestart kills the gateway and starts it again on the same files.
+func (t *Testbed) KillAndRestart() error {
+	_ = t.gateway.Process.Kill() // fails if it has ended already
+	_ = t.gateway.Wait()         // says that it was killed
+	return t.startGateway()
 }
 
 type jsonObject = map[string]any
 
-func (w *Testbed) config(hosts []standin.Host, listen string) jsonObject {
+// config is the gateway's configuration.
+func (t *Testbed) config() jsonObject {
 	var servers []jsonObject
-	for _, h := range hosts {
+	for _, h := range t.hosts {
 		servers = append(servers, jsonObject{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": "active", "weight": 4})
 	}
-	giveUp := w.Timeout.Microseconds()
+	giveUp := t.Timeout.Microseconds()
 	class := func(name string, aim int64) jsonObject {
 		return jsonObject{"name": name, "aim": aim, "aimStretch": 1.5, "giveUp": giveUp, "effect": "pure", "group": "all", "lateValue": 0.1, "worth": 1}
 	}
 	return jsonObject{
-		"name": "lab", "listen": listen, "seed": "8c1f30d27a5be964", "dns": w.nameServer.Addr(),
-		"limits": jsonObject{"cores": 1, "memory_mb": w.MemoryMB, "sockets": w.Sockets},
+		"name": "lab", "listen": t.Addr, "seed": "8c1f30d27a5be964", "dns": t.nameServer.Addr(),
+		"limits": jsonObject{"cores": 1, "memory_mb": t.MemoryMB, "sockets": t.Sockets},
 		"known":  jsonObject{"seq": 1, "results": []jsonObject{{"seq": 1, "fleet": jsonObject{"version": 1, "full": true, "servers": servers}}}},
 		"settings": jsonObject{
 			"classes": []jsonObject{class("point", 500_000), class("report", 1_500_000)},
-			"extra":   jsonObject{"classThreads": []int{1, 1}, "cpuOfKind": []int{w.Slots}, "ramOfKindMb": []int{65536}, "tellsCost": true},
+			"extra":   jsonObject{"classThreads": []int{1, 1}, "cpuOfKind": []int{t.Slots}, "ramOfKindMb": []int{65536}, "tellsCost": true},
 			"limits": jsonObject{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
-				"multiplex": 32, "retryAfter": w.RetryAfter, "maxRetryAfter": 10_000_000},
+				"multiplex": 32, "retryAfter": t.RetryAfter, "maxRetryAfter": 10_000_000},
 			"machineTypes": []string{"std"}, "membershipMode": "push", "siblings": 1, "tick": 1000, "zones": []string{"hall-a"},
 			"rules": jsonObject{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": 2},
 		},
 	}
 }
 
-func (w *Testbed) startGateway(hosts []standin.Host) error {
-	if w.Gateway == "" {
-		program, err := BuildGateway(context.Background(), w.dir)
+// startGateway starts the gateway's process, and waits until it accepts a client.
+func (t *Testbed) startGateway() error {
+	if t.Gateway == "" {
+		program, err := BuildGateway(context.Background(), t.dir)
 		if err != nil {
 			return err
 		}
-		w.Gateway = program
+		t.Gateway = program
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
+	if err := t.reserveAddr(); err != nil {
 		return err
 	}
-	w.Addr = ln.Addr().String()
-	ln.Close()
-	raw, err := json.Marshal(w.config(hosts, w.Addr))
+	raw, err := json.Marshal(t.config())
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(w.dir, "config.json")
+	path := filepath.Join(t.dir, "config.json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return err
 	}
 	args := []string{"serve"}
-	if w.SiteConfig != "" {
-		site := filepath.Join(w.dir, "foxlane.hcl")
-		if err := os.WriteFile(site, []byte(w.SiteConfig), 0o600); err != nil {
+	if t.SiteConfig != "" {
+		site := filepath.Join(t.dir, "foxlane.hcl")
+		if err := os.WriteFile(site, []byte(t.SiteConfig), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "--site", site)
 	}
-	w.gateway = exec.Command(w.Gateway, args...)
-	w.gateway.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_NAME=", "LB_LISTEN=")
-	w.gateway.Stderr = &w.log
-	if err := w.gateway.Start(); err != nil {
-		return err
+	t.gateway = exec.Command(t.Gateway, args...)
+	t.gateway.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_NAME=", "LB_LISTEN=")
+	t.gateway.Stderr = &t.log
+	if err := t.gateway.Start(); err != nil {
+		return fmt.Errorf("starting the gateway: %w", err)
 	}
-	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		if c, err := standin.Connect(w.Addr, netip.Addr{}, time.Second); err == nil {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(startPollInterval) {
+		if c, err := standin.Connect(t.Addr, netip.Addr{}, time.Second); err == nil {
 			c.Close()
 			return nil
 		}
 	}
-	return errors.New("the gateway does not serve: " + w.Log())
+	return fmt.Errorf("the gateway does not serve at %s within %v: %s", t.Addr, startTimeout, t.Log())
+}
+
+// reserveAddr finds a free port for the gateway. Another process may take it before the gateway listens; then the
+// gateway doesn't start, which is reported.
+func (t *Testbed) reserveAddr() error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	t.Addr = l.Addr().String()
+	return l.Close()
 }
 
-// Log is the gateway's log. It is whole only once the gateway has ended.
-func (w *Testbed) Log() string { return w.log.String() }
+// Log is the gateway's log so far. It is complete once the gateway has ended.
+func (t *Testbed) Log() string { return t.log.String() }
 
 // CPU is the processor time that the gateway has used so far.
-func (w *Testbed) CPU() (time.Duration, error) {
-	u, err := harness.UsageOf(w.gateway.Process.Pid)
+func (t *Testbed) CPU() (time.Duration, error) {
+	u, err := harness.UsageOf(t.gateway.Process.Pid)
 	return time.Duration(u.CPUSeconds * float64(time.Second)), err
 }
 
 // RSS is the memory that the gateway holds now, in MB.
-func (w *Testbed) RSS() (float64, error) {
-	u, err := harness.UsageOf(w.gateway.Process.Pid)
+func (t *Testbed) RSS() (float64, error) {
+	u, err := harness.UsageOf(t.gateway.Process.Pid)
 	return u.RSSMB, err
 }
 
-// Close ends the world and waits for the gateway: its exit is part of what is checked.
-func (w *Testbed) Close() error {
+// Close ends the testbed and waits for the gateway. It returns an error if that did not shut down in order.
+func (t *Testbed) Close() error {
 	var err error
-	if w.gateway != nil && w.gateway.Process != nil {
-		_ = w.gateway.Process.Signal(syscall.SIGTERM)
-		kill := time.AfterFunc(8*time.Second, func() { _ = w.gateway.Process.Kill() })
-		if err = w.gateway.Wait(); err != nil {
-			err = fmt.Errorf("the gateway ended with %w: %s", err, w.Log())
+	if t.gateway != nil && t.gateway.Process != nil {
+		_ = t.gateway.Process.Signal(syscall.SIGTERM) // if it has ended already, Wait says how
+		kill := time.AfterFunc(stopTimeout, func() { _ = t.gateway.Process.Kill() })
+		if err = t.gateway.Wait(); err != nil {
+			err = fmt.Errorf("the gateway ended with %w: %s", err, t.Log())
 		}
 		kill.Stop()
 	}
-	for _, e := range w.engines {
+	for _, e := range t.engines {
 		e.Close()
 	}
-	if w.nameServer != nil {
-		w.nameServer.Close()
+	if t.nameServer != nil {
+		t.nameServer.Close()
 	}
-	if w.dir != "" {
-		os.RemoveAll(w.dir)
+	if t.dir != "" {
+		err = errors.Join(err, os.RemoveAll(t.dir))
 	}
 	return err
 }
+
+// discard ends the testbed where its results are all that counts.
+func (t *Testbed) discard() { _ = t.Close() }
