--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,7 +1,6 @@
-// Package standin owns small stand-ins for what a gateway talks to: an engine
-// and the name service, for tests on loopback and for the example. They speak
-// the public protocols and nothing of the gateway's own code, so that both
-// sides can't share a mistake. They must never be part of the gateway.
+// Package standin owns fake servers and a client for tests on loopback and for the example: an engine, a name server and
+// a MySQL client. They implement the public protocols without any of the gateway's own code, so that both sides can't
+// share a mistake. They must never be part of the gateway.
 package standin
 
 import (
@@ -15,24 +14,24 @@
 	"time"
 )
 
-// Request is a request that came to an engine.
+// Request is a request that an engine has received.
 type Request struct {
 	ID        string
-	Fields    map[string]string
+	Fields    map[string]string // by name, as the command has them
 	Statement string
 }
 
-// Reply is how an engine ends a request.
+// Reply is how an engine answers a request.
 type Reply struct {
-	Delay        time.Duration
-	ReportedWork time.Duration // that it tells of a served one; 0: as long as it took
-	Status       string        // served, overload, crashed, nobody; empty: never
-	Pages        []string      // of a served one
-	Reset        bool          // reset the connection instead
-	Raw          string        // write this instead
+	Delay        time.Duration // before the reply
+	ReportedWork time.Duration // reported for a served request; 0: the delay
+	Status       string        // served, overload, crashed or nobody; empty: no reply
+	Pages        []string      // of a served request
+	Reset        bool          // reset the connection instead of replying
+	Raw          string        // write this instead of a reply
 }
 
-// Engine is a stand-in for one engine.
+// Engine is a fake engine.
 type Engine struct {
 	listener  net.Listener
 	answer    func(Request) Reply
@@ -46,7 +45,7 @@
 	stopped   bool
 }
 
-// NewEngine starts an engine on an address that answers as told.
+// NewEngine starts an engine on an address. The function decides the reply to each request; it may be called concurrently.
 func NewEngine(addr string, answer func(Request) Reply) (*Engine, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -58,35 +57,35 @@
 	return e, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Requests are the requests that came so far.
+// Requests are the requests that it has received so far.
 func (e *Engine) Requests() []Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Request(nil), e.requests...)
 }
 
-// Cancelled are the ids that were given up so far.
+// Cancelled are the ids of the requests that were cancelled so far.
 func (e *Engine) Cancelled() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.cancelled...)
 }
 
-// HoldTime is how long a request held the engine: until it was freed. It is 0 while it is not.
+// HoldTime is how long a request held the engine, until it was freed or cancelled; 0 until then.
 func (e *Engine) HoldTime(id string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holdTimes[id]
 }
 
-// Close ends the engine as a process that dies does: its connections are reset.
+// Close ends the engine as a process that is killed does: its connections are reset. It waits for its goroutines.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.stopped = true
-	e.listener.Close()
+	_ = e.listener.Close() // the engine ends in any case
 	for c := range e.conns {
 		resetConn(c)
 	}
@@ -94,11 +93,12 @@
 	e.wg.Wait()
 }
 
+// resetConn closes a connection by a reset.
 func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	c.Close()
+	_ = c.Close() // it is reset in any case
 }
 
 func (e *Engine) accept() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// session is one connection.
+// session is one connection of a gateway.
 type session struct {
 	engine  *Engine
 	conn    net.Conn
@@ -139,7 +139,7 @@
 			break
 		}
 	}
-	c.Close()
+	_ = c.Close() // its client has gone or has broken the protocol
 	s.mu.Lock()
 	for _, t := range s.running {
 		t.Stop()
@@ -150,6 +150,7 @@
 	e.mu.Unlock()
 }
 
+// command executes one command; words are those of its line. It reports false for one that breaks the protocol.
 func (s *session) command(in *bufio.Reader, words []string) (ok bool) {
 	if len(words) < 2 {
 		return false
@@ -159,24 +160,7 @@
 	case "ASK":
 		return len(words) == 4 && s.handleAsk(in, id, words[2], words[3])
 	case "QUIT", "FREE":
-		s.mu.Lock()
-		if t := s.running[id]; t != nil {
-			t.Stop()
-		}
-		delete(s.running, id)
-		delete(s.results, id)
-		s.mu.Unlock()
-		s.engine.mu.Lock()
-		if from, ok := s.engine.startedAt[id]; ok {
-			s.engine.holdTimes[id] = time.Since(from)
-			delete(s.engine.startedAt, id)
-		}
-		s.engine.mu.Unlock()
-		if words[0] == "QUIT" {
-			s.engine.mu.Lock()
-			s.engine.cancelled = append(s.engine.cancelled, id)
-			s.engine.mu.Unlock()
-		}
+		s.release(id, words[0] == "QUIT")
 	case "NEXT":
 		n, err := strconv.Atoi(words[len(words)-1])
 		s.mu.Lock()
@@ -201,9 +185,33 @@
 	return true
 }
 
+// release forgets a request and its result, at its end or when it is cancelled.
+func (s *session) release(id string, cancelled bool) {
+	s.mu.Lock()
+	if t := s.running[id]; t != nil {
+		t.Stop()
+	}
+	delete(s.running, id)
+	delete(s.results, id)
+	s.mu.Unlock()
+	s.engine.mu.Lock()
+	defer s.engine.mu.Unlock()
+	if from, ok := s.engine.startedAt[id]; ok {
+		s.engine.holdTimes[id] = time.Since(from)
+		delete(s.engine.startedAt, id)
+	}
+	if cancelled {
+		s.engine.cancelled = append(s.engine.cancelled, id)
+	}
+}
+
+// maxStatementBytes bounds what an engine reads of one statement.
+const maxStatementBytes = 1 << 24
+
+// handleAsk reads the rest of a request and starts it. It reports false for one that breaks the protocol.
 func (s *session) handleAsk(in *bufio.Reader, id, fields, length string) bool {
 	n, err := strconv.Atoi(length)
-	if err != nil || n < 0 || n > 1<<24 {
+	if err != nil || n < 0 || n > maxStatementBytes {
 		return false
 	}
 	body := make([]byte, n+2)
@@ -227,6 +235,7 @@
 	return true
 }
 
+// finish sends the reply to a request, unless that was cancelled.
 func (s *session) finish(id string, r Reply) {
 	s.mu.Lock()
 	_, open := s.running[id]
--- a/internal/standin/nameserver.go
+++ b/internal/standin/nameserver.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Host is one engine of a list.
+// Host is one engine of the list.
 type Host struct {
 	ID, Zone string
 	Addr     netip.AddrPort
 	Draining bool
-	Weight   int // as in the list; records hold ten times as much
+	Weight   int // as in the list; the weight of a record is ten times as much
 	Kind     string
 	Cell     int
 	Started  int64
 }
 
-// NameServer is a stand-in for the name service.
+// NameServer is a fake name server that answers every query with the list of engines.
 type NameServer struct {
 	conn    net.PacketConn
 	name    string
@@ -35,25 +35,25 @@
 	onSent  func(ListReply)
 }
 
-// ListReply is an answer that is about to be sent, with what is to become of it.
+// ListReply is an answer that is about to be sent, and the faults to inject into it.
 type ListReply struct {
 	Serial        uint32
 	Hosts         []Host
-	Stale         bool          // it holds an older list than the service has
-	Dropped       bool          // it is not sent
-	ServerFailure bool          // it reports a failure
-	Truncated     bool          // it is cut short
-	WrongID       bool          // it has the id of another query
-	Duplicated    bool          // it is sent twice
-	Delay         time.Duration // it is sent so late
+	Stale         bool          // it has an older list than the server: set by who changes the hosts
+	Dropped       bool          // not sent
+	ServerFailure bool          // reports SERVFAIL
+	Truncated     bool          // cut short
+	WrongID       bool          // has the id of another query
+	Duplicated    bool          // sent twice
+	Delay         time.Duration // sent so late
 }
 
-// Valid answers whether the reply can tell something: it is whole and holds the present list.
+// Valid reports whether the receiver can use the reply: it is complete and has the current list.
 func (r *ListReply) Valid() bool {
 	return !r.Stale && !r.Dropped && !r.ServerFailure && !r.Truncated && !r.WrongID
 }
 
-// NewNameServer starts a name service that answers for the list under a name.
+// NewNameServer starts a name server with an empty list under a name.
 func NewNameServer(addr, name string) (*NameServer, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
@@ -64,47 +64,47 @@
 	return n, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (n *NameServer) Addr() string { return n.conn.LocalAddr().String() }
 
-// SetHosts replaces the list.
+// SetHosts replaces the list and its serial number.
 func (n *NameServer) SetHosts(serial uint32, hosts []Host) {
 	n.mu.Lock()
 	n.serial, n.hosts = serial, hosts
 	n.mu.Unlock()
 }
 
-// SetRewrite changes every answer from now on; nil stops that, and an answer of nil is lost.
+// SetRewrite sets a function that every answer passes through before it is sent; nil: none. An answer of nil is dropped.
 func (n *NameServer) SetRewrite(f func([]byte) []byte) {
 	n.mu.Lock()
 	n.rewrite = f
 	n.mu.Unlock()
 }
 
-// SetFilter says to whom it answers from now on, by the address that asks; nil: to all.
+// SetFilter sets whom the server answers, by the address of the query; nil: all.
 func (n *NameServer) SetFilter(f func(from string) bool) {
 	n.mu.Lock()
 	n.filter = f
 	n.mu.Unlock()
 }
 
-// OnReply calls for each answer that is about to be sent; nil stops that.
+// OnReply sets a function that is called with each answer before it is sent, and may change it; nil: none.
 func (n *NameServer) OnReply(f func(*ListReply)) {
 	n.mu.Lock()
 	n.onReply = f
 	n.mu.Unlock()
 }
 
-// OnSent calls for each good answer, once it has been sent.
+// OnSent sets a function that is called with each valid answer after it was sent.
 func (n *NameServer) OnSent(f func(ListReply)) {
 	n.mu.Lock()
 	n.onSent = f
 	n.mu.Unlock()
 }
 
-// Close ends it.
+// Close ends the server and waits for it.
 func (n *NameServer) Close() {
-	n.conn.Close()
+	_ = n.conn.Close() // the server ends in any case
 	<-n.done
 }
 
@@ -127,25 +127,30 @@
 func (n *NameServer) reply(id uint16, from net.Addr) {
 	n.mu.Lock()
 	r := ListReply{Serial: n.serial, Hosts: n.hosts}
-	alter, mangle, listen, told := n.onReply, n.rewrite, n.filter, n.onSent
-	n.mu.Unlock() // whoever alters it may be about to set the list
-	if alter != nil {
-		alter(&r)
+	onReply, rewrite, filter, onSent := n.onReply, n.rewrite, n.filter, n.onSent
+	n.mu.Unlock() // onReply may call SetHosts
+	if onReply != nil {
+		onReply(&r)
 	}
 	msg := r.encode(id, n.name)
-	if mangle != nil {
-		msg = mangle(msg)
+	if rewrite != nil {
+		msg = rewrite(msg)
 	}
-	if msg == nil || r.Dropped || listen != nil && !listen(from.String()) {
+	if msg == nil || r.Dropped || filter != nil && !filter(from.String()) {
 		return
 	}
 	send := func() {
+		select {
+		case <-n.done: // closed while the answer was delayed
+			return
+		default:
+		}
 		_, _ = n.conn.WriteTo(msg, from)
 		if r.Duplicated {
 			_, _ = n.conn.WriteTo(msg, from)
 		}
-		if told != nil && r.Valid() {
-			told(r)
+		if onSent != nil && r.Valid() {
+			onSent(r)
 		}
 	}
 	if r.Delay > 0 {
@@ -155,7 +160,7 @@
 	send()
 }
 
-// encode is the reply as it is sent.
+// encode is the message with the faults that concern its bytes.
 func (r *ListReply) encode(id uint16, name string) []byte {
 	if r.WrongID {
 		id++
@@ -170,8 +175,8 @@
 	return msg
 }
 
-// EncodeAnswer is the whole answer to a query. The name asked for is pointed to, and
-// so is each target, as servers do.
+// EncodeAnswer is the answer to a query for the list: an SRV record for each host, with address and text records. Names
+// that occur before are compressed to pointers, as servers do.
 func EncodeAnswer(id uint16, name string, serial uint32, hosts []Host) []byte {
 	b := binary.BigEndian.AppendUint16(nil, id)
 	b = append(b, 0x84, 0, 0, 1)
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -5,18 +5,16 @@
 	"time"
 )
 
-// Slots are an engine's cores: so many requests run, the others wait in line
-// in the order in which they came.
+// Slots are an engine's slots: so many requests run at once, the others wait in the order in which they arrived.
 type Slots struct {
 	mu     sync.Mutex
 	freeAt []time.Time // when each is free
-	speed  float64     // of the speed
 }
 
-// NewSlots returns so many, all free.
-func NewSlots(n int) *Slots { return &Slots{freeAt: make([]time.Time, n), speed: 1} }
+// NewSlots returns n free slots.
+func NewSlots(n int) *Slots { return &Slots{freeAt: make([]time.Time, n)} }
 
-// Reserve returns how long a request takes that comes now, with its wait.
+// Reserve reserves the slot that is free first, and returns how long a request that arrives now takes, with its wait.
 func (s *Slots) Reserve(work time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,13 +29,6 @@
 	if start.Before(now) {
 		start = now
 	}
-	s.freeAt[first] = start.Add(time.Duration(float64(work) / s.speed))
+	s.freeAt[first] = start.Add(work)
 	return s.freeAt[first].Sub(now)
 }
-
-// SetSpeed makes every request that comes from now on take longer: part is that of the full speed.
-func (s *Slots) SetSpeed(part float64) {
-	s.mu.Lock()
-	s.speed = part
-	s.mu.Unlock()
-}
