--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs the decision module on the simulator's wire: batches
-// of events on standard input, one reply each on standard output.
+// Command adapter runs the decision module on the simulator's protocol: it reads batches of events from standard input and
+// writes one reply to each to standard output.
 package main
 
 import (
--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -1,6 +1,5 @@
-// Command foxlab is the lab: it shows and measures a gateway on loopback. This
-// file owns its command line. It must never be needed to serve: whatever is
-// large or only for the lab is imported here and not by cmd/foxlane.
+// Command foxlab demonstrates, measures and tests a gateway on loopback. This file owns its command line. It must never
+// be needed to serve: what is large or only for tests is imported here and not by cmd/foxlane.
 package main
 
 import (
@@ -20,18 +19,23 @@
 )
 
 func main() {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	if err := rootCommand().ExecuteContext(ctx); err != nil {
+	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlab:", err)
 		os.Exit(1)
 	}
 }
 
+// run runs the command line; a signal ends its context.
+func run() error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return rootCommand().ExecuteContext(ctx)
+}
+
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "foxlab",
-		Short:         "Shows and measures a gateway on loopback",
+		Short:         "Demonstrates, measures and tests a gateway on loopback",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -40,25 +44,34 @@
 	return cmd
 }
 
+// Limits of --seconds.
+const (
+	maxDemoSeconds    = 300
+	maxMeasureSeconds = 30
+)
+
 func demoCommand() *cobra.Command {
 	var seconds int
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "A gateway, stand-in engines, a flood and quiet clients, with the door off and on",
+		Short: "A gateway, fake engines, a flood and quiet clients, with admission control off and on",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			gateway, _ := cmd.Flags().GetString("gateway")
-			if seconds < 1 || seconds > 300 {
-				return fmt.Errorf("--seconds is %d, not within 1 and 300", seconds)
+			gateway, err := cmd.Flags().GetString("gateway")
+			if err != nil {
+				return err
+			}
+			if seconds < 1 || seconds > maxDemoSeconds {
+				return fmt.Errorf("demo: --seconds is %d, not within 1 and %d", seconds, maxDemoSeconds)
 			}
 			return measure.Demo(cmd.Context(), gateway, seconds, cmd.OutOrStdout(), isTerminal(cmd.OutOrStdout()))
 		},
 	}
-	cmd.Flags().IntVar(&seconds, "seconds", 8, "length of each of the three scenes")
+	cmd.Flags().IntVar(&seconds, "seconds", 8, "length of each of the three scenarios")
 	return cmd
 }
 
-// isTerminal answers whether a writer can rewrite its line.
+// isTerminal reports whether a writer can rewrite its line.
 func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
@@ -68,20 +81,23 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// rigCommand plays a script with processes.
+// rigCommand runs a fleet of real processes, with the faults of a script.
 func rigCommand() *cobra.Command {
 	var asJSON bool
 	var logs string
 	cmd := &cobra.Command{
 		Use:   "rig FILE",
-		Short: "Several gateways in several sites, relays between all parties, and faults from one script",
+		Short: "Several gateways in several zones, fault-injecting proxies between all parties, and faults from a script",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			script, err := harness.LoadScript(args[0])
 			if err != nil {
 				return err
 			}
-			named, _ := cmd.Flags().GetString("gateway")
+			named, err := cmd.Flags().GetString("gateway")
+			if err != nil {
+				return err
+			}
 			gateway, remove, err := measure.GatewayProgram(cmd.Context(), named)
 			if err != nil {
 				return err
@@ -99,7 +115,7 @@
 				_, err = fmt.Fprint(cmd.OutOrStdout(), report)
 			}
 			if n := len(report.Violations); err == nil && n > 0 {
-				err = fmt.Errorf("%d rules broken", n)
+				err = fmt.Errorf("%s: %d violations", args[0], n)
 			}
 			return err
 		},
@@ -115,25 +131,25 @@
 	seconds     int
 	run         func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error)
 }{
-	{"fair", "the door: quiet clients beside a flood, shares, times of return, size and cost", 20, measure.Fairness},
-	{"cost", "the fast path: processor time, memory and added time a request, without the operator's file", 12,
+	{"fair", "admission control: quiet clients beside a flood, shares, Retry-After, size and cost", 20, measure.Fairness},
+	{"cost", "the fast path: processor time, memory and added latency a request, without the operator's file", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
 			return measure.Cost(ctx, gateway, "", seconds, progress)
 		}},
-	{"spool", "kept results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.Spool},
+	{"spool", "stored results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.Spool},
 	{"sites", "the loss of a zone: 300 gateways in virtual time, with and without the plan, paired by seed", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
 			return measure.Zones(ctx, gateway, progress)
 		}},
-	{"replica", "talk among gateways: how soon news reach all, bytes, copies that differ, worth, what it costs", 1,
+	{"replica", "gossip among gateways: how soon entries reach all, bytes, replicas that differ, what it is worth and costs", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
 			return measure.Replica(ctx, gateway, progress)
 		}},
-	{"cost-sites", "the same with the plan for zones on", 12,
+	{"cost-sites", "as cost, with the plan for zones on", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
 			return measure.Cost(ctx, gateway, "sites {\n}\n", seconds, progress)
 		}},
-	{"cost-fair", "the same with the door on", 12,
+	{"cost-fair", "as cost, with admission control on", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
 			return measure.Cost(ctx, gateway, "fair {\n}\n", seconds, progress)
 		}},
@@ -155,7 +171,10 @@
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			gateway, _ := cmd.Flags().GetString("gateway")
+			gateway, err := cmd.Flags().GetString("gateway")
+			if err != nil {
+				return err
+			}
 			for _, m := range measurements {
 				if m.name != args[0] {
 					continue
@@ -163,8 +182,8 @@
 				if seconds == 0 {
 					seconds = m.seconds
 				}
-				if seconds < 1 || seconds > 30 {
-					return fmt.Errorf("--seconds is %d, not within 1 and 30", seconds)
+				if seconds < 1 || seconds > maxMeasureSeconds {
+					return fmt.Errorf("measure %s: --seconds is %d, not within 1 and %d", m.name, seconds, maxMeasureSeconds)
 				}
 				r, err := m.run(cmd.Context(), gateway, seconds, cmd.ErrOrStderr())
 				if err != nil {
@@ -179,6 +198,6 @@
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	cmd.Flags().IntVar(&seconds, "seconds", 0, "length of each scene on sockets, 30 at most")
+	cmd.Flags().IntVar(&seconds, "seconds", 0, "length of each scenario on sockets, 30 at most")
 	return cmd
 }
--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -12,12 +12,12 @@
 	"foxlane/internal/soak"
 )
 
-// soakCommand plays random fleets with troubles that overlap.
+// soakCommand runs random fleets with overlapping faults.
 func soakCommand() *cobra.Command {
 	o := soak.Options{}
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Random fleets of real processes with troubles that overlap, judged by what clients and engines saw",
+		Short: "Random fleets of real processes with overlapping faults, judged by what clients and engines saw",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -37,24 +37,24 @@
 			}
 			r.Write(cmd.OutOrStdout())
 			if err == nil && (len(r.Failed) > 0 || len(r.NotPlayed) > 0 || r.DefectsFound() < len(r.Detections)) {
-				err = errors.New("soak: something was violated, not played, or planted and not found")
+				err = errors.New("soak: a rule was violated, a seed was not run, or an injected defect was not found; see the report")
 			}
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&o.Seeds, "seeds", 20, "how many seeds are played")
-	cmd.Flags().Uint64Var(&o.First, "first", 1, "the first one; a failing one is played again by its number")
+	cmd.Flags().IntVar(&o.Seeds, "seeds", 20, "how many seeds are run")
+	cmd.Flags().Uint64Var(&o.First, "first", 1, "the first one; a failing one is run again by its number")
 	cmd.Flags().DurationVar(&o.Length, "for", 5*time.Second, "length of each")
 	cmd.Flags().IntVar(&o.Processes, "processes", 10, "gateways of each")
 	cmd.Flags().IntVar(&o.Parallel, "parallel", 2, "seeds at once")
-	cmd.Flags().IntVar(&o.Shrink, "shrink", 6, "runs by which a failing seed is shrunk to fewer troubles, at most")
-	cmd.Flags().IntVar(&o.DefectSeeds, "plants", 0, "seeds with which each planted defect is looked for, at most")
-	cmd.Flags().StringSliceVar(&o.Defects, "only", nil, "defects to plant; all if none is named")
+	cmd.Flags().IntVar(&o.Shrink, "shrink", 6, "runs by which a failing seed is reduced to fewer faults, at most")
+	cmd.Flags().IntVar(&o.DefectSeeds, "plants", 0, "seeds with which each injected defect is looked for, at most")
+	cmd.Flags().StringSliceVar(&o.Defects, "only", nil, "defects to inject; all if none is named")
 	cmd.Flags().StringVar(&o.Logs, "logs", "", "folder for the logs of failing seeds")
 	return cmd
 }
 
-// doubleCommand is the process that the soak starts.
+// doubleCommand is the process that the soak starts: a gateway whose system calls can fail.
 func doubleCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "double", Short: "The soak's test double of a gateway's process", Hidden: true}
 	serve := &cobra.Command{
--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -6,9 +6,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os/user"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -19,42 +19,43 @@
 	"foxlane/internal/site"
 )
 
-// This file owns `foxlane directive`: orders of operators that must be the same at all gateways. Changes are asked of a voter, and hold
-// once it says so.
+// This file owns `foxlane directive`: operators' directives, which must be the same at all gateways. Changes are sent to a
+// voter, and are in force once it says so.
 
 func directiveCommand() *cobra.Command {
 	var sitePath, at string
 	cmd := &cobra.Command{
 		Use:   "directive",
-		Short: "Orders that hold at all gateways: drains, refused classes, the limit of spill",
+		Short: "Directives for all gateways: drains, rejected classes, the spillover limit",
 	}
 	cmd.PersistentFlags().StringVar(&at, "at", "", "where a gateway's block members has control; a voter's for set and unset")
 	cmd.PersistentFlags().StringVar(&sitePath, "site", "", "the operator's own file (HCL), whose control is asked if --at is not given")
-	ask := func(question string, answer any) error {
+	query := func(question string, answer any) error {
 		var args []string
 		if at != "" {
 			args = []string{at}
 		}
-		where, err := controlAddresses(args, sitePath)
+		addresses, err := controlAddresses(args, sitePath)
 		if err != nil {
 			return err
 		}
-		return queryControl(where[0], question, answer)
+		return queryControl(addresses[0], question, answer)
 	}
-	cmd.AddCommand(directiveChange(directives.Set, ask), directiveChange(directives.Unset, ask), directiveList(ask), directiveHistory(ask),
+	cmd.AddCommand(directiveChange(directives.Set, query), directiveChange(directives.Unset, query), directiveList(query), directiveHistory(query),
 		directiveInit(&sitePath))
 	return cmd
 }
 
+// controlQuery asks the gateway that the flags name one question, and decodes its answer.
 type controlQuery func(question string, answer any) error
 
-func directiveChange(op directives.Op, ask controlQuery) *cobra.Command {
+func directiveChange(op directives.Op, query controlQuery) *cobra.Command {
 	var by string
 	var value float64
 	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RejectClass), string(directives.SpilloverLimit)}, "|")
 	cmd := &cobra.Command{
 		Use:   string(op) + " {" + kinds + "} [SUBJECT]",
-		Short: map[directives.Op]string{directives.Set: "Order something", directives.Unset: "Take an order back"}[op],
+		Short: map[directives.Op]string{directives.Set: "Set a directive", directives.Unset: "Unset a directive"}[op],
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
@@ -69,7 +70,7 @@
 				return err
 			}
 			var answer struct{ Index uint64 }
-			if err := ask(string(raw), &answer); err != nil {
+			if err := query(string(raw), &answer); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "holds as of index %d\n", answer.Index)
@@ -80,70 +81,85 @@
 	if u, err := user.Current(); err == nil {
 		who = u.Username
 	}
-	cmd.Flags().StringVar(&by, "by", who, "who orders it; only shown")
+	cmd.Flags().StringVar(&by, "by", who, "who sets it; only shown")
 	if op == directives.Set {
 		cmd.Flags().Float64Var(&value, "value", 0, "of "+string(directives.SpilloverLimit)+": a part, 0 to 1")
 	}
 	return cmd
 }
 
+// newCommandID is the id by which a command that is sent twice is recognized.
 func newCommandID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails, by its documentation
 	return hex.EncodeToString(b[:])
 }
 
-func directiveList(ask controlQuery) *cobra.Command {
+func directiveList(query controlQuery) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "list",
-		Short: "What holds at a gateway, and how old that is",
+		Short: "The directives in force at a gateway, and how old that information is",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var b gateway.DirectiveStatus
-			if err := ask("book", &b); err != nil {
+			status, err := queryDirectives(query)
+			if err != nil {
 				return err
 			}
 			if asJSON {
-				e := json.NewEncoder(cmd.OutOrStdout())
-				e.SetIndent("", "  ")
-				return e.Encode(b)
-			}
-			w := cmd.OutOrStdout()
-			age := "no voter with a quorum has confirmed it since the start"
-			if b.AgeMS >= 0 {
-				age = "confirmed " + formatMillis(b.AgeMS) + " ago"
-			}
-			fmt.Fprintf(w, "index %d, %s; voters %s\n", b.Index, age, strings.Join(b.Voters, ", "))
-			if s := b.Status; s != nil {
-				fmt.Fprintf(w, "votes; leader %q, term %d, listens %v, disk failed %v\n", s.Leader, s.Term, s.Listens, s.Broken)
-			}
-			t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-			for _, d := range b.InForce {
-				fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t\n", d.Kind, d.Subject, d.Value, d.By, time.UnixMilli(d.AtMS).UTC().Format(time.RFC3339))
+				return printJSON(cmd.OutOrStdout(), status)
 			}
-			return t.Flush()
+			return printDirectives(cmd.OutOrStdout(), status)
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-func directiveHistory(ask controlQuery) *cobra.Command {
+// queryDirectives asks a gateway for its directives. The question is named book on the wire.
+func queryDirectives(query controlQuery) (status gateway.DirectiveStatus, err error) {
+	err = query("book", &status)
+	return status, err
+}
+
+func printDirectives(w io.Writer, status gateway.DirectiveStatus) error {
+	p := &printer{w: w}
+	age := "no voter with a quorum has confirmed it since the start"
+	if status.AgeMS >= 0 {
+		age = "confirmed " + formatMillis(status.AgeMS) + " ago"
+	}
+	p.printf("index %d, %s; voters %s\n", status.Index, age, strings.Join(status.Voters, ", "))
+	if s := status.Status; s != nil {
+		p.printf("votes; leader %q, term %d, listens %v, disk failed %v\n", s.Leader, s.Term, s.Listens, s.Broken)
+	}
+	if p.err != nil {
+		return p.err
+	}
+	return printTable(w, 0, func(t *printer) {
+		for _, d := range status.InForce {
+			t.printf("%s\t%s\t%v\t%s\t%s\t\n", d.Kind, d.Subject, d.Value, d.By, formatUnixMilli(d.AtMS))
+		}
+	})
+}
+
+// formatUnixMilli is a time of the wall clock in UTC.
+func formatUnixMilli(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+
+func directiveHistory(query controlQuery) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "The latest commands, with what became of them",
+		Short: "The latest commands and their results",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var b gateway.DirectiveStatus
-			if err := ask("book", &b); err != nil {
+			status, err := queryDirectives(query)
+			if err != nil {
 				return err
 			}
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, c := range b.History {
-				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%v\t%s\t%s\t%s\t\n", c.Index, c.Op, c.Kind, c.Subject, c.Value, c.By, time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339), c.Failed)
-			}
-			return t.Flush()
+			return printTable(cmd.OutOrStdout(), 0, func(t *printer) {
+				for _, c := range status.History {
+					t.printf("%d\t%s\t%s\t%s\t%v\t%s\t%s\t%s\t\n", c.Index, c.Op, c.Kind, c.Subject, c.Value, c.By, formatUnixMilli(c.AtMS), c.Failed)
+				}
+			})
 		},
 	}
 }
@@ -151,20 +167,20 @@
 func directiveInit(sitePath *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "init --site FILE",
-		Short: "Make this machine's folder that of a new voter, once, before its first start",
-		Long: "Init writes an empty log. A voter whose folder is empty without it takes itself for one that has forgotten what it voted for: it\n" +
-			"listens to a leader first, so voters without init never choose one. Do not run it on a machine that has lost its disk.",
+		Short: "Prepare the folder of a new voter on this machine, once, before its first start",
+		Long: "Init writes an empty log. A voter whose folder is empty without it assumes that it has lost its votes: it follows a leader first,\n" +
+			"so voters without init never elect one. Do not run it on a machine that has lost its disk.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if *sitePath == "" {
-				return errors.New("init needs --site")
+				return errors.New("directive init: --site is missing: name the operator's file of the voter")
 			}
 			s, err := site.LoadFile(*sitePath)
 			if err != nil {
 				return err
 			}
 			if s.Directives == nil || s.Directives.LogFolder == "" {
-				return fmt.Errorf("%s has no block directives with a folder", *sitePath)
+				return fmt.Errorf("directive init: %s has no block directives with a folder", *sitePath)
 			}
 			if err := wal.Init(s.Directives.LogFolder); err != nil {
 				return err
--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -1,11 +1,11 @@
-// Command foxlane is one gateway on sockets. This file owns the command line
-// and the process: its limits, its log, its signals. It must never hold a
-// decision or touch a socket.
+// Command foxlane is a gateway that admits queries to a pool of engines, with tools for its operators. This file owns the
+// process: its limits, its log and its signals. It must never make a decision or use a socket.
 package main
 
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"runtime"
@@ -24,9 +24,9 @@
 	"foxlane/internal/syserr"
 )
 
-// gcPercent lets garbage grow to what is in use and no more. Little is kept and little is made, so that
-// this costs hardly any time; with a high figure the resident size climbs for a minute and more
-// before the first collection, and who watches it can't tell that from a leak.
+// gcPercent lets garbage grow to the size of the live heap and no more. Both are small, so that this costs hardly any
+// time. With a higher value the resident size would grow for a minute or more before the first collection, which can't
+// be told from a leak.
 const gcPercent = 100
 
 // version is set by the linker for releases.
@@ -55,10 +55,10 @@
 	var sitePath string
 	cmd := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve clients, as " + config.EnvConfig + " says, until SIGTERM; SIGHUP reads it again",
+		Short: "Serve clients until SIGTERM, as configured in " + config.EnvConfig + "; SIGHUP reloads it",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals := notifySignals() // a SIGHUP before that would end the process
+			signals := notifySignals() // first: a SIGHUP before that ends the process
 			cfg, err := loadConfig(sitePath)
 			if err != nil {
 				return err
@@ -67,17 +67,17 @@
 		},
 	}
 	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "log at debug level")
-	cmd.Flags().StringVar(&sitePath, "site", "", "the operator's own file (HCL); SIGHUP reads it again")
+	cmd.Flags().StringVar(&sitePath, "site", "", "the operator's own file (HCL); SIGHUP reloads it")
 	return cmd
 }
 
-// loadWithin is for how long a start goes on reading its configuration where that fails for a moment.
+// While reading the configuration fails with an error that may pass, a start retries for this long.
 const (
 	loadTimeout       = 3 * time.Second
 	loadRetryInterval = 50 * time.Millisecond
 )
 
-// loadConfig reads the configuration and the operator's own file.
+// loadConfig reads the configuration and the operator's own file. An empty path: there is none.
 func loadConfig(sitePath string) (config.Config, error) {
 	for until := time.Now().Add(loadTimeout); ; time.Sleep(loadRetryInterval) {
 		cfg, err := config.Load()
@@ -90,15 +90,15 @@
 	}
 }
 
-// setRuntime fits the runtime to a machine of a part of a core and little memory.
+// setRuntime adapts the runtime to a machine with a fraction of a core and little memory.
 func setRuntime(l config.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(l.MemoryBytes)
 }
 
-// notifySignals takes the process's signals. Each kind has a channel of its own, with room for one: a second of the same
-// kind asks for nothing more.
+// notifySignals receives the process's signals. Each kind has a channel of its own with a buffer of one: a second signal
+// of the same kind adds nothing to one that waits.
 func notifySignals() net.Signals {
 	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -107,6 +107,7 @@
 	return net.Signals{Reload: reload, Terminate: end}
 }
 
+// runGateway runs the gateway until a signal ends it.
 func runGateway(cfg config.Config, verbose bool, signals net.Signals) error {
 	setRuntime(cfg.Limits)
 	cfg.Trace = verbose
@@ -115,19 +116,25 @@
 	return net.Run(cfg, newLog(lines, verbose), signals)
 }
 
-// logDrainTimeout is how long the end of the process waits for whoever reads the log.
+// logDrainTimeout is how long the process waits at its end until the log is written.
 const logDrainTimeout = 200 * time.Millisecond
 
-// droppedLinesEntry is the log line that reports lines that were lost.
+// droppedLinesEntry is the log entry that reports that lines were lost.
 func droppedLinesEntry(lines int) []byte {
 	return fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log: lines lost","lines":%d}`+"\n", time.Now().Format(timeLayout), lines)
 }
 
-// timeLayout is that of the log's time stamps.
+// timeLayout is the format of the log's timestamps.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// newLog writes JSON lines. Repeated ones are sampled, the first ten of a kind each second, then every hundredth; not at
-// debug level, where one request is to be followed by its id.
+// Of the lines with the same message, the first logBurst of each second are logged, then every logSampling-th.
+const (
+	logBurst    = 10
+	logSampling = 100
+)
+
+// newLog returns a logger that writes JSON lines. Repeated ones are sampled, but not at debug level, where one request
+// must be traceable by its id.
 func newLog(out zapcore.WriteSyncer, verbose bool) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -137,7 +144,7 @@
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), out, level)
 	if !verbose {
-		core = zapcore.NewSamplerWithOptions(core, time.Second, 10, 100)
+		core = zapcore.NewSamplerWithOptions(core, time.Second, logBurst, logSampling)
 	}
 	return zap.New(core)
 }
@@ -146,43 +153,52 @@
 	var sitePath string
 	cmd := &cobra.Command{
 		Use:   "check [FILE] [--site FILE]",
-		Short: "Read a configuration, the operator's own file or both, and say what holds",
+		Short: "Read a configuration, the operator's own file or both, and print the settings in force",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if len(args) == 0 {
-				if sitePath == "" {
-					return errors.New("check: name a configuration or, with --site, the operator's own file")
-				}
-				s, err := site.LoadFile(sitePath)
-				if err != nil {
-					return err
-				}
-				_, err = fmt.Fprint(cmd.OutOrStdout(), s)
-				return err
-			}
-			c, err := config.LoadFile(args[0])
-			if err != nil {
-				return err
-			}
-			if c, err = c.WithSite(sitePath); err != nil {
-				return err
-			}
-			l := c.Limits
-			_, err = fmt.Fprintf(cmd.OutOrStdout(),
-				"%s listens on %s, name service at %s\n%d classes, %d engines known at event %d\n"+
-					"at most %d clients, %d connections to engines, %d open requests, %d MB of heap\n",
-				c.Name, c.Listen, c.DNS, len(c.Settings.ClassNames), len(c.InitialList.Engines), c.InitialList.Seq,
-				l.MaxClients, l.MaxConns, l.MaxRequests, l.MemoryBytes>>20)
-			if err == nil && c.Site != nil {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "the operator's own file, %d bytes for the door to remember:\n%s", l.AdmissionStateBytes, c.Site)
+			switch {
+			case len(args) > 0:
+				return checkConfig(cmd.OutOrStdout(), args[0], sitePath)
+			case sitePath != "":
+				return checkSite(cmd.OutOrStdout(), sitePath)
 			}
-			return err
+			return errors.New("check: name a configuration or, with --site, the operator's own file")
 		},
 	}
 	cmd.Flags().StringVar(&sitePath, "site", "", "the operator's own file (HCL)")
 	return cmd
 }
 
+func checkSite(out io.Writer, path string) error {
+	s, err := site.LoadFile(path)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprint(out, s)
+	return err
+}
+
+// checkConfig prints what a configuration, with the operator's own file if that is named, comes to.
+func checkConfig(out io.Writer, path, sitePath string) error {
+	c, err := config.LoadFile(path)
+	if err != nil {
+		return err
+	}
+	if c, err = c.WithSite(sitePath); err != nil {
+		return err
+	}
+	l := c.Limits
+	p := &printer{w: out}
+	p.printf("%s listens on %s, name service at %s\n%d classes, %d engines known at event %d\n"+
+		"at most %d clients, %d connections to engines, %d open requests, %d MB of heap\n",
+		c.Name, c.Listen, c.DNS, len(c.Settings.ClassNames), len(c.InitialList.Engines), c.InitialList.Seq,
+		l.MaxClients, l.MaxConns, l.MaxRequests, l.MemoryBytes>>20)
+	if c.Site != nil {
+		p.printf("the operator's own file, %d bytes for the door to remember:\n%s", l.AdmissionStateBytes, c.Site)
+	}
+	return p.err
+}
+
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
--- a/cmd/foxlane/main_test.go
+++ b/cmd/foxlane/main_test.go
@@ -21,7 +21,7 @@
 	return out.String(), err
 }
 
-// The example's configuration is one that serves, and check says what it holds.
+// The example's configuration is valid, and check prints what is in force.
 func TestCheck(t *testing.T) {
 	out, err := execute("check", "../../example/config.json")
 	if err != nil || !strings.Contains(out, "n0 listens on 127.0.0.1:7001") || !strings.Contains(out, "3 classes, 2 engines") {
@@ -35,7 +35,7 @@
 	}
 }
 
-// The operator's file that is shipped holds, and what is wrong with another is named with its place.
+// The operator's file that is shipped is valid; an error in another is reported with its position.
 func TestCheckSite(t *testing.T) {
 	out, err := execute("check", "--site", "../../deploy/foxlane.hcl")
 	if err != nil || !strings.Contains(out, "ahead      = 4") {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Without a configuration, serve ends at once with one line that names it.
+// Without a configuration, serve ends at once with an error that names the variable.
 func TestServeNeedsConfiguration(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	if _, err := execute("serve"); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
@@ -74,8 +74,8 @@
 
 var garbage []byte
 
-// The collector was let wait until there was nine times as much garbage as is kept, so that memory grew
-// all through a long day. 64 MB of garbage leave it within a few MB.
+// With the collector at 900 percent the resident size grew all through a long day. Now 64 MB of garbage leave it within a
+// few MB.
 func TestGarbageIsCollectedEarly(t *testing.T) {
 	procs := runtime.GOMAXPROCS(0)
 	defer func() { runtime.GOMAXPROCS(procs); debug.SetGCPercent(100); debug.SetMemoryLimit(1 << 50) }()
--- a/cmd/foxlane/signals_test.go
+++ b/cmd/foxlane/signals_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A burst of SIGHUPs that nobody reads hides no SIGTERM, and one of them is left to be read.
+// SIGHUPs that nobody reads don't keep a SIGTERM from being received, and one of them is received, too.
 func TestBurstHidesNoEnd(t *testing.T) {
 	signals := notifySignals()
 	for range 32 {
--- a/cmd/foxlane/spool.go
+++ b/cmd/foxlane/spool.go
@@ -5,7 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"text/tabwriter"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,18 +15,21 @@
 	"foxlane/internal/spool/disk"
 )
 
-// This file owns the commands that look into a spool's folder while no gateway
-// uses it. They change nothing unless gc is told to.
+// This file owns `foxlane spool`: commands for the folder of a result store that no gateway uses. They change nothing,
+// except gc with --yes.
+
+// segmentBytes is the size of the segments that gc writes.
+const segmentBytes = 64 << 20
 
 func spoolCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "spool",
-		Short: "Look into the folder of a spool that no gateway uses",
+		Short: "Inspect the folder of a result store that no gateway uses",
 	}
 	var yes bool
 	gc := &cobra.Command{
 		Use:   "gc FOLDER",
-		Short: "Say which results are over; with --yes drop them and free their room",
+		Short: "Count the results that are over; with --yes drop them and free their space",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], !yes, func(s *disk.Store, rec *disk.Recovery) error {
@@ -35,135 +39,135 @@
 	}
 	gc.Flags().BoolVar(&yes, "yes", false, "write to the folder")
 	cmd.AddCommand(gc,
-		&cobra.Command{
-			Use:   "ls FOLDER",
-			Short: "List the results that are whole",
-			Args:  cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return withStore(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
-					return spoolList(cmd.OutOrStdout(), rec, time.Now())
-				})
-			},
-		},
-		&cobra.Command{
-			Use:   "show FOLDER ID",
-			Short: "Say where the chunks of a result lie; its rows are not shown",
-			Args:  cobra.ExactArgs(2),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return withStore(args[0], true, func(_ *disk.Store, rec *disk.Recovery) error {
-					return spoolShow(cmd.OutOrStdout(), rec, args[1])
-				})
-			},
-		},
-		&cobra.Command{
-			Use:   "verify FOLDER",
-			Short: "Read every chunk and compare its sums; fails if anything is damaged",
-			Args:  cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return withStore(args[0], true, func(s *disk.Store, rec *disk.Recovery) error {
-					return spoolVerify(cmd.OutOrStdout(), s, rec)
-				})
-			},
-		})
+		inspectCommand("ls FOLDER", "List the results that are complete", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, _ []string) error {
+			return spoolList(out, rec, time.Now())
+		}),
+		inspectCommand("show FOLDER ID", "Show where the chunks of a result are; its rows are not shown", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, args []string) error {
+			return spoolShow(out, rec, args[1])
+		}),
+		inspectCommand("verify FOLDER", "Read every chunk and compare its checksums; fails if anything is damaged", func(out io.Writer, s *disk.Store, rec *disk.Recovery, _ []string) error {
+			return spoolVerify(out, s, rec)
+		}))
 	return cmd
 }
 
+// inspectCommand is a command that only reads a folder. Its arguments are those that use names.
+func inspectCommand(use, short string, inspect func(out io.Writer, s *disk.Store, rec *disk.Recovery, args []string) error) *cobra.Command {
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.ExactArgs(len(strings.Fields(use)) - 1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return withStore(args[0], true, func(s *disk.Store, rec *disk.Recovery) error {
+				return inspect(cmd.OutOrStdout(), s, rec, args)
+			})
+		},
+	}
+}
+
+// withStore opens the store in a folder, and closes it when do has returned.
 func withStore(path string, readOnly bool, do func(*disk.Store, *disk.Recovery) error) (err error) {
 	folder, err := disk.OpenExisting(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	store, rec, err := disk.Open(folder, disk.Options{SegmentBytes: 64 << 20, ReadOnly: readOnly})
+	defer func() { err = errors.Join(err, folder.Close()) }()
+	store, rec, err := disk.Open(folder, disk.Options{SegmentBytes: segmentBytes, ReadOnly: readOnly})
 	if err != nil {
 		return err
 	}
 	return errors.Join(do(store, rec), store.Close())
 }
 
-func totalSize(places []spool.Location) (n int64) {
-	for _, p := range places {
-		n += int64(p.Size)
+// totalSize is the size of a result, in bytes.
+func totalSize(chunks []spool.Location) (n int64) {
+	for _, c := range chunks {
+		n += int64(c.Size)
 	}
 	return n
 }
 
+// formatTime is a time of the wall clock in UTC.
 func formatTime(unixMicro int64) string { return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339) }
 
 func spoolList(out io.Writer, rec *disk.Recovery, now time.Time) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "id\ttenant\tclass\tchunks\tbytes\tcreated\tlease\t")
-	for _, f := range rec.Results {
-		state := ""
-		if f.Meta.LeaseEnd < now.UnixMicro() {
-			state = "over"
+	err := printTable(out, 0, func(t *printer) {
+		t.printf("id\ttenant\tclass\tchunks\tbytes\tcreated\tlease\t\n")
+		for _, r := range rec.Results {
+			state := ""
+			if r.Meta.LeaseEnd < now.UnixMicro() {
+				state = "over"
+			}
+			t.printf("%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", r.ID[:], r.Meta.Tenant, r.Meta.Class, len(r.Locations), totalSize(r.Locations),
+				formatTime(r.Meta.Created), formatTime(r.Meta.LeaseEnd), state)
 		}
-		fmt.Fprintf(t, "%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", f.ID[:], f.Meta.Tenant, f.Meta.Class, len(f.Locations), totalSize(f.Locations),
-			formatTime(f.Meta.Created), formatTime(f.Meta.LeaseEnd), state)
-	}
-	if err := t.Flush(); err != nil {
+	})
+	if err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
+	_, err = fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
 		rec.Unfinished, rec.TornBytes)
 	return err
 }
 
+// spoolShow shows one result; name is its id in hexadecimal.
 func spoolShow(out io.Writer, rec *disk.Recovery, name string) error {
 	raw, err := hex.DecodeString(name)
 	if err != nil || len(raw) != len(spool.ID{}) {
 		return fmt.Errorf("spool: %.40q is no id; it has 32 hex digits, as ls prints them", name)
 	}
-	for _, f := range rec.Results {
-		if string(f.ID[:]) != string(raw) {
+	id := spool.ID(raw)
+	for _, r := range rec.Results {
+		if r.ID != id {
 			continue
 		}
-		fmt.Fprintf(out, "created %s, lease until %s\n", formatTime(f.Meta.Created), formatTime(f.Meta.LeaseEnd))
-		for n, p := range f.Locations {
-			fmt.Fprintf(out, "chunk %d: segment %d at %d, %d bytes\n", n, p.Segment, p.Offset, p.Size)
+		p := &printer{w: out}
+		p.printf("created %s, lease until %s\n", formatTime(r.Meta.Created), formatTime(r.Meta.LeaseEnd))
+		for n, c := range r.Locations {
+			p.printf("chunk %d: segment %d at %d, %d bytes\n", n, c.Segment, c.Offset, c.Size)
 		}
-		return nil
+		return p.err
 	}
-	for _, id := range rec.Lost {
-		if string(id[:]) == string(raw) {
-			return fmt.Errorf("spool: result %s is damaged", name)
-		}
+	if slices.Contains(rec.Lost, id) {
+		return fmt.Errorf("spool: result %s is damaged", name)
 	}
 	return fmt.Errorf("spool: no result %s", name)
 }
 
 func spoolVerify(out io.Writer, s *disk.Store, rec *disk.Recovery) error {
+	p := &printer{w: out}
 	for _, d := range rec.Damage {
-		whose := "of no known result"
+		owner := "of no known result"
 		if d.Known {
-			whose = fmt.Sprintf("of result %x", d.ID[:])
+			owner = fmt.Sprintf("of result %x", d.ID[:])
 		}
-		fmt.Fprintf(out, "segment %d: %d bytes at %d are damaged, %s\n", d.Segment, d.Size, d.Offset, whose)
-	}
-	bad := 0
-	for _, f := range rec.Results {
-		for n, p := range f.Locations {
-			if _, err := s.Read(f.ID, n, p); err != nil {
-				bad++
-				fmt.Fprintf(out, "result %x, chunk %d: %v\n", f.ID[:], n, err)
+		p.printf("segment %d: %d bytes at %d are damaged, %s\n", d.Segment, d.Size, d.Offset, owner)
+	}
+	unreadable := 0
+	for _, r := range rec.Results {
+		for n, c := range r.Locations {
+			if _, err := s.Read(r.ID, n, c); err != nil {
+				unreadable++
+				p.printf("result %x, chunk %d: %v\n", r.ID[:], n, err)
 			}
 		}
 	}
-	fmt.Fprintf(out, "%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
+	p.printf("%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
 		rec.Unfinished, rec.TornBytes)
-	if len(rec.Damage) > 0 || bad > 0 {
-		return fmt.Errorf("spool: %d stretches are damaged, %d chunks can't be read", len(rec.Damage), bad)
+	if len(rec.Damage) > 0 || unreadable > 0 {
+		return errors.Join(fmt.Errorf("spool: %d stretches are damaged, %d chunks can't be read", len(rec.Damage), unreadable), p.err)
 	}
-	return nil
+	return p.err
 }
 
+// spoolGC drops the results whose lease is over and compacts the store, or without yes only counts them.
 func spoolGC(out io.Writer, s *disk.Store, rec *disk.Recovery, now time.Time, yes bool) error {
 	var over []spool.ID
 	bytes := int64(0)
-	for _, f := range rec.Results {
-		if f.Meta.LeaseEnd < now.UnixMicro() {
-			over = append(over, f.ID)
-			bytes += totalSize(f.Locations)
+	for _, r := range rec.Results {
+		if r.Meta.LeaseEnd < now.UnixMicro() {
+			over = append(over, r.ID)
+			bytes += totalSize(r.Locations)
 		}
 	}
 	if !yes {
@@ -176,7 +180,7 @@
 			return d.Err
 		}
 	}
-	for last := int64(-1); s.Bytes() != last; { // until nothing more goes
+	for last := int64(-1); s.Bytes() != last; { // until compaction frees nothing more
 		last = s.Bytes()
 		if _, err := s.Compact(); err != nil {
 			return err
--- a/cmd/foxlane/spool_test.go
+++ b/cmd/foxlane/spool_test.go
@@ -40,7 +40,9 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	folder.Close()
+	if err := folder.Close(); err != nil {
+		t.Fatal(err)
+	}
 	return dir
 }
 
@@ -82,7 +84,7 @@
 		t.Errorf("gc: %v\n%s", err, out)
 	}
 	if folderContents(t, dir) != before {
-		t.Error("a command that was not told to has written to the folder")
+		t.Error("a command other than gc --yes has written to the folder")
 	}
 	if out, err := execute("spool", "gc", dir, "--yes"); err != nil || !strings.Contains(out, "2 results dropped") {
 		t.Errorf("gc --yes: %v\n%s", err, out)
@@ -92,7 +94,7 @@
 	}
 }
 
-// A torn tail and damage are told and left as they are.
+// A torn tail and damage are reported and left as they are.
 func TestSpoolVerifyTellsDamage(t *testing.T) {
 	now := time.Now()
 	dir := spoolFolder(t, now.Add(time.Hour), now.Add(time.Hour))
--- a/example/client/main.go
+++ b/example/client/main.go
@@ -1,9 +1,9 @@
-// Command client asks a gateway one query of each class, through an ordinary
-// MySQL client library, and prints the rows. It owns nothing but that.
+// Command client sends a gateway one query of each class, with an ordinary MySQL client library, and prints the rows.
 package main
 
 import (
 	"database/sql"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -22,27 +22,28 @@
 	}
 }
 
-func run(addr string) error {
+func run(addr string) (err error) {
 	db, err := sql.Open("mysql", "app@tcp("+addr+")/main")
 	if err != nil {
 		return err
 	}
-	defer db.Close()
+	defer func() { err = errors.Join(err, db.Close()) }()
 	for _, class := range []string{"point", "report", "load"} {
 		fields := fmt.Sprintf("/* kind=%s,req=%016x,timeout=10000 */ ", class, rand.Uint64())
-		if err := ask(db, fields+"SELECT day, count(*), max(note) FROM sales_17.orders GROUP BY day"); err != nil {
+		if err := printRows(db, fields+"SELECT day, count(*), max(note) FROM sales_17.orders GROUP BY day"); err != nil {
 			return fmt.Errorf("%s: %w", class, err)
 		}
 	}
 	return nil
 }
 
-func ask(db *sql.DB, query string) error {
+// printRows runs a query and prints its rows of three columns.
+func printRows(db *sql.DB, query string) (err error) {
 	rows, err := db.Query(query)
 	if err != nil {
 		return err
 	}
-	defer rows.Close()
+	defer func() { err = errors.Join(err, rows.Close()) }()
 	for rows.Next() {
 		var a, b, c string
 		if err := rows.Scan(&a, &b, &c); err != nil {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,5 @@
-// Command toy is a small world for a gateway to be tried in: two engines that
-// answer every statement with a few rows after a while, and a name service
-// that lists them. It owns nothing that a real deployment would use.
+// Command toy runs what a gateway needs to be tried: two fake engines that answer every statement with a few rows after a
+// while, and a name server that lists them. Nothing of it is for a real deployment.
 package main
 
 import (
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// answer takes a tenth of a second and gives two pages that say what was asked.
+// answer takes a tenth of a second and returns two pages that repeat the request.
 func answer(engine string, a standin.Request) standin.Reply {
 	fmt.Printf("%s: %s %s\n", engine, a.Fields["lane"], a.Statement)
 	statement := strings.NewReplacer("\t", " ", "\n", " ").Replace(a.Statement)
