--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -7,8 +7,13 @@
 	"strings"
 	"testing"
 	"time"
+
+	"go.uber.org/goleak"
 )
 
+// TestMain fails if a testbed or its clients leave goroutines behind.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
 // The targets of admission control that are measured in virtual time, so that the result is always the same.
 func TestAdmissionTargets(t *testing.T) {
 	if j := jainIndex(); j < 0.97 {
