--- a/cmd/foxlane/plan_test.go
+++ b/cmd/foxlane/plan_test.go
@@ -40,7 +40,11 @@
 	}{
 		{[]string{"plan"}, "name a configuration"},
 		{[]string{"plan", "../../example/config.json", "--lose", "hall-z"}, `no zone "hall-z"; there are hall-a, hall-b`},
-		{[]string{"plan", "../../example/config.json", "--load", "0"}, "--load"},
+		{[]string{"plan", "../../example/config.json", "--load", "0"}, "--load is 0,"},
+		{[]string{"plan", "../../example/config.json", "--load", "NaN"}, "--load is NaN,"},
+		{[]string{"plan", "../../example/config.json", "--at", "-1s"}, "--at is -1s,"},
+		{[]string{"plan", "../../example/config.json", "--after", "0s"}, "--after is 0s,"},
+		{[]string{"plan", "../../example/config.json", "--for", "2h"}, "--for is 2h0m0s,"},
 		{[]string{"plan", "../../example/config.json", "--site", "nowhere.hcl"}, "nowhere.hcl"},
 	} {
 		if _, err := execute(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
