--- a/cmd/foxlane/plan_test.go
+++ b/cmd/foxlane/plan_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The plan of the example's two halls: a table, and the same as JSON.
+// The plan of the example's two zones: a table, and the same as JSON.
 func TestPlanCommand(t *testing.T) {
 	out, err := execute("plan", "../../example/config.json", "--lose", "hall-a", "--return", "hall-a")
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	last := p.Seconds[len(p.Seconds)-1]
 	if last.Zones[0].Own != 0 || math.Abs(last.Zones[1].Own-12.8) > 1e-6 || last.Left > 1e-9 {
-		t.Errorf("hall-a is lost and hall-b, where its clients come to, has room for them: %+v", last)
+		t.Errorf("hall-a is lost and hall-b, which its clients use then, has capacity for them: %+v", last)
 	}
 }
 
@@ -40,7 +40,11 @@
 	}{
 		{[]string{"plan"}, "name a configuration"},
 		{[]string{"plan", "../../example/config.json", "--lose", "hall-z"}, `no zone "hall-z"; there are hall-a, hall-b`},
-		{[]string{"plan", "../../example/config.json", "--load", "0"}, "--load"},
+		{[]string{"plan", "../../example/config.json", "--load", "0"}, "--load is 0,"},
+		{[]string{"plan", "../../example/config.json", "--load", "NaN"}, "--load is NaN,"},
+		{[]string{"plan", "../../example/config.json", "--at", "-1s"}, "--at is -1s,"},
+		{[]string{"plan", "../../example/config.json", "--after", "0s"}, "--after is 0s,"},
+		{[]string{"plan", "../../example/config.json", "--for", "2h"}, "--for is 2h0m0s,"},
 		{[]string{"plan", "../../example/config.json", "--site", "nowhere.hcl"}, "nowhere.hcl"},
 	} {
 		if _, err := execute(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
