--- a/internal/net/helpers_test.go
+++ b/internal/net/helpers_test.go
@@ -208,13 +208,13 @@
 // newBareServer is a server without a reducer: events stay in the queue until the test takes them.
 func newBareServer(t *testing.T) *Server {
 	t.Helper()
-	return newBareServerOn(t, System())
+	return newBareServerOn(t, System(), ordinaryLimits)
 }
 
 // newBareServerOn is a server without a reducer on a platform that may be a double.
-func newBareServerOn(t *testing.T, platform Platform) *Server {
+func newBareServerOn(t *testing.T, platform Platform, limits string) *Server {
 	t.Helper()
-	server := newServer(platform, loopbackConfig(t, ordinaryLimits), zap.NewNop())
+	server := newServer(platform, loopbackConfig(t, limits), zap.NewNop())
 	if err := server.open(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/transient_test.go
+++ b/internal/net/transient_test.go
@@ -75,7 +75,7 @@
 			}
 			return System().Dial(ctx, addr)
 		}
-		server := newBareServerOn(t, p)
+		server := newBareServerOn(t, p, smallLimits)
 		addr := addrOf(engine)
 		server.startDial(1<<63|1, addr, rules.Second)
 		if ev := server.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
@@ -104,7 +104,7 @@
 		}
 		return System().DialUDP(addr)
 	}
-	server := newBareServerOn(t, p)
+	server := newBareServerOn(t, p, smallLimits)
 	calls.left.Store(4)
 	server.execute(gateway.SetNameServer{Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
 	buf := make([]byte, 16)
@@ -141,7 +141,7 @@
 	p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
 		return log, directives.PersistedState{}, nil
 	}
-	server := newBareServerOn(t, p)
+	server := newBareServerOn(t, p, smallLimits)
 	server.cfg.Site = &site.Config{Members: &site.Members{}, Directives: &site.Directives{Voters: []string{server.cfg.Name}, LogFolder: t.TempDir()}}
 	if err := server.openVoterLog(); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 
 // The end of the process does not wait for members that do not answer.
 func TestShutdownWaitsForMembersWithinBounds(t *testing.T) {
-	server := newBareServerOn(t, System())
+	server := newBareServerOn(t, System(), smallLimits)
 	stopped := make(chan struct{})
 	defer close(stopped)
 	server.leaveWorkers.Go(func() { <-stopped })
