--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -19,7 +19,7 @@
 
 	"foxlane/internal/asynclog"
 	"foxlane/internal/config"
-	"foxlane/internal/net"
+	"foxlane/internal/transport"
 	"foxlane/internal/site"
 	"foxlane/internal/syserr"
 )
@@ -99,21 +99,21 @@
 
 // notifySignals receives the process's signals. Each kind has a channel of its own with a buffer of one: a second signal
 // of the same kind adds nothing to one that waits.
-func notifySignals() net.Signals {
+func notifySignals() transport.Signals {
 	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE) // a log collector that goes away must not end the process
-	return net.Signals{Reload: reload, Terminate: end}
+	return transport.Signals{Reload: reload, Terminate: end}
 }
 
 // runGateway runs the gateway until a signal ends it.
-func runGateway(cfg config.Config, verbose bool, signals net.Signals) error {
+func runGateway(cfg config.Config, verbose bool, signals transport.Signals) error {
 	setRuntime(cfg.Limits)
 	cfg.Trace = verbose
 	lines := asynclog.New(os.Stderr, cfg.Limits.LogBufferBytes, droppedLinesEntry)
 	defer lines.Close(logDrainTimeout)
-	return net.Run(cfg, newLog(lines, verbose), signals)
+	return transport.Run(cfg, newLog(lines, verbose), signals)
 }
 
 // logDrainTimeout is how long the process waits at its end until the log is written.
--- a/internal/faultgateway/defects.go
+++ b/internal/faultgateway/defects.go
@@ -13,7 +13,7 @@
 
 	"foxlane/internal/config"
 	"foxlane/internal/gateway"
-	"foxlane/internal/net"
+	"foxlane/internal/transport"
 	"foxlane/rules"
 )
 
@@ -44,7 +44,7 @@
 var ErrUnknownDefect = errors.New("faultgateway: unknown defect")
 
 // withDefect puts a defect between sockets and reducer, or into the folder of results.
-func withDefect(name string, p net.Platform, clock *steppedClock) (net.Platform, error) {
+func withDefect(name string, p transport.Platform, clock *steppedClock) (transport.Platform, error) {
 	if name == "" {
 		return p, nil
 	}
@@ -53,7 +53,7 @@
 	}
 	if name == DefectSyncErrorIgnored {
 		open := p.OpenFolder
-		p.OpenFolder = func(path string) (net.Folder, error) {
+		p.OpenFolder = func(path string) (transport.Folder, error) {
 			folder, err := open(path)
 			if d, ok := folder.(*faultyFolder); ok {
 				d.hideSyncErrors = true
@@ -63,7 +63,7 @@
 		return p, nil
 	}
 	newReducer := p.Reducer
-	p.Reducer = func(cfg config.Config, now rules.Time) net.Reducer {
+	p.Reducer = func(cfg config.Config, now rules.Time) transport.Reducer {
 		return &defectiveReducer{Reducer: newReducer(cfg, now), name: name, clock: clock, engines: map[gateway.ConnID]bool{}, clients: map[gateway.ConnID]string{},
 			requests: map[string]engineRequest{}, dials: map[gateway.ConnID]netip.AddrPort{}, coldUntil: map[netip.AddrPort]rules.Time{},
 			highestSerial: cfg.InitialList.Seq, startedAt: now, draining: map[netip.AddrPort]bool{}}
@@ -73,7 +73,7 @@
 
 // defectiveReducer is a reducer with a planted defect: it changes the events that reach the reducer, and its effects.
 type defectiveReducer struct {
-	net.Reducer
+	transport.Reducer
 	name      string
 	clock     *steppedClock
 	now       rules.Time
--- a/internal/faultgateway/faultgateway.go
+++ b/internal/faultgateway/faultgateway.go
@@ -20,7 +20,7 @@
 
 	"foxlane/internal/asynclog"
 	"foxlane/internal/config"
-	"foxlane/internal/net"
+	"foxlane/internal/transport"
 )
 
 // EnvDefect is the environment variable that names the planted defect; empty: none.
@@ -105,5 +105,5 @@
 	if err != nil {
 		return err
 	}
-	return net.RunOn(platform, cfg, log, net.Signals{Reload: reload, Terminate: terminate})
+	return transport.RunOn(platform, cfg, log, transport.Signals{Reload: reload, Terminate: terminate})
 }
--- a/internal/faultgateway/platform.go
+++ b/internal/faultgateway/platform.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"sync/atomic"
 	"time"
 
-	"foxlane/internal/net"
+	"foxlane/internal/transport"
 	"foxlane/internal/spool/disk"
 )
 
@@ -33,33 +33,33 @@
 func (c *steppedClock) offset() time.Duration { return time.Duration(c.offsetNanos.Load()) }
 
 // newPlatform is the system's platform with the given clock, and with calls that fail or are delayed.
-func newPlatform(f *faults, clock *steppedClock) net.Platform {
-	p := net.System()
+func newPlatform(f *faults, clock *steppedClock) transport.Platform {
+	p := transport.System()
 	system := p
 	p.Clock = clock
-	p.Listen = func(addr string) (stdnet.Listener, error) {
+	p.Listen = func(addr string) (net.Listener, error) {
 		ln, err := system.Listen(addr)
 		if err != nil {
 			return nil, err
 		}
 		return &faultyListener{ln, f}, nil
 	}
-	p.Dial = func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+	p.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		if err := f.inject("dial"); err != nil {
-			return nil, &stdnet.OpError{Op: "dial", Net: "tcp", Err: err}
+			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
 		}
 		if late := f.dialDelay(); late > 0 {
 			select {
 			case <-ctx.Done():
-				return nil, &stdnet.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
+				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 			case <-time.After(late):
 			}
 		}
 		return system.Dial(ctx, addr)
 	}
-	p.DialUDP = func(addr netip.AddrPort) (stdnet.Conn, error) {
+	p.DialUDP = func(addr netip.AddrPort) (net.Conn, error) {
 		if err := f.inject("udp"); err != nil {
-			return nil, &stdnet.OpError{Op: "dial", Net: "udp", Err: err}
+			return nil, &net.OpError{Op: "dial", Net: "udp", Err: err}
 		}
 		conn, err := system.DialUDP(addr)
 		if err != nil {
@@ -67,7 +67,7 @@
 		}
 		return &faultyDatagramConn{conn, f}, nil
 	}
-	p.OpenFolder = func(path string) (net.Folder, error) {
+	p.OpenFolder = func(path string) (transport.Folder, error) {
 		folder, err := disk.OpenFolder(path)
 		if err != nil {
 			return nil, err
@@ -79,28 +79,28 @@
 
 // faultyListener is a listener whose Accept may fail.
 type faultyListener struct {
-	stdnet.Listener
+	net.Listener
 	faults *faults
 }
 
 // Accept accepts a connection, or fails.
-func (l *faultyListener) Accept() (stdnet.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	if err := l.faults.inject("accept"); err != nil {
-		return nil, &stdnet.OpError{Op: "accept", Net: "tcp", Err: err}
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: err}
 	}
 	return l.Listener.Accept()
 }
 
 // faultyDatagramConn is a UDP socket whose reads and writes may fail.
 type faultyDatagramConn struct {
-	stdnet.Conn
+	net.Conn
 	faults *faults
 }
 
 // Write sends a datagram, or fails.
 func (d *faultyDatagramConn) Write(p []byte) (int, error) {
 	if err := d.faults.inject("send"); err != nil {
-		return 0, &stdnet.OpError{Op: "write", Net: "udp", Err: err}
+		return 0, &net.OpError{Op: "write", Net: "udp", Err: err}
 	}
 	return d.Conn.Write(p)
 }
@@ -110,7 +110,7 @@
 	n, err := d.Conn.Read(p)
 	if err == nil {
 		if fault := d.faults.inject("receive"); fault != nil {
-			return 0, &stdnet.OpError{Op: "read", Net: "udp", Err: fault}
+			return 0, &net.OpError{Op: "read", Net: "udp", Err: fault}
 		}
 	}
 	return n, err
--- a/internal/net/accept.go
+++ b/internal/transport/accept.go
@@ -1,7 +1,7 @@
-package net
+package transport
 
 import (
-	stdnet "net"
+	"net"
 	"net/netip"
 	"time"
 
@@ -24,7 +24,7 @@
 	s.poller = nbio.NewEngine(nbio.Config{
 		Network: "tcp", Addrs: []string{s.cfg.Listen.String()}, NPoller: 1, ReadBufferSize: readBufferSize,
 		MaxConnReadTimesPerEventLoop: maxReadsPerEvent,
-		Listen: func(_, addr string) (ln stdnet.Listener, err error) {
+		Listen: func(_, addr string) (ln net.Listener, err error) {
 			ln, err = s.platform.Listen(addr)
 			s.listener = ln
 			return ln, err
@@ -89,8 +89,8 @@
 }
 
 // remoteIP returns the IP address of the other side, or the zero address.
-func remoteIP(a stdnet.Addr) netip.Addr {
-	if tcp, ok := a.(*stdnet.TCPAddr); ok {
+func remoteIP(a net.Addr) netip.Addr {
+	if tcp, ok := a.(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr().Unmap()
 	}
 	return netip.Addr{}
--- a/internal/net/backpressure_test.go
+++ b/internal/transport/backpressure_test.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"strings"
 	"sync"
@@ -26,7 +26,7 @@
 
 // stalledEngine is an engine that reads nothing until it is told to.
 type stalledEngine struct {
-	ln   stdnet.Listener
+	ln   net.Listener
 	read chan struct{} // closed: it reads from now on
 	asks atomic.Int64  // that have come whole
 	made atomic.Int64  // connections to it
@@ -35,7 +35,7 @@
 
 func newStalledEngine(t *testing.T) *stalledEngine {
 	t.Helper()
-	small := stdnet.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
 			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBuffer)
@@ -67,7 +67,7 @@
 }
 
 // serve counts the requests that come on a connection.
-func (e *stalledEngine) serve(c stdnet.Conn) {
+func (e *stalledEngine) serve(c net.Conn) {
 	defer func() { _ = c.Close() }() // the gateway may have reset it
 	<-e.read
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
@@ -100,9 +100,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			platform := System()
-			platform.Dial = func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+			platform.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 				c, err := dialTCP(ctx, addr)
-				if tcp, ok := c.(*stdnet.TCPConn); ok {
+				if tcp, ok := c.(*net.TCPConn); ok {
 					err = tcp.SetWriteBuffer(smallBuffer)
 				}
 				return c, err
--- a/internal/net/close.go
+++ b/internal/transport/close.go
@@ -1,8 +1,8 @@
-package net
+package transport
 
 import (
 	"errors"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"syscall"
 	"time"
@@ -100,7 +100,7 @@
 	return err == nil && sameAddress(remote, c.nb.RemoteAddr())
 }
 
-func sameAddress(a syscall.Sockaddr, b stdnet.Addr) bool {
+func sameAddress(a syscall.Sockaddr, b net.Addr) bool {
 	var at netip.AddrPort
 	switch a := a.(type) {
 	case *syscall.SockaddrInet4:
@@ -108,7 +108,7 @@
 	case *syscall.SockaddrInet6:
 		at = netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
 	}
-	tcp, ok := b.(*stdnet.TCPAddr)
+	tcp, ok := b.(*net.TCPAddr)
 	return ok && at.IsValid() && at == netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), tcp.AddrPort().Port())
 }
 
--- a/internal/net/close_test.go
+++ b/internal/transport/close_test.go
@@ -1,10 +1,10 @@
-package net
+package transport
 
 import (
 	"bytes"
 	"errors"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"strings"
 	"sync"
@@ -39,7 +39,7 @@
 	}
 	most := server.queue.maxBytes
 	room(0, 1) // the poller waits in a batch, on the first connection's bytes
-	send := func(nc stdnet.Conn) {
+	send := func(nc net.Conn) {
 		if _, err := nc.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	}
 	const fresh = 3
 	for range fresh {
-		nc, err := stdnet.Dial("tcp", server.cfg.Listen.String())
+		nc, err := net.Dial("tcp", server.cfg.Listen.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
-			nc, err := stdnet.Dial("tcp", s.addr)
+			nc, err := net.Dial("tcp", s.addr)
 			if err != nil {
 				t.Error(err)
 				return
@@ -140,7 +140,7 @@
 	server := newBareServer(t)
 	const leaving = 200
 	sender, _ := server.connectClient(t)
-	var gone []stdnet.Conn
+	var gone []net.Conn
 	ids := map[gateway.ConnID]bool{}
 	for range leaving {
 		nc, c := server.connectClient(t)
--- a/internal/net/conn.go
+++ b/internal/transport/conn.go
@@ -1,8 +1,8 @@
-package net
+package transport
 
 import (
 	"errors"
-	stdnet "net"
+	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -109,7 +109,7 @@
 		s.shutdownConn(c, errPeerNotReading)
 		return
 	}
-	if _, err := c.nb.Write(data); err != nil && !errors.Is(err, stdnet.ErrClosed) {
+	if _, err := c.nb.Write(data); err != nil && !errors.Is(err, net.ErrClosed) {
 		s.reserveDescriptor(c.nb.Hash())
 	}
 	s.noteBlocked(c)
--- a/internal/net/control.go
+++ b/internal/transport/control.go
@@ -1,9 +1,9 @@
-package net
+package transport
 
 import (
 	"bufio"
 	"bytes"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"sync"
 	"time"
@@ -25,23 +25,23 @@
 // controlServer takes requests of operators' commands, one line on each connection, passes them to the reducer and
 // writes its responses.
 type controlServer struct {
-	listener stdnet.Listener
+	listener net.Listener
 	queue    *eventQueue
 	log      *zap.Logger
 	workers  sync.WaitGroup
 
 	mu       sync.Mutex
-	conns    map[gateway.ConnID]stdnet.Conn // whose request is read or not answered yet
+	conns    map[gateway.ConnID]net.Conn // whose request is read or not answered yet
 	lastConn gateway.ConnID
 	closed   bool
 }
 
 func startControl(addr netip.AddrPort, queue *eventQueue, log *zap.Logger) (*controlServer, error) {
-	listener, err := stdnet.Listen("tcp", addr.String())
+	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	c := &controlServer{listener: listener, queue: queue, log: log, conns: map[gateway.ConnID]stdnet.Conn{}}
+	c := &controlServer{listener: listener, queue: queue, log: log, conns: map[gateway.ConnID]net.Conn{}}
 	c.workers.Go(c.accept)
 	return c, nil
 }
@@ -84,7 +84,7 @@
 	return c.closed
 }
 
-func (c *controlServer) add(conn stdnet.Conn) (id gateway.ConnID, ok bool) {
+func (c *controlServer) add(conn net.Conn) (id gateway.ConnID, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || len(c.conns) >= maxControlConns {
@@ -96,7 +96,7 @@
 }
 
 // readRequest passes a request to the reducer, whose response closes the connection.
-func (c *controlServer) readRequest(id gateway.ConnID, conn stdnet.Conn) {
+func (c *controlServer) readRequest(id gateway.ConnID, conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(controlTimeout)) // it fails on a closed connection, as Scan does then
 	in := bufio.NewScanner(conn)
 	in.Buffer(make([]byte, 0, 512), maxControlRequestSize)
--- a/internal/net/control_test.go
+++ b/internal/transport/control_test.go
@@ -1,10 +1,10 @@
-package net
+package transport
 
 import (
 	"bufio"
 	"errors"
 	"io"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"testing"
 	"time"
@@ -16,16 +16,16 @@
 )
 
 // newControl is a control server whose requests stay in the queue.
-func newControl(t *testing.T) (*controlServer, func(line string) (stdnet.Conn, *bufio.Reader)) {
+func newControl(t *testing.T) (*controlServer, func(line string) (net.Conn, *bufio.Reader)) {
 	t.Helper()
 	c, err := startControl(netip.MustParseAddrPort(freeAddress(t)), newEventQueue(config.Limits{EventQueueBytes: 1 << 20}), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.stop(); c.wait() })
-	return c, func(line string) (stdnet.Conn, *bufio.Reader) {
+	return c, func(line string) (net.Conn, *bufio.Reader) {
 		t.Helper()
-		conn, err := stdnet.Dial("tcp", c.listener.Addr().String())
+		conn, err := net.Dial("tcp", c.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/dial.go
+++ b/internal/transport/dial.go
@@ -1,9 +1,9 @@
-package net
+package transport
 
 import (
 	"context"
 	"errors"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"time"
 
@@ -54,7 +54,7 @@
 )
 
 // dialWithRetry dials, and dials again where the call failed for want of something on this machine.
-func (s *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+func (s *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	for attempt := 1; ; attempt++ {
 		std, err := s.platform.Dial(ctx, addr)
 		if err == nil || attempt == maxDialAttempts || !syserr.Local(err) || !sleep(ctx, dialRetryPause) {
@@ -68,7 +68,7 @@
 
 // registerDialed makes a connection that came up one of the server's. One whose dial was cancelled meanwhile is closed:
 // nothing would ever use it.
-func (s *Server) registerDialed(id gateway.ConnID, std stdnet.Conn) (*conn, error) {
+func (s *Server) registerDialed(id gateway.ConnID, std net.Conn) (*conn, error) {
 	nb, err := nbio.NBConn(std)
 	if err != nil {
 		_ = std.Close() // err says what is wrong with it
--- a/internal/net/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -1,10 +1,10 @@
-package net
+package transport
 
 import (
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"syscall"
 	"testing"
@@ -85,7 +85,7 @@
 	server := newBareServer(t)
 	ln := listenLoopback(t)
 	const id = gateway.ConnID(1<<63 | 9)
-	std, err := stdnet.Dial("tcp", ln.Addr().String())
+	std, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 func TestLocalDialErrors(t *testing.T) {
 	for err, ours := range map[error]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
 		syscall.ENOMEM: true, syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false} {
-		wrapped := &stdnet.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
+		wrapped := &net.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
 		if syserr.Local(wrapped) != ours {
 			t.Errorf("%v counts as ours: %v", err, !ours)
 		}
--- a/internal/net/dns.go
+++ b/internal/transport/dns.go
@@ -1,8 +1,8 @@
-package net
+package transport
 
 import (
 	"errors"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"time"
 
@@ -44,7 +44,7 @@
 }
 
 func (s *Server) closeDNS() {
-	for _, udp := range []stdnet.Conn{s.dnsConn, s.previousDNSConn} {
+	for _, udp := range []net.Conn{s.dnsConn, s.previousDNSConn} {
 		if udp != nil {
 			_ = udp.Close() // UDP: nothing is lost that matters
 		}
@@ -66,7 +66,7 @@
 }
 
 // readDNS queues what comes on a socket, until the socket is closed.
-func (s *Server) readDNS(udp stdnet.Conn) {
+func (s *Server) readDNS(udp net.Conn) {
 	buf := make([]byte, s.limits.MaxDatagramBytes)
 	for {
 		n, err := udp.Read(buf)
@@ -74,7 +74,7 @@
 		case err == nil:
 			skew := s.clock.skew()
 			s.queue.enqueueBytes(buf[:n], func(data []byte) gateway.Event { return gateway.DNSResponse{Data: data, ClockSkew: skew} })
-		case errors.Is(err, stdnet.ErrClosed):
+		case errors.Is(err, net.ErrClosed):
 			return
 		default:
 			time.Sleep(readErrorPause)
--- a/internal/net/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -1,11 +1,11 @@
-package net
+package transport
 
 import (
 	"context"
 	"database/sql"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"runtime"
@@ -244,12 +244,12 @@
 }
 
 // connectClient connects a client to a bare server.
-func (s *Server) connectClient(t *testing.T) (client stdnet.Conn, c *conn) {
+func (s *Server) connectClient(t *testing.T) (client net.Conn, c *conn) {
 	t.Helper()
 	s.mu.Lock()
 	had := s.lastAccepted
 	s.mu.Unlock()
-	client, err := stdnet.Dial("tcp", s.cfg.Listen.String())
+	client, err := net.Dial("tcp", s.cfg.Listen.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,9 +296,9 @@
 }
 
 // listenLoopback listens until the test ends.
-func listenLoopback(t *testing.T) stdnet.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -309,7 +309,7 @@
 // freeAddress is one on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,7 +317,7 @@
 	return ln.Addr().String()
 }
 
-func addrOf(ln stdnet.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
+func addrOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
 // mustClose closes what nothing else has closed.
 func mustClose(t *testing.T, c io.Closer) {
@@ -350,7 +350,7 @@
 
 func (f *transientFault) next() error {
 	if f.left.Add(-1) >= 0 {
-		return &stdnet.OpError{Op: "dial", Err: os.NewSyscallError("call", f.err)}
+		return &net.OpError{Op: "dial", Err: os.NewSyscallError("call", f.err)}
 	}
 	return nil
 }
--- a/internal/net/platform.go
+++ b/internal/transport/platform.go
@@ -1,8 +1,8 @@
-package net
+package transport
 
 import (
 	"context"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"time"
 
@@ -39,9 +39,9 @@
 // Platform is the clock, the sockets, the file system and the reducer of a gateway.
 type Platform struct {
 	Clock        Clock
-	Listen       func(addr string) (stdnet.Listener, error)
-	Dial         func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error)
-	DialUDP      func(addr netip.AddrPort) (stdnet.Conn, error)
+	Listen       func(addr string) (net.Listener, error)
+	Dial         func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
+	DialUDP      func(addr netip.AddrPort) (net.Conn, error)
 	OpenFolder   func(path string) (Folder, error)
 	OpenVoterLog func(path string) (VoterLog, directives.PersistedState, error)
 	Reducer      func(cfg config.Config, now rules.Time) Reducer
@@ -51,7 +51,7 @@
 func System() Platform {
 	return Platform{
 		Clock:   systemClock{time.Now()},
-		Listen:  func(addr string) (stdnet.Listener, error) { return stdnet.Listen("tcp", addr) },
+		Listen:  func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
 		Dial:    dialTCP,
 		DialUDP: dialUDP,
 		OpenFolder: func(path string) (Folder, error) {
@@ -73,13 +73,13 @@
 }
 
 // dialTCP connects by the standard library, which tells a refusal from a silence.
-func dialTCP(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
-	var dialer stdnet.Dialer
+func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
+	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", addr.String())
 }
 
-func dialUDP(addr netip.AddrPort) (stdnet.Conn, error) {
-	conn, err := stdnet.DialUDP("udp", nil, stdnet.UDPAddrFromAddrPort(addr))
+func dialUDP(addr netip.AddrPort) (net.Conn, error) {
+	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/net/server.go
+++ b/internal/transport/server.go
@@ -1,14 +1,14 @@
-// Package net is the transport of a gateway: it owns the sockets, the clock and the log, turns what happens there into
+// Package transport is the transport of a gateway: it owns the sockets, the clock and the log, turns what happens there into
 // events for the reducer and executes the effects that the reducer returns. It must never decide anything, look into the
 // bytes it carries, or keep the reducer waiting.
-package net
+package transport
 
 import (
 	"context"
 	"crypto/rand"
 	"errors"
 	"fmt"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"sync"
@@ -41,8 +41,8 @@
 	cancel   context.CancelFunc
 
 	// The name service (dns.go). Only the reducer's goroutine uses the connections.
-	dnsConn         stdnet.Conn // nil: it could not be opened
-	previousDNSConn stdnet.Conn // the one before, to which late answers may still come; nil: none
+	dnsConn         net.Conn // nil: it could not be opened
+	previousDNSConn net.Conn // the one before, to which late answers may still come; nil: none
 	dnsAddr         netip.AddrPort
 	dnsReaders      sync.WaitGroup
 
@@ -59,7 +59,7 @@
 
 	dialWorkers  sync.WaitGroup
 	devNull      *os.File
-	listener     stdnet.Listener
+	listener     net.Listener
 	shuttingDown atomic.Bool // nothing more is accepted
 
 	results *resultStore // nil: no results are kept on a disk
--- a/internal/net/server_test.go
+++ b/internal/transport/server_test.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	defer mustClose(t, conn)
-	nc, err := stdnet.Dial("tcp", s.addr)
+	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	defer s.end()
 	var crowd sync.WaitGroup
 	for i := range 300 {
-		nc, err := stdnet.Dial("tcp", s.addr)
+		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/shutdown.go
+++ b/internal/transport/shutdown.go
@@ -1,4 +1,4 @@
-package net
+package transport
 
 import (
 	"time"
--- a/internal/net/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -1,11 +1,11 @@
-package net
+package transport
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"syscall"
 	"testing"
@@ -38,7 +38,7 @@
 		t.Errorf("half closed: the one that asks %v, the idle one %v", ask.halfClosed, rest.halfClosed)
 	}
 	server.mu.Unlock()
-	if _, err := stdnet.DialTimeout("tcp", server.cfg.Listen.String(), time.Second); err == nil {
+	if _, err := net.DialTimeout("tcp", server.cfg.Listen.String(), time.Second); err == nil {
 		t.Error("a new connection was taken")
 	}
 	events, _ := server.queue.drain(nil, nil)
@@ -146,7 +146,7 @@
 func TestShutdownWithClientsThatNeverClose(t *testing.T) {
 	s := newTestbed(t, served(5*time.Millisecond, "a\tb\tc\n"))
 	for i := range 4 {
-		nc, err := stdnet.Dial("tcp", s.addr)
+		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/transient_test.go
+++ b/internal/transport/transient_test.go
@@ -1,9 +1,9 @@
-package net
+package transport
 
 import (
 	"context"
 	"errors"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"runtime"
@@ -30,13 +30,13 @@
 	listens.err, names.err = syscall.ENOBUFS, syscall.ENFILE
 	listens.left.Store(3)
 	names.left.Store(3)
-	p.Listen = func(addr string) (stdnet.Listener, error) {
+	p.Listen = func(addr string) (net.Listener, error) {
 		if err := listens.next(); err != nil {
 			return nil, err
 		}
 		return System().Listen(addr)
 	}
-	p.DialUDP = func(addr netip.AddrPort) (stdnet.Conn, error) {
+	p.DialUDP = func(addr netip.AddrPort) (net.Conn, error) {
 		if err := names.next(); err != nil {
 			return nil, err
 		}
@@ -47,7 +47,7 @@
 	go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{Terminate: stop}) }()
 	served := false
 	for i := 0; i < 200 && !served; i++ {
-		if c, err := stdnet.DialTimeout("tcp", cfg.Listen.String(), time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", cfg.Listen.String(), time.Second); err == nil {
 			served = true
 			mustClose(t, c)
 		}
@@ -69,7 +69,7 @@
 		p := System()
 		calls := transientFault{err: errno}
 		calls.left.Store(2)
-		p.Dial = func(ctx context.Context, addr netip.AddrPort) (stdnet.Conn, error) {
+		p.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 			if err := calls.next(); err != nil {
 				return nil, err
 			}
@@ -91,14 +91,14 @@
 
 // The name service is asked again within moments where its socket could not be opened at a reload.
 func TestNameServiceSocketRetried(t *testing.T) {
-	service, err := stdnet.ListenPacket("udp", "127.0.0.1:0")
+	service, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mustClose(t, service)
 	p := System()
 	calls := transientFault{err: syscall.ENOBUFS}
-	p.DialUDP = func(addr netip.AddrPort) (stdnet.Conn, error) {
+	p.DialUDP = func(addr netip.AddrPort) (net.Conn, error) {
 		if err := calls.next(); err != nil {
 			return nil, err
 		}
