--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -19,9 +19,9 @@
 
 	"foxlane/internal/asynclog"
 	"foxlane/internal/config"
-	"foxlane/internal/transport"
 	"foxlane/internal/site"
 	"foxlane/internal/syserr"
+	"foxlane/internal/transport"
 )
 
 // gcPercent lets garbage grow to the size of the live heap and no more. Both are small, so that this costs hardly any
--- a/internal/faultgateway/platform.go
+++ b/internal/faultgateway/platform.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"foxlane/internal/transport"
 	"foxlane/internal/spool/disk"
+	"foxlane/internal/transport"
 )
 
 // steppedClock is a clock whose wall time is stepped by commands; its monotonic time is the system's.
