--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -76,7 +76,7 @@
 )
 
 // reasonNames are parts of keys in the log (docs/ops/fair.md).
-var reasonNames = [reasonCount]string{"nothing", "room", "time", "connections", "silence", "ignoring", "input", "module"}
+var reasonNames = [reasonCount]string{"none", "capacity", "deadline", "connections", "silence", "early_return", "input", "module"}
 
 // String returns the name of a reason as the log has it.
 func (r Reason) String() string { return reasonNames[r] }
