--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -243,100 +243,134 @@
 	engines []config.Engine
 }
 
+// randomService is a name service whose list changes at random, and what its correct answers have restricted.
+type randomService struct {
+	history
+	rng      *rand.Rand
+	names    []string
+	state    map[string]string     // what the list says of each engine; empty: it is not listed
+	notified map[string]rules.Time // when a correct answer first said that an engine drains or was removed
+
+	correctDue, staleInRow int
+}
+
+func newRandomService(seed uint64) *randomService {
+	s := &randomService{history: history{base: -1}, rng: rand.New(rand.NewPCG(seed, 1)), state: map[string]string{}, notified: map[string]rules.Time{}}
+	for range 4 {
+		s.add()
+	}
+	s.publish()
+	return s
+}
+
+// add lists one more engine.
+func (s *randomService) add() {
+	name := fmt.Sprint("e", len(s.names))
+	s.names = append(s.names, name)
+	s.state[name] = on
+}
+
+// publish makes the present list a version.
+func (s *randomService) publish() {
+	var listed []config.Engine
+	for _, id := range s.names {
+		if s.state[id] != "" {
+			listed = append(listed, newEngine(id, s.state[id]))
+		}
+	}
+	s.versions = append(s.versions, version{uint32(len(s.versions) - s.base), listed})
+}
+
+func (s *randomService) present() version { return s.versions[len(s.versions)-1] }
+
+// change changes the list, or begins a new sequence of serials, at times.
+func (s *randomService) change() {
+	switch s.rng.IntN(25) {
+	case 0:
+		s.changeEngine(s.names[s.rng.IntN(len(s.names))])
+		s.publish()
+	case 1:
+		if s.rng.IntN(4) == 0 {
+			s.base = len(s.versions) - 2
+			s.publish()
+		}
+	}
+}
+
+func (s *randomService) changeEngine(id string) {
+	switch s.state[id] {
+	case on:
+		s.state[id] = off
+	case off:
+		s.state[id] = ""
+		if s.rng.IntN(3) == 0 {
+			s.state[id] = on
+			delete(s.notified, id)
+		}
+	default: // removed for good: another is added
+		s.add()
+	}
+}
+
+// answer lets a poll be lost, answered by a stale list, or answered correctly, once or twice.
+func (s *randomService) answer(f *fixture) {
+	f.lastQuery++
+	kind := s.rng.IntN(10)
+	switch {
+	case kind == 0: // lost
+		f.now += poll
+		f.list.Tick(f.now)
+		f.refresh()
+	case kind <= 2 && s.correctDue == 0 && s.staleInRow < 2:
+		old := s.versions[s.rng.IntN(len(s.versions))]
+		f.list.Tick(f.now + poll)
+		f.now += poll
+		f.list.Apply(f.now, Answer{QuerySeq: f.lastQuery, Serial: old.serial, Engines: old.engines})
+		f.refresh()
+		s.staleInRow++
+	default:
+		s.answerCorrectly(f)
+		if kind == 9 { // twice
+			f.answerTo(f.lastQuery, s.present().serial, s.present().engines...)
+		}
+	}
+}
+
+func (s *randomService) answerCorrectly(f *fixture) {
+	if s.staleInRow > 0 {
+		s.correctDue, s.staleInRow = max(s.correctDue, s.staleInRow+1), 0
+	}
+	s.correctDue = max(0, s.correctDue-1)
+	f.answerTo(f.lastQuery, s.present().serial, s.present().engines...)
+	for _, id := range s.names {
+		if _, known := s.notified[id]; !known && s.state[id] != on {
+			s.notified[id] = f.now
+		}
+	}
+}
+
 // Whatever is lost, late, duplicated, stale, of an earlier sequence or renumbered: an engine that drains or was removed by a correct
 // answer is never active after the grace, and in the end the list is the name service's. There are two stale answers in a row at most,
 // and at least as many correct ones after them.
 func TestRandomNameService(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		state := map[string]string{}
-		var names []string
-		for i := range 4 {
-			names = append(names, fmt.Sprint("e", i))
-			state[names[i]] = on
-		}
-		list := func() (out []config.Engine) {
-			for _, id := range names {
-				if state[id] != "" {
-					out = append(out, newEngine(id, state[id]))
-				}
-			}
-			return out
-		}
-		served := history{base: -1}
-		publish := func() {
-			served.versions = append(served.versions, version{uint32(len(served.versions) - served.base), list()})
-		}
-		publish()
-		f := newFixture(rt, served.versions[0].serial, served.versions[0].engines...)
-		notified := map[string]rules.Time{}
-		correctDue, staleInRow := 0, 0
+		service := newRandomService(rapid.Uint64().Draw(rt, "seed"))
+		f := newFixture(rt, service.versions[0].serial, service.versions[0].engines...)
 		for range 150 {
-			switch rng.IntN(25) {
-			case 0: // a change
-				id := names[rng.IntN(len(names))]
-				switch state[id] {
-				case on:
-					state[id] = off
-				case off:
-					state[id] = ""
-					if rng.IntN(3) == 0 {
-						state[id] = on
-						delete(notified, id)
-					}
-				default: // removed for good: another is added
-					names = append(names, fmt.Sprint("e", len(names)))
-					state[names[len(names)-1]] = on
-				}
-				publish()
-			case 1:
-				if rng.IntN(4) == 0 { // a new sequence of serials
-					served.base = len(served.versions) - 2
-					publish()
-				}
-			}
-			present := served.versions[len(served.versions)-1]
-			f.lastQuery++
-			kind := rng.IntN(10)
-			if kind == 0 { // lost
-				f.now += poll
-				f.list.Tick(f.now)
-				f.refresh()
-			} else if kind <= 2 && correctDue == 0 && staleInRow < 2 {
-				old := served.versions[rng.IntN(len(served.versions))]
-				f.list.Tick(f.now + poll)
-				f.now += poll
-				f.list.Apply(f.now, Answer{QuerySeq: f.lastQuery, Serial: old.serial, Engines: old.engines})
-				f.refresh()
-				staleInRow++
-			} else {
-				if staleInRow > 0 {
-					correctDue, staleInRow = max(correctDue, staleInRow+1), 0
-				}
-				correctDue = max(0, correctDue-1)
-				f.answerTo(f.lastQuery, present.serial, present.engines...)
-				for _, id := range names {
-					if _, known := notified[id]; !known && state[id] != on {
-						notified[id] = f.now
-					}
-				}
-				if kind == 9 { // twice
-					f.answerTo(f.lastQuery, present.serial, present.engines...)
-				}
-			}
-			for id, at := range notified {
+			service.change()
+			service.answer(f)
+			for id, at := range service.notified {
 				if f.states[id] == on && f.now-at > rules.Second {
 					rt.Fatalf("%s is active %d ms after its restriction was answered", id, (f.now-at)/rules.Millisecond)
 				}
 			}
 		}
-		present := served.versions[len(served.versions)-1]
 		for range 2 * maxSupport {
-			f.answer(present.serial, present.engines...)
+			f.answer(service.present().serial, service.present().engines...)
 		}
-		for _, id := range names {
-			if f.states[id] != state[id] {
-				rt.Fatalf("%s is %q, and %q in the list", id, f.states[id], state[id])
+		for _, id := range service.names {
+			if f.states[id] != service.state[id] {
+				rt.Fatalf("%s is %q, and %q in the list", id, f.states[id], service.state[id])
 			}
 		}
 	})
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -29,6 +29,8 @@
 		[]Fault{ReplaceEngines(8*second, 0.25, 5*second, 2*second), KillGateways(10*second, 0.7, second)}, 13, 25, 0.9},
 	{"list outage in a release", 0.7,
 		[]Fault{ReplaceEngines(6*second, 0.25, 4*second, 6*second), ListOutage(8*second, 8*second)}, 8, 25, 0.95},
+	{"a quarter of the engines slow, another fails at once", 0.4,
+		[]Fault{SlowEngines(8*second, 10*second, 0.25, 3), EngineErrors(8*second, 10*second, 0.25, 0.9)}, 8, 25, 0.95},
 }
 
 // In each scenario no cold engine collapses, no request stays without an answer, and enough is served.
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -39,9 +39,6 @@
 // Addr is the address the proxy listens on.
 func (p *TCPAndUDP) Addr() netip.AddrPort { return p.tcp.Addr() }
 
-// Reset resets all connections.
-func (p *TCPAndUDP) Reset() { p.tcp.Reset() }
-
 // Close stops the proxy with all of its connections.
 func (p *TCPAndUDP) Close() {
 	p.tcp.Close()
--- a/internal/harness/lifecycle.go
+++ b/internal/harness/lifecycle.go
@@ -59,7 +59,7 @@
 	g.mu.Unlock()
 	for time.Since(began) < startTimeout {
 		if proc.hasEnded() {
-			return fmt.Errorf("%w: %s: %v: %s", errEndedAtStart, g.name, proc.err, tail(g.log.String()))
+			return fmt.Errorf("%w: %s: %s: %s", errEndedAtStart, g.name, proc.exitText(), tail(g.log.String()))
 		}
 		if c, err := standin.Connect(g.listenAddr, netip.Addr{}, time.Second); err == nil {
 			c.Close()
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -33,6 +33,14 @@
 	logReader *logReader
 }
 
+// exitText says how a process that has ended exited.
+func (p *process) exitText() string {
+	if p.err == nil {
+		return "exit status 0"
+	}
+	return p.err.Error()
+}
+
 // spawn starts the process. A goroutine waits for its exit and closes ended.
 func (g *gateway) spawn() (*process, error) {
 	p := g.fleet.process
--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -74,8 +74,12 @@
 		return fmt.Errorf("found %v with %d chunks", f.ID, len(f.Locations))
 	}
 	for n, p := range f.Locations {
-		if got, err := s.Read(f.ID, n, p); err != nil || !bytes.Equal(got, rows(k, n)) {
-			return fmt.Errorf("chunk %d of result %d: %d bytes, %v", n, k, len(got), err)
+		got, err := s.Read(f.ID, n, p)
+		if err != nil {
+			return fmt.Errorf("chunk %d of result %d: %w", n, k, err)
+		}
+		if !bytes.Equal(got, rows(k, n)) {
+			return fmt.Errorf("chunk %d of result %d: %d bytes that differ", n, k, len(got))
 		}
 	}
 	return nil
