--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -46,8 +46,8 @@
 		if other == g || !other.gossips() {
 			continue
 		}
-		g.handleReplica(replica.Event{Kind: replica.Joined, Member: other.member()})
-		other.handleReplica(replica.Event{Kind: replica.Joined, Member: g.member()})
+		g.handleReplica(replica.Joined{Member: other.member()})
+		other.handleReplica(replica.Joined{Member: g.member()})
 	}
 	g.every(s.GossipInterval, g.gossipTick)
 }
@@ -65,7 +65,7 @@
 		}
 		for _, other := range f.gateways {
 			if other != g && other.gossips() {
-				other.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: memberName(g.index)}})
+				other.handleReplica(replica.Left{Member: replica.Member{Name: memberName(g.index)}})
 			}
 		}
 	})
@@ -103,7 +103,7 @@
 		published = byzantineView(view)
 	}
 	g.gossip.Publish(f.now, published)
-	g.handleReplica(replica.Event{Kind: replica.Tick})
+	g.handleReplica(replica.Tick{})
 	evaluated := g.gossip.Evaluate(f.now, view)
 	for _, id := range evaluated.Probe {
 		g.sendProbe(f.engineByID(id), true)
@@ -120,25 +120,26 @@
 func (g *gateway) handleReplica(e replica.Event) {
 	f, m := g.fleet, g.fleet.scenario.Gossip
 	for _, effect := range g.replica.Handle(f.now, e) {
-		if effect.Kind != replica.Send {
+		send, ok := effect.(replica.Send)
+		if !ok {
 			continue
 		}
-		f.Metrics.GossipBytes += len(effect.Data)
+		f.Metrics.GossipBytes += len(send.Data)
 		if f.rng.Float64() < m.Network.Loss || m.SilentFrom != 0 && f.now >= f.scenario.Start+m.SilentFrom {
 			continue
 		}
 		var index int
-		if _, err := fmt.Sscanf(effect.To, "g%d", &index); err != nil || index >= len(f.gateways) {
+		if _, err := fmt.Sscanf(send.To, "g%d", &index); err != nil || index >= len(f.gateways) {
 			continue
 		}
 		// The data is the replica's buffer, valid until its next call.
-		to, data, from := f.gateways[index], slices.Clone(effect.Data), memberName(g.index)
+		to, data, from := f.gateways[index], slices.Clone(send.Data), memberName(g.index)
 		if f.isCut(g.zone, to.zone) {
 			continue
 		}
 		to.after(m.Network.drawDelay(f.rng), func() {
 			if to.replica != nil {
-				to.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data})
+				to.handleReplica(replica.Received{From: replica.Member{Name: from}, Data: data})
 			}
 		})
 	}
--- a/internal/emulator/replicamember.go
+++ b/internal/emulator/replicamember.go
@@ -14,27 +14,27 @@
 
 // Receive takes a datagram.
 func (m *ReplicaMember) Receive(now rules.Time, from string, data []byte, send func(string, []byte)) {
-	m.handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: from}, Data: data}, send)
+	m.handle(now, replica.Received{From: replica.Member{Name: from}, Data: data}, send)
 }
 
 // Tick has the replica do what is due.
 func (m *ReplicaMember) Tick(now rules.Time, send func(string, []byte)) {
-	m.handle(now, replica.Event{Kind: replica.Tick}, send)
+	m.handle(now, replica.Tick{}, send)
 }
 
 // MemberJoined tells the replica of another member.
 func (m *ReplicaMember) MemberJoined(now rules.Time, member replica.Member) {
-	m.handle(now, replica.Event{Kind: replica.Joined, Member: member}, nil)
+	m.handle(now, replica.Joined{Member: member}, nil)
 }
 
 // MemberLeft tells the replica that another member has gone.
 func (m *ReplicaMember) MemberLeft(now rules.Time, name string) {
-	m.handle(now, replica.Event{Kind: replica.Left, Member: replica.Member{Name: name}}, nil)
+	m.handle(now, replica.Left{Member: replica.Member{Name: name}}, nil)
 }
 
 func (m *ReplicaMember) handle(now rules.Time, e replica.Event, send func(string, []byte)) {
 	for _, effect := range m.Replica.Handle(now, e) {
-		switch effect.Kind {
+		switch effect := effect.(type) {
 		case replica.Send:
 			send(effect.To, effect.Data)
 		case replica.Updated:
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -97,15 +97,15 @@
 	case PeerJoined:
 		peers.joinedAt[event.Name] = g.now
 		g.log(Info, "members: joined", Attr{keyMember, event.Name}, Attr{keyZone, event.Zone}, Attr{keyMembers, len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Joined, Member: replica.Member{Name: event.Name, Zone: event.Zone}})
+		g.handleReplica(replica.Joined{Member: replica.Member{Name: event.Name, Zone: event.Zone}})
 	case PeerLeft:
 		delete(peers.joinedAt, event.Name)
 		g.log(Info, "members: left", Attr{keyMember, event.Name}, Attr{keyMembers, len(peers.joinedAt)})
-		g.handleReplica(replica.Event{Kind: replica.Left, Member: replica.Member{Name: event.Name}})
+		g.handleReplica(replica.Left{Member: replica.Member{Name: event.Name}})
 	case PeerMessage:
 		switch {
 		case event.Channel == ChannelReplica:
-			g.handleReplica(replica.Event{Kind: replica.Received, Member: replica.Member{Name: event.Name}, Data: event.Data})
+			g.handleReplica(replica.Received{From: replica.Member{Name: event.Name}, Data: event.Data})
 		case g.directives == nil:
 		case event.Channel == ChannelConsensus:
 			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
@@ -120,11 +120,11 @@
 // handleReplica hands an event to the replicated state and carries out what that asks for.
 func (g *Gateway) handleReplica(event replica.Event) {
 	for _, effect := range g.peers.replica.Handle(g.now, event) {
-		switch effect.Kind {
+		switch effect := effect.(type) {
 		case replica.Send:
 			g.emit(SendToMember{To: effect.To, Channel: ChannelReplica, Data: effect.Data})
 		case replica.Reject:
-			g.log(Warn, "members: message rejected", Attr{keyMember, effect.Origin}, Attr{keyError, effect.Err.Error()})
+			g.log(Warn, "members: message rejected", Attr{keyMember, effect.From}, Attr{keyError, effect.Err.Error()})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	if peers.oddTick = !peers.oddTick; peers.oddTick {
-		g.handleReplica(replica.Event{Kind: replica.Tick})
+		g.handleReplica(replica.Tick{})
 		return
 	}
 	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
@@ -146,7 +146,7 @@
 		view.Zones = g.zones.router.Status(g.now)
 	}
 	peers.gossip.Publish(g.now, view)
-	g.handleReplica(replica.Event{Kind: replica.Tick})
+	g.handleReplica(replica.Tick{})
 	advice := peers.gossip.Evaluate(g.now, view)
 	if g.cfg.Settings.Rules.Limits.Probes {
 		for _, id := range advice.Probe {
--- a/internal/gossip/observations_test.go
+++ b/internal/gossip/observations_test.go
@@ -33,8 +33,8 @@
 	for i := range others {
 		name := fmt.Sprint("n", i)
 		other := newStore(name)
-		other.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: "us"}})
-		f.store.Handle(start, replica.Event{Kind: replica.Joined, Member: replica.Member{Name: name}})
+		other.Handle(start, replica.Joined{Member: replica.Member{Name: "us"}})
+		f.store.Handle(start, replica.Joined{Member: replica.Member{Name: name}})
 		f.others = append(f.others, other)
 	}
 	return f
@@ -45,9 +45,9 @@
 	var value replica.Value
 	copy(value[:], v)
 	f.others[i].Put(now, replica.Key{Kind: k, Subject: subject}, value)
-	for _, effect := range f.others[i].Handle(now, replica.Event{Kind: replica.Tick}) {
-		if effect.Kind == replica.Send {
-			f.store.Handle(now, replica.Event{Kind: replica.Received, Member: replica.Member{Name: fmt.Sprint("n", i)}, Data: effect.Data})
+	for _, effect := range f.others[i].Handle(now, replica.Tick{}) {
+		if send, ok := effect.(replica.Send); ok {
+			f.store.Handle(now, replica.Received{From: replica.Member{Name: fmt.Sprint("n", i)}, Data: send.Data})
 		}
 	}
 }
--- a/internal/replica/budget.go
+++ b/internal/replica/budget.go
@@ -48,7 +48,7 @@
 	s.sentBytes.Add(s.now, float64(len(msg)))
 	s.stats.BytesSent += len(msg)
 	s.stats.MessagesSent++
-	s.emit(Effect{Kind: Send, To: to, Data: append([]byte(nil), msg...)})
+	s.emit(Send{To: to, Data: append([]byte(nil), msg...)})
 }
 
 // sendWithinBudget sends a message, or drops it if the budget is used up.
--- a/internal/replica/merge.go
+++ b/internal/replica/merge.go
@@ -38,7 +38,7 @@
 
 func (s *Store) reject(from string, err error) {
 	s.stats.Rejected++
-	s.emit(Effect{Kind: Reject, Origin: from, Err: err})
+	s.emit(Reject{From: from, Err: err})
 }
 
 var errNameConflict = errors.New("replica: another process has our name")
@@ -126,7 +126,7 @@
 	if forward && urgent(e.Kind) {
 		s.spreadRumor(o, e.Key)
 	}
-	s.emit(Effect{Kind: Updated, Origin: o.name, Entry: accepted})
+	s.emit(Updated{Origin: o.name, Entry: accepted})
 }
 
 // verifyChecksums looks for bits that have flipped in memory, in a tenth of the origins per tick. A copy that does not match what was
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -19,50 +19,11 @@
 	"foxlane/rules"
 )
 
-// EventKind is what an Event reports.
-type EventKind int
-
-// Kinds of events.
-const (
-	Joined   EventKind = iota + 1 // Member has joined
-	Left                          // Member has left or is held to be dead
-	Received                      // Data arrived from Member
-	Tick                          // time has passed
-)
-
 // Member is another gateway.
 type Member struct {
 	Name, Zone string
 }
 
-// Event is something that happened.
-type Event struct {
-	Kind   EventKind
-	Member Member
-	Data   []byte // with Received; it is not retained
-}
-
-// EffectKind is what an Effect asks for.
-type EffectKind int
-
-// Kinds of effects.
-const (
-	Send    EffectKind = iota + 1 // send Data to the member To, as a datagram
-	Updated                       // Entry of Origin is new or newer here
-	Removed                       // Entry of Origin has expired or belongs to an earlier incarnation
-	Reject                        // a message of Origin can't be used, for Err
-)
-
-// Effect is something to do. Data is valid until the next Handle.
-type Effect struct {
-	Kind   EffectKind
-	To     string
-	Data   []byte
-	Origin string
-	Entry  Entry
-	Err    error
-}
-
 // Store holds the copies of one gateway.
 type Store struct {
 	settings        Settings
@@ -99,24 +60,24 @@
 }
 
 // Handle takes one event and returns what to do. The result is valid until the next call.
-func (s *Store) Handle(now rules.Time, e Event) []Effect {
+func (s *Store) Handle(now rules.Time, event Event) []Effect {
 	s.effects = s.effects[:0]
 	s.now = max(s.now, now)
 	s.expireEntries() // first: what expired while the process stood still must not be acted on
-	switch e.Kind {
+	switch event := event.(type) {
 	case Joined:
-		s.addMember(e.Member)
+		s.addMember(event.Member)
 	case Left:
-		s.removeMember(e.Member.Name)
+		s.removeMember(event.Member.Name)
 	case Received:
-		s.receive(e.Member.Name, e.Data)
+		s.receive(event.From.Name, event.Data)
 	case Tick:
 		s.tick()
 	}
 	return s.effects
 }
 
-func (s *Store) emit(e Effect) { s.effects = append(s.effects, e) }
+func (s *Store) emit(effect Effect) { s.effects = append(s.effects, effect) }
 
 // pauseThreshold is the gap between two ticks from which on the process is held to have been suspended.
 const pauseThreshold = 2 * rules.Second
@@ -246,7 +207,7 @@
 	}
 	delete(o.entries, k)
 	if o != s.own {
-		s.emit(Effect{Kind: Removed, Origin: o.name, Entry: *e})
+		s.emit(Removed{Origin: o.name, Entry: *e})
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -282,7 +282,7 @@
 	}
 	r := c.members[memberName(1)].Replica
 	acted := 0
-	r.Handle(c.Now+60*second, Event{Kind: Tick})
+	r.Handle(c.Now+60*second, Tick{})
 	r.Each(EngineFault, func(string, *Entry) { acted++ })
 	if acted != 0 {
 		t.Error("an entry of a minute ago is still there")
@@ -418,9 +418,9 @@
 		s := settingsOf(0, 1)
 		s.MaxEntries, s.MaxOrigins = 4, 3
 		r := New(s, start)
-		r.Handle(start, Event{Kind: Joined, Member: Member{Name: memberName(1)}})
-		r.Handle(start, Event{Kind: Received, Member: Member{Name: memberName(1)}, Data: data})
-		r.Handle(start+second, Event{Kind: Tick})
+		r.Handle(start, Joined{Member: Member{Name: memberName(1)}})
+		r.Handle(start, Received{From: Member{Name: memberName(1)}, Data: data})
+		r.Handle(start+second, Tick{})
 		if st := r.Stats(); st.Entries > 12 || st.Origins > 3 {
 			t.Errorf("%+v", st)
 		}
