--- a/cmd/foxlane/spool_test.go
+++ b/cmd/foxlane/spool_test.go
@@ -27,7 +27,7 @@
 	for k, lease := range leases {
 		id := spool.ID{byte(k + 1)}
 		rows := strings.Repeat("a\tb\tc\n", 100)
-		for _, d := range s.Commit([]spool.Effect{
+		for _, d := range s.Commit([]spool.WriteRecord{
 			{ID: id, Record: segment.Open, Data: segment.AppendMeta(nil, segment.Meta{Tenant: 7, Created: 1, LeaseEnd: lease.UnixMicro()})},
 			{ID: id, Record: segment.Chunk, Data: []byte(rows)},
 			{ID: id, Record: segment.Seal, Index: 1, Data: segment.AppendSummary(nil, segment.Summary{Chunks: 1, Bytes: uint64(len(rows))})},
--- a/internal/gateway/effects.go
+++ b/internal/gateway/effects.go
@@ -69,7 +69,7 @@
 type Exit struct{}
 
 // SubmitSpool has the spool's disk execute an effect. Its data stays as it is until SpoolCompleted reports it.
-type SubmitSpool struct{ Effect spool.Effect }
+type SubmitSpool struct{ Effect spool.DiskEffect }
 
 // NotifyDrained asks for WriteDrained once all that was written on a connection is taken.
 type NotifyDrained struct{ Conn ConnID }
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -23,8 +23,7 @@
 	g.reconfigurePeers()
 	g.reconfigureDirectives()
 	if g.results != nil {
-		budget := cfg.Site.Spool.Budget
-		g.handleSpool(spool.Event{Kind: spool.SetBudget, Budget: &budget})
+		g.handleSpool(spool.SetBudget{Budget: cfg.Site.Spool.Budget})
 	}
 	g.renewSocket(cfg.DNS)
 	g.list.Reload(g.now, cfg.InitialList.Seq, cfg.InitialList.Engines)
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -39,7 +39,7 @@
 			req.result.source = attempt
 			first := attempt.firstPage
 			attempt.firstPage = nil
-			g.handleSpool(spool.Event{Kind: spool.PageArrived, ID: req.result.handle.ID, PageCount: attempt.totalPages, Data: first})
+			g.handleSpool(spool.PageArrived{ID: req.result.handle.ID, PageCount: attempt.totalPages, Data: first})
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 		g.malformedAnswer(attempt, badRow)
 	default:
 		data := append(make([]byte, 0, len(body)), body...)
-		g.handleSpool(spool.Event{Kind: spool.PageArrived, ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
+		g.handleSpool(spool.PageArrived{ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
 	}
 }
 
@@ -75,7 +75,7 @@
 func (g *Gateway) stopFilling(attempt *engineAttempt) {
 	if result := &attempt.request.result; result.source == attempt {
 		result.source = nil
-		g.handleSpool(spool.Event{Kind: spool.AttemptFailed, ID: result.handle.ID})
+		g.handleSpool(spool.AttemptFailed{ID: result.handle.ID})
 	}
 }
 
--- a/internal/gateway/resultread.go
+++ b/internal/gateway/resultread.go
@@ -31,7 +31,7 @@
 	delete(g.results.filling, req.result.handle.ID)
 	client := req.client
 	if req.answered || client == nil {
-		g.handleSpool(spool.Event{Kind: spool.Release, ID: req.result.handle.ID})
+		g.handleSpool(spool.Release{ID: req.result.handle.ID})
 		return
 	}
 	client.reader = &resultReader{id: req.result.handle.ID, nextSeq: 1, resumable: req.result.resumable, handle: req.result.handle}
@@ -43,7 +43,7 @@
 func (g *Gateway) attachReader(client *clientConn, owner uint64, from int) {
 	reader := client.reader
 	reader.slot = g.results.readers.allocate(client)
-	g.handleSpool(spool.Event{Kind: spool.Attach, Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
+	g.handleSpool(spool.Attach{Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
 }
 
 // resumeResult takes a client's command to read a result again, or to release it.
@@ -56,21 +56,15 @@
 	client.reader = &resultReader{id: handle.ID, nextSeq: 1, resumable: true, handle: handle}
 	if resume.Release {
 		client.reader.slot = g.results.readers.allocate(client)
-		g.handleSpool(spool.Event{Kind: spool.Acknowledge, Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
+		g.handleSpool(spool.Acknowledge{Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
 		return
 	}
 	g.attachReader(client, tenantKey(resume.Tenant), resume.FromChunk)
 }
 
 // writeChunk writes a chunk and asks to be notified once the client's connection has taken it.
-func (g *Gateway) writeChunk(client *clientConn, effect spool.Effect) {
+func (g *Gateway) writeChunk(client *clientConn, effect spool.DeliverChunk) {
 	reader := client.reader
-	if effect.Data == nil && effect.Last && effect.Index < 0 { // an acknowledgement
-		g.removeReader(client)
-		g.writeOK(client)
-		g.clientBecameIdle(client)
-		return
-	}
 	if !reader.headerWritten {
 		reader.headerWritten = true
 		client.output, reader.nextSeq = mysql.AppendColumns(client.output, reader.nextSeq, columnNames)
@@ -94,14 +88,28 @@
 	}
 	client.output = mysql.AppendEnd(client.output, reader.nextSeq)
 	if reader.resumable { // stored until the client acknowledges it or its lease ends
-		g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
+		g.handleSpool(spool.Detach{Reader: reader.slot})
 	} else {
-		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: effect.Index + 1})
+		g.handleSpool(spool.NextChunk{Reader: reader.slot, Index: effect.Index + 1})
 	}
 	g.removeReader(client)
 	g.clientBecameIdle(client)
 }
 
+// resultAcknowledged answers a client that has released a result.
+func (g *Gateway) resultAcknowledged(client *clientConn) {
+	g.removeReader(client)
+	g.writeOK(client)
+	g.clientBecameIdle(client)
+}
+
+// resultDenied answers a client that may not have the result that it named.
+func (g *Gateway) resultDenied(client *clientConn) {
+	g.removeReader(client)
+	g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
+	g.clientBecameIdle(client)
+}
+
 // appendRow appends the next row of the result. It is well-formed: pages were checked when they came.
 func (r *resultReader) appendRow(output, row []byte) []byte {
 	output, r.nextSeq, _ = mysql.AppendRow(output, r.nextSeq, row, columnCount)
@@ -117,7 +125,7 @@
 // clientDrained gives a client that has taken a chunk the next one.
 func (g *Gateway) clientDrained(client *clientConn) {
 	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
-		g.handleSpool(spool.Event{Kind: spool.NextChunk, Reader: reader.slot, Index: reader.lastChunk + 1})
+		g.handleSpool(spool.NextChunk{Reader: reader.slot, Index: reader.lastChunk + 1})
 	}
 }
 
@@ -137,9 +145,9 @@
 		return
 	}
 	g.removeReader(client)
-	g.handleSpool(spool.Event{Kind: spool.Detach, Reader: reader.slot})
+	g.handleSpool(spool.Detach{Reader: reader.slot})
 	if !reader.resumable {
-		g.handleSpool(spool.Event{Kind: spool.Release, ID: reader.id})
+		g.handleSpool(spool.Release{ID: reader.id})
 	}
 }
 
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -7,7 +7,6 @@
 
 	"foxlane/internal/config"
 	"foxlane/internal/engine"
-	"foxlane/internal/mysql"
 	"foxlane/internal/spool"
 )
 
@@ -71,8 +70,8 @@
 
 func (g *Gateway) runSpoolEffect(effect spool.Effect) {
 	store := g.results
-	switch effect.Kind {
-	case spool.WriteRecord, spool.LoadChunk, spool.DiscardRecords:
+	switch effect := effect.(type) {
+	case spool.DiskEffect:
 		g.emit(SubmitSpool{Effect: effect})
 	case spool.SetTimer:
 		store.alarm = alarm(effect.At)
@@ -80,76 +79,98 @@
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.writeChunk(client, effect)
 		}
+	case spool.Acknowledged:
+		if client := store.readers.entries[effect.Reader]; client != nil {
+			g.resultAcknowledged(client)
+		}
 	case spool.Deny:
 		if client := store.readers.entries[effect.Reader]; client != nil {
-			g.removeReader(client)
-			g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
-			g.clientBecameIdle(client)
+			g.resultDenied(client)
 		}
 	case spool.AbortRead:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.abortReader(client, effect.Reason)
 		}
-	default:
-		if req := store.filling[effect.ID]; req != nil {
-			g.runResultEffect(req, effect)
+	case spool.FillEffect:
+		if req := store.filling[effect.ResultID()]; req != nil {
+			g.runFillEffect(req, effect)
 		}
 	}
 }
 
-// runResultEffect carries out what concerns a result that is being filled.
-func (g *Gateway) runResultEffect(req *queryRequest, effect spool.Effect) {
-	switch effect.Kind {
+// runFillEffect carries out what concerns a result that is being filled.
+func (g *Gateway) runFillEffect(req *queryRequest, effect spool.FillEffect) {
+	switch effect := effect.(type) {
 	case spool.Granted:
-		req.result.reserved = true
-		if !req.submitted {
-			g.submit(req)
-			return
-		}
-		g.startFilling(req)
+		g.resultGranted(req)
 	case spool.Rejected:
-		delete(g.results.filling, effect.ID)
-		req.result.reserved = false
-		g.log(Info, "spool: no capacity for a result", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
-		switch {
-		case req.answered:
-		case !req.submitted: // no attempt was made, so a retry is harmless
-			req.endReason = EndNoResultCapacity
-			g.writeRejection(req, capRetryAfter(&g.cfg.Settings.Rules.Limits, effect.RetryAfter))
-		default:
-			g.resultLost(req, effect.Reason)
-		}
+		g.resultRejected(req, effect)
 	case spool.FetchPages:
-		if attempt := req.result.source; attempt != nil {
-			for n := effect.Index; n < effect.End; n++ {
-				attempt.conn.output = engine.AppendFetchPage(attempt.conn.output, string(req.id), n)
-			}
-			g.markDirty(&attempt.conn.outputBuffer)
-		}
+		g.fetchPages(req, effect)
 	case spool.ReleaseEngine:
 		g.resultReceived(req)
 	case spool.Completed:
 		g.serveStored(req)
 	case spool.Failed:
-		delete(g.results.filling, effect.ID)
-		req.result.reserved = false
-		if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs capacity of its own
-			if !req.answered && !req.result.engineDone {
-				g.reserveResult(req)
-			}
-			return
-		}
-		g.log(Warn, "spool: result could not be stored", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
+		g.resultFailed(req, effect)
+	}
+}
+
+// resultGranted goes on with a request that has capacity for its result now.
+func (g *Gateway) resultGranted(req *queryRequest) {
+	req.result.reserved = true
+	if !req.submitted {
+		g.submit(req)
+		return
+	}
+	g.startFilling(req)
+}
+
+// resultRejected ends a request for whose result there is no capacity.
+func (g *Gateway) resultRejected(req *queryRequest, effect spool.Rejected) {
+	delete(g.results.filling, effect.ID)
+	req.result.reserved = false
+	g.log(Info, "spool: no capacity for a result", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
+	switch {
+	case req.answered:
+	case !req.submitted: // no attempt was made, so a retry is harmless
+		req.endReason = EndNoResultCapacity
+		g.writeRejection(req, capRetryAfter(&g.cfg.Settings.Rules.Limits, effect.RetryAfter))
+	default:
 		g.resultLost(req, effect.Reason)
 	}
 }
 
+// fetchPages asks the engine that fills a result for further pages.
+func (g *Gateway) fetchPages(req *queryRequest, effect spool.FetchPages) {
+	if attempt := req.result.source; attempt != nil {
+		for n := effect.Index; n < effect.End; n++ {
+			attempt.conn.output = engine.AppendFetchPage(attempt.conn.output, string(req.id), n)
+		}
+		g.markDirty(&attempt.conn.outputBuffer)
+	}
+}
+
+// resultFailed ends the filling of a result that can't be completed.
+func (g *Gateway) resultFailed(req *queryRequest, effect spool.Failed) {
+	delete(g.results.filling, effect.ID)
+	req.result.reserved = false
+	if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs capacity of its own
+		if !req.answered && !req.result.engineDone {
+			g.reserveResult(req)
+		}
+		return
+	}
+	g.log(Warn, "spool: result could not be stored", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
+	g.resultLost(req, effect.Reason)
+}
+
 // reserveResult asks the spool for capacity for a request's result.
 func (g *Gateway) reserveResult(req *queryRequest) {
 	handle := g.results.newHandle()
 	req.result.handle = handle
 	g.results.filling[handle.ID] = req
-	g.handleSpool(spool.Event{Kind: spool.Reserve, ID: handle.ID, Secret: handle.Secret(), Tenant: req.resultOwner, Class: req.class,
+	g.handleSpool(spool.Reserve{ID: handle.ID, Secret: handle.Secret(), Tenant: req.resultOwner, Class: req.class,
 		Durable: req.result.resumable})
 }
 
@@ -159,7 +180,7 @@
 		return
 	}
 	delete(g.results.filling, req.result.handle.ID)
-	g.handleSpool(spool.Event{Kind: spool.Release, ID: req.result.handle.ID})
+	g.handleSpool(spool.Release{ID: req.result.handle.ID})
 }
 
 // tenantKey names the owner of a result: the tenant that the request declared, else nobody, so that a client that returns from
@@ -180,7 +201,7 @@
 
 func (g *Gateway) wakeSpool() {
 	if store := g.results; store != nil && store.alarm.ring(g.now) {
-		g.handleSpool(spool.Event{Kind: spool.TimerFired})
+		g.handleSpool(spool.TimerFired{})
 	}
 }
 
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -52,7 +52,7 @@
 type spoolGateway struct {
 	*testGateway
 	records     [][]byte
-	pendingDisk []spool.Effect
+	pendingDisk []spool.DiskEffect
 	diskPaused  bool
 	diskFails   bool
 	watched     map[ConnID]bool
@@ -99,16 +99,16 @@
 	gw.pendingDisk = nil
 	for _, effect := range held {
 		var events []spool.Event
-		switch effect.Kind {
+		switch effect := effect.(type) {
 		case spool.WriteRecord:
 			place := spool.Location{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			gw.records = append(gw.records, bytes.Clone(effect.Data))
-			events = append(events, spool.Event{Kind: spool.RecordWritten, ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: gw.diskFails})
+			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: gw.diskFails})
 			if effect.Record == segment.Seal && !gw.diskFails {
-				events = append(events, spool.Event{Kind: spool.ResultSynced, ID: effect.ID})
+				events = append(events, spool.ResultSynced{ID: effect.ID})
 			}
 		case spool.LoadChunk:
-			events = append(events, spool.Event{Kind: spool.ChunkLoaded, ID: effect.ID, Reader: effect.Reader, Index: effect.Index, Data: gw.records[effect.Location.Offset], Failed: gw.diskFails})
+			events = append(events, spool.ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Data: gw.records[effect.Location.Offset], Failed: gw.diskFails})
 		default:
 			continue
 		}
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -354,20 +354,20 @@
 }
 
 // disk does what the spool asks for, after a while, and at times fails.
-func (sim *simulation) disk(effect spool.Effect) {
+func (sim *simulation) disk(effect spool.DiskEffect) {
 	fails := sim.chance(0.02)
 	sim.schedule(sim.latency(), func() {
 		var events []spool.Event
-		switch effect.Kind {
+		switch effect := effect.(type) {
 		case spool.WriteRecord:
 			place := spool.Location{Segment: 1, Offset: int64(len(sim.diskRecords)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			sim.diskRecords = append(sim.diskRecords, bytes.Clone(effect.Data))
-			events = append(events, spool.Event{Kind: spool.RecordWritten, ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: fails})
+			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: fails})
 			if effect.Record == segment.Seal && !fails {
-				events = append(events, spool.Event{Kind: spool.ResultSynced, ID: effect.ID})
+				events = append(events, spool.ResultSynced{ID: effect.ID})
 			}
 		case spool.LoadChunk:
-			events = append(events, spool.Event{Kind: spool.ChunkLoaded, ID: effect.ID, Reader: effect.Reader, Index: effect.Index, Data: sim.diskRecords[effect.Location.Offset], Failed: fails})
+			events = append(events, spool.ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Data: sim.diskRecords[effect.Location.Offset], Failed: fails})
 		default:
 			return
 		}
--- a/internal/spool/capacity.go
+++ b/internal/spool/capacity.go
@@ -8,7 +8,7 @@
 // tenantBytes, and that of reserved and bytes over all results.
 
 // reserve reserves capacity before a query is sent, so that a full store rejects only queries that never ran.
-func (s *Store) reserve(e Event) {
+func (s *Store) reserve(e Reserve) {
 	need := min(s.sizes.estimate(e.Class, e.Shape), s.budget.MaxResultBytes)
 	reason, after := s.makeRoom(e.Tenant, need)
 	if reason == ReasonNone && e.Durable && s.diskLost {
@@ -19,7 +19,7 @@
 	}
 	if reason != ReasonNone {
 		s.stats.Rejected++
-		s.emit(Effect{Kind: Rejected, ID: e.ID, Reason: reason, RetryAfter: after})
+		s.emit(Rejected{ID: e.ID, Reason: reason, RetryAfter: after})
 		return
 	}
 	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, shape: e.Shape, durable: e.Durable, state: filling,
@@ -27,7 +27,7 @@
 	s.results[e.ID] = r
 	s.addReservation(r, need)
 	s.stats.Reserved++
-	s.emit(Effect{Kind: Granted, ID: e.ID})
+	s.emit(Granted{ID: e.ID})
 }
 
 func anyResult(*result) bool { return true }
--- a/internal/spool/disk/compact.go
+++ b/internal/spool/disk/compact.go
@@ -55,7 +55,7 @@
 		s.entries[id] = fresh
 		s.addLive(fresh, 1)
 		for n := range len(fresh.chunks) {
-			out = append(out, Completion{Event: spool.Event{Kind: spool.ChunkMoved, ID: id, Index: n, Location: fresh.chunks[n]}})
+			out = append(out, Completion{Event: spool.ChunkMoved{ID: id, Index: n, Location: fresh.chunks[n]}})
 		}
 	}
 	_, err = s.Sweep()
--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -30,30 +30,30 @@
 func rows(k, n int) []byte { return bytes.Repeat([]byte{byte(k), byte(n), '\n'}, 20+10*(n%4)) }
 
 // writes returns the effects that write a result with this many chunks.
-func writes(k, chunks int) (out []spool.Effect) {
+func writes(k, chunks int) (out []spool.WriteRecord) {
 	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(k), Secret: [32]byte{byte(k)}, Class: 1, Created: 5, LeaseEnd: 100})
-	out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Open, Data: meta})
+	out = append(out, spool.WriteRecord{ID: id(k), Record: segment.Open, Data: meta})
 	sum := uint64(0)
 	for n := range chunks {
 		sum += uint64(len(rows(k, n)))
-		out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Chunk, Index: n, Data: rows(k, n)})
+		out = append(out, spool.WriteRecord{ID: id(k), Record: segment.Chunk, Index: n, Data: rows(k, n)})
 	}
-	return append(out, spool.Effect{Kind: spool.WriteRecord, ID: id(k), Record: segment.Seal, Index: chunks,
+	return append(out, spool.WriteRecord{ID: id(k), Record: segment.Seal, Index: chunks,
 		Data: segment.AppendSummary(nil, segment.Summary{Chunks: uint32(chunks), Bytes: sum})})
 }
 
-func drop(k int) []spool.Effect {
-	return []spool.Effect{{Kind: spool.WriteRecord, ID: id(k), Record: segment.Drop}}
+func drop(k int) []spool.WriteRecord {
+	return []spool.WriteRecord{{ID: id(k), Record: segment.Drop}}
 }
 
 // synced returns the results that a commit reported as synced, and those that it reported as failed.
 func synced(done []Completion) (good, bad []spool.ID) {
 	for _, d := range done {
-		if d.Event.Kind == spool.ResultSynced {
-			if d.Event.Failed {
-				bad = append(bad, d.Event.ID)
+		if e, ok := d.Event.(spool.ResultSynced); ok {
+			if e.Failed {
+				bad = append(bad, e.ID)
 			} else {
-				good = append(good, d.Event.ID)
+				good = append(good, e.ID)
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 		fs.failWrite = n
 		failed := false
 		for _, d := range s.Commit(writes(9, 8)) {
-			if d.Event.Kind == spool.RecordWritten && d.Event.Failed {
+			if e, ok := d.Event.(spool.RecordWritten); ok && e.Failed {
 				failed = true
 			}
 		}
@@ -250,7 +250,8 @@
 	good, bad := synced(done)
 	reported := false
 	for _, d := range done {
-		reported = reported || d.Event.Kind == spool.SegmentTailLost
+		_, lost := d.Event.(spool.SegmentTailLost)
+		reported = reported || lost
 	}
 	if len(good) != 0 || len(bad) != 1 || !reported {
 		t.Fatalf("acknowledged %v, refused %v, told %v", good, bad, reported)
@@ -301,8 +302,8 @@
 			t.Fatal(err)
 		}
 		for _, d := range done {
-			if d.Event.Kind == spool.ChunkMoved {
-				if got, err := s.Read(d.Event.ID, d.Event.Index, d.Event.Location); err != nil || !bytes.Equal(got, rows(int(d.Event.ID[0]), d.Event.Index)) {
+			if e, ok := d.Event.(spool.ChunkMoved); ok {
+				if got, err := s.Read(e.ID, e.Index, e.Location); err != nil || !bytes.Equal(got, rows(int(e.ID[0]), e.Index)) {
 					t.Fatalf("moved chunk: %v", err)
 				}
 			}
@@ -415,7 +416,8 @@
 				if k > 0 {
 					d := rapid.IntRange(1, k).Draw(rt, "dropped")
 					for _, done := range s.Commit(drop(d)) {
-						if n, ok := kept[d]; ok && done.Event.Kind == spool.RecordWritten {
+						_, written := done.Event.(spool.RecordWritten)
+						if n, ok := kept[d]; ok && written {
 							maybe[d] = n // a Drop is not synced by itself
 							delete(kept, d)
 						}
--- a/internal/spool/disk/index.go
+++ b/internal/spool/disk/index.go
@@ -80,7 +80,7 @@
 }
 
 // trackRecord updates the index after a record was written.
-func (s *Store) trackRecord(f *spool.Effect, at spool.Location) {
+func (s *Store) trackRecord(f *spool.WriteRecord, at spool.Location) {
 	e := s.entries[f.ID]
 	switch f.Record {
 	case segment.Open:
--- a/internal/spool/disk/recover_test.go
+++ b/internal/spool/disk/recover_test.go
@@ -41,8 +41,8 @@
 	sealed := func(k int) bool {
 		ok := false
 		for _, d := range s.Commit(writes(k, 2)) {
-			if d.Event.Kind == spool.ResultSynced {
-				ok = !d.Event.Failed
+			if e, synced := d.Event.(spool.ResultSynced); synced {
+				ok = !e.Failed
 			}
 		}
 		return ok
--- a/internal/spool/disk/worker.go
+++ b/internal/spool/disk/worker.go
@@ -12,7 +12,7 @@
 // a slow disk blocks nobody. It never calls back on the caller's goroutine.
 type Worker struct {
 	store        *Store
-	queue        chan spool.Effect
+	queue        chan spool.DiskEffect
 	deliver      func([]spool.Event)
 	onError      func(error)
 	compactAbove int64
@@ -29,14 +29,14 @@
 // deliver gets events in order, and onError each error for the log, both on the worker's goroutine. Segments are
 // compacted once more than compactAbove bytes, and more than half of all, are wasted.
 func NewWorker(store *Store, queueLength int, compactAbove int64, deliver func([]spool.Event), onError func(error)) *Worker {
-	w := &Worker{store: store, queue: make(chan spool.Effect, queueLength), deliver: deliver, onError: onError, compactAbove: compactAbove}
+	w := &Worker{store: store, queue: make(chan spool.DiskEffect, queueLength), deliver: deliver, onError: onError, compactAbove: compactAbove}
 	w.stopped.Add(1)
 	go w.run()
 	return w
 }
 
-// Submit queues a WriteRecord, LoadChunk or DiscardRecords. The effect's Data must not change until it is answered.
-func (w *Worker) Submit(f spool.Effect) error {
+// Submit queues an effect. The Data of a WriteRecord must not change until it is answered.
+func (w *Worker) Submit(f spool.DiskEffect) error {
 	select {
 	case w.queue <- f:
 		return nil
@@ -54,7 +54,7 @@
 
 func (w *Worker) run() {
 	defer w.stopped.Done()
-	batch := make([]spool.Effect, 0, maxBatch)
+	batch := make([]spool.DiskEffect, 0, maxBatch)
 	for f := range w.queue {
 		batch = w.fillBatch(append(batch[:0], f))
 		w.execute(batch)
@@ -63,7 +63,7 @@
 }
 
 // fillBatch adds the effects that are queued already.
-func (w *Worker) fillBatch(batch []spool.Effect) []spool.Effect {
+func (w *Worker) fillBatch(batch []spool.DiskEffect) []spool.DiskEffect {
 	for len(batch) < maxBatch {
 		select {
 		case f, ok := <-w.queue:
@@ -79,27 +79,24 @@
 }
 
 // execute executes a batch in order, with one commit for records that follow one another.
-func (w *Worker) execute(batch []spool.Effect) {
+func (w *Worker) execute(batch []spool.DiskEffect) {
 	var events []spool.Event
+	var writes []spool.WriteRecord // that follow one another and are not committed yet
 	discarded := false
-	for i := 0; i < len(batch); {
-		end := i
-		for end < len(batch) && batch[end].Kind == spool.WriteRecord {
-			end++
-		}
-		if end > i {
-			events = w.report(events, w.store.Commit(batch[i:end]))
-			i = end
+	for _, effect := range batch {
+		if write, ok := effect.(spool.WriteRecord); ok {
+			writes = append(writes, write)
 			continue
 		}
-		switch f := &batch[i]; f.Kind {
+		events, writes = w.commit(events, writes), writes[:0]
+		switch effect := effect.(type) {
 		case spool.LoadChunk:
-			events = append(events, w.load(f))
+			events = append(events, w.load(effect))
 		case spool.DiscardRecords:
 			discarded = true
 		}
-		i++
 	}
+	events = w.commit(events, writes)
 	if discarded {
 		events = w.freeSegments(events)
 	}
@@ -108,6 +105,14 @@
 	}
 }
 
+// commit writes records that follow one another, if there are any, and appends the events that answer them.
+func (w *Worker) commit(events []spool.Event, writes []spool.WriteRecord) []spool.Event {
+	if len(writes) == 0 {
+		return events
+	}
+	return w.report(events, w.store.Commit(writes))
+}
+
 // report appends the events of completions, and passes their errors on.
 func (w *Worker) report(events []spool.Event, completions []Completion) []spool.Event {
 	for _, c := range completions {
@@ -119,13 +124,12 @@
 	return events
 }
 
-func (w *Worker) load(f *spool.Effect) spool.Event {
+func (w *Worker) load(f spool.LoadChunk) spool.Event {
 	data, err := w.store.Read(f.ID, f.Index, f.Location)
 	if err != nil {
 		w.onError(err)
 	}
-	return spool.Event{Kind: spool.ChunkLoaded, Reader: f.Reader, ID: f.ID, Index: f.Index, Data: data, Failed: err != nil,
-		Corrupt: errors.Is(err, ErrCorrupt)}
+	return spool.ChunkLoaded{Reader: f.Reader, Index: f.Index, Data: data, Failed: err != nil, Corrupt: errors.Is(err, ErrCorrupt)}
 }
 
 // freeSegments removes segments without live records, and compacts if too much is wasted.
@@ -144,9 +148,9 @@
 }
 
 // DropEffects returns the effects that write the records which end results.
-func DropEffects(ids []spool.ID) (out []spool.Effect) {
+func DropEffects(ids []spool.ID) (out []spool.WriteRecord) {
 	for _, id := range ids {
-		out = append(out, spool.Effect{Kind: spool.WriteRecord, ID: id, Record: segment.Drop})
+		out = append(out, spool.WriteRecord{ID: id, Record: segment.Drop})
 	}
 	return out
 }
--- a/internal/spool/disk/worker_test.go
+++ b/internal/spool/disk/worker_test.go
@@ -39,10 +39,13 @@
 
 func newInbox() *inbox { return &inbox{came: make(chan struct{}, 1000)} }
 
-func (i *inbox) deliver(e []spool.Event) {
+func (i *inbox) deliver(events []spool.Event) {
 	i.mu.Lock()
-	for _, e := range e {
-		e.Data = bytes.Clone(e.Data)
+	for _, e := range events {
+		if loaded, ok := e.(spool.ChunkLoaded); ok {
+			loaded.Data = bytes.Clone(loaded.Data)
+			e = loaded
+		}
 		i.events = append(i.events, e)
 		i.came <- struct{}{}
 	}
@@ -65,6 +68,19 @@
 	return out
 }
 
+// failed tells whether an event reports a failure.
+func failed(e spool.Event) bool {
+	switch e := e.(type) {
+	case spool.RecordWritten:
+		return e.Failed
+	case spool.ResultSynced:
+		return e.Failed
+	case spool.ChunkLoaded:
+		return e.Failed
+	}
+	return false
+}
+
 // A slow disk does not block Submit, and effects beyond the queue are rejected at once.
 func TestSlowDiskDoesNotBlockCallers(t *testing.T) {
 	s, _ := open(t, slowFS{newMemoryFS(), 5 * time.Millisecond})
@@ -103,24 +119,24 @@
 			}
 		}
 		for _, e := range in.wait(t, 8) { // open, five chunks, seal, sync
-			if e.Kind == spool.RecordWritten && e.Record == 2 {
+			if e, ok := e.(spool.RecordWritten); ok && e.Record == 2 {
 				places[k] = append(places[k], e.Location)
 			}
-			if e.Failed {
+			if failed(e) {
 				t.Fatalf("%+v", e)
 			}
 		}
 	}
-	if err := r.Submit(spool.Effect{Kind: spool.LoadChunk, Reader: 4, ID: id(3), Index: 2, Location: places[3][2]}); err != nil {
+	if err := r.Submit(spool.LoadChunk{Reader: 4, ID: id(3), Index: 2, Location: places[3][2]}); err != nil {
 		t.Fatal(err)
 	}
-	if e := in.wait(t, 1)[0]; e.Kind != spool.ChunkLoaded || e.Reader != 4 || !bytes.Equal(e.Data, rows(3, 2)) {
+	if e, ok := in.wait(t, 1)[0].(spool.ChunkLoaded); !ok || e.Reader != 4 || !bytes.Equal(e.Data, rows(3, 2)) {
 		t.Errorf("read %+v", e)
 	}
 	before := fs.size()
 	for _, k := range []int{0, 1, 2, 4, 5, 6, 7, 9} {
 		_ = r.Submit(drop(k)[0])
-		_ = r.Submit(spool.Effect{Kind: spool.DiscardRecords, ID: id(k)})
+		_ = r.Submit(spool.DiscardRecords{ID: id(k)})
 	}
 	in.wait(t, 8)
 	if err := r.Close(); err != nil { // carries out all that was handed over
--- a/internal/spool/disk/write.go
+++ b/internal/spool/disk/write.go
@@ -9,7 +9,7 @@
 	"foxlane/internal/spool/segment"
 )
 
-// Completion answers one WriteRecord effect: an event for the result store, and the error behind a failure. A Seal is
+// Completion answers one WriteRecord: an event for the result store, and the error behind a failure. A Seal is
 // answered by RecordWritten and, after the sync, by ResultSynced.
 type Completion struct {
 	Event spool.Event
@@ -18,19 +18,22 @@
 
 // Commit appends records, and syncs once if there is a seal among them. The events are for the result store, in order.
 // The Data of the effects is used during the call only.
-func (s *Store) Commit(writes []spool.Effect) (out []Completion) {
+func (s *Store) Commit(writes []spool.WriteRecord) (out []Completion) {
 	var seals []spool.ID
 	for i := range writes {
 		f := &writes[i]
+		written := spool.RecordWritten{ID: f.ID, Record: f.Record, Index: f.Index}
 		at, err := s.writeRecord(f)
 		if err != nil {
-			out = append(out, Completion{spool.Event{Kind: spool.RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Failed: true}, err})
+			written.Failed = true
+			out = append(out, Completion{written, err})
 			if e := s.entries[f.ID]; e != nil {
 				e.broken = true // its seal must not be reported as synced, whatever follows
 			}
 			continue
 		}
-		out = append(out, Completion{Event: spool.Event{Kind: spool.RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Location: at}})
+		written.Location = at
+		out = append(out, Completion{Event: written})
 		if f.Record == segment.Seal {
 			seals = append(seals, f.ID)
 		}
@@ -41,7 +44,7 @@
 	out = s.takeSyncFailures(out)
 	for _, id := range seals {
 		e := s.entries[id]
-		out = append(out, Completion{Event: spool.Event{Kind: spool.ResultSynced, ID: id, Failed: e == nil || e.broken}})
+		out = append(out, Completion{Event: spool.ResultSynced{ID: id, Failed: e == nil || e.broken}})
 	}
 	return out
 }
@@ -54,7 +57,7 @@
 }
 
 // writeRecord appends the record of an effect.
-func (s *Store) writeRecord(f *spool.Effect) (spool.Location, error) {
+func (s *Store) writeRecord(f *spool.WriteRecord) (spool.Location, error) {
 	g, err := s.activeSegment()
 	if err != nil {
 		return spool.Location{}, err
@@ -140,7 +143,7 @@
 		g.syncedBytes = g.size
 		return nil
 	}
-	lost := spool.Location{Segment: g.number, Offset: max(g.syncedBytes, segment.HeaderSize)}
+	lost := spool.SegmentTailLost{Segment: g.number, Offset: max(g.syncedBytes, segment.HeaderSize)}
 	if g.file.Truncate(lost.Offset) == nil {
 		g.size = lost.Offset
 	}
@@ -151,6 +154,6 @@
 	}
 	g.full, g.syncedBytes = true, g.size
 	err = &SegmentError{Segment: g.number, Err: err}
-	s.syncFailures = append(s.syncFailures, Completion{spool.Event{Kind: spool.SegmentTailLost, Location: lost}, err})
+	s.syncFailures = append(s.syncFailures, Completion{lost, err})
 	return err
 }
--- a/internal/spool/event.go
+++ b/internal/spool/event.go
@@ -5,8 +5,8 @@
 	"foxlane/rules"
 )
 
-// This file owns the messages of a Store: events in, effects out. Both are one struct with a kind, not a type a
-// message: a batch of them is handed from goroutine to goroutine by value, without an allocation for each.
+// This file owns the events that go into a Store; effect.go owns what comes out. Messages are handed from goroutine to
+// goroutine, so they are values that nobody changes.
 
 // ID identifies a result. It is random, but not secret.
 type ID = segment.ID
@@ -21,107 +21,135 @@
 	Size    int32 // of the whole record; 0: the record is not stored
 }
 
-// EventKind is the type of an Event.
-type EventKind uint8
-
-// Kinds of events, each with the fields that it uses.
-const (
-	Reserve         EventKind = iota + 1 // a query is about to be sent: ID, Secret, Tenant, Class, Shape, Durable
-	PageArrived                          // a page of the engine arrived: ID, Index, PageCount, Data
-	AttemptFailed                        // the attempt failed or was cancelled, its pages are void: ID
-	RecordWritten                        // the disk wrote a record: ID, Record, Index, Location; Failed: it did not
-	ResultSynced                         // the disk synced a Seal, the whole result outlasts a crash: ID; Failed: unknown
-	Attach                               // a reader asks for a result: Reader, ID, Secret, Tenant, Index of the first chunk
-	NextChunk                            // a reader has read all chunks before Index and asks for that one: Reader, Index
-	ChunkLoaded                          // the disk read a chunk for a reader: Reader, Index, Data; Failed, Corrupt: it did not
-	Detach                               // a reader has gone: Reader
-	Acknowledge                          // a client needs a result no longer: Reader, ID, Secret, Tenant; answered by DeliverChunk with Index -1, or Deny
-	Release                              // a result is not wanted any more: ID
-	TimerFired                           // the time of the last SetTimer has come
-	SetBudget                            // other limits hold from now on: Budget
-	ResultRecovered                      // the disk held a complete result at the start: ID, Secret, Tenant, Class, Created, LeaseEnd, Locations
-	DiskLost                             // nothing can be written to the disk or read from it any more
-	DiskRestored                         // the disk can be used again
-	SegmentTailLost                      // the contents of a segment from an offset on are unknown: Location
-	ChunkMoved                           // a compaction moved a chunk: ID, Index, Location
-)
+// Event is the input of a Store: one type for each kind. Those about a result or a reader that is gone change nothing.
+type Event interface{ event() }
+
+// Reserve asks for capacity for the result of a query that is about to be sent. Granted or Rejected answers it.
+type Reserve struct {
+	ID      ID
+	Secret  Secret
+	Tenant  uint64
+	Class   int
+	Shape   uint64 // hash of the statement's shape; 0: not known
+	Durable bool   // a handle was asked for: the result must outlast a restart
+}
+
+// PageArrived brings a page of the engine. The Store keeps Data.
+type PageArrived struct {
+	ID        ID
+	Index     int
+	PageCount int // pages of the engine's result
+	Data      []byte
+}
+
+// AttemptFailed reports that the attempt failed or was cancelled: its pages are void.
+type AttemptFailed struct{ ID ID }
+
+// RecordWritten answers a WriteRecord. A record that was written may still be lost in a crash.
+type RecordWritten struct {
+	ID       ID
+	Record   segment.Kind
+	Index    int
+	Location Location // not set if Failed
+	Failed   bool     // the record was not written
+}
+
+// ResultSynced follows the RecordWritten of a Seal: the disk has synced it, and the whole result outlasts a crash.
+type ResultSynced struct {
+	ID     ID
+	Failed bool // whether the result would outlast a crash is unknown
+}
+
+// Attach reports that a reader asks for a result, from a chunk on. DeliverChunk or Deny answers it, once the result is
+// complete.
+type Attach struct {
+	Reader int
+	ID     ID
+	Secret Secret
+	Tenant uint64
+	Index  int // of the first chunk
+}
+
+// NextChunk reports that a reader has read all chunks before Index, and asks for that one.
+type NextChunk struct {
+	Reader int
+	Index  int
+}
 
-// Event is the input of a Store. Only the fields named at its kind are used.
-type Event struct {
-	Kind      EventKind
+// ChunkLoaded answers a LoadChunk.
+type ChunkLoaded struct {
+	Reader  int
+	Index   int
+	Data    []byte // nil if Failed
+	Failed  bool   // the disk did not read the chunk
+	Corrupt bool   // with Failed: the stored bytes differ from those that were written, and always will
+}
+
+// Detach reports that a reader has gone.
+type Detach struct{ Reader int }
+
+// Acknowledge reports that a client needs a result no longer. Acknowledged or Deny answers it.
+type Acknowledge struct {
+	Reader int
+	ID     ID
+	Secret Secret
+	Tenant uint64
+}
+
+// Release reports that a result is not wanted any more.
+type Release struct{ ID ID }
+
+// TimerFired reports that the time of the last SetTimer has come.
+type TimerFired struct{}
+
+// SetBudget brings the limits that hold from now on.
+type SetBudget struct{ Budget Budget }
+
+// ResultRecovered reports a complete result that the disk held at the start.
+type ResultRecovered struct {
 	ID        ID
 	Secret    Secret
 	Tenant    uint64
 	Class     int
-	Shape     uint64 // hash of the statement's shape; 0: not known
-	Durable   bool   // a handle was asked for: the result must outlast a restart
-	Index     int    // of an engine's page or of a chunk
-	PageCount int    // pages of the engine's result
-	Data      []byte
-	Record    segment.Kind
-	Location  Location
-	Locations []Location
-	Reader    int
 	Created   rules.Time
 	LeaseEnd  rules.Time
-	Budget    *Budget
-	Failed    bool
-	Corrupt   bool // with ChunkLoaded and Failed: the stored bytes differ from those that were written, and always will
+	Locations []Location // of its chunks, in order
 }
 
-// EffectKind is the type of an Effect.
-type EffectKind uint8
-
-// Kinds of effects, each with the fields that it sets.
-const (
-	Granted        EffectKind = iota + 1 // the query may be sent: ID
-	Rejected                             // the query may not be sent, and nothing ran: ID, Reason, RetryAfter
-	FetchPages                           // ask the engine for its pages Index to End-1: ID
-	ReleaseEngine                        // the engine is not needed any more: ID
-	WriteRecord                          // append a record: ID, Record, Index, Data
-	Completed                            // the result may be offered: ID
-	Failed                               // the result can't be completed: ID, Reason
-	LoadChunk                            // read a record for a reader: Reader, ID, Index, Location
-	DeliverChunk                         // hand chunk Index of End to a reader: Reader, Data, Last; Index -1: its Acknowledge is done
-	Deny                                 // a reader gets nothing, and no reason: Reader
-	AbortRead                            // a reader's result was lost while it was read: Reader, Reason
-	DiscardRecords                       // all records of a result are dead: ID, Locations
-	SetTimer                             // send TimerFired at At
-)
+// DiskLost reports that nothing can be written to the disk or read from it any more.
+type DiskLost struct{}
 
-// Reason says why a result was rejected, failed or removed.
-type Reason uint8
-
-// Reasons.
-const (
-	ReasonNone          Reason = iota
-	ReasonCapacity             // the disk or the memory that may be used is full
-	ReasonQuota                // the tenant's quota is used up
-	ReasonTooLarge             // the result is larger than one may be
-	ReasonTooMany              // as many results as may be are stored
-	ReasonDiskFailed           // a write, sync or read of the disk failed
-	ReasonAttemptFailed        // the attempt that gave the pages failed
-	ReasonLeaseExpired         // the lease had expired
-)
+// DiskRestored reports that the disk can be used again.
+type DiskRestored struct{}
+
+// SegmentTailLost reports that the contents of a segment from an offset on are unknown.
+type SegmentTailLost struct {
+	Segment uint32
+	Offset  int64
+}
 
-// The names are part of log lines and of errors that clients see; docs/ops/spool.md lists them.
-var reasonNames = [...]string{"nothing", "room", "quota", "size", "count", "disk", "broken", "time"}
-
-// String returns the name that log lines and errors carry.
-func (r Reason) String() string { return reasonNames[r] }
-
-// Effect is something that the owner of a Store has to do. Only the fields named at its kind are set.
-type Effect struct {
-	Kind       EffectKind
-	ID         ID
-	Index, End int
-	Data       []byte
-	Record     segment.Kind
-	Location   Location
-	Locations  []Location
-	Reader     int
-	Last       bool // with DeliverChunk: no chunk follows
-	Reason     Reason
-	RetryAfter rules.Time
-	At         rules.Time
+// ChunkMoved reports that a compaction moved a chunk.
+type ChunkMoved struct {
+	ID       ID
+	Index    int
+	Location Location
 }
+
+func (Reserve) event()         {}
+func (PageArrived) event()     {}
+func (AttemptFailed) event()   {}
+func (RecordWritten) event()   {}
+func (ResultSynced) event()    {}
+func (Attach) event()          {}
+func (NextChunk) event()       {}
+func (ChunkLoaded) event()     {}
+func (Detach) event()          {}
+func (Acknowledge) event()     {}
+func (Release) event()         {}
+func (TimerFired) event()      {}
+func (SetBudget) event()       {}
+func (ResultRecovered) event() {}
+func (DiskLost) event()        {}
+func (DiskRestored) event()    {}
+func (SegmentTailLost) event() {}
+func (ChunkMoved) event()      {}
--- a/internal/spool/lease.go
+++ b/internal/spool/lease.go
@@ -34,7 +34,7 @@
 	}
 	if at := s.leases[0].leaseEnd + s.budget.LeaseTime; at != s.timerAt {
 		s.timerAt = at
-		s.emit(Effect{Kind: SetTimer, At: at})
+		s.emit(SetTimer{At: at})
 	}
 }
 
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -18,14 +18,14 @@
 // unknownResult is compared with where there is no result, so that the time tells nothing about which IDs exist.
 var unknownResult result
 
-// authorize returns the result that an event names if its secret and tenant allow to use it, else nil.
-func (s *Store) authorize(e Event) *result {
-	r := s.results[e.ID]
+// authorize returns a result if the secret and the tenant that were shown allow to use it, else nil.
+func (s *Store) authorize(id ID, secret Secret, tenant uint64) *result {
+	r := s.results[id]
 	if r == nil {
-		authorized(&unknownResult, e.Secret, e.Tenant)
+		authorized(&unknownResult, secret, tenant)
 		return nil
 	}
-	if !authorized(r, e.Secret, e.Tenant) {
+	if !authorized(r, secret, tenant) {
 		return nil
 	}
 	return r
@@ -34,12 +34,12 @@
 // deny answers a reader. An unknown, foreign, expired or failed result is denied in the same way.
 func (s *Store) deny(reader int) {
 	s.stats.Denied++
-	s.emit(Effect{Kind: Deny, Reader: reader})
+	s.emit(Deny{Reader: reader})
 }
 
 // attach lets a client read a result.
-func (s *Store) attach(e Event) {
-	r := s.authorize(e)
+func (s *Store) attach(e Attach) {
+	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil || e.Index < 0 || s.readers[e.Reader] != nil || r.state == completed && e.Index >= len(r.chunks) {
 		s.deny(e.Reader)
 		return
@@ -51,19 +51,19 @@
 }
 
 // acknowledge removes a result that its client needs no longer. Other readers of it are aborted.
-func (s *Store) acknowledge(e Event) {
-	r := s.authorize(e)
+func (s *Store) acknowledge(e Acknowledge) {
+	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil {
 		s.deny(e.Reader)
 		return
 	}
 	s.remove(r, ReasonNone)
-	s.emit(Effect{Kind: DeliverChunk, Reader: e.Reader, Index: -1, Last: true})
+	s.emit(Acknowledged{Reader: e.Reader})
 }
 
 // nextChunk moves a reader to chunk Index, which says that it has read all before. Reading renews the lease; reading
 // the last chunk removes the result.
-func (s *Store) nextChunk(e Event) {
+func (s *Store) nextChunk(e NextChunk) {
 	d := s.readers[e.Reader]
 	if d == nil {
 		return
@@ -79,7 +79,7 @@
 	}
 	if e.Index < 0 {
 		s.detach(e.Reader)
-		s.emit(Effect{Kind: Deny, Reader: e.Reader})
+		s.emit(Deny{Reader: e.Reader})
 		return
 	}
 	d.index, d.waiting = e.Index, true
@@ -101,7 +101,7 @@
 	c := &r.chunks[d.index]
 	if c.data == nil {
 		d.loading = true
-		s.emit(Effect{Kind: LoadChunk, Reader: n, ID: r.id, Index: d.index, Location: c.location})
+		s.emit(LoadChunk{Reader: n, ID: r.id, Index: d.index, Location: c.location})
 		return
 	}
 	s.deliver(n, d, c.data)
@@ -111,7 +111,7 @@
 	d.waiting = false
 	s.stats.Delivered++
 	chunks := len(d.result.chunks)
-	s.emit(Effect{Kind: DeliverChunk, Reader: n, Index: d.index, End: chunks, Data: data, Last: d.index == chunks-1})
+	s.emit(DeliverChunk{Reader: n, Index: d.index, End: chunks, Data: data, Last: d.index == chunks-1})
 }
 
 // serveWaiting serves all readers of a result that wait for a chunk.
@@ -136,7 +136,7 @@
 	return numbers
 }
 
-func (s *Store) chunkLoaded(e Event) {
+func (s *Store) chunkLoaded(e ChunkLoaded) {
 	d := s.readers[e.Reader]
 	if d == nil || !d.loading {
 		return
@@ -147,7 +147,7 @@
 		s.fail(d.result, ReasonDiskFailed)
 	case e.Failed: // the read may succeed another time, so a result that was promised stays
 		s.detach(e.Reader)
-		s.emit(Effect{Kind: AbortRead, Reader: e.Reader, Reason: ReasonDiskFailed})
+		s.emit(AbortRead{Reader: e.Reader, Reason: ReasonDiskFailed})
 	case e.Index != d.index: // the reader asked for another chunk meanwhile
 		s.serveReader(e.Reader)
 	default:
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -10,7 +10,6 @@
 	"pgregory.net/rapid"
 
 	"foxlane/internal/rapidtest"
-	"foxlane/internal/spool/segment"
 	"foxlane/rules"
 )
 
@@ -133,34 +132,34 @@
 	w := newTestStore(t, budget())
 	k := w.reserve(1, 4, 300, true)
 	w.deliverAllPages(k)
-	deny := func(what string, e Event) {
+	deny := func(what string, e Attach) {
 		w.denied = nil
-		e.Kind, e.Reader = Attach, 9
+		e.Reader = 9
 		w.handle(e)
 		if len(w.denied) != 1 || len(w.s.readers) != 0 {
 			t.Errorf("%s: not denied", what)
 		}
 	}
-	deny("unknown", Event{ID: id(2), Secret: secret(1), Tenant: 2})
-	deny("wrong secret", Event{ID: k, Secret: secret(2), Tenant: 2})
-	deny("foreign tenant", Event{ID: k, Secret: secret(1), Tenant: 1})
-	deny("tenant that differs above 32 bits", Event{ID: k, Secret: secret(1), Tenant: 2 | 1<<40})
-	deny("beyond the end", Event{ID: k, Secret: secret(1), Tenant: 2, Index: 4})
-	deny("before the start", Event{ID: k, Secret: secret(1), Tenant: 2, Index: -1})
+	deny("unknown", Attach{ID: id(2), Secret: secret(1), Tenant: 2})
+	deny("wrong secret", Attach{ID: k, Secret: secret(2), Tenant: 2})
+	deny("foreign tenant", Attach{ID: k, Secret: secret(1), Tenant: 1})
+	deny("tenant that differs above 32 bits", Attach{ID: k, Secret: secret(1), Tenant: 2 | 1<<40})
+	deny("beyond the end", Attach{ID: k, Secret: secret(1), Tenant: 2, Index: 4})
+	deny("before the start", Attach{ID: k, Secret: secret(1), Tenant: 2, Index: -1})
 	w.attach(1, k, 1, 0)
 	w.attach(2, k, 1, 1) // two at once, each from where it likes
 	w.runDisk()
 	if len(w.readers) != 2 || len(w.readers[1].got) == 0 || len(w.readers[2].got) == 0 {
 		t.Error("two readers at once")
 	}
-	w.handle(Event{Kind: Detach, Reader: 1})
+	w.handle(Detach{Reader: 1})
 	delete(w.readers, 1)
 	w.now += 100 * rules.Second // expired
-	w.handle(Event{Kind: Detach, Reader: 2})
+	w.handle(Detach{Reader: 2})
 	delete(w.readers, 2)
 	w.now += 100 * rules.Second
-	w.handle(Event{Kind: TimerFired})
-	deny("expired", Event{ID: k, Secret: secret(1), Tenant: 2})
+	w.handle(TimerFired{})
+	deny("expired", Attach{ID: k, Secret: secret(1), Tenant: 2})
 	if len(w.s.results) != 0 {
 		t.Error("an expired result is kept")
 	}
@@ -194,7 +193,7 @@
 	w.attach(1, k, 1, 0)
 	for range 20 {
 		w.now += 9 * rules.Second
-		w.handle(Event{Kind: TimerFired})
+		w.handle(TimerFired{})
 	}
 	if got := w.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came to a slow reader", len(got))
@@ -215,12 +214,12 @@
 	k = w.reserve(2, 10, 300, true)
 	for n := range 10 {
 		w.deliverPage(k, n)
-		for len(w.diskQueue) > 0 && w.diskQueue[0].Record != segment.Seal {
+		for len(w.diskQueue) > 0 && !isSeal(w.diskQueue[0]) {
 			w.runDiskEffect(0)
 		}
 	}
 	w.diskQueue = nil
-	w.handle(Event{Kind: ResultSynced, ID: k, Failed: true}) // what it holds is unknown
+	w.handle(ResultSynced{ID: k, Failed: true}) // what it holds is unknown
 	if w.state[k] != "failed" {
 		t.Errorf("after a failed sync: %s", w.state[k])
 	}
@@ -238,14 +237,14 @@
 	w.diskQueue = nil
 	w.deliverAllPages(a)
 	w.deliverAllPages(b)
-	w.handle(Event{Kind: DiskLost})
+	w.handle(DiskLost{})
 	if len(w.s.results) != 1 || w.s.results[b] == nil {
 		t.Error("what lies in memory alone is lost with the disk, or what lay there is kept")
 	}
 	if k := w.reserve(6, 1, 100, true); w.state[k] != "refused" || w.reason[k] != ReasonDiskFailed {
 		t.Errorf("without a disk: %s for %v", w.state[k], w.reason[k])
 	}
-	w.handle(Event{Kind: DiskRestored})
+	w.handle(DiskRestored{})
 	if k := w.reserve(7, 1, 100, true); w.state[k] != "granted" {
 		t.Errorf("with the disk back: %s", w.state[k])
 	}
@@ -289,8 +288,8 @@
 	n := newTestStore(t, budget())
 	n.disk, n.pages, n.state = w.disk, w.pages, map[ID]string{k: "whole"}
 	n.now = w.now + 5*rules.Second
-	n.handle(Event{Kind: ResultRecovered, ID: k, Secret: secret(1), Tenant: 2, LeaseEnd: w.now + 10*rules.Second, Locations: places})
-	n.handle(Event{Kind: ResultRecovered, ID: id(2), Secret: secret(2), Tenant: 2, LeaseEnd: n.now - 11*rules.Second, Locations: places}) // long over
+	n.handle(ResultRecovered{ID: k, Secret: secret(1), Tenant: 2, LeaseEnd: w.now + 10*rules.Second, Locations: places})
+	n.handle(ResultRecovered{ID: id(2), Secret: secret(2), Tenant: 2, LeaseEnd: n.now - 11*rules.Second, Locations: places}) // long over
 	n.attach(1, k, 1, 0)
 	if got := n.readAll(1); !bytes.Equal(got, bytes.Join(w.pages[k], nil)) {
 		t.Errorf("%d bytes came after a restart", len(got))
@@ -324,7 +323,7 @@
 				}
 			case op == 6:
 				_, k := pick("breaks")
-				w.handle(Event{Kind: AttemptFailed, ID: k})
+				w.handle(AttemptFailed{ID: k})
 				if w.state[k] == "granted" {
 					rt.Fatal("still on after it broke")
 				}
@@ -337,18 +336,18 @@
 					if r := w.readers[reader]; r != nil && !r.waiting && !r.last {
 						r.next++
 						r.waiting = true
-						w.handle(Event{Kind: NextChunk, Reader: reader, Index: r.next})
+						w.handle(NextChunk{Reader: reader, Index: r.next})
 					}
 				}
 			case op == 10 && readers > 0:
 				r := rapid.IntRange(1, readers).Draw(rt, "leaves")
 				delete(w.readers, r)
-				w.handle(Event{Kind: Detach, Reader: r})
+				w.handle(Detach{Reader: r})
 			case op == 11:
 				w.diskFails = rapid.IntRange(0, 4).Draw(rt, "fails") == 0
 			case op == 12:
 				w.now += rules.Time(rapid.IntRange(0, 15).Draw(rt, "s")) * rules.Second
-				w.handle(Event{Kind: TimerFired})
+				w.handle(TimerFired{})
 			default:
 				for i := 0; i < 10 && len(w.diskQueue) > 0; i++ {
 					w.runDiskEffect(0)
@@ -373,8 +372,8 @@
 			}
 		}
 		for _, i := range ids {
-			w.handle(Event{Kind: AttemptFailed, ID: id(i)})
-			w.handle(Event{Kind: Release, ID: id(i)})
+			w.handle(AttemptFailed{ID: id(i)})
+			w.handle(Release{ID: id(i)})
 		}
 		w.runDisk()
 		if s := w.s; len(s.results) != 0 || len(s.readers) != 0 || s.diskBytes != 0 || s.memoryBytes != 0 || s.unwrittenBytes != 0 || len(s.tenantBytes) != 0 || len(s.leases) != 0 {
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -9,8 +9,9 @@
 // beyond it. A result is offered only once it is complete; a durable one, which
 // must outlast a restart, only once its seal was synced.
 //
-// event.go has the messages, capacity.go reservations and eviction, write.go
-// the way from the engine to the disk, read.go the readers, lease.go expiry.
+// event.go and effect.go have the messages, capacity.go reservations and
+// eviction, write.go the way from the engine to the disk, read.go the readers,
+// lease.go expiry.
 package spool
 
 import (
@@ -100,25 +101,33 @@
 		sizes: newSizeEstimator(budget, seed)}
 }
 
+// resultIn returns a result if it is in a state, else nil.
+func (s *Store) resultIn(st state, id ID) *result {
+	if r := s.results[id]; r != nil && r.state == st {
+		return r
+	}
+	return nil
+}
+
 // Handle takes one event and returns what to do. The effects are valid until the next call.
 func (s *Store) Handle(now rules.Time, e Event) []Effect {
 	s.effects = s.effects[:0]
 	s.now = max(s.now, now) // time never steps back here, whatever the clock does
-	switch e.Kind {
+	switch e := e.(type) {
 	case Reserve:
 		s.reserve(e)
 	case PageArrived:
-		if r := s.results[e.ID]; r != nil && r.state == filling {
+		if r := s.resultIn(filling, e.ID); r != nil {
 			s.pageArrived(r, e)
 		}
 	case AttemptFailed:
-		if r := s.results[e.ID]; r != nil && r.state == filling {
+		if r := s.resultIn(filling, e.ID); r != nil {
 			s.fail(r, ReasonAttemptFailed)
 		}
 	case RecordWritten:
 		s.recordWritten(e)
 	case ResultSynced:
-		if r := s.results[e.ID]; r != nil && r.state == sealing {
+		if r := s.resultIn(sealing, e.ID); r != nil {
 			s.resultSynced(r, e.Failed)
 		}
 	case Attach:
@@ -136,7 +145,7 @@
 			s.remove(r, ReasonNone)
 		}
 	case SetBudget:
-		s.budget = *e.Budget
+		s.budget = e.Budget
 		s.evictToBudget()
 	case ResultRecovered:
 		s.resultRecovered(e)
@@ -146,13 +155,9 @@
 	case DiskRestored:
 		s.diskLost = false
 	case SegmentTailLost:
-		s.failAffected(func(c *chunk) bool {
-			return c.location.Size > 0 && c.location.Segment == e.Location.Segment && c.location.Offset >= e.Location.Offset
-		})
+		s.segmentTailLost(e)
 	case ChunkMoved:
-		if r := s.results[e.ID]; r != nil && e.Index < len(r.chunks) && r.chunks[e.Index].location.Size > 0 {
-			r.chunks[e.Index].location = e.Location
-		}
+		s.chunkMoved(e)
 	}
 	s.expire()
 	s.setTimer()
@@ -174,7 +179,7 @@
 func (s *Store) fail(r *result, reason Reason) {
 	s.stats.Failed++
 	if r.state != completed {
-		s.emit(Effect{Kind: Failed, ID: r.id, Reason: reason})
+		s.emit(Failed{ID: r.id, Reason: reason})
 	}
 	s.remove(r, reason)
 }
@@ -196,6 +201,20 @@
 	}
 }
 
+// segmentTailLost fails the results with a chunk in the part of a segment that is lost.
+func (s *Store) segmentTailLost(e SegmentTailLost) {
+	s.failAffected(func(c *chunk) bool {
+		return c.location.Size > 0 && c.location.Segment == e.Segment && c.location.Offset >= e.Offset
+	})
+}
+
+// chunkMoved follows a compaction.
+func (s *Store) chunkMoved(e ChunkMoved) {
+	if r := s.results[e.ID]; r != nil && e.Index < len(r.chunks) && r.chunks[e.Index].location.Size > 0 {
+		r.chunks[e.Index].location = e.Location
+	}
+}
+
 // remove removes a result and all that is accounted for it. Its readers are aborted.
 func (s *Store) remove(r *result, reason Reason) {
 	delete(s.results, r.id)
@@ -221,19 +240,19 @@
 	s.diskBytes -= r.bytes + r.reserved
 	s.chargeTenant(r.tenant, -(r.bytes + r.reserved))
 	if r.openWritten {
-		s.emit(Effect{Kind: WriteRecord, ID: r.id, Record: segment.Drop})
-		s.emit(Effect{Kind: DiscardRecords, ID: r.id, Locations: locations})
+		s.emit(WriteRecord{ID: r.id, Record: segment.Drop})
+		s.emit(DiscardRecords{ID: r.id, Locations: locations})
 	}
 	for _, n := range s.readersOf(r, func(*reader) bool { return true }) {
 		delete(s.readers, n)
-		s.emit(Effect{Kind: AbortRead, Reader: n, Reason: reason})
+		s.emit(AbortRead{Reader: n, Reason: reason})
 	}
 }
 
 // ---- the start
 
 // resultRecovered takes in a result that the disk held complete and sealed.
-func (s *Store) resultRecovered(e Event) {
+func (s *Store) resultRecovered(e ResultRecovered) {
 	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, durable: true, state: completed, created: e.Created,
 		leaseEnd: e.LeaseEnd, heapIndex: -1, onDisk: true, openWritten: true}
 	for _, l := range e.Locations {
@@ -243,8 +262,8 @@
 	}
 	if s.results[e.ID] != nil || len(s.results) >= s.budget.MaxResults || s.diskBytes+r.bytes > s.budget.DiskBytes ||
 		e.LeaseEnd+s.budget.LeaseTime <= s.now {
-		s.emit(Effect{Kind: WriteRecord, ID: e.ID, Record: segment.Drop})
-		s.emit(Effect{Kind: DiscardRecords, ID: e.ID, Locations: e.Locations})
+		s.emit(WriteRecord{ID: e.ID, Record: segment.Drop})
+		s.emit(DiscardRecords{ID: e.ID, Locations: e.Locations})
 		return
 	}
 	r.leaseEnd = min(r.leaseEnd, s.now+s.budget.LeaseTime) // a clock that was ahead before the restart lengthens no lease
--- a/internal/spool/teststore_test.go
+++ b/internal/spool/teststore_test.go
@@ -17,7 +17,7 @@
 	now          rules.Time
 	disk         map[int64][]byte // records by offset
 	end          int64
-	diskQueue    []Effect // for the disk
+	diskQueue    []DiskEffect
 	pages        map[ID][][]byte
 	requested    map[ID]int // pages that the engine may be asked for, up to here
 	state        map[ID]string
@@ -50,7 +50,7 @@
 
 func (w *testStore) handle(e Event) {
 	for _, f := range append([]Effect(nil), w.s.Handle(w.now, e)...) {
-		switch f.Kind {
+		switch f := f.(type) {
 		case Granted:
 			w.state[f.ID], w.requested[f.ID] = "granted", 1
 		case Rejected:
@@ -75,10 +75,10 @@
 				w.t.Fatal("failed after it was whole")
 			}
 			w.state[f.ID], w.reason[f.ID] = "failed", f.Reason
-		case WriteRecord, LoadChunk:
-			if f.Data != nil {
-				f.Data = bytes.Clone(f.Data)
-			}
+		case WriteRecord:
+			f.Data = bytes.Clone(f.Data)
+			w.diskQueue = append(w.diskQueue, f)
+		case LoadChunk:
 			w.diskQueue = append(w.diskQueue, f)
 		case DeliverChunk:
 			r := w.readers[f.Reader]
@@ -128,24 +128,34 @@
 
 // runDiskEffect executes one queued effect of the disk.
 func (w *testStore) runDiskEffect(i int) {
-	f := w.diskQueue[i]
+	effect := w.diskQueue[i]
 	w.diskQueue = append(w.diskQueue[:i], w.diskQueue[i+1:]...)
-	if f.Kind == LoadChunk {
+	switch f := effect.(type) {
+	case LoadChunk:
 		data, ok := w.disk[f.Location.Offset]
-		w.handle(Event{Kind: ChunkLoaded, Reader: f.Reader, Index: f.Index, Data: data, Failed: !ok || w.diskFails || w.diskCorrupts, Corrupt: !ok || w.diskCorrupts})
-		return
+		w.handle(ChunkLoaded{Reader: f.Reader, Index: f.Index, Data: data, Failed: !ok || w.diskFails || w.diskCorrupts, Corrupt: !ok || w.diskCorrupts})
+	case WriteRecord:
+		w.writeRecord(f)
 	}
+}
+
+func (w *testStore) writeRecord(f WriteRecord) {
 	place := Location{Segment: 1, Offset: w.end, Size: int32(segment.RecordSize(len(f.Data)))}
 	if !w.diskFails {
 		w.disk[w.end] = f.Data
 		w.end += int64(place.Size)
 	}
-	w.handle(Event{Kind: RecordWritten, ID: f.ID, Record: f.Record, Index: f.Index, Location: place, Failed: w.diskFails})
+	w.handle(RecordWritten{ID: f.ID, Record: f.Record, Index: f.Index, Location: place, Failed: w.diskFails})
 	if f.Record == segment.Seal && !w.diskFails {
-		w.handle(Event{Kind: ResultSynced, ID: f.ID})
+		w.handle(ResultSynced{ID: f.ID})
 	}
 }
 
+func isSeal(effect DiskEffect) bool {
+	f, ok := effect.(WriteRecord)
+	return ok && f.Record == segment.Seal
+}
+
 func (w *testStore) runDisk() {
 	for len(w.diskQueue) > 0 {
 		w.runDiskEffect(0)
@@ -169,13 +179,13 @@
 		truth = append(truth, p)
 	}
 	w.pages[k] = truth
-	w.handle(Event{Kind: Reserve, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Durable: lasting})
+	w.handle(Reserve{ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Durable: lasting})
 	return k
 }
 
 func (w *testStore) deliverPage(k ID, n int) {
 	if w.state[k] == "granted" && n < w.requested[k] {
-		w.handle(Event{Kind: PageArrived, ID: k, Index: n, PageCount: len(w.pages[k]), Data: w.pages[k][n]})
+		w.handle(PageArrived{ID: k, Index: n, PageCount: len(w.pages[k]), Data: w.pages[k][n]})
 	}
 }
 
@@ -189,7 +199,7 @@
 
 func (w *testStore) attach(reader int, k ID, n int, from int) {
 	w.readers[reader] = &testReader{id: k, next: from, waiting: true}
-	w.handle(Event{Kind: Attach, Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Index: from})
+	w.handle(Attach{Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Index: from})
 }
 
 // readAll reads to the end and returns the bytes.
@@ -206,7 +216,7 @@
 		r.next++
 		r.waiting = true
 		last, got := r.last, r.got
-		w.handle(Event{Kind: NextChunk, Reader: reader, Index: r.next})
+		w.handle(NextChunk{Reader: reader, Index: r.next})
 		if last {
 			delete(w.readers, reader)
 			return got
--- a/internal/spool/write.go
+++ b/internal/spool/write.go
@@ -6,7 +6,7 @@
 // engine's pages in their order; memoryBytes counts all bytes of a result that lie in memory; a result is completed
 // only with all its pages, a durable one only after its seal was synced.
 
-func (s *Store) pageArrived(r *result, e Event) {
+func (s *Store) pageArrived(r *result, e PageArrived) {
 	if r.pageCount == 0 {
 		if e.PageCount < 1 || e.PageCount > s.budget.MaxPages {
 			s.fail(r, ReasonTooLarge)
@@ -53,7 +53,7 @@
 		return
 	}
 	if end := min(r.nextPage+s.budget.FetchWindow, r.pageCount); end > r.requested {
-		s.emit(Effect{Kind: FetchPages, ID: r.id, Index: r.requested, End: end})
+		s.emit(FetchPages{ID: r.id, Index: r.requested, End: end})
 		r.requested = end
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 func (s *Store) writeRecord(r *result, kind segment.Kind, n int, data []byte) {
-	s.emit(Effect{Kind: WriteRecord, ID: r.id, Record: kind, Index: n, Data: data})
+	s.emit(WriteRecord{ID: r.id, Record: kind, Index: n, Data: data})
 }
 
 // allPagesArrived releases the engine, however slowly the result is written or read from now on.
@@ -104,7 +104,7 @@
 	if len(r.openChunk) > 0 || len(r.chunks) == 0 {
 		s.closeChunk(r)
 	}
-	s.emit(Effect{Kind: ReleaseEngine, ID: r.id})
+	s.emit(ReleaseEngine{ID: r.id})
 	s.sizes.observe(r.class, r.shape, r.bytes)
 	s.returnReservation(r, r.reserved)
 	if !r.onDisk {
@@ -123,14 +123,14 @@
 	r.leaseEnd = s.now + s.budget.LeaseTime
 	s.leases.push(r)
 	s.stats.Completed++
-	s.emit(Effect{Kind: Completed, ID: r.id})
+	s.emit(Completed{ID: r.id})
 	s.serveWaiting(r)
 }
 
 // ---- answers of the disk
 
 // recordWritten frees the memory of a chunk that is on the disk now, which may let engines go on.
-func (s *Store) recordWritten(e Event) {
+func (s *Store) recordWritten(e RecordWritten) {
 	r := s.results[e.ID]
 	if r == nil {
 		return
--- a/internal/transport/resultstore.go
+++ b/internal/transport/resultstore.go
@@ -47,7 +47,7 @@
 	}
 	s.results = &resultStore{folder: folder}
 	for _, found := range recovery.Results {
-		s.results.recovered = append(s.results.recovered, spool.Event{Kind: spool.ResultRecovered, ID: found.ID, Secret: found.Meta.Secret,
+		s.results.recovered = append(s.results.recovered, spool.ResultRecovered{ID: found.ID, Secret: found.Meta.Secret,
 			Tenant: found.Meta.Tenant, Class: int(found.Meta.Class), Created: rules.Time(found.Meta.Created),
 			LeaseEnd: rules.Time(found.Meta.LeaseEnd), Locations: found.Locations})
 	}
@@ -97,18 +97,18 @@
 }
 
 // submitToResultStore queues an effect for the disk. One that can't be queued is reported as failed.
-func (s *Server) submitToResultStore(effect spool.Effect) {
+func (s *Server) submitToResultStore(effect spool.DiskEffect) {
 	if s.results != nil && s.results.worker.Submit(effect) == nil {
 		return
 	}
-	failed := spool.Event{ID: effect.ID, Index: effect.Index, Failed: true}
-	switch effect.Kind {
+	var failed spool.Event
+	switch effect := effect.(type) {
 	case spool.WriteRecord:
-		failed.Kind, failed.Record = spool.RecordWritten, effect.Record
+		failed = spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Failed: true}
 	case spool.LoadChunk:
-		failed.Kind, failed.Reader = spool.ChunkLoaded, effect.Reader
-	default:
-		return
+		failed = spool.ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Failed: true}
+	case spool.DiscardRecords:
+		return // nothing waits for it
 	}
 	s.queue.enqueue(gateway.SpoolCompleted{Events: []spool.Event{failed}})
 }
