--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -26,7 +26,7 @@
 	rng               *rand.Rand
 	now               rules.Time
 	start             rules.Time
-	queue             minheap.Heap[simEvent]
+	queue             minheap.Heap[simEvent, *simEvent]
 	eventSeq          int
 	wake              rules.Time
 	faultRate         float64 // how often things fail
@@ -66,7 +66,7 @@
 }
 
 // Before orders events by time, then by when they were scheduled.
-func (e simEvent) Before(other simEvent) bool {
+func (e *simEvent) Before(other *simEvent) bool {
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -39,11 +39,11 @@
 }
 
 // Before orders timers by their time.
-func (t timer) Before(other timer) bool { return t.at < other.at }
+func (t *timer) Before(other *timer) bool { return t.at < other.at }
 
 // timers is a heap by time. Timers are never cancelled: one that has lost its meaning does nothing when it is due, which is
 // cheaper than finding it in the heap, and all of them are due within seconds.
-type timers struct{ heap minheap.Heap[timer] }
+type timers struct{ heap minheap.Heap[timer, *timer] }
 
 func (t *timers) add(added timer) { t.heap.Push(added) }
 
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -9,7 +9,7 @@
 // timed is an item whose order is decided by its time alone; id tells equal ones apart.
 type timed struct{ at, id int }
 
-func (t timed) Before(other timed) bool { return t.at < other.at }
+func (t *timed) Before(other *timed) bool { return t.at < other.at }
 
 // reference is the same heap on container/heap.
 type reference []timed
@@ -29,7 +29,7 @@
 func TestSameOrderAsContainerHeap(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var items Heap[timed]
+		var items Heap[timed, *timed]
 		var want reference
 		for id := range 500 {
 			if len(items) > 0 && rng.IntN(5) < 2 {
@@ -55,7 +55,7 @@
 
 // What was taken out isn't kept alive by the heap's array.
 func TestPopClearsItsSlot(t *testing.T) {
-	var items Heap[timed]
+	var items Heap[timed, *timed]
 	items.Push(timed{1, 1})
 	items.Push(timed{2, 2})
 	items.Pop()
@@ -67,7 +67,7 @@
 
 // A push into an array that is large enough and a pop allocate nothing.
 func TestNoAllocation(t *testing.T) {
-	items := make(Heap[timed], 0, 64)
+	items := make(Heap[timed, *timed], 0, 64)
 	if n := testing.AllocsPerRun(100, func() {
 		for i := range 64 {
 			items.Push(timed{64 - i, i})
@@ -79,3 +79,26 @@
 		t.Errorf("%v allocations", n)
 	}
 }
+
+// BenchmarkPushPop has the size of the gateway's heap of timers under load.
+func BenchmarkPushPop(b *testing.B) {
+	type payload struct{ words [10]uint64 }
+	var items Heap[sized[payload], *sized[payload]]
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 2000 {
+		items.Push(sized[payload]{at: rng.IntN(1 << 20)})
+	}
+	for b.Loop() {
+		first := items.Pop()
+		first.at += rng.IntN(1 << 20)
+		items.Push(first)
+	}
+}
+
+// sized is an item with a payload that moves with it.
+type sized[T any] struct {
+	at      int
+	payload T
+}
+
+func (s *sized[T]) Before(other *sized[T]) bool { return s.at < other.at }
