--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"go.uber.org/goleak"
+
 	"foxlane/internal/faultproxy"
 )
 
@@ -38,7 +40,11 @@
 	if out, err := exec.Command("go", "build", "-o", gatewayProgram, "foxlane/cmd/foxlane").CombinedOutput(); err != nil {
 		return 0, fmt.Errorf("building the gateway: %w: %s", err, out)
 	}
-	return m.Run(), nil
+	code = m.Run()
+	if code == 0 {
+		err = goleak.Find()
+	}
+	return code, err
 }
 
 const threeZones = `
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -80,25 +80,25 @@
 	}
 }
 
+// sized is an item as large as the gateway's timers.
+type sized struct {
+	at    int
+	words [10]uint64
+}
+
+func (s *sized) Before(other *sized) bool { return s.at < other.at }
+
 // BenchmarkPushPop has the size of the gateway's heap of timers under load.
 func BenchmarkPushPop(b *testing.B) {
-	type payload struct{ words [10]uint64 }
-	var items Heap[sized[payload], *sized[payload]]
+	var items Heap[sized, *sized]
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		items.Push(sized[payload]{at: rng.IntN(1 << 20)})
+		items.Push(sized{at: rng.IntN(1 << 20)})
 	}
 	for b.Loop() {
 		first := items.Pop()
 		first.at += rng.IntN(1 << 20)
+		first.words[0]++
 		items.Push(first)
 	}
 }
-
-// sized is an item with a payload that moves with it.
-type sized[T any] struct {
-	at      int
-	payload T
-}
-
-func (s *sized[T]) Before(other *sized[T]) bool { return s.at < other.at }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"go.uber.org/goleak"
+
 	"foxlane/internal/faultgateway"
 	"foxlane/internal/harness"
 )
@@ -25,7 +27,7 @@
 		}
 		os.Exit(0)
 	}
-	os.Exit(m.Run())
+	goleak.VerifyTestMain(m)
 }
 
 func testOptions(t *testing.T) Options {
