--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -9,21 +9,21 @@
 	"foxlane/rules"
 )
 
-// This file connects the reducer with package admission: it tells the controller of connections and requests, and carries out
-// what the controller decides. It decides nothing itself. Without the block `fair` in the operator's file there is no controller,
-// and requests go on at once.
+// This file connects the reducer to package admission: it notifies the admission controller of connections and
+// requests and executes its decisions. Without the block `fair` in the operator's file there is no controller, and
+// requests continue at once.
 
-// admissionControl is the controller with the slots by which it names connections and requests.
+// admissionControl holds the admission controller and the slots by which it identifies connections and requests.
 type admissionControl struct {
 	controller *admission.Controller
 	conns      slotTable[clientConn]
 	requests   slotTable[queryRequest]
 	queue      serialQueue[admission.Event]
-	alarm      alarm           // of the controller
-	lastStats  admission.Stats // when figures were last logged
+	wakeAt     wakeTime        // when the controller's timer fires
+	lastStats  admission.Stats // as of the last statistics log line
 }
 
-// newAdmission returns the admission control that the operator has configured, or nil.
+// newAdmission returns the configured admission control, or nil if it is off.
 func newAdmission(cfg *config.Config) *admissionControl {
 	if cfg.Site == nil || cfg.Site.Admission == nil {
 		return nil
@@ -44,38 +44,38 @@
 	}
 }
 
-// admissionSettings are the operator's, within what the site allows clients to be told.
+// admissionSettings returns the operator's settings, with Retry-After capped by the site's limits.
 func admissionSettings(cfg *config.Config) admission.Settings {
 	settings := cfg.Site.Admission.Settings
 	settings.MaxRetryAfter = capRetryAfter(&cfg.Settings.Rules.Limits, settings.MaxRetryAfter)
 	return settings
 }
 
-// capRetryAfter is a Retry-After within what the site allows: none, or up to a maximum.
-func capRetryAfter(limits *rules.Limits, after rules.Time) rules.Time {
+// capRetryAfter limits a Retry-After to what the site allows: 0 if it allows none, else at most MaxRetryAfter.
+func capRetryAfter(limits *rules.Limits, retryAfter rules.Time) rules.Time {
 	if !limits.RetryAfter {
 		return 0
 	}
 	if limits.MaxRetryAfter > 0 {
-		after = min(after, limits.MaxRetryAfter)
+		retryAfter = min(retryAfter, limits.MaxRetryAfter)
 	}
-	return after
+	return retryAfter
 }
 
-// knowsTenant reports whether requests may name a tenant that the settings don't list.
-func (c *admissionControl) knowsTenant(tenant string) bool {
+// acceptsTenant reports whether admission control accepts a tenant that the settings do not list.
+func (c *admissionControl) acceptsTenant(tenant string) bool {
 	return c != nil && c.controller.AcceptsTenant(tenant)
 }
 
-// handleAdmission tells the controller of an event and carries out what it decides.
-func (g *Gateway) handleAdmission(event admission.Event) {
+// notifyAdmission passes an event to the admission controller and executes the resulting effects.
+func (g *Gateway) notifyAdmission(event admission.Event) {
 	control := g.admission
 	if control == nil || !control.queue.add(event) {
 		return
 	}
 	for event, ok := control.queue.next(); ok; event, ok = control.queue.next() {
 		effects := control.controller.Handle(g.now, event)
-		switch event.Kind { // a slot may be used anew by what the effects bring about
+		switch event.Kind { // released first, since the effects may lead to a new allocation
 		case admission.ConnectionClosed:
 			control.conns.release(event.Conn)
 		case admission.RequestDone:
@@ -91,7 +91,7 @@
 	control := g.admission
 	switch effect.Kind {
 	case admission.Admit:
-		g.admitted(control.requests.entries[effect.Slot], effect.After)
+		g.requestAdmitted(control.requests.entries[effect.Slot], effect.After)
 	case admission.Reject:
 		if req := control.requests.entries[effect.Slot]; !req.answered {
 			req.endReason = EndAdmission
@@ -106,40 +106,41 @@
 			g.protocolError(client, 1, errUnfinishedInput)
 		}
 	case admission.SetTimer:
-		control.alarm = alarm(effect.At)
+		control.wakeAt = wakeTime(effect.At)
 	}
 }
 
-// evict closes a connection to make room for others, with an error if its client may be about to read one.
+// evict closes a connection to make room for others. A client that has not sent a command yet receives an error.
 func (g *Gateway) evict(client *clientConn, effect admission.Effect) {
 	if client.newElement != nil {
-		g.evictWithError(client, CloseAdmission, withHoldOff("no room for this connection", effect.After))
+		g.evictWithError(client, CloseAdmission, withRetryAfter("no room for this connection", effect.After))
 		return
 	}
 	g.log(Info, "client: evicted", Attr{keySession, client.session}, Attr{keyReason, effect.Reason.String()})
 	g.closeClient(client, CloseAdmission)
 }
 
-// withHoldOff appends to an error's text when its client may return. Clients look for this form.
-func withHoldOff(text string, after rules.Time) string {
-	if after <= 0 {
+// withRetryAfter appends the time retryAfter which the client may retry to an error text, in the form that clients parse.
+func withRetryAfter(text string, retryAfter rules.Time) string {
+	if retryAfter <= 0 {
 		return text
 	}
-	return fmt.Sprintf("%s; holdoff=%d", text, int64(after/rules.Millisecond))
+	return fmt.Sprintf("%s; holdoff=%d", text, int64(retryAfter/rules.Millisecond))
 }
 
-// admitConn tells the controller of a connection. It reports whether that may stay.
+// admitConn notifies the admission controller of a new connection. It reports whether the connection stays open.
 func (g *Gateway) admitConn(client *clientConn, from netip.Addr) bool {
 	client.admissionSlot = g.admission.conns.allocate(client)
-	g.handleAdmission(admission.Event{Kind: admission.ConnectionOpened, Conn: client.admissionSlot, From: from})
+	g.notifyAdmission(admission.Event{Kind: admission.ConnectionOpened, Conn: client.admissionSlot, From: from})
 	return !client.closed
 }
 
+// releaseConn notifies the admission controller of the end of a connection.
 func (g *Gateway) releaseConn(client *clientConn) {
-	g.handleAdmission(admission.Event{Kind: admission.ConnectionClosed, Conn: client.admissionSlot})
+	g.notifyAdmission(admission.Event{Kind: admission.ConnectionClosed, Conn: client.admissionSlot})
 }
 
-// requestAdmission asks the controller for the admission of a request.
+// requestAdmission requests the admission of a request from the controller.
 func (g *Gateway) requestAdmission(req *queryRequest, tenant string) {
 	req.admissionSlot = g.admission.requests.allocate(req)
 	arrival := req.pending
@@ -150,27 +151,28 @@
 	if g.cfg.Trace {
 		g.traceQueued(req, "admission")
 	}
-	g.handleAdmission(admission.Event{Kind: admission.RequestArrived, Slot: req.admissionSlot, Conn: req.client.admissionSlot, Request: admission.Request{
+	g.notifyAdmission(admission.Event{Kind: admission.RequestArrived, Slot: req.admissionSlot, Conn: req.client.admissionSlot, Request: admission.Request{
 		Class: req.class, Tenant: tenant, OrderKey: key, Deadline: arrival.Deadline, DeclaredWork: arrival.EstimatedWork, StatementBytes: len(req.statement),
 	}})
 }
 
-// reconfigureAdmission takes over the settings of a configuration that was reloaded.
+// reconfigureAdmission applies the settings of a reloaded configuration.
 func (g *Gateway) reconfigureAdmission() {
 	if g.admission == nil {
 		return
 	}
 	settings := admissionSettings(&g.cfg)
-	g.handleAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &settings, DeclaredTenants: g.cfg.Settings.TenantNames})
+	g.notifyAdmission(admission.Event{Kind: admission.Reconfigured, Settings: &settings, DeclaredTenants: g.cfg.Settings.TenantNames})
 }
 
+// wakeAdmission notifies the admission controller if its timer has fired.
 func (g *Gateway) wakeAdmission() {
-	if control := g.admission; control != nil && control.alarm.ring(g.now) {
-		g.handleAdmission(admission.Event{Kind: admission.TimerFired})
+	if control := g.admission; control != nil && control.wakeAt.fire(g.now) {
+		g.notifyAdmission(admission.Event{Kind: admission.TimerFired})
 	}
 }
 
-// logAdmission logs what admission control did since the last such line.
+// logAdmission logs the statistics of admission control since its last log line.
 func (g *Gateway) logAdmission() {
 	control := g.admission
 	if control == nil {
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -8,30 +8,30 @@
 	"foxlane/rules"
 )
 
-// This file takes what engines answer to attempts. Where results are passed on at once it collects the pages of a result in memory,
-// within bounds, and writes the complete result to the client; nothing of a result is written before all of it is here.
+// This file handles the engines' answers to attempts. Without a spool, it collects the pages of a result in
+// memory, within limits, and writes the result to the client only once it is complete.
 
-// What is wrong with an answer, in the log.
+// Reasons of malformed answers, as logged.
 const (
-	badRow          = "a row has not three columns, or a page ends within one"
+	malformedRow    = "a row has not three columns, or a page ends within one"
 	unrequestedPage = "a page that was not asked for"
 )
 
-// receiveAnswer takes what an engine answers to an attempt.
+// receiveAnswer handles an engine's answer to an attempt.
 func (g *Gateway) receiveAnswer(attempt *engineAttempt, answer *engine.Answer) {
 	if answer.Report != nil {
 		attempt.loadReport = bytes.Clone(answer.Report)
 	}
 	switch answer.Kind {
-	case engine.Progress: // the module does not use it
+	case engine.Progress: // not used by the module
 	case engine.Overloaded:
 		g.concludeAttempt(attempt, rules.StatusRejected)
 	case engine.NotExecuted:
 		g.concludeAttempt(attempt, rules.StatusSuperseded)
 	case engine.Errored:
-		// Engines answer an error to faulty queries too. So one counts against the engine only if the engine has
-		// served nothing since its last error.
-		attempt.blameless = attempt.engine.lastServed > attempt.engine.lastError
+		// A faulty query causes an error as well, so an error counts against the engine only if the engine has served
+		// nothing since its last error.
+		attempt.notEngineFault = attempt.engine.lastServed > attempt.engine.lastError
 		attempt.engine.lastError = g.now
 		g.concludeAttempt(attempt, rules.StatusError)
 	case engine.Served:
@@ -48,15 +48,16 @@
 	}
 }
 
-// malformedAnswer ends an attempt whose answer makes no sense. It may have run, and may still run, so its outcome is a reset.
+// malformedAnswer ends an attempt whose answer is invalid. The query may have run or may still run, so the status
+// is a reset.
 func (g *Gateway) malformedAnswer(attempt *engineAttempt, reason string) {
 	g.log(Warn, "engine: malformed answer", Attr{keyEngine, attempt.engine.entry.ID}, Attr{keyRequest, string(attempt.request.id)},
 		Attr{keyReason, reason})
-	attempt.blameless = true
+	attempt.notEngineFault = true
 	g.abandonAttempt(attempt, rules.StatusReset)
 }
 
-// receiveFirstPage takes the answer that an attempt was served, with page 0 of its result. Engines may send it twice.
+// receiveFirstPage handles the answer of a served attempt, which has page 0 of the result. Engines may send it twice.
 func (g *Gateway) receiveFirstPage(attempt *engineAttempt, answer *engine.Answer) {
 	total := max(answer.PageCount, 1)
 	if g.results != nil {
@@ -83,8 +84,8 @@
 	}
 }
 
-// requestPages asks for the further pages of results in the order in which their first pages came, while memory for them is left. Each
-// result reserves as much as a result may have at most.
+// requestPages requests the remaining pages of results in the order of their first pages, while memory is
+// available. Each result reserves MaxResultBytes.
 func (g *Gateway) requestPages() {
 	for len(g.pageQueue) > 0 {
 		attempt := g.pageQueue[0]
@@ -105,7 +106,7 @@
 	g.pageQueue = nil
 }
 
-// releasePages gives back the memory that is reserved for an attempt's pages.
+// releasePages releases the memory reserved for an attempt's pages.
 func (g *Gateway) releasePages(attempt *engineAttempt) {
 	attempt.pages = nil
 	if attempt.pagesRequested {
@@ -115,7 +116,7 @@
 	}
 }
 
-// receivePage takes a page where results are passed on at once. Duplicates are ignored.
+// receivePage handles a page of a result without a spool. Identical duplicates are ignored.
 func (g *Gateway) receivePage(attempt *engineAttempt, n int, body []byte) {
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= len(attempt.pages):
@@ -134,7 +135,7 @@
 		return
 	}
 	if attempt.pages[n] = body; attempt.pagesMissing > 1 {
-		attempt.pages[n] = append([]byte{}, body...) // the last one is used before body is reused
+		attempt.pages[n] = append([]byte{}, body...) // copied because body is reused; the last page is used before that
 	}
 	attempt.pageBytes += len(body)
 	if attempt.pagesMissing--; attempt.pagesMissing == 0 {
@@ -142,12 +143,14 @@
 	}
 }
 
-// columnCount is of every result: the deployment's engines have no others.
+// columnCount is the number of columns of every result: the deployment's engines return no others.
 const columnCount = 3
 
+// columnNames are the column names sent to clients.
 var columnNames = []string{"c1", "c2", "c3"}
 
-// completeResult ends an attempt all pages of which are here. The first such attempt of a request is its client's answer.
+// completeResult ends an attempt once all its pages have been received. The first complete attempt of a request
+// answers the client.
 func (g *Gateway) completeResult(attempt *engineAttempt) {
 	req := attempt.request
 	if !req.answered {
@@ -161,14 +164,14 @@
 		g.markDirty(&req.client.outputBuffer)
 		g.finishServed(req)
 	}
-	if len(attempt.pages) > 1 { // an engine keeps nothing of a result of one page
+	if len(attempt.pages) > 1 { // engines keep only results of several pages
 		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
 	g.concludeAttempt(attempt, rules.StatusOK)
 }
 
-// appendResult appends a complete result set. If a row can't be read, ok is false and nothing is appended.
+// appendResult appends a complete result set. If a row is malformed, ok is false and nothing is appended.
 func appendResult(dst []byte, pages [][]byte) (out []byte, ok bool) {
 	out, seq := mysql.AppendColumns(dst, 1, columnNames)
 	for _, page := range pages {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -8,42 +8,42 @@
 	"foxlane/rules"
 )
 
-// This file owns attempts: how one starts at an engine, how the module changes or cancels it, and how it ends. The module is told of
-// each end exactly once, and never more than is known: an attempt that was written may have run unless the engine or the connection
-// proves that it did not.
+// This file manages the attempts of requests: their start, changes and cancels by the module, and their end. The
+// module is notified of each end exactly once. An attempt that was written counts as possibly executed, unless the
+// engine or the connection proves that it did not run.
 
-// engineAttempt is one attempt to have an engine run a request.
+// engineAttempt is one attempt to run a request on an engine.
 type engineAttempt struct {
 	request         *queryRequest
 	index           int
 	engine          *engineState
-	engineStarted   int64       // when the engine's process started, by the list as it was then
-	conn            *engineConn // nil: it never had one
-	sent            bool        // it was written to a connection that was up
-	endOffset       int64       // where it ends in all that is written on its connection
+	engineStarted   int64       // start time of the engine's process in the endpoint list when the attempt started
+	conn            *engineConn // nil if no connection was ever assigned
+	sent            bool        // it was written to an established connection
+	endOffset       int64       // offset of its end in the bytes written to its connection
 	done            bool
-	status          rules.Status // once done
-	terminating     bool         // ended by us or by its connection, but its engine may not know that yet
-	blameless       bool         // how it ends does not count against its engine
-	localExhaustion bool         // it had no connection because a local resource was exhausted
-	startedAt       rules.Time   // when the module asked for it
+	status          rules.Status // valid once done
+	terminating     bool         // ended by the gateway or its connection, but its engine may not know yet
+	notEngineFault  bool         // its failure does not count against the engine
+	localExhaustion bool         // it got no connection because a local resource was exhausted
+	startedAt       rules.Time   // when the module requested it
 	deadline        rules.Time
 	priority        int
 
 	firstPageReceived bool
-	pagesRequested    bool       // the other pages were asked for
-	latency           rules.Time // until the first page, or until its end
-	pages             [][]byte   // where results are passed on at once; nil: not received yet
-	pagesMissing      int        // of pages
-	pageBytes         int        // in pages
-	totalPages        int        // where results are stored
-	firstPage         []byte     // where results are stored: page 0 until the attempt fills the result
-	workMS            float64    // that the engine reports it has spent
-	memoryMB          float64    // that the engine reports it has used
-	loadReport        []byte     // the latest load report that came with an answer
+	pagesRequested    bool       // the pages after the first were requested
+	latency           rules.Time // time to the first page, or to its end if there was none
+	pages             [][]byte   // without a spool: the pages; nil elements were not received yet
+	pagesMissing      int        // number of pages not received yet
+	pageBytes         int        // total size of pages
+	totalPages        int        // with a spool: number of pages of the result
+	firstPage         []byte     // with a spool: page 0, until the attempt fills the result
+	workMS            float64    // work reported by the engine, in core milliseconds
+	memoryMB          float64    // memory use reported by the engine
+	loadReport        []byte     // latest load report received with an answer
 }
 
-// startAttempt starts an attempt that the module has asked for.
+// startAttempt starts an attempt that the module requested.
 func (g *Gateway) startAttempt(send rules.Send) {
 	req := g.requests[send.ID]
 	if req == nil {
@@ -68,7 +68,7 @@
 	req.stats.attempts++
 	req.stats.attemptsInFlight++
 	if req.inFlight == 1 {
-		g.handleAdmission(admission.Event{Kind: admission.RequestForwarded, Slot: req.admissionSlot})
+		g.notifyAdmission(admission.Event{Kind: admission.RequestForwarded, Slot: req.admissionSlot})
 	}
 	if send.Timeout != 0 {
 		attempt.deadline = min(attempt.deadline, g.now+send.Timeout)
@@ -85,26 +85,27 @@
 	}
 }
 
-// setTerms takes over the memory and the priority that the module gives to a request, for attempts that run too.
-func (g *Gateway) setTerms(terms rules.SetAttemptOptions) {
-	req := g.requests[terms.ID]
+// setAttemptOptions sets the memory and the priority of a request as the module decided. A changed priority is also sent for
+// running attempts.
+func (g *Gateway) setAttemptOptions(options rules.SetAttemptOptions) {
+	req := g.requests[options.ID]
 	if req == nil {
 		return
 	}
-	req.memoryMB, req.priority = int64(math.Ceil(terms.MemoryMB)), terms.Priority
+	req.memoryMB, req.priority = int64(math.Ceil(options.MemoryMB)), options.Priority
 	for _, attempt := range req.attempts {
-		if attempt.done || attempt.terminating || attempt.priority == terms.Priority {
+		if attempt.done || attempt.terminating || attempt.priority == options.Priority {
 			continue
 		}
-		attempt.priority = terms.Priority
+		attempt.priority = options.Priority
 		if attempt.sent {
-			attempt.conn.output = engine.AppendPriority(attempt.conn.output, string(req.id), terms.Priority)
+			attempt.conn.output = engine.AppendPriority(attempt.conn.output, string(req.id), options.Priority)
 			g.markDirty(&attempt.conn.outputBuffer)
 		}
 	}
 }
 
-// cancelAttempt ends an attempt that the module has no more use for.
+// cancelAttempt cancels an attempt that the module no longer needs.
 func (g *Gateway) cancelAttempt(cancel rules.Cancel) {
 	req := g.requests[cancel.ID]
 	if req == nil || cancel.Attempt < 0 || cancel.Attempt >= len(req.attempts) || req.attempts[cancel.Attempt].done {
@@ -113,7 +114,7 @@
 	g.abandonAttempt(req.attempts[cancel.Attempt], rules.StatusCancelled)
 }
 
-// abandonAttempt ends an attempt from our side, and tells its engine.
+// abandonAttempt ends an attempt from the gateway's side and notifies its engine.
 func (g *Gateway) abandonAttempt(attempt *engineAttempt, status rules.Status) {
 	if attempt.sent && !attempt.terminating && !attempt.conn.closed {
 		id := string(attempt.request.id)
@@ -122,16 +123,17 @@
 		} else {
 			attempt.conn.output = engine.AppendCancel(attempt.conn.output, id)
 		}
-		g.flushNow(&attempt.conn.outputBuffer) // before another attempt is, whose connection may come first in the batch
+		g.flushNow(&attempt.conn.outputBuffer) // ahead of the next attempt, whose connection may come first in the batch
 		g.retireIfSilent(attempt)
 	}
 	g.terminateAttempt(attempt, status)
 }
 
-// terminateAttempt ends an attempt that its engine may still run, since the cancel takes time to reach it. Where no two attempts of a
-// request may run at once, the next one could reach a nearer engine before the cancel reaches the first. So the module is told of
-// the end only after the time that the connection took to come up, which covers the way to the engine. Where nothing can follow, or
-// the engine ends the attempt by its own deadline, the module is told at once.
+// terminateAttempt ends an attempt that its engine may still run until the cancel arrives. If attempts of a request
+// must not run concurrently, the next attempt could reach a nearer engine before the cancel reaches the first. The
+// module is therefore notified only after the time that the connection took to establish, which covers the transit
+// to the engine. It is notified at once if no attempt can follow, or if the engine ends the attempt by its own
+// deadline.
 func (g *Gateway) terminateAttempt(attempt *engineAttempt, status rules.Status) {
 	req, settings := attempt.request, &g.cfg.Settings.Rules
 	if !attempt.sent || req.answered || status == rules.StatusTimeout || settings.Limits.HedgedRequests ||
@@ -152,7 +154,7 @@
 	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.MaxNetworkMargin), kind: timerTerminated, attempt: attempt, status: status})
 }
 
-// concludeAttempt ends an attempt for good and tells the module its outcome.
+// concludeAttempt ends an attempt finally and reports its outcome to the module.
 func (g *Gateway) concludeAttempt(attempt *engineAttempt, status rules.Status) {
 	if attempt.done {
 		return
@@ -173,10 +175,10 @@
 		g.traceAttemptEnd(attempt)
 	}
 	if attempt.sent {
-		g.handleAdmission(admission.Event{Kind: admission.EngineTimeUsed, Slot: req.admissionSlot, EngineTime: attempt.latency})
+		g.notifyAdmission(admission.Event{Kind: admission.EngineTimeUsed, Slot: req.admissionSlot, EngineTime: attempt.latency})
 	}
-	if status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion && attempt.ofPresentProcess() {
-		attempt.engine.lastFault = g.now
+	if status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion && attempt.targetsCurrentProcess() {
+		attempt.engine.lastFailure = g.now
 	}
 	outcome := rules.Outcome{
 		ID:             req.id,
@@ -184,7 +186,7 @@
 		Status:         status,
 		Latency:        attempt.latency,
 		Closed:         req.answered || req.result.engineDone,
-		NotEngineFault: attempt.blameless,
+		NotEngineFault: attempt.notEngineFault,
 	}
 	if attempt.engine != nil {
 		outcome.Engine = attempt.engine.id
@@ -198,21 +200,21 @@
 	}
 	g.releaseRequest(req)
 	g.stopFilling(attempt)
-	g.tellModule(outcome)
+	g.notifyModule(outcome)
 }
 
-// ofPresentProcess reports whether an attempt was started when the list named the engine's present process: otherwise its end says
-// nothing of that process.
-func (a *engineAttempt) ofPresentProcess() bool {
+// targetsCurrentProcess reports whether the engine's process is the one that the endpoint list named when the attempt
+// started. If not, the end of the attempt says nothing about the current process.
+func (a *engineAttempt) targetsCurrentProcess() bool {
 	return a.engine != nil && a.engineStarted == a.engine.entry.Started
 }
 
-// plausibleUsage reports whether an engine of that kind can have spent the work and the memory that an answer reports. The module
-// must not learn from figures that were corrupted on the way.
+// plausibleUsage reports whether an engine of this kind can have used the reported work and memory. Figures that
+// were corrupted in transit must not reach the module's estimates.
 func (g *Gateway) plausibleUsage(attempt *engineAttempt) bool {
 	kinds := g.cfg.Settings.Rules.Kinds
 	if attempt.engine.kind >= len(kinds) {
-		return true // nothing is known of this kind
+		return true // the limits of this kind are unknown
 	}
 	kind := kinds[attempt.engine.kind]
 	return (kind.Cores <= 0 || attempt.workMS <= kind.Cores*float64(attempt.latency/rules.Millisecond+1)) &&
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -11,38 +11,39 @@
 	"foxlane/rules"
 )
 
-// This file owns the clients' connections, from accept to close, and which of them give way where there are too many.
+// This file manages client connections from accept to close, including the eviction of connections when there are
+// too many.
 
-// clientConn is a client's connection, and the session on it.
+// clientConn is a client connection and its session.
 type clientConn struct {
 	outputBuffer
-	admissionSlot int // in admissionControl.conns
-	greeted       bool
-	session       uint32
-	decoder       mysql.Decoder
-	loginPending  bool // the client has not logged in yet
-	request       *queryRequest
-	killed        bool // its query was killed: no answer follows, so the session can't go on
-	lastActive    rules.Time
-	openedBy      uint64        // the number of the event that opened it
-	commands      int           // that it has sent
-	answeredBy    uint64        // the number of the event by which a request of it last ended
-	partialBytes  int           // bytes of an unfinished packet
-	partialSince  rules.Time    // when that packet began
-	badCommands   int           // that could not be used
-	newElement    *list.Element // in newClients, while it has sent no command
-	idleElement   *list.Element // in idleClients, while it has no request
-	reader        *resultReader // while it reads a stored result
+	admissionSlot    int // index in admissionControl.conns
+	greeted          bool
+	session          uint32
+	decoder          mysql.Decoder
+	loginPending     bool
+	request          *queryRequest
+	killed           bool // its query was killed without an answer, so the session cannot continue
+	lastActive       rules.Time
+	openedInEvent    uint64        // number of the event that opened the connection
+	commands         int           // number of commands received
+	answeredInEvent  uint64        // number of the event in which its last request ended
+	partialBytes     int           // buffered bytes of an incomplete packet
+	partialSince     rules.Time    // when the first bytes of that packet arrived
+	rejectedCommands int           // number of commands rejected as unusable
+	newElement       *list.Element // entry in newClients until the first command
+	idleElement      *list.Element // entry in idleClients while it has no request
+	reader           *resultReader // non-nil while the client reads a stored result
 }
 
-// acceptClient greets a new client, or tells it that there are too many connections.
+// acceptClient greets a new client, or rejects it with an error if there are too many connections.
 func (g *Gateway) acceptClient(id ConnID, from netip.Addr) {
 	client := &clientConn{
-		outputBuffer: outputBuffer{id: id},
-		loginPending: true,
-		lastActive:   g.now,
-		openedBy:     g.eventNumber,
-		decoder:      mysql.Decoder{MaxPayload: g.limits.MaxLoginBytes},
+		outputBuffer:  outputBuffer{id: id},
+		loginPending:  true,
+		lastActive:    g.now,
+		openedInEvent: g.eventNumber,
+		decoder:       mysql.Decoder{MaxPayload: g.limits.MaxLoginBytes},
 	}
 	if g.stopped || g.admission == nil && len(g.clients) >= g.limits.MaxClients && !g.evictOne() {
 		g.log(Warn, "client: too many connections", Attr{keyClients, len(g.clients)}, Attr{"stopped", g.stopped})
@@ -52,7 +53,7 @@
 		return
 	}
 	g.lastSession++
-	if g.lastSession == 0 { // the protocol has no session 0
+	if g.lastSession == 0 { // 0 is not a valid session ID in the protocol
 		g.lastSession++
 	}
 	client.session = g.lastSession
@@ -70,9 +71,9 @@
 	g.markDirty(&client.outputBuffer)
 }
 
-// evictOne closes a connection to make room for a new one: the oldest of those that have sent no command, else the one that has been
-// idle for longest. Otherwise a few hundred connections that send nothing would keep every other client out. It reports whether
-// there was one to close.
+// evictOne closes a connection to make room for a new one: the oldest connection without a command, else the one
+// that has been idle longest. Without eviction, a few hundred connections that send nothing would lock out all
+// other clients. It reports whether a connection was closed.
 func (g *Gateway) evictOne() bool {
 	if element := g.newClients.Front(); element != nil {
 		g.evictWithError(element.Value.(*clientConn), CloseEvicted, "no room for a connection that asks for nothing")
@@ -84,8 +85,8 @@
 	return true
 }
 
-// evictWithError closes a connection on which no command came, with an error that its client may read as the answer to its login or
-// its first command.
+// evictWithError closes a connection that has not sent a command. The client can read the error as the answer to
+// its login or its first command.
 func (g *Gateway) evictWithError(client *clientConn, reason CloseReason, text string) {
 	seq := byte(1)
 	switch {
@@ -99,8 +100,8 @@
 	g.closeClient(client, reason)
 }
 
-// unlistClient takes a session off the lists of those that send nothing.
-func (g *Gateway) unlistClient(client *clientConn) {
+// removeFromClientLists removes a client from newClients and idleClients.
+func (g *Gateway) removeFromClientLists(client *clientConn) {
 	if client.newElement != nil {
 		g.newClients.Remove(client.newElement)
 	}
@@ -110,20 +111,20 @@
 	client.newElement, client.idleElement = nil, nil
 }
 
-// removeClient forgets a session and abandons its request.
+// removeClient deletes the state of a client and abandons its request.
 func (g *Gateway) removeClient(client *clientConn) {
 	client.closed = true
 	g.partialBytes -= client.partialBytes
 	client.partialBytes = 0
 	delete(g.clients, client.id)
 	delete(g.sessions, client.session)
-	g.unlistClient(client)
+	g.removeFromClientLists(client)
 	g.abandonRequest(client.request)
 	g.detachReader(client)
 	g.releaseConn(client)
 }
 
-// closeClient closes a client's connection. Every such close by us goes through here.
+// closeClient closes a client connection. It is the only place where the gateway closes an accepted one.
 func (g *Gateway) closeClient(client *clientConn, reason CloseReason) {
 	g.checkClose(client, reason)
 	g.countClose(client, reason)
@@ -131,7 +132,7 @@
 	g.removeClient(client)
 }
 
-// countClose counts the end of a client's connection by its reason.
+// countClose counts the end of a client connection by reason.
 func (g *Gateway) countClose(client *clientConn, reason CloseReason) {
 	g.closeCounts[reason]++
 	if g.cfg.Trace {
@@ -139,7 +140,8 @@
 	}
 }
 
-// clientBecameIdle notes that a session has no request. Where too many sessions are idle, those that have been for longest are closed.
+// clientBecameIdle records that a client has no request. If there are too many idle clients, those idle longest are
+// closed.
 func (g *Gateway) clientBecameIdle(client *clientConn) {
 	if client.closed || client.killed || client.reader != nil {
 		return
@@ -148,7 +150,7 @@
 	if client.newElement != nil {
 		return
 	}
-	g.handleAdmission(admission.Event{Kind: admission.ConnectionIdle, Conn: client.admissionSlot})
+	g.notifyAdmission(admission.Event{Kind: admission.ConnectionIdle, Conn: client.admissionSlot})
 	if client.idleElement == nil {
 		client.idleElement = g.idleClients.PushBack(client)
 	} else {
@@ -159,8 +161,8 @@
 	}
 }
 
-// sweepClients closes sessions that do what no client does: they are idle for longer than clients keep connections, send no command,
-// leave a packet unfinished, or stay on after a KILL.
+// sweepClients closes connections that no working client would keep: those idle for longer than clients keep
+// connections, without a first command, with an incomplete packet, or still open after a KILL.
 func (g *Gateway) sweepClients() {
 	for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
 		client := element.Value.(*clientConn)
@@ -178,7 +180,7 @@
 	}
 	for _, client := range g.overdueClients() {
 		switch {
-		case client.closed: // together with one before it
+		case client.closed: // by the close of an earlier one
 		case client.killed:
 			g.closeClient(client, CloseQueryKilled)
 		default:
@@ -187,8 +189,9 @@
 	}
 }
 
-// overdueClients lists the clients that were killed and stay, or leave a packet unfinished. They are sorted, since the order in which
-// connections end decides what is sent next, and must not be that of a map.
+// overdueClients returns the clients that stayed connected after a KILL or did not complete a packet in time. They
+// are sorted by ID: the order in which connections end affects what is sent next, so it must not depend on map
+// iteration.
 func (g *Gateway) overdueClients() (overdue []*clientConn) {
 	for _, client := range g.clients {
 		stays := client.killed && g.now-client.lastActive >= g.limits.LoginTimeout
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -40,7 +40,7 @@
 func (sim *simulation) warmth(t *testing.T, name string) float64 {
 	t.Helper()
 	sim.g.Step(sim.now, TimerFired{})
-	sim.g.tellModule(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
+	sim.g.notifyModule(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
 	sim.executeEffects()
 	for _, belief := range sim.g.module.EngineViews() {
 		if eng := sim.g.engines[belief.Engine]; eng != nil && eng.entry.ID == name {
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -9,7 +9,8 @@
 	"foxlane/internal/mysql"
 )
 
-// This file takes what clients send: the login, commands and statements. What one client sends never touches another, except by KILL.
+// This file handles client input: logins, commands and statements. Except for KILL, the input of a client affects
+// no other client.
 
 const (
 	serverVersion  = "8.0.0-foxlane"
@@ -17,38 +18,39 @@
 	clientDatabase = "main"
 )
 
-// Errors that end a session. Clients see their texts.
+// Errors that end a session. Clients receive their texts.
 var (
 	errAnswersUnread    = &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "answers are not read"}
 	errUnfinishedInput  = &mysql.Error{Code: mysql.CodePacketTooLarge, Text: "too much input is unfinished"}
 	errPacketUnfinished = &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a packet never ends"}
 )
 
-// rejectCommand answers a command that can't be used with an error. A session that goes on sending such is closed.
+// rejectCommand answers an unusable command with an error, and closes the session after more than MaxSessionErrors
+// such commands.
 func (g *Gateway) rejectCommand(client *clientConn, code uint16, text string) {
-	if client.badCommands++; client.badCommands > g.limits.MaxSessionErrors {
+	if client.rejectedCommands++; client.rejectedCommands > g.limits.MaxSessionErrors {
 		g.protocolError(client, 1, &mysql.Error{Code: code, Text: text})
 		return
 	}
 	g.writeErr(client, code, text)
 }
 
-// writeErr writes an error as the answer to a command.
+// writeErr answers a command with an error.
 func (g *Gateway) writeErr(client *clientConn, code uint16, text string) {
 	client.output = mysql.AppendErr(client.output, 1, code, text)
 	g.markDirty(&client.outputBuffer)
 }
 
-// writeOK writes an OK as the answer to a command.
+// writeOK answers a command with an OK packet.
 func (g *Gateway) writeOK(client *clientConn) {
 	client.output = mysql.AppendOK(client.output, 1)
 	g.markDirty(&client.outputBuffer)
 }
 
-// clientData takes bytes that came from a client.
-func (g *Gateway) clientData(client *clientConn, data []byte) {
+// handleClientData handles bytes received from a client.
+func (g *Gateway) handleClientData(client *clientConn, data []byte) {
 	client.decoder.Feed(data)
-	defer g.countPartial(client)
+	defer g.updatePartialBytes(client)
 	for !client.closed {
 		payload, seq, ok, err := client.decoder.Next()
 		if err != nil {
@@ -58,52 +60,54 @@
 		if !ok {
 			return
 		}
-		client.partialSince = g.now // the next packet
+		client.partialSince = g.now // what remains belongs to the next packet
 		if client.loginPending {
-			g.clientLogin(client, payload, seq)
+			g.handleLogin(client, payload, seq)
 		} else {
 			g.handleCommand(client, payload, seq)
 		}
-		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // many commands, and their answers are not read
+		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands are sent, but answers not read
 			client.output = client.output[:0]
 			g.protocolError(client, 1, errAnswersUnread)
 		}
 	}
 }
 
-// countPartial keeps the unfinished packets of all clients together within bounds: the client that holds most is closed.
-func (g *Gateway) countPartial(client *clientConn) {
-	held := client.decoder.Buffered()
+// updatePartialBytes updates the size of a client's incomplete packet. While the total of all clients exceeds
+// MaxInputBytes, it closes the client with the largest one.
+func (g *Gateway) updatePartialBytes(client *clientConn) {
+	buffered := client.decoder.Buffered()
 	if client.closed {
-		held = 0
+		buffered = 0
 	}
 	if client.partialBytes == 0 {
 		client.partialSince = g.now
 	}
-	g.partialBytes += held - client.partialBytes
-	changed := client.partialBytes != held
-	client.partialBytes = held
+	g.partialBytes += buffered - client.partialBytes
+	changed := client.partialBytes != buffered
+	client.partialBytes = buffered
 	if changed && !client.closed {
-		g.handleAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: held})
+		g.notifyAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: buffered})
 	}
 	for g.partialBytes > g.limits.MaxInputBytes {
-		g.protocolError(g.mostUnfinished(client), 1, errUnfinishedInput)
+		g.protocolError(g.largestPartialClient(client), 1, errUnfinishedInput)
 	}
 }
 
-// mostUnfinished is the client that holds most of unfinished packets: of several, the one that connected first, since the order of
-// a map must not decide.
-func (g *Gateway) mostUnfinished(client *clientConn) *clientConn {
-	most := client
+// largestPartialClient returns the client with the largest incomplete packet. Ties go to the client that connected first,
+// so that the result does not depend on map iteration.
+func (g *Gateway) largestPartialClient(client *clientConn) *clientConn {
+	largest := client
 	for _, other := range g.clients {
-		if other.partialBytes > most.partialBytes || other.partialBytes == most.partialBytes && other.id < most.id {
-			most = other
+		if other.partialBytes > largest.partialBytes || other.partialBytes == largest.partialBytes && other.id < largest.id {
+			largest = other
 		}
 	}
-	return most
+	return largest
 }
 
-// protocolError ends a session that breaks the protocol, with an error unless its client waits for another answer.
+// protocolError closes a session that violates the protocol. The client receives the error unless it is waiting for
+// another answer.
 func (g *Gateway) protocolError(client *clientConn, seq byte, err error) {
 	code := uint16(mysql.CodeUnknownError)
 	var protocolErr *mysql.Error
@@ -117,8 +121,8 @@
 	g.closeClient(client, CloseProtocolError)
 }
 
-// clientLogin takes a client's answer to the greeting.
-func (g *Gateway) clientLogin(client *clientConn, payload []byte, seq byte) {
+// handleLogin handles a client's reply to the greeting.
+func (g *Gateway) handleLogin(client *clientConn, payload []byte, seq byte) {
 	login, err := mysql.ParseLogin(payload)
 	switch {
 	case err != nil:
@@ -138,7 +142,7 @@
 	g.markDirty(&client.outputBuffer)
 }
 
-// handleCommand takes one command of a client. A session has one command in flight at most.
+// handleCommand handles one command of a client. A session has at most one command in flight.
 func (g *Gateway) handleCommand(client *clientConn, payload []byte, seq byte) {
 	switch {
 	case client.request != nil || client.killed || client.reader != nil:
@@ -151,7 +155,7 @@
 		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCommand, Text: "empty command"})
 		return
 	}
-	g.unlistClient(client)
+	g.removeFromClientLists(client)
 	client.commands++
 	switch command := mysql.Command(payload[0]); command {
 	case mysql.ComQuit:
@@ -176,7 +180,8 @@
 	}
 }
 
-// handleStatement takes a COM_QUERY: a request with its fields, a KILL, or what client libraries send of their own accord.
+// handleStatement handles a COM_QUERY: a request with its fields, a KILL, or a statement that client libraries send
+// on their own.
 func (g *Gateway) handleStatement(client *clientConn, text []byte) {
 	if mysql.HasFields(text) {
 		if resume, ok, err := mysql.ParseResume(text); ok {
@@ -197,7 +202,7 @@
 		return
 	}
 	if session, query, ok := mysql.ParseKill(text); ok {
-		g.kill(client, session, query)
+		g.handleKill(client, session, query)
 		return
 	}
 	switch mysql.FirstWord(text) {
@@ -205,7 +210,7 @@
 		g.writeOK(client)
 		return
 	case "SELECT":
-		if bytes.Contains(text, []byte("@@")) { // libraries read a system variable before anything else
+		if bytes.Contains(text, []byte("@@")) { // client libraries read system variables after connecting
 			g.writeVariable(client, text)
 			return
 		}
@@ -226,22 +231,24 @@
 	g.markDirty(&client.outputBuffer)
 }
 
-// kill ends another session's query, without an answer to it, or the whole session. A client that opened its connection while the
-// session's last query was still in flight means that one, so a KILL QUERY that comes late must not hit the next.
-func (g *Gateway) kill(client *clientConn, session uint32, query bool) {
+// handleKill ends another session, or only its queryOnly, which gets no answer. A client that opened its connection while an
+// earlier queryOnly of the session was in flight means that queryOnly, so a KILL QUERY that arrives after it ended must not
+// hit the next one.
+func (g *Gateway) handleKill(client *clientConn, session uint32, queryOnly bool) {
 	target := g.sessions[session]
 	if target == nil {
 		g.rejectCommand(client, mysql.CodeNoSuchThread, "unknown session")
 		return
 	}
 	g.writeOK(client)
-	late := client.commands == 1 && target.answeredBy >= client.openedBy // by number: events of one batch have one time
-	if !query {
+	// Event numbers are compared, since all events of a batch have the same time.
+	late := client.commands == 1 && target.answeredInEvent >= client.openedInEvent
+	if !queryOnly {
 		g.closeClient(target, CloseKilled)
 	} else if req := target.request; req != nil && !late {
 		target.killed, target.lastActive = true, g.now
 		g.abandonRequest(req)
-	} else if target.reader != nil && !late { // it must get nothing more of its answer
+	} else if target.reader != nil && !late { // the rest of its answer must not be sent
 		target.output = nil
 		g.closeClient(target, CloseQueryKilled)
 	}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -11,39 +11,40 @@
 	"foxlane/rules"
 )
 
-// This file answers what operators' commands ask of the process on its control socket: questions by name, and commands on directives
-// in JSON. Each answer is one line of JSON.
+// This file answers requests of operator commands on the control socket: queries by name, and directive commands in
+// JSON. Each answer is one line of JSON.
 
-// errDirectivesOff is the answer where the operator's file has no block `directives`.
+// errDirectivesOff is the answer if the operator's file has no block `directives`.
 var errDirectivesOff = errors.New("directives are off")
 
-// errMembersOff is the answer where it has no block `members`.
+// errMembersOff is the answer if the operator's file has no block `members`.
 var errMembersOff = errors.New("talk is off")
 
-// answerInquiry answers a question or a command.
-func (g *Gateway) answerInquiry(event ControlRequest) {
+// handleControlRequest answers a query or executes a directive command.
+func (g *Gateway) handleControlRequest(event ControlRequest) {
 	var answer any
-	switch question := string(event.Data); {
+	switch query := string(event.Data); {
 	case len(event.Data) > 0 && event.Data[0] == '{':
 		g.proposeDirective(event.Conn, event.Data)
 		return
-	case question == "book": // the directives in force
+	case query == "book": // the directives in force
 		answer = g.directiveStatus()
 	case g.peers == nil:
 		answer = errorAnswer(errMembersOff)
-	case question == "members":
+	case query == "members":
 		answer = g.memberStatus()
-	case question == "copies": // the replicated state
+	case query == "copies": // the replicated state
 		answer = g.replicaEntries()
 	default:
-		answer = errorAnswer(fmt.Errorf("unknown question %.40q", question))
+		answer = errorAnswer(fmt.Errorf("unknown question %.40q", query))
 	}
 	g.reply(event.Conn, answer)
 }
 
-// errorAnswer is the answer where there is none to give.
+// errorAnswer returns the JSON object that reports an error.
 func errorAnswer(err error) map[string]string { return map[string]string{"error": err.Error()} }
 
+// reply answers a control request with one line of JSON.
 func (g *Gateway) reply(conn ConnID, answer any) {
 	line, err := json.Marshal(answer)
 	if err != nil {
@@ -52,22 +53,22 @@
 	g.emit(ControlResponse{Conn: conn, Data: append(line, '\n')})
 }
 
-// MemberStatus is a member as `foxlane members` lists it. Its JSON keys are read by operators' scripts and keep the words of the first
-// release.
+// MemberStatus is the status of a member as listed by `foxlane members`. Operators' scripts read the JSON keys, so
+// they stay as they were in the first release.
 type MemberStatus struct {
 	Name               string  `json:"name"`
 	Zone               string  `json:"zone"`
-	SinceMS            int64   `json:"since_ms"` // how long it has been a member; of this gateway how long it runs
-	Entries            int     `json:"entries"`  // that are replicated from it
-	NewestEntryMS      int64   `json:"newest_ms"`
+	SinceMS            int64   `json:"since_ms"`  // time since it joined; for this gateway, its uptime
+	Entries            int     `json:"entries"`   // number of entries replicated from it
+	NewestEntryMS      int64   `json:"newest_ms"` // age of its newest entry; -1: no entries
 	Counter            uint64  `json:"counter"`
-	Incarnation        string  `json:"life"` // when its process started
+	Incarnation        string  `json:"life"` // start time of its process
 	Self               bool    `json:"us,omitempty"`
-	LagMS              int64   `json:"lag_ms,omitempty"` // of this gateway only
+	LagMS              int64   `json:"lag_ms,omitempty"` // set for this gateway only, as is SentBytesPerSecond
 	SentBytesPerSecond float64 `json:"sent_bytes_s,omitempty"`
 }
 
-// memberStatus lists the members, this gateway among them.
+// memberStatus lists the members, including this gateway.
 func (g *Gateway) memberStatus() any {
 	peers := g.peers
 	zoneOf := map[string]string{}
@@ -87,7 +88,7 @@
 			Zone:          zoneOf[replicated.Origin],
 			Entries:       len(replicated.Entries),
 			Counter:       replicated.Counter,
-			NewestEntryMS: -1, // there is none
+			NewestEntryMS: -1, // no entries
 			Incarnation:   time.UnixMicro(int64(replicated.Incarnation)).UTC().Format(time.RFC3339),
 			Self:          self,
 		}
@@ -107,7 +108,7 @@
 	return list
 }
 
-// ReplicaEntry is an entry as `foxlane replica diff` compares it.
+// ReplicaEntry is a replicated entry as compared by `foxlane replica diff`.
 type ReplicaEntry struct {
 	Origin      string        `json:"origin"`
 	Incarnation uint64        `json:"life"`
@@ -119,7 +120,7 @@
 	Value       replica.Value `json:"value"`
 }
 
-// replicaEntries lists all that is replicated here.
+// replicaEntries lists all entries of the replicated state.
 func (g *Gateway) replicaEntries() any {
 	list := []ReplicaEntry{}
 	settings := &g.cfg.Site.Members.Replica
@@ -140,18 +141,18 @@
 	return list
 }
 
-// DirectiveStatus is the directives in force as `foxlane directive list` lists them.
+// DirectiveStatus is the state of the directives as listed by `foxlane directive list`.
 type DirectiveStatus struct {
 	Index   uint64                 `json:"index"`
 	InForce []directives.Directive `json:"held"`
 	History []directives.Change    `json:"history"`
-	AgeMS   int64                  `json:"age_ms"` // since a voter that sees a quorum confirmed it; -1: never
+	AgeMS   int64                  `json:"age_ms"` // since the last confirmation by a voter that sees a quorum; -1: never
 	IsVoter bool                   `json:"votes"`
 	Voters  []string               `json:"voters"`
 	Status  *directives.Status     `json:"status,omitempty"`
 }
 
-// directiveStatus lists the directives in force.
+// directiveStatus returns the DirectiveStatus, or an error answer if directives are off.
 func (g *Gateway) directiveStatus() any {
 	state := g.directives
 	if state == nil {
@@ -175,8 +176,8 @@
 	return status
 }
 
-// proposeDirective takes an operator's command. Its answer comes once the voters have agreed on it; one that can't be proposed is answered
-// at once.
+// proposeDirective proposes an operator's directive command to the voters. It is answered once they have agreed on
+// it, or at once if it cannot be proposed.
 func (g *Gateway) proposeDirective(conn ConnID, raw []byte) {
 	state := g.directives
 	var command directives.Command
@@ -193,18 +194,18 @@
 		g.reply(conn, errorAnswer(err))
 		return
 	}
-	state.lastCommand++
-	state.waiting[state.lastCommand] = conn
-	g.runDirectiveOutcomes(state.proposer.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommand}))
+	state.lastCommandID++
+	state.pendingCommands[state.lastCommandID] = conn
+	g.runDirectiveEffects(state.proposer.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommandID}))
 }
 
-// answerProposal answers the operator's command with a number.
-func (g *Gateway) answerProposal(number, index uint64, err error) {
-	conn, ok := g.directives.waiting[number]
+// answerProposal answers the pending directive command with the given commandID.
+func (g *Gateway) answerProposal(commandID, index uint64, err error) {
+	conn, ok := g.directives.pendingCommands[commandID]
 	if !ok {
 		return
 	}
-	delete(g.directives.waiting, number)
+	delete(g.directives.pendingCommands, commandID)
 	if err != nil {
 		g.reply(conn, errorAnswer(err))
 		return
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -8,23 +8,25 @@
 	"foxlane/rules"
 )
 
-// This file carries out the operators' directives: drains of zones and engines, the limit of spillover, classes that are rejected.
-// Which directives are in force, and who may change them, is decided by package directives; this file decides nothing. Without the
-// block `directives` in the operator's file there are none. A reload that takes the block away leaves the directives as they are until
-// the next start, with the settings that the block had last: what an operator has ordered must not end by an edit of another block, and
-// the block `members`, which this one needs, may come and go.
+// This file applies operator directives: drains of zones and engines, the spillover limit, and rejected classes.
+// Package directives decides which directives are in force and who may change them. Without the block `directives`
+// in the operator's file there are none.
+//
+// A reload that removes the block keeps the directives and the block's last settings until the next start: an edit
+// of another block must not end what an operator has ordered, and the block `members`, which this one requires, may
+// be removed and added again.
 
-// directiveState is this gateway's replica of the directives and what it has taken from them.
+// directiveState holds this gateway's replica of the directives and state derived from them.
 type directiveState struct {
 	proposer        *directives.Node
 	tickInterval    rules.Time
 	voters          []string
-	rejectedClasses []bool            // by class
-	lastCommand     uint64            // number of the last operators' command
-	waiting         map[uint64]ConnID // connections whose commands wait for an answer, by number
+	rejectedClasses []bool            // by class index
+	lastCommandID   uint64            // number of the last directive command
+	pendingCommands map[uint64]ConnID // connections awaiting an answer, by command number
 }
 
-// newDirectives returns the directives that the operator has configured, or nil.
+// newDirectives returns the configured directive state, or nil if directives are off.
 func newDirectives(cfg *config.Config) *directiveState {
 	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
 		return nil
@@ -35,52 +37,53 @@
 		tickInterval:    settings.TickInterval,
 		voters:          settings.Voters,
 		rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)),
-		waiting:         map[uint64]ConnID{},
+		pendingCommands: map[uint64]ConnID{},
 	}
 }
 
+// startDirectives creates the directive state and starts its tick timer, if directives are on.
 func (g *Gateway) startDirectives() {
 	if g.directives = newDirectives(&g.cfg); g.directives != nil {
 		g.timers.add(timer{at: g.now + g.directives.tickInterval, kind: timerDirectives})
 	}
 }
 
-// reconfigureDirectives takes over the settings of a configuration that was reloaded, if it still has the block.
+// reconfigureDirectives applies the settings of a reloaded configuration, if it still has the block `directives`.
 func (g *Gateway) reconfigureDirectives() {
 	if g.directives != nil && g.cfg.Site != nil && g.cfg.Site.Directives != nil {
 		g.directives.tickInterval, g.directives.voters = g.cfg.Site.Directives.TickInterval, g.cfg.Site.Directives.Voters
 	}
 }
 
-// voterOpened starts the voter of this gateway with what it had persisted.
-func (g *Gateway) voterOpened(kept *directives.PersistedState) {
-	if g.directives == nil || kept == nil {
+// voterOpened starts this gateway's voter with its persisted state.
+func (g *Gateway) voterOpened(persisted *directives.PersistedState) {
+	if g.directives == nil || persisted == nil {
 		return
 	}
-	if err := g.directives.proposer.StartVoter(g.now, *kept); err != nil {
+	if err := g.directives.proposer.StartVoter(g.now, *persisted); err != nil {
 		g.log(Warn, "directives: voter could not start", Attr{keyError, err.Error()})
 	}
 	g.applyDirectives()
 }
 
-// tickDirectives lets time pass for the consensus group.
+// tickDirectives ticks the clock of the consensus group.
 func (g *Gateway) tickDirectives() {
 	if g.directives == nil {
 		return
 	}
 	g.timers.add(timer{at: g.now + g.directives.tickInterval, kind: timerDirectives})
-	if g.peers == nil { // no other gateway is reached: the directives stay as they are, and become stale
+	if g.peers == nil { // without peers the directives stay unchanged and become stale
 		return
 	}
 	var names []string
 	for _, member := range g.peers.replica.Members() {
 		names = append(names, member.Name)
 	}
-	g.runDirectiveOutcomes(g.directives.proposer.Tick(g.now, names))
+	g.runDirectiveEffects(g.directives.proposer.Tick(g.now, names))
 }
 
-// runDirectiveOutcomes carries out what the replica of the directives asks for.
-func (g *Gateway) runDirectiveOutcomes(effects []directives.Effect) {
+// runDirectiveEffects executes the effects returned by the directives' replica.
+func (g *Gateway) runDirectiveEffects(effects []directives.Effect) {
 	for _, effect := range effects {
 		switch outcome := effect.(type) {
 		case directives.Send:
@@ -102,7 +105,7 @@
 	}
 }
 
-// applyDirectives takes over the directives that are in force now.
+// applyDirectives applies the directives in force to classes, engines and zones.
 func (g *Gateway) applyDirectives() {
 	state := g.directives
 	if state == nil {
@@ -126,7 +129,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		g.tellModule(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: changed})
+		g.notifyModule(rules.FleetUpdate{Mode: rules.UpdateDelta, Engines: changed})
 	}
 	g.applyZoneSettings()
 }
@@ -141,7 +144,7 @@
 	return g.directives != nil && g.directives.rejectedClasses[class]
 }
 
-// logDirectives logs the directives in force, and where this gateway is a voter how it stands.
+// logDirectives logs the state of the directives and, if this gateway is a voter, the voter's status.
 func (g *Gateway) logDirectives() {
 	state := g.directives
 	if state == nil {
--- a/internal/gateway/effects.go
+++ b/internal/gateway/effects.go
@@ -8,22 +8,23 @@
 	"foxlane/rules"
 )
 
-// This file has the effects that Flush returns for the host of a Gateway to execute.
+// This file defines the effects that Gateway.Flush returns for the host to execute.
 
-// Effect is something to do outside the reducer: one type for each kind. The two that nearly every request causes come by
-// pointer, so that the reducer can use their memory again; whatever an effect points to is valid until the next Step.
+// Effect is an output of the reducer that the host executes, with one type per kind. Write and SetTimer, which
+// nearly every request causes, are passed by pointer, so that the reducer can reuse their memory. Anything an
+// effect points to is valid until the next Step.
 type Effect interface{ effect() }
 
-// Write sends Data on a connection.
+// Write writes Data to a connection.
 type Write struct {
 	Conn ConnID
 	Data []byte
 }
 
-// CloseConnection closes a connection once what was written is sent, or cancels its dial.
+// CloseConnection closes a connection after sending all pending writes, or cancels its dial.
 type CloseConnection struct{ Conn ConnID }
 
-// ResetConnection resets a connection: what it has not taken is never sent. ConnectionClosed follows.
+// ResetConnection resets a connection and discards its unsent bytes. ConnectionClosed follows.
 type ResetConnection struct{ Conn ConnID }
 
 // Dial connects to Addr within Timeout. DialSucceeded or DialFailed follows.
@@ -36,13 +37,13 @@
 // QueryDNS sends a datagram to the name service.
 type QueryDNS struct{ Data []byte }
 
-// SetNameServer moves to the name service at Addr, with a new socket.
+// SetNameServer makes the host query the name service at Addr from a new socket.
 type SetNameServer struct{ Addr netip.AddrPort }
 
-// SetTimer asks for TimerFired at a time, and at no earlier time: it replaces the timer that was set before.
+// SetTimer requests TimerFired at the time At. It replaces the previous timer.
 type SetTimer struct{ At rules.Time }
 
-// Log writes a line of the log.
+// Log writes a log line.
 type Log struct {
 	Level Level
 	Text  string
@@ -52,39 +53,40 @@
 // Level is the severity of a log line.
 type Level int
 
-// Levels.
+// Log levels.
 const (
 	Debug Level = iota
 	Info
 	Warn
 )
 
-// Attr is a named value of a log line.
+// Attr is a key-value pair of a log line.
 type Attr struct {
 	Key   string
 	Value any
 }
 
-// Exit ends the process, unless more has come meanwhile: all is answered.
+// Exit ends the process, unless further input has arrived. All requests are answered.
 type Exit struct{}
 
-// SubmitSpool has the spool's disk execute an effect. Its data stays as it is until SpoolCompleted reports it.
+// SubmitSpool submits an operation to the spool's disk. Its data is not modified until SpoolCompleted reports the
+// operation.
 type SubmitSpool struct{ Effect spool.DiskEffect }
 
-// NotifyDrained asks for WriteDrained once all that was written on a connection is taken.
+// NotifyDrained requests WriteDrained once the operating system has accepted all bytes written to a connection.
 type NotifyDrained struct{ Conn ConnID }
 
-// SendToMember sends Data to a member on a channel; it may be lost.
+// SendToMember sends Data to a member on a channel. The message may be lost.
 type SendToMember struct {
 	To      string
 	Channel byte
 	Data    []byte
 }
 
-// JoinMembers begins to look for members, as the configuration has it now.
+// JoinMembers starts joining the other members with the current configuration.
 type JoinMembers struct{}
 
-// LeaveMembers leaves the members.
+// LeaveMembers leaves the group of members.
 type LeaveMembers struct{}
 
 // ControlResponse answers the ControlRequest of Conn.
@@ -93,7 +95,7 @@
 	Data []byte
 }
 
-// PersistVoterLog puts a batch on the voter's disk, synced. VoterLogPersisted follows.
+// PersistVoterLog appends a batch to the voter's log and syncs it. VoterLogPersisted follows.
 type PersistVoterLog struct{ Batch directives.Batch }
 
 func (*Write) effect()          {}
@@ -113,22 +115,22 @@
 func (ControlResponse) effect() {}
 func (PersistVoterLog) effect() {}
 
-// effectBatch is the effects of one Flush.
+// effectBatch holds the effects of one Flush.
 type effectBatch struct {
 	list   []Effect
-	writes []Write // that the list points to
+	writes []Write // storage of the Write effects in list
 	timer  SetTimer
 }
 
 func (b *effectBatch) reset() { b.list, b.writes = b.list[:0], b.writes[:0] }
 
-// write adds a Write. Where writes has to grow, the list goes on pointing into the array it had.
+// write adds a Write. If writes is reallocated, earlier entries of list keep pointing to the old array.
 func (b *effectBatch) write(conn ConnID, data []byte) {
 	b.writes = append(b.writes, Write{conn, data})
 	b.list = append(b.list, &b.writes[len(b.writes)-1])
 }
 
-// setTimer adds a SetTimer, the only one of the batch.
+// setTimer adds a SetTimer. A batch has at most one.
 func (b *effectBatch) setTimer(at rules.Time) {
 	b.timer.At = at
 	b.list = append(b.list, &b.timer)
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -7,9 +7,9 @@
 	"foxlane/rules"
 )
 
-// This file owns the end of connections to engines, by us or by the other side, and what it proves of the attempts on them.
+// This file handles the end of engine connections, by either side, and derives from it which attempts may have run.
 
-// closeIfDrained closes a retired connection that carries nothing.
+// closeIfDrained closes a retired connection that carries no attempts and probes.
 func (g *Gateway) closeIfDrained(conn *engineConn) {
 	if conn.retired && conn.load() == 0 && !conn.closed {
 		g.closeEngineConn(conn, conn.retireReason)
@@ -17,14 +17,14 @@
 	}
 }
 
-// closeEngineConn closes a connection to an engine. Every such close by us goes through here.
+// closeEngineConn closes a connection to an engine. It is the only place where the gateway closes one in order.
 func (g *Gateway) closeEngineConn(conn *engineConn, reason CloseReason) {
 	g.checkEngineClose(conn, reason)
 	g.countEngineClose(conn, reason, nil)
 	g.closeAfterWrites(&conn.outputBuffer)
 }
 
-// countEngineClose counts the end of a connection to an engine by its reason.
+// countEngineClose counts the end of an engine connection by reason.
 func (g *Gateway) countEngineClose(conn *engineConn, reason CloseReason, err error) {
 	g.closeCounts[reason]++
 	if g.cfg.Trace {
@@ -32,18 +32,20 @@
 	}
 }
 
+// removeEngineConn deletes an engine connection from the gateway's state.
 func (g *Gateway) removeEngineConn(conn *engineConn) {
 	conn.closed = true
 	delete(g.engineConns, conn.id)
 	conn.engine.conns = slices.DeleteFunc(conn.engine.conns, func(other *engineConn) bool { return other == conn })
 }
 
-// engineConnEnded takes the end of a connection that broke or never came up. Of all that was written on it the system has accepted so
-// many bytes. With blameless, the end says nothing of the engine; for a dial that means that a local resource was exhausted.
-func (g *Gateway) engineConnEnded(conn *engineConn, err error, accepted int64, blameless bool) {
-	localExhaustion := blameless && !conn.up
-	if !conn.closed { // otherwise we closed it, and have counted it
-		blameless = blameless || conn.aborted
+// engineConnEnded handles the end of a connection that broke or was never established. The operating system has
+// accepted the given number of bytes written to it. With notEngineFault, the end does not count against the engine; for
+// a dial this means that a local resource was exhausted.
+func (g *Gateway) engineConnEnded(conn *engineConn, err error, accepted int64, notEngineFault bool) {
+	localExhaustion := notEngineFault && !conn.up
+	if !conn.closed { // otherwise the gateway closed it and has counted it
+		notEngineFault = notEngineFault || conn.aborted
 		g.countEngineClose(conn, endReason(conn, localExhaustion), err)
 	}
 	g.removeEngineConn(conn)
@@ -52,10 +54,10 @@
 			Attr{keyRequests, conn.load()}, Attr{keyError, errorText(err)})
 	}
 	for _, attempt := range slices.Clone(conn.waiting) {
-		attempt.blameless, attempt.localExhaustion = blameless, localExhaustion
+		attempt.notEngineFault, attempt.localExhaustion = notEngineFault, localExhaustion
 		g.concludeAttempt(attempt, rules.StatusConnectFailed)
 	}
-	g.endInFlight(conn, accepted, blameless)
+	g.endInFlightAttempts(conn, accepted, notEngineFault)
 	if localExhaustion {
 		conn.engine.undoRequest()
 	}
@@ -72,7 +74,7 @@
 	}
 }
 
-// endReason is why a connection has ended that we did not close.
+// endReason returns the reason of a connection end that the gateway did not initiate in order.
 func endReason(conn *engineConn, localExhaustion bool) CloseReason {
 	switch {
 	case conn.aborted:
@@ -86,28 +88,28 @@
 	}
 }
 
-// endInFlight ends the attempts that were written on a connection that has ended. One of which not all bytes were accepted by the
-// system never came whole to the engine, so it did not run.
+// endInFlightAttempts ends the attempts that were written to a connection that has ended. An attempt whose bytes were not
+// all accepted by the operating system never reached the engine completely, so it did not run.
 //
-// Connections break for reasons that say nothing of their engines, and one may carry dozens of requests. So only the oldest of these
-// counts against the engine, and only if that has answered nothing since another connection to it broke: a process that died breaks
-// all of its connections at once.
-func (g *Gateway) endInFlight(conn *engineConn, accepted int64, blameless bool) {
+// Connections also break for reasons unrelated to their engines, and one connection may carry dozens of requests.
+// Only the oldest attempt counts against the engine, and only if the engine has sent nothing since a previous
+// connection to it broke: a process that dies breaks all of its connections at once.
+func (g *Gateway) endInFlightAttempts(conn *engineConn, accepted int64, notEngineFault bool) {
 	eng := conn.engine
-	if len(conn.inFlight) > 0 && !blameless {
-		blameless = eng.lastRead > eng.lastBroken
-		eng.lastBroken = g.now
+	if len(conn.inFlight) > 0 && !notEngineFault {
+		notEngineFault = eng.lastRead > eng.lastConnectionLoss
+		eng.lastConnectionLoss = g.now
 	}
 	lost := make([]*engineAttempt, 0, len(conn.inFlight))
 	for _, attempt := range conn.inFlight {
 		lost = append(lost, attempt)
 	}
 	slices.SortFunc(lost, func(attempt, other *engineAttempt) int {
-		// Of those that the module asked for at one time, the first that was written: the order of a map must not decide.
+		// Attempts requested at the same time are ordered by when they were written, not by map iteration.
 		return cmp.Or(cmp.Compare(attempt.startedAt, other.startedAt), cmp.Compare(attempt.endOffset, other.endOffset))
 	})
 	for i, attempt := range lost {
-		attempt.blameless = blameless || i > 0
+		attempt.notEngineFault = notEngineFault || i > 0
 		if attempt.endOffset > accepted {
 			g.concludeAttempt(attempt, rules.StatusSuperseded)
 		} else {
@@ -116,9 +118,9 @@
 	}
 }
 
-// retireConns retires the connections to an engine whose process is another one now, or has gone. What waits for a dial to its old
-// address must not be written there, since another process may have that address: it is returned, to be concluded once the module
-// knows of the change.
+// retireConns retires the connections to an engine whose process was replaced or has gone. Attempts that wait for a
+// dial to the old address must not be written there, since another process may use that address. They are returned,
+// to be concluded after the module is notified of the change.
 func (g *Gateway) retireConns(eng *engineState) (stale []*engineAttempt) {
 	for _, conn := range slices.Clone(eng.conns) {
 		conn.retire(CloseEngineRetired)
@@ -128,20 +130,23 @@
 	return stale
 }
 
-// graceMarginDivisor is the part of a drain's grace, as a divisor, that is left for resetting connections.
+// graceMarginDivisor is the fraction of the drain grace period, as a divisor, that is reserved for resetting
+// connections.
 const graceMarginDivisor = 10
 
-// armGrace sets a timer shortly before the end of the grace of an engine that drains or has gone: by then nothing may be on its way to it.
-func (g *Gateway) armGrace(eng *engineState) {
+// armDrainGrace sets a timer for shortly before the end of the grace period of a draining or removed engine, when no
+// request may be in transit to it any more.
+func (g *Gateway) armDrainGrace(eng *engineState) {
 	grace := g.cfg.Settings.Rules.Constraints.DrainGrace
 	if grace > 0 && len(eng.conns) > 0 {
-		g.timers.add(timer{at: g.now + grace - grace/graceMarginDivisor, kind: timerGrace, engine: eng})
+		g.timers.add(timer{at: g.now + grace - grace/graceMarginDivisor, kind: timerDrainGrace, engine: eng})
 	}
 }
 
-// enforceGrace resets connections whose engine has not read what was written before it began to drain or had gone. Requests in the
-// system's buffers must not reach the engine after the grace, and a reset is the only way to take them back.
-func (g *Gateway) enforceGrace(eng *engineState) {
+// enforceDrainGrace resets connections on which the engine left requests unread that were written before it began to
+// drain or was removed. Requests in the operating system's buffers must not reach the engine after the grace
+// period, and only a reset discards them.
+func (g *Gateway) enforceDrainGrace(eng *engineState) {
 	if eng.state == rules.EngineServing {
 		return
 	}
@@ -157,7 +162,7 @@
 	}
 }
 
-// closeIdleConns closes connections that carry nothing, as the module asks for an engine that it does not use.
+// closeIdleConns closes the idle connections to an engine. The module requests this for engines that it does not use.
 func (g *Gateway) closeIdleConns(eng *engineState) {
 	if eng == nil {
 		return
@@ -170,8 +175,8 @@
 	}
 }
 
-// sweepEngineConns closes idle connections before their engines do: of a request that crosses an engine's close it could not be
-// proven that it never ran.
+// sweepEngineConns closes idle connections before their engines do: a request that crosses an engine's close could
+// not be proven to have never run.
 func (g *Gateway) sweepEngineConns() {
 	for _, eng := range g.engineOrder {
 		for _, conn := range slices.Clone(eng.conns) {
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -7,9 +7,9 @@
 	"foxlane/rules"
 )
 
-// This file owns the connections to engines, few of them with many requests each: which one an attempt takes, and what is written
-// on it. It never claims more of an attempt than is known: what was written to a connection that then broke may have run, what was
-// not written never did.
+// This file manages engine connections, each of which multiplexes many requests: which connection an attempt uses,
+// and what is written to it. An attempt that was written to a connection that later broke may have run; one that
+// was not written has not.
 
 // engineConn is a connection to an engine, or the dial of one.
 type engineConn struct {
@@ -17,45 +17,47 @@
 	engine             *engineState
 	decoder            engine.Decoder
 	up                 bool
-	retired            bool             // it takes nothing new, and is closed once it carries nothing
-	retireReason       CloseReason      // once retired
-	class              int              // of the requests that it is for
-	waiting            []*engineAttempt // to be written once it is up
+	retired            bool             // takes no new requests; closed once it carries nothing
+	retireReason       CloseReason      // valid once retired
+	class              int              // class of the requests it carries
+	waiting            []*engineAttempt // to be written once the connection is up
 	inFlight           map[string]*engineAttempt
 	probes             map[string]*healthProbe
-	lastUsed           rules.Time // when something was last written or read
-	lastRead           rules.Time // when something was last read
-	completionTimerSet bool       // a timer will check whether the answer that has begun is complete
-	dialledAt          rules.Time // when its dial began
-	dialTime           rules.Time // how long that took
-
-	blockedSince rules.Time // since when its engine does not read what was written; 0: it does
-	aborted      bool       // reset by us, because its engine had not read what was written
+	lastUsed           rules.Time // time of the last write or read
+	lastRead           rules.Time // time of the last read
+	completionTimerSet bool       // a timerAnswerComplete is pending
+	dialledAt          rules.Time // when the dial began
+	dialTime           rules.Time // duration of the dial
+
+	blockedSince rules.Time // since when the engine has not read pending writes; 0: not blocked
+	aborted      bool       // reset by the gateway because the engine left writes unread
 }
 
-// load is how many attempts and probes the connection carries.
+// load returns the number of attempts and probes that the connection carries.
 func (c *engineConn) load() int { return len(c.waiting) + len(c.inFlight) + len(c.probes) }
 
-// hadAttemptOf reports whether a request had an attempt on the connection. It must not have another there: answers name the request
-// alone, so a late answer to the first could pass for an answer to the second.
+// hadAttemptOf reports whether a request had an attempt on the connection. It must not have another one there:
+// answers identify only the request, so a late answer to the first attempt could be taken for an answer to the
+// second.
 func (c *engineConn) hadAttemptOf(req *queryRequest) bool {
 	return req != nil && slices.ContainsFunc(req.attempts, func(attempt *engineAttempt) bool { return attempt.conn == c })
 }
 
-// connUsable reports whether a connection may take a request now: it is being dialled, or it is up, read by its engine, and not idle for
-// so long that its engine may be about to close it.
+// connUsable reports whether a connection may take a request. It must have capacity, its engine must be reading
+// from it, and it must not have been idle for so long that its engine may be about to close it.
 func (g *Gateway) connUsable(conn *engineConn, req *queryRequest) bool {
 	return !conn.retired && conn.blockedSince == 0 && conn.load() < g.limits.Multiplex && !conn.hadAttemptOf(req) &&
 		(!conn.up || conn.load() > 0 || g.now-conn.lastUsed < g.limits.EngineIdleTimeout)
 }
 
-// connFor finds a connection for an attempt or a probe (of which req is nil), or dials one. It returns nil if the limits of
-// connections are reached and all are full.
+// connFor returns a connection for a request, or for a probe if req is nil. It dials a new one if needed, and
+// returns nil if the connection limits are reached and all connections are full.
 //
-// Each class has connections of its own: whatever breaks a connection ends all that it carries, and malformed answers come as often as
-// answers do, so the many short requests of light classes would end the few long ones of heavy classes. Within a class, few
-// connections are kept busy, since new and idle ones are reset most. One that carries nothing may change its class: where hundreds
-// of gateways have little traffic each, every connection that is not made spares an engine a handshake.
+// Each class has its own connections. A connection that breaks ends everything it carries, and malformed answers
+// grow with the number of answers, so the many short requests of light classes would end the few long requests of
+// heavy classes. Within a class, few connections are kept busy, since new and idle ones are reset most often. An
+// idle connection may change its class: with hundreds of gateways of little traffic each, every connection that is
+// reused saves an engine a handshake.
 func (g *Gateway) connFor(eng *engineState, req *queryRequest) *engineConn {
 	class := 0
 	if req != nil {
@@ -92,6 +94,7 @@
 	return g.dialEngine(eng, class)
 }
 
+// dialEngine dials a new connection to an engine for a class.
 func (g *Gateway) dialEngine(eng *engineState, class int) *engineConn {
 	g.lastConn++
 	conn := &engineConn{
@@ -110,7 +113,8 @@
 	return conn
 }
 
-// assignConn puts an attempt on a connection. It is written at once if that is up, or else waits for it.
+// assignConn assigns an attempt to a connection. It is written at once if the connection is up and no sends are
+// held back, else it waits.
 func (g *Gateway) assignConn(attempt *engineAttempt) {
 	if attempt.engine.state == rules.EngineGone {
 		g.concludeAttempt(attempt, rules.StatusConnectFailed)
@@ -121,7 +125,7 @@
 	switch {
 	case attempt.conn == nil:
 		g.log(Warn, "engine: connection limit reached", Attr{keyEngine, attempt.engine.entry.ID})
-		attempt.blameless, attempt.localExhaustion = true, true
+		attempt.notEngineFault, attempt.localExhaustion = true, true
 		attempt.engine.undoRequest()
 		g.concludeAttempt(attempt, rules.StatusConnectFailed)
 	case attempt.conn.up && !g.catchingUp():
@@ -131,7 +135,8 @@
 	}
 }
 
-// writeAttempt writes an attempt to its connection, which is up. Every attempt, and so every retry, goes through here.
+// writeAttempt writes an attempt to its connection, which must be up. It is the only place where attempts,
+// including retries, are written.
 func (g *Gateway) writeAttempt(attempt *engineAttempt) {
 	req, conn := attempt.request, attempt.conn
 	g.checkSend(attempt)
@@ -143,13 +148,13 @@
 		g.traceAttemptSent(attempt, &request)
 	}
 	conn.output = engine.AppendRequest(conn.output, request)
-	attempt.sent, attempt.endOffset = true, conn.handedOut+int64(len(conn.output))
+	attempt.sent, attempt.endOffset = true, conn.emittedBytes+int64(len(conn.output))
 	conn.inFlight[string(req.id)] = attempt
 	conn.lastUsed = g.now
 	g.markDirty(&conn.outputBuffer)
 }
 
-// engineConnected writes what has waited for a connection that has come up.
+// engineConnected handles an established connection and writes the attempts and probes waiting for it.
 func (g *Gateway) engineConnected(conn *engineConn) {
 	conn.up, conn.lastUsed, conn.dialTime = true, g.now, g.now-conn.dialledAt
 	g.writeWaiting(conn)
@@ -160,9 +165,9 @@
 	g.closeIfDrained(conn)
 }
 
-// writeWaiting writes what has waited for a connection that is up, unless the engine does not serve any more. An attempt that has
-// waited for longer than a dial may take isn't written either: the module does not expect it to start so late, and the window in which
-// engines recognise its idempotency key may be over.
+// writeWaiting writes the attempts waiting on an established connection, unless the engine has stopped serving.
+// Attempts that have waited longer than the dial timeout are not written either: the module does not expect them to
+// start that late, and the dedup window in which engines recognise their idempotency keys may be over.
 func (g *Gateway) writeWaiting(conn *engineConn) {
 	waiting := conn.waiting
 	conn.waiting = nil
@@ -179,7 +184,7 @@
 	}
 }
 
-// detachAttempt takes an attempt off its connection.
+// detachAttempt removes an attempt from its connection.
 func (g *Gateway) detachAttempt(conn *engineConn, attempt *engineAttempt) {
 	if attempt.sent {
 		if conn.inFlight[string(attempt.request.id)] == attempt {
@@ -191,17 +196,18 @@
 	g.closeIfDrained(conn)
 }
 
-// retireIfSilent retires a connection on which an attempt was abandoned and nothing was read since the attempt began: its machine
-// may have vanished without closing it. The next attempt dials anew; if the machine is gone, that dial fails soon and proves that
-// nothing ran.
+// retireIfSilent retires the connection of an abandoned attempt if nothing was read on it since the attempt
+// started: the machine may have vanished without closing it. The next attempt dials a new connection. If the
+// machine is gone, that dial fails soon, which proves that the attempt did not run.
 func (g *Gateway) retireIfSilent(attempt *engineAttempt) {
 	if conn := attempt.conn; attempt.sent && conn.lastRead <= attempt.startedAt && g.now-attempt.startedAt > g.limits.ConnectTimeout {
 		conn.retire(CloseEngineRetired)
 	}
 }
 
-// retire has a connection take nothing new. closeIfDrained closes it once it carries nothing.
+// retire stops a connection from taking new requests. closeIfDrained closes it once it carries nothing.
 func (c *engineConn) retire(reason CloseReason) { c.retired, c.retireReason = true, reason }
 
-// undoRequest takes back that a request was sent to an engine: it was not, so the engine's silence says nothing.
+// undoRequest resets lastRequest after a request that did not reach the engine, so that the missing answer is not
+// taken for silence.
 func (s *engineState) undoRequest() { s.lastRequest = min(s.lastRequest, s.lastRead) }
--- a/internal/gateway/engineread.go
+++ b/internal/gateway/engineread.go
@@ -9,16 +9,16 @@
 	"foxlane/rules"
 )
 
-// This file reads what engines send. Whatever breaks the protocol ends its connection.
+// This file handles the input from engines. A protocol violation ends the connection.
 
-// engineData takes bytes that came from an engine.
-func (g *Gateway) engineData(conn *engineConn, data []byte) {
+// handleEngineData handles bytes received from an engine.
+func (g *Gateway) handleEngineData(conn *engineConn, data []byte) {
 	conn.lastUsed, conn.lastRead, conn.engine.lastRead = g.now, g.now, g.now
 	conn.decoder.Feed(data)
 	for !conn.closed {
 		answer, ok, err := conn.decoder.Next()
 		if err != nil {
-			g.breakEngineConn(conn, err)
+			g.failEngineConn(conn, err)
 			return
 		}
 		if !ok {
@@ -34,31 +34,33 @@
 			}
 			g.finishProbe(probe, status, answer.Report)
 		}
-		// Anything else answers what was abandoned meanwhile.
+		// Any other answer belongs to an attempt or probe that was abandoned.
 	}
 }
 
-// breakEngineConn ends a connection on which an answer came that can't be read or is not complete: where the next answer begins is
-// not known any more. The engine is not blamed, since answers are corrupted on the way as well.
-func (g *Gateway) breakEngineConn(conn *engineConn, err error) {
+// failEngineConn ends a connection after a malformed or incomplete answer, since the start of the next answer is
+// unknown. This does not count against the engine, because answers may also be corrupted in transit.
+func (g *Gateway) failEngineConn(conn *engineConn, err error) {
 	g.log(Warn, "engine: protocol error", Attr{keyEngine, conn.engine.entry.ID}, Attr{keyRequests, conn.load()},
 		Attr{keyError, err.Error()})
-	conn.output = nil // of what was not handed out yet nothing has run
+	conn.output = nil // discards attempts that were not emitted yet, which have not run
 	for _, id := range slices.Sorted(maps.Keys(conn.inFlight)) {
-		if conn.inFlight[id].endOffset <= conn.handedOut { // cancelled by name, since the engine may run it on after the close
+		// Emitted attempts are cancelled, since the engine may keep running them after the close.
+		if conn.inFlight[id].endOffset <= conn.emittedBytes {
 			conn.output = engine.AppendCancel(conn.output, id)
 		}
 	}
-	accepted := conn.handedOut // closing hands out the cancels as well
+	accepted := conn.emittedBytes // without the cancels, which are emitted by the close
 	g.closeEngineConn(conn, CloseEngineMalformed)
 	g.engineConnEnded(conn, err, accepted, true)
 }
 
-// errAnswerIncomplete is why a connection ends on which an answer stopped short.
+// errAnswerIncomplete is the error of a connection on which an answer was not completed in time.
 var errAnswerIncomplete = errors.New("engine: answer incomplete")
 
-// awaitCompletion sets a timer by which an answer that has begun must be complete: one that stops short would leave all requests on its
-// connection waiting, and take the answers after it for its own rest.
+// awaitCompletion sets a timer that ends the connection if a partially received answer makes no progress. A
+// truncated answer would block all requests on its connection, and the decoder would read the following answers as
+// its remainder.
 func (g *Gateway) awaitCompletion(conn *engineConn) {
 	if conn.decoder.Buffered() > 0 && !conn.completionTimerSet {
 		conn.completionTimerSet = true
@@ -66,6 +68,7 @@
 	}
 }
 
+// checkCompletion ends a connection if nothing was read for AnswerStallTimeout within an answer.
 func (g *Gateway) checkCompletion(conn *engineConn) {
 	conn.completionTimerSet = false
 	switch {
@@ -73,6 +76,6 @@
 	case g.now-conn.lastRead < g.limits.AnswerStallTimeout:
 		g.awaitCompletion(conn)
 	default:
-		g.breakEngineConn(conn, errAnswerIncomplete)
+		g.failEngineConn(conn, errAnswerIncomplete)
 	}
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -9,41 +9,42 @@
 	"foxlane/rules"
 )
 
-// This file follows the list of engines and translates it for the module. It never forgets an engine to which a connection is left.
+// This file applies the endpoint list to the engines' state and translates it for the module. An engine is kept as
+// long as it has connections.
 
 const (
-	listName    = "_data._tcp.farm.lan" // the SRV name of the list
-	weightScale = 10                    // weights in SRV records are integers, ten times as large
+	listName    = "_data._tcp.farm.lan" // SRV name of the endpoint list
+	weightScale = 10                    // SRV weights are integers: ten times the engine's weight
 )
 
-// engineState is an engine as the reducer knows it.
+// engineState is the reducer's state of an engine.
 type engineState struct {
-	id          rules.EngineID
-	entry       config.Engine
-	zone        int // of the entry, by its index in the settings
-	kind        int // the machine type, by its index in the settings
-	state       rules.EngineState
-	stateSince  rules.Time      // when we were notified of its state
-	slowStart   *slowStartSends // nil: nothing was sent to it
-	startedAt   rules.Time      // when it started, by the clock of events; 0: long ago
-	conns       []*engineConn
-	lastRead    rules.Time // when something was last read from it
-	lastRequest rules.Time // when a request was last sent to it, or would have been if it had let us connect
-	lastServed  rules.Time // when it last served something
-	lastFault   rules.Time // when an attempt there last ended otherwise, and may have run
-	lastError   rules.Time // when it last answered an error
-	lastBroken  rules.Time // when a connection with requests last broke
-
-	drainedByDirective bool
+	id                 rules.EngineID
+	entry              config.Engine
+	zone               int // index of the entry's zone in the settings
+	kind               int // index of the entry's machine type in the settings
+	state              rules.EngineState
+	stateSince         rules.Time      // when the gateway was notified of the state
+	slowStart          *slowStartSends // nil: no work was sent to the engine yet
+	startedAt          rules.Time      // start of its process in event time; 0: unknown, long ago
+	conns              []*engineConn
+	lastRead           rules.Time // last read from it
+	lastRequest        rules.Time // last request sent to it, or prevented by a failed connect
+	lastServed         rules.Time // last answer that served a request
+	lastFailure        rules.Time // last failure of an attempt that may have run
+	lastError          rules.Time // last error answer
+	lastConnectionLoss rules.Time // last loss of a connection with requests in flight
+
+	drainedByDirective bool // an operator directive drains it
 }
 
-// applyList takes over a complete list and tells the module what has changed.
+// applyList applies a complete endpoint list and notifies the module of the changes.
 func (g *Gateway) applyList(entries []config.Engine, mode rules.UpdateMode) {
 	listed := make(map[rules.EngineID]bool, len(entries))
 	var changed []rules.Engine
 	var stale []*engineAttempt
 	for _, entry := range entries {
-		eng := g.engineOf(entry.ID)
+		eng := g.engineByName(entry.ID)
 		listed[eng.id] = true
 		if eng.entry == entry && eng.state != rules.EngineGone && mode == rules.UpdateDelta {
 			continue
@@ -66,22 +67,23 @@
 		return false
 	})
 	if len(changed) > 0 || mode != rules.UpdateDelta {
-		g.tellModule(rules.FleetUpdate{Mode: mode, Engines: changed})
+		g.notifyModule(rules.FleetUpdate{Mode: mode, Engines: changed})
 	}
 	for _, attempt := range stale {
 		g.concludeAttempt(attempt, rules.StatusSuperseded)
 	}
 }
 
-// applyEntry takes over the entry of an engine that is listed. It returns attempts that must not be written to where its process was.
+// applyEntry applies the list entry of an engine. It returns the attempts that must not be written to the address
+// of a replaced process.
 func (g *Gateway) applyEntry(eng *engineState, entry config.Engine, mode rules.UpdateMode) (stale []*engineAttempt) {
 	if eng.entry.Addr != entry.Addr || eng.entry.Started != entry.Started || eng.state == rules.EngineGone {
-		stale = g.retireConns(eng) // another process, perhaps on another machine
+		stale = g.retireConns(eng) // another process, possibly on another machine
 	}
 	if eng.entry.Started != entry.Started {
 		eng.startedAt = g.startTime(entry)
-		eng.slowStart.processChanged()
-		eng.undoRequest() // the new process owes no answer to what the former one was sent
+		eng.slowStart.resetForNewProcess()
+		eng.undoRequest() // the new process does not answer requests sent to the previous one
 	}
 	g.setEntry(eng, entry)
 	eng.drainedByDirective = g.drainsEngine(entry.ID)
@@ -95,20 +97,21 @@
 	return stale
 }
 
-// enterState changes an engine's state.
+// enterState changes an engine's state. An engine that stops serving gets a grace period.
 func (g *Gateway) enterState(eng *engineState, state rules.EngineState, mode rules.UpdateMode) {
-	before := eng.state
+	previous := eng.state
 	eng.state, eng.stateSince = state, g.now
-	g.logState(eng, before, mode)
-	if before == rules.EngineServing {
-		g.armGrace(eng)
+	g.logState(eng, previous, mode)
+	if previous == rules.EngineServing {
+		g.armDrainGrace(eng)
 	}
 }
 
-var stateNames = map[rules.EngineState]string{rules.EngineServing: "serving", rules.EngineDraining: "draining", rules.EngineGone: "gone"}
+// engineStateNames are the engine states as logged.
+var engineStateNames = map[rules.EngineState]string{rules.EngineServing: "serving", rules.EngineDraining: "draining", rules.EngineGone: "gone"}
 
-// logState logs a change of an engine's state, unless it comes from the list at the start.
-func (g *Gateway) logState(eng *engineState, before rules.EngineState, mode rules.UpdateMode) {
+// logState logs a change of an engine's state, except for the initial list.
+func (g *Gateway) logState(eng *engineState, previous rules.EngineState, mode rules.UpdateMode) {
 	if mode != rules.UpdateDelta {
 		return
 	}
@@ -116,16 +119,17 @@
 	for _, conn := range eng.conns {
 		waiting, inFlight = waiting+len(conn.waiting), inFlight+len(conn.inFlight)
 	}
-	g.log(Info, "engine: state changed", Attr{keyEngine, eng.entry.ID}, Attr{keyState, stateNames[eng.state]}, Attr{"was", stateNames[before]},
-		Attr{keySerial, g.list.Serial()}, Attr{keyInFlight, inFlight}, Attr{keyWaiting, waiting})
+	g.log(Info, "engine: state changed", Attr{keyEngine, eng.entry.ID}, Attr{keyState, engineStateNames[eng.state]}, Attr{"was", engineStateNames[previous]},
+		Attr{keySerial, g.endpointList.Serial()}, Attr{keyInFlight, inFlight}, Attr{keyWaiting, waiting})
 }
 
-// engineOf finds the engine of a name, or adds it. Its number is a hash of the name, so that all gateways use the same one.
-func (g *Gateway) engineOf(name string) *engineState {
+// engineByName returns the engine with a name, adding it if it is unknown. Its ID is a hash of the name, so that all
+// gateways use the same ID.
+func (g *Gateway) engineByName(name string) *engineState {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name)) // never fails
 	id := rules.EngineID(hash.Sum32())
-	for { // past engines of other names with the same hash
+	for { // linear probing past engines whose names have the same hash
 		eng := g.engines[id]
 		if eng == nil {
 			eng = &engineState{id: id, state: rules.EngineGone}
@@ -140,14 +144,15 @@
 	}
 }
 
-// setEntry takes over an engine's entry of the list. Names are resolved here, since each send needs their indexes.
+// setEntry sets an engine's list entry. It resolves the names of zone and machine type once, since each send needs
+// their indexes.
 func (g *Gateway) setEntry(eng *engineState, entry config.Engine) {
 	eng.entry = entry
 	eng.zone = indexOf(g.cfg.Settings.ZoneNames, entry.Zone)
 	eng.kind = indexOf(g.cfg.Settings.KindNames, entry.Kind)
 }
 
-// startTime is when an engine started, by the clock of events.
+// startTime returns the start of an engine's process in event time, or 0 if the entry has none.
 func (g *Gateway) startTime(entry config.Engine) rules.Time {
 	if entry.Started == 0 {
 		return 0
@@ -155,7 +160,7 @@
 	return g.clockSteps.ProcessTime(rules.Time(entry.Started)*rules.Millisecond, g.now)
 }
 
-// moduleEngine is an engine as the module is told of it.
+// moduleEngine returns an engine as reported to the module: draining if a directive drains it.
 func (g *Gateway) moduleEngine(eng *engineState) rules.Engine {
 	state := eng.state
 	if eng.drainedByDirective && state == rules.EngineServing {
@@ -172,7 +177,7 @@
 	}
 }
 
-// indexOf is a name's index in its list; an unknown name has the index after the last.
+// indexOf returns the index of a name in a list, or the list's length if it is not listed.
 func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,88 +9,91 @@
 	"foxlane/rules"
 )
 
-// This file has the events that the host of a Gateway passes to Step.
+// This file defines the events that the host passes to Gateway.Step.
 
-// ConnID names a connection. Those that the reducer dials have the top bit set.
+// ConnID identifies a connection. The IDs of connections that the reducer dials have the top bit set.
 type ConnID uint64
 
+// dialledBit marks the IDs of connections that the reducer dials.
 const dialledBit ConnID = 1 << 63
 
-// Event is something that happened outside the reducer: one type for each kind. Received bytes are the one event that comes
-// by pointer, so that the host can use its memory again; whatever an event points to is valid during Step only.
+// Event is an input to the reducer, with one type per kind. Only DataReceived is passed by pointer, so that the
+// host can reuse its memory. Anything an event points to is valid only during Step.
 type Event interface{ event() }
 
-// ConnectionAccepted reports that a client connected.
+// ConnectionAccepted reports a new client connection.
 type ConnectionAccepted struct {
 	Conn ConnID
-	From netip.Addr // the client's address, if it is known
+	From netip.Addr // client address; the zero value if unknown
 }
 
-// DataReceived reports bytes that came on a connection.
+// DataReceived reports bytes read from a connection.
 type DataReceived struct {
 	Conn ConnID
 	Data []byte
 }
 
-// ConnectionClosed reports that a connection has ended, whoever closed it.
+// ConnectionClosed reports that a connection has ended, closed by either side or broken.
 type ConnectionClosed struct {
 	Conn ConnID
-	Err  error // nil: an orderly end
+	Err  error // nil: closed in order
 
-	// AcceptedBytes is how many bytes of all that was written on the connection the system has accepted. What lies behind
-	// them has never left, whatever broke.
+	// AcceptedBytes is the number of written bytes that the operating system accepted. Bytes past this offset never
+	// left the process.
 	AcceptedBytes int64
 }
 
-// DialSucceeded reports that a dial has made its connection.
+// DialSucceeded reports that a dialled connection is established.
 type DialSucceeded struct{ Conn ConnID }
 
-// DialFailed reports that a dial made no connection; nothing was written.
+// DialFailed reports that a dial failed; nothing was written.
 type DialFailed struct {
 	Conn  ConnID
 	Err   error
-	Local bool // for want of something on this machine, such as descriptors: it says nothing of the other side
+	Local bool // a local resource such as file descriptors was exhausted; the failure says nothing about the engine
 }
 
-// DNSResponse reports a datagram from the name service.
+// DNSResponse reports a datagram received from the name service.
 type DNSResponse struct {
 	Data []byte
 
-	// ClockSkew is by how much the wall clock is ahead of the time of events, since it was stepped.
+	// ClockSkew is how far steps of the wall clock have moved it ahead of the event time.
 	ClockSkew rules.Time
 }
 
-// TimerFired reports that the time of the latest SetTimer has come.
+// TimerFired reports that the time of the latest SetTimer has been reached.
 type TimerFired struct{}
 
-// ShutdownRequested asks for a graceful shutdown.
+// ShutdownRequested requests a graceful shutdown.
 type ShutdownRequested struct{}
 
-// ConfigReloaded brings the configuration that holds from now on.
+// ConfigReloaded carries a reloaded configuration, which takes effect at once.
 type ConfigReloaded struct {
 	Config    *config.Config
 	ClockSkew rules.Time // as in DNSResponse
 }
 
-// SpoolCompleted reports what the spool's disk has done of what SubmitSpool asked for.
+// SpoolCompleted reports the spool disk operations completed after SubmitSpool.
 type SpoolCompleted struct{ Events []spool.Event }
 
-// WriteDrained reports that a connection has taken all that was written to it. It follows NotifyDrained, and WriteBlocked.
+// WriteDrained reports that the operating system has accepted all bytes written to a connection. It follows
+// NotifyDrained or WriteBlocked.
 type WriteDrained struct{ Conn ConnID }
 
-// WriteBlocked reports that a connection to an engine doesn't take what was written to it; WriteDrained follows once it has.
+// WriteBlocked reports that an engine connection does not accept further bytes because its engine does not read.
+// WriteDrained follows once all bytes are accepted.
 type WriteBlocked struct{ Conn ConnID }
 
-// ControlRequest brings a request of an operator's command. ControlResponse answers it.
+// ControlRequest carries a request from an operator command on the control socket. ControlResponse answers it.
 type ControlRequest struct {
-	Conn ConnID // of the control listener; not one of the connections above
+	Conn ConnID // numbered by the control listener, separately from other connections
 	Data []byte
 }
 
-// VoterLogOpened reports what the voter's log held at the start.
+// VoterLogOpened reports the state that was read from the voter's log at startup.
 type VoterLogOpened struct{ State *directives.PersistedState }
 
-// VoterLogPersisted reports that what PersistVoterLog asked for is on the disk, or why it isn't.
+// VoterLogPersisted reports that the batch of a PersistVoterLog is on disk, or the error that prevented it.
 type VoterLogPersisted struct{ Err error }
 
 func (ConnectionAccepted) event() {}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,12 @@
-// Package gateway owns all state of a gateway on sockets, in one reducer: events with their time go in, effects come out. It calls the
-// decision module and carries out its actions. It must never read, write, dial, log or look at a clock itself, nor decide what the
-// module should: where a query runs, how long it may take, and how it ends where that is a choice.
+// Package gateway implements the gateway as one deterministic reducer that owns all of its state. The host passes
+// in timestamped events and executes the effects that the reducer returns. The reducer never performs I/O or
+// logging and never reads a clock itself.
 //
-// This file has the state and the loop between module and host; events.go and effects.go have what passes between
-// the reducer and its host.
+// The decision module (package rules) decides where a query runs, how long it may take, and how it ends where there
+// is a choice. The reducer passes events to the module and executes its actions.
+//
+// This file holds the state and the loop between module and host; events.go and effects.go define the types
+// exchanged with the host.
 package gateway
 
 import (
@@ -19,35 +22,35 @@
 	"foxlane/rules"
 )
 
-// Gateway is the reducer.
+// Gateway is the reducer. It is not safe for concurrent use.
 type Gateway struct {
 	cfg          config.Config
 	limits       config.Limits
 	module       *rules.Module
 	rng          *rand.Rand
 	now          rules.Time
-	eventNumber  uint64       // of the event that is handled
-	effects      *effectBatch // since the last Flush
-	lastEffects  *effectBatch // that Flush returned last
-	freeBuffers  [][]byte     // large buffers
+	eventNumber  uint64       // number of the event being handled
+	effects      *effectBatch // emitted since the last Flush
+	lastEffects  *effectBatch // returned by the last Flush
+	freeBuffers  [][]byte     // large output buffers for reuse
 	dirtyBuffers []*outputBuffer
 	timers       timers
-	armedAt      rules.Time // the time of the last SetTimer; 0: it has fired
+	armedFor     rules.Time // time of the last SetTimer; 0: it has fired
 	moduleQueue  serialQueue[rules.Event]
 
 	clients        map[ConnID]*clientConn
 	sessions       map[uint32]*clientConn
-	newClients     list.List // clients that have sent no command yet, oldest first
-	idleClients    list.List // other clients without a request, longest idle first
-	statementBytes int       // of statements of all requests that are not answered
-	partialBytes   int       // of unfinished packets of all clients
-	lastSession    uint32    // the last session id that was given
+	newClients     list.List // clients that have not sent a command yet, oldest first
+	idleClients    list.List // all other clients without a request, longest idle first
+	statementBytes int       // total size of the statements of unanswered requests
+	partialBytes   int       // total size of incomplete packets of all clients
+	lastSession    uint32    // last session ID assigned
 
 	requests    map[rules.RequestID]*queryRequest
 	unanswered  int
 	classIndex  map[string]int
-	resultBytes int              // reserved for results whose pages were requested
-	pageQueue   []*engineAttempt // that wait for memory for their pages
+	resultBytes int              // memory reserved for results whose pages were requested
+	pageQueue   []*engineAttempt // attempts waiting for memory for their pages
 
 	engines      map[rules.EngineID]*engineState
 	engineOrder  []*engineState
@@ -55,35 +58,35 @@
 	lastConn     ConnID
 	lastProbeTag uint64
 
-	list        *discovery.List
-	queryIDs    [maxQueries]uint16     // ids of the latest queries
-	queryTimes  [maxQueries]rules.Time // and when they were sent
-	queryCount  int
-	nameService nameService // that answers with the list
-	clockSteps  wallclock.Steps
-	lastStall   stall
+	endpointList *discovery.List
+	queryIDs     [queryHistorySize]uint16     // IDs of the latest name service queries, as a ring
+	queryTimes   [queryHistorySize]rules.Time // send times of these queries
+	queryCount   int                          // queries sent since the start
+	nameService  nameService
+	clockSteps   wallclock.Steps
+	lastStall    stall
 
-	results     *resultStore              // nil: results are not stored but passed on at once
-	admission   *admissionControl         // nil: it is off, all requests go to the module at once
-	zones       *zoneRouting              // nil: there is no plan for the loss of a zone
-	sightBuffer []zones.EngineObservation // scratch
-	peers       *peerState                // nil: other gateways are not contacted
-	directives  *directiveState           // nil: no directives are followed
+	results           *resultStore              // nil: there is no spool, results are held in memory
+	admission         *admissionControl         // nil: admission control is off
+	zones             *zoneRouting              // nil: zones are not configured
+	observationBuffer []zones.EngineObservation // scratch space of engineObservations
+	peers             *peerState                // nil: the gateway does not talk to other gateways
+	directives        *directiveState           // nil: directives are not configured
 
-	stats           gatewayStats
-	violations      guard.Violations
-	pastBuffer      []guard.PriorAttempt // scratch
-	closeCounts     [closeReasons]int
-	stopping        bool
-	stopped         bool
-	drainPeriodOver bool
+	stats              gatewayStats
+	violations         guard.Violations
+	priorAttemptBuffer []guard.PriorAttempt // scratch space of priorAttempts
+	closeCounts        [closeReasons]int    // closed connections by CloseReason
+	stopping           bool
+	stopped            bool
+	drainPeriodOver    bool
 }
 
-// maxQueries is how many queries to the name service are remembered: the polls in the time in which an answer may come, and as many again
-// for reloads.
-const maxQueries = 192
+// queryHistorySize is the number of name service queries that are remembered: all polls whose answers may still arrive,
+// and as many again for reloads.
+const queryHistorySize = 192
 
-// New returns a gateway that has just started.
+// New returns a Gateway that starts at the time now with the configuration cfg.
 func New(cfg config.Config, now rules.Time) *Gateway {
 	var seed [32]byte
 	for i := range seed {
@@ -91,16 +94,16 @@
 	}
 	g := &Gateway{
 		cfg: cfg, limits: cfg.Limits, now: now, effects: &effectBatch{}, lastEffects: &effectBatch{},
-		module:      rules.New(cfg.Settings.Rules, cfg.Seed),
-		rng:         rand.New(rand.NewChaCha8(seed)),
-		clients:     map[ConnID]*clientConn{},
-		sessions:    map[uint32]*clientConn{},
-		requests:    map[rules.RequestID]*queryRequest{},
-		classIndex:  map[string]int{},
-		engines:     map[rules.EngineID]*engineState{},
-		engineConns: map[ConnID]*engineConn{},
-		list:        discovery.New(cfg.InitialList.Seq, cfg.InitialList.Engines),
-		nameService: nameService{lastAnswer: now, listAsOf: now, renewAfter: cfg.Limits.ResolverTimeout},
+		module:       rules.New(cfg.Settings.Rules, cfg.Seed),
+		rng:          rand.New(rand.NewChaCha8(seed)),
+		clients:      map[ConnID]*clientConn{},
+		sessions:     map[uint32]*clientConn{},
+		requests:     map[rules.RequestID]*queryRequest{},
+		classIndex:   map[string]int{},
+		engines:      map[rules.EngineID]*engineState{},
+		engineConns:  map[ConnID]*engineConn{},
+		endpointList: discovery.New(cfg.InitialList.Seq, cfg.InitialList.Engines),
+		nameService:  nameService{lastAnswer: now, listConfirmedAt: now, renewAfter: cfg.Limits.ResolverTimeout},
 	}
 	g.lastSession = g.rng.Uint32() >> 1
 	for i, name := range cfg.Settings.ClassNames {
@@ -113,16 +116,16 @@
 	}
 	g.startDirectives()
 	g.startPeers()
-	engines, _ := g.list.Changed()
+	engines, _ := g.endpointList.Changed()
 	g.applyList(engines, rules.UpdateCached)
-	g.poll()
+	g.pollNameService()
 	g.timers.add(timer{at: now + g.limits.SweepInterval, kind: timerSweep})
 	g.timers.add(timer{at: now + g.limits.StatsInterval, kind: timerStats})
 	g.stats.classes = make([]classStats, len(cfg.Settings.ClassNames))
 	return g
 }
 
-// Step handles one event at a time that is never before that of the last.
+// Step handles one event. If now is before the time of the previous event, the previous time is used.
 func (g *Gateway) Step(now rules.Time, event Event) {
 	g.now = max(g.now, now)
 	g.eventNumber++
@@ -132,7 +135,7 @@
 		g.extendCatchUp()
 		g.acceptClient(e.Conn, e.From)
 	case *DataReceived:
-		g.received(e)
+		g.dataReceived(e)
 	case ConnectionClosed:
 		g.connectionClosed(e)
 	case DialSucceeded:
@@ -164,7 +167,7 @@
 	case PeerEvent:
 		g.handlePeer(e)
 	case ControlRequest:
-		g.answerInquiry(e)
+		g.handleControlRequest(e)
 	case VoterLogOpened:
 		g.voterOpened(e.State)
 	case VoterLogPersisted:
@@ -172,12 +175,12 @@
 	}
 }
 
-func (g *Gateway) received(e *DataReceived) {
+func (g *Gateway) dataReceived(e *DataReceived) {
 	if client := g.clients[e.Conn]; client != nil {
 		g.extendCatchUp()
-		g.clientData(client, e.Data)
+		g.handleClientData(client, e.Data)
 	} else if engine := g.engineConns[e.Conn]; engine != nil {
-		g.engineData(engine, e.Data)
+		g.handleEngineData(engine, e.Data)
 	}
 }
 
@@ -201,16 +204,16 @@
 
 func (g *Gateway) voterPersisted(err error) {
 	if g.directives != nil {
-		g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Persisted{OK: err == nil}))
+		g.runDirectiveEffects(g.directives.proposer.Handle(g.now, directives.Persisted{OK: err == nil}))
 	}
 }
 
-// Flush returns what is to be done, in order. It is valid until the next Step.
+// Flush returns the effects to execute, in order. The slice is valid until the next Step.
 func (g *Gateway) Flush() []Effect {
 	g.flushDirty()
-	g.exitWhenDone() // behind the last answers, or they would never be written
-	if at, ok := g.nextWake(); ok && at != g.armedAt {
-		g.armedAt = at
+	g.exitWhenDone() // after the last answers, which would otherwise never be written
+	if at, ok := g.nextWake(); ok && at != g.armedFor {
+		g.armedFor = at
 		g.effects.setTimer(at)
 	}
 	g.effects, g.lastEffects = g.lastEffects, g.effects
@@ -224,10 +227,8 @@
 	g.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
-// ---- the module
-
-// tellModule tells the module of an event and carries out what it decides.
-func (g *Gateway) tellModule(event rules.Event) {
+// notifyModule passes an event to the decision module and executes the resulting actions.
+func (g *Gateway) notifyModule(event rules.Event) {
 	if !g.moduleQueue.add(event) {
 		return
 	}
@@ -243,7 +244,7 @@
 	case rules.Send:
 		g.startAttempt(a)
 	case rules.SetAttemptOptions:
-		g.setTerms(a)
+		g.setAttemptOptions(a)
 	case rules.Cancel:
 		g.cancelAttempt(a)
 	case rules.Reject:
@@ -259,7 +260,7 @@
 	case rules.FetchFleet:
 		g.sendQuery()
 	case rules.Subscribe:
-		// The name service is polled in any case.
+		// No action is needed: the name service is always polled.
 	case rules.Broadcast:
 		g.log(Debug, "peer note dropped: no protocol")
 	case rules.Log:
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -93,7 +93,7 @@
 		gw := newTestGateway(t)
 		eng := gw.g.engineOrder[0]
 		send := func(work float64) (sent, budget float64) {
-			return gw.g.slowStartSend(&queryRequest{work: rules.Time(work)}, eng)
+			return gw.g.recordSlowStartSend(&queryRequest{work: rules.Time(work)}, eng)
 		}
 		budget := 2 * 0.3 * 16 * float64(rules.Second) // of simSettings, at the start
 		if sent, of := send(c.before * budget); sent != 0 || of != 0 {
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -522,8 +522,8 @@
 // After many reloads, each of which sends a query as well, an answer that is seconds late still counts.
 func TestLateListBehindManyReloads(t *testing.T) {
 	gw := newTestGateway(t)
-	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); maxQueries < 2*polls {
-		t.Errorf("%d queries are remembered, %d are sent while an answer may come", maxQueries, polls)
+	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); queryHistorySize < 2*polls {
+		t.Errorf("%d queries are remembered, %d are sent while an answer may come", queryHistorySize, polls)
 	}
 	id := gw.g.queryIDs[0]
 	for range 80 {
@@ -539,7 +539,7 @@
 // asks there again, from a new socket each time.
 func TestReloadBackAndForth(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.g.list = discovery.New(9, gw.g.cfg.InitialList.Engines)
+	gw.g.endpointList = discovery.New(9, gw.g.cfg.InitialList.Engines)
 	first := gw.g.cfg.DNS
 	second := netip.MustParseAddrPort("127.0.0.9:5301")
 	for i, c := range []struct {
@@ -655,7 +655,7 @@
 	start := func(timeout int, took rules.Time) *interleaving {
 		x := newInterleaving(t, "point")
 		x.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
-		x.g.armedAt = x.now + took // the process is not stopped: no timer is late
+		x.g.armedFor = x.now + took // the process is not stopped: no timer is late
 		x.now += took
 		x.step(DialSucceeded{Conn: x.lastDial()})
 		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
--- a/internal/gateway/logkeys.go
+++ b/internal/gateway/logkeys.go
@@ -1,8 +1,9 @@
 package gateway
 
-// Keys of log attributes that more than one line uses. docs/oncall.md explains the lines; what reads them is the test harness.
+// Keys of log attributes that are used by more than one line. docs/oncall.md explains the lines, and the test
+// harness parses them.
 const (
-	keyAttempt     = "attempt" // its number within the request, from 0
+	keyAttempt     = "attempt" // index within the request, from 0
 	keyClass       = "class"
 	keyClasses     = "classes"
 	keyClients     = "clients"
@@ -13,18 +14,18 @@
 	keyError       = "error"
 	keyFailed      = "failed"
 	keyInFlight    = "in_flight"
-	keyInForce     = "in_force" // directives
-	keyIndex       = "index"    // of the last directive that was applied
+	keyInForce     = "in_force" // number of directives in force
+	keyIndex       = "index"    // index of the last applied directive
 	keyInvariant   = "invariant"
 	keyMember      = "member"
 	keyMembers     = "members"
 	keyReason      = "reason"
 	keyRejected    = "rejected"
-	keyRemaining   = "remaining_ms" // until a deadline
+	keyRemaining   = "remaining_ms" // time left until the deadline
 	keyRequest     = "request"
 	keyRequests    = "requests"
 	keyAttempts    = "attempts"
-	keySerial      = "serial" // of a list of engines
+	keySerial      = "serial" // serial of the endpoint list
 	keyServed      = "served"
 	keySession     = "session"
 	keySilent      = "silent_ms"
--- a/internal/gateway/machines.go
+++ b/internal/gateway/machines.go
@@ -2,13 +2,13 @@
 
 import "foxlane/rules"
 
-// This file has what the state machines beside the reducer have in common: the admission controller, the spool and the module.
+// This file defines what the nested state machines (admission controller, spool and decision module) have in common.
 
-// alarm is when a state machine wants to be woken; 0: never.
-type alarm rules.Time
+// wakeTime is the time at which a state machine's timer fires; 0 means that it is not set.
+type wakeTime rules.Time
 
-// ring reports whether the time has come, and clears the alarm if so.
-func (a *alarm) ring(now rules.Time) bool {
+// fire reports whether the time is reached, and clears it if so.
+func (a *wakeTime) fire(now rules.Time) bool {
 	if *a == 0 || rules.Time(*a) > now {
 		return false
 	}
@@ -16,9 +16,9 @@
 	return true
 }
 
-// serialQueue hands events to a state machine one at a time. An event that arises while the effects of another are carried out
-// waits until those are done: the machine is never called from within its own effects, and sees events in the order in which they
-// arose.
+// serialQueue delivers events to a state machine one at a time. An event that is added while the effects of another
+// one are executed waits until they are done. So the machine is never re-entered from its own effects, and receives
+// the events in the order in which they were added.
 //
 //	if queue.add(event) {
 //		for event, ok := queue.next(); ok; event, ok = queue.next() {
@@ -27,12 +27,12 @@
 //	}
 type serialQueue[E any] struct {
 	events   []E
-	position int // of the event that is next
-	draining bool
+	position int  // index of the next event
+	draining bool // a caller of add is taking events
 }
 
-// add puts an event at the end. It reports whether the caller must take events until next has none: if not, a caller further up
-// the stack does.
+// add appends an event. It reports whether the caller must call next until there are no more events; if not, a
+// caller further up the stack does so.
 func (q *serialQueue[E]) add(event E) (drain bool) {
 	q.events = append(q.events, event)
 	if q.draining {
@@ -42,14 +42,14 @@
 	return true
 }
 
-// next takes the event that has waited longest. Once there is none, the queue is empty and may be drained again.
+// next removes and returns the oldest event. If there is none, ok is false and the next add starts a new drain.
 func (q *serialQueue[E]) next() (event E, ok bool) {
 	if q.position < len(q.events) {
 		event = q.events[q.position]
 		q.position++
 		return event, true
 	}
-	clear(q.events) // what the events refer to may go
+	clear(q.events) // releases what the events refer to
 	q.events, q.position, q.draining = q.events[:0], 0, false
 	return event, false
 }
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -268,7 +268,7 @@
 	gw.sendToEngine("point")
 	gw.receive(gw.dials[0], idA+" served total=1 0\r\n\r\n")
 	gw.now += gw.g.limits.EngineIdleTimeout // before the sweep has seen it
-	gw.g.armedAt = gw.now                   // and no timer is late: the process did not stand still
+	gw.g.armedFor = gw.now                  // and no timer is late: the process did not stand still
 	gw.receive(1, askText("load", idB))
 	if len(gw.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(gw.dials))
@@ -409,13 +409,13 @@
 		}
 		return moved, asked
 	}
-	cfg.InitialList.Seq = gw.g.list.Serial()
+	cfg.InitialList.Seq = gw.g.endpointList.Serial()
 	if moved, asked := reload(); !moved || !asked || len(gw.g.engines) != 1 {
 		t.Errorf("moved %v, asked there %v, %d engines", moved, asked, len(gw.g.engines))
 	}
 	cfg.InitialList.Seq++
-	if reload(); len(gw.g.engines) != 2 || gw.g.list.Serial() != cfg.InitialList.Seq {
-		t.Errorf("a newer list in the file: %d engines, serial %d", len(gw.g.engines), gw.g.list.Serial())
+	if reload(); len(gw.g.engines) != 2 || gw.g.endpointList.Serial() != cfg.InitialList.Seq {
+		t.Errorf("a newer list in the file: %d engines, serial %d", len(gw.g.engines), gw.g.endpointList.Serial())
 	}
 	gw.client(1)
 	gw.receive(1, askText("point", idA))
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -10,11 +10,11 @@
 	"foxlane/rules"
 )
 
-// This file follows the name service: when it is polled, from which socket, and what becomes of its answers. Which list of engines is
-// valid is decided by package discovery.
+// This file polls the name service for the endpoint list, renews the socket it is queried from, and processes its
+// answers. Package discovery decides which endpoint list is valid.
 
-// reconfigure takes over a configuration that was reloaded. Its list has serials of the same sequence as the last one's, so the list
-// stays until the file or the name service has a newer one.
+// reconfigure applies a reloaded configuration. The serials of its endpoint list belong to the same sequence as
+// those of the current list, which stays valid until the file or the name service provides a newer one.
 func (g *Gateway) reconfigure(cfg *config.Config) {
 	g.log(Info, "configuration reloaded", Attr{"dns", cfg.DNS.String()}, Attr{keySerial, cfg.InitialList.Seq})
 	g.cfg = *cfg
@@ -23,43 +23,43 @@
 	g.reconfigurePeers()
 	g.reconfigureDirectives()
 	if g.results != nil {
-		g.handleSpool(spool.SetBudget{Budget: cfg.Site.Spool.Budget})
+		g.notifySpool(spool.SetBudget{Budget: cfg.Site.Spool.Budget})
 	}
 	g.renewSocket(cfg.DNS)
-	g.list.Reload(g.now, cfg.InitialList.Seq, cfg.InitialList.Engines)
-	g.applyChanged()
+	g.endpointList.Reload(g.now, cfg.InitialList.Seq, cfg.InitialList.Engines)
+	g.applyListChanges()
 	g.sendQuery()
 }
 
-// applyChanged takes over the list if an answer or the time has changed it.
-func (g *Gateway) applyChanged() {
-	if engines, ok := g.list.Changed(); ok {
+// applyListChanges applies the endpoint list if an answer or the passage of time has changed it.
+func (g *Gateway) applyListChanges() {
+	if engines, ok := g.endpointList.Changed(); ok {
 		g.applyList(engines, rules.UpdateDelta)
 	}
 }
 
-// nameService is how the name service answers, whatever the answers say.
+// nameService is the state of the exchange with the name service, apart from the content of its answers.
 type nameService struct {
-	lastAnswer  rules.Time // when an answer last came, well-formed or not
-	socketSince rules.Time // when the socket was made from which it is asked
-	renewAfter  rules.Time // of silence until a new socket is made
-	listAsOf    rules.Time // when the latest query was sent whose answer confirmed the list
+	lastAnswer      rules.Time // last answer received, well-formed or not
+	socketSince     rules.Time // when the current socket was created
+	renewAfter      rules.Time // duration of silence after which the socket is renewed
+	listConfirmedAt rules.Time // send time of the latest query whose answer confirmed the list
 
-	// Since figures were last logged.
+	// Statistics since the last log line.
 	answers       int
-	slowestAnswer rules.Time // from a query to its answer
-	oldestList    rules.Time // greatest age of the list
+	maxAnswerTime rules.Time // longest time from a query to its answer
+	maxListAge    rules.Time // greatest age of the list when it was confirmed
 }
 
-// renewSocket has the name service at an address asked from a new socket.
+// renewSocket switches to the name service at an address with a new socket.
 func (g *Gateway) renewSocket(addr netip.AddrPort) {
 	g.nameService.socketSince = g.now
 	g.emit(SetNameServer{Addr: addr})
 }
 
-// renewSocketIfSilent makes a new socket if the name service has been silent for a while: a middlebox may have forgotten the old one,
-// and would drop all answers to it. The time until the next one doubles, so that answers that are late by seconds still find the
-// socket that asked.
+// renewSocketIfSilent renews the socket if the name service has been silent for renewAfter: a middlebox may have
+// lost the state of the old socket and drop all answers to it. The interval doubles with each renewal, so that
+// answers that are late by seconds still reach the socket that sent the query.
 func (g *Gateway) renewSocketIfSilent() {
 	service := &g.nameService
 	if g.now-max(service.lastAnswer, service.socketSince) < service.renewAfter {
@@ -70,25 +70,25 @@
 	g.renewSocket(g.cfg.DNS)
 }
 
-// poll asks the name service for the list, and has a timer for the next time.
-func (g *Gateway) poll() {
-	g.list.Tick(g.now)
-	g.applyChanged()
+// pollNameService queries the name service for the endpoint list and sets the timer for the next pollNameService.
+func (g *Gateway) pollNameService() {
+	g.endpointList.Tick(g.now)
+	g.applyListChanges()
 	g.renewSocketIfSilent()
 	g.sendQuery()
 	g.timers.add(timer{at: g.now + g.limits.PollInterval, kind: timerPoll})
 }
 
-// sendQuery asks the name service for the list.
+// sendQuery queries the name service for the endpoint list.
 func (g *Gateway) sendQuery() {
 	id := uint16(g.rng.Uint32())
-	slot := g.queryCount % maxQueries
+	slot := g.queryCount % queryHistorySize
 	g.queryIDs[slot], g.queryTimes[slot] = id, g.now
 	g.queryCount++
 	g.emit(QueryDNS{Data: dns.AppendQuery(nil, id, listName)})
 }
 
-// receiveDatagram takes an answer of the name service. Whatever is wrong with it, the last list stays.
+// receiveDatagram handles an answer of the name service. An invalid answer leaves the current list unchanged.
 func (g *Gateway) receiveDatagram(msg []byte) {
 	id, ok := dns.ID(msg)
 	query, found := g.findQuery(id)
@@ -102,16 +102,16 @@
 		g.log(Warn, "name service: malformed answer", Attr{keyError, err.Error()})
 		return
 	}
-	g.applyAnswer(query, answer.Serial, enginesOf(answer.Hosts))
-	g.applyChanged()
+	g.applyAnswer(query, answer.Serial, enginesFromHosts(answer.Hosts))
+	g.applyListChanges()
 }
 
-// applyAnswer hands a well-formed answer to the list and logs what became of it.
+// applyAnswer applies a well-formed answer to the endpoint list and logs the verdict.
 func (g *Gateway) applyAnswer(query int, serial uint32, engines []config.Engine) {
-	askedAt, before := g.queryTimes[query%maxQueries], g.list.Serial()
-	verdict := g.list.Apply(g.now, discovery.Answer{QuerySeq: uint64(query) + 1, Serial: serial, Engines: engines})
-	g.recordAnswer(askedAt, verdict)
-	attrs := []Attr{{keySerial, serial}, {"was", before}, {keyEngines, len(engines)}, {"asked_ms", milliseconds(g.now - askedAt)}}
+	queriedAt, previousSerial := g.queryTimes[query%queryHistorySize], g.endpointList.Serial()
+	verdict := g.endpointList.Apply(g.now, discovery.Answer{QuerySeq: uint64(query) + 1, Serial: serial, Engines: engines})
+	g.recordAnswer(queriedAt, verdict)
+	attrs := []Attr{{keySerial, serial}, {"was", previousSerial}, {keyEngines, len(engines)}, {"asked_ms", milliseconds(g.now - queriedAt)}}
 	switch verdict {
 	case discovery.Newer:
 		g.log(Info, "name service: new list", attrs...)
@@ -122,8 +122,8 @@
 	}
 }
 
-// enginesOf translates the hosts of an answer.
-func enginesOf(hosts []dns.Host) []config.Engine {
+// enginesFromHosts converts the hosts of an answer to engine entries. A host with a priority above 0 is draining.
+func enginesFromHosts(hosts []dns.Host) []config.Engine {
 	engines := make([]config.Engine, 0, len(hosts))
 	for _, host := range hosts {
 		entry := config.Engine{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind, Cell: host.Cell,
@@ -136,39 +136,40 @@
 	return engines
 }
 
-// findQuery finds the query with an id, by its number among all that were sent, if an answer to it may still come. Ids are random, so an
-// answer without one of them is forged or too late.
+// findQuery returns the sequence number of the query with an ID, if its answer may still arrive. IDs are random, so
+// an answer with an unknown ID is forged or too late.
 func (g *Gateway) findQuery(id uint16) (query int, ok bool) {
-	for i := range min(g.queryCount, maxQueries) {
+	for i := range min(g.queryCount, queryHistorySize) {
 		query = g.queryCount - 1 - i
-		if g.now-g.queryTimes[query%maxQueries] > g.limits.MaxListDelay {
-			return 0, false // answers come within that time or not at all
+		if g.now-g.queryTimes[query%queryHistorySize] > g.limits.MaxListDelay {
+			return 0, false // answers arrive within MaxListDelay or not at all
 		}
-		if g.queryIDs[query%maxQueries] == id {
+		if g.queryIDs[query%queryHistorySize] == id {
 			return query, true
 		}
 	}
 	return 0, false
 }
 
-// recordAnswer counts a well-formed answer, and notes when the list was last confirmed.
-func (g *Gateway) recordAnswer(askedAt rules.Time, verdict discovery.Verdict) {
+// recordAnswer counts a well-formed answer and records when the list was last confirmed.
+func (g *Gateway) recordAnswer(queriedAt rules.Time, verdict discovery.Verdict) {
 	service := &g.nameService
 	service.answers++
-	service.slowestAnswer = max(service.slowestAnswer, g.now-askedAt)
+	service.maxAnswerTime = max(service.maxAnswerTime, g.now-queriedAt)
 	if verdict == discovery.Unordered || verdict == discovery.Late {
 		return
 	}
-	service.oldestList = max(service.oldestList, g.now-service.listAsOf)
-	service.listAsOf = max(service.listAsOf, askedAt)
+	service.maxListAge = max(service.maxListAge, g.now-service.listConfirmedAt)
+	service.listConfirmedAt = max(service.listConfirmedAt, queriedAt)
 }
 
-// logNameService logs how the name service answered since the last such line.
+// logNameService logs the statistics of the name service since its last log line.
 func (g *Gateway) logNameService() {
 	service := &g.nameService
-	g.log(Info, "name service", Attr{keySerial, g.list.Serial()}, Attr{"answers", service.answers}, Attr{"slowest_ms", milliseconds(service.slowestAnswer)},
-		Attr{"oldest_ms", milliseconds(max(service.oldestList, g.now-service.listAsOf))})
-	service.answers, service.slowestAnswer, service.oldestList = 0, 0, 0
+	g.log(Info, "name service", Attr{keySerial, g.endpointList.Serial()}, Attr{"answers", service.answers}, Attr{"slowest_ms", milliseconds(service.maxAnswerTime)},
+		Attr{"oldest_ms", milliseconds(max(service.maxListAge, g.now-service.listConfirmedAt))})
+	service.answers, service.maxAnswerTime, service.maxListAge = 0, 0, 0
 }
 
+// milliseconds returns a time in whole milliseconds.
 func milliseconds(t rules.Time) int64 { return int64(t / rules.Millisecond) }
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -1,23 +1,23 @@
 package gateway
 
-// This file has what waits to be written on each connection, and the buffers that it waits in.
+// This file manages the output buffers of connections.
 
 const (
-	maxIdleBuffer  = 2048 // bytes of a buffer that a connection keeps
-	maxFreeBuffers = 64   // larger buffers kept for all
+	maxIdleBuffer  = 2048 // capacity in bytes up to which a connection keeps its empty buffer
+	maxFreeBuffers = 64   // number of larger buffers kept for reuse by all connections
 )
 
-// outputBuffer is what waits to be written on a connection.
+// outputBuffer is the pending output of a connection.
 type outputBuffer struct {
-	id        ConnID
-	output    []byte
-	handedOut int64 // bytes of it that were handed out to be written, in all
-	dirty     bool
-	closed    bool // by us or by the other side
+	id           ConnID
+	output       []byte
+	emittedBytes int64 // total number of bytes emitted in Write effects
+	dirty        bool  // listed in Gateway.dirtyBuffers
+	closed       bool  // by the gateway or by the peer
 }
 
-// recycleBuffer empties an output buffer. Large buffers go round: few results are written at a time,
-// and the many connections would keep them all.
+// recycleBuffer empties an output buffer. Large buffers are shared between connections: few results are written at
+// a time, and otherwise each of the many connections would keep one.
 func (g *Gateway) recycleBuffer(buffer *outputBuffer) {
 	if cap(buffer.output) <= maxIdleBuffer {
 		buffer.output = buffer.output[:0]
@@ -29,7 +29,7 @@
 	buffer.output = nil
 }
 
-// borrowBuffer gives a connection whose output is empty a large buffer.
+// borrowBuffer gives a connection without pending output a free large buffer, if there is one.
 func (g *Gateway) borrowBuffer(buffer *outputBuffer) {
 	if n := len(g.freeBuffers) - 1; len(buffer.output) == 0 && n >= 0 {
 		buffer.output, g.freeBuffers[n] = g.freeBuffers[n], nil
@@ -37,7 +37,7 @@
 	}
 }
 
-// markDirty notes that something was added to an output buffer.
+// markDirty schedules an output buffer to be written by the next Flush.
 func (g *Gateway) markDirty(buffer *outputBuffer) {
 	if !buffer.dirty {
 		buffer.dirty = true
@@ -45,12 +45,12 @@
 	}
 }
 
-// flushDirty writes what waits on all connections, in the order in which they became dirty.
+// flushDirty writes the pending output of all connections, in the order in which they became dirty.
 func (g *Gateway) flushDirty() {
 	for _, buffer := range g.dirtyBuffers {
 		buffer.dirty = false
 		if !buffer.closed && len(buffer.output) > 0 {
-			buffer.handedOut += int64(len(buffer.output))
+			buffer.emittedBytes += int64(len(buffer.output))
 			g.effects.write(buffer.id, buffer.output)
 		}
 		g.recycleBuffer(buffer)
@@ -58,16 +58,16 @@
 	g.dirtyBuffers = g.dirtyBuffers[:0]
 }
 
-// flushNow writes what waits on a connection ahead of what others hold.
+// flushNow writes the pending output of a connection ahead of that of all others.
 func (g *Gateway) flushNow(buffer *outputBuffer) {
 	if len(buffer.output) > 0 {
-		buffer.handedOut += int64(len(buffer.output))
+		buffer.emittedBytes += int64(len(buffer.output))
 		g.effects.write(buffer.id, buffer.output)
 		buffer.output = nil
 	}
 }
 
-// closeAfterWrites closes a connection behind what was written to it.
+// closeAfterWrites closes a connection after writing its pending output.
 func (g *Gateway) closeAfterWrites(buffer *outputBuffer) {
 	if buffer.closed {
 		return
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -8,49 +8,49 @@
 	"foxlane/rules"
 )
 
-// This file connects the reducer with the other gateways: it hands their messages to the replicated state, and what package gossip makes
-// of that to the module and the zones. It decides nothing, and nothing here ever waits for a peer. Without the block `members` in
-// the operator's file no other gateway is contacted.
+// This file connects the reducer to the other gateways. It applies their messages to the replicated state, and
+// passes the conclusions of package gossip to the module and the zones. Nothing here ever waits for a peer. Without
+// the block `members` in the operator's file, the gateway does not contact others.
 
 // PeerKind is the kind of a PeerEvent.
 type PeerKind int
 
-// Kinds of peer events.
+// The kinds of peer events.
 const (
 	PeerJoined PeerKind = iota + 1
 	PeerLeft
 	PeerMessage
-	PeerNameConflict // another process uses a member's name
+	PeerNameConflict // another process uses the name of a member
 )
 
-// PeerEvent is an Event: something that happened among the members.
+// PeerEvent is an Event that reports a change of membership or a message from a member.
 type PeerEvent struct {
 	Kind    PeerKind
 	Name    string
 	Zone    string
-	Channel byte   // with PeerMessage, as Data
-	Data    []byte // valid during Step only
-	Text    string // with PeerNameConflict: the other's address
+	Channel byte   // set for PeerMessage
+	Data    []byte // set for PeerMessage; valid only during Step
+	Text    string // set for PeerNameConflict: address of the other process
 }
 
-// Channels of messages among members.
+// The channels of messages between members.
 const (
 	ChannelReplica    byte = iota + 1
-	ChannelConsensus       // among the voters on directives
-	ChannelDirectives      // directives in force, to all members
+	ChannelConsensus       // consensus among the voters on directives
+	ChannelDirectives      // directives in force, sent to all members
 )
 
-// peerState is what this gateway knows of the others.
+// peerState holds the replicated state and the known members.
 type peerState struct {
 	replica    *replica.Store
 	gossip     *gossip.Observations
-	lastStats  replica.Stats         // when figures were last logged
-	lastCounts gossip.Counts         // when figures were last logged
-	oddTick    bool                  // of the current tick
-	joinedAt   map[string]rules.Time // when each member joined
+	lastStats  replica.Stats         // as of the last statistics log line
+	lastCounts gossip.Counts         // as of the last statistics log line
+	oddTick    bool                  // alternates with each tick; see tickPeers
+	joinedAt   map[string]rules.Time // join time of each other member
 }
 
-// newPeers returns the state that the operator has configured, or nil.
+// newPeers returns the configured peer state, or nil if members are off.
 func newPeers(cfg *config.Config, now rules.Time) *peerState {
 	if cfg.Site == nil || cfg.Site.Members == nil {
 		return nil
@@ -65,14 +65,14 @@
 	return peers
 }
 
-// reconfigurePeers takes over the operator's file as it is now: the block may come and go. Its settings take effect when members are
-// joined the next time.
+// reconfigurePeers starts or stops the exchange with peers after a reload added or removed the block `members`.
+// Changed settings of the block take effect at the next join.
 func (g *Gateway) reconfigurePeers() {
 	on := g.cfg.Site != nil && g.cfg.Site.Members != nil
 	switch {
 	case on == (g.peers != nil):
 	case !on:
-		g.peers = nil // the directives stay as they are, and become stale
+		g.peers = nil // the directives stay unchanged and become stale
 		g.log(Info, "members: leaving")
 		g.emit(LeaveMembers{})
 	default:
@@ -81,13 +81,14 @@
 	}
 }
 
+// startPeers creates the peer state and starts its tick timer, if members are on.
 func (g *Gateway) startPeers() {
 	if g.peers = newPeers(&g.cfg, g.now); g.peers != nil {
 		g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	}
 }
 
-// handlePeer takes an event among the members.
+// handlePeer handles an event of the membership.
 func (g *Gateway) handlePeer(event PeerEvent) {
 	peers := g.peers
 	if peers == nil {
@@ -97,28 +98,28 @@
 	case PeerJoined:
 		peers.joinedAt[event.Name] = g.now
 		g.log(Info, "members: joined", Attr{keyMember, event.Name}, Attr{keyZone, event.Zone}, Attr{keyMembers, len(peers.joinedAt)})
-		g.handleReplica(replica.Joined{Member: replica.Member{Name: event.Name, Zone: event.Zone}})
+		g.notifyReplica(replica.Joined{Member: replica.Member{Name: event.Name, Zone: event.Zone}})
 	case PeerLeft:
 		delete(peers.joinedAt, event.Name)
 		g.log(Info, "members: left", Attr{keyMember, event.Name}, Attr{keyMembers, len(peers.joinedAt)})
-		g.handleReplica(replica.Left{Member: replica.Member{Name: event.Name}})
+		g.notifyReplica(replica.Left{Member: replica.Member{Name: event.Name}})
 	case PeerMessage:
 		switch {
 		case event.Channel == ChannelReplica:
-			g.handleReplica(replica.Received{From: replica.Member{Name: event.Name}, Data: event.Data})
+			g.notifyReplica(replica.Received{From: replica.Member{Name: event.Name}, Data: event.Data})
 		case g.directives == nil:
 		case event.Channel == ChannelConsensus:
-			g.runDirectiveOutcomes(g.directives.proposer.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
+			g.runDirectiveEffects(g.directives.proposer.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
 		case event.Channel == ChannelDirectives:
-			g.runDirectiveOutcomes(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
+			g.runDirectiveEffects(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
 		}
 	case PeerNameConflict:
 		g.log(Warn, "members: duplicate name", Attr{keyMember, event.Name}, Attr{"at", event.Text})
 	}
 }
 
-// handleReplica hands an event to the replicated state and carries out what that asks for.
-func (g *Gateway) handleReplica(event replica.Event) {
+// notifyReplica passes an event to the replicated state and executes the resulting effects.
+func (g *Gateway) notifyReplica(event replica.Event) {
 	for _, effect := range g.peers.replica.Handle(g.now, event) {
 		switch effect := effect.(type) {
 		case replica.Send:
@@ -129,8 +130,8 @@
 	}
 }
 
-// tickPeers lets time pass for the replicated state. On every other tick our own observations are published and those of others are
-// evaluated, since they change slower than messages must be sent.
+// tickPeers ticks the clock of the replicated state. Every other tick also publishes this gateway's observations
+// and evaluates those of peers, since these change more slowly than messages must be sent.
 func (g *Gateway) tickPeers() {
 	peers := g.peers
 	if peers == nil {
@@ -138,15 +139,15 @@
 	}
 	g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	if peers.oddTick = !peers.oddTick; peers.oddTick {
-		g.handleReplica(replica.Tick{})
+		g.notifyReplica(replica.Tick{})
 		return
 	}
-	view := gossip.View{Engines: g.engineSights(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
+	view := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
 		view.Zones = g.zones.router.Status(g.now)
 	}
 	peers.gossip.Publish(g.now, view)
-	g.handleReplica(replica.Tick{})
+	g.notifyReplica(replica.Tick{})
 	advice := peers.gossip.Evaluate(g.now, view)
 	if g.cfg.Settings.Rules.Limits.Probes {
 		for _, id := range advice.Probe {
@@ -157,11 +158,11 @@
 		g.zones.router.Suspect(zone)
 	}
 	for _, event := range advice.Events {
-		g.tellModule(event)
+		g.notifyModule(event)
 	}
 }
 
-// logPeers logs what was exchanged with other gateways since the last such line.
+// logPeers logs the statistics of the exchange with peers since its last log line.
 func (g *Gateway) logPeers() {
 	peers := g.peers
 	if peers == nil {
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -9,20 +9,21 @@
 	"foxlane/rules"
 )
 
-// This file owns health checks of engines.
+// This file runs health probes of engines.
 
-// healthProbe is a health check that is under way.
+// healthProbe is a health probe in progress.
 type healthProbe struct {
 	engine          *engineState
 	conn            *engineConn
 	tag             string
 	sentAt          rules.Time
-	suspected       bool // other gateways report that the engine fails
-	localExhaustion bool // it could not be made because a local resource was exhausted
+	suspected       bool // started because peers report that the engine fails
+	localExhaustion bool // not sent because a local resource was exhausted
 	done            bool
 }
 
-// probesInOrder lists the health checks on a connection in an order that is not that of a map.
+// probesInOrder returns the probes on a connection sorted by tag, so that their order does not depend on map
+// iteration.
 func (c *engineConn) probesInOrder() (probes []*healthProbe) {
 	for _, tag := range slices.Sorted(maps.Keys(c.probes)) {
 		probes = append(probes, c.probes[tag])
@@ -30,10 +31,11 @@
 	return probes
 }
 
-// startProbe checks an engine's health for the module or the zones.
+// startProbe probes an engine on behalf of the module or the zone controller.
 func (g *Gateway) startProbe(id rules.EngineID) { g.probeEngine(id, false) }
 
-// probeEngine checks an engine's health, with suspected because other gateways report that it fails.
+// probeEngine probes an engine's health. With suspected, the probe was started because peers report that the engine
+// fails.
 func (g *Gateway) probeEngine(id rules.EngineID, suspected bool) {
 	eng := g.engines[id]
 	if eng == nil {
@@ -61,7 +63,8 @@
 	}
 }
 
-// finishProbe ends a health check and tells the module and the zones. A check that a local resource prevented says nothing of the engine.
+// finishProbe ends a probe and notifies the module and the zone controller. A probe prevented by local exhaustion
+// does not count against the engine.
 func (g *Gateway) finishProbe(probe *healthProbe, status rules.Status, report []byte) {
 	if probe.done {
 		return
@@ -74,7 +77,7 @@
 		delete(probe.conn.probes, probe.tag)
 		g.closeIfDrained(probe.conn)
 	}
-	g.tellModule(rules.ProbeResult{
+	g.notifyModule(rules.ProbeResult{
 		Engine:    probe.engine.id,
 		Suspected: probe.suspected && !probe.localExhaustion,
 		Status:    status,
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/reasons.go
@@ -2,34 +2,34 @@
 
 import "foxlane/rules"
 
-// This file names why connections are closed, why requests are rejected or fail, and how they end. Operators find each of these words
-// in the log; docs/oncall.md explains them.
+// This file defines the reasons of connection closes and request ends, and the outcomes of requests. Their names
+// appear in the log and are explained in docs/oncall.md.
 
-// CloseReason is why a connection ends.
+// CloseReason is the reason of a connection's end.
 type CloseReason int
 
-// Reasons why clients' connections end, then those of connections to engines.
+// The close reasons of client connections, followed by those of engine connections.
 const (
 	CloseQuit              CloseReason = iota // the client sent COM_QUIT
-	CloseByPeer                               // the client closed it, or it broke
-	CloseKilled                               // KILL of the session
-	CloseQueryKilled                          // the session can't go on after KILL QUERY
-	CloseIdle                                 // idle for longer than clients keep connections
-	CloseIdleQuota                            // too many sessions are idle
-	CloseNoCommand                            // no first command came in time
-	CloseEvicted                              // closed to make room for a new connection
-	CloseTooManyClients                       // it came when the limit of connections was reached
-	CloseAdmission                            // admission control evicted it
-	CloseProtocolError                        // the client broke the protocol
-	CloseShutdown                             // the process ends
-	CloseEngineIdle                           // idle for almost as long as engines keep connections
-	CloseEngineRetired                        // its engine is another process now, has gone, or was silent on it
-	CloseEngineMalformed                      // an answer on it could not be read
-	CloseEngineUnread                         // its engine drains or has gone, and had not read what was written
-	CloseEngineLost                           // the engine closed it, or it broke
+	CloseByPeer                               // the client closed the connection, or it broke
+	CloseKilled                               // the session was killed by KILL
+	CloseQueryKilled                          // the session cannot continue after KILL QUERY
+	CloseIdle                                 // idle for longer than ClientIdleTimeout
+	CloseIdleQuota                            // too many idle sessions
+	CloseNoCommand                            // no command was received in time
+	CloseEvicted                              // evicted to make room for a new connection
+	CloseTooManyClients                       // the connection limit was reached on accept
+	CloseAdmission                            // evicted by admission control
+	CloseProtocolError                        // the client violated the protocol
+	CloseShutdown                             // the gateway shuts down
+	CloseEngineIdle                           // idle for almost as long as engines keep connections open
+	CloseEngineRetired                        // the engine's process was replaced, has gone, or was silent on the connection
+	CloseEngineMalformed                      // an answer was malformed or incomplete
+	CloseEngineUnread                         // the draining or removed engine left writes unread
+	CloseEngineLost                           // the engine closed the connection, or it broke
 	CloseEngineUnreachable                    // the dial failed
-	CloseLocalExhaustion                      // the dial failed because a resource of this machine was exhausted
-	closeReasons
+	CloseLocalExhaustion                      // the dial failed because a local resource was exhausted
+	closeReasons                              // number of reasons
 )
 
 var closeReasonNames = [...]string{
@@ -54,33 +54,33 @@
 	CloseLocalExhaustion:   "engine_local_exhaustion",
 }
 
-// String is the reason as the log has it.
+// String returns the name of the reason as logged.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// allowsUnanswered reports whether a connection may end for this reason while its request has no answer: its client wanted that, broke
-// the protocol or has gone.
+// allowsUnanswered reports whether a connection may be closed for this reason while its request is unanswered,
+// because its client requested that, violated the protocol or disconnected.
 func (r CloseReason) allowsUnanswered() bool {
 	return r == CloseQuit || r == CloseByPeer || r == CloseKilled || r == CloseQueryKilled || r == CloseProtocolError
 }
 
-// EndReason is why a request has the answer that it has.
+// EndReason is the reason of a request's outcome.
 type EndReason int
 
-// Reasons of rejections and failures. Those of the decision module come from rules.FinishReason.
+// The end reasons of requests. moduleReasons maps those of the decision module from rules.FailureReason.
 const (
 	EndServed              EndReason = iota
-	EndClientLeft                    // it closed its connection or killed its query
-	EndTooManyInFlight               // the limits of requests or bytes in flight are reached
-	EndDirective                     // an operators' directive rejects the class
-	EndZonePlan                      // the plan for the loss of a zone sheds it
-	EndAdmission                     // admission control
-	EndNoResultCapacity              // no capacity to store its result
-	EndResultLost                    // its result could not be stored
-	EndOverCapacity                  // the module: its queue is full, and this request would be served last
-	EndDeadlineUnreachable           // the module: it can't finish by its deadline
-	EndLate                          // the module: it would be late, and is worth nothing then
-	EndAttemptsExhausted             // the module: no further attempt is allowed
-	EndAttemptOverdue                // the module: its attempt is overdue, and no other is allowed
+	EndClientLeft                    // the client disconnected, or the query was killed
+	EndTooManyInFlight               // the limit of requests or bytes in flight was reached
+	EndDirective                     // an operator directive rejects the class
+	EndZonePlan                      // shed by the zone controller
+	EndAdmission                     // rejected by admission control
+	EndNoResultCapacity              // no capacity to store the result
+	EndResultLost                    // the result could not be stored
+	EndOverCapacity                  // from the module: its queue is full, and this request would be served last
+	EndDeadlineUnreachable           // from the module: the request cannot finish by its deadline
+	EndLate                          // from the module: the request would be late, when its answer has no value
+	EndAttemptsExhausted             // from the module: no further attempt is allowed
+	EndAttemptOverdue                // from the module: the attempt is overdue, and no other is allowed
 )
 
 var endReasonNames = [...]string{
@@ -99,26 +99,29 @@
 	EndAttemptOverdue:      "attempt_overdue",
 }
 
-// String is the reason as the log has it.
+// String returns the name of the reason as logged.
 func (r EndReason) String() string { return endReasonNames[r] }
 
+// moduleReasons maps the module's failure reasons to end reasons.
 var moduleReasons = map[rules.FailureReason]EndReason{rules.ReasonQueueFull: EndOverCapacity, rules.ReasonDeadline: EndDeadlineUnreachable,
 	rules.ReasonTooLate: EndLate, rules.ReasonAttemptsExhausted: EndAttemptsExhausted, rules.ReasonOverdue: EndAttemptOverdue}
 
-// outcome is how a request ends.
-type outcome int
+// requestOutcome is the requestOutcome of a request.
+type requestOutcome int
 
 const (
-	outcomeServed outcome = iota
+	outcomeServed requestOutcome = iota
 	outcomeRejected
 	outcomeFailed
-	outcomeAbandoned // no answer is due
+	outcomeAbandoned // ended without an answer
 )
 
 var outcomeNames = [...]string{outcomeServed: "served", outcomeRejected: "rejected", outcomeFailed: "failed", outcomeAbandoned: "abandoned"}
 
-func (o outcome) String() string { return outcomeNames[o] }
+// String returns the name of the outcome as logged.
+func (o requestOutcome) String() string { return outcomeNames[o] }
 
+// statusNames are the attempt statuses as logged.
 var statusNames = map[rules.Status]string{rules.StatusOK: "ok", rules.StatusError: "error", rules.StatusRejected: "rejected",
 	rules.StatusTimeout: "timeout", rules.StatusConnectFailed: "connect_failed", rules.StatusReset: "reset",
 	rules.StatusCancelled: "cancelled", rules.StatusSuperseded: "never_executed"}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -11,36 +11,37 @@
 	"foxlane/rules"
 )
 
-// This file owns requests, from the client's query to the one final answer. It never gives a second answer, and none to a client that
-// has gone.
+// This file manages requests from the client's query to its answer. Each request gets exactly one final answer, or
+// none if its client has disconnected or killed it.
 
-// queryRequest is a client's query until it has been answered and all its attempts have ended.
+// queryRequest is the state of a client's query. It exists until the query is answered and all its attempts have
+// ended.
 type queryRequest struct {
 	id             rules.RequestID
-	client         *clientConn // nil: it has gone, or is answered
-	admissionSlot  int         // in admissionControl.requests
+	client         *clientConn // nil once the client has gone or is answered
+	admissionSlot  int         // index in admissionControl.requests
 	endReason      EndReason
-	work           rules.Time // that the client declared; 0: none
-	submitted      bool       // the module knows of it
+	work           rules.Time // declared by the client; 0: not declared
+	submitted      bool       // it was passed to the module
 	served         bool
-	pending        *rules.Request // until it is submitted
-	heldFor        rules.Time     // how long admission control has queued it
-	resultOwner    uint64         // who may read its stored result
+	pending        *rules.Request // what the module will receive; nil once submitted
+	queuedFor      rules.Time     // time in the queue of admission control
+	resultOwner    uint64         // tenantKey of the tenant that may read its stored result
 	result         resultState
 	class          int
 	stats          *classStats
 	arrivedAt      rules.Time
-	dueAt          rules.Time // when its answer must leave
+	dueAt          rules.Time // when the answer must be sent
 	statement      []byte     // nil once answered
-	idempotencyKey string     // by which engines recognise retries
-	answered       bool       // the final answer was given, or none is due any more
+	idempotencyKey string     // lets engines recognise retries
+	answered       bool       // the final answer was sent, or none is due any more
 	attempts       []*engineAttempt
-	inFlight       int // attempts that have not ended
+	inFlight       int // number of attempts that have not ended
 	memoryMB       int64
 	priority       int
 }
 
-// acceptQuery takes a client's query. It is rejected as a command if its fields can't be used.
+// acceptQuery starts a request for a client's query, or rejects the command if its fields are invalid.
 func (g *Gateway) acceptQuery(client *clientConn, query *mysql.Query) {
 	class, tenant, err := g.resolveQuery(query)
 	if err != nil {
@@ -78,10 +79,11 @@
 		g.requestAdmission(req, query.Fields.Tenant)
 		return
 	}
-	g.admitted(req, 0)
+	g.requestAdmitted(req, 0)
 }
 
-// resolveQuery finds a query's class and tenant, and checks its fields against the settings. The error is for the client.
+// resolveQuery looks up the class and the tenant of a query and validates its fields. The error is sent to the
+// client.
 func (g *Gateway) resolveQuery(query *mysql.Query) (class, tenant int, err *mysql.Error) {
 	fields := &query.Fields
 	class, ok := g.classIndex[fields.Class]
@@ -90,8 +92,8 @@
 	}
 	if fields.Tenant != "" {
 		tenant = slices.Index(g.cfg.Settings.TenantNames, fields.Tenant)
-		if tenant < 0 && g.admission.knowsTenant(fields.Tenant) {
-			tenant = 0 // for the module; admission control accounts for it by name
+		if tenant < 0 && g.admission.acceptsTenant(fields.Tenant) {
+			tenant = 0 // the module treats it as tenant 0; admission control accounts for it by name
 		}
 		if tenant < 0 {
 			return 0, 0, &mysql.Error{Code: mysql.CodeParse, Text: fmt.Sprintf("unknown tenant %.40q", fields.Tenant)}
@@ -107,15 +109,15 @@
 	return class, tenant, nil
 }
 
-// clientTimeout is how long a client waits for its answer.
+// clientTimeout returns how long a client waits for its answer.
 func clientTimeout(query *mysql.Query) rules.Time {
 	return rules.Time(query.Fields.TimeoutMS) * rules.Millisecond
 }
 
-// openRequest begins a request.
+// openRequest creates a request and counts it as in flight.
 func (g *Gateway) openRequest(client *clientConn, query *mysql.Query, class int) *queryRequest {
-	// The client counts from when it sent the query until it has the answer. The way takes time in both directions, more where
-	// machines are busy, so the answer must leave earlier.
+	// The client measures its timeout from sending the query to receiving the answer. The margin covers the network
+	// transit in both directions, which takes longer when machines are busy.
 	timeout := clientTimeout(query)
 	margin := min(timeout/g.limits.NetworkMarginDivisor, g.limits.MaxNetworkMargin)
 	req := &queryRequest{
@@ -143,35 +145,36 @@
 	return req
 }
 
-// admitted takes on a request that admission control has let pass, after it was queued for a while.
-func (g *Gateway) admitted(req *queryRequest, held rules.Time) {
-	req.heldFor = held
-	if !g.admitsRequest(req) {
+// requestAdmitted continues a request that admission control has requestAdmitted, after it was queued for the given time.
+func (g *Gateway) requestAdmitted(req *queryRequest, queuedFor rules.Time) {
+	req.queuedFor = queuedFor
+	if !g.admitOrReject(req) {
 		return
 	}
-	if g.results != nil { // capacity for its result comes first: without it nothing runs
+	if g.results != nil { // the request runs only once capacity for its result is reserved
 		g.reserveResult(req)
 		return
 	}
 	g.submit(req)
 }
 
-// submit hands a request to the module.
+// submit passes a request to the module.
 func (g *Gateway) submit(req *queryRequest) {
 	arrival := req.pending
-	arrival.QueuedFor = req.heldFor
+	arrival.QueuedFor = req.queuedFor
 	req.submitted, req.pending = true, nil
 	if g.cfg.Trace {
 		g.traceQueued(req, "module")
 	}
-	g.tellModule(rules.Arrival{Request: *arrival})
+	g.notifyModule(rules.Arrival{Request: *arrival})
 }
 
-// finishRequest notes that no answer is due any more. Each request comes here once, after its final answer if it has one.
-func (g *Gateway) finishRequest(req *queryRequest, how outcome) {
-	g.checkAnswer(req, how)
+// finishRequest marks a request as answered. It is called exactly once per request, after the final answer if there
+// is one.
+func (g *Gateway) finishRequest(req *queryRequest, outcome requestOutcome) {
+	g.checkAnswer(req, outcome)
 	if g.cfg.Trace {
-		g.traceAnswer(req, how)
+		g.traceAnswer(req, outcome)
 	}
 	req.answered = true
 	g.unanswered--
@@ -182,14 +185,14 @@
 	if client := req.client; client != nil {
 		req.client, client.request = nil, nil
 		if client.reader == nil {
-			client.answeredBy = g.eventNumber
+			client.answeredInEvent = g.eventNumber
 		}
 		g.clientBecameIdle(client)
 	}
 	g.releaseRequest(req)
 }
 
-// finishServed finishes a request whose answer is its result.
+// finishServed finishes a request that was answered with its result.
 func (g *Gateway) finishServed(req *queryRequest) {
 	req.served = true
 	req.stats.served++
@@ -197,15 +200,15 @@
 	g.finishRequest(req, outcomeServed)
 }
 
-// releaseRequest forgets a request that is answered and has no attempt in flight.
+// releaseRequest deletes a request once it is answered and has no attempt in flight.
 func (g *Gateway) releaseRequest(req *queryRequest) {
 	if req.answered && req.inFlight == 0 && g.requests[req.id] == req {
 		delete(g.requests, req.id)
-		g.handleAdmission(admission.Event{Kind: admission.RequestDone, Slot: req.admissionSlot, Served: req.served})
+		g.notifyAdmission(admission.Event{Kind: admission.RequestDone, Slot: req.admissionSlot, Served: req.served})
 	}
 }
 
-// abandonRequest ends a request whose client has gone or has killed it.
+// abandonRequest ends a request whose client has disconnected, or that was killed.
 func (g *Gateway) abandonRequest(req *queryRequest) {
 	if req == nil || req.answered {
 		return
@@ -215,32 +218,32 @@
 	req.endReason = EndClientLeft
 	g.finishRequest(req, outcomeAbandoned)
 	if req.submitted {
-		g.tellModule(rules.ClientGone{ID: req.id})
+		g.notifyModule(rules.ClientGone{ID: req.id})
 	}
 }
 
-// reject rejects a request for the module, the zones or a directive. Where admission control is on, that decides when the client
-// may return.
-func (g *Gateway) reject(req *queryRequest, holdOff rules.Time, reason EndReason) {
+// reject rejects a request on behalf of the module, the zones or a directive. If admission control is on, it
+// chooses the Retry-After instead.
+func (g *Gateway) reject(req *queryRequest, retryAfter rules.Time, reason EndReason) {
 	if req == nil || req.answered {
 		return
 	}
 	req.endReason = reason
 	if g.admission != nil {
-		g.handleAdmission(admission.Event{Kind: admission.RequestRejected, Slot: req.admissionSlot})
+		g.notifyAdmission(admission.Event{Kind: admission.RequestRejected, Slot: req.admissionSlot})
 		return
 	}
-	g.writeRejection(req, g.retryAfter(holdOff))
+	g.writeRejection(req, g.effectiveRetryAfter(retryAfter))
 }
 
-// writeRejection gives the answer that tells the client that a retry is harmless.
-func (g *Gateway) writeRejection(req *queryRequest, holdOff rules.Time) {
+// writeRejection answers a request with the error that tells the client that it is safe to retry.
+func (g *Gateway) writeRejection(req *queryRequest, retryAfter rules.Time) {
 	req.stats.rejected++
-	g.writeErr(req.client, mysql.CodeUserLimitReached, withHoldOff("the query was refused", holdOff))
+	g.writeErr(req.client, mysql.CodeUserLimitReached, withRetryAfter("the query was refused", retryAfter))
 	g.finishRequest(req, outcomeRejected)
 }
 
-// failRequest gives the answer that says nothing of whether the query has run.
+// failRequest answers a request with the error that leaves open whether the query has run.
 func (g *Gateway) failRequest(req *queryRequest, reason EndReason) {
 	if req == nil || req.answered {
 		return
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -11,13 +11,13 @@
 	"foxlane/rules"
 )
 
-// This file takes results from engines to the spool. One attempt at a time fills a result, and its engine is free once it has
-// given all pages, however slowly the client reads.
+// This file transfers results from engines to the spool. One attempt at a time fills a result. Its engine is
+// released once all pages are received, however slowly the client reads.
 
-// spoolFirstPage takes a first page where results are stored.
+// spoolFirstPage handles the first page of a result that is stored in the spool.
 func (g *Gateway) spoolFirstPage(attempt *engineAttempt, answer *engine.Answer, total int) {
 	if !pageWellFormed(answer.Body) {
-		g.malformedAnswer(attempt, badRow)
+		g.malformedAnswer(attempt, malformedRow)
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
@@ -29,7 +29,8 @@
 	g.startFilling(attempt.request)
 }
 
-// startFilling takes the pages of the first attempt that has answered, if capacity is reserved and no other attempt fills the result.
+// startFilling fills the result from the first attempt that has answered, if capacity is reserved and no other
+// attempt fills it.
 func (g *Gateway) startFilling(req *queryRequest) {
 	if !req.result.reserved || req.result.source != nil || req.answered || req.result.engineDone {
 		return
@@ -39,27 +40,27 @@
 			req.result.source = attempt
 			first := attempt.firstPage
 			attempt.firstPage = nil
-			g.handleSpool(spool.PageArrived{ID: req.result.handle.ID, PageCount: attempt.totalPages, Data: first})
+			g.notifySpool(spool.PageArrived{ID: req.result.handle.ID, PageCount: attempt.totalPages, Data: first})
 			return
 		}
 	}
 }
 
-// spoolPage takes a further page where results are stored.
+// spoolPage handles a later page of a result that is stored in the spool.
 func (g *Gateway) spoolPage(attempt *engineAttempt, n int, body []byte) {
 	req := attempt.request
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= attempt.totalPages || req.result.source != attempt:
 		g.malformedAnswer(attempt, unrequestedPage)
 	case !pageWellFormed(body):
-		g.malformedAnswer(attempt, badRow)
+		g.malformedAnswer(attempt, malformedRow)
 	default:
 		data := append(make([]byte, 0, len(body)), body...)
-		g.handleSpool(spool.PageArrived{ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
+		g.notifySpool(spool.PageArrived{ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
 	}
 }
 
-// pageWellFormed reports whether a page consists of complete rows, each of columnCount columns.
+// pageWellFormed reports whether a page consists of complete rows of columnCount columns.
 func pageWellFormed(page []byte) bool {
 	for len(page) > 0 {
 		row, rest, ok := bytes.Cut(page, []byte{'\n'})
@@ -71,22 +72,23 @@
 	return true
 }
 
-// stopFilling is called when an attempt ends: a result that it fills must come from another one, from the start.
+// stopFilling discards the result that an ended attempt was filling. Another attempt must fill it from the start.
 func (g *Gateway) stopFilling(attempt *engineAttempt) {
 	if result := &attempt.request.result; result.source == attempt {
 		result.source = nil
-		g.handleSpool(spool.AttemptFailed{ID: result.handle.ID})
+		g.notifySpool(spool.AttemptFailed{ID: result.handle.ID})
 	}
 }
 
-// resultReceived ends the attempt that has filled a result: the engine is free, whatever becomes of the client.
+// resultReceived ends the attempt that has filled a result. Its engine is released, whether or not the client reads
+// the result.
 func (g *Gateway) resultReceived(req *queryRequest) {
 	attempt := req.result.source
 	req.result.source, req.result.engineDone = nil, true
 	if attempt == nil || attempt.done {
 		return
 	}
-	if attempt.totalPages > 1 { // an engine keeps nothing of a result of one page
+	if attempt.totalPages > 1 { // engines keep only results of several pages
 		attempt.conn.output = engine.AppendRelease(attempt.conn.output, string(req.id))
 		g.markDirty(&attempt.conn.outputBuffer)
 	}
@@ -94,7 +96,7 @@
 	g.timers.add(timer{at: req.dueAt, kind: timerResultStored, request: req})
 }
 
-// shortenStoreDeadlines gives results that wait for the disk alone until the end of the shutdown.
+// shortenStoreDeadlines gives results that only wait for the disk at most ShutdownTimeout from now.
 func (g *Gateway) shortenStoreDeadlines() {
 	if g.results == nil {
 		return
@@ -105,15 +107,15 @@
 			waiting = append(waiting, req)
 		}
 	}
-	// The order in which timers of one time are added decides in which order they run, and must not be that of a map.
+	// Timers due at the same time run in the order in which they were added, which must not depend on map iteration.
 	slices.SortFunc(waiting, func(left, right *queryRequest) int { return cmp.Compare(left.id, right.id) })
 	for _, req := range waiting {
 		g.timers.add(timer{at: g.now + g.limits.ShutdownTimeout, kind: timerResultStored, request: req})
 	}
 }
 
-// resultLost answers a request whose result can't be stored. The query has run, so only where it is idempotent is the client
-// told that a retry is harmless. A result that is too large would be too large again.
+// resultLost answers a request whose result cannot be stored. The query has run, so the client is told that it may
+// retry only if the class is idempotent, and not if the result is too large, since it would be too large again.
 func (g *Gateway) resultLost(req *queryRequest, reason spool.Reason) {
 	if req.answered {
 		return
@@ -121,7 +123,7 @@
 	req.result.engineDone, req.endReason = true, EndResultLost
 	if attempt := req.result.source; attempt != nil {
 		req.result.source = nil
-		attempt.blameless = true
+		attempt.notEngineFault = true
 		g.abandonAttempt(attempt, rules.StatusCancelled)
 	}
 	if idempotent := g.cfg.Settings.Rules.Classes[req.class].Idempotency == rules.Idempotent; idempotent && reason != spool.ReasonTooLarge {
@@ -131,5 +133,5 @@
 		g.writeErr(req.client, mysql.CodeUnknownError, "the result could not be kept: "+reason.String())
 		g.finishRequest(req, outcomeFailed)
 	}
-	g.tellModule(rules.ClientGone{ID: req.id})
+	g.notifyModule(rules.ClientGone{ID: req.id})
 }
--- a/internal/gateway/resultread.go
+++ b/internal/gateway/resultread.go
@@ -8,30 +8,31 @@
 	"foxlane/internal/spool"
 )
 
-// This file gives stored results to clients. The next chunk is written once the client's connection has taken the last one, so
-// that a slow client costs one chunk of memory.
+// This file delivers stored results to clients. A chunk is written once the client's connection has accepted the
+// previous one, so a slow client occupies the memory of one chunk.
 
-// noSuchResult is the answer to whatever is wrong with a handle: who guesses learns nothing from it.
+// noSuchResult is the error text for any invalid handle. It does not say what is wrong, so that guessing handles
+// reveals nothing.
 const noSuchResult = "no such result"
 
-// resultReader is how far a client has read a stored result.
+// resultReader is the state of a client that reads a stored result.
 type resultReader struct {
-	slot          int
+	slot          int // index in resultStore.readers
 	id            spool.ID
-	nextSeq       byte // of the next packet
-	headerWritten bool // the columns are written
-	resumable     bool // the client gets the handle, by which it may read again
-	lastChunk     int  // the chunk that was written last
-	complete      bool // that was the last chunk of the result
+	nextSeq       byte // sequence number of the next packet
+	headerWritten bool // the column definitions were written
+	resumable     bool // the client receives the handle and may read the result again
+	lastChunk     int  // index of the last written chunk
+	complete      bool // all chunks were written
 	handle        spool.Handle
 }
 
-// serveStored begins the answer to a request whose result is complete.
-func (g *Gateway) serveStored(req *queryRequest) {
+// serveStoredResult starts the answer to a request whose stored result is complete.
+func (g *Gateway) serveStoredResult(req *queryRequest) {
 	delete(g.results.filling, req.result.handle.ID)
 	client := req.client
 	if req.answered || client == nil {
-		g.handleSpool(spool.Release{ID: req.result.handle.ID})
+		g.notifySpool(spool.Release{ID: req.result.handle.ID})
 		return
 	}
 	client.reader = &resultReader{id: req.result.handle.ID, nextSeq: 1, resumable: req.result.resumable, handle: req.result.handle}
@@ -39,14 +40,14 @@
 	g.attachReader(client, req.resultOwner, 0)
 }
 
-// attachReader lets a client read from a chunk on.
+// attachReader starts reading a stored result from the given chunk.
 func (g *Gateway) attachReader(client *clientConn, owner uint64, from int) {
 	reader := client.reader
 	reader.slot = g.results.readers.allocate(client)
-	g.handleSpool(spool.Attach{Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
+	g.notifySpool(spool.Attach{Reader: reader.slot, ID: reader.id, Secret: reader.handle.Secret(), Tenant: owner, Index: from})
 }
 
-// resumeResult takes a client's command to read a result again, or to release it.
+// resumeResult handles a client's command to read a stored result again or to release it.
 func (g *Gateway) resumeResult(client *clientConn, resume *mysql.Resume) {
 	handle, err := spool.ParseHandle([]byte(resume.Handle))
 	if g.results == nil || err != nil {
@@ -56,13 +57,13 @@
 	client.reader = &resultReader{id: handle.ID, nextSeq: 1, resumable: true, handle: handle}
 	if resume.Release {
 		client.reader.slot = g.results.readers.allocate(client)
-		g.handleSpool(spool.Acknowledge{Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
+		g.notifySpool(spool.Acknowledge{Reader: client.reader.slot, ID: handle.ID, Secret: handle.Secret(), Tenant: tenantKey(resume.Tenant)})
 		return
 	}
 	g.attachReader(client, tenantKey(resume.Tenant), resume.FromChunk)
 }
 
-// writeChunk writes a chunk and asks to be notified once the client's connection has taken it.
+// writeChunk writes a chunk and requests a notification once the client's connection has accepted it.
 func (g *Gateway) writeChunk(client *clientConn, effect spool.DeliverChunk) {
 	reader := client.reader
 	if !reader.headerWritten {
@@ -83,75 +84,75 @@
 	reader.lastChunk, reader.complete = effect.Index, effect.Last
 	g.markDirty(&client.outputBuffer)
 	if !effect.Last {
-		g.watchClient(client)
+		g.notifyWhenDrained(client)
 		return
 	}
 	client.output = mysql.AppendEnd(client.output, reader.nextSeq)
 	if reader.resumable { // stored until the client acknowledges it or its lease ends
-		g.handleSpool(spool.Detach{Reader: reader.slot})
+		g.notifySpool(spool.Detach{Reader: reader.slot})
 	} else {
-		g.handleSpool(spool.NextChunk{Reader: reader.slot, Index: effect.Index + 1})
+		g.notifySpool(spool.NextChunk{Reader: reader.slot, Index: effect.Index + 1})
 	}
 	g.removeReader(client)
 	g.clientBecameIdle(client)
 }
 
-// resultAcknowledged answers a client that has released a result.
+// resultAcknowledged confirms the release of a result to the client.
 func (g *Gateway) resultAcknowledged(client *clientConn) {
 	g.removeReader(client)
 	g.writeOK(client)
 	g.clientBecameIdle(client)
 }
 
-// resultDenied answers a client that may not have the result that it named.
+// resultDenied answers a client that may not read the result it requested.
 func (g *Gateway) resultDenied(client *clientConn) {
 	g.removeReader(client)
 	g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
 	g.clientBecameIdle(client)
 }
 
-// appendRow appends the next row of the result. It is well-formed: pages were checked when they came.
+// appendRow appends a row of the result. The row is well-formed, since pages are checked when they are received.
 func (r *resultReader) appendRow(output, row []byte) []byte {
 	output, r.nextSeq, _ = mysql.AppendRow(output, r.nextSeq, row, columnCount)
 	return output
 }
 
-// watchClient asks to be notified once the client's connection has taken all that was written to it.
-func (g *Gateway) watchClient(client *clientConn) {
+// notifyWhenDrained requests a WriteDrained event once the client's connection has accepted all its output.
+func (g *Gateway) notifyWhenDrained(client *clientConn) {
 	g.flushNow(&client.outputBuffer)
 	g.emit(NotifyDrained{Conn: client.id})
 }
 
-// clientDrained gives a client that has taken a chunk the next one.
+// clientDrained requests the next chunk for a client whose connection has accepted the last one.
 func (g *Gateway) clientDrained(client *clientConn) {
 	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
-		g.handleSpool(spool.NextChunk{Reader: reader.slot, Index: reader.lastChunk + 1})
+		g.notifySpool(spool.NextChunk{Reader: reader.slot, Index: reader.lastChunk + 1})
 	}
 }
 
-// removeReader ends a client's reading.
+// removeReader ends a client's read of a stored result.
 func (g *Gateway) removeReader(client *clientConn) {
 	if client.reader != nil {
 		g.results.readers.release(client.reader.slot)
-		client.reader, client.answeredBy = nil, g.eventNumber
+		client.reader, client.answeredInEvent = nil, g.eventNumber
 	}
 }
 
-// detachReader ends the reading of a client that has gone. A result without a handle goes with it, since nobody can ask for it
-// again.
+// detachReader ends the read of a client that has disconnected. A result that is not resumable is released, since
+// no client can request it again.
 func (g *Gateway) detachReader(client *clientConn) {
 	reader := client.reader
 	if reader == nil {
 		return
 	}
 	g.removeReader(client)
-	g.handleSpool(spool.Detach{Reader: reader.slot})
+	g.notifySpool(spool.Detach{Reader: reader.slot})
 	if !reader.resumable {
-		g.handleSpool(spool.Release{ID: reader.id})
+		g.notifySpool(spool.Release{ID: reader.id})
 	}
 }
 
-// abortReader ends an answer that can't go on with an error, so that its client can tell it from a complete one.
+// abortReader ends an interrupted answer with an error, so that the client can tell it from a complete one.
 func (g *Gateway) abortReader(client *clientConn, reason spool.Reason) {
 	reader := client.reader
 	g.log(Warn, "spool: result lost while being read", Attr{keySession, client.session}, Attr{keyReason, reason.String()})
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -10,31 +10,31 @@
 	"foxlane/internal/spool"
 )
 
-// This file connects the reducer with package spool: it tells the spool of results and readers, and carries out what the spool
-// decides. It never decides itself what is stored. Without the block `spool` in the operator's file there is no spool, and results
-// are passed on at once (answers.go).
+// This file connects the reducer to package spool: it notifies the spool of results and readers and executes its
+// decisions. Without the block `spool` in the operator's file there is no spool, and results are held in memory
+// (see answers.go).
 
-// resultStore is the spool with the requests and clients behind its results and readers.
+// resultStore holds the spool, and the requests and clients that belong to its results and readers.
 type resultStore struct {
 	spool     *spool.Store
 	queue     serialQueue[spool.Event]
-	alarm     alarm                      // of the spool
-	random    *rand.ChaCha8              // of handles
-	filling   map[spool.ID]*queryRequest // whose results are not complete
+	wakeAt    wakeTime                   // when the spool's timer fires
+	random    *rand.ChaCha8              // generates handles
+	filling   map[spool.ID]*queryRequest // requests whose results are incomplete
 	readers   slotTable[clientConn]
-	lastStats spool.Stats // when figures were last logged
+	lastStats spool.Stats // as of the last statistics log line
 }
 
-// resultState is what a request knows of its stored result.
+// resultState is the state of a request's stored result.
 type resultState struct {
 	handle     spool.Handle
-	reserved   bool           // the spool has capacity set aside for it
-	resumable  bool           // the client asked for a handle, by which it may read again
-	source     *engineAttempt // whose pages fill it
-	engineDone bool           // the engine has given all pages: for the module the request is over
+	reserved   bool           // the spool has reserved capacity for it
+	resumable  bool           // the client requested a handle to read the result again
+	source     *engineAttempt // attempt that fills it; nil: none
+	engineDone bool           // no pages are needed any more: for the module the request is over
 }
 
-// newResultStore returns the spool that the operator has configured, or nil.
+// newResultStore returns the configured result store, or nil if the spool is off.
 func newResultStore(cfg *config.Config) *resultStore {
 	if cfg.Site == nil || cfg.Site.Spool == nil {
 		return nil
@@ -47,16 +47,16 @@
 	}
 }
 
-// newHandle draws a handle. Whoever knows one may read the result, so it must not be guessed: the generator is cryptographically
-// strong, and its seed is the system's entropy.
+// newHandle generates a random handle. Anyone who knows a handle may read the result, so it must not be guessable:
+// the generator is cryptographically strong and seeded from system entropy.
 func (s *resultStore) newHandle() (handle spool.Handle) {
 	_, _ = s.random.Read(handle.ID[:]) // never fails
 	_, _ = s.random.Read(handle.Key[:])
 	return handle
 }
 
-// handleSpool tells the spool of an event and carries out what it decides.
-func (g *Gateway) handleSpool(event spool.Event) {
+// notifySpool passes an event to the spool and executes the resulting effects.
+func (g *Gateway) notifySpool(event spool.Event) {
 	store := g.results
 	if store == nil || !store.queue.add(event) {
 		return
@@ -74,7 +74,7 @@
 	case spool.DiskEffect:
 		g.emit(SubmitSpool{Effect: effect})
 	case spool.SetTimer:
-		store.alarm = alarm(effect.At)
+		store.wakeAt = wakeTime(effect.At)
 	case spool.DeliverChunk:
 		if client := store.readers.entries[effect.Reader]; client != nil {
 			g.writeChunk(client, effect)
@@ -98,7 +98,7 @@
 	}
 }
 
-// runFillEffect carries out what concerns a result that is being filled.
+// runFillEffect executes an effect on an incomplete result.
 func (g *Gateway) runFillEffect(req *queryRequest, effect spool.FillEffect) {
 	switch effect := effect.(type) {
 	case spool.Granted:
@@ -110,13 +110,13 @@
 	case spool.ReleaseEngine:
 		g.resultReceived(req)
 	case spool.Completed:
-		g.serveStored(req)
+		g.serveStoredResult(req)
 	case spool.Failed:
 		g.resultFailed(req, effect)
 	}
 }
 
-// resultGranted goes on with a request that has capacity for its result now.
+// resultGranted continues a request after capacity for its result was reserved.
 func (g *Gateway) resultGranted(req *queryRequest) {
 	req.result.reserved = true
 	if !req.submitted {
@@ -126,14 +126,14 @@
 	g.startFilling(req)
 }
 
-// resultRejected ends a request for whose result there is no capacity.
+// resultRejected ends a request because there is no capacity for its result.
 func (g *Gateway) resultRejected(req *queryRequest, effect spool.Rejected) {
 	delete(g.results.filling, effect.ID)
 	req.result.reserved = false
 	g.log(Info, "spool: no capacity for a result", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
 	switch {
 	case req.answered:
-	case !req.submitted: // no attempt was made, so a retry is harmless
+	case !req.submitted: // no attempt was made, so the client may retry
 		req.endReason = EndNoResultCapacity
 		g.writeRejection(req, capRetryAfter(&g.cfg.Settings.Rules.Limits, effect.RetryAfter))
 	default:
@@ -141,7 +141,7 @@
 	}
 }
 
-// fetchPages asks the engine that fills a result for further pages.
+// fetchPages requests further pages from the engine that fills a result.
 func (g *Gateway) fetchPages(req *queryRequest, effect spool.FetchPages) {
 	if attempt := req.result.source; attempt != nil {
 		for n := effect.Index; n < effect.End; n++ {
@@ -151,11 +151,11 @@
 	}
 }
 
-// resultFailed ends the filling of a result that can't be completed.
+// resultFailed handles a result that cannot be completed.
 func (g *Gateway) resultFailed(req *queryRequest, effect spool.Failed) {
 	delete(g.results.filling, effect.ID)
 	req.result.reserved = false
-	if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, and needs capacity of its own
+	if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, which needs a new reservation
 		if !req.answered && !req.result.engineDone {
 			g.reserveResult(req)
 		}
@@ -165,26 +165,27 @@
 	g.resultLost(req, effect.Reason)
 }
 
-// reserveResult asks the spool for capacity for a request's result.
+// reserveResult requests capacity for a request's result from the spool.
 func (g *Gateway) reserveResult(req *queryRequest) {
 	handle := g.results.newHandle()
 	req.result.handle = handle
 	g.results.filling[handle.ID] = req
-	g.handleSpool(spool.Reserve{ID: handle.ID, Secret: handle.Secret(), Tenant: req.resultOwner, Class: req.class,
+	g.notifySpool(spool.Reserve{ID: handle.ID, Secret: handle.Secret(), Tenant: req.resultOwner, Class: req.class,
 		Durable: req.result.resumable})
 }
 
-// releaseResult gives back what the spool holds for a request that has ended before its result was complete.
+// releaseResult releases the spool's capacity for a request that ended before its result was complete.
 func (g *Gateway) releaseResult(req *queryRequest) {
 	if g.results == nil || g.results.filling[req.result.handle.ID] != req {
 		return
 	}
 	delete(g.results.filling, req.result.handle.ID)
-	g.handleSpool(spool.Release{ID: req.result.handle.ID})
+	g.notifySpool(spool.Release{ID: req.result.handle.ID})
 }
 
-// tenantKey names the owner of a result: the tenant that the request declared, else nobody, so that a client that returns from
-// another address may read it. It is a hash without a seed, since it must be the same after a restart.
+// tenantKey identifies the owner of a result by the declared tenant, or returns 0 if there is none. It does not
+// include the client's address, so that a client may read the result from another address. The hash is unseeded, so
+// that it stays the same after a restart.
 func tenantKey(tenant string) uint64 {
 	if tenant == "" {
 		return 0
@@ -192,20 +193,21 @@
 	return xxh3.HashString(tenant)
 }
 
-// diskCompleted tells the spool what its disk has done.
+// diskCompleted passes completed disk operations to the spool.
 func (g *Gateway) diskCompleted(events []spool.Event) {
 	for _, event := range events {
-		g.handleSpool(event)
+		g.notifySpool(event)
 	}
 }
 
+// wakeSpool notifies the spool if its timer has fired.
 func (g *Gateway) wakeSpool() {
-	if store := g.results; store != nil && store.alarm.ring(g.now) {
-		g.handleSpool(spool.TimerFired{})
+	if store := g.results; store != nil && store.wakeAt.fire(g.now) {
+		g.notifySpool(spool.TimerFired{})
 	}
 }
 
-// logSpool logs what the spool did since the last such line.
+// logSpool logs the statistics of the spool since its last log line.
 func (g *Gateway) logSpool() {
 	store := g.results
 	if store == nil {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -5,10 +5,11 @@
 	"foxlane/rules"
 )
 
-// This file owns the graceful shutdown: all requests that were accepted are answered, then the process is asked to exit.
+// This file implements the graceful shutdown, which answers all accepted requests before the process exits.
 
-// beginShutdown tells the module, admission control and the spool by when all requests must be answered. New requests are still
-// accepted, since clients don't know yet.
+// beginShutdown notifies the module and admission control of the deadline by which all requests must be answered,
+// and limits the time for storing results. New requests are still accepted, since clients are not yet aware of the
+// shutdown.
 func (g *Gateway) beginShutdown() {
 	if g.stopping {
 		return
@@ -17,12 +18,13 @@
 	g.log(Info, "stopping", Attr{keyInFlight, g.unanswered})
 	g.timers.add(timer{at: g.now + g.limits.MinDrainPeriod, kind: timerStop})
 	g.shortenStoreDeadlines()
-	g.handleAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.ShutdownTimeout})
-	g.tellModule(rules.ShutdownStarted{Deadline: g.now + g.limits.ShutdownTimeout})
+	g.notifyAdmission(admission.Event{Kind: admission.Stopping, Deadline: g.now + g.limits.ShutdownTimeout})
+	g.notifyModule(rules.ShutdownStarted{Deadline: g.now + g.limits.ShutdownTimeout})
 }
 
-// exitWhenDone asks for the exit of the process once the drain period is over and all requests are answered. It does so in each batch,
-// since requests that are read while the process exits are answered first. Clients that have sent no command get an error.
+// exitWhenDone emits Exit once the drain period is over and all requests are answered. It emits Exit in each batch
+// from then on, since requests that are read while the process exits are answered first. Clients that have not sent
+// a command receive an error.
 func (g *Gateway) exitWhenDone() {
 	if !g.drainPeriodOver || g.unanswered > 0 {
 		return
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -1,12 +1,13 @@
 package gateway
 
-// slotTable numbers things that are open at once, so that a state machine can name them by small integers. The number of slots is
-// fixed; whoever allocates has made sure that one is free.
+// slotTable assigns small integers to open objects, by which a state machine can identify them. The number of slots
+// is fixed. The caller of allocate must make sure that a slot is free.
 type slotTable[T any] struct {
 	entries []*T // nil: free
 	free    []int
 }
 
+// newSlotTable returns a table with n free slots.
 func newSlotTable[T any](n int) slotTable[T] {
 	s := slotTable[T]{entries: make([]*T, n), free: make([]int, n)}
 	for i := range s.free {
@@ -15,6 +16,7 @@
 	return s
 }
 
+// allocate assigns a free slot to an entry.
 func (s *slotTable[T]) allocate(entry *T) int {
 	slot := s.free[len(s.free)-1]
 	s.free = s.free[:len(s.free)-1]
@@ -22,6 +24,7 @@
 	return slot
 }
 
+// release frees a slot.
 func (s *slotTable[T]) release(slot int) {
 	s.entries[slot] = nil
 	s.free = append(s.free, slot)
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -2,21 +2,22 @@
 
 import "foxlane/rules"
 
-// This file owns what happens after a stall: the process was stopped, or had so little processor time that timers run late. Clients
-// may have gone or killed their queries meanwhile, and the list of engines may have changed, and word of that is still unread in
-// sockets. So no attempt is written until that input was read.
+// This file handles stalls, in which the process was stopped or got so little processor time that timers fire late.
+// In the meantime clients may have disconnected or killed their queries, and the endpoint list may have changed,
+// while the corresponding input is still unread in the sockets. So no attempt is written until that input has been
+// read.
 
-// stall is a stall that is over.
+// stall describes the last stall, after its end.
 type stall struct {
-	resumedAt rules.Time // when the reducer ran again
-	lateBy    rules.Time // how late its timers were then
-	holdUntil rules.Time // no attempt is written before
+	resumedAt rules.Time // when the reducer resumed
+	lateBy    rules.Time // delay of the timer that was pending
+	holdUntil rules.Time // no attempt is written before this time
 }
 
-// detectStall looks at each event whether the reducer runs again after a stall.
+// detectStall checks at each event whether the reducer resumes after a stall.
 func (g *Gateway) detectStall() {
-	lateBy := g.now - g.armedAt
-	if g.armedAt == 0 || lateBy < g.limits.StallThreshold || g.now < g.lastStall.holdUntil {
+	lateBy := g.now - g.armedFor
+	if g.armedFor == 0 || lateBy < g.limits.StallThreshold || g.now < g.lastStall.holdUntil {
 		return
 	}
 	g.log(Info, "process stalled: pending input is read first", Attr{"late_ms", milliseconds(lateBy)})
@@ -24,8 +25,8 @@
 	g.timers.add(timer{at: g.lastStall.holdUntil, kind: timerCaughtUp})
 }
 
-// catchUpTime is for how long at least no attempt is written. After a long stall reading takes longer, since other processes may come out
-// of it at the same time.
+// catchUpTime returns the minimum time for which attempts are held back after a stall. Reading the pending input
+// takes longer after a long stall, since other processes may resume at the same time.
 func (g *Gateway) catchUpTime(lateBy rules.Time) rules.Time {
 	if lateBy >= g.limits.LongStallThreshold {
 		return g.limits.LongSettleTime
@@ -33,21 +34,21 @@
 	return g.limits.SettleTime
 }
 
-// catchingUp reports whether input that came during a stall is still being read.
+// catchingUp reports whether input that arrived during a stall is still being read, so that attempts are held back.
 func (g *Gateway) catchingUp() bool { return g.now < g.lastStall.holdUntil }
 
-// extendCatchUp notes input from a client: more of what came during the stall may follow. The extension is bounded, or a steady stream
-// of requests would keep all attempts waiting.
+// extendCatchUp extends the catch-up time on input from a client, since more input from the stall may follow. The
+// extension is limited, so that a steady stream of requests does not hold back attempts forever.
 func (g *Gateway) extendCatchUp() {
 	if !g.catchingUp() {
 		return
 	}
 	last := &g.lastStall
-	least := g.catchUpTime(last.lateBy)
-	last.holdUntil = max(last.holdUntil, min(g.now+least, last.resumedAt+least+g.limits.MaxSettleTime))
+	minimum := g.catchUpTime(last.lateBy)
+	last.holdUntil = max(last.holdUntil, min(g.now+minimum, last.resumedAt+minimum+g.limits.MaxSettleTime))
 }
 
-// inputDelay is for how long input that is read now may have waited in its socket.
+// inputDelay returns how long input that is read now may have waited in its socket.
 func (g *Gateway) inputDelay() rules.Time {
 	if g.catchingUp() {
 		return g.lastStall.lateBy
@@ -55,7 +56,7 @@
 	return 0
 }
 
-// resumeSends writes the attempts that have waited since the stall, unless there is still input to read.
+// resumeSends writes the attempts held back since the stall, unless the catch-up time was extended.
 func (g *Gateway) resumeSends() {
 	if g.catchingUp() {
 		g.timers.add(timer{at: g.lastStall.holdUntil, kind: timerCaughtUp})
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -6,41 +6,42 @@
 	"foxlane/rules"
 )
 
-// This file logs figures at intervals. They influence nothing.
+// This file logs statistics at intervals. The statistics do not influence any decision.
 
-type gatewayStats struct{ classes []classStats } // by class
+// gatewayStats holds the statistics of the gateway.
+type gatewayStats struct{ classes []classStats } // by class index
 
-// classStats counts the requests of a class since figures were last logged.
+// classStats holds the statistics of a class since the last log line.
 type classStats struct {
 	accepted, served, rejected, failed, abandoned int
-	latencySum                                    rules.Time // of those served, from the query to the answer
+	latencySum                                    rules.Time // sum over served requests, from query to answer
 	attempts                                      int
-	statuses                                      [8]int // with which attempts ended
-	inFlight, attemptsInFlight                    int    // now; not reset
+	statuses                                      [8]int // ended attempts by rules.Status
+	inFlight, attemptsInFlight                    int    // current numbers, not reset
 }
 
-// logEngines logs what the module knows of each engine beside what is in flight on the connections. The two counts agree unless one is
-// at fault.
+// logEngines logs the module's view of each engine and the attempts on its connections. Differing in-flight counts
+// indicate a bug.
 func (g *Gateway) logEngines() {
-	for _, belief := range g.module.EngineViews() {
-		eng := g.engines[belief.Engine]
+	for _, view := range g.module.EngineViews() {
+		eng := g.engines[view.Engine]
 		if eng == nil {
 			continue
 		}
-		inFlight, silent := 0, int64(-1) // nothing was ever read
+		inFlight, silent := 0, int64(-1) // -1: nothing was ever read
 		if eng.lastRead > 0 {
 			silent = milliseconds(g.now - eng.lastRead)
 		}
 		for _, conn := range eng.conns {
 			inFlight += len(conn.inFlight) + len(conn.waiting)
 		}
-		g.log(Info, "engine", Attr{keyEngine, eng.entry.ID}, Attr{keyState, eng.entry.State}, Attr{"module_in_flight", belief.InFlight},
-			Attr{keyInFlight, inFlight}, Attr{keyConnections, len(eng.conns)}, Attr{"ejected", belief.Ejected},
-			Attr{"slowdown", round2(belief.Slowdown)}, Attr{keySilent, silent})
+		g.log(Info, "engine", Attr{keyEngine, eng.entry.ID}, Attr{keyState, eng.entry.State}, Attr{"module_in_flight", view.InFlight},
+			Attr{keyInFlight, inFlight}, Attr{keyConnections, len(eng.conns)}, Attr{"ejected", view.Ejected},
+			Attr{"slowdown", round2(view.Slowdown)}, Attr{keySilent, silent})
 	}
 }
 
-// logCloses logs how many connections have ended since the last such line, by reason.
+// logCloses logs the number of ended connections by reason since its last log line.
 func (g *Gateway) logCloses() {
 	var attrs []Attr
 	for i, n := range g.closeCounts {
@@ -54,7 +55,7 @@
 	g.closeCounts = [closeReasons]int{}
 }
 
-// logStats logs all figures of the last interval, and has a timer for the next one.
+// logStats logs all statistics of the last interval and sets the timer for the next one.
 func (g *Gateway) logStats() {
 	g.timers.add(timer{at: g.now + g.limits.StatsInterval, kind: timerStats})
 	g.logClasses()
@@ -71,7 +72,7 @@
 	g.logEngines()
 }
 
-// logClasses logs one line for each class.
+// logClasses logs one line per class and resets the statistics.
 func (g *Gateway) logClasses() {
 	for i := range g.stats.classes {
 		stats := &g.stats.classes[i]
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -110,7 +110,7 @@
 
 // answerList has the name service answer the latest query.
 func (gw *testGateway) answerList(serial uint32, hosts ...standin.Host) {
-	gw.answerQuery(gw.g.queryIDs[(gw.g.queryCount-1)%maxQueries], serial, hosts...)
+	gw.answerQuery(gw.g.queryIDs[(gw.g.queryCount-1)%queryHistorySize], serial, hosts...)
 }
 
 // answerQuery has the name service answer a query.
