--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,27 +5,29 @@
 	"foxlane/rules"
 )
 
-// This file owns the reducer's timers and what is done when one is due.
+// This file manages the reducer's timers.
 
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
-	timerModule         timerKind = iota // the decision module asked for it
+	timerModule         timerKind = iota // requested by the decision module
 	timerAttempt                         // an attempt's deadline
 	timerProbe                           // a probe's deadline
-	timerSweep                           // idle connections and zones are looked at
-	timerPoll                            // the name service is asked
-	timerStop                            // the minimum drain period of a shutdown is over
-	timerStats                           // figures are logged
-	timerAnswerComplete                  // an answer that has begun must be complete
-	timerResultStored                    // a result that the engine has given must be stored
-	timerTerminated                      // the engine knows of an attempt's end
-	timerPeers                           // the replicated state of peers is exchanged
-	timerDirectives                      // the directives' consensus group gets its tick
-	timerCaughtUp                        // input that came during a stall was read
-	timerGrace                           // the grace of a draining engine is nearly over
+	timerSweep                           // idle connections and zones are swept
+	timerPoll                            // the name service is polled
+	timerStop                            // the minimum drain period of a shutdown ends
+	timerStats                           // statistics are logged
+	timerAnswerComplete                  // a partially received answer is checked for progress
+	timerResultStored                    // deadline for storing a received result
+	timerTerminated                      // the engine has been notified of an attempt's end
+	timerPeers                           // tick of the replicated state
+	timerDirectives                      // tick of the directives' consensus group
+	timerCaughtUp                        // input that arrived during a stall has been read
+	timerDrainGrace                      // the grace period of a draining engine is nearly over
 )
 
+// timer is a pending timer. The fields after kind are its arguments, depending on the kind.
 type timer struct {
 	at      rules.Time
 	kind    timerKind
@@ -38,18 +40,18 @@
 	engine  *engineState
 }
 
-// Before orders timers by their time.
+// Before reports whether a timer is due before another.
 func (t *timer) Before(other *timer) bool { return t.at < other.at }
 
-// timers is a heap by time. Timers are never cancelled: one that has lost its meaning does nothing when it is due, which is
-// cheaper than finding it in the heap, and all of them are due within seconds.
+// timers is a heap of timers, ordered by time. Timers are never cancelled: an obsolete one has no effect when it
+// fires. This is cheaper than searching the heap, and all timers are due within seconds.
 type timers struct{ heap minheap.Heap[timer, *timer] }
 
 func (t *timers) add(added timer) { t.heap.Push(added) }
 
 func (t *timers) len() int { return len(t.heap) }
 
-// next is when the first timer is due; ok is false if there is none.
+// next returns the time of the first timer. ok is false if there is none.
 func (t *timers) next() (at rules.Time, ok bool) {
 	if len(t.heap) == 0 {
 		return 0, false
@@ -57,26 +59,27 @@
 	return t.heap[0].at, true
 }
 
-// nextWake is when the reducer is to be woken next: by its own timers, or because the admission controller or the spool asks for it.
+// nextWake returns the time of the next TimerFired event: the earliest of the reducer's own timers and those of the
+// admission controller and the spool.
 func (g *Gateway) nextWake() (at rules.Time, ok bool) {
 	at, ok = g.timers.next()
-	earlier := func(alarm alarm) {
-		if wake := rules.Time(alarm); wake != 0 && (!ok || wake < at) {
+	earlier := func(wakeAt wakeTime) {
+		if wake := rules.Time(wakeAt); wake != 0 && (!ok || wake < at) {
 			at, ok = max(wake, g.now+1), true
 		}
 	}
 	if g.admission != nil {
-		earlier(g.admission.alarm)
+		earlier(g.admission.wakeAt)
 	}
 	if g.results != nil {
-		earlier(g.results.alarm)
+		earlier(g.results.wakeAt)
 	}
 	return at, ok
 }
 
-// runTimers does what is due.
+// runTimers runs all timers that are due.
 func (g *Gateway) runTimers() {
-	g.armedAt = 0
+	g.armedFor = 0
 	g.wakeAdmission()
 	g.wakeSpool()
 	for {
@@ -91,7 +94,7 @@
 func (g *Gateway) runTimer(due timer) {
 	switch due.kind {
 	case timerModule:
-		g.tellModule(rules.TimerFired{Token: due.token})
+		g.notifyModule(rules.TimerFired{Token: due.token})
 	case timerAttempt:
 		if !due.attempt.done {
 			g.abandonAttempt(due.attempt, rules.StatusTimeout)
@@ -106,7 +109,7 @@
 		g.sweepZones()
 		g.timers.add(timer{at: g.now + g.limits.SweepInterval, kind: timerSweep})
 	case timerPoll:
-		g.poll()
+		g.pollNameService()
 	case timerPeers:
 		g.tickPeers()
 	case timerDirectives:
@@ -119,8 +122,8 @@
 		g.failRequest(due.request, EndResultLost)
 	case timerCaughtUp:
 		g.resumeSends()
-	case timerGrace:
-		g.enforceGrace(due.engine)
+	case timerDrainGrace:
+		g.enforceDrainGrace(due.engine)
 	case timerAnswerComplete:
 		g.checkCompletion(due.conn)
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -2,8 +2,8 @@
 
 import "foxlane/internal/engine"
 
-// This file logs each step of requests and connections, at debug level. Callers look at Config.Trace first, so that nothing is allocated
-// where that is off.
+// This file logs each step of requests and connections at debug level. Callers check Config.Trace first, so that
+// nothing is allocated if tracing is off.
 
 func (g *Gateway) traceRequest(req *queryRequest) {
 	g.log(Debug, "request: started", Attr{keyRequest, string(req.id)}, Attr{keySession, req.client.session},
@@ -11,10 +11,11 @@
 }
 
 func (g *Gateway) traceQueued(req *queryRequest, where string) {
-	g.log(Debug, "request: queued", Attr{keyRequest, string(req.id)}, Attr{"where", where}, Attr{"held_ms", milliseconds(req.heldFor)})
+	g.log(Debug, "request: queued", Attr{keyRequest, string(req.id)}, Attr{"where", where}, Attr{"held_ms", milliseconds(req.queuedFor)})
 }
 
-// traceAttempt logs why an attempt starts: it is the first, a hedged one, or a retry after the status of the one before.
+// traceAttempt logs the start of an attempt with its reason: first, hedge, or retry after the status of the
+// previous attempt.
 func (g *Gateway) traceAttempt(attempt *engineAttempt) {
 	reason, req := "first", attempt.request
 	if attempt.index > 0 {
@@ -36,11 +37,11 @@
 func (g *Gateway) traceAttemptEnd(attempt *engineAttempt) {
 	g.log(Debug, "attempt: ended", Attr{keyRequest, string(attempt.request.id)}, Attr{keyAttempt, attempt.index}, Attr{keyEngine, attempt.engineName()},
 		Attr{keyStatus, statusNames[attempt.status]}, Attr{"sent", attempt.sent}, Attr{keyTook, int64(attempt.latency)},
-		Attr{"blames_engine", !attempt.blameless && !attempt.localExhaustion})
+		Attr{"blames_engine", !attempt.notEngineFault && !attempt.localExhaustion})
 }
 
-func (g *Gateway) traceAnswer(req *queryRequest, how outcome) {
-	g.log(Debug, "request: ended", Attr{keyRequest, string(req.id)}, Attr{"outcome", how.String()}, Attr{keyReason, req.endReason.String()},
+func (g *Gateway) traceAnswer(req *queryRequest, outcome requestOutcome) {
+	g.log(Debug, "request: ended", Attr{keyRequest, string(req.id)}, Attr{"outcome", outcome.String()}, Attr{keyReason, req.endReason.String()},
 		Attr{keyAttempts, len(req.attempts)}, Attr{keyTook, int64(g.now - req.arrivedAt)}, Attr{keyRemaining, milliseconds(req.dueAt - g.now)})
 }
 
@@ -58,7 +59,7 @@
 		Attr{keyReason, reason.String()}, Attr{keyInFlight, len(conn.inFlight)}, Attr{keyWaiting, len(conn.waiting)}, Attr{keyError, errorText(err)})
 }
 
-// engineName is the name of an attempt's engine; it is empty if the engine is unknown.
+// engineName returns the name of an attempt's engine, or "" if the engine is unknown.
 func (a *engineAttempt) engineName() string {
 	if a.engine == nil {
 		return ""
@@ -66,10 +67,10 @@
 	return a.engine.entry.ID
 }
 
-// number is a connection's number as the log has it.
+// number returns the number of a connection as logged.
 func (c *engineConn) number() uint64 { return uint64(c.id &^ dialledBit) }
 
-// errorText is an error's text; it is empty if there is none.
+// errorText returns the text of an error, or "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -11,19 +11,20 @@
 	"foxlane/rules"
 )
 
-// This file connects the reducer with package zones: it shows the controller how engines fare, hands it to the module as its plan
-// for zones, asks it for the admission of requests, and logs its changes. It decides nothing. Without the block `sites` in the
-// operator's file there is no controller.
+// This file connects the reducer to package zones: it passes observations of engines to the zone controller, passes
+// the controller to the module as its zone plan, asks it to admit requests, and logs its state changes. Without the
+// block `sites` in the operator's file there is no controller.
 
-// zoneRouting is the controller of zones. The last zone holds engines whose zones the configuration does not name.
+// zoneRouting holds the zone controller. Its last zone contains the engines whose zones the configuration does not
+// name.
 type zoneRouting struct {
 	router     *zones.Controller
 	names      []string
-	drained    []int        // zones that the operator's file or a directive drains
-	lastCounts zones.Counts // when figures were last logged
+	drained    []int        // zones drained by the operator's file or a directive
+	lastCounts zones.Counts // as of the last statistics log line
 }
 
-// newZoneRouting returns the controller that the operator has configured, or nil.
+// newZoneRouting returns the configured zone routing, or nil if zones are not configured.
 func newZoneRouting(cfg *config.Config, rng *rand.Rand, now rules.Time) *zoneRouting {
 	if cfg.Site == nil || cfg.Site.Zones == nil || len(cfg.Settings.ZoneNames) == 0 {
 		return nil
@@ -44,7 +45,7 @@
 	return routing
 }
 
-// setDrained drains the zones listed, and ends the drains of others.
+// setDrained drains the given zones and ends the drains of all others.
 func (r *zoneRouting) setDrained(drained []int, now rules.Time) {
 	for _, zone := range r.drained {
 		if !slices.Contains(drained, zone) {
@@ -59,16 +60,17 @@
 	r.drained = drained
 }
 
-// setZonePlan hands the controller to the module, or takes it away.
+// setZonePlan sets the controller as the module's zone plan, or removes the plan if there is no controller.
 func (g *Gateway) setZonePlan() {
 	if g.zones == nil {
-		g.tellModule(rules.ZonePlanChanged{})
+		g.notifyModule(rules.ZonePlanChanged{})
 		return
 	}
-	g.tellModule(rules.ZonePlanChanged{Plan: g.zones.router})
+	g.notifyModule(rules.ZonePlanChanged{Plan: g.zones.router})
 }
 
-// reconfigureZones takes over the operator's file as it is now; the block may come and go.
+// reconfigureZones applies the zone settings of a reloaded configuration, which may have added or removed the block
+// `sites`.
 func (g *Gateway) reconfigureZones() {
 	on := g.cfg.Site != nil && g.cfg.Site.Zones != nil
 	switch {
@@ -83,8 +85,8 @@
 	g.applyZoneSettings()
 }
 
-// applyZoneSettings takes over what the operator's file and the directives in force say of zones. Where both set the limit of
-// spillover, the directive holds; a zone that either drains is drained.
+// applyZoneSettings applies the zone settings of the operator's file and of the directives in force. A directive's
+// spillover limit overrides that of the file. A zone is drained if either of them drains it.
 func (g *Gateway) applyZoneSettings() {
 	if g.zones == nil {
 		return
@@ -105,13 +107,13 @@
 	g.zones.setDrained(drained, g.now)
 }
 
-// sweepZones has the controller look at all zones, and probes the engines that it asks for.
+// sweepZones lets the controller evaluate all zones, logs state changes, and probes the engines that it requests.
 func (g *Gateway) sweepZones() {
 	routing := g.zones
 	if routing == nil {
 		return
 	}
-	observed := routing.router.Observe(g.now, g.engineSights(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
+	observed := routing.router.Observe(g.now, g.engineObservations(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
 	for _, change := range observed.Changes {
 		level := Info
 		if change.To == zones.Lost {
@@ -125,11 +127,12 @@
 	}
 }
 
-// engineSights is what the module and the connections know of each engine that serves. It is valid until the next call.
-func (g *Gateway) engineSights() []zones.EngineObservation {
-	out := g.sightBuffer[:0]
-	for _, belief := range g.module.EngineViews() {
-		eng := g.engines[belief.Engine]
+// engineObservations returns the observations of all serving engines from the module and the connections. The slice is
+// valid until the next call.
+func (g *Gateway) engineObservations() []zones.EngineObservation {
+	out := g.observationBuffer[:0]
+	for _, view := range g.module.EngineViews() {
+		eng := g.engines[view.Engine]
 		if eng == nil || eng.state != rules.EngineServing {
 			continue
 		}
@@ -138,24 +141,25 @@
 			cores = max(kinds[eng.kind].Cores, 1)
 		}
 		out = append(out, zones.EngineObservation{
-			Engine:       belief.Engine,
+			Engine:       view.Engine,
 			Zone:         eng.zone,
 			Cores:        cores,
-			WarmFraction: belief.SpeedFraction,
-			Slowdown:     belief.Slowdown,
-			Excluded:     belief.Ejected,
-			Overdue:      belief.SlowInFlight > 0,
+			WarmFraction: view.SpeedFraction,
+			Slowdown:     view.Slowdown,
+			Excluded:     view.Ejected,
+			Overdue:      view.SlowInFlight > 0,
 			LastRequest:  eng.lastRequest,
 			LastResponse: eng.lastRead,
-			LastFailure:  eng.lastFault,
+			LastFailure:  eng.lastFailure,
 		})
 	}
-	g.sightBuffer = out
+	g.observationBuffer = out
 	return out
 }
 
-// admitsRequest asks the directives in force and the zones whether a request is admitted. One that is not has been answered.
-func (g *Gateway) admitsRequest(req *queryRequest) bool {
+// admitOrReject reports whether the directives in force and the zone controller admit a request. If not, the
+// request has been rejected.
+func (g *Gateway) admitOrReject(req *queryRequest) bool {
 	if g.rejectsClass(req.class) {
 		g.reject(req, g.cfg.Settings.Rules.Limits.MaxRetryAfter, EndDirective)
 		return false
@@ -164,32 +168,33 @@
 		return true
 	}
 	arrival := req.pending
-	rejected, after := g.zones.router.RequestArrived(g.now, zones.Request{Class: arrival.Class, Tenant: arrival.Tenant,
+	rejected, retryAfter := g.zones.router.RequestArrived(g.now, zones.Request{Class: arrival.Class, Tenant: arrival.Tenant,
 		DeclaredWork: float64(arrival.EstimatedWork), Retry: arrival.IsRetry})
 	if rejected {
-		g.reject(req, after, EndZonePlan)
+		g.reject(req, retryAfter, EndZonePlan)
 	}
 	return !rejected
 }
 
-// retryAfter is how long a rejected client should stay away: as the module says, or longer where the zones can't take it earlier.
-// During a shutdown it should go to another gateway at once.
-func (g *Gateway) retryAfter(holdOff rules.Time) rules.Time {
+// effectiveRetryAfter returns the Retry-After of a rejected request: the module's value, or the zone controller's if that is
+// longer. During a shutdown the module's value is not extended, since the client should go to another gateway at
+// once.
+func (g *Gateway) effectiveRetryAfter(moduleRetryAfter rules.Time) rules.Time {
 	limits := &g.cfg.Settings.Rules.Limits
 	if g.zones == nil || g.stopping || !limits.RetryAfter {
-		return holdOff
+		return moduleRetryAfter
 	}
-	return max(holdOff, capRetryAfter(limits, g.zones.router.RetryAfter(g.now)))
+	return max(moduleRetryAfter, capRetryAfter(limits, g.zones.router.RetryAfter(g.now)))
 }
 
-// zoneProbed tells the controller of a probe's result.
+// zoneProbed notifies the zone controller of a probe's result.
 func (g *Gateway) zoneProbed(eng *engineState, ok bool) {
 	if g.zones != nil {
 		g.zones.router.ProbeAnswered(eng.zone, ok)
 	}
 }
 
-// logZones logs each zone, and what the limits of spillover and shedding did since the last such line.
+// logZones logs the state of each zone, and the statistics of spillover and load shedding since the last log line.
 func (g *Gateway) logZones() {
 	routing := g.zones
 	if routing == nil {
@@ -215,5 +220,5 @@
 		Attr{"shed_lowest_value", shed(zones.TierLowestValue)})
 }
 
-// round2 rounds to hundredths, as figures are logged.
+// round2 rounds a logged value to two decimals.
 func round2(x float64) float64 { return math.Round(100*x) / 100 }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -199,7 +199,7 @@
 	}
 	gw.closeConn(former)
 	gw.advance(300 * rules.Millisecond)
-	if eng.lastFault != 0 {
+	if eng.lastFailure != 0 {
 		t.Error("an attempt at the former process counts as a failure of the new one")
 	}
 	gw.client(2)
@@ -210,7 +210,7 @@
 	gw.now += 10 * rules.Millisecond
 	gw.closeConn(present)
 	gw.advance(300 * rules.Millisecond)
-	if eng.lastRequest != sentAt || eng.lastFault < sentAt {
-		t.Errorf("an attempt at the new process at %d that is reset counts as a request at %d, a failure at %d", sentAt, eng.lastRequest, eng.lastFault)
+	if eng.lastRequest != sentAt || eng.lastFailure < sentAt {
+		t.Errorf("an attempt at the new process at %d that is reset counts as a request at %d, a failure at %d", sentAt, eng.lastRequest, eng.lastFailure)
 	}
 }
