--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -120,7 +120,7 @@
 	g.closeClient(client, CloseAdmission)
 }
 
-// withRetryAfter appends the time retryAfter which the client may retry to an error text, in the form that clients parse.
+// withRetryAfter appends a Retry-After in milliseconds to an error text, in the form that clients parse.
 func withRetryAfter(text string, retryAfter rules.Time) string {
 	if retryAfter <= 0 {
 		return text
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// setAttemptOptions sets the memory and the priority of a request as the module decided. A changed priority is also sent for
-// running attempts.
+// setAttemptOptions sets the memory and the priority of a request as the module decided. A changed priority is also
+// sent for running attempts.
 func (g *Gateway) setAttemptOptions(options rules.SetAttemptOptions) {
 	req := g.requests[options.ID]
 	if req == nil {
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// largestPartialClient returns the client with the largest incomplete packet. Ties go to the client that connected first,
-// so that the result does not depend on map iteration.
+// largestPartialClient returns the client with the largest incomplete packet. Ties go to the client that connected
+// first, so that the result does not depend on map iteration.
 func (g *Gateway) largestPartialClient(client *clientConn) *clientConn {
 	largest := client
 	for _, other := range g.clients {
@@ -231,9 +231,9 @@
 	g.markDirty(&client.outputBuffer)
 }
 
-// handleKill ends another session, or only its queryOnly, which gets no answer. A client that opened its connection while an
-// earlier queryOnly of the session was in flight means that queryOnly, so a KILL QUERY that arrives after it ended must not
-// hit the next one.
+// handleKill ends another session, or with queryOnly only its query, which gets no answer. A client that opened its
+// connection while an earlier query of the session was in flight means that query, so a KILL QUERY that arrives
+// after it ended must not hit the next one.
 func (g *Gateway) handleKill(client *clientConn, session uint32, queryOnly bool) {
 	target := g.sessions[session]
 	if target == nil {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -199,7 +199,7 @@
 	g.runDirectiveEffects(state.proposer.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommandID}))
 }
 
-// answerProposal answers the pending directive command with the given commandID.
+// answerProposal answers the pending directive command commandID with the index of the change or with an error.
 func (g *Gateway) answerProposal(commandID, index uint64, err error) {
 	conn, ok := g.directives.pendingCommands[commandID]
 	if !ok {
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -22,8 +22,8 @@
 	tickInterval    rules.Time
 	voters          []string
 	rejectedClasses []bool            // by class index
-	lastCommandID   uint64            // number of the last directive command
-	pendingCommands map[uint64]ConnID // connections awaiting an answer, by command number
+	lastCommandID   uint64            // ID of the last directive command
+	pendingCommands map[uint64]ConnID // connections awaiting an answer, by command ID
 }
 
 // newDirectives returns the configured directive state, or nil if directives are off.
@@ -85,22 +85,22 @@
 // runDirectiveEffects executes the effects returned by the directives' replica.
 func (g *Gateway) runDirectiveEffects(effects []directives.Effect) {
 	for _, effect := range effects {
-		switch outcome := effect.(type) {
+		switch effect := effect.(type) {
 		case directives.Send:
 			channel := ChannelConsensus
-			if outcome.Channel == directives.ChannelState {
+			if effect.Channel == directives.ChannelState {
 				channel = ChannelDirectives
 			}
-			g.emit(SendToMember{To: outcome.To, Channel: channel, Data: outcome.Data})
+			g.emit(SendToMember{To: effect.To, Channel: channel, Data: effect.Data})
 		case directives.Persist:
-			g.emit(PersistVoterLog{Batch: outcome.Batch})
+			g.emit(PersistVoterLog{Batch: effect.Batch})
 		case directives.Applied:
-			g.log(Info, "directives: changed", Attr{keyIndex, outcome.Index}, Attr{keyInForce, len(g.directives.proposer.State().Directives)})
+			g.log(Info, "directives: changed", Attr{keyIndex, effect.Index}, Attr{keyInForce, len(g.directives.proposer.State().Directives)})
 			g.applyDirectives()
 		case directives.Reply:
-			g.answerProposal(outcome.RequestID, outcome.Index, outcome.Err)
+			g.answerProposal(effect.RequestID, effect.Index, effect.Err)
 		case directives.Log:
-			g.log(Warn, outcome.Text)
+			g.log(Warn, effect.Text)
 		}
 	}
 }
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -9,7 +9,7 @@
 
 // This file handles the end of engine connections, by either side, and derives from it which attempts may have run.
 
-// closeIfDrained closes a retired connection that carries no attempts and probes.
+// closeIfDrained closes a retired connection that carries no attempts or probes.
 func (g *Gateway) closeIfDrained(conn *engineConn) {
 	if conn.retired && conn.load() == 0 && !conn.closed {
 		g.closeEngineConn(conn, conn.retireReason)
@@ -17,7 +17,7 @@
 	}
 }
 
-// closeEngineConn closes a connection to an engine. It is the only place where the gateway closes one in order.
+// closeEngineConn closes a connection to an engine. It is the only place of an orderly close by the gateway.
 func (g *Gateway) closeEngineConn(conn *engineConn, reason CloseReason) {
 	g.checkEngineClose(conn, reason)
 	g.countEngineClose(conn, reason, nil)
@@ -39,9 +39,9 @@
 	conn.engine.conns = slices.DeleteFunc(conn.engine.conns, func(other *engineConn) bool { return other == conn })
 }
 
-// engineConnEnded handles the end of a connection that broke or was never established. The operating system has
-// accepted the given number of bytes written to it. With notEngineFault, the end does not count against the engine; for
-// a dial this means that a local resource was exhausted.
+// engineConnEnded handles the end of a connection that broke or was never established. accepted is the number of
+// bytes written to it that the operating system accepted. With notEngineFault, the end does not count against the
+// engine; for a dial this means that a local resource was exhausted.
 func (g *Gateway) engineConnEnded(conn *engineConn, err error, accepted int64, notEngineFault bool) {
 	localExhaustion := notEngineFault && !conn.up
 	if !conn.closed { // otherwise the gateway closed it and has counted it
@@ -74,7 +74,7 @@
 	}
 }
 
-// endReason returns the reason of a connection end that the gateway did not initiate in order.
+// endReason returns the reason of a connection's end that was not an orderly close by the gateway.
 func endReason(conn *engineConn, localExhaustion bool) CloseReason {
 	switch {
 	case conn.aborted:
@@ -88,8 +88,8 @@
 	}
 }
 
-// endInFlightAttempts ends the attempts that were written to a connection that has ended. An attempt whose bytes were not
-// all accepted by the operating system never reached the engine completely, so it did not run.
+// endInFlightAttempts ends the attempts that were written to a connection that has ended. An attempt whose bytes
+// were not all accepted by the operating system never reached the engine completely, so it did not run.
 //
 // Connections also break for reasons unrelated to their engines, and one connection may carry dozens of requests.
 // Only the oldest attempt counts against the engine, and only if the engine has sent nothing since a previous
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -36,7 +36,7 @@
 // ConnectionClosed reports that a connection has ended, closed by either side or broken.
 type ConnectionClosed struct {
 	Conn ConnID
-	Err  error // nil: closed in order
+	Err  error // nil: orderly close
 
 	// AcceptedBytes is the number of written bytes that the operating system accepted. Bytes past this offset never
 	// left the process.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -5,8 +5,7 @@
 // The decision module (package rules) decides where a query runs, how long it may take, and how it ends where there
 // is a choice. The reducer passes events to the module and executes its actions.
 //
-// This file holds the state and the loop between module and host; events.go and effects.go define the types
-// exchanged with the host.
+// The types exchanged with the host are defined in events.go and effects.go.
 package gateway
 
 import (
@@ -82,8 +81,8 @@
 	drainPeriodOver    bool
 }
 
-// queryHistorySize is the number of name service queries that are remembered: all polls whose answers may still arrive,
-// and as many again for reloads.
+// queryHistorySize is the number of name service queries that are remembered: all polls whose answers may still
+// arrive, and as many again for reloads.
 const queryHistorySize = 192
 
 // New returns a Gateway that starts at the time now with the configuration cfg.
@@ -139,12 +138,12 @@
 	case ConnectionClosed:
 		g.connectionClosed(e)
 	case DialSucceeded:
-		if engine := g.engineConns[e.Conn]; engine != nil {
-			g.engineConnected(engine)
+		if conn := g.engineConns[e.Conn]; conn != nil {
+			g.engineConnected(conn)
 		}
 	case DialFailed:
-		if engine := g.engineConns[e.Conn]; engine != nil {
-			g.engineConnEnded(engine, e.Err, 0, e.Local)
+		if conn := g.engineConns[e.Conn]; conn != nil {
+			g.engineConnEnded(conn, e.Err, 0, e.Local)
 		}
 	case DNSResponse:
 		g.clockSteps.Note(e.ClockSkew)
@@ -161,8 +160,8 @@
 	case WriteDrained:
 		g.writeDrained(e.Conn)
 	case WriteBlocked:
-		if engine := g.engineConns[e.Conn]; engine != nil {
-			engine.blockedSince = g.now
+		if conn := g.engineConns[e.Conn]; conn != nil {
+			conn.blockedSince = g.now
 		}
 	case PeerEvent:
 		g.handlePeer(e)
@@ -179,8 +178,8 @@
 	if client := g.clients[e.Conn]; client != nil {
 		g.extendCatchUp()
 		g.handleClientData(client, e.Data)
-	} else if engine := g.engineConns[e.Conn]; engine != nil {
-		g.handleEngineData(engine, e.Data)
+	} else if conn := g.engineConns[e.Conn]; conn != nil {
+		g.handleEngineData(conn, e.Data)
 	}
 }
 
@@ -189,16 +188,16 @@
 		g.extendCatchUp()
 		g.countClose(client, CloseByPeer)
 		g.removeClient(client)
-	} else if engine := g.engineConns[e.Conn]; engine != nil {
-		g.engineConnEnded(engine, e.Err, e.AcceptedBytes, false)
+	} else if conn := g.engineConns[e.Conn]; conn != nil {
+		g.engineConnEnded(conn, e.Err, e.AcceptedBytes, false)
 	}
 }
 
-func (g *Gateway) writeDrained(conn ConnID) {
-	if client := g.clients[conn]; client != nil {
+func (g *Gateway) writeDrained(id ConnID) {
+	if client := g.clients[id]; client != nil {
 		g.clientDrained(client)
-	} else if engine := g.engineConns[conn]; engine != nil {
-		engine.blockedSince = 0
+	} else if conn := g.engineConns[id]; conn != nil {
+		conn.blockedSince = 0
 	}
 }
 
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -76,21 +76,21 @@
 	sinceNotified window.Sum // since the gateway was notified of the engine's start
 }
 
-// resetForNewProcess resets the work sent since the notification, which counted for the previous process.
+// resetForNewProcess resets the work sent since the notification, which was the start of the previous process.
 func (s *slowStartSends) resetForNewProcess() {
 	if s != nil {
 		s.sinceNotified = window.Sum{Span: s.sinceNotified.Span}
 	}
 }
 
-// notifiedShare is the share of an engine's work sent since the notification from which all of its work counts. The
-// operators use the same share for a cold engine that fails under load.
+// notifiedShare is the share of the work sent to an engine that must have been sent since the notification for all of
+// it to count. The operators use the same share to define when a cold engine fails under load.
 const notifiedShare = 2.0 / 3
 
-// recordSlowStartSend adds an attempt to the work sent to an engine, and returns that work and the engine's slow-start
-// budget. A process may have been replaced some time before the endpoint list shows it, so work sent before the
-// notification counts as well, unless it is more than a third of all work. Both results are 0 if the engine is warm
-// or the settings define no budget.
+// recordSlowStartSend adds an attempt to the work sent to an engine, and returns that work and the engine's
+// slow-start budget. A process may have been replaced some time before the endpoint list shows it, so work sent
+// before the notification counts as well, unless it is more than a third of all work. Both results are 0 if the
+// engine is warm or the settings define no budget.
 func (g *Gateway) recordSlowStartSend(req *queryRequest, eng *engineState) (sent, budget float64) {
 	constraints := &g.cfg.Settings.Rules.Constraints
 	if constraints.SlowStartPeriod <= 0 || constraints.OverloadWindow <= 0 || constraints.OverloadFactor <= 0 {
--- a/internal/gateway/machines.go
+++ b/internal/gateway/machines.go
@@ -8,11 +8,11 @@
 type wakeTime rules.Time
 
 // fire reports whether the time is reached, and clears it if so.
-func (a *wakeTime) fire(now rules.Time) bool {
-	if *a == 0 || rules.Time(*a) > now {
+func (t *wakeTime) fire(now rules.Time) bool {
+	if *t == 0 || rules.Time(*t) > now {
 		return false
 	}
-	*a = 0
+	*t = 0
 	return true
 }
 
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -70,7 +70,7 @@
 	g.renewSocket(g.cfg.DNS)
 }
 
-// pollNameService queries the name service for the endpoint list and sets the timer for the next pollNameService.
+// pollNameService queries the name service for the endpoint list and sets the timer for the next poll.
 func (g *Gateway) pollNameService() {
 	g.endpointList.Tick(g.now)
 	g.applyListChanges()
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/reasons.go
@@ -106,7 +106,7 @@
 var moduleReasons = map[rules.FailureReason]EndReason{rules.ReasonQueueFull: EndOverCapacity, rules.ReasonDeadline: EndDeadlineUnreachable,
 	rules.ReasonTooLate: EndLate, rules.ReasonAttemptsExhausted: EndAttemptsExhausted, rules.ReasonOverdue: EndAttemptOverdue}
 
-// requestOutcome is the requestOutcome of a request.
+// requestOutcome is the way in which a request ends.
 type requestOutcome int
 
 const (
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -145,7 +145,7 @@
 	return req
 }
 
-// requestAdmitted continues a request that admission control has requestAdmitted, after it was queued for the given time.
+// requestAdmitted continues a request that admission control has admitted, after it was queued for queuedFor.
 func (g *Gateway) requestAdmitted(req *queryRequest, queuedFor rules.Time) {
 	req.queuedFor = queuedFor
 	if !g.admitOrReject(req) {
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// engineObservations returns the observations of all serving engines from the module and the connections. The slice is
-// valid until the next call.
+// engineObservations returns the observations of all serving engines from the module and the connections. The slice
+// is valid until the next call.
 func (g *Gateway) engineObservations() []zones.EngineObservation {
 	out := g.observationBuffer[:0]
 	for _, view := range g.module.EngineViews() {
@@ -176,9 +176,9 @@
 	return !rejected
 }
 
-// effectiveRetryAfter returns the Retry-After of a rejected request: the module's value, or the zone controller's if that is
-// longer. During a shutdown the module's value is not extended, since the client should go to another gateway at
-// once.
+// effectiveRetryAfter returns the Retry-After of a rejected request: the module's value, or the zone controller's
+// if that is longer. During a shutdown the module's value is not extended, since the client should go to another
+// gateway at once.
 func (g *Gateway) effectiveRetryAfter(moduleRetryAfter rules.Time) rules.Time {
 	limits := &g.cfg.Settings.Rules.Limits
 	if g.zones == nil || g.stopping || !limits.RetryAfter {
