--- a/rules/admission.go
+++ b/rules/admission.go
@@ -1,21 +1,22 @@
 package rules
 
-// Admission: what becomes of a request when it arrives, and how many stay open; the types are in api.go.
-// Invariant: every request that arrives is open until it has had one final response, and a second arrival
-// of an open request changes nothing.
+// Admission: how an arriving request is queued, and how many requests stay open. The types are in api.go.
+// Invariant: every request that arrives stays open until its one final response, and a second arrival of an
+// open request changes nothing.
 
 import "container/heap"
 
-// openRequestsFraction is the fraction of the requests that may be open above which queued ones are shed:
-// the rest is left to requests that could run at once.
-const openRequestsFraction = 0.85
+// sheddingThreshold is the fraction of MaxOpenRequests above which queued requests are shed. The rest is
+// reserved for requests that can run at once.
+const sheddingThreshold = 0.85
 
+// handleArrival opens a request and queues it, behind the earlier requests of its order key if it has one.
 func (m *Module) handleArrival(arrived Request) {
 	if m.requests[arrived.ID] != nil {
 		return
 	}
 	cls := m.classes[arrived.Class]
-	arrived.Deadline = min(arrived.Deadline, m.lastDeadline)
+	arrived.Deadline = min(arrived.Deadline, m.shutdownDeadline)
 	req := &request{Request: arrived, class: cls, arrivedAt: m.now - arrived.QueuedFor, heapIndex: -1}
 	req.queue = cls.queues[min(arrived.Tenant, len(cls.queues)-1)]
 	m.requests[arrived.ID] = req
@@ -28,7 +29,8 @@
 	m.enqueue(req)
 }
 
-// countArrival adds an arrival to the retry budget and the mean work of requests.
+// countArrival records an arrival for the retry budget, for the mean work of requests and for the
+// popularity of its data set.
 func (m *Module) countArrival(req *request) {
 	if c := &m.settings.Constraints; c.RetryBudgetEnabled {
 		m.arrivals = insertSorted(dropBefore(m.arrivals, m.now-c.RetryBudgetWindow), req.arrivedAt)
@@ -38,7 +40,7 @@
 	m.dataSet(req.DataSet).requests.add(m.now, 1, 1)
 }
 
-// enqueue queues a request by its predicted work, unless it has ended or is queued already.
+// enqueue adds a request to its queue, unless it has ended or is queued already.
 func (m *Module) enqueue(req *request) {
 	if req.ended || req.heapIndex >= 0 {
 		return
@@ -52,12 +54,12 @@
 	m.review(req)
 }
 
-// shedExcess sheds requests of the longest queue, those that would be dispatched last first, while too many
-// are open. Queued requests that can't run, as data loads that wait for each other's data sets, must not
-// keep out requests that could run at once.
+// shedExcess sheds queued requests while too many are open: from the longest queue, those that would be
+// dispatched last first. Queued requests that cannot run, such as data loads that wait for each other's
+// data sets, must not keep out requests that could run at once.
 func (m *Module) shedExcess() {
 	limit := m.settings.Limits.MaxOpenRequests
-	for m.queuedCount > 0 && limit > 0 && float64(len(m.requests)) > openRequestsFraction*float64(limit) {
-		m.finish(m.longestQueue().last(), ReasonQueueFull)
+	for m.queuedCount > 0 && limit > 0 && float64(len(m.requests)) > sheddingThreshold*float64(limit) {
+		m.rejectOrFail(m.longestQueue().last(), ReasonQueueFull)
 	}
 }
--- a/rules/affinity.go
+++ b/rules/affinity.go
@@ -1,24 +1,27 @@
 package rules
 
-// Data affinity: which engines are preferred for a data set, so that it stays cached there; the types are in
-// api.go. Invariant: all gateways prefer the same engines for a data set (rendezvous hashing), and the
-// preference only orders candidates: a request goes elsewhere where these can't take it.
+// Data affinity: which engines are preferred for a data set, so that it stays cached there. The types are
+// in api.go. Invariant: all gateways prefer the same engines for a data set (rendezvous hashing), and the
+// preference only orders candidates: if the preferred engines cannot take a request, others can.
 
 const (
-	// minPreferredEngines is how many engines keep even the least requested data set cached.
+	// minPreferredEngines is the number of engines that keep even the least requested data set cached.
 	minPreferredEngines = 3
-	// preferredEnginesFactor is how many times a data set's part of the requests, of all engines, prefer it.
+	// preferredEnginesFactor scales the number of further preferred engines: it is this factor times the
+	// data set's fraction of the requests times the number of engines.
 	preferredEnginesFactor = 1.5
-	// popularityPrior is how many requests a data set's part of the requests has to outweigh to count.
+	// popularityPrior is added to the number of all requests in that fraction, so that a few requests do
+	// not make a data set popular.
 	popularityPrior = 20
 )
 
-// blocksOnDataLoad reports whether a data load of the same data set blocks the request on its engine, with
-// all the memory it was granted. Such requests keep apart, and their latency says little of the engine.
+// blocksOnDataLoad reports whether a data load of the same data set blocks the request on its engine, while
+// the request holds its memory grant. Such requests are kept on separate engines, and their latency says
+// little about the engine.
 func (r *request) blocksOnDataLoad() bool { return r.class.IsDataLoad || r.class.BlockedByDataLoad }
 
-// preferredEngines are the first engines of a data set's preference list: more of them the larger its part
-// of the requests.
+// preferredEngines returns the first engines of a data set's preference list. Their number grows with the
+// data set's fraction of the requests. Requests that block on data loads prefer no engines.
 func (m *Module) preferredEngines(req *request) []*engine {
 	if req.blocksOnDataLoad() {
 		return nil
@@ -30,8 +33,8 @@
 	return set.preference[:min(count, len(set.preference))]
 }
 
-// preferredInZone are the first serving engines of a data set's preference list in a zone. The result is
-// valid until zoneEngines is next used.
+// preferredInZone returns the first serving engines of a zone in a data set's preference list. The result
+// is valid until zoneEngines is used again.
 func (m *Module) preferredInZone(req *request, zone int) []*engine {
 	m.zoneEngines = m.zoneEngines[:0]
 	for _, eng := range m.dataSet(req.DataSet).preference {
--- a/rules/attempt.go
+++ b/rules/attempt.go
@@ -1,8 +1,7 @@
 package rules
 
-// Attempts: what is sent to an engine, and what follows from its outcome; the types are in api.go.
-// Invariant: each attempt has one outcome, and everything that counts an attempt in flight stops counting
-// it then.
+// Attempts: what is sent to an engine, and what follows from its outcome. The types are in api.go.
+// Invariant: each attempt has one outcome, and from then on nothing counts it as in flight.
 
 import "math"
 
@@ -24,11 +23,12 @@
 	if att.reportedToPeers {
 		m.emit(Broadcast{Payload: eng.encodePeerReport()})
 	}
-	m.countAgainstSlowStart(eng, m.knownWork(req))
+	m.chargeSlowStartBudget(eng, m.slowStartCharge(req))
 	m.reviewAt(req, m.slowAt(req, &att))
 }
 
-// setOptions sets memory and priority of the next attempt where engines heed them and they have changed.
+// setOptions sets memory grant and priority of the next attempt, if engines respect them and they have
+// changed.
 func (m *Module) setOptions(req *request, grant float64) {
 	options := SetAttemptOptions{ID: req.ID, MemoryMB: math.Ceil(grant), Priority: m.priority(req)}
 	if options != req.options && (m.settings.AcceptsGrants || m.settings.AcceptsPriority) {
@@ -37,9 +37,10 @@
 	}
 }
 
+// newAttempt returns the record of an attempt that starts now.
 func (m *Module) newAttempt(req *request, eng *engine, grant, work float64) attempt {
 	att := attempt{
-		engine: eng, process: eng.process, zone: eng.Zone, cell: eng.Cell, startedAt: m.now,
+		engine: eng, incarnation: eng.incarnation, zone: eng.Zone, cell: eng.Cell, startedAt: m.now,
 		threads: req.class.threadCount(), memoryMB: grant, highPriority: m.priorityBand(req) > 0,
 		expectedTime: float64(req.runTime(work, m.slowdown(req, eng))),
 	}
@@ -48,14 +49,15 @@
 	return att
 }
 
-// handleOutcome ends an attempt. A second outcome of it, or one of a request that is over, changes nothing.
+// handleOutcome ends an attempt. A second outcome of the same attempt, or an outcome of a request that is
+// over, changes nothing.
 func (m *Module) handleOutcome(outcome Outcome) {
 	req := m.requests[outcome.ID]
 	if req == nil || outcome.Attempt >= len(req.attempts) || req.attempts[outcome.Attempt].done {
 		return
 	}
 	att := &req.attempts[outcome.Attempt]
-	m.learn(req, att, outcome)
+	m.learnFromOutcome(req, att, outcome)
 	m.endAttempt(req, att, outcome.Status)
 	if att.reportedToPeers {
 		m.emit(Broadcast{Payload: att.engine.encodePeerReport()})
@@ -71,6 +73,6 @@
 	case req.ended:
 		m.removeIfDone(req)
 	case req.inFlight == 0:
-		m.retryOrFinish(req)
+		m.retryOrEnd(req)
 	}
 }
--- a/rules/capacity.go
+++ b/rules/capacity.go
@@ -1,22 +1,23 @@
 package rules
 
-// Capacity: how many threads and how much memory this gateway may use of an engine and of the fleet; the
-// types are in api.go. Invariant: what it has in flight stays within its share of both, except that one
-// query is always allowed on an engine and in all.
+// Capacity: how many threads and how much memory of an engine and of the fleet this gateway may use. The
+// types are in api.go. Invariant: its load in flight stays within its share of both, except that one query
+// is always allowed on an engine and on the fleet.
 
 import "math"
 
 const (
-	// threadsPerCore is the thread bound of a whole engine.
+	// threadsPerCore is the bound on the threads in flight per core of an engine, over all gateways.
 	threadsPerCore = 1.5
-	// fitFraction is the fraction of a further query that must fit a thread bound. All of it would keep out
-	// wide queries for good, as narrow ones take every thread that becomes free.
+	// fitFraction is the fraction of the threads of a further query that must fit a thread bound. If all
+	// had to, wide queries would never start, since narrow ones take every thread that becomes free.
 	fitFraction = 0.5
-	// burstDeviations is by how many standard deviations this gateway's need may pass its share by chance.
+	// burstDeviations is the number of standard deviations by which this gateway's load may exceed its
+	// share in a random burst.
 	burstDeviations = 2.0
 )
 
-// fits reports whether an engine is routable and within its bounds with one more request.
+// fits reports whether an engine is routable, and within all bounds with one more request.
 func (m *Module) fits(req *request, eng *engine) bool {
 	if !m.routable(req, eng) || req.blocksOnDataLoad() && eng.dataLoads[req.DataSet] > 0 {
 		return false
@@ -25,60 +26,66 @@
 	return m.fitsBesidePeers(req, eng) && m.fitsFleet(req, grant) && m.fitsEngine(req, eng, grant)
 }
 
-// fitsBesidePeers reports whether the engine has threads left beside what peers report to run there.
+// fitsBesidePeers reports whether the engine has threads left beside those that peers report to use there.
 func (m *Module) fitsBesidePeers(req *request, eng *engine) bool {
-	eng.peers.expire(m.now - m.longestTimeout)
+	eng.peers.expire(m.now - m.maxClientTimeout)
 	needed := fitFraction * req.class.threadCount()
 	return eng.peers.threads <= 0 ||
 		eng.threads+eng.peers.threads+needed <= threadsPerCore*m.kindOf(eng).Cores
 }
 
+// fitsFleet reports whether one more request keeps this gateway within its bounds on the fleet.
 func (m *Module) fitsFleet(req *request, grant float64) bool {
-	load := m.competing(req, &m.inFlight, &m.highPriority)
+	load := m.competingLoad(req, &m.inFlightLoad, &m.highPriorityLoad)
 	return m.withinBounds(req, load, m.fleetThreadBound(req.late), m.fleetCapacity, grant)
 }
 
+// fitsEngine reports whether one more request keeps this gateway within its bounds on an engine.
 func (m *Module) fitsEngine(req *request, eng *engine, grant float64) bool {
-	load, kind := m.competing(req, &eng.inFlightLoad, &eng.highPriority), m.kindOf(eng)
+	load, kind := m.competingLoad(req, &eng.inFlightLoad, &eng.highPriorityLoad), m.kindOf(eng)
 	return m.withinBounds(req, load, m.threadBound(kind.Cores), kind, grant)
 }
 
-// withinBounds is the thread bound and the memory bound, for one engine or for the fleet.
+// withinBounds checks the thread bound and the memory bound, of an engine or of the fleet, with one more
+// request. Without any load the request is always within bounds.
 func (m *Module) withinBounds(
-	req *request, load *inFlightLoad, threads float64, kind EngineKind, grant float64,
+	req *request, load *inFlightLoad, threadBound float64, capacity EngineKind, grant float64,
 ) bool {
 	if load.attempts == 0 {
 		return true
 	}
-	return load.threads+fitFraction*req.class.threadCount() <= threads &&
-		(kind.MemoryMB == 0 || load.memoryMB+grant <= kind.MemoryMB*min(1, m.fleetFraction()))
+	return load.threads+fitFraction*req.class.threadCount() <= threadBound &&
+		(capacity.MemoryMB == 0 || load.memoryMB+grant <= capacity.MemoryMB*min(1, m.fleetFraction()))
 }
 
-// competing is the load that a request competes with at the engines: a high priority overtakes there, and
-// competes with its like only.
-func (m *Module) competing(req *request, all, high *inFlightLoad) *inFlightLoad {
+// competingLoad returns the load that a request competes with on engines. A request with a high priority
+// overtakes the others there, and competes only with requests of a high priority.
+func (m *Module) competingLoad(req *request, all, high *inFlightLoad) *inFlightLoad {
 	if m.priorityBand(req) > 0 {
 		return high
 	}
 	return all
 }
 
+// threadBound returns how many threads this gateway may have in flight on the given cores.
 func (m *Module) threadBound(cores float64) float64 {
 	return threadsPerCore * cores * m.fleetFraction()
 }
 
-// fleetThreadBound adds a margin to the thread bound of the fleet: what single gateways need scatters, the
-// sum hardly does. Slow attempts at a share below one take from the margin, more of it from late requests:
-// these can wait until a burst is over, and must not take the place of what can still meet its objective.
+// fleetThreadBound returns the thread bound of the fleet plus a margin for bursts: the load of a single
+// gateway fluctuates, while the total hardly does. A share below 1, the result of slow attempts, reduces
+// the margin, and more so for late requests: they can wait until a burst is over, and must not displace
+// requests that can still meet their objective.
 func (m *Module) fleetThreadBound(late bool) float64 {
 	bound, margin := m.threadBound(m.fleetCapacity.Cores), min(m.share, 1)
 	if late {
 		margin *= margin * margin
 	}
-	return bound + burstDeviations*margin*math.Sqrt(bound*m.mostThreads)
+	return bound + burstDeviations*margin*math.Sqrt(bound*m.maxThreads)
 }
 
-// memoryGrant is the memory to ask for: what most requests with such an estimate need.
+// memoryGrant returns the memory to ask for, in MB: the client's estimate, corrected by the mean need of
+// its class plus one standard deviation, and capped by MaxGrantFraction.
 func (m *Module) memoryGrant(req *request, eng *engine) float64 {
 	need := &req.class.memoryNeed
 	grant := req.EstimatedMemoryMB * (need.mean.valueOr(1) + need.deviation())
--- a/rules/dispatch.go
+++ b/rules/dispatch.go
@@ -1,8 +1,8 @@
 package rules
 
-// Dispatch: which queued request is sent next; the types are in api.go. Classes, then tenants, then requests
-// are drawn by lottery. Invariant: each class gets an equal part of the time, whatever its priority weight,
-// and a request that can't be sent now does not block the others of its class.
+// Dispatch: which queued request is sent next. The types are in api.go. Classes, then tenants, then
+// requests are drawn by lottery. Invariant: each class gets an equal part of the engine time, whatever its
+// priority weight, and a request that cannot be sent now does not block the others of its class.
 
 import (
 	"container/heap"
@@ -10,15 +10,17 @@
 )
 
 const (
-	// sweepInterval is how often queued requests are reconsidered without an event: engines that warm up
-	// and backoffs that end bring no event of their own.
+	// sweepInterval is how often queued requests are reconsidered without an event: neither the progress of
+	// a warm-up nor the end of a backoff causes an event.
 	sweepInterval = 50 * Millisecond
 	// drawsPerQueue is how many requests of a queue are tried before another class is drawn.
 	drawsPerQueue = 2
-	// minLateOdds keeps late requests in the lottery where nothing else is queued.
+	// minLateOdds is the minimum value of a late request in the lottery, so that it is drawn if nothing
+	// else is queued.
 	minLateOdds = 1e-6
 )
 
+// dispatch sends queued requests until none can be sent, and sets the sweep timer for those that remain.
 func (m *Module) dispatch() {
 	for m.queuedCount > 0 && m.hasCapacity() && m.dispatchOne() {
 	}
@@ -28,11 +30,11 @@
 	}
 }
 
-// hasCapacity reports whether any request could be sent: a cheap check ahead of the lottery.
+// hasCapacity reports whether any request could be sent. It is a cheap check before the lottery.
 func (m *Module) hasCapacity() bool {
-	load := &m.inFlight
+	load := &m.inFlightLoad
 	if m.settings.AcceptsPriority {
-		load = &m.highPriority // requests of a high priority could go at least
+		load = &m.highPriorityLoad // a request of a high priority might be sent
 	}
 	if load.attempts > 0 && load.threads >= m.fleetThreadBound(false) {
 		return false
@@ -47,7 +49,7 @@
 	return false
 }
 
-// dispatchOne draws classes, each at most once, until a request of one is sent.
+// dispatchOne draws classes, each at most once, until it has sent a request of one.
 func (m *Module) dispatchOne() bool {
 	drawn := make([]bool, len(m.classes))
 	for range m.classes {
@@ -66,20 +68,21 @@
 	return false
 }
 
-// drawClass draws a class that was not drawn yet, -1 if none is left. Every class has the same part of the
-// time; that over the mean predicted time of its queued requests is its odds.
+// drawClass draws one of the classes that were not drawn yet, -1 if there is none. All classes are entitled
+// to the same engine time, so the odds of a class are inverse to the mean predicted work of its queued
+// requests, times its dispatchValue.
 func (m *Module) drawClass(drawn []bool) int {
 	odds := make([]float64, len(m.classes))
 	for i, cls := range m.classes {
-		if count, work := cls.queued(); count > 0 && !drawn[i] {
+		if count, work := cls.queueTotals(); count > 0 && !drawn[i] {
 			odds[i] = cls.dispatchValue() * float64(count) / max(work, 1)
 		}
 	}
-	return draw(m.rng, odds)
+	return weightedDraw(m.rng, odds)
 }
 
-// queued is the number of a class's queued requests, and their predicted work.
-func (c *class) queued() (count int, work float64) {
+// queueTotals returns the number of queued requests of a class, and their total predicted work.
+func (c *class) queueTotals() (count int, work float64) {
 	for _, q := range c.queues {
 		count += q.Len()
 		work += q.totalWork
@@ -87,8 +90,8 @@
 	return count, work
 }
 
-// dispatchValue is what a class's best request earns, as a fraction of the priority weight: those that are
-// late count for what they still earn.
+// dispatchValue returns the fraction of the priority weight that the best queued request of a class can
+// earn: less than 1 only if all queues start with a late request.
 func (c *class) dispatchValue() float64 {
 	value := 0.0
 	for _, q := range c.queues {
@@ -103,7 +106,7 @@
 	return value
 }
 
-// drawTenant draws a tenant's queue with odds of one over its queued requests' mean predicted time.
+// drawTenant draws the queue of a tenant, with odds inverse to the mean predicted work of its requests.
 func (c *class) drawTenant(rng *rand.Rand) *queue {
 	odds := make([]float64, len(c.queues))
 	for i, q := range c.queues {
@@ -111,12 +114,12 @@
 			odds[i] = float64(q.Len()) / max(q.totalWork, 1)
 		}
 	}
-	return c.queues[max(draw(rng, odds), 0)]
+	return c.queues[max(weightedDraw(rng, odds), 0)]
 }
 
-// dispatchFrom sends the first request of a queue if an engine may take it. If none may it gets another
-// place: a request that waits for a retry budget, an engine of its dedup scope or memory must not block
-// the rest.
+// dispatchFrom sends the first request of a queue if an engine may take it. Otherwise the request draws a
+// new place in the queue: one that waits for the retry budget, for an engine of its dedup scope or for
+// memory must not block the rest.
 func (m *Module) dispatchFrom(q *queue) bool {
 	req := q.requests[0]
 	eng := m.chooseEngine(req)
@@ -133,9 +136,9 @@
 	return true
 }
 
-// Less orders a queue as a race: each request draws an exponential time with its predicted work as the
-// mean, and the shortest goes first. The odds of being next are then one over the predicted work, at the
-// cost of a heap step. Requests that are late go last.
+// Less orders a queue as a random race: each request draws an exponentially distributed time with its
+// predicted work as the mean, and the shortest time goes first. So the odds of being next are inverse to
+// the predicted work, at the cost of one heap operation. Late requests go last.
 func (q *queue) Less(i, j int) bool {
 	a, b := q.requests[i], q.requests[j]
 	if a.late != b.late {
--- a/rules/engine.go
+++ b/rules/engine.go
@@ -5,53 +5,55 @@
 	"slices"
 )
 
-// The state kept of each engine and data set. It decides nothing.
+// State of engines and data sets. This file makes no decisions.
 
+// engine is the state of one engine.
 type engine struct {
 	Engine
-	inFlightLoad                       // of this gateway
-	highPriority    inFlightLoad       // the part of it that has a high priority there
-	reportedToPeers inFlightLoad       // the part of it that peers are told of
-	peers           peerLoad           // what peers report of theirs
-	slowdowns       [2]logSlowdown     // learned, by priority band
-	process         int                // counts its processes, by the list
-	failureRate     float64            // learned
-	ejection        backoff            // from all but half-open probing
-	rejections      map[*class]backoff // of the classes that it rejected
-	dataLoads       map[int]int        // data loads of this gateway that run there, by data set
-
-	recentSends       []sentWork // what was sent within the overload window, a tick apart at least
-	peerSlowStartWork float64    // while it warms up: what peers report to have sent within the window
-}
-
-// forgetProcess drops what was learned of an engine's process, which is another one now.
-func (e *engine) forgetProcess() {
-	e.process++
+	inFlightLoad                        // attempts of this gateway in flight there
+	highPriorityLoad inFlightLoad       // the part of it that has a high priority there
+	reportedLoad     inFlightLoad       // the part of it that is reported to peers
+	peers            peerLoad           // load that peers report
+	slowdowns        [2]logSlowdown     // learned, by priority band
+	incarnation      int                // counts the processes of the engine that the endpoint list has named
+	failureRate      float64            // moving average, from 0 to 1
+	ejection         backoff            // from all requests but half-open probes
+	rejections       map[*class]backoff // by class that the engine rejected
+	dataLoads        map[int]int        // number of data loads of this gateway in flight there, by data set
+
+	recentSends       []sentWork // work sent within the overload window, at most one entry per tick
+	peerSlowStartWork float64    // while it warms up: work that peers report to have sent within the window
+}
+
+// startIncarnation drops what was learned about the former process of the engine.
+func (e *engine) startIncarnation() {
+	e.incarnation++
 	e.failureRate, e.slowdowns, e.ejection = 0, [2]logSlowdown{}, backoff{}
 	clear(e.rejections)
 	e.peerSlowStartWork = 0
 }
 
-// backoff is a span for which something is left alone.
+// backoff is a period in which an engine gets no requests, or none of one class.
 type backoff struct{ duration, until Time }
 
-// logSlowdown is the logarithm of the run time over that of the same work alone.
+// logSlowdown is a learned slowdown, as the logarithm of the run time of work over its run time alone.
 type logSlowdown struct {
 	log       float64
 	updatedAt Time // 0: never
 }
 
-// sentWork is work sent to an engine by a time.
+// sentWork is the work sent to an engine during one tick.
 type sentWork struct {
-	at   Time
-	work float64
+	tickEnd Time
+	work    float64
 }
 
+// newEngine returns an engine about which nothing was learned yet.
 func newEngine() *engine {
 	return &engine{dataLoads: map[int]int{}, rejections: map[*class]backoff{}}
 }
 
-// inFlightLoad sums up attempts in flight.
+// inFlightLoad is the total load of attempts in flight.
 type inFlightLoad struct {
 	attempts int
 	threads  float64
@@ -71,30 +73,30 @@
 	l.threads -= att.threads
 	l.memoryMB -= att.memoryMB
 	l.work -= att.work
-	if l.attempts == 0 { // no rounding error accumulates
+	if l.attempts == 0 { // rounding errors must not accumulate
 		*l = inFlightLoad{}
 	}
 }
 
-// recordSend adds work sent to an engine, together with what was sent until the same time, and drops what is
-// older than from.
-func (e *engine) recordSend(from, until Time, work float64) {
+// recordSend adds work sent to an engine to the entry of the tick that ends at tickEnd, and drops entries
+// before from.
+func (e *engine) recordSend(from, tickEnd Time, work float64) {
 	e.forgetSends(from)
-	if last := len(e.recentSends) - 1; last >= 0 && e.recentSends[last].at == until {
+	if last := len(e.recentSends) - 1; last >= 0 && e.recentSends[last].tickEnd == tickEnd {
 		e.recentSends[last].work += work
 		return
 	}
-	e.recentSends = append(e.recentSends, sentWork{until, work})
+	e.recentSends = append(e.recentSends, sentWork{tickEnd, work})
 }
 
-// forgetSends drops what was sent to an engine before then.
+// forgetSends drops the entries of work sent to an engine before from.
 func (e *engine) forgetSends(from Time) {
-	for len(e.recentSends) > 0 && e.recentSends[0].at < from {
+	for len(e.recentSends) > 0 && e.recentSends[0].tickEnd < from {
 		e.recentSends = e.recentSends[1:]
 	}
 }
 
-// sentSince sums up the work sent to an engine since then, and drops what is older.
+// sentSince returns the work sent to an engine since from, and drops older entries.
 func (e *engine) sentSince(from Time) (sum float64) {
 	e.forgetSends(from)
 	for _, sent := range e.recentSends {
@@ -103,6 +105,7 @@
 	return sum
 }
 
+// kindOf returns the kind of an engine, without cores and memory if the settings do not list it.
 func (m *Module) kindOf(eng *engine) EngineKind {
 	if eng.Kind < len(m.settings.Kinds) {
 		return m.settings.Kinds[eng.Kind]
@@ -110,11 +113,13 @@
 	return EngineKind{}
 }
 
+// warmingUp reports whether an engine is within its slow-start period.
 func (m *Module) warmingUp(eng *engine) bool {
 	return eng.StartedAt != 0 && m.now < eng.StartedAt+m.settings.Constraints.SlowStartPeriod
 }
 
-// servingCapacity sums up the engines that serve, those that warm up by what they can do now.
+// servingCapacity returns the total capacity of the serving engines. The cores of an engine that warms up
+// count by its current speed.
 func (m *Module) servingCapacity() (total EngineKind) {
 	for _, eng := range m.engines {
 		if eng.State == EngineServing {
@@ -125,13 +130,13 @@
 	return total
 }
 
-// removeGoneEngines drops engines that have left the list and run no attempt of this gateway. One that warms
-// up, or was sent work within the overload window, is kept: if it is listed again, as a new process perhaps,
-// that work counts against its budget.
+// removeGoneEngines drops engines that have left the list and run no attempt of this gateway. An engine
+// that warms up, or was sent work within the overload window, is kept: if it is listed again, perhaps as a
+// new process, that work counts against its slow-start budget.
 func (m *Module) removeGoneEngines() {
 	before := len(m.engines)
 	m.engines = slices.DeleteFunc(m.engines, func(eng *engine) bool {
-		gone := eng.State == EngineGone && eng.attempts == 0 && !m.warmingUp(eng) && m.slowStartWork(eng) == 0
+		gone := eng.State == EngineGone && eng.attempts == 0 && !m.warmingUp(eng) && m.slowStartUsed(eng) == 0
 		if gone {
 			delete(m.engineByID, eng.ID)
 		}
@@ -142,7 +147,7 @@
 	}
 }
 
-// countEngines counts the engines for which a condition holds to a class.
+// countEngines counts the engines for which a condition holds for a class.
 func (m *Module) countEngines(cls *class, holds func(*class, *engine) bool) (count int) {
 	for _, eng := range m.engines {
 		if holds(cls, eng) {
@@ -152,7 +157,7 @@
 	return count
 }
 
-// enginesInZone lists the engines of a zone. The result is valid until zoneEngines is next used.
+// enginesInZone returns the engines of a zone. The result is valid until zoneEngines is used again.
 func (m *Module) enginesInZone(zone int) []*engine {
 	m.zoneEngines = m.zoneEngines[:0]
 	for _, eng := range m.engines {
@@ -163,16 +168,17 @@
 	return m.zoneEngines
 }
 
-// dataSet is what is known of a data set.
+// dataSet is the state of a data set.
 type dataSet struct {
-	requests   decayingMean // requests for it
-	preference []*engine    // all engines, in the order of a hash that all gateways share; nil: to be computed
+	requests   decayingMean // counts its requests
+	preference []*engine    // all engines, in the same hash order on all gateways; nil: to be computed
 }
 
+// dataSet returns the state of a data set with its preference list. It creates them if they are missing.
 func (m *Module) dataSet(id int) *dataSet {
 	set := m.dataSets[id]
 	if set == nil {
-		set = &dataSet{requests: decayingMean{span: m.requestWork.span}}
+		set = &dataSet{requests: decayingMean{timeConstant: m.requestWork.timeConstant}}
 		m.dataSets[id] = set
 	}
 	if set.preference == nil {
@@ -184,10 +190,11 @@
 	return set
 }
 
-// forgetPreferences drops the preference lists, which are out of date, and data sets not requested lately.
+// forgetPreferences drops all preference lists, which are outdated, and the data sets without recent
+// requests.
 func (m *Module) forgetPreferences() {
 	for id, set := range m.dataSets {
-		if set.preference = nil; m.now > set.requests.updatedAt+set.requests.span {
+		if set.preference = nil; m.now > set.requests.updatedAt+set.requests.timeConstant {
 			delete(m.dataSets, id)
 		}
 	}
--- a/rules/estimate.go
+++ b/rules/estimate.go
@@ -1,35 +1,35 @@
 package rules
 
-// Estimates: how much work a request is, and how slow an engine is, learned from outcomes; the types are in
-// api.go. Invariant: every outcome that says something of its class or engine counts, not of successes only,
-// and an outcome that is no fault of the engine teaches nothing.
+// Estimates: how much work a request takes and how slow an engine is, learned from outcomes. The types are
+// in api.go. Invariant: each outcome that is evidence about its class or engine counts, not only successes,
+// and an outcome that is no fault of the engine changes no estimate.
 
 import "math"
 
 const (
-	// learningWindow is the span over which everything learned decays.
-	learningWindow = 10 * Second
-	// slowdownGain is the least weight of the newest outcome in an engine's slowdown.
+	// learningTimeConstant is the time constant with which everything learned decays.
+	learningTimeConstant = 10 * Second
+	// slowdownGain is the minimum weight of the newest outcome in the slowdown of an engine.
 	slowdownGain = 0.2
-	// initialPredictionError is the deviation of predictions assumed before any outcome.
+	// initialPredictionError is the standard deviation of predictions that is assumed before any outcome.
 	initialPredictionError = 0.5
-	// priorSamples is the weight, in samples, of what is assumed or reported by peers.
+	// priorSamples is the weight, in samples, of assumed values and of those reported by peers.
 	priorSamples = 4
 )
 
-// newClass is the state of a class before any outcome.
+// newClass returns the state of a class before any outcome.
 func newClass(settings Class, tenants int) *class {
 	cls := &class{Class: settings}
-	cls.setSpan(learningWindow)
-	cls.predictionError.assume(0, initialPredictionError, priorSamples)
-	cls.memoryNeed.assume(1, initialPredictionError/2, priorSamples)
+	cls.setTimeConstant(learningTimeConstant)
+	cls.predictionError.setPrior(0, initialPredictionError, priorSamples)
+	cls.memoryNeed.setPrior(1, initialPredictionError/2, priorSamples)
 	for range max(1, tenants) {
 		cls.queues = append(cls.queues, &queue{})
 	}
 	return cls
 }
 
-// predictedWork is the work expected of a request, all threads together.
+// predictedWork returns the expected work of a request over all threads, in microseconds.
 func (m *Module) predictedWork(req *request) float64 {
 	if req.HasEstimate {
 		return float64(req.EstimatedWork) * req.class.costRatio.valueOr(1)
@@ -37,8 +37,8 @@
 	return req.class.requestWork.valueOr(float64(req.class.LatencyObjective))
 }
 
-// slowdown is how many times longer a request runs on an engine than alone. For a warming engine without an
-// outcome it follows from its speed.
+// slowdown returns how many times longer a request runs on an engine than alone. For a warming engine
+// without an outcome it is derived from the speed of the engine.
 func (m *Module) slowdown(req *request, eng *engine) float64 {
 	if learned := eng.slowdowns[m.priorityBand(req)]; learned.updatedAt != 0 || !m.warmingUp(eng) {
 		return math.Exp(learned.log)
@@ -46,14 +46,15 @@
 	return 1 / m.speedFraction(eng)
 }
 
-// learn updates what is known of a class and an engine by an outcome. Time-outs and cancelled attempts count
-// too: successes alone would make things look better than they are. An attempt that was sent before the list
-// named the engine's present process tells nothing of that process, only what its class costs.
-func (m *Module) learn(req *request, att *attempt, outcome Outcome) {
+// learnFromOutcome updates the estimates of a class and an engine. Time-outs and cancelled attempts count
+// too: estimates from successes alone would be too optimistic. An attempt that was sent before the list
+// named the present process of the engine says nothing about that process, only about the cost of its
+// class.
+func (m *Module) learnFromOutcome(req *request, att *attempt, outcome Outcome) {
 	if outcome.NotEngineFault {
 		return
 	}
-	if att.ofFormerProcess() {
+	if att.ofFormerIncarnation() {
 		m.learnCost(req, outcome)
 		return
 	}
@@ -77,11 +78,11 @@
 	}
 	work := m.learnCost(req, outcome)
 	m.learnSlowdown(req, att.engine, work, float64(outcome.Latency))
-	m.learnShare(req, att, outcome, work)
+	m.adjustShare(req, att, outcome, work)
 }
 
-// learnCost updates a class by the measured cost, and returns the work of the attempt: measured, or predicted
-// where nothing was measured.
+// learnCost updates the estimates of a class with the measured cost, and returns the work of the attempt:
+// measured, or predicted if nothing was measured.
 func (m *Module) learnCost(req *request, outcome Outcome) float64 {
 	predicted := m.predictedWork(req)
 	if outcome.Status != StatusOK || outcome.MeasuredWork <= 0 {
@@ -99,43 +100,44 @@
 	return work
 }
 
-// learnSlowdown updates an engine's slowdown in one priority band: high priorities hardly notice others. The
-// older the last outcome, the more the newest counts.
+// learnSlowdown updates the slowdown of an engine in the priority band of the request: high priorities
+// hardly notice other load. The weight of the newest outcome grows with the time since the one before.
 func (m *Module) learnSlowdown(req *request, eng *engine, work, latency float64) {
 	learned := &eng.slowdowns[m.priorityBand(req)]
-	alone := float64(req.runTime(work, 1) + 2*m.settings.Tick)
-	newest := math.Log(max(latency/alone, 1))
-	gain := max(slowdownGain, 1-math.Exp(-float64(m.now-learned.updatedAt)/float64(learningWindow)))
+	runTimeAlone := float64(req.runTime(work, 1) + 2*m.settings.Tick)
+	newest := math.Log(max(latency/runTimeAlone, 1))
+	gain := max(slowdownGain, 1-math.Exp(-float64(m.now-learned.updatedAt)/float64(learningTimeConstant)))
 	learned.log += gain * (newest - learned.log)
 	learned.updatedAt = m.now
 }
 
-// learnShare cuts the share for a slow attempt, or grows it for a good one.
-func (m *Module) learnShare(req *request, att *attempt, outcome Outcome, work float64) {
+// adjustShare cuts the share after a slow attempt, and grows it after a successful one.
+func (m *Module) adjustShare(req *request, att *attempt, outcome Outcome, work float64) {
 	if att.cancelledOverdue || req.blocksOnDataLoad() {
 		return
 	}
 	latency := float64(outcome.Latency)
-	alone := float64(req.runTime(work, 1)) + float64(2*m.settings.Tick)
-	queuedForMemory := outcome.Load[loadQueued] >= 1 // more memory is granted than there is
+	runTimeAlone := float64(req.runTime(work, 1)) + float64(2*m.settings.Tick)
+	queuedForMemory := outcome.Load[loadQueued] >= 1 // memory of the engine is overcommitted
 	switch {
-	case queuedForMemory || latency > req.slowAfter(alone, work):
-		m.countSlow(att, latency)
+	case queuedForMemory || latency > req.slowAfter(runTimeAlone, work):
+		m.penalizeSlowAttempt(att, latency)
 	case outcome.Status == StatusOK:
 		m.growShare(work)
 	}
 }
 
-// loadQueued is the field of a load report that counts the queries that wait for memory.
+// loadQueued is the field of a load report with the number of queries that wait for memory.
 const loadQueued = "queue"
 
-// apply gives what peers have learned of a class the weight of a few samples, beneath this gateway's own.
+// apply gives the estimates of peers for a class the weight of a few samples, unless this gateway has as
+// many of its own.
 func (e PeerEstimate) apply(m *Module) {
 	if e.Class < 0 || e.Class >= len(m.classes) || !(e.CostRatio > 0) || !(e.MeanWork > 0) {
 		return
 	}
 	cls := m.classes[e.Class]
-	estimated := priorSamples * e.MeanWork / e.CostRatio // the cost ratio is weighted by estimated work
+	estimated := priorSamples * e.MeanWork / e.CostRatio // the weight of a cost ratio is estimated work
 	if cls.costRatio.weight < estimated {
 		cls.costRatio.sum += estimated * e.CostRatio
 		cls.costRatio.weight += estimated
--- a/rules/fleet.go
+++ b/rules/fleet.go
@@ -1,12 +1,14 @@
 package rules
 
-// Endpoint list: what an update of the list changes; the types are in api.go. Invariant: a failed poll or a
-// missing update removes no engine, and what was learned of an engine is dropped only when it restarts.
+// Endpoint list: how an update of the list is applied. The types are in api.go. Invariant: a failed poll or
+// a missing update removes no engine, and what was learned about an engine is dropped only when it
+// restarts.
 
-// fleetRetryDelay is how long after a failed poll the list is asked for again. The last list stays valid
-// meanwhile, and the name service may be overloaded.
+// fleetRetryDelay is the delay after a failed poll before the list is requested again. The previous list
+// stays valid in the meantime, and the name service may be overloaded.
 const fleetRetryDelay = Second
 
+// handleFleetUpdate applies an update of the list. A complete list removes the engines that it lacks.
 func (m *Module) handleFleetUpdate(update FleetUpdate) {
 	if update.Mode == UpdateFailed {
 		m.emit(SetTimer{At: m.now + fleetRetryDelay, Token: timerPoll})
@@ -25,6 +27,7 @@
 	m.fleetCapacity = m.servingCapacity()
 }
 
+// updateEngine adds or updates an engine, and drops what was learned about it if its process has changed.
 func (m *Module) updateEngine(entry Engine) {
 	eng := m.engineByID[entry.ID]
 	if eng == nil {
@@ -33,7 +36,7 @@
 		m.engines = append(m.engines, eng)
 	}
 	if entry.StartedAt != eng.StartedAt {
-		eng.forgetProcess()
+		eng.startIncarnation()
 	}
 	eng.Engine = entry
 }
--- a/rules/handle.go
+++ b/rules/handle.go
@@ -1,8 +1,8 @@
 package rules
 
-// The entry point of the module; the events and actions are in api.go. It decides which decision an event
-// brings up. Invariant: after every event, what can be dispatched is dispatched, and no more requests stay
-// open than may.
+// Event handling: which decisions an event triggers. The events and actions are in api.go. Invariant: after
+// every event, everything that can be dispatched has been dispatched, and no more requests are open than
+// allowed.
 
 import (
 	"math"
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// New returns the module of a gateway that has just started.
-func New(s Settings, seed uint64) *Module {
-	m := newState(s, rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)))
-	m.share, m.lastDeadline = 1, math.MaxInt64
-	m.requestWork.span = learningWindow
-	for _, settings := range s.Classes {
-		m.classes = append(m.classes, newClass(settings, len(s.Tenants)))
-		m.longestTimeout = max(m.longestTimeout, settings.ClientTimeout)
-		m.mostThreads = max(m.mostThreads, float64(settings.Threads))
+// New returns the module of a gateway that starts now. The seed determines all its random numbers.
+func New(settings Settings, seed uint64) *Module {
+	m := newModule(settings, rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)))
+	m.share, m.shutdownDeadline = 1, math.MaxInt64
+	m.requestWork.timeConstant = learningTimeConstant
+	for _, classSettings := range settings.Classes {
+		m.classes = append(m.classes, newClass(classSettings, len(settings.Tenants)))
+		m.maxClientTimeout = max(m.maxClientTimeout, classSettings.ClientTimeout)
+		m.maxThreads = max(m.maxThreads, float64(classSettings.Threads))
 	}
 	return m
 }
 
-// Handle takes one event and returns what to do. The result is valid until the next call.
+// Handle processes one event and returns the actions to execute. The result is valid until the next call.
 func (m *Module) Handle(now Time, event Event) []Action {
 	m.actions, m.now = m.actions[:0], now
 	if !m.started {
@@ -57,6 +57,7 @@
 	return m.actions
 }
 
+// handleTimer handles an expired timer by the kind that its token starts with.
 func (m *Module) handleTimer(token string) {
 	kind, name, _ := strings.Cut(token, " ")
 	switch kind {
--- a/rules/module.go
+++ b/rules/module.go
@@ -2,73 +2,75 @@
 
 import "math/rand/v2"
 
-// The state of the module. It decides nothing: the decisions are in the files that deploy/balancer.toml
-// lists under policy.
+// State of the module. This file makes no decisions: those are in the files that deploy/balancer.toml lists
+// under policy.
 
-// Module decides for one gateway. It is not safe for concurrent use.
+// Module makes the decisions of one gateway. It is not safe for concurrent use.
 type Module struct {
 	settings Settings
 	rng      *rand.Rand
-	zonePlan ZonePlan // nil: none
-
-	now          Time
-	startedAt    Time
-	started      bool
-	lastDeadline Time // no request may end later
-	actions      []Action
-	sweepPending bool // the sweep timer is set
-
-	engines       []*engine // in the order they were first listed
-	engineByID    map[EngineID]*engine
-	fleetCapacity EngineKind // all serving engines together, those that warm up by what they can do now
-	inFlight      inFlightLoad
-	highPriority  inFlightLoad // the part of inFlight that has a high priority at the engines
-	share         float64      // learned share of the fleet, as a multiple of one over the gateways
-
-	requests    map[RequestID]*request // open ones
+	zonePlan ZonePlan // nil: no plan
+
+	now              Time
+	startedAt        Time
+	started          bool
+	shutdownDeadline Time // math.MaxInt64: no shutdown
+	actions          []Action
+	sweepPending     bool // the sweep timer is set
+
+	engines          []*engine // in the order they were first listed
+	engineByID       map[EngineID]*engine
+	fleetCapacity    EngineKind // of all serving engines, see servingCapacity
+	inFlightLoad     inFlightLoad
+	highPriorityLoad inFlightLoad // the part of inFlightLoad with a high priority
+	share            float64      // learned share of the fleet, as a multiple of an even share
+
+	requests    map[RequestID]*request // open requests, and ended ones with attempts in flight
 	queuedCount int
 	classes     []*class
 	dataSets    map[int]*dataSet
 	keyQueues   map[string]*keyQueue
 	requestWork decayingMean // work of a request of any class
 
-	longestTimeout Time    // the longest client timeout of any class
-	mostThreads    float64 // threads of the class with the most
-	arrivals       []Time  // of requests, within the window of the retry budget
-	retries        []Time  // likewise
+	maxClientTimeout Time    // over all classes
+	maxThreads       float64 // of a request, over all classes
+	arrivals         []Time  // within the window of the retry budget
+	retries          []Time  // within the window of the retry budget
 
-	candidates  []*engine // scratch: the engines that may take a request
-	zoneEngines []*engine // scratch: engines of a zone
+	candidates  []*engine // scratch space: engines that may take a request
+	zoneEngines []*engine // scratch space: engines of a zone
 }
 
-func newState(s Settings, rng *rand.Rand) *Module {
-	s.Gateways = max(s.Gateways, 1) // this gateway is one of them
-	return &Module{settings: s, rng: rng, mostThreads: 1, engineByID: map[EngineID]*engine{},
+// newModule returns a module without classes.
+func newModule(settings Settings, rng *rand.Rand) *Module {
+	settings.Gateways = max(settings.Gateways, 1) // at least this gateway
+	return &Module{settings: settings, rng: rng, maxThreads: 1, engineByID: map[EngineID]*engine{},
 		requests: map[RequestID]*request{}, keyQueues: map[string]*keyQueue{}, dataSets: map[int]*dataSet{}}
 }
 
 func (m *Module) emit(a Action) { m.actions = append(m.actions, a) }
 
-// Tokens of timers. A host may pass them on over a wire, so their form is fixed.
+// Kinds of timer tokens. A host may send tokens over the wire, so their form is fixed.
 const (
-	timerRequest = "request" // with the request's ID: review it
-	timerKey     = "lane"    // with the order key: serve its queue
+	timerRequest = "request" // followed by a request ID: review the request
+	timerKey     = "lane"    // followed by an order key: serve its queue
 	timerPoll    = "ask"     // subscribe to the endpoint list again
 	timerSweep   = "sweep"   // reconsider queued requests
 )
 
-// setTimer asks for a timer of one request or order key.
+// setTimer sets a timer for a request or an order key.
 func (m *Module) setTimer(at Time, kind, name string) {
 	m.emit(SetTimer{At: at, Token: kind + " " + name})
 }
 
+// subscribe requests updates of the endpoint list, if these need a subscription.
 func (m *Module) subscribe() {
 	if m.settings.PullMembership {
 		m.emit(Subscribe{On: true})
 	}
 }
 
-// observation is an event that only adds to what the module knows.
+// observation is an event that only updates the state and triggers no decision of its own.
 type observation interface{ apply(m *Module) }
 
 func (e ZonePlanChanged) apply(m *Module) { m.zonePlan = e.Plan }
--- a/rules/ordering.go
+++ b/rules/ordering.go
@@ -1,10 +1,11 @@
 package rules
 
-// Ordering: when the next request of an order key may run; the types are in api.go. Invariant: requests of
-// one key run one at a time in the order of arrival, and after an attempt that may still run the key is
-// quarantined.
+// Ordering: when the next request of an order key may run. The types are in api.go. Invariant: requests of
+// one key run one at a time in order of arrival, and the key is quarantined after an attempt that may still
+// run.
 
-// serveKeyQueue queues the first request of a key, and frees the queue of a key that is empty.
+// serveKeyQueue queues the first request of a key for dispatch, or deletes the queue of a key that has no
+// requests. It does neither while the key is quarantined.
 func (m *Module) serveKeyQueue(q *keyQueue) {
 	if len(q.waiting) == 0 {
 		if m.now >= q.quarantinedUntil {
@@ -23,7 +24,7 @@
 	m.enqueue(first)
 }
 
-// quarantineKey keeps the key of a request idle after an attempt that may still run.
+// quarantineKey keeps the order key of a request idle if its attempt may still run.
 func (m *Module) quarantineKey(req *request, status Status) {
 	if req.keyQueue == nil {
 		return
--- a/rules/priority.go
+++ b/rules/priority.go
@@ -1,21 +1,23 @@
 package rules
 
-// Priority: which priority a request asks for at the engines, and with which requests it competes there; the
-// types are in api.go. Invariant: a class that is much of the work competes with all, whatever its priority.
+// Priority: which priority a request gets on engines, and with which requests it competes there. The types
+// are in api.go. Invariant: a class with a large part of the work competes with all classes, whatever its
+// priority.
 
 import "math"
 
-// Priorities asked for at the engines.
+// Priorities of attempts on engines.
 const (
 	lowPriority  = 1
 	highPriority = 3
 )
 
-// shortClassMaxWork is the fraction of all work up to which a class of high priority counts as short: above
-// it such requests compete with each other for the whole engine.
-const shortClassMaxWork = 0.35
+// shortClassMaxWorkFraction is the largest fraction of all work with which a class of high priority counts as
+// short. With a larger one its requests compete with each other for the whole engine.
+const shortClassMaxWorkFraction = 0.35
 
-// priority is high for the class that earns the most priority weight for its work.
+// priority returns highPriority if no class earns more priority weight per work than that of the request,
+// and lowPriority otherwise.
 func (m *Module) priority(req *request) int {
 	work := req.class.requestWork.valueOr(1)
 	for _, cls := range m.classes {
@@ -26,11 +28,11 @@
 	return highPriority
 }
 
-// priorityBand is which of an engine's slowdowns a request sees: 1 is that of short queries, which overtake
-// the others there, 0 that of all others.
+// priorityBand returns which of an engine's slowdowns applies to a request: 1 for short queries, which
+// overtake the others there, and 0 for all others.
 func (m *Module) priorityBand(req *request) int {
 	if m.settings.AcceptsPriority && m.priority(req) == highPriority &&
-		req.class.requestWork.sum <= shortClassMaxWork*m.requestWork.sum {
+		req.class.requestWork.sum <= shortClassMaxWorkFraction*m.requestWork.sum {
 		return 1
 	}
 	return 0
--- a/rules/queue.go
+++ b/rules/queue.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// The state of the queues: of requests that wait to be dispatched, and of requests that share an order key.
-// It decides nothing.
+// State of the queues: of requests that wait for their dispatch, and of requests with the same order key.
+// This file makes no decisions.
 
-// queue holds the waiting requests of one class and tenant, as a heap ordered by Less.
+// queue holds the queued requests of one class and tenant, as a heap ordered by Less.
 type queue struct {
 	requests    []*request
-	totalWork   float64 // predicted work of all
-	virtualTime float64 // virtual finish of the last one dispatched
+	totalWork   float64 // predicted work of all requests
+	virtualTime float64 // highest virtual finish of the dispatched requests that were not late
 }
 
-// Len is the number of waiting requests.
+// Len returns the number of queued requests.
 func (q *queue) Len() int { return len(q.requests) }
 
-// Swap swaps two requests and keeps their indexes.
+// Swap swaps two requests and updates their indexes.
 func (q *queue) Swap(i, j int) {
 	q.requests[i], q.requests[j] = q.requests[j], q.requests[i]
 	q.requests[i].heapIndex, q.requests[j].heapIndex = i, j
 }
 
-// Push adds a request at the end, for container/heap.
+// Push appends a request, for container/heap.
 func (q *queue) Push(x any) {
 	req := x.(*request)
 	req.heapIndex = len(q.requests)
 	q.requests = append(q.requests, req)
 }
 
-// Pop removes the request at the end, for container/heap.
+// Pop removes the last element, for container/heap.
 func (q *queue) Pop() any {
 	last := len(q.requests) - 1
 	req := q.requests[last]
@@ -40,7 +40,7 @@
 	return req
 }
 
-// last is the request that would be dispatched last.
+// last returns the request that would be dispatched last.
 func (q *queue) last() *request {
 	last := 0
 	for i := range q.requests {
@@ -51,7 +51,7 @@
 	return q.requests[last]
 }
 
-// longestQueue is the queue with the most requests.
+// longestQueue returns the queue with the most requests.
 func (m *Module) longestQueue() *queue {
 	longest := m.classes[0].queues[0]
 	for _, cls := range m.classes {
@@ -64,7 +64,7 @@
 	return longest
 }
 
-// queuedWork sums up the predicted work of all queued requests.
+// queuedWork returns the predicted work of all queued requests.
 func (m *Module) queuedWork() (sum float64) {
 	for _, cls := range m.classes {
 		for _, q := range cls.queues {
@@ -74,7 +74,7 @@
 	return sum
 }
 
-// dequeue takes a request off its queue, if it is on one.
+// dequeue removes a request from its queue, if it is queued.
 func (m *Module) dequeue(req *request) {
 	if req.heapIndex < 0 {
 		return
@@ -84,13 +84,14 @@
 	m.queuedCount--
 }
 
-// keyQueue lists the requests of one order key: the first may run, the others wait until it is over.
+// keyQueue holds the open requests of one order key: the first may run, the others wait until it is over.
 type keyQueue struct {
 	key              string
-	waiting          []*request
-	quarantinedUntil Time // no request of the key is sent before
+	waiting          []*request // in order of arrival, including the first
+	quarantinedUntil Time       // no request of the key is sent before this time
 }
 
+// joinKeyQueue appends a request to the queue of its order key.
 func (m *Module) joinKeyQueue(req *request) {
 	queue := m.keyQueues[req.OrderKey]
 	if queue == nil {
@@ -102,6 +103,7 @@
 	m.serveKeyQueue(queue)
 }
 
+// leaveKeyQueue removes a request that is over from the queue of its order key, and serves the next one.
 func (m *Module) leaveKeyQueue(req *request) {
 	queue := req.keyQueue
 	queue.remove(req)
--- a/rules/request.go
+++ b/rules/request.go
@@ -2,51 +2,54 @@
 
 import "slices"
 
-// The state kept of each class, request and attempt. It decides nothing.
+// State of classes, requests and attempts. This file makes no decisions.
 
+// class is the state of a class.
 type class struct {
 	Class
-	queues          []*queue     // by tenant
-	requestWork     decayingMean // predicted
-	measuredWork    decayingMean
+	queues          []*queue          // by tenant
+	requestWork     decayingMean      // predicted work of a request
+	measuredWork    decayingMean      // measured work of a request
 	costRatio       decayingMean      // measured over estimated work
 	memoryNeed      decayingDeviation // measured over estimated memory
 	predictionError decayingDeviation // logarithm of measured over predicted work
 }
 
-// setSpan sets the span over which all learned figures of a class decay.
-func (c *class) setSpan(span Time) {
-	for _, mean := range []*decayingMean{&c.costRatio, &c.requestWork, &c.measuredWork, &c.memoryNeed.mean, &c.memoryNeed.square,
-		&c.predictionError.mean, &c.predictionError.square} {
-		mean.span = span
+// setTimeConstant sets the time constant of all learned values of a class.
+func (c *class) setTimeConstant(timeConstant Time) {
+	for _, mean := range []*decayingMean{&c.costRatio, &c.requestWork, &c.measuredWork,
+		&c.memoryNeed.mean, &c.memoryNeed.meanSquare, &c.predictionError.mean, &c.predictionError.meanSquare} {
+		mean.timeConstant = timeConstant
 	}
 }
 
-// threadCount is the number of threads that a request of the class runs on.
+// threadCount returns the number of threads that a request of the class uses, at least 1.
 func (c *class) threadCount() float64 { return float64(max(1, c.Threads)) }
 
+// request is the state of an open request.
 type request struct {
 	Request
 	class     *class
-	arrivedAt Time
+	arrivedAt Time // at the gateway: QueuedFor before its Arrival event
 	attempts  []attempt
-	inFlight  int // attempts without an outcome
+	inFlight  int // number of attempts without an outcome yet
 	ended     bool
 	streaming bool
-	options   SetAttemptOptions // as last set
+	options   SetAttemptOptions // as last sent to the host
 	keyQueue  *keyQueue         // nil: not ordered
 
-	late          bool // it can't meet its objective any more
-	queue         *queue
-	heapIndex     int     // in the queue; -1: not queued
-	virtualFinish float64 // its place in the queue
-	queuedWork    float64 // predicted work while it is queued
-	hadOverdue    bool    // an attempt was cancelled as overdue
+	late              bool // it can no longer meet its objective
+	queue             *queue
+	heapIndex         int     // position in the queue; -1: not queued
+	virtualFinish     float64 // determines its place in the queue
+	queuedWork        float64 // its part of totalWork of the queue
+	hadOverdueAttempt bool    // an attempt was cancelled as overdue
 }
 
+// attempt is the state of an attempt.
 type attempt struct {
 	engine           *engine
-	process          int // of the engine, by the list as it was then
+	incarnation      int // of the engine when the attempt started
 	zone             int
 	cell             int
 	startedAt        Time
@@ -54,46 +57,46 @@
 	memoryMB         float64
 	work             float64 // predicted engine time
 	expectedTime     float64
-	highPriority     bool // it has a high priority there
+	highPriority     bool // it has a high priority on the engine
 	reportedToPeers  bool
 	done             bool
-	status           Status  // once it is done
-	countedSlow      float64 // the time of it that has already counted as slow
+	status           Status  // valid if done
+	penalizedTime    float64 // part of its run time for which the share was already cut; 0: not slow so far
 	cancelledOverdue bool
 }
 
-// startAttempt adds an attempt to its request, its engine and the totals.
+// startAttempt adds an attempt to its request and to the loads of its engine and the gateway.
 func (m *Module) startAttempt(req *request, att attempt) {
 	req.attempts = append(req.attempts, att)
 	req.inFlight++
 	eng := att.engine
 	eng.add(&att)
-	m.inFlight.add(&att)
+	m.inFlightLoad.add(&att)
 	if att.highPriority {
-		eng.highPriority.add(&att)
-		m.highPriority.add(&att)
+		eng.highPriorityLoad.add(&att)
+		m.highPriorityLoad.add(&att)
 	}
 	if att.reportedToPeers {
-		eng.reportedToPeers.add(&att)
+		eng.reportedLoad.add(&att)
 	}
 	if req.class.IsDataLoad {
 		eng.dataLoads[req.DataSet]++
 	}
 }
 
-// endAttempt takes an attempt off its engine and the totals.
+// endAttempt marks an attempt as done, and removes it from the loads of its engine and the gateway.
 func (m *Module) endAttempt(req *request, att *attempt, status Status) {
 	att.done, att.status = true, status
 	req.inFlight--
 	eng := att.engine
 	eng.remove(att)
-	m.inFlight.remove(att)
+	m.inFlightLoad.remove(att)
 	if att.highPriority {
-		eng.highPriority.remove(att)
-		m.highPriority.remove(att)
+		eng.highPriorityLoad.remove(att)
+		m.highPriorityLoad.remove(att)
 	}
 	if att.reportedToPeers {
-		eng.reportedToPeers.remove(att)
+		eng.reportedLoad.remove(att)
 	}
 	if req.class.IsDataLoad {
 		if eng.dataLoads[req.DataSet]--; eng.dataLoads[req.DataSet] <= 0 {
@@ -102,20 +105,21 @@
 	}
 }
 
-// ofFormerProcess reports whether the engine's process is another one by now, as far as the list tells.
-func (a *attempt) ofFormerProcess() bool { return a.process != a.engine.process }
+// ofFormerIncarnation reports whether the list has named another process of the engine since the attempt
+// started.
+func (a *attempt) ofFormerIncarnation() bool { return a.incarnation != a.engine.incarnation }
 
-// runTime is how long work takes at a slowdown.
+// runTime returns how long the given work of the request takes at a slowdown.
 func (r *request) runTime(work, slowdown float64) Time {
 	return Time(work / r.class.threadCount() * slowdown)
 }
 
-// triedOn reports whether the request had an attempt on an engine.
+// triedOn reports whether the request has had an attempt on an engine.
 func (r *request) triedOn(eng *engine) bool {
 	return slices.ContainsFunc(r.attempts, func(att attempt) bool { return att.engine == eng })
 }
 
-// triedZones are the zones that had an attempt of the request.
+// triedZones returns the zones in which the request has had an attempt.
 func (r *request) triedZones() (zones []int) {
 	for i := range r.attempts {
 		zones = append(zones, r.attempts[i].zone)
@@ -123,6 +127,7 @@
 	return zones
 }
 
+// mayHaveExecuted reports whether any attempt may have been executed, or may be running.
 func (r *request) mayHaveExecuted() bool {
 	for i := range r.attempts {
 		if att := &r.attempts[i]; !att.done || !att.status.NeverExecuted() {
@@ -132,19 +137,21 @@
 	return false
 }
 
-// reviewAt sets a timer to review the request, unless that is past or after its deadline.
+// reviewAt sets a timer to review the request, unless the time is past or not before the deadline.
 func (m *Module) reviewAt(req *request, at Time) {
 	if at > m.now && at < req.Deadline {
 		m.setTimer(at, timerRequest, string(req.ID))
 	}
 }
 
+// handleStreamOpened exempts a request from reviews: its response is being streamed to the client.
 func (m *Module) handleStreamOpened(id RequestID) {
 	if req := m.requests[id]; req != nil {
 		req.streaming = true
 	}
 }
 
+// handleClientGone ends a request whose client has disconnected.
 func (m *Module) handleClientGone(id RequestID) {
 	if req := m.requests[id]; req != nil && !req.ended {
 		m.endRequest(req)
--- a/rules/response.go
+++ b/rules/response.go
@@ -1,13 +1,14 @@
 package rules
 
-// Final responses: what the module itself answers, and when a client is to come back; the types are in
-// api.go. Invariant: a request gets at most one final response of the module, and a rejection only where a
-// retry is proven to be safe.
+// Final responses: how the module itself ends a request, and when its client should retry. The types are in
+// api.go. Invariant: a request gets at most one final response from the module, and a rejection only if a
+// retry is provably safe.
 
 import "math"
 
-// finish ends a request with a rejection where that promise can be kept, else with a failure.
-func (m *Module) finish(req *request, reason FailureReason) {
+// rejectOrFail ends a request, with a rejection if that can promise that a retry is safe, with a failure
+// otherwise.
+func (m *Module) rejectOrFail(req *request, reason FailureReason) {
 	if req.mayReject() {
 		m.emit(Reject{ID: req.ID, RetryAfter: m.retryAfter(req), Reason: reason})
 	} else {
@@ -27,17 +28,18 @@
 	return !r.mayHaveExecuted()
 }
 
-// retryAfter is how long a rejected client should wait: until what is queued should have run, but no longer
-// than its own query runs. During a shutdown it should go elsewhere at once.
+// retryAfter returns how long a rejected client should wait: until the queued work should be done, but no
+// longer than its own query runs. During a shutdown it should retry at once, on another gateway.
 func (m *Module) retryAfter(req *request) Time {
-	if !m.settings.Limits.RetryAfter || m.lastDeadline != math.MaxInt64 {
+	if !m.settings.Limits.RetryAfter || m.shutdownDeadline != math.MaxInt64 {
 		return 0
 	}
 	wait := Time(m.queuedWork() / max(m.threadBound(m.fleetCapacity.Cores), 1))
 	return min(wait, req.runTime(m.predictedWork(req), 1), m.settings.Limits.MaxRetryAfter)
 }
 
-// endRequest closes a request and cancels its attempts in flight. A streamed response is the client's.
+// endRequest ends a request and cancels its attempts in flight, except while a response is being streamed
+// to the client.
 func (m *Module) endRequest(req *request) {
 	m.dequeue(req)
 	req.ended = true
--- a/rules/retry.go
+++ b/rules/retry.go
@@ -1,11 +1,12 @@
 package rules
 
-// Retries: whether a request may have an attempt, or a further one, on an engine; the types are in api.go.
-// Invariant: a request that is not idempotent never has a second attempt unless the first is proven not to
-// have run, one with an idempotency key is retried only where and while its key is remembered, and retries
-// stay within the retry budget.
+// Retries: whether a request may have its first or another attempt on an engine. The types are in api.go.
+// Invariant: a request that is not idempotent has another attempt only if the earlier ones provably did not
+// run, one with an idempotency key is retried only where and while its key is remembered, and retries stay
+// within the retry budget.
 
-// maySend is the only place that says whether the rules allow an attempt on an engine.
+// maySend reports whether the rules allow an attempt on an engine. It is the only place that checks them
+// all.
 func (m *Module) maySend(req *request, eng *engine) bool {
 	return eng.State == EngineServing &&
 		allowed(req.class.AllowedZones, eng.Zone) &&
@@ -15,7 +16,7 @@
 		m.slowStartBudgetLeft(req, eng)
 }
 
-// mayRetry reports whether an attempt on an engine may follow those that the request had.
+// mayRetry reports whether an attempt on an engine may follow the earlier attempts of the request, if any.
 func (m *Module) mayRetry(req *request, eng *engine) bool {
 	if len(req.attempts) == 0 {
 		return true
@@ -43,6 +44,7 @@
 		req.class.sameDedupScope(earlier, eng)
 }
 
+// sameDedupScope reports whether an engine drops duplicates of an earlier attempt.
 func (c *class) sameDedupScope(earlier *attempt, eng *engine) bool {
 	switch c.DedupScope {
 	case DedupZone:
@@ -53,12 +55,14 @@
 	return true
 }
 
+// attemptsLeft reports whether MaxAttempts permits another attempt.
 func (m *Module) attemptsLeft(req *request) bool {
 	return m.settings.Limits.MaxAttempts <= 0 || len(req.attempts) < m.settings.Limits.MaxAttempts
 }
 
-// retryBudgetLeft reports whether one more retry stays within the retry budget. The windows are a tick
-// narrower for arrivals and a tick wider for retries, so that the order of events within a tick is harmless.
+// retryBudgetLeft reports whether one more retry stays within the retry budget. The window is a tick
+// shorter for arrivals and a tick longer for retries, so that the order of events within a tick does not
+// matter.
 func (m *Module) retryBudgetLeft() bool {
 	c := &m.settings.Constraints
 	if !c.RetryBudgetEnabled {
@@ -69,10 +73,10 @@
 	return float64(len(m.retries)+1) <= c.RetryBudgetMin+c.RetryBudgetRatio*float64(len(m.arrivals))
 }
 
-// retryOrFinish queues a request for a further attempt where one may still help, else ends it.
-func (m *Module) retryOrFinish(req *request) {
+// retryOrEnd queues a request for another attempt if one is allowed, and ends it otherwise.
+func (m *Module) retryOrEnd(req *request) {
 	if !m.attemptsLeft(req) || req.mayHaveExecuted() && req.class.Idempotency == NotIdempotent {
-		m.finish(req, ReasonAttemptsExhausted)
+		m.rejectOrFail(req, ReasonAttemptsExhausted)
 		return
 	}
 	m.enqueue(req)
--- a/rules/routing.go
+++ b/rules/routing.go
@@ -1,13 +1,13 @@
 package rules
 
-// Routing: which engine a request is sent to; the types are in api.go. Of two random candidates the less
-// busy is chosen. Invariant: only an engine that fits the request and that the rules allow is chosen, and
-// one that had an attempt of the request only where no other may take it.
+// Routing: which engine a request is sent to. The types are in api.go. The less busy of two random
+// candidates is chosen. Invariant: the chosen engine has the capacity for the request and the rules allow
+// it, and it has had an attempt of the request only if no other engine may take it.
 
-// minCandidates is how many candidates are wanted before a search ends: two leave a choice.
+// minCandidates is the number of candidates with which a search ends: two leave a choice.
 const minCandidates = 2
 
-// chooseEngine chooses the engine for a request, nil if none may take it now.
+// chooseEngine returns the engine for a request, or nil if none may take it now.
 func (m *Module) chooseEngine(req *request) *engine {
 	if eng := m.sampledWarmingEngine(req); eng != nil {
 		return eng
@@ -27,8 +27,8 @@
 	return m.lessBusyOfTwo(req)
 }
 
-// listCandidatesInZone lists candidates of a zone, those that the request's data set prefers first. Requests
-// that a data load blocks keep apart instead.
+// listCandidatesInZone lists the candidates of a zone, preferably those that the data set of the request
+// prefers. Requests that block on data loads are spread over the whole zone instead.
 func (m *Module) listCandidatesInZone(req *request, zone int) {
 	m.listCandidates(req, m.preferredInZone(req, zone))
 	if req.blocksOnDataLoad() || len(m.candidates) < minCandidates && m.zonePlan != nil {
@@ -36,6 +36,8 @@
 	}
 }
 
+// listCandidatesAnywhere lists the candidates that the data set of the request prefers, or all if these are
+// too few.
 func (m *Module) listCandidatesAnywhere(req *request) {
 	m.listCandidates(req, m.preferredEngines(req))
 	if len(m.candidates) < minCandidates {
@@ -43,6 +45,7 @@
 	}
 }
 
+// listCandidates lists those of the engines that may take a request.
 func (m *Module) listCandidates(req *request, engines []*engine) {
 	m.candidates = m.candidates[:0]
 	for _, eng := range engines {
@@ -52,12 +55,12 @@
 	}
 }
 
-// mayTake reports whether an engine has the capacity for a request, and the rules allow it.
+// mayTake reports whether an engine has the capacity for a request and the rules allow it.
 func (m *Module) mayTake(eng *engine, req *request) bool {
 	return m.fits(req, eng) && m.maySend(req, eng)
 }
 
-// lessBusyOfTwo is the less busy of two random candidates, nil if there are none.
+// lessBusyOfTwo returns the less busy of two random candidates, or nil if there are none.
 func (m *Module) lessBusyOfTwo(req *request) *engine {
 	count := len(m.candidates)
 	switch count {
@@ -77,9 +80,9 @@
 	return first
 }
 
-// predictedBusy is the engine time predicted for what runs on an engine and for the request itself. Where
-// this gateway runs little there, the engine's slowdown alone tells two engines apart.
+// predictedBusy returns the engine time predicted for the load of an engine and for the request itself. If
+// this gateway and its peers have little load there, the slowdowns alone distinguish two engines.
 func (m *Module) predictedBusy(req *request, eng *engine) float64 {
-	eng.peers.expire(m.now - m.longestTimeout)
+	eng.peers.expire(m.now - m.maxClientTimeout)
 	return eng.work + eng.peers.work + m.predictedWork(req)*m.slowdown(req, eng)
 }
--- a/rules/stats.go
+++ b/rules/stats.go
@@ -6,24 +6,26 @@
 	"slices"
 )
 
-// Helpers without knowledge of requests or engines: decaying means, a weighted draw, lists and hashes.
-// They decide nothing.
+// Helpers for statistics: decaying means, a weighted draw, lists and hashes. They do not depend on the
+// state of the module. This file makes no decisions.
 
-// decayingMean is a mean in which samples lose weight exponentially, by a factor of e for each span.
+// decayingMean is an exponentially decaying mean: samples lose weight by a factor of e per time constant.
 type decayingMean struct {
-	span        Time
-	sum, weight float64
-	updatedAt   Time
+	timeConstant Time
+	sum, weight  float64
+	updatedAt    Time
 }
 
+// add adds a sample with a weight; sum is the value times the weight.
 func (d *decayingMean) add(now Time, sum, weight float64) {
-	keep := 1.0 // a prior set before the first sample counts in full at first
+	keep := 1.0 // a prior does not decay before the first sample
 	if d.updatedAt != 0 {
-		keep = math.Exp(-float64(now-d.updatedAt) / float64(d.span))
+		keep = math.Exp(-float64(now-d.updatedAt) / float64(d.timeConstant))
 	}
 	d.sum, d.weight, d.updatedAt = d.sum*keep+sum, d.weight*keep+weight, now
 }
 
+// valueOr returns the mean, or unknown without samples.
 func (d *decayingMean) valueOr(unknown float64) float64 {
 	if d.weight < 1e-9 {
 		return unknown
@@ -31,27 +33,29 @@
 	return d.sum / d.weight
 }
 
-// decayingDeviation follows the mean and the standard deviation of a figure.
-type decayingDeviation struct{ mean, square decayingMean }
+// decayingDeviation is an exponentially decaying mean and standard deviation.
+type decayingDeviation struct{ mean, meanSquare decayingMean }
 
+// add adds a sample.
 func (d *decayingDeviation) add(now Time, x float64) {
 	d.mean.add(now, x, 1)
-	d.square.add(now, x*x, 1)
+	d.meanSquare.add(now, x*x, 1)
 }
 
-// assume sets a prior mean and deviation with a weight in samples.
-func (d *decayingDeviation) assume(mean, deviation, weight float64) {
+// setPrior sets a prior mean and deviation, with a weight in samples.
+func (d *decayingDeviation) setPrior(mean, deviation, weight float64) {
 	d.mean.sum, d.mean.weight = weight*mean, weight
-	d.square.sum, d.square.weight = weight*(mean*mean+deviation*deviation), weight
+	d.meanSquare.sum, d.meanSquare.weight = weight*(mean*mean+deviation*deviation), weight
 }
 
+// deviation returns the standard deviation, 0 without samples.
 func (d *decayingDeviation) deviation() float64 {
 	mean := d.mean.valueOr(0)
-	return math.Sqrt(max(0, d.square.valueOr(0)-mean*mean))
+	return math.Sqrt(max(0, d.meanSquare.valueOr(0)-mean*mean))
 }
 
-// draw returns an index with the given odds, or -1 where all are zero.
-func draw(rng *rand.Rand, odds []float64) int {
+// weightedDraw returns a random index with the given odds, or -1 if all odds are zero.
+func weightedDraw(rng *rand.Rand, odds []float64) int {
 	total, last := 0.0, -1
 	for _, o := range odds {
 		total += o
@@ -68,7 +72,7 @@
 	return last
 }
 
-// dropBefore drops the times before from.
+// dropBefore drops the times before from of a sorted list.
 func dropBefore(times []Time, from Time) []Time {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
@@ -76,7 +80,8 @@
 	return times
 }
 
-// insertSorted adds a time in order: requests that waited ahead of the module come out of order.
+// insertSorted inserts a time into a sorted list. Requests can reach the module out of order, since they
+// may wait before it.
 func insertSorted(times []Time, t Time) []Time {
 	i := len(times)
 	for i > 0 && times[i-1] > t {
@@ -88,10 +93,10 @@
 	return times
 }
 
-// allowed reports whether a value is in the list, or there is no list.
+// allowed reports whether the list contains a value. A nil list contains all.
 func allowed(list []int, value int) bool { return list == nil || slices.Contains(list, value) }
 
-// excluding is the list without the elements that match, or the whole list where all do.
+// excluding returns the list without the elements that match, or the whole list if all match.
 func excluding[T any](list []T, matches func(T) bool) []T {
 	if !slices.ContainsFunc(list, matches) {
 		return list
@@ -104,10 +109,10 @@
 
 func fractionalPart(x float64) float64 { return x - math.Floor(x) }
 
-// hashUnit hashes a number and an engine to a number from 0 to 1.
+// hashUnit hashes a number and an engine to a number in [0, 1).
 func hashUnit(n int, engine EngineID) float64 { return float64(hash64(n, engine)>>11) / (1 << 53) }
 
-// hash64 hashes a number and an engine (the finalizer of splitmix64).
+// hash64 hashes a number and an engine, with the finalizer of splitmix64.
 func hash64(n int, engine EngineID) uint64 {
 	x := uint64(n)<<32 ^ uint64(engine)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/rules/views.go
+++ b/rules/views.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// What the module tells its host of what it has learned. It decides nothing.
+// Views of the state of the module for its host. This file makes no decisions.
 
-// ClassEstimates is what is known of each class.
+// ClassEstimates returns what was learned about each class, by its index.
 func (m *Module) ClassEstimates() []ClassEstimate {
 	estimates := make([]ClassEstimate, len(m.classes))
 	for i, cls := range m.classes {
@@ -14,17 +14,17 @@
 	return estimates
 }
 
-// SlowStartUsage is what was sent to each warming engine within the overload window.
+// SlowStartUsage returns what was used of the slow-start budget of each serving engine that warms up.
 func (m *Module) SlowStartUsage() (usage []SlowStartUsage) {
 	for _, eng := range m.engines {
 		if m.warmingUp(eng) && eng.State == EngineServing {
-			usage = append(usage, SlowStartUsage{eng.ID, m.slowStartWork(eng), m.slowStartQuota(eng)})
+			usage = append(usage, SlowStartUsage{eng.ID, m.slowStartUsed(eng), m.slowStartQuota(eng)})
 		}
 	}
 	return usage
 }
 
-// LoadSummary is the gateway's own load.
+// LoadSummary returns the gateway's own load.
 func (m *Module) LoadSummary() LoadSummary {
 	summary := LoadSummary{Share: max(m.share, 1), MeanWork: make([]float64, len(m.classes))}
 	for i, cls := range m.classes {
@@ -40,7 +40,7 @@
 	return summary
 }
 
-// EngineViews is what is known of each engine, in the order they were first listed.
+// EngineViews returns what is known about each engine, in the order in which they were first listed.
 func (m *Module) EngineViews() []EngineView {
 	views := make([]EngineView, 0, len(m.engines))
 	slow := m.slowInFlight()
@@ -54,12 +54,12 @@
 	return views
 }
 
-// slowInFlight counts the attempts in flight that count as slow, by engine.
+// slowInFlight returns the number of slow attempts in flight, by engine.
 func (m *Module) slowInFlight() map[*engine]int {
 	slow := map[*engine]int{}
 	for _, req := range m.requests {
 		for i := range req.attempts {
-			if att := &req.attempts[i]; !att.done && att.countedSlow > 0 {
+			if att := &req.attempts[i]; !att.done && att.penalizedTime > 0 {
 				slow[att.engine]++
 			}
 		}
