--- a/internal/admission/accounts.go
+++ b/internal/admission/accounts.go
@@ -6,48 +6,48 @@
 	"foxlane/rules"
 )
 
-// This file owns the accounts of tenants and clients that have something open: an account is made when its principal
-// comes and removed with the last connection and request, when its debt is remembered.
+// This file manages the accounts of tenants and clients. An account is created with the first connection or request of
+// its principal and removed with the last one; its debt is then recorded.
 
-// clientDebtLifetime is how long the debt of a client is kept while other clients of its tenant stay.
+// clientDebtLifetime is how long the debt of a client that has nothing open is kept while its tenant has other clients.
 const clientDebtLifetime = 10 * rules.Second
 
-// clientAccount is a client of a tenant, while it has a connection or a request.
+// clientAccount is the account of a client that has a connection or a request.
 type clientAccount struct {
-	key         uint64 // unique over all tenants
+	key         uint64 // unique among the clients of all tenants
 	clientHash  uint64 // unique within its tenant
 	tenant      *tenantAccount
 	index       int // in tenantAccount.clients
 	virtualTime float64
-	connections int
-	requests    int
-	queued      int
+	connections int // open connections
+	requests    int // open requests
+	queued      int // queued requests, including blocked ones
 	queuedWork  float64
 	queues      []clientQueue // by class
 }
 
-// tenantAccount is a tenant, while one of its clients has a connection or a request.
+// tenantAccount is the account of a tenant that has a client with a connection or a request.
 type tenantAccount struct {
 	key               uint64
-	epoch             uint64 // differs each time that the tenant comes back
+	epoch             uint64 // unique to this account: differs when the tenant gets a new one
 	weight            float64
 	index             int // in Controller.tenants
 	virtualTime       float64
-	clientVirtualTime float64 // least virtual time of its clients with a queued request; never falls
+	clientVirtualTime float64 // least virtual time of its clients with queued requests; never decreases
 	clients           []*clientAccount
 	flows             []tenantFlow // by class
-	connections       int
-	queued            int
+	connections       int          // open connections
+	queued            int          // queued requests, including blocked ones
 	queuedWork        float64
-	statementBytes    int
-	inputBytes        int
-	servedRate        decayingRate
-	bookedUntil       rules.Time // its rate is taken by bookings until then
-	emptySince        rules.Time // when its last queued request left the queue
-	queuedSince       rules.Time // when its queue began to fill
+	statementBytes    int          // statement bytes of its open requests
+	inputBytes        int          // bytes of its incomplete packets
+	admittedRate      decayingRate // work admitted
+	bookedUntil       rules.Time   // bookings take up its share of the capacity until then
+	emptySince        rules.Time   // when its queue became empty
+	queuedSince       rules.Time   // when its queue became non-empty
 }
 
-// mixHash combines two hashes. It never returns 0, which stands for no principal.
+// mixHash combines two hashes. It never returns 0, which means no principal.
 func mixHash(a, b uint64) uint64 {
 	h := a ^ b*0x9e3779b97f4a7c15
 	h ^= h >> 32
@@ -59,8 +59,7 @@
 	return h
 }
 
-// findOrAddClient returns the account of a principal. A new account starts with the debt that is remembered of the
-// principal.
+// findOrAddClient returns the account of a principal. A new account starts with the recorded debt of the principal.
 func (c *Controller) findOrAddClient(p principal) *clientAccount {
 	tenant := c.tenantByKey[p.tenant]
 	if tenant == nil {
@@ -69,7 +68,7 @@
 	if tenant.queued == 0 {
 		tenant.weight = p.weight
 	}
-	for _, client := range tenant.clients { // a list, since most tenants have few clients
+	for _, client := range tenant.clients { // a linear search, since most tenants have few clients
 		if client.clientHash == p.client {
 			return client
 		}
@@ -86,8 +85,8 @@
 	for i := range queues {
 		queues[i] = clientQueue{requestList{noSlot, noSlot}, noSlot, noSlot}
 	}
-	if r, ok := c.clientDebts.take(client.key); ok {
-		client.virtualTime = max(client.virtualTime, r.virtualTime)
+	if recorded, ok := c.clientDebts.take(client.key); ok {
+		client.virtualTime = max(client.virtualTime, recorded.virtualTime)
 	}
 	tenant.clients = append(tenant.clients, client)
 	return client
@@ -103,22 +102,22 @@
 	c.epoch++
 	flows, clients := tenant.flows, tenant.clients[:0]
 	*tenant = tenantAccount{key: p.tenant, epoch: mixHash(c.epoch, c.seed), weight: p.weight, index: len(c.tenants), flows: flows, clients: clients,
-		servedRate: decayingRate{span: float64(capacitySpan)}, emptySince: c.now}
+		admittedRate: decayingRate{timeConstant: float64(capacityTimeConstant)}, emptySince: c.now}
 	for i := range flows {
 		flows[i].heap, flows[i].heapIndex = flows[i].heap[:0], noSlot
 	}
-	if r, ok := c.tenantDebts.take(p.tenant); ok {
-		tenant.virtualTime, tenant.bookedUntil = r.virtualTime, r.bookedUntil
+	if recorded, ok := c.tenantDebts.take(p.tenant); ok {
+		tenant.virtualTime, tenant.bookedUntil = recorded.virtualTime, recorded.bookedUntil
 	} else {
-		tenant.virtualTime = c.lightDebts.get(p.tenant)
+		tenant.virtualTime = c.evictedDebts.get(p.tenant)
 	}
 	c.tenantByKey[p.tenant] = tenant
 	c.tenants = append(c.tenants, tenant)
 	return tenant
 }
 
-// removeIfUnused removes the account of a client that has nothing open, and that of its tenant with the last one.
-// Their debts are remembered.
+// removeIfUnused removes the account of a client that has nothing open, and with the last client the account of its
+// tenant. Their debts are recorded.
 func (c *Controller) removeIfUnused(client *clientAccount) {
 	if client.connections > 0 || client.requests > 0 {
 		return
@@ -141,8 +140,8 @@
 
 func (c *Controller) removeTenant(tenant *tenantAccount) {
 	if tenant.virtualTime > c.virtualTime || tenant.bookedUntil > c.now {
-		if lost := c.tenantDebts.put(debt{tenant.key, tenant.virtualTime, tenant.bookedUntil}, c.virtualTime, c.now); lost.key != 0 {
-			c.lightDebts.put(lost.key, lost.virtualTime)
+		if evicted := c.tenantDebts.put(debt{tenant.key, tenant.virtualTime, tenant.bookedUntil}, c.virtualTime, c.now); evicted.key != 0 {
+			c.evictedDebts.put(evicted.key, evicted.virtualTime)
 		}
 	}
 	delete(c.tenantByKey, tenant.key)
@@ -154,7 +153,8 @@
 	}
 }
 
-// swapRemove removes an element by moving the last one into its place. The caller updates the index of that one.
+// swapRemove removes the element at i by moving the last element there. The caller updates the index of the moved
+// element.
 func swapRemove[T any](list []*T, i int) []*T {
 	last := len(list) - 1
 	list[i], list[last] = list[last], nil
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -2,19 +2,20 @@
 
 import "foxlane/rules"
 
-// This file owns the order of admission: start-time fair queueing over predicted work in two levels, tenants and the
-// clients within each. It never holds a request back while the decision module has room for one of its class, and never
-// reorders two requests of one order key.
+// This file decides the order of admission by start-time fair queueing over predicted work, on two levels: tenants,
+// and the clients of each tenant. It never holds back a request while the decision module has room for one of its
+// class, and never reorders two requests with the same order key.
 //
-// The virtual time of a tenant is the work that it was given over its weight, that of a client the work within its
-// tenant. Of those with queued requests of a class the least is admitted first. Classes are queued apart, since the decision
-// module chooses among them and one class must not wait behind another, but work of any class moves the same virtual time.
+// The virtual time of a tenant is the work admitted for it divided by its weight; that of a client is the work
+// admitted for it within its tenant. Among the tenants and clients with queued requests of a class, the one with the
+// least virtual time is admitted first. Each class has its own queues, because the decision module chooses among the
+// classes and one class must not wait behind another, but work of every class advances the same virtual time.
 
-// minStaleAfter is the least time after which an admitted request that no engine has taken stops
-// counting as pending, so that others are admitted past it.
+// minStaleAfter is the minimum time after which an admitted request that was not sent to an engine stops counting as
+// pending, so that other requests can be admitted.
 const minStaleAfter = 50 * rules.Millisecond
 
-// admitQueued admits requests while fewer of their class are pending than the decision module needs for a choice.
+// admitQueued admits requests of each class while fewer than Settings.ModuleQueueDepth of that class are pending.
 func (c *Controller) admitQueued() {
 	for class := range c.flows {
 		flow := &c.flows[class]
@@ -24,8 +25,8 @@
 	}
 }
 
-// admitNext admits the request at the head of a class: of the tenant with the least virtual time, and within it of
-// the client with the least.
+// admitNext admits the next request of a class: from the tenant with the least virtual time, and within that tenant
+// from the client with the least virtual time.
 func (c *Controller) admitNext(flow *classFlow, class int32) {
 	tenant := flow.heap[0]
 	least := tenant.virtualTime
@@ -38,7 +39,7 @@
 	client := tenant.flows[class].heap[0]
 	tenant.clientVirtualTime = max(tenant.clientVirtualTime, client.virtualTime)
 	request := &c.requests[client.queues[class].head]
-	tenant.servedRate.add(c.now, request.work)
+	tenant.admittedRate.add(c.now, request.work)
 	c.dequeue(request)
 	c.charge(client, request.work)
 	c.addPending(flow, request)
@@ -49,7 +50,7 @@
 	c.emit(Effect{Kind: Admit, Slot: int(request.slot), After: c.now - request.arrivedAt})
 }
 
-// charge adds work to the virtual times of a client and its tenant. Work under 0 is given back.
+// charge adds work to the virtual times of a client and its tenant. Negative work is a refund.
 func (c *Controller) charge(client *clientAccount, work float64) {
 	tenant := client.tenant
 	tenant.virtualTime += work / tenant.weight
@@ -65,7 +66,7 @@
 	}
 }
 
-// addPending counts a request that is admitted now as pending.
+// addPending marks a request as admitted now and counts it as pending.
 func (c *Controller) addPending(flow *classFlow, request *openRequest) {
 	request.admittedAt, request.state = c.now, requestPending
 	list := &flow.pendingList
@@ -79,7 +80,7 @@
 	c.updateStaleAt(flow)
 }
 
-// removePending stops counting an admitted request as pending.
+// removePending makes a pending request an admitted one that no longer counts as pending.
 func (c *Controller) removePending(request *openRequest) {
 	flow := &c.flows[request.class]
 	c.unlink(&flow.pendingList, request)
@@ -89,8 +90,9 @@
 	c.updateStaleAt(flow)
 }
 
-// updateStaleAt notes when the oldest pending request stops counting as pending: one that fits no engine, for its
-// memory or because its data set is being loaded, must not keep others from being admitted.
+// updateStaleAt computes when the oldest pending request becomes stale and stops counting as pending. A request that
+// fits no engine, because of its memory or because its data set is being loaded, must not prevent others from being
+// admitted.
 func (c *Controller) updateStaleAt(flow *classFlow) {
 	if flow.pending > 0 {
 		request := &c.requests[flow.pendingList.head]
@@ -98,7 +100,7 @@
 	}
 }
 
-// expire rejects the queued requests that can't meet their deadline any more, and stops counting stale requests as pending.
+// expire rejects queued requests that can no longer meet their deadline, and stops counting stale requests as pending.
 func (c *Controller) expire() {
 	for len(c.expiry) > 0 && c.expiry[0].expiresAt <= c.now {
 		c.reject(c.expiry[0], ReasonDeadline)
--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -2,30 +2,30 @@
 
 import "foxlane/rules"
 
-// This file owns the state of connections and the account that each belongs to.
+// This file tracks the state of each connection and the account that it belongs to.
 
 type connectionState uint8
 
 const (
-	connectionFree    connectionState = iota // the slot is free
-	connectionNew                            // has sent no request yet
-	connectionWaiting                        // has its answer and has sent no other request
-	connectionBusy                           // has a request, or is evicted and not closed yet
+	connectionFree connectionState = iota // the slot is free
+	connectionNew                         // open, no request received yet
+	connectionIdle                        // its last request is answered
+	connectionBusy                        // has an open request, or is evicted but not closed yet
 )
 
-// connection is the state of a client's connection.
+// connection is the state of a client connection.
 type connection struct {
 	slot         int32
 	state        connectionState
-	overLimit    bool  // accepted over Limits.Connections: it may be closed at its first request
-	earlyReturns uint8 // requests in a row that came before returnAfter
-	inputBytes   int32 // of its incomplete packet
+	overLimit    bool  // accepted beyond Limits.Connections: closed at its first request if still over the limit
+	earlyReturns uint8 // consecutive requests that arrived before returnAfter
+	inputBytes   int32 // size of its incomplete packet
 	address      Address
 	origin       origin
-	tenantHash   uint64 // of the tenant that its last request declared; 0: none
+	tenantHash   uint64 // hash of the tenant that its last request declared; 0: none
 	client       *clientAccount
 	stateSince   rules.Time
-	returnAfter  rules.Time // its Retry-After ends then
+	returnAfter  rules.Time // requests before this time count as early returns
 }
 
 func (c *Controller) connectionOpened(slot int, from Address) {
@@ -35,7 +35,7 @@
 	conn.client.connections++
 	conn.client.tenant.connections++
 	if c.openConnections++; c.openConnections > c.limits.Connections {
-		c.makeConnectionRoom(conn)
+		c.enforceConnectionLimit(conn)
 	}
 }
 
@@ -53,11 +53,11 @@
 	c.removeIfUnused(client)
 }
 
-func (c *Controller) setConnectionState(conn *connection, s connectionState) {
-	conn.state, conn.stateSince = s, c.now
+func (c *Controller) setConnectionState(conn *connection, state connectionState) {
+	conn.state, conn.stateSince = state, c.now
 }
 
-// assignConnection moves a connection to the account of the principal that its requests belong to.
+// assignConnection moves a connection to the account of a principal.
 func (c *Controller) assignConnection(conn *connection, p principal) {
 	if client := conn.client; client.clientHash == p.client && client.tenant.key == p.tenant {
 		if client.tenant.queued == 0 {
@@ -76,7 +76,7 @@
 	c.removeIfUnused(old)
 }
 
-// evict closes a connection, with a Retry-After if connections are at their limit.
+// evict closes a connection. It sends a Retry-After if the reason is that the limit of connections was reached.
 func (c *Controller) evict(conn *connection, reason Reason) {
 	after := rules.Time(0)
 	if reason == ReasonConnections {
@@ -84,13 +84,13 @@
 	}
 	c.stats.Evicted[reason]++
 	c.emit(Effect{Kind: Evict, Conn: int(conn.slot), Reason: reason, After: after})
-	conn.state = connectionBusy // so that it is not chosen again
+	conn.state = connectionBusy // so that it is not evicted again
 	conn.stateSince = c.now
 }
 
-// returnedTooEarly notes whether a request came before the Retry-After of its connection had passed, and reports whether
-// the connection is to be closed for it: each rejection costs as much as a query.
-func (c *Controller) returnedTooEarly(conn *connection) (tooOften bool) {
+// countEarlyReturn counts consecutive requests that arrived before the Retry-After of their connection had passed. It
+// reports whether the connection is to be closed for them, since each rejection costs as much as a query.
+func (c *Controller) countEarlyReturn(conn *connection) (tooOften bool) {
 	if conn.returnAfter <= c.now {
 		conn.earlyReturns = 0
 		return false
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,11 +1,11 @@
-// Package admission is the admission control of a gateway: it owns to which tenant and client a request belongs, how much
-// each of them may have open, the order in which queued requests are admitted to the decision module, the rejections and
-// their Retry-After. It must never see bytes of a protocol, a clock, a socket or a goroutine, nor decide what belongs
-// to the decision module: the engine, the attempt, the class, the choice among the requests that were admitted.
+// Package admission implements the admission control of a gateway. It maps each request to a tenant and a client,
+// enforces their quotas, decides the order in which queued requests are admitted to the decision module, and computes
+// rejections and their Retry-After. It must not handle protocol bytes, clocks, sockets or goroutines. The decision
+// module alone chooses the class, the engine and the attempts of a request, and which admitted request runs next.
 //
-// Events go in with their time, effects come out in order. The caller names requests and connections by slots, below
-// Limits.Requests and Limits.ConnectionSlots; a slot is free again after its RequestDone or ConnectionClosed. The
-// size of all state follows from Limits, however many tenants come.
+// The controller takes events with their time and returns effects in order. The caller identifies requests and
+// connections by slots, which are less than Limits.Requests and Limits.ConnectionSlots. A slot can be reused after
+// its RequestDone or ConnectionClosed. The size of the state depends on Limits only, not on the number of tenants.
 package admission
 
 import (
@@ -15,18 +15,18 @@
 	"foxlane/rules"
 )
 
-// Limits bound the controller. All its state follows from them.
+// Limits bound what the controller accepts, and with it the size of its state.
 type Limits struct {
-	ConnectionSlots int // more than Connections: the rest may be open but may not send requests
-	Connections     int // connections that may send requests
-	Requests        int
-	StatementBytes  int // of the statements of all open requests
-	InputBytes      int // of all incomplete packets
-	StateBytes      int // of what is remembered of clients that have nothing open
+	ConnectionSlots int // open connections; connections beyond Connections must not send requests
+	Connections     int // connections that may send requests; less than ConnectionSlots
+	Requests        int // open requests
+	StatementBytes  int // total statement bytes of all open requests
+	InputBytes      int // total bytes of all incomplete packets
+	StateBytes      int // memory for the debts and bookings of tenants and clients that have nothing open
 }
 
-// Controller holds the whole state of admission control. It starts no goroutine, reads no clock
-// and calls nobody back; its owner serializes the calls.
+// Controller holds the whole state of admission control. It starts no goroutines, reads no clock and makes no
+// callbacks. It is not safe for concurrent use.
 type Controller struct {
 	settings         Settings
 	limits           Limits
@@ -34,76 +34,76 @@
 	resolver         *identityResolver
 	seed             uint64
 	rng              *rand.Rand
-	now              rules.Time // never falls
-	effects          []Effect   // of the call in progress
-	timerAt          rules.Time // of the last SetTimer
+	now              rules.Time // never decreases
+	effects          []Effect   // of the Handle call in progress
+	timerAt          rules.Time // time of the last SetTimer effect
 	shutdownDeadline rules.Time
 	stopping         bool
 
-	requests    []openRequest // by slot
-	connections []connection  // by slot
-	expiry      expiryHeap    // of queued requests
-	lastOfKey   map[uint64]int32
-	flows       []classFlow // by class
+	requests       []openRequest // by slot
+	connections    []connection  // by slot
+	expiry         expiryHeap
+	lastByOrderKey map[uint64]int32 // slot of the last queued request, by order key
+	flows          []classFlow      // by class
 
 	tenantByKey     map[uint64]*tenantAccount // tenants that have a connection or a request
-	tenants         []*tenantAccount          // the same, in no order
-	freeTenants     []*tenantAccount          // for reuse
-	freeClients     []*clientAccount          // for reuse
-	virtualTime     float64                   // least virtual time of the tenants with a queued request; never falls
-	queuedWeight    float64                   // sum of the weights of tenants with a queued request
-	epoch           uint64
-	tenantDebts     debtTable // of tenants that have left
-	clientDebts     debtTable // of clients that have left while their tenant has not
-	lightDebts      debtSketch
+	tenants         []*tenantAccount          // the tenants of tenantByKey, unordered
+	freeTenants     []*tenantAccount          // unused accounts, kept for reuse
+	freeClients     []*clientAccount          // unused accounts, kept for reuse
+	virtualTime     float64                   // least virtual time of the tenants with queued requests; never decreases
+	queuedWeight    float64                   // total weight of the tenants with queued requests
+	epoch           uint64                    // number of tenant accounts created so far
+	tenantDebts     debtTable                 // debts of tenants that have nothing open
+	clientDebts     debtTable                 // debts of clients that have nothing open while their tenant has
+	evictedDebts    debtSketch                // debts that were evicted from tenantDebts
 	openConnections int
 	openRequests    int
-	queued          int // of the open requests, those that are not admitted
-	statementBytes  int // of open requests
-	inputBytes      int // of incomplete packets
-	meanWork        []decayingMean
-	capacity        decayingRate
-	retryAfterBias  float64 // logarithm of the time needed over the Retry-After sent
+	queued          int            // open requests that are not admitted yet
+	statementBytes  int            // total statement bytes of open requests
+	inputBytes      int            // total bytes of incomplete packets
+	meanWork        []decayingMean // work of served requests, by class
+	capacity        decayingRate   // engine time used
+	retryAfterBias  float64        // running mean of the logarithm of (time needed / Retry-After sent)
 	bookings        bookingTable
-	seq             uint64
+	seq             uint64 // sequence number of the last request
 	stats           Stats
 }
 
-// Stats are counts since the start, but for those marked as current.
+// Stats holds counters since the start of the gateway, and gauges.
 type Stats struct {
-	Admitted, Delayed    int // requests admitted; of these, those that were queued first
-	Rejected             [reasonCount]int
-	Evicted              [reasonCount]int
+	Admitted, Delayed    int              // requests admitted; how many of them had to wait in a queue
+	Rejected             [reasonCount]int // requests rejected, by Reason
+	Evicted              [reasonCount]int // connections closed, by Reason
 	RetryAfterSent       int
-	ReturnsServed        int     // requests that came at their Retry-After and were served
-	ReturnsMissed        int     // requests that came at their Retry-After and were not served
-	RetryAfterCorrection float64 // factor by which a predicted Retry-After is multiplied
-	Queued               int     // current
-	Connections          int     // current
-	Tenants              int     // current
-	CapacityMS           float64 // current: engine time used, in milliseconds per second
+	ReturnsServed        int     // requests that arrived at their Retry-After and were served
+	ReturnsMissed        int     // requests that arrived at their Retry-After and were not served
+	RetryAfterCorrection float64 // gauge: factor by which a predicted Retry-After is multiplied
+	Queued               int     // gauge: queued requests
+	Connections          int     // gauge: open connections
+	Tenants              int     // gauge: tenants that have a connection or a request
+	CapacityMS           float64 // gauge: engine time used, in milliseconds per second
 }
 
-// New returns the controller of a gateway that has just started. Clients must not know the seed, or they
+// New returns the controller of a gateway that has just started. The seed must be kept secret from clients, or they
 // could choose names whose hashes collide.
-func New(set Settings, limits Limits, classes []rules.Class, declared []string, seed uint64) *Controller {
-	controller := &Controller{settings: set, limits: limits, classes: classes, seed: seed, shutdownDeadline: math.MaxInt64,
-		rng:         rand.New(rand.NewPCG(seed, seed^0x6a09e667f3bcc909)),
-		requests:    make([]openRequest, limits.Requests),
-		connections: make([]connection, limits.ConnectionSlots),
-		lastOfKey:   make(map[uint64]int32, limits.Requests),
-		tenantByKey: make(map[uint64]*tenantAccount, limits.ConnectionSlots),
-		flows:       make([]classFlow, len(classes)),
+func New(settings Settings, limits Limits, classes []rules.Class, declared []string, seed uint64) *Controller {
+	controller := &Controller{settings: settings, limits: limits, classes: classes, seed: seed, shutdownDeadline: math.MaxInt64,
+		rng:            rand.New(rand.NewPCG(seed, seed^0x6a09e667f3bcc909)),
+		requests:       make([]openRequest, limits.Requests),
+		connections:    make([]connection, limits.ConnectionSlots),
+		lastByOrderKey: make(map[uint64]int32, limits.Requests),
+		tenantByKey:    make(map[uint64]*tenantAccount, limits.ConnectionSlots),
+		flows:          make([]classFlow, len(classes)),
 	}
-	controller.resolver = newIdentityResolver(set, declared, seed)
+	controller.resolver = newIdentityResolver(settings, declared, seed)
 	rows := limits.StateBytes / 4
 	controller.tenantDebts, controller.clientDebts = newDebtTable(rows), newDebtTable(rows)
-	controller.lightDebts, controller.bookings = newDebtSketch(rows), newBookingTable(rows)
+	controller.evictedDebts, controller.bookings = newDebtSketch(rows), newBookingTable(rows)
 	for _, c := range classes {
 		controller.meanWork = append(controller.meanWork, decayingMean{})
-		controller.meanWork[len(controller.meanWork)-1].start(float64(c.LatencyObjective) / 2)
+		controller.meanWork[len(controller.meanWork)-1].reset(float64(c.LatencyObjective) / 2)
 	}
-	controller.capacity.span = float64(capacitySpan)
+	controller.capacity.timeConstant = float64(capacityTimeConstant)
 	for i := range controller.connections {
 		controller.connections[i].slot = int32(i)
 	}
@@ -113,48 +113,48 @@
 	return controller
 }
 
-// Handle takes one event and returns what to do, in order. The result is valid until the next call.
-func (c *Controller) Handle(now rules.Time, e Event) []Effect {
+// Handle processes one event and returns the effects to carry out, in order. The result is valid until the next call.
+func (c *Controller) Handle(now rules.Time, event Event) []Effect {
 	c.effects = c.effects[:0]
-	c.now = max(c.now, now) // a clock that steps back stands still
-	switch e.Kind {
+	c.now = max(c.now, now) // if the clock steps back, time stands still
+	switch event.Kind {
 	case ConnectionOpened:
-		c.connectionOpened(e.Conn, e.From)
+		c.connectionOpened(event.Conn, event.From)
 	case ConnectionClosed:
-		c.connectionClosed(&c.connections[e.Conn])
+		c.connectionClosed(&c.connections[event.Conn])
 	case ConnectionIdle:
-		c.setConnectionState(&c.connections[e.Conn], connectionWaiting)
+		c.setConnectionState(&c.connections[event.Conn], connectionIdle)
 	case InputBuffered:
-		c.inputBuffered(&c.connections[e.Conn], e.Bytes)
+		c.inputBuffered(&c.connections[event.Conn], event.Bytes)
 	case RequestArrived:
-		c.requestArrived(e.Slot, e.Conn, e.Request)
+		c.requestArrived(event.Slot, event.Conn, event.Request)
 	case RequestForwarded:
-		c.requestForwarded(&c.requests[e.Slot])
+		c.requestForwarded(&c.requests[event.Slot])
 	case EngineTimeUsed:
-		c.requests[e.Slot].engineTime += float64(e.EngineTime) * c.threads(c.requests[e.Slot].class)
+		c.requests[event.Slot].engineTime += float64(event.EngineTime) * c.threads(c.requests[event.Slot].class)
 	case RequestDone:
-		c.requestDone(&c.requests[e.Slot], e.Served)
+		c.requestDone(&c.requests[event.Slot], event.Served)
 	case RequestRejected:
-		request := &c.requests[e.Slot]
+		request := &c.requests[event.Slot]
 		c.rejectAdmitted(request, ReasonModule)
 	case Reconfigured:
-		c.reconfigure(*e.Settings, e.DeclaredTenants)
+		c.reconfigure(*event.Settings, event.DeclaredTenants)
 	case Stopping:
-		c.stop(e.Deadline)
+		c.stop(event.Deadline)
 	}
 	c.admitQueued()
 	c.expire()
-	c.admitQueued() // an expired request frees its order key, a stale one a pending place
+	c.admitQueued() // expire may have unblocked an order key or made room among the pending requests
 	c.setTimer()
 	return c.effects
 }
 
-func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Controller) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// threads is the number of threads that a request of a class uses.
+// threads returns the number of threads that a request of a class uses.
 func (c *Controller) threads(class int32) float64 { return float64(max(1, c.classes[class].Threads)) }
 
-// Stats returns the counts.
+// Stats returns the current counters and gauges.
 func (c *Controller) Stats() Stats {
 	s := c.stats
 	s.Queued, s.Connections, s.Tenants = c.queued, c.openConnections, len(c.tenants)
@@ -163,20 +163,21 @@
 	return s
 }
 
-// stop brings the deadlines of all queued requests forward to that of the shutdown: what can't meet it is rejected at once.
-func (c *Controller) stop(by rules.Time) {
-	c.stopping, c.shutdownDeadline = true, by
+// stop caps the deadlines of all queued requests at the shutdown deadline. Handle then rejects those that can't meet
+// it.
+func (c *Controller) stop(deadline rules.Time) {
+	c.stopping, c.shutdownDeadline = true, deadline
 	for i := range c.requests {
 		if request := &c.requests[i]; request.state == requestBlocked || request.state == requestQueued {
-			request.deadline = min(request.deadline, by)
+			request.deadline = min(request.deadline, deadline)
 			request.expiresAt = c.latestAdmission(request)
 			c.expiry.fix(request)
 		}
 	}
 }
 
-// setTimer asks for a TimerFired when the next queued request is to be rejected, or the next pending one stops
-// counting as pending.
+// setTimer requests a TimerFired event for the time at which the next queued request expires or the next pending
+// request becomes stale, whichever is earlier.
 func (c *Controller) setTimer() {
 	at := rules.Time(math.MaxInt64)
 	if len(c.expiry) > 0 {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -25,8 +25,8 @@
 		sim.send(c, fmt.Sprintf("quiet-%d", i), "quiet", 100*ms, nil)
 		sim.advance(500 * ms)
 	}
-	for _, w := range sim.waits["quiet"] {
-		if w > 0 { // the decision module takes one of it before any other
+	for _, w := range sim.queueTimes["quiet"] {
+		if w > 0 { // it is the next one to be admitted, so it waits for one run at most
 			if w > 100*ms {
 				t.Errorf("a quiet request was queued for %d ms", w/ms)
 			}
@@ -42,18 +42,18 @@
 	set.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4}}
 	sim := newSimulation(t, set, testLimits(), oneClass())
 	sim.repeatRequests()
-	sim.startClosedLoop("10.0.0.1", "a", 10, 200*ms) // few heavy ones
+	sim.startClosedLoop("10.0.0.1", "a", 10, 200*ms) // few heavy requests
 	sim.startClosedLoop("10.0.0.2", "b", 20, 10*ms)
 	sim.startClosedLoop("10.0.0.3", "c", 20, 25*ms)
 	sim.advance(60 * rules.Second)
 	sum := sim.served["a"] + sim.served["b"] + sim.served["c"]
 	for name, part := range map[string]float64{"a": 1.0 / 7, "b": 2.0 / 7, "c": 4.0 / 7} {
 		if got := sim.served[name] / sum; math.Abs(got/part-1) > 0.1 {
-			t.Errorf("tenant %s got %.3f of the work, %.3f is its part", name, got, part)
+			t.Errorf("tenant %s got %.3f of the work, want %.3f", name, got, part)
 		}
 	}
-	if used := sum / float64(60*rules.Second) / float64(sim.slots); used < 0.99 {
-		t.Errorf("engines were used %.3f of the time", used)
+	if used := sum / float64(60*rules.Second) / float64(sim.engineSlots); used < 0.99 {
+		t.Errorf("engine utilization is %.3f, want at least 0.99", used)
 	}
 }
 
@@ -68,7 +68,7 @@
 	request := sim.send(c, "colleague", "coop", 100*ms, nil)
 	sim.advance(150 * ms)
 	if !request.admitted {
-		t.Error("a colleague waits behind a script of its tenant")
+		t.Error("a client waits behind the flood of another client of its tenant")
 	}
 }
 
@@ -76,7 +76,7 @@
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "busy", 20, 50*ms)
-	sim.advance(30 * rules.Second) // the other one is away
+	sim.advance(30 * rules.Second) // the other tenant is idle
 	sim.startClosedLoop("10.0.0.2", "back", 20, 50*ms)
 	clear(sim.served)
 	sim.advance(2 * rules.Second)
@@ -90,9 +90,9 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "stays", 20, 50*ms)
 	n := 0
-	again := sim.onServed
+	repeat := sim.onServed
 	for range 40 {
-		sim.onServed = again
+		sim.onServed = repeat
 		var mine []int
 		for range 20 {
 			c := sim.connect("10.0.0.2")
@@ -106,7 +106,7 @@
 		}
 	}
 	if part := sim.served["reconnects"] / (sim.served["stays"] + sim.served["reconnects"]); part > 0.55 {
-		t.Errorf("who opens and closes connections got %.2f of the work", part)
+		t.Errorf("the tenant that reconnects got %.2f of the work, want at most 0.55", part)
 	}
 }
 
@@ -131,11 +131,11 @@
 		sum += w
 	}
 	if part := sim.served["honest"] / sum; part < 0.45 {
-		t.Errorf("beside one that changes its name the honest tenant got %.2f of the work", part)
+		t.Errorf("the tenant with one name got %.2f of the work beside a client that changes its name, want at least 0.45", part)
 	}
 }
 
-func TestKeysKeepTheirOrder(t *testing.T) {
+func TestOrderKeysKeepTheirOrder(t *testing.T) {
 	set := trustingSettings()
 	sim := newSimulation(t, set, testLimits(), oneClass())
 	sim.repeatRequests()
@@ -144,10 +144,10 @@
 	sim.repeatOnly("flood")
 	key := func(q *Request) { q.OrderKey = "k" }
 	c1, c2, c3 := sim.connect("10.0.0.1"), sim.connect("10.0.0.9"), sim.connect("10.0.0.9")
-	sim.send(c1, "first", "flood", 50*ms, key) // of the heavy tenant: waits
+	sim.send(c1, "first", "flood", 50*ms, key) // waits in the queue of the heavy tenant
 	sim.send(c2, "second", "light", 50*ms, key)
 	sim.send(c3, "third", "light", 50*ms, key)
-	sim.disconnect(c2) // leaves no gap
+	sim.disconnect(c2) // removes the second request between the first and the third
 	sim.advance(4 * rules.Second)
 	first, third := -1, -1
 	for i, id := range sim.admitted {
@@ -155,16 +155,16 @@
 		case "first":
 			first = i
 		case "second":
-			t.Error("a request whose client has left was admitted")
+			t.Error("a request of a closed connection was admitted")
 		case "third":
 			third = i
 		}
 	}
 	if first < 0 || third < 0 || third < first {
-		t.Errorf("of one order key the first was admitted as number %d, the third as %d", first, third)
+		t.Errorf("requests of one order key: the first was admitted at position %d, the third at %d", first, third)
 	}
-	if len(sim.controller.lastOfKey) != 0 {
-		t.Errorf("%d keys are kept", len(sim.controller.lastOfKey))
+	if len(sim.controller.lastByOrderKey) != 0 {
+		t.Errorf("%d order keys are left, want 0", len(sim.controller.lastByOrderKey))
 	}
 }
 
@@ -197,18 +197,18 @@
 	sim := newSimulation(t, trustingSettings(), sizes, oneClass())
 	served, missed, overNeeded := 0, 0, []float64{}
 	n := 0
-	type back struct {
+	type returning struct {
 		at, granted rules.Time
 		conn        int
 	}
-	var backs []back
-	first := map[string]back{}
+	var returns []returning
+	first := map[string]returning{}
 	sim.onRejected = func(request *simulatedRequest, after rules.Time, _ Reason) {
 		if _, ok := first[request.id]; ok {
 			missed++
 		}
 		delete(first, request.id)
-		backs = append(backs, back{sim.now + after, sim.now, request.connection})
+		returns = append(returns, returning{sim.now + after, sim.now, request.connection})
 	}
 	sim.onServed = func(request *simulatedRequest) {
 		if f, ok := first[request.id]; ok {
@@ -216,7 +216,7 @@
 			overNeeded = append(overNeeded, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
 			delete(first, request.id)
 		}
-		backs = append(backs, back{sim.now, 0, request.connection})
+		returns = append(returns, returning{sim.now, 0, request.connection})
 	}
 	for i := range 60 {
 		c := sim.connect(fmt.Sprintf("10.0.0.%d", i+1))
@@ -224,16 +224,16 @@
 	}
 	for range 2000 {
 		sim.advance(10 * ms)
-		due := backs[:0:0]
-		rest := backs[:0:0]
-		for _, k := range backs {
+		due := returns[:0:0]
+		rest := returns[:0:0]
+		for _, k := range returns {
 			if k.at <= sim.now {
 				due = append(due, k)
 			} else {
 				rest = append(rest, k)
 			}
 		}
-		backs = rest
+		returns = rest
 		for _, k := range due {
 			n++
 			id := fmt.Sprint("b", n)
@@ -244,11 +244,11 @@
 		}
 	}
 	if served+missed < 300 || float64(served)/float64(served+missed) < 0.9 {
-		t.Errorf("of %d that came back at their Retry-After %d were served", served+missed, served)
+		t.Errorf("%d requests returned at their Retry-After, only %d were served", served+missed, served)
 	}
 	s := sim.controller.Stats()
 	if s.ReturnsServed < 300 || s.RetryAfterCorrection < 0.5 || s.RetryAfterCorrection > 2 {
-		t.Errorf("counted: %d returns served, %d missed, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
+		t.Errorf("stats: %d returns served, %d missed, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
 	}
 	middle := 0
 	for _, r := range overNeeded {
@@ -257,7 +257,7 @@
 		}
 	}
 	if float64(middle) < 0.5*float64(len(overNeeded)) {
-		t.Errorf("%d of %d Retry-After were within a half and twice what was needed", middle, len(overNeeded))
+		t.Errorf("for %d of %d requests the delay needed was between 0.5 and 2 times the Retry-After", middle, len(overNeeded))
 	}
 }
 
@@ -270,12 +270,12 @@
 	n := 0
 	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
 		if n++; after != 0 {
-			t.Error("a Retry-After was sent")
+			t.Error("a Retry-After was sent although MaxRetryAfter is 0")
 		}
 	}
 	sim.startClosedLoop("10.0.0.1", "flood", 20, 100*ms)
 	if n == 0 {
-		t.Error("nothing was rejected")
+		t.Error("no request was rejected")
 	}
 }
 
@@ -291,14 +291,14 @@
 	for range 5 {
 		c := sim.connect("192.0.2.8")
 		if sim.connections[c] == nil {
-			t.Fatal("a new connection was evicted for a flood of logins")
+			t.Fatal("a new connection of another client was evicted during a login flood")
 		}
 	}
 	if sim.connections[quiet] == nil {
-		t.Error("a quiet connection was evicted for a flood of logins")
+		t.Error("an idle connection was evicted during a login flood")
 	}
 	if sim.controller.openConnections > sim.controller.limits.Connections {
-		t.Errorf("%d connections are open", sim.controller.openConnections)
+		t.Errorf("%d connections are open, more than the limit", sim.controller.openConnections)
 	}
 }
 
@@ -313,15 +313,15 @@
 	sim.onRejected = func(*simulatedRequest, rules.Time, Reason) { refused++ }
 	c := sim.connect("192.0.2.9")
 	if sim.connections[c] == nil || refused != 1 || len(sim.evicted) != 1 {
-		t.Errorf("new connection open: %v, rejected %d, evicted %v", sim.connections[c] != nil, refused, sim.evicted)
+		t.Errorf("new connection open: %v, requests rejected: %d, connections evicted: %v", sim.connections[c] != nil, refused, sim.evicted)
 	}
 	own := sim.connect("192.0.2.1")
 	if sim.connections[own] == nil {
-		t.Fatal("the new connection of the flood's own tenant can't send KILL")
+		t.Fatal("a new connection of the flooding tenant was closed before it could send KILL")
 	}
 	sim.send(own, "own", "", 100*ms, nil)
 	if sim.connections[own] != nil || sim.outcomes["own"] != 1 {
-		t.Error("the new connection of the flood's own tenant took a place")
+		t.Error("a new connection of the flooding tenant could send a request beyond the limit")
 	}
 }
 
@@ -335,18 +335,18 @@
 		sim.handle(Event{Kind: InputBuffered, Conn: c, Bytes: 3000})
 		flood = append(flood, c)
 	}
-	sim.handle(Event{Kind: InputBuffered, Conn: small, Bytes: 4600}) // it is over the limit again, by the small one
+	sim.handle(Event{Kind: InputBuffered, Conn: small, Bytes: 4600}) // exceeds the limit again
 	if sim.connections[small] == nil || len(sim.aborted) == 0 {
-		t.Errorf("the small client is there: %v, %d connections were ended", sim.connections[small] != nil, len(sim.aborted))
+		t.Errorf("connection of the small client open: %v, connections aborted: %d", sim.connections[small] != nil, len(sim.aborted))
 	}
 	if sim.controller.inputBytes > sim.controller.limits.InputBytes {
-		t.Errorf("%d bytes are buffered", sim.controller.inputBytes)
+		t.Errorf("%d bytes are buffered, more than the limit", sim.controller.inputBytes)
 	}
 	for _, c := range append(flood, small) {
 		sim.disconnect(c)
 	}
 	if sim.controller.inputBytes != 0 {
-		t.Errorf("%d bytes stay counted", sim.controller.inputBytes)
+		t.Errorf("%d bytes are counted after all connections were closed", sim.controller.inputBytes)
 	}
 }
 
@@ -360,7 +360,7 @@
 			n++
 		}
 	}
-	for i := range 40 { // of them 25 are queued or rejected
+	for i := range 40 { // 25 of them are queued or rejected
 		c := sim.connect("192.0.2.1")
 		sim.send(c, fmt.Sprint("f", i), "", 100*ms, nil)
 	}
@@ -373,10 +373,10 @@
 		sim.advance(ms)
 	}
 	if sim.controller.stats.Evicted[ReasonEarlyReturn] == 0 {
-		t.Error("a client that never heeds its times keeps its connections")
+		t.Error("a client that ignores Retry-After was not disconnected")
 	}
 	if n > 40*(Defaults().MaxEarlyReturns+2) {
-		t.Errorf("%d rejections were sent to it", n)
+		t.Errorf("%d rejections were sent to a client that ignores Retry-After", n)
 	}
 }
 
@@ -390,10 +390,10 @@
 		sim.disconnect(c)
 	}
 	if got := sim.controller.StateBytes(); got > most {
-		t.Errorf("%d bytes, %d at most", got, most)
+		t.Errorf("the state takes %d bytes, want at most %d", got, most)
 	}
 	if len(sim.controller.tenantByKey) != 0 || len(sim.controller.tenants) != 0 || sim.controller.queued != 0 || sim.controller.statementBytes != 0 || sim.controller.openRequests != 0 {
-		t.Error("something is left of what has gone")
+		t.Error("state of tenants or requests is left after all connections were closed")
 	}
 }
 
@@ -405,17 +405,17 @@
 	sim.startClosedLoop("192.0.2.1", "a", 20, 50*ms)
 	sim.startClosedLoop("192.0.2.2", "b", 20, 50*ms)
 	sim.advance(2 * rules.Second)
-	set.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is gone: its address shares from now on
+	set.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is no longer declared: its requests now count for their address
 	set.UnlistedWeight = 1
 	sim.handle(Event{Kind: Reconfigured, Settings: &set})
 	clear(sim.served)
 	sim.advance(10 * rules.Second)
 	if part := sim.served["a"] / (sim.served["a"] + sim.served["b"]); math.Abs(part-0.8) > 0.06 {
-		t.Errorf("after the reload a got %.2f of the work", part)
+		t.Errorf("after the reload tenant a got %.2f of the work, want 0.80", part)
 	}
 	for id, n := range sim.outcomes {
 		if n != 1 {
-			t.Errorf("%s had %d answers", id, n)
+			t.Errorf("request %s ended %d times", id, n)
 		}
 	}
 }
@@ -426,18 +426,19 @@
 	sim.advance(350 * ms)
 	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
 		if after != 0 {
-			t.Error("a gateway that shuts down sent a Retry-After")
+			t.Error("a Retry-After was sent during shutdown")
 		}
 	}
 	sim.handle(Event{Kind: Stopping, Deadline: sim.now + rules.Second})
 	sim.advance(rules.Second)
 	if sim.controller.queued != 0 {
-		t.Errorf("%d are queued at the end", sim.controller.queued)
+		t.Errorf("%d requests are still queued at the shutdown deadline", sim.controller.queued)
 	}
 }
 
-// For random events: each request ends once, state stays within its bounds, requests of an order key stay in order, no
-// request is queued while an engine is idle, and nothing is left when all clients have gone.
+// Checks for random events: each request ends exactly once, the state stays within its bounds, requests with the same
+// order key stay in order, no request is queued while an engine is idle, and no state is left after all clients have
+// disconnected.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sizes := Limits{ConnectionSlots: 18, Connections: 16, Requests: 12, StatementBytes: 1500, InputBytes: 2000, StateBytes: 16 << 10}
@@ -446,8 +447,8 @@
 		set.ModuleQueueDepth = rapid.IntRange(1, 4).Draw(rt, "ahead")
 		set.Tenants = []Tenant{{Name: "t0", Weight: 3}}
 		sim := newSimulation(t, set, sizes, classes)
-		sim.slots = rapid.IntRange(1, 4).Draw(rt, "slots")
-		keys := map[string][]string{} // in the order taken
+		sim.engineSlots = rapid.IntRange(1, 4).Draw(rt, "slots")
+		keys := map[string][]string{} // request ids by order key, in the order of arrival
 		ids := 0
 		taken := map[string]bool{}
 		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
@@ -492,7 +493,7 @@
 		sim.checkInvariants(rt, keys)
 		for id := range taken {
 			if sim.outcomes[id] != 1 {
-				rt.Fatalf("%s had %d ends", id, sim.outcomes[id])
+				rt.Fatalf("request %s ended %d times", id, sim.outcomes[id])
 			}
 		}
 		for c := range sim.connections {
@@ -500,14 +501,14 @@
 		}
 		controller := sim.controller
 		if controller.queued != 0 || controller.openRequests != 0 || controller.statementBytes != 0 || controller.inputBytes != 0 || controller.openConnections != 0 || len(controller.tenants) != 0 || len(controller.tenantByKey) != 0 ||
-			len(controller.lastOfKey) != 0 || len(controller.expiry) != 0 || controller.queuedWeight != 0 {
-			rt.Fatalf("left behind: %+v", controller.Stats())
+			len(controller.lastByOrderKey) != 0 || len(controller.expiry) != 0 || controller.queuedWeight != 0 {
+			rt.Fatalf("state is left after all clients have disconnected: %+v", controller.Stats())
 		}
 	})
 }
 
-// Beside closed loops of tenants of any weight and run time, a request is admitted within the time in which every
-// tenant gets one run, and the debt of its own tenant is worked off.
+// Among tenants of any weight and run time that always have requests queued, a small tenant's request is admitted
+// within the time of one run of each tenant plus the time that works off the debt of its own last run.
 func TestNoTenantStarves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		set := Defaults()
@@ -523,12 +524,12 @@
 		}
 		set.Tenants = append(set.Tenants, Tenant{Name: "small", Weight: least})
 		sim := newSimulation(t, set, testLimits(), oneClass())
-		sim.slots = rapid.IntRange(1, 6).Draw(rt, "slots")
-		class := 0
+		sim.engineSlots = rapid.IntRange(1, 6).Draw(rt, "slots")
+		sent := 0
 		sim.onServed = func(request *simulatedRequest) {
 			if request.tenant != "small" {
-				class++
-				sim.send(request.connection, fmt.Sprint("again", class), request.tenant, request.runTime, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
+				sent++
+				sim.send(request.connection, fmt.Sprint("again", sent), request.tenant, request.runTime, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
 			}
 		}
 		for i := range n {
@@ -542,21 +543,21 @@
 		for i := range 5 {
 			run := rules.Time(rapid.IntRange(5, 50).Draw(rt, "small run")) * ms
 			sim.send(c, fmt.Sprint("small", i), "small", run, func(q *Request) { q.Deadline = sim.now + 1000*rules.Second })
-			sim.advance(longest + run) // its debt is this run at most when it sends the next request
+			sim.advance(longest + run) // afterwards its debt is at most this run
 			for sim.outcomes[fmt.Sprint("small", i)] == 0 && sim.now < 60*rules.Second {
 				sim.advance(longest)
 			}
 		}
-		// The runs of the other tenants that have begun, one of each, and for the debt of its own last run as much
-		// work of each as its weight says.
-		bound := longest*rules.Time(set.ModuleQueueDepth+sim.slots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.slots)
-		for _, w := range sim.waits["small"] {
+		// The runs that have begun, one run of each other tenant, and, for the debt of its own last run, work of the
+		// other tenants in proportion to their weights.
+		bound := longest*rules.Time(set.ModuleQueueDepth+sim.engineSlots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.engineSlots)
+		for _, w := range sim.queueTimes["small"] {
 			if w > bound {
-				rt.Fatalf("waited %d ms, %d at most", w/ms, bound/ms)
+				rt.Fatalf("waited %d ms, want at most %d ms", w/ms, bound/ms)
 			}
 		}
-		if len(sim.waits["small"]) != 5 {
-			rt.Fatalf("only %d of 5 were admitted", len(sim.waits["small"]))
+		if len(sim.queueTimes["small"]) != 5 {
+			rt.Fatalf("only %d of 5 requests were admitted", len(sim.queueTimes["small"]))
 		}
 	})
 }
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -6,30 +6,31 @@
 	"foxlane/rules"
 )
 
-// maxMeanWeight is the number of samples after which the oldest begin to lose weight.
+// maxMeanWeight is the number of samples after which older samples begin to lose weight.
 const maxMeanWeight = 32
 
-// decayingMean is a mean in which the weight of a sample decays as others follow.
+// decayingMean is a mean that becomes an exponentially weighted moving average after maxMeanWeight samples.
 type decayingMean struct {
 	value, weight float64
 }
 
-func (m *decayingMean) start(v float64) { m.value, m.weight = v, 1 }
+func (m *decayingMean) reset(v float64) { m.value, m.weight = v, 1 }
 
 func (m *decayingMean) add(v float64) {
 	m.weight = min(m.weight+1, maxMeanWeight)
 	m.value += (v - m.value) / m.weight
 }
 
-// capacitySpan is the time over which rates of work decay by e.
-const capacitySpan = 1 * rules.Second
+// capacityTimeConstant is the time constant of the rates of work: the weight of work decays by a factor of
+// e per second.
+const capacityTimeConstant = 1 * rules.Second
 
-// decayingRate is an amount per time that decays by e over its span.
+// decayingRate is an exponentially weighted rate.
 type decayingRate struct {
-	sum       float64
-	updatedAt rules.Time
-	startedAt rules.Time // of the first amount
-	span      float64
+	sum          float64 // of all amounts, decayed until updatedAt
+	updatedAt    rules.Time
+	startedAt    rules.Time // when the first amount was added, or the rate first read
+	timeConstant float64    // time constant, in microseconds
 }
 
 func (r *decayingRate) decay(now rules.Time) {
@@ -37,7 +38,7 @@
 		r.startedAt, r.updatedAt = now, now
 	}
 	if now > r.updatedAt {
-		r.sum *= math.Exp(-float64(now-r.updatedAt) / r.span)
+		r.sum *= math.Exp(-float64(now-r.updatedAt) / r.timeConstant)
 		r.updatedAt = now
 	}
 }
@@ -47,12 +48,13 @@
 	r.sum += amount
 }
 
-// rate is the amount per microsecond. Until a span has passed since the first amount, the time passed counts.
+// rate returns the amount per microsecond. It corrects for the short history after the start, and returns 0 while less
+// than about 2 % of the time constant has passed.
 func (r *decayingRate) rate(now rules.Time) float64 {
 	r.decay(now)
-	seen := 1 - math.Exp(-float64(now-r.startedAt)/r.span)
-	if seen < 0.02 {
+	coverage := 1 - math.Exp(-float64(now-r.startedAt)/r.timeConstant)
+	if coverage < 0.02 {
 		return 0
 	}
-	return r.sum / (r.span * seen)
+	return r.sum / (r.timeConstant * coverage)
 }
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -2,91 +2,91 @@
 
 import "foxlane/rules"
 
-// EventKind is what an Event reports.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// Kinds of events. Each names the fields of Event that count.
+// Kinds of events, each with the fields of Event that it uses.
 const (
-	ConnectionOpened EventKind = iota + 1 // a connection was accepted: Conn, From
-	ConnectionClosed                      // a connection is closed, after its request is done: Conn
-	ConnectionIdle                        // a connection has its answer and sends nothing: Conn
-	InputBuffered                         // Bytes of an incomplete packet are buffered for a connection: Conn, Bytes
-	RequestArrived                        // a complete request was read: Slot, Conn, Request
-	RequestForwarded                      // the first attempt of a request was sent: Slot
-	EngineTimeUsed                        // an attempt of a request used an engine for EngineTime: Slot, EngineTime
-	RequestDone                           // a request is over: Slot, Served
-	RequestRejected                       // the decision module rejects a request; an Effect Reject with its Retry-After follows: Slot
-	TimerFired                            // the time of the last SetTimer has come
-	Reconfigured                          // the settings were reloaded: Settings, DeclaredTenants
-	Stopping                              // the gateway shuts down: no deadline is later than Deadline, and no Retry-After is sent
+	ConnectionOpened EventKind = iota + 1 // Conn, From: a connection was accepted
+	ConnectionClosed                      // Conn: a connection was closed, after RequestDone of its request
+	ConnectionIdle                        // Conn: the request of a connection was answered, and no other was sent
+	InputBuffered                         // Conn, Bytes: size of the incomplete packet that is buffered for a connection
+	RequestArrived                        // Slot, Conn, Request: a complete request was read
+	RequestForwarded                      // Slot: the first attempt of a request was sent
+	EngineTimeUsed                        // Slot, EngineTime: an attempt of a request used an engine for EngineTime
+	RequestDone                           // Slot, Served: a request has ended
+	RequestRejected                       // Slot: the decision module rejects a request; answered by a Reject effect
+	TimerFired                            // the time of the last SetTimer effect was reached
+	Reconfigured                          // Settings, DeclaredTenants: the settings were reloaded
+	Stopping                              // Deadline: the gateway shuts down; caps all deadlines, and no Retry-After is sent
 )
 
-// Event is an input of the controller. Only the fields named at its kind count.
+// Event is an input of the controller. Only the fields listed for its kind are used.
 type Event struct {
 	Kind       EventKind
-	Conn       int // slot of a connection
-	Slot       int // slot of a request
-	From       Address
-	Bytes      int
-	Request    Request
-	EngineTime rules.Time
-	Served     bool
-	Deadline   rules.Time
+	Conn       int        // slot of a connection
+	Slot       int        // slot of a request
+	From       Address    // address of the client
+	Bytes      int        // size of the incomplete packet
+	Request    Request    // the request that arrived
+	EngineTime rules.Time // duration of the attempt, not multiplied by the threads of the class
+	Served     bool       // the request was answered with a result
+	Deadline   rules.Time // shutdown deadline
 
 	Settings        *Settings
-	DeclaredTenants []string
+	DeclaredTenants []string // tenants that the site declares, besides Settings.Tenants
 }
 
-// Request is what admission control knows of a request.
+// Request describes a request to admission control.
 type Request struct {
 	Class          int
-	Tenant         string // as the client declares it; empty: none
-	OrderKey       string // requests of one key are admitted in the order of their arrival; empty: none
+	Tenant         string // as declared by the client; empty: none
+	OrderKey       string // requests with the same key are admitted in the order of their arrival; empty: none
 	Deadline       rules.Time
-	DeclaredWork   rules.Time // work of all threads, as the client declares it; 0: not declared
+	DeclaredWork   rules.Time // total work of all threads, as declared by the client; 0: not declared
 	StatementBytes int
 }
 
-// EffectKind is what an Effect asks for.
+// EffectKind is the type of an Effect.
 type EffectKind uint8
 
-// Kinds of effects. Each names the fields of Effect that count.
+// Kinds of effects, each with the fields of Effect that it uses.
 const (
-	Admit      EffectKind = iota + 1 // hand Slot to the decision module; it was queued for After
-	Reject                           // answer Slot with a rejection, with Retry-After if After is over 0
-	Evict                            // close Conn with an error, with Retry-After if After is over 0
-	AbortInput                       // close Conn: its incomplete packet exceeds its quota
-	SetTimer                         // send TimerFired at At; it replaces the timer set before
+	Admit      EffectKind = iota + 1 // Slot, After: pass the request to the decision module
+	Reject                           // Slot, After, Reason: reject the request, with a Retry-After if After is positive
+	Evict                            // Conn, After, Reason: close with an error, with a Retry-After if After is positive
+	AbortInput                       // Conn, Reason: close, since its incomplete packet exceeds its quota
+	SetTimer                         // At: send TimerFired at this time; replaces the previous timer
 )
 
-// Reason is why an Effect was chosen.
+// Reason is the reason for a rejection or for closing a connection.
 type Reason uint8
 
 // Reasons.
 const (
 	ReasonNone        Reason = iota
 	ReasonCapacity           // requests or statement bytes are at their limit, and its tenant is most over its quota
-	ReasonDeadline           // it can't meet its deadline
+	ReasonDeadline           // the request can't meet its deadline
 	ReasonConnections        // connections are at their limit, and its tenant is most over its quota
-	ReasonSilence            // connections are at their limit, and no request has come on this one
-	ReasonEarlyReturn        // it keeps sending before its Retry-After has passed
+	ReasonSilence            // connections are at their limit, and this one has sent no request
+	ReasonEarlyReturn        // the connection repeatedly sent requests before its Retry-After had passed
 	ReasonInput              // buffered input is at its limit, and its tenant is most over its quota
-	ReasonModule             // the decision module rejected it
+	ReasonModule             // the decision module rejected the request
 	reasonCount       = iota
 )
 
-// reasonNames are parts of keys in the log (docs/ops/fair.md).
+// reasonNames are part of log keys (docs/ops/fair.md).
 var reasonNames = [reasonCount]string{"none", "capacity", "deadline", "connections", "silence", "early_return", "input", "module"}
 
-// String returns the name of a reason as the log has it.
+// String returns the name of a reason as it appears in log keys.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Effect is an output of the controller. Only the fields named at its kind count.
+// Effect is an output of the controller. Only the fields listed for its kind are set.
 type Effect struct {
 	Kind   EffectKind
 	Slot   int        // slot of a request
 	Conn   int        // slot of a connection
-	After  rules.Time // Admit: how long the request was queued. Reject, Evict: the Retry-After; 0: none
-	At     rules.Time
+	After  rules.Time // Admit: time spent in the queue; Reject, Evict: the Retry-After, 0: none
+	At     rules.Time // SetTimer: time of the TimerFired event
 	Reason Reason
 }
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -8,7 +8,8 @@
 	"foxlane/rules"
 )
 
-// Each of these tests fails without the one guard that it is named for.
+// Each test of this file covers one rule of the fairness or overload protection, and fails if that rule alone is
+// removed.
 
 func TestIdleClientEarnsNoCreditWithinItsTenant(t *testing.T) {
 	set := Defaults()
@@ -21,16 +22,16 @@
 		n++
 		sim.send(request.connection, fmt.Sprint("r", n), "coop", request.runTime, nil)
 	}
-	away := sim.connect("10.0.0.2") // stays connected, so it is not forgotten
+	idle := sim.connect("10.0.0.2") // stays connected, so that its account remains
 	sim.onServed = nil
-	sim.send(away, "once", "coop", 50*ms, nil)
+	sim.send(idle, "once", "coop", 50*ms, nil)
 	sim.advance(100 * ms)
 	sim.onServed = again
 	sim.startClosedLoop("10.0.0.1", "coop", 20, 50*ms)
 	sim.advance(30 * rules.Second)
 	clear(work)
-	mine := []int{away}
-	sim.send(away, "away", "coop", 50*ms, nil)
+	mine := []int{idle}
+	sim.send(idle, "away", "coop", 50*ms, nil)
 	for i := range 19 {
 		c := sim.connect("10.0.0.2")
 		sim.send(c, fmt.Sprint("back", i), "coop", 50*ms, nil)
@@ -49,9 +50,9 @@
 	}
 }
 
-// reconnectingPart plays nine greedy ones and one that asks for a run of 400 ms, leaves and comes back at once,
-// and returns its part of the work.
-func reconnectingPart(t *testing.T, set Settings, tenant func(i int) string, from func(i int) string) float64 {
+// reconnectingShare simulates nine principals that always have requests open, and a tenth that sends a request of 400
+// ms, disconnects when it is served, and reconnects at once. It returns the share of the work that the tenth gets.
+func reconnectingShare(t *testing.T, set Settings, tenant func(i int) string, address func(i int) string) float64 {
 	sim := newSimulation(t, set, testLimits(), oneClass())
 	n := 0
 	mine, all := 0.0, 0.0
@@ -64,33 +65,33 @@
 		}
 		mine += float64(request.runTime)
 		sim.disconnect(request.connection)
-		sim.send(sim.connect(from(9)), fmt.Sprint("x", n), tenant(9), 400*ms, nil)
+		sim.send(sim.connect(address(9)), fmt.Sprint("x", n), tenant(9), 400*ms, nil)
 	}
 	for i := range 9 {
 		for j := range 4 {
-			sim.send(sim.connect(from(i)), fmt.Sprint("first", i, j), tenant(i), 50*ms, nil)
+			sim.send(sim.connect(address(i)), fmt.Sprint("first", i, j), tenant(i), 50*ms, nil)
 		}
 	}
 	sim.advance(2 * rules.Second)
 	mine, all = 0, 0
-	sim.send(sim.connect(from(9)), "x", tenant(9), 400*ms, nil)
+	sim.send(sim.connect(address(9)), "x", tenant(9), 400*ms, nil)
 	sim.advance(30 * rules.Second)
 	return mine / all
 }
 
 func TestDebtsOutlastAConnection(t *testing.T) {
-	part := reconnectingPart(t, trustingSettings(), func(i int) string { return fmt.Sprint("t", i) }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
+	part := reconnectingShare(t, trustingSettings(), func(i int) string { return fmt.Sprint("t", i) }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
 	if part > 0.14 {
-		t.Errorf("a tenant that leaves after each request got %.2f of the work, a tenth is its part", part)
+		t.Errorf("a tenant that disconnects after each request got %.2f of the work, want 0.10", part)
 	}
 }
 
 func TestDebtsOfAClientOutlastItsConnection(t *testing.T) {
 	set := Defaults()
 	set.Tenants = []Tenant{{Name: "coop", Weight: 1}}
-	part := reconnectingPart(t, set, func(int) string { return "coop" }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
+	part := reconnectingShare(t, set, func(int) string { return "coop" }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
 	if part > 0.12 {
-		t.Errorf("a client that leaves after each request got %.2f of its tenant's work, a tenth is its part", part)
+		t.Errorf("a client that disconnects after each request got %.2f of its tenant's work, want 0.10", part)
 	}
 }
 
@@ -115,10 +116,10 @@
 	}
 	sim.advance(20 * rules.Second)
 	if part := sim.served["liar"] / (sim.served["liar"] + sim.served["honest"]); math.Abs(part-0.5) > 0.03 {
-		t.Errorf("a client that understates its work got %.2f of it", part)
+		t.Errorf("a tenant that understates its work got %.2f of the work, want 0.50", part)
 	}
 	if w := sim.controller.predictWork(0, 1); w < 0.1*float64(50*ms) {
-		t.Errorf("a request of 50 ms whose client declares a microsecond counts for %.0f us until it has run", w)
+		t.Errorf("a request of 50 ms that is declared as 1 us is charged %.0f us on admission", w)
 	}
 }
 
@@ -131,7 +132,7 @@
 	request := sim.send(sim.connect("10.0.0.2"), "small", "small", 50*ms, nil)
 	sim.advance(400 * ms)
 	if sim.outcomes["small"] != 1 {
-		t.Errorf("admitted %v: a request that fits an engine waits behind those that fit none", request.admitted)
+		t.Errorf("admitted %v: a request that fits an engine waits behind requests that fit none", request.admitted)
 	}
 }
 
@@ -146,7 +147,7 @@
 			refused = sim.now
 		}
 	}
-	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms }) // 36 ahead of it, of 4 at a time
+	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms }) // 36 requests are ahead of it, 4 run at a time
 	if refused != request.arrivedAt {
 		t.Errorf("arrived at %d ms, rejected at %d ms", request.arrivedAt/ms, refused/ms)
 	}
@@ -164,7 +165,7 @@
 		sim.send(sim.connect("10.0.0.1"), fmt.Sprint("first", i), "coop", 100*ms, nil)
 	}
 	c := sim.connect("10.0.0.1")
-	sim.controller.addBooking(sim.controller.connections[0].client.key, 100*ms) // as if its Retry-After had said so
+	sim.controller.addBooking(sim.controller.connections[0].client.key, 100*ms) // as if it had been sent this Retry-After
 	sim.advance(100 * ms)
 	sim.send(c, "back", "coop", 100*ms, nil)
 	queued := map[string]bool{}
@@ -184,24 +185,24 @@
 		}
 	}
 	if len(queued) < 10 || sim.outcomes["back"] != 1 || before > 0 {
-		t.Errorf("ended %d times, behind %d of the %d that were queued when it came", sim.outcomes["back"], before, len(queued))
+		t.Errorf("ended %d times, admitted after %d of the %d requests that were queued when it arrived", sim.outcomes["back"], before, len(queued))
 	}
 	if s := sim.controller.Stats(); s.ReturnsServed != 1 {
-		t.Errorf("%d returns are counted as served", s.ReturnsServed)
+		t.Errorf("%d returns are counted as served, want 1", s.ReturnsServed)
 	}
 }
 
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
 	sim := newSimulation(t, Defaults(), testLimits(), oneClass())
 	var pool []int
-	for i := range 4 { // holds most, and uses them
+	for i := range 4 { // holds the most connections of any client, and uses them
 		c := sim.connect("192.0.2.1")
 		sim.send(c, fmt.Sprint("p", i), "", 10*ms, nil)
 		pool = append(pool, c)
 	}
 	sim.advance(50 * ms)
 	for i := range 60 {
-		sim.connect(fmt.Sprintf("10.0.0.%d", i+1)) // each says nothing
+		sim.connect(fmt.Sprintf("10.0.0.%d", i+1)) // sends no request
 	}
 	sim.advance(600 * ms)
 	for i := range 10 {
@@ -209,7 +210,7 @@
 	}
 	for _, c := range pool {
 		if sim.connections[c] == nil {
-			t.Error("a connection in use was evicted while others were silent")
+			t.Error("a connection in use was evicted while others had sent no request")
 		}
 	}
 }
@@ -222,7 +223,7 @@
 		controller.addBooking(uint64(i+1), rules.Second)
 	}
 	if len(controller.bookings.byClient) != room || controller.bookings.firstFree != noSlot {
-		t.Fatalf("%d clients have %d bookings", len(controller.bookings.byClient), room)
+		t.Fatalf("the table is not full: %d clients hold its %d bookings", len(controller.bookings.byClient), room)
 	}
 	controller.now += 100 * rules.Second
 	for i := range room {
@@ -235,7 +236,7 @@
 		}
 	}
 	if fresh < room*9/10 {
-		t.Errorf("of %d bookings %d were made: the table is full of expired ones", room, fresh)
+		t.Errorf("%d of %d new bookings were recorded: expired ones still fill the table", fresh, room)
 	}
 }
 
@@ -247,7 +248,7 @@
 	}
 	controller.addBooking(2, rules.Second)
 	if list := controller.bookings.byClient[1]; int(list.count) > len(controller.bookings.bookings)/4 || controller.bookings.byClient[2].count != 1 {
-		t.Errorf("one client has %d of %d bookings, the other %d", list.count, len(controller.bookings.bookings), controller.bookings.byClient[2].count)
+		t.Errorf("one client holds %d of %d bookings, the other %d", list.count, len(controller.bookings.bookings), controller.bookings.byClient[2].count)
 	}
 }
 
@@ -255,7 +256,7 @@
 	set := trustingSettings()
 	sim := newSimulation(t, set, testLimits(), oneClass())
 	sim.startClosedLoop("10.0.0.1", "flood", 20, 100*ms)
-	for i := range 6 { // alternately of two tenants
+	for i := range 6 { // alternates between two tenants
 		sim.send(sim.connect(fmt.Sprintf("10.0.0.%d", 2+i%2)), fmt.Sprint("k", i), fmt.Sprint("t", i%2), 20*ms, func(q *Request) { q.OrderKey = "key" })
 	}
 	set.Tenants = []Tenant{{Name: "t1", Weight: 9}}
@@ -271,7 +272,7 @@
 		}
 	}
 	if next != 6 {
-		t.Errorf("%d of 6 were admitted", next)
+		t.Errorf("%d of 6 requests were admitted", next)
 	}
 }
 
@@ -300,11 +301,11 @@
 		return work["10.1.0.1"] / (work["10.1.0.1"] + work["10.2.0.1"])
 	}
 	if p := part(); math.Abs(p-0.9) > 0.05 {
-		t.Errorf("the paying network got %.2f of the work", p)
+		t.Errorf("the network with weight 9 got %.2f of the work, want 0.90", p)
 	}
 	s := network("10.2.0.0/16")
 	sim.handle(Event{Kind: Reconfigured, Settings: &s})
 	if p := part(); math.Abs(p-0.1) > 0.05 {
-		t.Errorf("after it was moved to another network the first got %.2f", p)
+		t.Errorf("the address that left the network got %.2f of the work, want 0.10", p)
 	}
 }
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,8 +1,7 @@
 package admission
 
-// heapItem is an element of a binary heap. It records its own position, so that it can be moved or
-// removed wherever it is. Accounts are in one heap per class; an item that is in one heap only
-// ignores the class.
+// heapItem is an element of a binary heap that records its own index, so that it can be moved or removed from any
+// position. Accounts are in one heap per class; items that are in a single heap ignore the class.
 type heapItem[T any] interface {
 	before(other T) bool
 	setHeapIndex(class, index int32)
@@ -14,7 +13,7 @@
 	return h
 }
 
-// heapFix moves the item at i to its place after its order has changed.
+// heapFix restores the heap order after the item at i has changed.
 func heapFix[T heapItem[T]](h []T, i int, class int32) {
 	item := h[i]
 	for ; i > 0 && item.before(h[(i-1)/2]); i = (i - 1) / 2 {
@@ -63,7 +62,7 @@
 
 func (r *openRequest) setHeapIndex(_, index int32) { r.expiryIndex = index }
 
-// expiryHeap holds all queued requests, by the time at which they are rejected.
+// expiryHeap holds all queued requests, ordered by expiresAt.
 type expiryHeap []*openRequest
 
 func (h *expiryHeap) push(request *openRequest) { *h = heapPush(*h, request, 0) }
--- a/internal/admission/identity.go
+++ b/internal/admission/identity.go
@@ -7,84 +7,85 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file owns to which tenant and client a request belongs. It never keeps a name that a client declared: names
-// become seeded hashes at once.
+// This file maps each request to a tenant and a client. It never stores a name that a client declared, only its seeded
+// hash.
 
-// Address is where a connection comes from.
+// Address is the IP address of a client.
 type Address = netip.Addr
 
-// principal is a tenant and a client within it, as hashes.
+// principal identifies a tenant and one of its clients by their hashes.
 type principal struct {
 	tenant uint64
 	client uint64
 	weight float64 // of the tenant
 }
 
-// origin is what the address of a connection says: the principal of requests that declare no tenant, and the network.
+// origin is what follows from the address of a connection: the principal of requests that declare no tenant, and the
+// network.
 type origin struct {
 	principal
-	network int // index, -1: none
+	network int // index in Settings.Networks; -1: none
 }
 
-// identityResolver tells to which principal a request belongs.
+// identityResolver maps addresses and declared tenants to principals.
 type identityResolver struct {
 	settings Settings
 	seed     uint64
-	tenants  map[uint64]Tenant // by their hash
-	networks map[string]int
+	tenants  map[uint64]Tenant // declared tenants, by the hash of their name
+	networks map[string]int    // index in Settings.Networks, by name
 }
 
-func newIdentityResolver(set Settings, declared []string, seed uint64) *identityResolver {
-	r := &identityResolver{settings: set, seed: seed, tenants: map[uint64]Tenant{}, networks: map[string]int{}}
+func newIdentityResolver(settings Settings, declared []string, seed uint64) *identityResolver {
+	resolver := &identityResolver{settings: settings, seed: seed, tenants: map[uint64]Tenant{}, networks: map[string]int{}}
 	for _, name := range declared {
-		r.tenants[r.hashName(spaceTenant, name)] = Tenant{Name: name, Weight: 1}
+		resolver.tenants[resolver.hashName(domainTenant, name)] = Tenant{Name: name, Weight: 1}
 	}
-	for _, t := range set.Tenants {
-		r.tenants[r.hashName(spaceTenant, t.Name)] = t
+	for _, t := range settings.Tenants {
+		resolver.tenants[resolver.hashName(domainTenant, t.Name)] = t
 	}
-	for i, n := range set.Networks {
-		r.networks[n.Name] = i
+	for i, n := range settings.Networks {
+		resolver.networks[n.Name] = i
 	}
-	return r
+	return resolver
 }
 
-// Hashes of different kinds are kept apart, so that the name of a tenant can't pass for an address.
+// Hash domains separate the hashes of different kinds of values, so that a tenant name can't pass for an address.
 const (
-	spaceTenant = iota + 1
-	spaceNetwork
-	spaceAddress
-	spaceKey
+	domainTenant = iota + 1
+	domainNetwork
+	domainAddress
+	domainOrderKey
 )
 
-func (r *identityResolver) hash(space byte, data []byte) uint64 {
-	h := xxh3.HashSeed(data, r.seed^uint64(space)*0x9e3779b97f4a7c15)
+func (r *identityResolver) hash(domain byte, data []byte) uint64 {
+	h := xxh3.HashSeed(data, r.seed^uint64(domain)*0x9e3779b97f4a7c15)
 	if h == 0 {
-		h = 1 // 0 stands for no principal
+		h = 1 // 0 means no principal
 	}
 	return h
 }
 
-func (r *identityResolver) hashName(space byte, name string) uint64 {
-	h := xxh3.HashStringSeed(name, r.seed^uint64(space)*0x9e3779b97f4a7c15)
+func (r *identityResolver) hashName(domain byte, name string) uint64 {
+	h := xxh3.HashStringSeed(name, r.seed^uint64(domain)*0x9e3779b97f4a7c15)
 	if h == 0 {
 		h = 1
 	}
 	return h
 }
 
-// hashAddress is the hash of an IPv4 address, or of the /64 of an IPv6 address: a host there has as many
-// addresses as it likes.
+// hashAddress returns the hash of an IPv4 address, or of the /64 prefix of an IPv6 address, since an IPv6 host can
+// use any number of addresses within its /64.
 func (r *identityResolver) hashAddress(a netip.Addr) uint64 {
 	a = a.Unmap()
 	if a.Is6() {
-		all := a.As16()
-		return r.hash(spaceAddress, all[:8])
+		bytes := a.As16()
+		return r.hash(domainAddress, bytes[:8])
 	}
-	four := a.As4()
-	return r.hash(spaceAddress, four[:])
+	bytes := a.As4()
+	return r.hash(domainAddress, bytes[:])
 }
 
-// originOf returns what is known of a connection by its address alone.
+// originOf returns the origin of connections from an address.
 func (r *identityResolver) originOf(a netip.Addr) origin {
 	if !a.IsValid() {
 		a = netip.IPv4Unspecified()
@@ -97,39 +98,39 @@
 		}
 		o := origin{principal{host, host, n.Weight}, i}
 		if n.SharedTenant {
-			o.tenant = r.hashName(spaceNetwork, n.Name)
+			o.tenant = r.hashName(domainNetwork, n.Name)
 		}
 		return o
 	}
 	return origin{principal{host, host, r.settings.UnlistedWeight}, -1}
 }
 
-// principalOf returns the principal of a request that declares a tenant, by the hash of the name; 0: none. A name
-// that is neither declared in the settings nor trusted from its network makes a client of the address that declares
-// it, so that new names gain nothing.
-func (r *identityResolver) principalOf(o origin, name uint64) principal {
-	if name == 0 {
+// principalOf returns the principal of a request from its origin and the hash of the tenant name that it declares (0:
+// none). A name that is neither declared in the settings nor trusted from its network only becomes another client of
+// the tenant of that address, so that a client can't increase its share with new names.
+func (r *identityResolver) principalOf(o origin, nameHash uint64) principal {
+	if nameHash == 0 {
 		return o.principal
 	}
 	trusted := o.network >= 0 && r.settings.Networks[o.network].Trusted
-	t, declared := r.tenants[name]
-	if declared && (trusted || r.allowedFrom(t, o.network)) {
-		return principal{name, o.client, t.Weight}
+	tenant, declared := r.tenants[nameHash]
+	if declared && (trusted || r.allowedFrom(tenant, o.network)) {
+		return principal{nameHash, o.client, tenant.Weight}
 	}
 	if trusted {
-		return principal{name, o.client, r.settings.Networks[o.network].Weight}
+		return principal{nameHash, o.client, r.settings.Networks[o.network].Weight}
 	}
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:], o.client)
-	binary.LittleEndian.PutUint64(both[8:], name)
-	return principal{o.tenant, r.hash(spaceTenant, both[:]), o.weight}
+	var combined [16]byte
+	binary.LittleEndian.PutUint64(combined[:], o.client)
+	binary.LittleEndian.PutUint64(combined[8:], nameHash)
+	return principal{o.tenant, r.hash(domainTenant, combined[:]), o.weight}
 }
 
-func (r *identityResolver) allowedFrom(t Tenant, network int) bool {
-	if t.Networks == nil {
+func (r *identityResolver) allowedFrom(tenant Tenant, network int) bool {
+	if tenant.Networks == nil {
 		return true
 	}
-	for _, n := range t.Networks {
+	for _, n := range tenant.Networks {
 		if r.networks[n] == network {
 			return true
 		}
@@ -137,11 +138,12 @@
 	return false
 }
 
-// AcceptsTenant reports whether clients may declare a tenant: any other name is an error to its client.
+// AcceptsTenant reports whether clients may declare a tenant. Requests that declare any other tenant are to be answered
+// with an error.
 func (c *Controller) AcceptsTenant(tenant string) bool {
 	if c.settings.AnyTenant || tenant == "" {
 		return true
 	}
-	_, ok := c.resolver.tenants[c.resolver.hashName(spaceTenant, tenant)]
+	_, ok := c.resolver.tenants[c.resolver.hashName(domainTenant, tenant)]
 	return ok
 }
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -34,62 +34,63 @@
 	of := func(from, tenant string) principal {
 		name := uint64(0)
 		if tenant != "" {
-			name = r.hashName(spaceTenant, tenant)
+			name = r.hashName(domainTenant, tenant)
 		}
 		return r.principalOf(r.originOf(netip.MustParseAddr(from)), name)
 	}
 	const (
-		same      = iota // one tenant, one client
-		clients          // one tenant, two clients
-		strangers        // two tenants
+		sameClient       = iota // one tenant, one client
+		sameTenant              // one tenant, two clients
+		differentTenants        // two tenants
 	)
 	for _, c := range []struct {
-		what                  string
+		name                  string
 		from1, tenant1, from2 string
 		tenant2               string
 		want                  int
 		weight                float64
 	}{
-		{"an address", "203.0.113.1", "", "203.0.113.1", "", same, 1},
-		{"two addresses", "203.0.113.1", "", "203.0.113.2", "", strangers, 1},
-		{"IPv4 in IPv6", "::ffff:203.0.113.1", "", "203.0.113.1", "", same, 1},
-		{"hosts of one /64", "2001:db8:9::1", "", "2001:db8:9::ffff:2", "", same, 1},
-		{"two /64", "2001:db8:9:1::1", "", "2001:db8:9:2::1", "", strangers, 1},
-		{"addresses that share as one", "10.1.0.1", "", "10.1.9.9", "", clients, 2},
-		{"both families of a network", "10.1.0.1", "", "2001:db8:1::7", "", clients, 2},
-		{"a declared tenant from anywhere", "203.0.113.1", "coop", "198.51.100.1", "coop", clients, 4},
-		{"a tenant of the site's", "203.0.113.1", "site", "198.51.100.1", "site", clients, 1},
-		{"a tenant where it may be named", "10.1.0.1", "inner", "10.1.0.2", "inner", clients, 5},
-		{"a tenant where it may not be named", "203.0.113.1", "inner", "203.0.113.1", "", clients, 1},
-		{"an undeclared name", "203.0.113.1", "new", "203.0.113.1", "other", clients, 1},
-		{"an undeclared name from two addresses", "203.0.113.1", "new", "198.51.100.1", "new", strangers, 1},
-		{"an undeclared name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "other", strangers, 3},
-		{"one name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "new", same, 3},
+		{"an address", "203.0.113.1", "", "203.0.113.1", "", sameClient, 1},
+		{"two addresses", "203.0.113.1", "", "203.0.113.2", "", differentTenants, 1},
+		{"IPv4 in IPv6", "::ffff:203.0.113.1", "", "203.0.113.1", "", sameClient, 1},
+		{"hosts of one /64", "2001:db8:9::1", "", "2001:db8:9::ffff:2", "", sameClient, 1},
+		{"two /64", "2001:db8:9:1::1", "", "2001:db8:9:2::1", "", differentTenants, 1},
+		{"two addresses of a network with one tenant", "10.1.0.1", "", "10.1.9.9", "", sameTenant, 2},
+		{"both families of a network", "10.1.0.1", "", "2001:db8:1::7", "", sameTenant, 2},
+		{"a declared tenant from anywhere", "203.0.113.1", "coop", "198.51.100.1", "coop", sameTenant, 4},
+		{"a tenant that the site declares", "203.0.113.1", "site", "198.51.100.1", "site", sameTenant, 1},
+		{"a tenant from a network that may declare it", "10.1.0.1", "inner", "10.1.0.2", "inner", sameTenant, 5},
+		{"a tenant from a network that may not declare it", "203.0.113.1", "inner", "203.0.113.1", "", sameTenant, 1},
+		{"an undeclared name", "203.0.113.1", "new", "203.0.113.1", "other", sameTenant, 1},
+		{"an undeclared name from two addresses", "203.0.113.1", "new", "198.51.100.1", "new", differentTenants, 1},
+		{"an undeclared name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "other", differentTenants, 3},
+		{"one name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "new", sameClient, 3},
 	} {
 		a, b := of(c.from1, c.tenant1), of(c.from2, c.tenant2)
-		got := strangers
+		got := differentTenants
 		if a.tenant == b.tenant {
-			got = clients
+			got = sameTenant
 			if a.client == b.client {
-				got = same
+				got = sameClient
 			}
 		}
 		if got != c.want || a.weight != c.weight {
-			t.Errorf("%s: got %d with weight %v, want %d with %v", c.what, got, a.weight, c.want, c.weight)
+			t.Errorf("%s: got %d with weight %v, want %d with %v", c.name, got, a.weight, c.want, c.weight)
 		}
 	}
 }
 
-// Without the seed nobody can tell which names share a cell.
+// Names or addresses that collide under one seed rarely collide under another, so that clients can't choose colliding
+// names without knowing the seed.
 func TestHashCollisionsDependOnTheSeed(t *testing.T) {
-	const tenants, places = 2000, 1 << 10
+	const tenants, cells = 2000, 1 << 10
 	pairs := func(seed uint64, addresses bool) map[[2]int]bool {
 		r := newIdentityResolver(Defaults(), nil, seed)
 		at := map[uint64][]int{}
 		for i := range tenants {
-			h := r.hashName(spaceTenant, fmt.Sprint("tenant-", i)) % places
+			h := r.hashName(domainTenant, fmt.Sprint("tenant-", i)) % cells
 			if addresses {
-				h = r.hashAddress(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})) % places
+				h = r.hashAddress(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})) % cells
 			}
 			at[h] = append(at[h], i)
 		}
@@ -112,67 +113,68 @@
 			}
 		}
 		if len(a) < 1000 || both > len(a)/100 {
-			t.Errorf("addresses %v: of %d pairs that share a cell under one seed, %d do under another", addresses, len(a), both)
+			t.Errorf("addresses %v: of %d pairs that collide under one seed, %d collide under another", addresses, len(a), both)
 		}
 	}
 }
 
-// The heaviest debts are remembered exactly.
+// The largest debts stay in the table exactly, however many small ones are added.
 func TestHeaviestDebtsAreExact(t *testing.T) {
-	tb := newDebtTable(32 << 10)
+	table := newDebtTable(32 << 10)
 	r := newIdentityResolver(Defaults(), nil, 9)
-	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
+	key := func(i int) uint64 { return r.hashName(domainTenant, fmt.Sprint("t", i)) }
 	for i := range 20_000 {
 		v := 1.0
 		if i%1000 == 7 {
 			v = 1e6
 		}
-		tb.put(debt{key(i), v, 0}, 0, 0)
+		table.put(debt{key(i), v, 0}, 0, 0)
 	}
 	for i := 7; i < 20_000; i += 1000 {
-		if r, ok := tb.take(key(i)); !ok || r.virtualTime != 1e6 {
+		if r, ok := table.take(key(i)); !ok || r.virtualTime != 1e6 {
 			t.Errorf("heavy tenant %d: %+v, %v", i, r, ok)
 		}
 	}
 	full := newDebtTable(0) // one set
-	for i := range tableWays {
+	for i := range debtTableWays {
 		full.put(debt{key(i), float64(10 + i), 0}, 0, 0)
 	}
 	if lost := full.put(debt{key(100), 5, 0}, 0, 0); lost.key != key(100) {
-		t.Error("a light entry evicted a heavier one")
+		t.Error("a debt evicted a larger one")
 	}
 	if lost := full.put(debt{key(101), 50, 0}, 0, 0); lost.key != key(0) {
-		t.Error("the lightest entry was not the one that was evicted")
+		t.Error("the smallest debt was not the one that was evicted")
 	}
 	if lost := full.put(debt{key(102), 5, 0}, 11, 0); lost.key != 0 {
-		t.Error("an entry without a debt stayed")
+		t.Error("an entry below the floor was not replaced")
 	}
 }
 
-// The debt of a light tenant is never understated, and seldom overstated.
+// The sketch never understates a debt, and seldom overstates one.
 func TestSketchSeldomOverstates(t *testing.T) {
-	s := newDebtSketch(8 << 10) // 256 places a row
+	sketch := newDebtSketch(8 << 10) // 256 cells per row
 	r := newIdentityResolver(Defaults(), nil, 9)
 	const n = 100
-	key := func(i int) uint64 { return r.hashName(spaceTenant, fmt.Sprint("t", i)) }
+	key := func(i int) uint64 { return r.hashName(domainTenant, fmt.Sprint("t", i)) }
 	for i := range n {
-		s.put(key(i), float64(i+1))
+		sketch.put(key(i), float64(i+1))
 	}
-	more := 0
+	overstated := 0
 	for i := range n {
-		switch got := s.get(key(i)); {
+		switch got := sketch.get(key(i)); {
 		case got < float64(i+1):
-			t.Errorf("%d owes %v", i+1, got)
+			t.Errorf("a debt of %d is returned as %v", i+1, got)
 		case got > float64(i+1):
-			more++
+			overstated++
 		}
 	}
-	if more > 8 { // a row alone overstates about 18
-		t.Errorf("%d of %d are overstated", more, n)
+	if overstated > 8 { // a single row would overstate about 18
+		t.Errorf("%d of %d debts are overstated", overstated, n)
 	}
 }
 
-// After many tenants that came once, another one is served like a regular one.
+// A new tenant is served promptly even after many tenants that sent one request each have left their debts in the
+// sketch.
 func TestOneTimeTenantIsServedLikeARegularOne(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	for i := range 30_000 {
@@ -190,14 +192,14 @@
 		c := sim.connect(fmt.Sprintf("10.9.9.%d", i+1))
 		sim.send(c, name, name, 50*ms, nil)
 		sim.advance(100 * ms)
-		if w := sim.waits[name]; len(w) != 1 || w[0] > 50*ms {
-			t.Errorf("%s was queued for %v", name, w)
+		if w := sim.queueTimes[name]; len(w) != 1 || w[0] > 50*ms {
+			t.Errorf("%s: queueing times are %v us, want one of at most 50 ms", name, w)
 		}
 		sim.disconnect(c)
 	}
 }
 
-// Neither a tenant of few heavy queries nor one of many light ones waits for the other longer than one run.
+// A light query waits for at most one run of another tenant's heavy queries.
 func TestHeavyAndLightWaitOneRunAtMost(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	sim.repeatRequests()
@@ -209,18 +211,18 @@
 		sim.send(c, fmt.Sprint("light", i), "light", 10*ms, nil)
 		sim.advance(600 * ms)
 	}
-	for _, w := range sim.waits["light"] {
+	for _, w := range sim.queueTimes["light"] {
 		if w > 400*ms {
-			t.Errorf("a light query waited %d ms for runs of 400 ms", w/ms)
+			t.Errorf("a light query waited %d ms, longer than one run of 400 ms", w/ms)
 		}
 	}
-	if len(sim.waits["light"]) != 30 {
-		t.Errorf("%d of 30 light queries were admitted", len(sim.waits["light"]))
+	if len(sim.queueTimes["light"]) != 30 {
+		t.Errorf("%d of 30 light queries were admitted", len(sim.queueTimes["light"]))
 	}
 }
 
-// A flood from new addresses of one network is one tenant where the operator has made the network
-// one tenant.
+// A client that changes its address within a network gains no additional share if the operator has made the network one
+// tenant.
 func TestNewAddressesOfOneNetworkGainNothing(t *testing.T) {
 	s := Defaults()
 	s.Networks = []Network{{Name: "pool", Addresses: addressSet(t, "10.0.0.0/8"), Weight: 1, SharedTenant: true}}
@@ -259,12 +261,12 @@
 	}
 	sim.advance(20 * rules.Second)
 	if part := honest / (pool + honest); part < 0.45 {
-		t.Errorf("beside a pool of addresses the honest client got %.2f of the work", part)
+		t.Errorf("the client with one address got %.2f of the work beside a network of changing addresses, want at least 0.45", part)
 	}
 }
 
-// A clock that steps back stands still for the controller: nothing is rejected for it, and no request was queued for
-// less than no time.
+// When the clock steps back, time stands still for the controller: no request is rejected, and no queueing time is
+// negative.
 func TestClockStepsBack(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	c := sim.connect("10.0.0.1")
@@ -276,11 +278,11 @@
 	if sim.outcomes["before"] != 0 || sim.outcomes["after"] != 0 {
 		t.Error("a step back of the clock ended a request")
 	}
-	for i := range sim.running { // these run on by the clock as it is now
+	for i := range sim.running { // runs in progress end by the new clock
 		sim.running[i].end -= 10 * rules.Second
 	}
 	sim.advance(rules.Second)
 	if sim.outcomes["before"] != 1 || sim.outcomes["after"] != 1 {
-		t.Error("not answered after the clock stepped back")
+		t.Error("a request was not served after the clock stepped back")
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,40 +2,41 @@
 
 import "foxlane/rules"
 
-// This file owns the queues: of each class a heap of tenants, of each tenant and class a heap of clients, of each client
-// and class a list of requests. Requests of one order key are queued one after the other: the later ones are blocked, in no
-// client's queue, until the one before is admitted or gone.
+// This file implements the queues. Each class has a heap of tenants, each tenant has a heap of clients per class, and
+// each client has a list of requests per class. Only the first queued request of an order key is in the list of its
+// client. Later ones are blocked until the one before them is admitted or removed.
 
 const noSlot = int32(-1)
 
 // requestList is a doubly linked list of requests, linked by their slots.
 type requestList struct{ head, tail int32 }
 
-// clientQueue holds the queued requests of a client and a class, by arrival; those that came at their
-// Retry-After are ahead of the others.
+// clientQueue holds the queued requests of a client for one class. Requests that arrived at their Retry-After come
+// first; within both groups the order is that of arrival.
 type clientQueue struct {
 	requestList
-	lastBooked int32 // the last request that came at its Retry-After
+	lastBooked int32 // slot of the last request that arrived at its Retry-After
 	heapIndex  int32 // in tenantFlow.heap
 }
 
-// tenantFlow holds the clients of a tenant that have queued requests of a class, by virtual time.
+// tenantFlow holds the clients of a tenant that have queued requests of one class, ordered by virtual time.
 type tenantFlow struct {
 	heap      []*clientAccount
 	heapIndex int32 // in classFlow.heap
 }
 
-// classFlow holds the tenants that have queued requests of a class, by virtual time, and the pending requests of the class.
+// classFlow holds the tenants that have queued requests of one class, ordered by virtual time, and the pending
+// requests of the class.
 type classFlow struct {
 	heap        []*tenantAccount
-	pending     int
-	pendingList requestList // oldest first; meaningless while pending is 0
+	pending     int         // number of pending requests
+	pendingList requestList // oldest first; not valid while pending is 0
 	staleAt     rules.Time  // when the oldest pending request stops counting as pending
 }
 
 func (f *classFlow) hasQueued() bool { return len(f.heap) > 0 }
 
-// enqueue queues a request for its client, or blocks it behind an earlier one of its order key.
+// enqueue adds a request to the queue of its client, or blocks it behind an earlier request with the same order key.
 func (c *Controller) enqueue(request *openRequest) {
 	client, tenant := request.client, request.client.tenant
 	if tenant.queued == 0 {
@@ -53,27 +54,27 @@
 	client.queuedWork += request.work
 	c.expiry.push(request)
 	if request.orderKey != 0 {
-		if tail, ok := c.lastOfKey[request.orderKey]; ok {
-			c.requests[tail].nextOfKey, request.previousOfKey = request.slot, tail
-			c.lastOfKey[request.orderKey] = request.slot
+		if tail, ok := c.lastByOrderKey[request.orderKey]; ok {
+			c.requests[tail].nextByOrderKey, request.previousByOrderKey = request.slot, tail
+			c.lastByOrderKey[request.orderKey] = request.slot
 			request.state = requestBlocked
 			return
 		}
-		c.lastOfKey[request.orderKey] = request.slot
+		c.lastByOrderKey[request.orderKey] = request.slot
 	}
 	c.enqueueForClient(request)
 }
 
-// enqueueForClient puts a request into the queue of its client, and the client into the heaps if its queue was empty.
+// enqueueForClient adds a request to the queue of its client, and adds the client to the heaps if its queue was empty.
 func (c *Controller) enqueueForClient(request *openRequest) {
 	request.state = requestQueued
 	queue := &request.client.queues[request.class]
-	at := queue.tail
+	behind := queue.tail
 	if request.booked {
-		at = queue.lastBooked
+		behind = queue.lastBooked
 		queue.lastBooked = request.slot
 	}
-	c.insertAfter(queue, request, at)
+	c.insertAfter(queue, request, behind)
 	if queue.heapIndex != noSlot {
 		return
 	}
@@ -85,7 +86,7 @@
 	}
 }
 
-// insertAfter inserts a request after another one of a queue, or at the head for noSlot.
+// insertAfter inserts a request into a queue after the one at slot behind, or at the head if behind is noSlot.
 func (c *Controller) insertAfter(queue *clientQueue, request *openRequest, behind int32) {
 	request.previousInQueue = behind
 	if behind == noSlot {
@@ -101,7 +102,7 @@
 	}
 }
 
-// dequeue removes a queued request. The next one of its order key is queued for its client then.
+// dequeue removes a request from the queues and unblocks the next request with the same order key.
 func (c *Controller) dequeue(request *openRequest) {
 	client, tenant := request.client, request.client.tenant
 	if request.state == requestQueued {
@@ -122,7 +123,7 @@
 	}
 	request.state = requestAdmitted
 	if request.orderKey != 0 {
-		c.unlinkKey(request)
+		c.unlinkOrderKey(request)
 	}
 }
 
@@ -132,7 +133,7 @@
 	class := request.class
 	queue := &request.client.queues[class]
 	if queue.lastBooked == request.slot {
-		queue.lastBooked = request.previousInQueue // what is ahead of it is booked as well
+		queue.lastBooked = request.previousInQueue // all requests ahead of a booked one are booked as well
 	}
 	c.unlink(&queue.requestList, request)
 	if queue.head != noSlot {
@@ -147,7 +148,7 @@
 	}
 }
 
-// unlink removes a request from the list that it is in.
+// unlink removes a request from the list that contains it.
 func (c *Controller) unlink(list *requestList, request *openRequest) {
 	if request.previousInQueue == noSlot {
 		list.head = request.nextInQueue
@@ -161,21 +162,22 @@
 	}
 }
 
-// unlinkKey removes a request from those of its order key. If it was the first, the next one is queued for its client.
-func (c *Controller) unlinkKey(request *openRequest) {
-	if request.nextOfKey == noSlot {
-		if request.previousOfKey == noSlot {
-			delete(c.lastOfKey, request.orderKey)
+// unlinkOrderKey removes a request from the list of its order key. If it was the first one, the next request is
+// unblocked.
+func (c *Controller) unlinkOrderKey(request *openRequest) {
+	if request.nextByOrderKey == noSlot {
+		if request.previousByOrderKey == noSlot {
+			delete(c.lastByOrderKey, request.orderKey)
 		} else {
-			c.lastOfKey[request.orderKey] = request.previousOfKey
+			c.lastByOrderKey[request.orderKey] = request.previousByOrderKey
 		}
 	} else {
-		c.requests[request.nextOfKey].previousOfKey = request.previousOfKey
+		c.requests[request.nextByOrderKey].previousByOrderKey = request.previousByOrderKey
 	}
-	if request.previousOfKey != noSlot {
-		c.requests[request.previousOfKey].nextOfKey = request.nextOfKey
-	} else if request.nextOfKey != noSlot {
-		c.enqueueForClient(&c.requests[request.nextOfKey])
+	if request.previousByOrderKey != noSlot {
+		c.requests[request.previousByOrderKey].nextByOrderKey = request.nextByOrderKey
+	} else if request.nextByOrderKey != noSlot {
+		c.enqueueForClient(&c.requests[request.nextByOrderKey])
 	}
-	request.nextOfKey, request.previousOfKey = noSlot, noSlot
+	request.nextByOrderKey, request.previousByOrderKey = noSlot, noSlot
 }
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -2,24 +2,24 @@
 
 import "foxlane/rules"
 
-// This file owns the quotas: connections, requests, bytes of statements and of incomplete packets. Nobody loses anything
-// while a limit is not reached; then the tenant does that exceeds its weighted part of the limit by the most. An admitted
-// request is never rejected for a quota.
+// This file enforces the quotas on connections, requests, statement bytes and bytes of incomplete packets. A quota
+// applies only when a limit is exceeded: the tenant whose usage exceeds its weighted share of the limit the most then
+// loses a connection or request. An admitted request is never rejected because of a quota.
 
-// silenceLimit is how long a new connection may send no request before it is the first to be evicted
-// where connections are at their limit. A login is followed by a command at once.
+// silenceLimit is how long a new connection may send no request before it is evicted ahead of all others when
+// connections are at their limit. Clients send a command right after the login.
 const silenceLimit = 500 * rules.Millisecond
 
-// mostOverQuota returns the tenant whose usage exceeds its weighted part of the limit by the most, nil if no tenant
+// mostOverQuota returns the tenant whose usage exceeds its weighted share of the limit the most, or nil if no tenant
 // uses anything.
 func (c *Controller) mostOverQuota(limit int, usage func(*tenantAccount) int) (heaviest *tenantAccount) {
-	weights, most := 0.0, 0.0
+	weights, mostExcess := 0.0, 0.0
 	for _, tenant := range c.tenants {
 		weights += tenant.weight
 	}
 	for _, tenant := range c.tenants {
-		if excess := float64(usage(tenant)) - float64(limit)*tenant.weight/weights; usage(tenant) > 0 && (heaviest == nil || excess > most) {
-			heaviest, most = tenant, excess
+		if excess := float64(usage(tenant)) - float64(limit)*tenant.weight/weights; usage(tenant) > 0 && (heaviest == nil || excess > mostExcess) {
+			heaviest, mostExcess = tenant, excess
 		}
 	}
 	return heaviest
@@ -33,11 +33,15 @@
 
 func queuedOf(tenant *tenantAccount) int { return tenant.queued }
 
-// makeConnectionRoom evicts a connection for one that was accepted over the limit: the longest silent of
-// those that had time to send a request; else, of the tenant most over its quota, the longest silent or idle
-// one or the one of its queued request that is rejected first; else the longest idle of all. Where none of
-// these exists the new connection stays over the limit, as long as a slot is free: it may send a KILL, but no request.
-func (c *Controller) makeConnectionRoom(conn *connection) {
+// enforceConnectionLimit evicts a connection in favor of conn, which was accepted beyond the limit. It chooses, in this
+// order:
+//   - the connection without a request that has been silent the longest, beyond silenceLimit;
+//   - of the tenant most over its quota, the longest silent connection, the longest idle one, or the one whose queued
+//     request is the first candidate for eviction;
+//   - the longest idle connection of all tenants.
+//
+// If there is none, conn stays open beyond the limit while a slot is free. It may then send a KILL, but no request.
+func (c *Controller) enforceConnectionLimit(conn *connection) {
 	if victim := c.longestInState(connectionNew, nil, conn, c.now-silenceLimit); victim != nil {
 		c.evict(victim, ReasonSilence)
 		return
@@ -45,7 +49,7 @@
 	tenant := c.mostOverQuota(c.limits.Connections, connectionsOf)
 	victim := c.longestInState(connectionNew, tenant, conn, c.now)
 	if victim == nil {
-		victim = c.longestInState(connectionWaiting, tenant, conn, c.now)
+		victim = c.longestInState(connectionIdle, tenant, conn, c.now)
 	}
 	if victim != nil {
 		c.evict(victim, ReasonConnections)
@@ -58,7 +62,7 @@
 			c.evict(victim, ReasonConnections)
 			return
 		}
-		if victim := c.longestInState(connectionWaiting, nil, conn, c.now); victim != nil {
+		if victim := c.longestInState(connectionIdle, nil, conn, c.now); victim != nil {
 			c.evict(victim, ReasonConnections)
 			return
 		}
@@ -68,12 +72,12 @@
 	}
 }
 
-// longestInState returns the connection that has been in a state for longest, and since before or longer, of one
-// tenant (nil: of all); never except.
-func (c *Controller) longestInState(state connectionState, tenant *tenantAccount, except *connection, before rules.Time) (longest *connection) {
+// longestInState returns the connection of a tenant (nil: of all tenants) that has been in a state the longest, or nil
+// if none has been in it since the given time or earlier. It never returns except.
+func (c *Controller) longestInState(state connectionState, tenant *tenantAccount, except *connection, since rules.Time) (longest *connection) {
 	for i := range c.connections {
 		conn := &c.connections[i]
-		if conn.state != state || conn == except || conn.stateSince > before || tenant != nil && conn.client.tenant != tenant {
+		if conn.state != state || conn == except || conn.stateSince > since || tenant != nil && conn.client.tenant != tenant {
 			continue
 		}
 		if longest == nil || conn.stateSince < longest.stateSince {
@@ -83,9 +87,10 @@
 	return longest
 }
 
-// evictsBefore orders queued requests of a tenant for eviction: those that came at their Retry-After last, then those of
-// the client with the most queued requests first, then the newest first.
-func evictsBefore(a, b *openRequest) bool {
+// evictedBefore reports whether queued request a is evicted before b of the same tenant. Requests that arrived at
+// their Retry-After are evicted last; otherwise those of the client with the most queued requests first, then the
+// newest first.
+func evictedBefore(a, b *openRequest) bool {
 	if a.booked != b.booked {
 		return !a.booked
 	}
@@ -95,19 +100,19 @@
 	return a.arrivedAt > b.arrivedAt || a.arrivedAt == b.arrivedAt && a.slot > b.slot
 }
 
-// evictionCandidate returns the queued request of a tenant that is rejected first, nil if it has none.
+// evictionCandidate returns the queued request of a tenant that is evicted first, or nil if it has none.
 func (c *Controller) evictionCandidate(tenant *tenantAccount) (victim *openRequest) {
 	for _, request := range c.expiry {
-		if request.client.tenant == tenant && (victim == nil || evictsBefore(request, victim)) {
+		if request.client.tenant == tenant && (victim == nil || evictedBefore(request, victim)) {
 			victim = request
 		}
 	}
 	return victim
 }
 
-// makeRequestRoom rejects queued requests while there are more than may be, or more bytes of statements.
-// It reports whether the request that has just come is still queued.
-func (c *Controller) makeRequestRoom(request *openRequest) bool {
+// enforceRequestLimits rejects queued requests while the open requests or their statement bytes exceed the limits. It
+// reports whether request, which has just arrived, is still queued.
+func (c *Controller) enforceRequestLimits(request *openRequest) bool {
 	for c.openRequests >= c.limits.Requests || c.statementBytes > c.limits.StatementBytes {
 		usage, limit := queuedOf, c.limits.Requests
 		if c.statementBytes > c.limits.StatementBytes {
@@ -131,8 +136,8 @@
 	return true
 }
 
-// inputBuffered notes how many bytes of an incomplete packet a connection holds. Over the limit of all, the tenant
-// most over its quota loses the connection that holds most.
+// inputBuffered updates the size of the incomplete packet of a connection. While the total exceeds the limit, the
+// tenant most over its quota loses its connection with the largest incomplete packet.
 func (c *Controller) inputBuffered(conn *connection, bytes int) {
 	if conn.client == nil {
 		return
@@ -155,7 +160,7 @@
 	}
 }
 
-// largestInput returns the connection of a tenant that holds the most bytes of an incomplete packet, nil if none holds any.
+// largestInput returns the connection of a tenant with the largest incomplete packet, or nil if it has none.
 func (c *Controller) largestInput(tenant *tenantAccount) (largest *connection) {
 	for i := range c.connections {
 		conn := &c.connections[i]
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// This file owns the change to other settings while requests are queued. It never rejects a request for it, and never
-// reorders two requests of one order key.
+// This file applies new settings while requests are queued. It never rejects a request because of new settings, and
+// never reorders two requests with the same order key.
 
-// reconfigure goes over to other settings. Queued requests are queued again, for the principals that they belong to now;
-// the debts of tenants stay with their names.
-func (c *Controller) reconfigure(set Settings, declared []string) {
+// reconfigure switches to new settings. Queued requests are queued again for the principals that they now belong to.
+// The debts of tenants remain, since they are keyed by the hash of the tenant's name.
+func (c *Controller) reconfigure(settings Settings, declared []string) {
 	var queued []*openRequest
 	for i := range c.requests {
 		if request := &c.requests[i]; request.state == requestBlocked || request.state == requestQueued {
@@ -18,11 +18,11 @@
 		}
 	}
 	slices.SortFunc(queued, func(a, b *openRequest) int { return cmp.Compare(b.seq, a.seq) })
-	for _, request := range queued { // the last of an order key first, so that none is unblocked
+	for _, request := range queued { // the last of each order key first, so that none is unblocked
 		c.dequeue(request)
 	}
-	c.settings = set
-	c.resolver = newIdentityResolver(set, declared, c.seed)
+	c.settings = settings
+	c.resolver = newIdentityResolver(settings, declared, c.seed)
 	for i := range c.connections {
 		if conn := &c.connections[i]; conn.state != connectionFree {
 			conn.origin = c.resolver.originOf(conn.address)
@@ -37,8 +37,8 @@
 	}
 }
 
-// reassignRequest moves a request that is in no queue to another client. An admitted request stays with the client
-// that was charged for it.
+// reassignRequest moves a request that is not queued at the moment to another client. It is not used for admitted
+// requests, which stay with the client that was charged for them.
 func (c *Controller) reassignRequest(request *openRequest, client *clientAccount) {
 	old := request.client
 	if old == client {
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -2,73 +2,73 @@
 
 import "foxlane/rules"
 
-// This file owns the life of a request, from its arrival until it is done.
+// This file implements the lifecycle of a request, from its arrival until it is done.
 
-// minDeclaredFraction is the fraction of its class's mean work that a request counts for at least,
-// whatever its client declares.
+// minDeclaredFraction is the least work that a request is charged on admission, as a fraction of the mean work of its
+// class, no matter what its client declares.
 const minDeclaredFraction = 0.125
 
-// requestState is where a request stands in its life: free -> (blocked ->) queued -> pending -> admitted -> free.
+// requestState is the state of a request: free -> (blocked ->) queued -> pending -> admitted -> free.
 type requestState uint8
 
 const (
 	requestFree     requestState = iota // the slot is free
-	requestBlocked                      // waits behind an earlier request of its order key
-	requestQueued                       // in its client's queue
+	requestBlocked                      // waits behind an earlier request with the same order key
+	requestQueued                       // in the queue of its client
 	requestPending                      // admitted, and counts as waiting for an engine
-	requestAdmitted                     // admitted
+	requestAdmitted                     // admitted, and sent to an engine or stale
 )
 
 // openRequest is the state of a request, from its arrival until it is done.
 type openRequest struct {
-	slot                         int32
-	state                        requestState
-	booked                       bool // came at its Retry-After
-	class                        int32
-	connection                   int32
-	nextInQueue, previousInQueue int32 // in the queue of its client, or in the pending requests of its class
-	expiryIndex                  int32 // in Controller.expiry
-	nextOfKey, previousOfKey     int32 // requests of the same order key
-	statementBytes               int32
-	orderKey                     uint64 // 0: none
-	tenantHash                   uint64 // of the tenant that the client declared; 0: none
-	seq                          uint64 // by arrival
-	client                       *clientAccount
-	arrivedAt                    rules.Time
-	deadline                     rules.Time
-	expiresAt                    rules.Time // rejected then, if still queued
-	admittedAt                   rules.Time
-	work                         float64    // predicted; charged on admission
-	declaredWork                 float64    // 0: not declared
-	engineTime                   float64    // used so far, all threads
-	bookedAt                     rules.Time // when its Retry-After was sent
-	couldStartAt                 rules.Time // since when nothing of its tenant was queued, as seen on arrival
-	bookedDelay                  rules.Time // the Retry-After that it came back at
+	slot                               int32
+	state                              requestState
+	booked                             bool // arrived at its Retry-After
+	class                              int32
+	connection                         int32 // slot of its connection
+	nextInQueue, previousInQueue       int32 // slots in the queue of its client, or in the pending list of its class
+	expiryIndex                        int32 // in Controller.expiry
+	nextByOrderKey, previousByOrderKey int32 // slots of the neighboring queued requests with the same order key
+	statementBytes                     int32
+	orderKey                           uint64 // hash of the order key; 0: none
+	tenantHash                         uint64 // hash of the tenant that the client declared; 0: none
+	seq                                uint64 // sequence number in the order of arrival
+	client                             *clientAccount
+	arrivedAt                          rules.Time
+	deadline                           rules.Time
+	expiresAt                          rules.Time // when it is rejected if still queued
+	admittedAt                         rules.Time
+	work                               float64    // predicted work, charged on admission
+	declaredWork                       float64    // 0: not declared
+	engineTime                         float64    // work done so far by all threads
+	bookedAt                           rules.Time // when its Retry-After was sent
+	couldStartAt                       rules.Time // when the queue of its tenant became empty; its arrival if the queue was not empty
+	bookedDelay                        rules.Time // the Retry-After that it returned at
 }
 
 // requestArrived queues a request, and rejects it or another one if a limit is exceeded.
-func (c *Controller) requestArrived(slot, connectionSlot int, q Request) {
+func (c *Controller) requestArrived(slot, connectionSlot int, incoming Request) {
 	conn, request := &c.connections[connectionSlot], &c.requests[slot]
 	c.setConnectionState(conn, connectionBusy)
 	conn.tenantHash = 0
-	if q.Tenant != "" {
-		conn.tenantHash = c.resolver.hashName(spaceTenant, q.Tenant)
+	if incoming.Tenant != "" {
+		conn.tenantHash = c.resolver.hashName(domainTenant, incoming.Tenant)
 	}
 	c.assignConnection(conn, c.resolver.principalOf(conn.origin, conn.tenantHash))
 	client := conn.client
 	c.seq++
-	*request = openRequest{slot: request.slot, seq: c.seq, client: client, class: int32(q.Class), connection: conn.slot, tenantHash: conn.tenantHash,
-		nextInQueue: noSlot, previousInQueue: noSlot, expiryIndex: noSlot, nextOfKey: noSlot, previousOfKey: noSlot,
-		arrivedAt: c.now, deadline: min(q.Deadline, c.shutdownDeadline), statementBytes: int32(q.StatementBytes), declaredWork: float64(q.DeclaredWork)}
-	if q.OrderKey != "" {
-		request.orderKey = c.resolver.hashName(spaceKey, q.OrderKey)
+	*request = openRequest{slot: request.slot, seq: c.seq, client: client, class: int32(incoming.Class), connection: conn.slot, tenantHash: conn.tenantHash,
+		nextInQueue: noSlot, previousInQueue: noSlot, expiryIndex: noSlot, nextByOrderKey: noSlot, previousByOrderKey: noSlot,
+		arrivedAt: c.now, deadline: min(incoming.Deadline, c.shutdownDeadline), statementBytes: int32(incoming.StatementBytes), declaredWork: float64(incoming.DeclaredWork)}
+	if incoming.OrderKey != "" {
+		request.orderKey = c.resolver.hashName(domainOrderKey, incoming.OrderKey)
 	}
 	request.work = c.predictWork(request.class, request.declaredWork)
 	request.expiresAt = c.latestAdmission(request)
 	c.openRequests++
-	c.statementBytes += q.StatementBytes
+	c.statementBytes += incoming.StatementBytes
 	client.requests++
-	client.tenant.statementBytes += q.StatementBytes
+	client.tenant.statementBytes += incoming.StatementBytes
 	c.claimBooking(request)
 	c.enqueue(request)
 	if conn.overLimit && c.openConnections > c.limits.Connections {
@@ -77,12 +77,12 @@
 		return
 	}
 	conn.overLimit = false
-	if c.returnedTooEarly(conn) {
+	if c.countEarlyReturn(conn) {
 		c.reject(request, ReasonEarlyReturn)
 		c.evict(conn, ReasonEarlyReturn)
 		return
 	}
-	if !c.makeRequestRoom(request) {
+	if !c.enforceRequestLimits(request) {
 		return
 	}
 	if !request.booked && c.cannotMeetDeadline(request) {
@@ -90,9 +90,9 @@
 	}
 }
 
-// predictWork is the work that a request is expected to be, all threads together. What its client declares
-// counts, but for no less than a fraction of the mean: the charge is settled by the engine time
-// used, but only once the request has run.
+// predictWork returns the expected work of a request, summed over all threads: what its client declares, but at least
+// minDeclaredFraction of the mean of its class. The lower bound is needed because the charge is corrected to the engine
+// time used only after the request has run.
 func (c *Controller) predictWork(class int32, declared float64) float64 {
 	mean := c.meanWork[class].value
 	if declared <= 0 {
@@ -101,25 +101,26 @@
 	return max(declared, minDeclaredFraction*mean, 1)
 }
 
-// latestAdmission is when a queued request is rejected: when it would miss its deadline even if it ran at once.
+// latestAdmission returns the time after which a queued request would miss its deadline even if it ran at once. Where
+// a late result has no value, the stretched latency objective of the class is a deadline as well.
 func (c *Controller) latestAdmission(request *openRequest) rules.Time {
 	class := &c.classes[request.class]
-	run := request.work / c.threads(request.class)
-	end := request.deadline
+	runTime := request.work / c.threads(request.class)
+	deadline := request.deadline
 	if class.LateValue <= 0 {
-		end = min(end, request.arrivedAt+class.LatencyObjective+rules.Time(class.ObjectiveStretch*run))
+		deadline = min(deadline, request.arrivedAt+class.LatencyObjective+rules.Time(class.ObjectiveStretch*runTime))
 	}
-	return max(end-rules.Time(run), request.arrivedAt)
+	return max(deadline-rules.Time(runTime), request.arrivedAt)
 }
 
-// requestForwarded notes that an engine has taken the request.
+// requestForwarded handles the first attempt of a request being sent.
 func (c *Controller) requestForwarded(request *openRequest) {
 	if request.state == requestPending {
 		c.removePending(request)
 	}
 }
 
-// requestDone settles the charge of a request by the engine time that it used, and frees its slot.
+// requestDone corrects the charge of a request to the engine time that it used, and frees its slot.
 func (c *Controller) requestDone(request *openRequest, served bool) {
 	if request.state == requestFree {
 		return
@@ -139,7 +140,7 @@
 				c.meanWork[request.class].add(request.engineTime)
 			}
 		}
-		c.learnFromReturn(request, served)
+		c.updateRetryAfterBias(request, served)
 	}
 	c.releaseRequest(request)
 }
@@ -157,7 +158,7 @@
 	c.releaseRequest(request)
 }
 
-// rejectAdmitted rejects a request that the decision module has. Its slot stays in use until RequestDone.
+// rejectAdmitted rejects a request that was admitted to the decision module. Its slot stays in use until RequestDone.
 func (c *Controller) rejectAdmitted(request *openRequest, reason Reason) {
 	c.stats.Rejected[reason]++
 	after := c.retryAfter(request.client, request.work, &c.connections[request.connection])
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -9,41 +9,41 @@
 	"foxlane/rules"
 )
 
-// Settings are what the operator sets of admission control (block fair, docs/ops/fair.md).
+// Settings is the operator's configuration of admission control (block fair, docs/ops/fair.md).
 type Settings struct {
 	Tenants        []Tenant
-	Networks       []Network // the first that holds an address counts
-	UnlistedWeight float64   // weight of an address that no network holds
+	Networks       []Network // the first network that contains an address applies
+	UnlistedWeight float64   // weight of an address that no network contains
 
-	// AnyTenant allows clients to name tenants that neither the site nor the operator
-	// declares. Such a name makes a client of the address that it comes from, unless its
-	// network is trusted to name tenants.
+	// AnyTenant allows clients to declare tenants that neither the site nor the operator
+	// declares. Such a name only identifies a client of the address that it comes from, unless
+	// the network of the address is trusted to name tenants.
 	AnyTenant bool
 
 	ModuleQueueDepth int        // requests of a class that may wait in the decision module while others are queued
-	Burst            rules.Time // work that a tenant gets ahead of its share after it was idle
-	MaxRetryAfter    rules.Time // 0: no Retry-After is sent
-	MaxEarlyReturns  int        // requests in a row that a connection may send before its Retry-After has passed
+	Burst            rules.Time // work that a tenant may run ahead of its share after it was idle
+	MaxRetryAfter    rules.Time // longest Retry-After; 0: none is sent
+	MaxEarlyReturns  int        // consecutive requests that a connection may send before its Retry-After has passed
 }
 
 // Tenant is a declared tenant.
 type Tenant struct {
 	Name     string
 	Weight   float64
-	Networks []string // from which clients may name it; nil: any
+	Networks []string // networks from which clients may declare it; nil: any address
 }
 
 // Network is a named set of addresses.
 type Network struct {
 	Name         string
 	Addresses    *netipx.IPSet
-	Weight       float64 // of each address, or of all together
-	SharedTenant bool    // its addresses share as clients of one tenant
-	Trusted      bool    // tenants named from there need no declaration
+	Weight       float64 // of each address, or of the shared tenant
+	SharedTenant bool    // its addresses are clients of one tenant
+	Trusted      bool    // its clients may name any tenant
 }
 
-// Defaults are the settings of a file that names none. ModuleQueueDepth leaves the decision
-// module a choice and is short enough that one run bounds the wait; Burst is about one
+// Defaults returns the settings used where the operator sets nothing. ModuleQueueDepth gives the decision module
+// several requests to choose from, and is small enough that the wait is bounded by about one run. Burst is about one
 // short query.
 func Defaults() Settings {
 	return Settings{UnlistedWeight: 1, ModuleQueueDepth: 4, Burst: 100 * rules.Millisecond, MaxRetryAfter: 30 * rules.Second, MaxEarlyReturns: 8}
@@ -55,19 +55,19 @@
 	maxModuleQueueDepth = 1024
 )
 
-// Errors that those of Settings.Validate wrap.
+// Errors wrapped by the result of Settings.Validate.
 var (
-	ErrDuplicate      = errors.New("comes twice")
-	ErrOutOfRange     = errors.New("not within")
-	ErrUnknownNetwork = errors.New("no network")
-	ErrNegative       = errors.New("must not be under 0")
+	ErrDuplicate      = errors.New("is declared more than once")
+	ErrOutOfRange     = errors.New("not between")
+	ErrUnknownNetwork = errors.New("unknown network")
+	ErrNegative       = errors.New("must not be negative")
 )
 
-// Validate returns all errors of the settings together, nil if they can be used. Each names its block and
-// key in the operator's file.
+// Validate returns all errors of the settings, joined, or nil if the settings are valid. Each error names the block
+// and the key in the operator's file.
 func (s Settings) Validate() error {
 	errs := []error{checkWeight("unlisted", "addresses", s.UnlistedWeight)}
-	networks, tenants := names{}, names{}
+	networks, tenants := nameSet{}, nameSet{}
 	for _, n := range s.Networks {
 		errs = append(errs, networks.add("network", n.Name), checkWeight("network", n.Name, n.Weight))
 	}
@@ -86,15 +86,15 @@
 		errs = append(errs, fmt.Errorf("burst and longest %w", ErrNegative))
 	}
 	if s.MaxEarlyReturns < 1 {
-		errs = append(errs, errors.New("ignored must be 1 or more"))
+		errs = append(errs, errors.New("ignored must be at least 1"))
 	}
 	return errors.Join(errs...)
 }
 
-// names are those of the blocks of one kind.
-type names map[string]bool
+// nameSet is the set of names of the blocks of one kind.
+type nameSet map[string]bool
 
-func (n names) add(block, name string) error {
+func (n nameSet) add(block, name string) error {
 	if n[name] {
 		return fmt.Errorf("%s %q %w", block, name, ErrDuplicate)
 	}
@@ -103,7 +103,7 @@
 }
 
 func checkWeight(block, name string, weight float64) error {
-	if !(weight >= minWeight && weight <= maxWeight) { // also NaN
+	if !(weight >= minWeight && weight <= maxWeight) { // NaN is rejected as well
 		return fmt.Errorf("%s %q: weight %v is %w %v and %v", block, name, weight, ErrOutOfRange, minWeight, maxWeight)
 	}
 	return nil
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -16,7 +16,7 @@
 
 const ms = rules.Millisecond
 
-// The random inputs are the same in each run, unless a seed is given: one result for one program.
+// TestMain fixes the seed of rapid unless the command line sets it, so that each run checks the same random inputs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true"} {
@@ -27,30 +27,30 @@
 	os.Exit(m.Run())
 }
 
-// simulation is a controller with a decision module that forwards at once while one of so many slots
-// of engines is free, on a clock of its own.
+// simulation runs a controller with a simulated clock and a simulated decision module, which forwards an admitted
+// request as soon as one of the engine slots is free.
 type simulation struct {
 	t           testing.TB
 	controller  *Controller
 	now         rules.Time
-	slots       int // of the engines
-	running     []run
-	waiting     []int // admitted, not forwarded
+	engineSlots int // requests that the engines run at a time
+	running     []simulatedRun
+	waiting     []int // slots of requests that are admitted but not forwarded
 	requests    []*simulatedRequest
 	connections []*simulatedConnection
 	timerAt     rules.Time
-	served      map[string]float64 // work by tenant
-	waits       map[string][]rules.Time
-	admitted    []string // ids, in order
-	aborted     []int
-	evicted     []int
+	served      map[string]float64      // work of served requests, by tenant
+	queueTimes  map[string][]rules.Time // queueing times, by tenant
+	admitted    []string                // request ids, in the order of admission
+	aborted     []int                   // connections closed by AbortInput
+	evicted     []int                   // connections closed by Evict
 	onRejected  func(request *simulatedRequest, after rules.Time, why Reason)
 	onServed    func(request *simulatedRequest)
-	outcomes    map[string]int
-	neverRuns   func(request *simulatedRequest) bool // it fits nowhere: never sent
+	outcomes    map[string]int                       // how often a request has ended, by id
+	neverRuns   func(request *simulatedRequest) bool // whether a request fits no engine and is never forwarded
 }
 
-type run struct {
+type simulatedRun struct {
 	slot int
 	end  rules.Time
 }
@@ -66,7 +66,7 @@
 
 type simulatedConnection struct {
 	from    netip.Addr
-	request int // -1: none
+	request int // slot of its open request; -1: none
 }
 
 func oneClass() []rules.Class {
@@ -80,67 +80,67 @@
 func trustingSettings() Settings {
 	s := Defaults()
 	s.AnyTenant = true
-	all := netipx.IPSetBuilder{}
-	all.AddPrefix(netip.MustParsePrefix("10.0.0.0/8"))
-	set, _ := all.IPSet()
-	s.Networks = []Network{{Name: "office", Addresses: set, Weight: 1, Trusted: true}}
+	builder := netipx.IPSetBuilder{}
+	builder.AddPrefix(netip.MustParsePrefix("10.0.0.0/8"))
+	addresses, _ := builder.IPSet()
+	s.Networks = []Network{{Name: "office", Addresses: addresses, Weight: 1, Trusted: true}}
 	return s
 }
 
-func newSimulation(t testing.TB, set Settings, sizes Limits, classes []rules.Class, declared ...string) *simulation {
-	if err := set.Validate(); err != nil {
+func newSimulation(t testing.TB, settings Settings, limits Limits, classes []rules.Class, declared ...string) *simulation {
+	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	return &simulation{t: t, controller: New(set, sizes, classes, declared, 7), now: rules.Second, slots: 4, requests: make([]*simulatedRequest, sizes.Requests),
-		connections: make([]*simulatedConnection, sizes.ConnectionSlots), timerAt: math.MaxInt64, served: map[string]float64{}, waits: map[string][]rules.Time{},
+	return &simulation{t: t, controller: New(settings, limits, classes, declared, 7), now: rules.Second, engineSlots: 4, requests: make([]*simulatedRequest, limits.Requests),
+		connections: make([]*simulatedConnection, limits.ConnectionSlots), timerAt: math.MaxInt64, served: map[string]float64{}, queueTimes: map[string][]rules.Time{},
 		outcomes: map[string]int{}}
 }
 
-func (sim *simulation) handle(e Event) {
-	inbox := []Event{e}
+func (sim *simulation) handle(event Event) {
+	inbox := []Event{event}
 	for len(inbox) > 0 {
-		e, inbox = inbox[0], inbox[1:]
-		for _, f := range append([]Effect(nil), sim.controller.Handle(sim.now, e)...) {
-			switch f.Kind {
+		event, inbox = inbox[0], inbox[1:]
+		for _, effect := range append([]Effect(nil), sim.controller.Handle(sim.now, event)...) {
+			switch effect.Kind {
 			case Admit:
-				request := sim.requests[f.Slot]
+				request := sim.requests[effect.Slot]
 				if request.admitted {
-					sim.t.Fatalf("%s is admitted twice", request.id)
+					sim.t.Fatalf("request %s was admitted twice", request.id)
 				}
-				if f.After < 0 {
-					sim.t.Fatalf("%s was queued for %d us", request.id, f.After)
+				if effect.After < 0 {
+					sim.t.Fatalf("request %s has a negative queueing time of %d us", request.id, effect.After)
 				}
 				request.admitted = true
 				sim.admitted = append(sim.admitted, request.id)
-				sim.waits[request.tenant] = append(sim.waits[request.tenant], sim.now-request.arrivedAt)
+				sim.queueTimes[request.tenant] = append(sim.queueTimes[request.tenant], sim.now-request.arrivedAt)
 				if sim.neverRuns == nil || !sim.neverRuns(request) {
-					sim.waiting = append(sim.waiting, f.Slot)
+					sim.waiting = append(sim.waiting, effect.Slot)
 				}
 			case Reject:
-				request := sim.requests[f.Slot]
-				sim.finish(f.Slot)
+				request := sim.requests[effect.Slot]
+				sim.finish(effect.Slot)
 				if sim.onRejected != nil {
-					sim.onRejected(request, f.After, f.Reason)
+					sim.onRejected(request, effect.After, effect.Reason)
 				}
 			case Evict:
-				sim.evicted = append(sim.evicted, f.Conn)
-				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
+				sim.evicted = append(sim.evicted, effect.Conn)
+				inbox = append(inbox, sim.disconnectEvents(effect.Conn)...)
 			case AbortInput:
-				sim.aborted = append(sim.aborted, f.Conn)
-				inbox = append(inbox, sim.disconnectEvents(f.Conn)...)
+				sim.aborted = append(sim.aborted, effect.Conn)
+				inbox = append(inbox, sim.disconnectEvents(effect.Conn)...)
 			case SetTimer:
-				sim.timerAt = f.At
+				sim.timerAt = effect.At
 			}
 		}
-		for len(sim.waiting) > 0 && len(sim.running) < sim.slots {
+		for len(sim.waiting) > 0 && len(sim.running) < sim.engineSlots {
 			slot := sim.waiting[0]
 			sim.waiting = sim.waiting[1:]
-			sim.running = append(sim.running, run{slot, sim.now + sim.requests[slot].runTime})
+			sim.running = append(sim.running, simulatedRun{slot, sim.now + sim.requests[slot].runTime})
 			inbox = append(inbox, Event{Kind: RequestForwarded, Slot: slot})
 		}
 	}
 	if got, most := sim.controller.StateBytes(), sim.controller.StateBound(); got > most {
-		sim.t.Fatalf("state holds %d bytes, %d at most", got, most)
+		sim.t.Fatalf("the state takes %d bytes, want at most %d", got, most)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 }
 
-// disconnectEvents are the events of a connection that ends.
+// disconnectEvents closes a connection and returns the events to report it with.
 func (sim *simulation) disconnectEvents(index int) (out []Event) {
 	conn := sim.connections[index]
 	if conn == nil {
@@ -196,17 +196,17 @@
 			return i
 		}
 	}
-	sim.t.Fatal("no slot for a connection")
+	sim.t.Fatal("no free connection slot")
 	return 0
 }
 
-func (sim *simulation) send(conn int, id, tenant string, took rules.Time, change func(*Request)) *simulatedRequest {
+func (sim *simulation) send(conn int, id, tenant string, runTime rules.Time, change func(*Request)) *simulatedRequest {
 	slot := 0
 	for sim.requests[slot] != nil {
 		slot++
 	}
-	request := &simulatedRequest{id: id, tenant: tenant, connection: conn, arrivedAt: sim.now, runTime: took,
-		request: Request{Tenant: tenant, Deadline: sim.now + 5*rules.Second, DeclaredWork: took, StatementBytes: 100}}
+	request := &simulatedRequest{id: id, tenant: tenant, connection: conn, arrivedAt: sim.now, runTime: runTime,
+		request: Request{Tenant: tenant, Deadline: sim.now + 5*rules.Second, DeclaredWork: runTime, StatementBytes: 100}}
 	if change != nil {
 		change(&request.request)
 	}
@@ -215,30 +215,30 @@
 	return request
 }
 
-// advance plays for a while.
+// advance runs the simulation for a duration.
 func (sim *simulation) advance(by rules.Time) {
-	until := sim.now + by
+	end := sim.now + by
 	for {
-		next, which := min(until, sim.timerAt), -1
+		next, nextRun := min(end, sim.timerAt), -1
 		for i, r := range sim.running {
 			if r.end < next {
-				next, which = r.end, i
+				next, nextRun = r.end, i
 			}
 		}
 		sim.now = max(sim.now, next)
-		if which < 0 {
+		if nextRun < 0 {
 			if sim.timerAt <= sim.now {
 				sim.timerAt = math.MaxInt64
 				sim.handle(Event{Kind: TimerFired})
 				continue
 			}
-			if next == until {
+			if next == end {
 				return
 			}
 			continue
 		}
-		r := sim.running[which]
-		sim.running = append(sim.running[:which], sim.running[which+1:]...)
+		r := sim.running[nextRun]
+		sim.running = append(sim.running[:nextRun], sim.running[nextRun+1:]...)
 		request := sim.requests[r.slot]
 		sim.served[request.tenant] += float64(request.runTime)
 		sim.handle(Event{Kind: EngineTimeUsed, Slot: r.slot, EngineTime: request.runTime})
@@ -253,12 +253,12 @@
 	}
 }
 
-// startClosedLoop opens so many connections and sends a request on each; repeatRequests makes them send the next as
-// soon as it is served.
-func (sim *simulation) startClosedLoop(from, tenant string, conns int, took rules.Time) {
+// startClosedLoop opens a number of connections and sends a request on each. After repeatRequests, each connection
+// sends its next request as soon as the previous one is served.
+func (sim *simulation) startClosedLoop(from, tenant string, conns int, runTime rules.Time) {
 	for i := range conns {
 		c := sim.connect(from)
-		sim.send(c, fmt.Sprintf("%s-%d-%d", tenant, c, i), tenant, took, nil)
+		sim.send(c, fmt.Sprintf("%s-%d-%d", tenant, c, i), tenant, runTime, nil)
 	}
 }
 
@@ -270,7 +270,7 @@
 	}
 }
 
-// repeatOnly goes on with the requests of one tenant only.
+// repeatOnly restricts repeatRequests to one tenant.
 func (sim *simulation) repeatOnly(tenant string) {
 	repeat := sim.onServed
 	sim.onServed = func(request *simulatedRequest) {
@@ -282,22 +282,22 @@
 
 func (sim *simulation) checkInvariants(rt *rapid.T, keys map[string][]string) {
 	controller := sim.controller
-	if controller.queued > 0 && len(sim.waiting) == 0 && len(sim.running) < sim.slots {
-		rt.Fatalf("%d are queued while an engine is idle", controller.queued)
+	if controller.queued > 0 && len(sim.waiting) == 0 && len(sim.running) < sim.engineSlots {
+		rt.Fatalf("%d requests are queued while an engine is idle", controller.queued)
 	}
 	if controller.openRequests > controller.limits.Requests || controller.statementBytes > controller.limits.StatementBytes || controller.inputBytes > controller.limits.InputBytes || controller.openConnections >= controller.limits.ConnectionSlots {
-		rt.Fatalf("over the bounds: %d requests, %d bytes, %d unfinished, %d connections", controller.openRequests, controller.statementBytes, controller.inputBytes, controller.openConnections)
+		rt.Fatalf("limits exceeded: %d requests, %d statement bytes, %d input bytes, %d connections", controller.openRequests, controller.statementBytes, controller.inputBytes, controller.openConnections)
 	}
-	at := map[string]int{}
+	positions := map[string]int{}
 	for i, id := range sim.admitted {
-		at[id] = i + 1
+		positions[id] = i + 1
 	}
 	for key, ids := range keys {
 		last := 0
 		for _, id := range ids {
-			if n := at[id]; n > 0 {
+			if n := positions[id]; n > 0 {
 				if n < last {
-					rt.Fatalf("key %s: %s was admitted before an earlier one", key, id)
+					rt.Fatalf("order key %s: request %s was admitted before an earlier one", key, id)
 				}
 				last = n
 			}
@@ -308,17 +308,17 @@
 		if request := &controller.requests[i]; request.state == requestBlocked || request.state == requestQueued {
 			queued++
 			if request.client.tenant == nil {
-				rt.Fatal("queued for no tenant")
+				rt.Fatal("a queued request has no tenant")
 			}
 		}
 	}
 	if queued != controller.queued || queued != len(controller.expiry) {
-		rt.Fatalf("%d queued, %d counted, %d in the expiry heap", queued, controller.queued, len(controller.expiry))
+		rt.Fatalf("%d requests are queued, %d are counted, %d are in the expiry heap", queued, controller.queued, len(controller.expiry))
 	}
 	for class := range controller.flows {
-		for i, tn := range controller.flows[class].heap {
-			if tn.flows[class].heapIndex != int32(i) || i > 0 && controller.flows[class].heap[(i-1)/2].virtualTime > tn.virtualTime {
-				rt.Fatal("a heap is out of order")
+		for i, tenant := range controller.flows[class].heap {
+			if tenant.flows[class].heapIndex != int32(i) || i > 0 && controller.flows[class].heap[(i-1)/2].virtualTime > tenant.virtualTime {
+				rt.Fatal("the heap of tenants is out of order")
 			}
 		}
 	}
--- a/internal/admission/statesize.go
+++ b/internal/admission/statesize.go
@@ -2,14 +2,14 @@
 
 import "unsafe"
 
-// mapEntryBytes is about what an entry takes in one of Go's maps with small keys and values.
+// mapEntryBytes is the approximate size of an entry of a Go map with small keys and values.
 const mapEntryBytes = 48
 
-// StateBytes is the memory of the state, without strings of the settings.
+// StateBytes returns the approximate size of the state in bytes, without the strings of the settings.
 func (c *Controller) StateBytes() int {
-	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.lightDebts.bytes() + c.bookings.bytes()
+	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
 	n += len(c.requests)*int(unsafe.Sizeof(openRequest{})) + len(c.connections)*int(unsafe.Sizeof(connection{})) + cap(c.expiry)*8
-	n += len(c.lastOfKey) * mapEntryBytes
+	n += len(c.lastByOrderKey) * mapEntryBytes
 	n += (len(c.tenants) + len(c.freeTenants)) * c.tenantBytes()
 	n += c.clientCount() * c.clientBytes()
 	for i := range c.flows {
@@ -18,9 +18,9 @@
 	return n + cap(c.effects)*int(unsafe.Sizeof(Effect{}))
 }
 
-// StateBound is the most that StateBytes can be. It follows from the limits alone.
+// StateBound returns the upper bound of StateBytes. It depends on the limits and the number of classes only.
 func (c *Controller) StateBound() int {
-	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.lightDebts.bytes() + c.bookings.bytes()
+	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
 	n += c.limits.Requests * (int(unsafe.Sizeof(openRequest{})) + 2*8 + mapEntryBytes)
 	n += c.limits.ConnectionSlots * (int(unsafe.Sizeof(connection{})) + 2*c.tenantBytes() + 4*c.clientBytes() + 4*8*len(c.classes))
 	return n + 4*(c.limits.Requests+c.limits.ConnectionSlots+8)*int(unsafe.Sizeof(Effect{}))
