--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,15 +1,16 @@
-// Package discovery decides which list of engines is valid, from what a name service answers: lists with serials, some of which are
-// lost, late, duplicated, reordered, stale, or renumbered. It is pure: answers and the time go in, the list comes out. It must never
-// do I/O, read a clock, or know what is sent to an engine.
+// Package discovery determines the valid list of engines from the answers of a name service. An answer contains a
+// list with a serial. Answers may be lost, late, duplicated, reordered or stale, and the serials may be renumbered.
+// The package takes answers and the time, and returns the list. It must not do I/O, read a clock, or depend on what
+// is sent to an engine.
 //
-// Serials order the lists of one sequence only. A new sequence begins when the gateway or the name service starts, and an answer may
-// bring a list of another sequence. So no single serial decides:
+// A serial orders only the lists of one sequence. A new sequence begins when the gateway or the name service starts,
+// and an answer may contain a list of another sequence. A single serial is therefore not decisive:
 //
-//   - A restriction (an engine drains, or has been removed) takes effect at once, whatever the serial of the list that brings it.
-//   - It is lifted by a later start of the engine, or by a few consecutive answers that hold the valid list, or newer ones, and list
-//     the engine as active.
-//   - A list with a newer serial becomes valid at once. It is replaced by the list that is answered instead, once several answers brought
-//     other lists and were not outweighed by answers that confirm it.
+//   - A restriction (an engine is draining or was removed) takes effect at once, whatever the serial of its list.
+//   - A restriction is lifted when the engine has been restarted, or when several consecutive answers contain the valid
+//     list or a newer one and list the engine as active.
+//   - A list with a newer serial becomes valid at once. Each answer that confirms the valid list adds to its support,
+//     and each answer with another list reduces it. When the support is used up, the list in the answer becomes valid.
 package discovery
 
 import (
@@ -19,62 +20,63 @@
 	"foxlane/rules"
 )
 
-// Answers are 100 ms apart. Three take much less than the grace of a drain, and are more stale answers than the name service gives in a
-// row; ten, which is one second, are needed against a list that was confirmed again and again.
+// Answers arrive every 100 ms. Three answers take much less time than the drain period, and the name service gives
+// fewer stale answers than that in a row. Ten answers, which take one second, are needed to replace a list that was
+// confirmed repeatedly.
 const (
-	initialSupport      = 3  // of a list that has become valid
-	maxSupport          = 10 // however often it was confirmed
-	confirmationsNeeded = 3  // to lift a restriction
+	initialSupport        = 3  // support of a list that has just become valid
+	maxSupport            = 10 // upper bound of the support of a list
+	requiredConfirmations = 3  // consecutive answers that lift a restriction
 )
 
-// absenceGrace is how long an engine may be missing from answers that are not newer than the valid list until it counts as removed: a
-// stale list lacks engines that were added later, and the next answer shows that.
+// absenceGrace is how long an engine may be missing from answers that are not newer than the valid list before it
+// counts as removed. A stale list lacks engines that were added later, and the next answer contains them again.
 const absenceGrace = 300 * rules.Millisecond
 
-// maxTombstones is how many removed engines are remembered: a stale list may name them again.
+// maxTombstones is the number of removed engines whose records are kept, since a stale list may name them again.
 const maxTombstones = 256
 
-// Verdict is what became of an answer.
+// Verdict is the result of applying an answer.
 type Verdict int
 
 // Verdicts.
 const (
-	Confirmed  Verdict = iota // it holds the valid list
-	Newer                     // it holds a newer list, which is valid from now on
-	Unordered                 // it holds another list that is not newer: stale, or of another sequence
-	Renumbered                // it holds another list, which is valid from now on: a new sequence of serials has begun
-	Late                      // its query was sent before others that were answered, and it holds nothing newer
+	Confirmed  Verdict = iota // the answer contains the valid list
+	Newer                     // the answer contains a newer list, which has become valid
+	Unordered                 // the answer contains another list that is not newer: it is stale or of another sequence
+	Renumbered                // the answer contains a list of a new sequence of serials, which has become valid
+	Late                      // its query or a later one was answered before, and the answer contains no newer list
 )
 
 // Answer is a well-formed answer of the name service.
 type Answer struct {
-	QuerySeq uint64 // the number of its query among all that were sent
+	QuerySeq uint64 // sequence number of its query
 	Serial   uint32
 	Engines  []config.Engine
 }
 
-// List is the valid list of engines, and what is remembered of engines that are restricted.
+// List is the valid list of engines, with the records of restricted engines.
 type List struct {
 	serial     uint32
 	engines    []config.Engine
-	index      map[string]int // in engines, by id
-	support    int            // of the valid list: an answer that confirms it adds one, an answer with another list takes one away
-	lastQuery  uint64         // the latest query that was answered
-	records    map[string]*record
-	tombstones []string // ids of removed engines, the longest removed first
-	changed    bool
+	index      map[string]int     // index in engines, by engine id
+	support    int                // initialSupport plus confirmations minus answers with other lists, up to maxSupport
+	lastQuery  uint64             // latest query that was answered
+	records    map[string]*record // by engine id
+	tombstones []string           // ids of removed engines, longest removed first
+	changed    bool               // since the last call of Changed
 }
 
-// record is what is remembered of an engine that is restricted, or missing from answers.
+// record is the state of an engine that is restricted or missing from answers.
 type record struct {
-	restricted    bool       // it drains or was removed, as far as is known
-	confirmations int        // consecutive answers that held the valid list, or a newer one, and list the engine as active
-	started       int64      // its latest start that is known, in Unix milliseconds: a later one is another process
-	absentSince   rules.Time // since when it is missing from answers that are not newer; 0: it is not missing
-	tombstone     bool       // it is in tombstones
+	restricted    bool       // the engine is draining or was removed
+	confirmations int        // consecutive answers with the valid list, or a newer one, that list the engine as active
+	started       int64      // latest known start of the engine, in Unix milliseconds; a later start is another process
+	absentSince   rules.Time // since when it is missing from answers that are not newer; 0: not missing
+	tombstone     bool       // it is in List.tombstones
 }
 
-// New returns the list that a gateway has at its start.
+// New returns the list of a gateway that has just started. Its support is maxSupport.
 func New(serial uint32, engines []config.Engine) *List {
 	list := &List{records: map[string]*record{}}
 	list.adopt(serial, engines)
@@ -87,10 +89,11 @@
 	return list
 }
 
-// Serial is the serial of the valid list.
+// Serial returns the serial of the valid list.
 func (l *List) Serial() uint32 { return l.serial }
 
-// Changed returns the valid list, with restricted engines as draining; ok is false if it is as the last call returned it.
+// Changed returns the valid list, in which restricted engines are draining. ok is false if the list has not changed
+// since the last call.
 func (l *List) Changed() (engines []config.Engine, ok bool) {
 	if !l.changed {
 		return nil, false
@@ -105,14 +108,14 @@
 	return engines, true
 }
 
-// Apply takes an answer of the name service.
+// Apply applies an answer of the name service.
 func (l *List) Apply(now rules.Time, answer Answer) Verdict {
 	late := answer.QuerySeq <= l.lastQuery
 	l.lastQuery = max(l.lastQuery, answer.QuerySeq)
 	return l.apply(now, &answer, late)
 }
 
-// Reload takes a list from a configuration that was reloaded.
+// Reload applies the list of a reloaded configuration. Unlike an answer, it is never late.
 func (l *List) Reload(now rules.Time, serial uint32, engines []config.Engine) Verdict {
 	return l.apply(now, &Answer{Serial: serial, Engines: engines}, false)
 }
@@ -124,7 +127,7 @@
 		verdict = Newer
 	case late:
 		return Late
-	case answer.Serial == l.serial && l.same(answer.Engines):
+	case answer.Serial == l.serial && l.equalsValid(answer.Engines):
 		verdict = Confirmed
 		l.support = min(l.support+1, maxSupport)
 	default:
@@ -133,10 +136,10 @@
 		}
 	}
 	if verdict == Confirmed {
-		l.reconfirm()
+		l.confirmActive()
 		return verdict
 	}
-	l.compare(now, answer, verdict)
+	l.updateRecords(now, answer, verdict)
 	if verdict != Unordered {
 		l.adopt(answer.Serial, answer.Engines)
 		l.trimTombstones()
@@ -144,7 +147,7 @@
 	return verdict
 }
 
-// Tick lets time pass.
+// Tick restricts the engines that have been missing from answers for absenceGrace.
 func (l *List) Tick(now rules.Time) {
 	for id, rec := range l.records {
 		if rec.absentSince > 0 && now-rec.absentSince >= absenceGrace {
@@ -153,7 +156,7 @@
 	}
 }
 
-// newer compares serials as RFC 1982 does, since they wrap around.
+// newer reports whether serial a is newer than b. Serials wrap around and are compared as in RFC 1982.
 func newer(a, b uint32) bool { return int32(a-b) > 0 }
 
 // adopt makes a list the valid one.
@@ -165,8 +168,9 @@
 	}
 }
 
-// same reports whether a list names the same engines in the same states as the valid one, in any order.
-func (l *List) same(engines []config.Engine) bool {
+// equalsValid reports whether a list equals the valid one: the same engines with the same states, addresses and start
+// times, in any order.
+func (l *List) equalsValid(engines []config.Engine) bool {
 	if len(engines) != len(l.engines) {
 		return false
 	}
@@ -183,8 +187,9 @@
 	return true
 }
 
-// reconfirm counts an answer that confirms the valid list for each engine that it lists as active.
-func (l *List) reconfirm() {
+// confirmActive handles an answer that confirms the valid list. It counts as a confirmation of each engine listed as
+// active.
+func (l *List) confirmActive() {
 	for id, rec := range l.records {
 		at, held := l.index[id]
 		switch {
@@ -196,9 +201,9 @@
 	}
 }
 
-// compare takes over what another list says of each engine. Engines that the gateway does not know count only if that list becomes
-// valid.
-func (l *List) compare(now rules.Time, answer *Answer, verdict Verdict) {
+// updateRecords updates the records of engines from an answer with another list. A draining engine that the gateway
+// does not know is ignored unless that list becomes valid.
+func (l *List) updateRecords(now rules.Time, answer *Answer, verdict Verdict) {
 	named := make(map[string]bool, len(answer.Engines))
 	for i := range answer.Engines {
 		entry := &answer.Engines[i]
@@ -218,20 +223,21 @@
 	}
 	for i := range l.engines {
 		if entry := &l.engines[i]; !named[entry.ID] {
-			l.noteMissing(now, entry, verdict)
+			l.recordMissing(now, entry, verdict)
 		}
 	}
 }
 
-// restrict notes that an engine drains or was removed.
+// restrict records that an engine is draining or was removed.
 func (l *List) restrict(id string, started int64) {
-	rec := l.recordOf(id)
+	rec := l.findOrAddRecord(id)
 	rec.absentSince, rec.started = 0, max(rec.started, started)
 	l.changed = l.changed || !rec.restricted
 	rec.restricted, rec.confirmations = true, 0
 }
 
-// confirm notes that an engine was listed as active, and lifts its restriction once that is certain.
+// confirm records that an engine was listed as active. It lifts the restriction of the engine after a later start or
+// requiredConfirmations confirmations.
 func (l *List) confirm(entry *config.Engine, verdict Verdict) {
 	rec := l.records[entry.ID]
 	if rec == nil {
@@ -242,24 +248,24 @@
 	if verdict == Unordered {
 		rec.confirmations = 0
 	}
-	if !rec.restricted || entry.Started > rec.started || rec.confirmations >= confirmationsNeeded {
-		l.release(entry.ID, rec)
+	if !rec.restricted || entry.Started > rec.started || rec.confirmations >= requiredConfirmations {
+		l.liftRestriction(entry.ID, rec)
 	}
 }
 
-// noteMissing notes that an answer does not name an engine of the valid list.
-func (l *List) noteMissing(now rules.Time, entry *config.Engine, verdict Verdict) {
+// recordMissing records that an answer does not list an engine of the valid list.
+func (l *List) recordMissing(now rules.Time, entry *config.Engine, verdict Verdict) {
 	if verdict != Unordered {
 		l.restrict(entry.ID, entry.Started)
 		l.addTombstone(entry.ID)
 		return
 	}
-	if rec := l.recordOf(entry.ID); !rec.restricted && rec.absentSince == 0 {
+	if rec := l.findOrAddRecord(entry.ID); !rec.restricted && rec.absentSince == 0 {
 		rec.absentSince, rec.started = now, entry.Started
 	}
 }
 
-func (l *List) recordOf(id string) *record {
+func (l *List) findOrAddRecord(id string) *record {
 	rec := l.records[id]
 	if rec == nil {
 		rec = &record{}
@@ -268,8 +274,8 @@
 	return rec
 }
 
-// release lifts an engine's restriction.
-func (l *List) release(id string, rec *record) {
+// liftRestriction lifts the restriction of an engine and removes its record.
+func (l *List) liftRestriction(id string, rec *record) {
 	l.changed = l.changed || rec.restricted
 	delete(l.records, id)
 	if rec.tombstone {
@@ -277,7 +283,7 @@
 	}
 }
 
-// addTombstone remembers an engine that was removed.
+// addTombstone adds a removed engine to the tombstones, so that trimTombstones can delete its record.
 func (l *List) addTombstone(id string) {
 	if rec := l.records[id]; !rec.tombstone {
 		rec.tombstone = true
@@ -285,7 +291,7 @@
 	}
 }
 
-// trimTombstones forgets the engines that were removed first, if too many are remembered.
+// trimTombstones deletes the records of the longest removed engines while there are more than maxTombstones.
 func (l *List) trimTombstones() {
 	for len(l.tombstones) > maxTombstones {
 		id := l.tombstones[0]
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,15 +12,15 @@
 	"foxlane/rules"
 )
 
-const poll = 100 * rules.Millisecond
+const pollInterval = 100 * rules.Millisecond
 
-// fixture is a list under test, with the queries that were answered and the time.
+// fixture holds a list under test, the current time and the number of the last query.
 type fixture struct {
 	t         rapid.TB
 	list      *List
 	now       rules.Time
 	lastQuery uint64
-	states    map[string]string
+	states    map[string]string // state of each listed engine, by id
 }
 
 func newFixture(t rapid.TB, serial uint32, engines ...config.Engine) *fixture {
@@ -29,7 +29,7 @@
 	return f
 }
 
-// refresh takes over the list if it has changed, as a gateway does.
+// refresh updates states if the list has changed, as a gateway does.
 func (f *fixture) refresh() {
 	engines, ok := f.list.Changed()
 	if !ok {
@@ -41,25 +41,25 @@
 	}
 }
 
-// answer gives the list an answer to a query that was sent just now.
+// answer applies an answer to a new query.
 func (f *fixture) answer(serial uint32, engines ...config.Engine) Verdict {
 	f.lastQuery++
 	return f.answerTo(f.lastQuery, serial, engines...)
 }
 
 func (f *fixture) answerTo(query uint64, serial uint32, engines ...config.Engine) Verdict {
-	f.now += poll
+	f.now += pollInterval
 	f.list.Tick(f.now)
 	verdict := f.list.Apply(f.now, Answer{QuerySeq: query, Serial: serial, Engines: engines})
 	f.refresh()
 	return verdict
 }
 
-// expect fails the test if what the list says of an engine is something else: "active", "leaving" or "" for not listed.
-func (f *fixture) expect(when, id string, want string) {
+// expectState fails the test if an engine has another state than want; "" means that it is not listed.
+func (f *fixture) expectState(when, id string, want string) {
 	f.t.Helper()
 	if got := f.states[id]; got != want {
-		f.t.Errorf("%s: %s is %q, not %q", when, id, got, want)
+		f.t.Errorf("%s: state of engine %s is %q, want %q", when, id, got, want)
 	}
 }
 
@@ -72,159 +72,161 @@
 }
 
 const (
-	on  = config.StateActive
-	off = config.StateDraining
+	active   = config.StateActive
+	draining = config.StateDraining
 )
 
 func TestNewerListIsValidAtOnce(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	if verdict := f.answer(2, newEngine("a", off), newEngine("c", on)); verdict != Newer {
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active))
+	if verdict := f.answer(2, newEngine("a", draining), newEngine("c", active)); verdict != Newer {
 		t.Errorf("verdict %v", verdict)
 	}
-	f.expect("drains", "a", off)
-	f.expect("not listed", "b", "")
-	f.expect("new", "c", on)
+	f.expectState("draining", "a", draining)
+	f.expectState("not listed", "b", "")
+	f.expectState("new", "c", active)
 	if f.list.Serial() != 2 {
-		t.Errorf("serial %d", f.list.Serial())
+		t.Errorf("serial %d, want 2", f.list.Serial())
 	}
 }
 
-// A list of an earlier sequence was taken for newer, and those of the present sequence have lower serials (as in an incident of
-// production).
+// Guards against a drain that is ignored because of its serial, as in a production incident: a list of an earlier
+// sequence was accepted as newer, and the lists of the current sequence have lower serials.
 func TestDrainUnderALowerSerialTakesEffect(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	f.answer(5, newEngine("a", on), newEngine("b", on))
-	f.answer(2, newEngine("a", off), newEngine("b", on))
-	f.expect("after the first answer", "a", off)
-	f.answer(2, newEngine("a", off), newEngine("b", on))
-	if verdict := f.answer(2, newEngine("a", off), newEngine("b", on)); verdict != Renumbered || f.list.Serial() != 2 {
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active))
+	f.answer(5, newEngine("a", active), newEngine("b", active))
+	f.answer(2, newEngine("a", draining), newEngine("b", active))
+	f.expectState("after the first answer", "a", draining)
+	f.answer(2, newEngine("a", draining), newEngine("b", active))
+	if verdict := f.answer(2, newEngine("a", draining), newEngine("b", active)); verdict != Renumbered || f.list.Serial() != 2 {
 		t.Errorf("the third answer: verdict %v, serial %d", verdict, f.list.Serial())
 	}
-	f.answer(3, newEngine("a", off), newEngine("b", off))
-	f.expect("after it", "b", off)
+	f.answer(3, newEngine("a", draining), newEngine("b", draining))
+	f.expectState("in the next list of the sequence", "b", draining)
 }
 
-// A list of an earlier sequence lists an engine as active that drains since, and one that was removed.
+// A list with a newer serial but of an earlier sequence lists as active an engine that is draining and one that was
+// removed. Neither restriction is lifted.
 func TestNewerSerialLiftsNothing(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on), newEngine("c", on))
-	f.answer(2, newEngine("a", off), newEngine("c", on))
-	f.answer(9, newEngine("a", on), newEngine("b", on), newEngine("c", on))
-	f.expect("drained", "a", off)
-	f.expect("removed", "b", off)
-	f.expect("untouched", "c", on)
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active), newEngine("c", active))
+	f.answer(2, newEngine("a", draining), newEngine("c", active))
+	f.answer(9, newEngine("a", active), newEngine("b", active), newEngine("c", active))
+	f.expectState("drained", "a", draining)
+	f.expectState("removed", "b", draining)
+	f.expectState("untouched", "c", active)
 }
 
-// Where a new sequence of serials begins while the gateway runs, restrictions take effect at once, and the list is valid after a second.
+// When a new sequence of serials begins while the gateway runs, its restrictions take effect at once and its list
+// becomes valid after one second.
 func TestRenumberingIsAccepted(t *testing.T) {
-	f := newFixture(t, 40, newEngine("a", on), newEngine("b", on), newEngine("c", on))
-	present := []config.Engine{newEngine("a", off), newEngine("c", on), newEngine("d", on)}
-	f.answer(1, present...)
-	f.expect("after the first answer", "a", off)
+	f := newFixture(t, 40, newEngine("a", active), newEngine("b", active), newEngine("c", active))
+	current := []config.Engine{newEngine("a", draining), newEngine("c", active), newEngine("d", active)}
+	f.answer(1, current...)
+	f.expectState("after the first answer", "a", draining)
 	for range 4 {
-		f.answer(1, present...)
+		f.answer(1, current...)
 	}
-	f.expect("missing for 0.4 s", "b", off)
-	f.expect("new, and not confirmed yet", "d", "")
+	f.expectState("missing for 0.4 s", "b", draining)
+	f.expectState("new in a list that is not valid yet", "d", "")
 	for range 5 {
-		f.answer(1, present...)
+		f.answer(1, current...)
 	}
 	if f.list.Serial() != 1 {
 		t.Fatalf("serial %d after ten answers", f.list.Serial())
 	}
-	f.expect("new", "d", on)
-	f.expect("removed", "b", "")
+	f.expectState("new", "d", active)
+	f.expectState("removed", "b", "")
 }
 
-// Single stale answers change nothing: no restriction is lifted, and no engine that was added later is missing.
+// Single stale answers change nothing: they lift no restriction, and they don't remove engines that were added later.
 func TestStaleAnswersChangeNothing(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	now := []config.Engine{newEngine("a", off), newEngine("b", on), newEngine("c", on)}
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active))
+	current := []config.Engine{newEngine("a", draining), newEngine("b", active), newEngine("c", active)}
 	for range 20 {
-		f.answer(2, now...)
-		if verdict := f.answer(1, newEngine("a", on), newEngine("b", on)); verdict != Unordered {
+		f.answer(2, current...)
+		if verdict := f.answer(1, newEngine("a", active), newEngine("b", active)); verdict != Unordered {
 			t.Fatalf("verdict %v", verdict)
 		}
-		f.expect("drained", "a", off)
-		f.expect("untouched", "b", on)
-		f.expect("new", "c", on)
+		f.expectState("drained", "a", draining)
+		f.expectState("untouched", "b", active)
+		f.expectState("new", "c", active)
 	}
 }
 
-// An engine that drained and is active again is used after several answers that say so; a later start of it counts at once.
+// The restriction of an engine that is listed as active again is lifted after several answers, or at once if the engine
+// has been restarted.
 func TestRestrictionIsLifted(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
-	f.answer(2, newEngine("a", off), newEngine("b", off))
-	for i := range confirmationsNeeded {
-		f.expect(fmt.Sprint("after ", i, " answers"), "a", off)
-		f.answer(3, newEngine("a", on), newEngine("b", on, 5000))
-		f.expect("restarted", "b", on)
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active))
+	f.answer(2, newEngine("a", draining), newEngine("b", draining))
+	for i := range requiredConfirmations {
+		f.expectState(fmt.Sprint("after ", i, " answers"), "a", draining)
+		f.answer(3, newEngine("a", active), newEngine("b", active, 5000))
+		f.expectState("restarted", "b", active)
 	}
-	f.expect("confirmed often enough", "a", on)
-	f.answer(4, newEngine("a", off), newEngine("b", on, 5000))
-	f.expect("drains again", "a", off)
+	f.expectState("after all confirmations needed", "a", active)
+	f.answer(4, newEngine("a", draining), newEngine("b", active, 5000))
+	f.expectState("draining again", "a", draining)
 }
 
-// Answers that come late or twice change nothing, unless they hold a newer list.
+// Late and duplicate answers change nothing unless they contain a newer list.
 func TestLateAnswers(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on))
-	f.answer(3, newEngine("a", on), newEngine("b", on))
+	f := newFixture(t, 1, newEngine("a", active))
+	f.answer(3, newEngine("a", active), newEngine("b", active))
 	f.lastQuery = 10
-	f.answer(3, newEngine("a", on), newEngine("b", on))
+	f.answer(3, newEngine("a", active), newEngine("b", active))
 	for range 20 {
-		if verdict := f.answerTo(4, 2, newEngine("a", on)); verdict != Late {
+		if verdict := f.answerTo(4, 2, newEngine("a", active)); verdict != Late {
 			t.Fatalf("verdict %v", verdict)
 		}
 	}
-	f.expect("not in late answers", "b", on)
-	f.answerTo(5, 4, newEngine("a", off), newEngine("b", on))
-	f.expect("newer, if late", "a", off)
+	f.expectState("not in late answers", "b", active)
+	f.answerTo(5, 4, newEngine("a", draining), newEngine("b", active))
+	f.expectState("in a late answer with a newer list", "a", draining)
 }
 
-// One serial may belong to two lists, of two sequences: the one that is answered in the end is valid.
+// Two lists of different sequences may have the same serial. The one that is answered repeatedly becomes valid.
 func TestSameSerialOtherList(t *testing.T) {
-	f := newFixture(t, 3, newEngine("a", on), newEngine("b", on))
+	f := newFixture(t, 3, newEngine("a", active), newEngine("b", active))
 	for range maxSupport {
-		f.answer(3, newEngine("a", off), newEngine("c", on))
+		f.answer(3, newEngine("a", draining), newEngine("c", active))
 	}
-	f.expect("drains", "a", off)
-	f.expect("removed", "b", "")
-	f.expect("new", "c", on)
+	f.expectState("draining", "a", draining)
+	f.expectState("removed", "b", "")
+	f.expectState("new", "c", active)
 }
 
-// A list that was confirmed for a second is not replaced by nine answers with another one.
-func TestWellSupportedListStands(t *testing.T) {
-	f := newFixture(t, 1, newEngine("a", on), newEngine("b", on))
+// A list that was confirmed for one second is not replaced by nine answers with another list.
+func TestWellSupportedListIsKept(t *testing.T) {
+	f := newFixture(t, 1, newEngine("a", active), newEngine("b", active))
 	for range maxSupport {
-		f.answer(2, newEngine("a", off))
+		f.answer(2, newEngine("a", draining))
 	}
 	for range maxSupport - 1 {
-		f.answer(1, newEngine("a", on), newEngine("b", on))
-		f.expect("confirmed for a second", "a", off)
+		f.answer(1, newEngine("a", active), newEngine("b", active))
+		f.expectState("confirmed for a second", "a", draining)
 	}
 	if f.list.Serial() != 2 {
-		t.Errorf("serial %d", f.list.Serial())
+		t.Errorf("serial %d, want 2", f.list.Serial())
 	}
 }
 
-// Serials wrap around.
 func TestSerialsWrapAround(t *testing.T) {
 	for _, c := range []struct {
 		held, answered uint32
 		newer          bool
 	}{{5, 5, false}, {5, 6, true}, {5, 4, false}, {1<<32 - 1, 0, true}, {1<<32 - 2, 3, true}, {3, 1<<32 - 2, false}, {0, 1, true}, {1, 1<<31 + 5, false}} {
 		if newer(c.answered, c.held) != c.newer {
-			t.Errorf("%d after %d counts as newer: %v", c.answered, c.held, !c.newer)
+			t.Errorf("newer(%d, %d) is %v, want %v", c.answered, c.held, !c.newer, c.newer)
 		}
 	}
 }
 
-// What is remembered of removed engines stays bounded.
+// The number of records and tombstones stays bounded however many engines are added and removed.
 func TestTombstonesAreBounded(t *testing.T) {
 	f := newFixture(t, 1)
 	for i := range uint32(5000) {
-		f.answer(2+i, newEngine(fmt.Sprint("e", i), on))
+		f.answer(2+i, newEngine(fmt.Sprint("e", i), active))
 		if i%7 == 0 {
-			f.answer(1, newEngine(fmt.Sprint("stale", i), off))
+			f.answer(1, newEngine(fmt.Sprint("stale", i), draining))
 		}
 	}
 	if len(f.list.records) > maxTombstones+2 || len(f.list.tombstones) > maxTombstones {
@@ -232,10 +234,10 @@
 	}
 }
 
-// history is what a name service has: each version of the list, with serials that are renumbered at times.
+// history holds the versions of a name service's list. Its serials are renumbered at times.
 type history struct {
 	versions []version
-	base     int // the serial of a version in the present sequence is its index less this
+	base     int // the serial of a version in the current sequence is its index minus base
 }
 
 type version struct {
@@ -243,47 +245,48 @@
 	engines []config.Engine
 }
 
-// randomService is a name service whose list changes at random, and what its correct answers have restricted.
+// randomService is a simulated name service whose list and answers change at random.
 type randomService struct {
 	history
-	rng      *rand.Rand
-	names    []string
-	state    map[string]string     // what the list says of each engine; empty: it is not listed
-	notified map[string]rules.Time // when a correct answer first said that an engine drains or was removed
+	rng          *rand.Rand
+	names        []string
+	states       map[string]string     // state of each engine in the list; empty: not listed
+	restrictedAt map[string]rules.Time // when a correct answer first restricted an engine
 
-	correctDue, staleInRow int
+	correctAnswersDue int // correct answers to give before the next stale one
+	consecutiveStale  int // stale answers since the last correct one
 }
 
 func newRandomService(seed uint64) *randomService {
-	s := &randomService{history: history{base: -1}, rng: rand.New(rand.NewPCG(seed, 1)), state: map[string]string{}, notified: map[string]rules.Time{}}
+	s := &randomService{history: history{base: -1}, rng: rand.New(rand.NewPCG(seed, 1)), states: map[string]string{}, restrictedAt: map[string]rules.Time{}}
 	for range 4 {
-		s.add()
+		s.addEngine()
 	}
 	s.publish()
 	return s
 }
 
-// add lists one more engine.
-func (s *randomService) add() {
+// addEngine adds an engine to the list.
+func (s *randomService) addEngine() {
 	name := fmt.Sprint("e", len(s.names))
 	s.names = append(s.names, name)
-	s.state[name] = on
+	s.states[name] = active
 }
 
-// publish makes the present list a version.
+// publish adds the current list as a new version.
 func (s *randomService) publish() {
 	var listed []config.Engine
 	for _, id := range s.names {
-		if s.state[id] != "" {
-			listed = append(listed, newEngine(id, s.state[id]))
+		if s.states[id] != "" {
+			listed = append(listed, newEngine(id, s.states[id]))
 		}
 	}
 	s.versions = append(s.versions, version{uint32(len(s.versions) - s.base), listed})
 }
 
-func (s *randomService) present() version { return s.versions[len(s.versions)-1] }
+func (s *randomService) current() version { return s.versions[len(s.versions)-1] }
 
-// change changes the list, or begins a new sequence of serials, at times.
+// change occasionally changes the list or begins a new sequence of serials.
 func (s *randomService) change() {
 	switch s.rng.IntN(25) {
 	case 0:
@@ -298,60 +301,60 @@
 }
 
 func (s *randomService) changeEngine(id string) {
-	switch s.state[id] {
-	case on:
-		s.state[id] = off
-	case off:
-		s.state[id] = ""
+	switch s.states[id] {
+	case active:
+		s.states[id] = draining
+	case draining:
+		s.states[id] = ""
 		if s.rng.IntN(3) == 0 {
-			s.state[id] = on
-			delete(s.notified, id)
+			s.states[id] = active
+			delete(s.restrictedAt, id)
 		}
-	default: // removed for good: another is added
-		s.add()
+	default: // the engine was removed and does not return: add another one
+		s.addEngine()
 	}
 }
 
-// answer lets a poll be lost, answered by a stale list, or answered correctly, once or twice.
+// answer simulates a poll: its answer is lost, stale, correct, or correct and duplicated.
 func (s *randomService) answer(f *fixture) {
 	f.lastQuery++
 	kind := s.rng.IntN(10)
 	switch {
 	case kind == 0: // lost
-		f.now += poll
+		f.now += pollInterval
 		f.list.Tick(f.now)
 		f.refresh()
-	case kind <= 2 && s.correctDue == 0 && s.staleInRow < 2:
+	case kind <= 2 && s.correctAnswersDue == 0 && s.consecutiveStale < 2:
 		old := s.versions[s.rng.IntN(len(s.versions))]
-		f.list.Tick(f.now + poll)
-		f.now += poll
+		f.list.Tick(f.now + pollInterval)
+		f.now += pollInterval
 		f.list.Apply(f.now, Answer{QuerySeq: f.lastQuery, Serial: old.serial, Engines: old.engines})
 		f.refresh()
-		s.staleInRow++
+		s.consecutiveStale++
 	default:
 		s.answerCorrectly(f)
-		if kind == 9 { // twice
-			f.answerTo(f.lastQuery, s.present().serial, s.present().engines...)
+		if kind == 9 { // duplicated
+			f.answerTo(f.lastQuery, s.current().serial, s.current().engines...)
 		}
 	}
 }
 
 func (s *randomService) answerCorrectly(f *fixture) {
-	if s.staleInRow > 0 {
-		s.correctDue, s.staleInRow = max(s.correctDue, s.staleInRow+1), 0
+	if s.consecutiveStale > 0 {
+		s.correctAnswersDue, s.consecutiveStale = max(s.correctAnswersDue, s.consecutiveStale+1), 0
 	}
-	s.correctDue = max(0, s.correctDue-1)
-	f.answerTo(f.lastQuery, s.present().serial, s.present().engines...)
+	s.correctAnswersDue = max(0, s.correctAnswersDue-1)
+	f.answerTo(f.lastQuery, s.current().serial, s.current().engines...)
 	for _, id := range s.names {
-		if _, known := s.notified[id]; !known && s.state[id] != on {
-			s.notified[id] = f.now
+		if _, known := s.restrictedAt[id]; !known && s.states[id] != active {
+			s.restrictedAt[id] = f.now
 		}
 	}
 }
 
-// Whatever is lost, late, duplicated, stale, of an earlier sequence or renumbered: an engine that drains or was removed by a correct
-// answer is never active after the grace, and in the end the list is the name service's. There are two stale answers in a row at most,
-// and at least as many correct ones after them.
+// Checks with random lost, duplicated and stale answers and renumbered serials that an engine is never active more than
+// one second after a correct answer has restricted it, and that the list converges to that of the name service. Stale
+// answers may be of an earlier sequence. At most two come in a row, and at least as many correct ones follow them.
 func TestRandomNameService(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		service := newRandomService(rapid.Uint64().Draw(rt, "seed"))
@@ -359,18 +362,18 @@
 		for range 150 {
 			service.change()
 			service.answer(f)
-			for id, at := range service.notified {
-				if f.states[id] == on && f.now-at > rules.Second {
-					rt.Fatalf("%s is active %d ms after its restriction was answered", id, (f.now-at)/rules.Millisecond)
+			for id, at := range service.restrictedAt {
+				if f.states[id] == active && f.now-at > rules.Second {
+					rt.Fatalf("engine %s is active %d ms after an answer restricted it", id, (f.now-at)/rules.Millisecond)
 				}
 			}
 		}
 		for range 2 * maxSupport {
-			f.answer(service.present().serial, service.present().engines...)
+			f.answer(service.current().serial, service.current().engines...)
 		}
 		for _, id := range service.names {
-			if f.states[id] != service.state[id] {
-				rt.Fatalf("%s is %q, and %q in the list", id, f.states[id], service.state[id])
+			if f.states[id] != service.states[id] {
+				rt.Fatalf("state of engine %s is %q, want %q", id, f.states[id], service.states[id])
 			}
 		}
 	})
