--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -1,8 +1,6 @@
-// Package engine owns the line protocol of engines: it encodes commands and
-// decodes answers. It must never do I/O or decide anything; an answer that
-// violates the protocol ends the stream with a typed error.
-//
-// answer.go has answers, command.go commands.
+// Package engine implements the line protocol of engines: it encodes commands (command.go) and decodes answers
+// (answer.go). It must not do I/O or make decisions. An answer that violates the protocol ends the stream with one of
+// the errors declared here.
 package engine
 
 import (
@@ -13,96 +11,96 @@
 	"foxlane/internal/framebuf"
 )
 
-// Errors of a stream of answers.
+// Errors of Decoder.Next.
 var (
-	ErrLineTooLong = errors.New("engine: line is too long")
-	ErrBodyTooLong = errors.New("engine: body is too long")
+	ErrLineTooLong = errors.New("engine: line too long")
+	ErrBodyTooLong = errors.New("engine: body too long")
 	ErrMalformed   = errors.New("engine: malformed answer")
-	ErrUnknownKind = errors.New("engine: unknown word")
-	ErrBadField    = errors.New("engine: unusable field")
+	ErrUnknownKind = errors.New("engine: unknown kind of answer")
+	ErrBadField    = errors.New("engine: invalid field")
 )
 
 // Kind is the type of an answer.
 type Kind int
 
-// Kinds of answers, each with the protocol's word for it.
+// Kinds of answers, each with its keyword in the protocol.
 const (
 	Served      Kind = iota + 1 // "served": the first page of the result
-	Overloaded                  // "overload": not executed, the engine is full
-	Errored                     // "crashed": an error, the request may have been executed
-	NotExecuted                 // "nobody": not executed, the request was over already
-	FurtherPage                 // "rows": a page that was fetched
+	Overloaded                  // "overload": not executed, since the engine is at capacity
+	Errored                     // "crashed": failed; the request may have been executed
+	NotExecuted                 // "nobody": not executed, since the request had already ended
+	FurtherPage                 // "rows": a fetched page of the result
 	Healthy                     // "green": result of a health check
 	Unhealthy                   // "red": result of a health check
-	Progress                    // "update": the request is running; a further answer follows
+	Progress                    // "update": the request is running; another answer follows
 )
 
-var kindOf = map[string]Kind{
+var kindByKeyword = map[string]Kind{
 	"served": Served, "overload": Overloaded, "crashed": Errored, "nobody": NotExecuted, "rows": FurtherPage,
 	"green": Healthy, "red": Unhealthy, "update": Progress,
 }
 
-// Answer is one answer. Its bytes are valid until the next Feed.
+// Answer is one decoded answer. Its byte slices are valid until the next Feed.
 type Answer struct {
-	ID        []byte
+	ID        []byte // of the request, or the tag of a health check
 	Kind      Kind
-	PageCount int     // pages of the result, with Served
-	Page      int     // number of the page, with FurtherPage
+	PageCount int     // number of pages of the result; for Served
+	Page      int     // number of the page; for FurtherPage
 	WorkMS    float64 // work in milliseconds; 0: not reported
-	MemoryMB  float64 // memory in MB; 0: not reported
-	Report    []byte  // load report, for ParseReport; nil: none
+	MemoryMB  float64 // memory used in MB; 0: not reported
+	Report    []byte  // load report, to be parsed by ParseReport; nil: none
 	Body      []byte
 }
 
-// Decoder splits an engine's stream into answers.
+// Decoder decodes the byte stream of an engine into answers. Its limits must be set.
 type Decoder struct {
 	MaxLineBytes int
 	MaxBodyBytes int
-	in           framebuf.Buffer
+	buffer       framebuf.Buffer // bytes received and not decoded yet
 }
 
-// Feed adds received bytes. They are copied.
-func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
+// Feed adds received bytes, which it copies.
+func (d *Decoder) Feed(p []byte) { d.buffer.Add(p) }
 
-// Buffered is the number of bytes of an incomplete answer.
-func (d *Decoder) Buffered() int { return d.in.Len() }
+// Buffered returns the number of bytes that are received but not decoded.
+func (d *Decoder) Buffered() int { return d.buffer.Len() }
 
 var crlf = []byte("\r\n")
 
-// Next returns the next complete answer, or ok false if there is none yet.
-// After an error the stream can't be decoded any further.
+// Next returns the next complete answer; ok is false if there is none yet. After an error the rest of the stream
+// can't be decoded.
 func (d *Decoder) Next() (a Answer, ok bool, err error) {
-	b := d.in.Bytes()
+	b := d.buffer.Bytes()
 	end := bytes.Index(b[:min(len(b), d.MaxLineBytes)], crlf)
 	if end < 0 {
 		if len(b) >= d.MaxLineBytes {
 			return a, false, ErrLineTooLong
 		}
-		if !printable(bytes.TrimSuffix(b, crlf[:1])) {
-			return a, false, ErrMalformed // noise may never contain an end of line
+		if !isPrintable(bytes.TrimSuffix(b, crlf[:1])) {
+			return a, false, ErrMalformed // reported now, since garbage may never contain an end of line
 		}
 		return a, false, nil
 	}
-	a, size, err := parse(b[:end])
+	a, size, err := parseHeader(b[:end])
 	if err != nil {
 		return a, false, err
 	}
 	if size > d.MaxBodyBytes {
 		return a, false, ErrBodyTooLong
 	}
-	whole := end + len(crlf) + size + len(crlf)
-	if len(b) < whole {
+	answerLen := end + len(crlf) + size + len(crlf)
+	if len(b) < answerLen {
 		return a, false, nil
 	}
-	if !bytes.Equal(b[whole-len(crlf):whole], crlf) {
+	if !bytes.Equal(b[answerLen-len(crlf):answerLen], crlf) {
 		return a, false, ErrMalformed
 	}
-	a.Body = b[end+len(crlf) : whole-len(crlf) : whole-len(crlf)]
-	d.in.Skip(whole)
+	a.Body = b[end+len(crlf) : answerLen-len(crlf) : answerLen-len(crlf)]
+	d.buffer.Skip(answerLen)
 	return a, true, nil
 }
 
-func printable(b []byte) bool {
+func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' || c > '~' {
 			return false
@@ -111,26 +109,26 @@
 	return true
 }
 
-func parse(line []byte) (a Answer, size int, err error) {
+func parseHeader(line []byte) (a Answer, size int, err error) {
 	id, rest, ok1 := bytes.Cut(line, []byte{' '})
-	word, rest, ok2 := bytes.Cut(rest, []byte{' '})
+	keyword, rest, ok2 := bytes.Cut(rest, []byte{' '})
 	fields, length, ok3 := bytes.Cut(rest, []byte{' '})
 	if !ok1 || !ok2 || !ok3 || len(id) == 0 {
 		return a, 0, ErrMalformed
 	}
-	size, ok := number(length)
+	size, ok := parseNumber(length)
 	if !ok {
 		return a, 0, ErrMalformed
 	}
 	a.ID = id
-	if a.Kind = kindOf[string(word)]; a.Kind == 0 {
+	if a.Kind = kindByKeyword[string(keyword)]; a.Kind == 0 {
 		return a, 0, ErrUnknownKind
 	}
-	return a, size, a.fields(fields)
+	return a, size, a.parseFields(fields)
 }
 
-// number reads decimal digits.
-func number(b []byte) (int, bool) {
+// parseNumber parses a non-negative decimal integer.
+func parseNumber(b []byte) (int, bool) {
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' || n > 1<<30 {
@@ -141,8 +139,8 @@
 	return n, len(b) > 0
 }
 
-// fields reads the known fields and ignores others.
-func (a *Answer) fields(b []byte) error {
+// parseFields sets the fields of the answer from a comma-separated list ("-": none). It ignores unknown fields.
+func (a *Answer) parseFields(b []byte) error {
 	if string(b) == "-" {
 		return nil
 	}
@@ -155,13 +153,13 @@
 		}
 		switch string(name) {
 		case "total":
-			a.PageCount, ok = number(value)
+			a.PageCount, ok = parseNumber(value)
 		case "index":
-			a.Page, ok = number(value)
+			a.Page, ok = parseNumber(value)
 		case "elapsed":
-			a.WorkMS, ok = decimal(value)
+			a.WorkMS, ok = parseDecimal(value)
 		case "rss":
-			a.MemoryMB, ok = decimal(value)
+			a.MemoryMB, ok = parseDecimal(value)
 		case "rep":
 			a.Report = value
 		}
@@ -172,16 +170,17 @@
 	return nil
 }
 
-// maxFigure is more than any plausible number of milliseconds or megabytes, or value of a report.
-const maxFigure = 1e9
+// maxDecimal bounds the numbers of an answer: no plausible number of milliseconds or megabytes and no value of a load
+// report reaches it.
+const maxDecimal = 1e9
 
-// decimal reads a number that is not negative and at most maxFigure.
-func decimal(b []byte) (float64, bool) {
-	f, err := strconv.ParseFloat(string(b), 64)
-	return f, err == nil && f >= 0 && f < maxFigure
+// parseDecimal parses a non-negative number less than maxDecimal.
+func parseDecimal(b []byte) (float64, bool) {
+	value, err := strconv.ParseFloat(string(b), 64)
+	return value, err == nil && value >= 0 && value < maxDecimal
 }
 
-// ParseReport reads a load report such as inflight:7;util:0.61. Malformed parts are left out.
+// ParseReport parses a load report such as "inflight:7;util:0.61". It skips malformed parts.
 func ParseReport(b []byte) map[string]float64 {
 	if len(b) == 0 {
 		return nil
@@ -191,7 +190,7 @@
 		var part []byte
 		part, b, _ = bytes.Cut(b, []byte{';'})
 		if name, value, ok := bytes.Cut(part, []byte{':'}); ok {
-			if f, ok := decimal(value); ok {
+			if f, ok := parseDecimal(value); ok {
 				out[string(name)] = f
 			}
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		if s := strings.Join(got, ","); s != "9b=a\tb\n,9b=\r\n,x=,t1=" {
-			t.Errorf("cut at %d: %q", size, s)
+			t.Errorf("answers fed in parts of %d bytes: got %q", size, s)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 
 func FuzzAnswers(f *testing.F) {
 	f.Add("9b served total=2,rep=a:1;b 4\r\na\tb\n\r\n", 3)
-	f.Add("9b served total=1 3221225472\r\na\tb\n", 5) // 3 GB to come
-	f.Add("9b served total=1 600\r\na\tb", 4)          // stops short
+	f.Add("9b served total=1 3221225472\r\na\tb\n", 5) // announces a body of 3 GB
+	f.Add("9b served total=1 600\r\na\tb", 4)          // truncated body
 	f.Add("9b served total=1,elapsed=1e30 0\r\n\r\n", 7)
 	f.Add("\x00\x17\xff\x80 served", 2)
 	f.Add("9b served total=1 0\r\n\r\n9b served total=1 0\r\n\r\n", 9)
