--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -38,9 +38,9 @@
 }
 
 func TestWeightsAndEqualWork(t *testing.T) {
-	set := Defaults()
-	set.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4}}
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := Defaults()
+	settings.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4}}
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "a", 10, 200*ms) // few heavy requests
 	sim.startClosedLoop("10.0.0.2", "b", 20, 10*ms)
@@ -58,9 +58,9 @@
 }
 
 func TestClientsOfATenantShare(t *testing.T) {
-	set := Defaults()
-	set.Tenants = []Tenant{{Name: "coop", Weight: 1}}
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := Defaults()
+	settings.Tenants = []Tenant{{Name: "coop", Weight: 1}}
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "coop", 50, 100*ms)
 	sim.advance(rules.Second)
@@ -80,8 +80,8 @@
 	sim.startClosedLoop("10.0.0.2", "back", 20, 50*ms)
 	clear(sim.served)
 	sim.advance(2 * rules.Second)
-	if part := sim.served["back"] / (sim.served["back"] + sim.served["busy"]); part > 0.6 {
-		t.Errorf("a tenant that was idle got %.2f of the work", part)
+	if share := sim.served["back"] / (sim.served["back"] + sim.served["busy"]); share > 0.6 {
+		t.Errorf("a tenant that was idle got %.2f of the work", share)
 	}
 }
 
@@ -105,15 +105,15 @@
 			sim.disconnect(c)
 		}
 	}
-	if part := sim.served["reconnects"] / (sim.served["stays"] + sim.served["reconnects"]); part > 0.55 {
-		t.Errorf("the tenant that reconnects got %.2f of the work, want at most 0.55", part)
+	if share := sim.served["reconnects"] / (sim.served["stays"] + sim.served["reconnects"]); share > 0.55 {
+		t.Errorf("the tenant that reconnects got %.2f of the work, want at most 0.55", share)
 	}
 }
 
 func TestNewNamesFromOneAddressGainNothing(t *testing.T) {
-	set := Defaults()
-	set.AnyTenant = true
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := Defaults()
+	settings.AnyTenant = true
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	n := 0
 	sim.onServed = func(request *simulatedRequest) {
 		name := request.tenant
@@ -130,14 +130,14 @@
 	for _, w := range sim.served {
 		sum += w
 	}
-	if part := sim.served["honest"] / sum; part < 0.45 {
-		t.Errorf("the tenant with one name got %.2f of the work beside a client that changes its name, want at least 0.45", part)
+	if share := sim.served["honest"] / sum; share < 0.45 {
+		t.Errorf("the tenant with one name got %.2f of the work beside a client that changes its name, want at least 0.45", share)
 	}
 }
 
 func TestOrderKeysKeepTheirOrder(t *testing.T) {
-	set := trustingSettings()
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := trustingSettings()
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "flood", 30, 100*ms)
 	sim.advance(rules.Second)
@@ -175,10 +175,10 @@
 	sim.advance(3 * rules.Second)
 	sim.onServed = nil
 	c := sim.connect("10.0.0.1")
-	refused := rules.Time(0)
-	sim.onRejected = func(request *simulatedRequest, after rules.Time, why Reason) {
+	rejectedAt := rules.Time(0)
+	sim.onRejected = func(request *simulatedRequest, after rules.Time, reason Reason) {
 		if request.id == "short" {
-			refused = sim.now
+			rejectedAt = sim.now
 			if after <= 0 {
 				t.Error("no Retry-After was sent")
 			}
@@ -186,16 +186,16 @@
 	}
 	request := sim.send(c, "short", "flood", 100*ms, func(q *Request) { q.Deadline = sim.now + 300*ms })
 	sim.advance(400 * ms)
-	if request.admitted || refused == 0 || refused > request.request.Deadline-100*ms {
-		t.Errorf("admitted %v, rejected at %d ms, deadline at %d ms", request.admitted, refused/ms, request.request.Deadline/ms)
+	if request.admitted || rejectedAt == 0 || rejectedAt > request.request.Deadline-100*ms {
+		t.Errorf("admitted %v, rejected at %d ms, deadline at %d ms", request.admitted, rejectedAt/ms, request.request.Deadline/ms)
 	}
 }
 
 func TestBookingsAreSpreadAndServed(t *testing.T) {
-	sizes := testLimits()
-	sizes.Requests = 16
-	sim := newSimulation(t, trustingSettings(), sizes, oneClass())
-	served, missed, overNeeded := 0, 0, []float64{}
+	limits := testLimits()
+	limits.Requests = 16
+	sim := newSimulation(t, trustingSettings(), limits, oneClass())
+	served, missed, delayRatios := 0, 0, []float64{}
 	n := 0
 	type returning struct {
 		at, granted rules.Time
@@ -213,7 +213,7 @@
 	sim.onServed = func(request *simulatedRequest) {
 		if f, ok := first[request.id]; ok {
 			served++
-			overNeeded = append(overNeeded, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
+			delayRatios = append(delayRatios, float64(sim.now-request.runTime-f.granted)/float64(f.at-f.granted))
 			delete(first, request.id)
 		}
 		returns = append(returns, returning{sim.now, 0, request.connection})
@@ -250,23 +250,23 @@
 	if s.ReturnsServed < 300 || s.RetryAfterCorrection < 0.5 || s.RetryAfterCorrection > 2 {
 		t.Errorf("stats: %d returns served, %d missed, correction %.2f", s.ReturnsServed, s.ReturnsMissed, s.RetryAfterCorrection)
 	}
-	middle := 0
-	for _, r := range overNeeded {
+	accurate := 0
+	for _, r := range delayRatios {
 		if r >= 0.5 && r <= 2 {
-			middle++
+			accurate++
 		}
 	}
-	if float64(middle) < 0.5*float64(len(overNeeded)) {
-		t.Errorf("for %d of %d requests the delay needed was between 0.5 and 2 times the Retry-After", middle, len(overNeeded))
+	if float64(accurate) < 0.5*float64(len(delayRatios)) {
+		t.Errorf("for %d of %d requests the delay needed was between 0.5 and 2 times the Retry-After", accurate, len(delayRatios))
 	}
 }
 
 func TestNoRetryAfterWhereItIsNotAllowed(t *testing.T) {
-	set := trustingSettings()
-	set.MaxRetryAfter = 0
-	sizes := testLimits()
-	sizes.Requests = 8
-	sim := newSimulation(t, set, sizes, oneClass())
+	settings := trustingSettings()
+	settings.MaxRetryAfter = 0
+	limits := testLimits()
+	limits.Requests = 8
+	sim := newSimulation(t, settings, limits, oneClass())
 	n := 0
 	sim.onRejected = func(_ *simulatedRequest, after rules.Time, _ Reason) {
 		if n++; after != 0 {
@@ -309,11 +309,11 @@
 		c := sim.connect("192.0.2.1")
 		sim.send(c, fmt.Sprint("f", i), "", 100*ms, nil)
 	}
-	refused := 0
-	sim.onRejected = func(*simulatedRequest, rules.Time, Reason) { refused++ }
+	rejected := 0
+	sim.onRejected = func(*simulatedRequest, rules.Time, Reason) { rejected++ }
 	c := sim.connect("192.0.2.9")
-	if sim.connections[c] == nil || refused != 1 || len(sim.evicted) != 1 {
-		t.Errorf("new connection open: %v, requests rejected: %d, connections evicted: %v", sim.connections[c] != nil, refused, sim.evicted)
+	if sim.connections[c] == nil || rejected != 1 || len(sim.evicted) != 1 {
+		t.Errorf("new connection open: %v, requests rejected: %d, connections evicted: %v", sim.connections[c] != nil, rejected, sim.evicted)
 	}
 	own := sim.connect("192.0.2.1")
 	if sim.connections[own] == nil {
@@ -351,9 +351,9 @@
 }
 
 func TestClientThatIgnoresRetryAfterIsDisconnected(t *testing.T) {
-	sizes := testLimits()
-	sizes.Requests = 16
-	sim := newSimulation(t, Defaults(), sizes, oneClass())
+	limits := testLimits()
+	limits.Requests = 16
+	sim := newSimulation(t, Defaults(), limits, oneClass())
 	n := 0
 	sim.onRejected = func(request *simulatedRequest, _ rules.Time, _ Reason) {
 		if request.request.Tenant == "" {
@@ -382,15 +382,15 @@
 
 func TestStateIsBoundedWhateverTheNumberOfTenants(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
-	most := sim.controller.StateBound()
+	bound := sim.controller.StateBound()
 	for i := range 20000 {
 		c := sim.connect(fmt.Sprintf("10.%d.%d.%d", i>>16, i>>8&255, i&255))
 		sim.send(c, fmt.Sprint("n", i), fmt.Sprint("tenant", i), ms/10, nil)
 		sim.advance(ms / 5)
 		sim.disconnect(c)
 	}
-	if got := sim.controller.StateBytes(); got > most {
-		t.Errorf("the state takes %d bytes, want at most %d", got, most)
+	if got := sim.controller.StateBytes(); got > bound {
+		t.Errorf("the state takes %d bytes, want at most %d", got, bound)
 	}
 	if len(sim.controller.tenantByKey) != 0 || len(sim.controller.tenants) != 0 || sim.controller.queued != 0 || sim.controller.statementBytes != 0 || sim.controller.openRequests != 0 {
 		t.Error("state of tenants or requests is left after all connections were closed")
@@ -398,20 +398,20 @@
 }
 
 func TestReloadRequeuesQueuedRequests(t *testing.T) {
-	set := Defaults()
-	set.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := Defaults()
+	settings.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	sim.repeatRequests()
 	sim.startClosedLoop("192.0.2.1", "a", 20, 50*ms)
 	sim.startClosedLoop("192.0.2.2", "b", 20, 50*ms)
 	sim.advance(2 * rules.Second)
-	set.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is no longer declared: its requests now count for their address
-	set.UnlistedWeight = 1
-	sim.handle(Event{Kind: Reconfigured, Settings: &set})
+	settings.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is no longer declared: its requests now count for their address
+	settings.UnlistedWeight = 1
+	sim.handle(Event{Kind: Reconfigured, Settings: &settings})
 	clear(sim.served)
 	sim.advance(10 * rules.Second)
-	if part := sim.served["a"] / (sim.served["a"] + sim.served["b"]); math.Abs(part-0.8) > 0.06 {
-		t.Errorf("after the reload tenant a got %.2f of the work, want 0.80", part)
+	if share := sim.served["a"] / (sim.served["a"] + sim.served["b"]); math.Abs(share-0.8) > 0.06 {
+		t.Errorf("after the reload tenant a got %.2f of the work, want 0.80", share)
 	}
 	for id, n := range sim.outcomes {
 		if n != 1 {
@@ -441,12 +441,12 @@
 // disconnected.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		sizes := Limits{ConnectionSlots: 18, Connections: 16, Requests: 12, StatementBytes: 1500, InputBytes: 2000, StateBytes: 16 << 10}
+		limits := Limits{ConnectionSlots: 18, Connections: 16, Requests: 12, StatementBytes: 1500, InputBytes: 2000, StateBytes: 16 << 10}
 		classes := append(oneClass(), rules.Class{LatencyObjective: 50 * ms, ClientTimeout: rules.Second, Threads: 2})
-		set := trustingSettings()
-		set.ModuleQueueDepth = rapid.IntRange(1, 4).Draw(rt, "ahead")
-		set.Tenants = []Tenant{{Name: "t0", Weight: 3}}
-		sim := newSimulation(t, set, sizes, classes)
+		settings := trustingSettings()
+		settings.ModuleQueueDepth = rapid.IntRange(1, 4).Draw(rt, "ahead")
+		settings.Tenants = []Tenant{{Name: "t0", Weight: 3}}
+		sim := newSimulation(t, settings, limits, classes)
 		sim.engineSlots = rapid.IntRange(1, 4).Draw(rt, "slots")
 		keys := map[string][]string{} // request ids by order key, in the order of arrival
 		ids := 0
@@ -481,8 +481,8 @@
 				}
 			case 8:
 				if rapid.IntRange(0, 3).Draw(rt, "reload") == 0 {
-					set.Tenants = []Tenant{{Name: "t0", Weight: float64(rapid.IntRange(1, 4).Draw(rt, "weight"))}}
-					sim.handle(Event{Kind: Reconfigured, Settings: &set})
+					settings.Tenants = []Tenant{{Name: "t0", Weight: float64(rapid.IntRange(1, 4).Draw(rt, "weight"))}}
+					sim.handle(Event{Kind: Reconfigured, Settings: &settings})
 				}
 			case 9:
 				sim.advance(rules.Time(rapid.IntRange(1, 200).Draw(rt, "ms")) * ms)
@@ -511,19 +511,19 @@
 // within the time of one run of each tenant plus the time that works off the debt of its own last run.
 func TestNoTenantStarves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		set := Defaults()
+		settings := Defaults()
 		n := rapid.IntRange(1, 6).Draw(rt, "tenants")
-		least, longest, weights := 1.0, rules.Time(0), 0.0
+		smallWeight, longest, weights := 1.0, rules.Time(0), 0.0
 		var runs []rules.Time
 		for i := range n {
 			w := float64(rapid.IntRange(1, 8).Draw(rt, "weight"))
-			set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("g", i), Weight: w})
+			settings.Tenants = append(settings.Tenants, Tenant{Name: fmt.Sprint("g", i), Weight: w})
 			weights += w
 			run := rules.Time(rapid.IntRange(5, 200).Draw(rt, "run")) * ms
 			runs, longest = append(runs, run), max(longest, run)
 		}
-		set.Tenants = append(set.Tenants, Tenant{Name: "small", Weight: least})
-		sim := newSimulation(t, set, testLimits(), oneClass())
+		settings.Tenants = append(settings.Tenants, Tenant{Name: "small", Weight: smallWeight})
+		sim := newSimulation(t, settings, testLimits(), oneClass())
 		sim.engineSlots = rapid.IntRange(1, 6).Draw(rt, "slots")
 		sent := 0
 		sim.onServed = func(request *simulatedRequest) {
@@ -550,7 +550,7 @@
 		}
 		// The runs that have begun, one run of each other tenant, and, for the debt of its own last run, work of the
 		// other tenants in proportion to their weights.
-		bound := longest*rules.Time(set.ModuleQueueDepth+sim.engineSlots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.engineSlots)
+		bound := longest*rules.Time(settings.ModuleQueueDepth+sim.engineSlots+n) + 2*50*ms*rules.Time(weights)/rules.Time(sim.engineSlots)
 		for _, w := range sim.queueTimes["small"] {
 			if w > bound {
 				rt.Fatalf("waited %d ms, want at most %d ms", w/ms, bound/ms)
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -12,9 +12,9 @@
 // removed.
 
 func TestIdleClientEarnsNoCreditWithinItsTenant(t *testing.T) {
-	set := Defaults()
-	set.Tenants = []Tenant{{Name: "coop", Weight: 1}}
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := Defaults()
+	settings.Tenants = []Tenant{{Name: "coop", Weight: 1}}
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	work := map[int]float64{}
 	n := 0
 	again := func(request *simulatedRequest) {
@@ -38,15 +38,15 @@
 		mine = append(mine, c)
 	}
 	sim.advance(2 * rules.Second)
-	sum, part := 0.0, 0.0
+	sum, idleWork := 0.0, 0.0
 	for _, w := range work {
 		sum += w
 	}
 	for _, c := range mine {
-		part += work[c]
+		idleWork += work[c]
 	}
-	if part/sum > 0.6 {
-		t.Errorf("a client that was idle got %.2f of its tenant's work", part/sum)
+	if idleWork/sum > 0.6 {
+		t.Errorf("a client that was idle got %.2f of its tenant's work", idleWork/sum)
 	}
 }
 
@@ -80,18 +80,18 @@
 }
 
 func TestDebtsOutlastAConnection(t *testing.T) {
-	part := reconnectingShare(t, trustingSettings(), func(i int) string { return fmt.Sprint("t", i) }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
-	if part > 0.14 {
-		t.Errorf("a tenant that disconnects after each request got %.2f of the work, want 0.10", part)
+	share := reconnectingShare(t, trustingSettings(), func(i int) string { return fmt.Sprint("t", i) }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
+	if share > 0.14 {
+		t.Errorf("a tenant that disconnects after each request got %.2f of the work, want 0.10", share)
 	}
 }
 
 func TestDebtsOfAClientOutlastItsConnection(t *testing.T) {
-	set := Defaults()
-	set.Tenants = []Tenant{{Name: "coop", Weight: 1}}
-	part := reconnectingShare(t, set, func(int) string { return "coop" }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
-	if part > 0.12 {
-		t.Errorf("a client that disconnects after each request got %.2f of its tenant's work, want 0.10", part)
+	settings := Defaults()
+	settings.Tenants = []Tenant{{Name: "coop", Weight: 1}}
+	share := reconnectingShare(t, settings, func(int) string { return "coop" }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
+	if share > 0.12 {
+		t.Errorf("a client that disconnects after each request got %.2f of its tenant's work, want 0.10", share)
 	}
 }
 
@@ -115,8 +115,8 @@
 		}
 	}
 	sim.advance(20 * rules.Second)
-	if part := sim.served["liar"] / (sim.served["liar"] + sim.served["honest"]); math.Abs(part-0.5) > 0.03 {
-		t.Errorf("a tenant that understates its work got %.2f of the work, want 0.50", part)
+	if share := sim.served["liar"] / (sim.served["liar"] + sim.served["honest"]); math.Abs(share-0.5) > 0.03 {
+		t.Errorf("a tenant that understates its work got %.2f of the work, want 0.50", share)
 	}
 	if w := sim.controller.predictWork(0, 1); w < 0.1*float64(50*ms) {
 		t.Errorf("a request of 50 ms that is declared as 1 us is charged %.0f us on admission", w)
@@ -141,15 +141,15 @@
 	sim.repeatRequests()
 	sim.startClosedLoop("10.0.0.1", "flood", 40, 200*ms)
 	sim.advance(4 * rules.Second)
-	c, refused := sim.connect("10.0.0.1"), rules.Time(0)
-	sim.onRejected = func(request *simulatedRequest, _ rules.Time, why Reason) {
-		if request.id == "hopeless" && why == ReasonDeadline {
-			refused = sim.now
+	c, rejectedAt := sim.connect("10.0.0.1"), rules.Time(0)
+	sim.onRejected = func(request *simulatedRequest, _ rules.Time, reason Reason) {
+		if request.id == "hopeless" && reason == ReasonDeadline {
+			rejectedAt = sim.now
 		}
 	}
 	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms }) // 36 requests are ahead of it, 4 run at a time
-	if refused != request.arrivedAt {
-		t.Errorf("arrived at %d ms, rejected at %d ms", request.arrivedAt/ms, refused/ms)
+	if rejectedAt != request.arrivedAt {
+		t.Errorf("arrived at %d ms, rejected at %d ms", request.arrivedAt/ms, rejectedAt/ms)
 	}
 	hopeful := sim.send(sim.connect("10.0.0.1"), "hopeful", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 4*rules.Second })
 	sim.onServed = nil
@@ -218,25 +218,25 @@
 func TestBookingsExpire(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	controller := sim.controller
-	room := len(controller.bookings.bookings)
-	for i := range 4 * room {
+	capacity := len(controller.bookings.bookings)
+	for i := range 4 * capacity {
 		controller.addBooking(uint64(i+1), rules.Second)
 	}
-	if len(controller.bookings.byClient) != room || controller.bookings.firstFree != noSlot {
-		t.Fatalf("the table is not full: %d clients hold its %d bookings", len(controller.bookings.byClient), room)
+	if len(controller.bookings.byClient) != capacity || controller.bookings.firstFree != noSlot {
+		t.Fatalf("the table is not full: %d clients hold its %d bookings", len(controller.bookings.byClient), capacity)
 	}
 	controller.now += 100 * rules.Second
-	for i := range room {
+	for i := range capacity {
 		controller.addBooking(uint64(1_000_000+i), rules.Second)
 	}
 	fresh := 0
-	for i := range room {
+	for i := range capacity {
 		if _, ok := controller.bookings.byClient[uint64(1_000_000+i)]; ok {
 			fresh++
 		}
 	}
-	if fresh < room*9/10 {
-		t.Errorf("%d of %d new bookings were recorded: expired ones still fill the table", fresh, room)
+	if fresh < capacity*9/10 {
+		t.Errorf("%d of %d new bookings were recorded: expired ones still fill the table", fresh, capacity)
 	}
 }
 
@@ -253,14 +253,14 @@
 }
 
 func TestReloadKeepsTheOrderOfKeys(t *testing.T) {
-	set := trustingSettings()
-	sim := newSimulation(t, set, testLimits(), oneClass())
+	settings := trustingSettings()
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	sim.startClosedLoop("10.0.0.1", "flood", 20, 100*ms)
 	for i := range 6 { // alternates between two tenants
 		sim.send(sim.connect(fmt.Sprintf("10.0.0.%d", 2+i%2)), fmt.Sprint("k", i), fmt.Sprint("t", i%2), 20*ms, func(q *Request) { q.OrderKey = "key" })
 	}
-	set.Tenants = []Tenant{{Name: "t1", Weight: 9}}
-	sim.handle(Event{Kind: Reconfigured, Settings: &set})
+	settings.Tenants = []Tenant{{Name: "t1", Weight: 9}}
+	sim.handle(Event{Kind: Reconfigured, Settings: &settings})
 	sim.advance(5 * rules.Second)
 	next := 0
 	for _, id := range sim.admitted {
@@ -295,17 +295,17 @@
 			sim.send(sim.connect(from), fmt.Sprint("f", i, j), "", 50*ms, nil)
 		}
 	}
-	part := func() float64 {
+	share := func() float64 {
 		clear(work)
 		sim.advance(10 * rules.Second)
 		return work["10.1.0.1"] / (work["10.1.0.1"] + work["10.2.0.1"])
 	}
-	if p := part(); math.Abs(p-0.9) > 0.05 {
-		t.Errorf("the network with weight 9 got %.2f of the work, want 0.90", p)
+	if got := share(); math.Abs(got-0.9) > 0.05 {
+		t.Errorf("the network with weight 9 got %.2f of the work, want 0.90", got)
 	}
 	s := network("10.2.0.0/16")
 	sim.handle(Event{Kind: Reconfigured, Settings: &s})
-	if p := part(); math.Abs(p-0.1) > 0.05 {
-		t.Errorf("the address that left the network got %.2f of the work, want 0.10", p)
+	if got := share(); math.Abs(got-0.1) > 0.05 {
+		t.Errorf("the address that left the network got %.2f of the work, want 0.10", got)
 	}
 }
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -31,7 +31,7 @@
 	}
 	s.Tenants = []Tenant{{Name: "coop", Weight: 4}, {Name: "inner", Weight: 5, Networks: []string{"offices"}}}
 	r := newIdentityResolver(s, []string{"site"}, 9)
-	of := func(from, tenant string) principal {
+	resolve := func(from, tenant string) principal {
 		name := uint64(0)
 		if tenant != "" {
 			name = r.hashName(domainTenant, tenant)
@@ -66,7 +66,7 @@
 		{"an undeclared name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "other", differentTenants, 3},
 		{"one name from a trusted network", "192.0.2.7", "new", "192.0.2.7", "new", sameClient, 3},
 	} {
-		a, b := of(c.from1, c.tenant1), of(c.from2, c.tenant2)
+		a, b := resolve(c.from1, c.tenant1), resolve(c.from2, c.tenant2)
 		got := differentTenants
 		if a.tenant == b.tenant {
 			got = sameTenant
@@ -106,14 +106,14 @@
 	}
 	for _, addresses := range []bool{false, true} {
 		a, b := pairs(1, addresses), pairs(2, addresses)
-		both := 0
+		shared := 0
 		for p := range a {
 			if b[p] {
-				both++
+				shared++
 			}
 		}
-		if len(a) < 1000 || both > len(a)/100 {
-			t.Errorf("addresses %v: of %d pairs that collide under one seed, %d collide under another", addresses, len(a), both)
+		if len(a) < 1000 || shared > len(a)/100 {
+			t.Errorf("addresses %v: of %d pairs that collide under one seed, %d collide under another", addresses, len(a), shared)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	s.Networks = []Network{{Name: "pool", Addresses: addressSet(t, "10.0.0.0/8"), Weight: 1, SharedTenant: true}}
 	sim := newSimulation(t, s, testLimits(), oneClass())
 	n := 0
-	fresh := func(request *simulatedRequest) {
+	sendNext := func(request *simulatedRequest) {
 		if request.tenant == "" && request.id[0] == 'p' {
 			sim.disconnect(request.connection)
 			n++
@@ -240,7 +240,7 @@
 		}
 		sim.send(request.connection, fmt.Sprint("h", sim.now, request.connection), "", request.runTime, nil)
 	}
-	sim.onServed = fresh
+	sim.onServed = sendNext
 	pool, honest := 0.0, 0.0
 	for i := range 30 {
 		c := sim.connect(fmt.Sprintf("10.200.0.%d", i+1))
@@ -250,18 +250,18 @@
 		c := sim.connect("192.0.2.1")
 		sim.send(c, fmt.Sprint("h-", i), "", 50*ms, nil)
 	}
-	inner := sim.onServed
+	repeat := sim.onServed
 	sim.onServed = func(request *simulatedRequest) {
 		if request.id[0] == 'p' {
 			pool += float64(request.runTime)
 		} else {
 			honest += float64(request.runTime)
 		}
-		inner(request)
+		repeat(request)
 	}
 	sim.advance(20 * rules.Second)
-	if part := honest / (pool + honest); part < 0.45 {
-		t.Errorf("the client with one address got %.2f of the work beside a network of changing addresses, want at least 0.45", part)
+	if share := honest / (pool + honest); share < 0.45 {
+		t.Errorf("the client with one address got %.2f of the work beside a network of changing addresses, want at least 0.45", share)
 	}
 }
 
--- a/internal/admission/settings_test.go
+++ b/internal/admission/settings_test.go
@@ -24,12 +24,12 @@
 
 func TestValidate(t *testing.T) {
 	for _, c := range invalidSettings {
-		set := Defaults()
-		if err := set.Validate(); err != nil {
+		settings := Defaults()
+		if err := settings.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		c.change(&set)
-		if err := set.Validate(); !errors.Is(err, c.want) || err.Error() != c.text {
+		c.change(&settings)
+		if err := settings.Validate(); !errors.Is(err, c.want) || err.Error() != c.text {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -44,7 +44,7 @@
 	admitted    []string                // request ids, in the order of admission
 	aborted     []int                   // connections closed by AbortInput
 	evicted     []int                   // connections closed by Evict
-	onRejected  func(request *simulatedRequest, after rules.Time, why Reason)
+	onRejected  func(request *simulatedRequest, after rules.Time, reason Reason)
 	onServed    func(request *simulatedRequest)
 	outcomes    map[string]int                       // how often a request has ended, by id
 	neverRuns   func(request *simulatedRequest) bool // whether a request fits no engine and is never forwarded
@@ -139,8 +139,8 @@
 			inbox = append(inbox, Event{Kind: RequestForwarded, Slot: slot})
 		}
 	}
-	if got, most := sim.controller.StateBytes(), sim.controller.StateBound(); got > most {
-		sim.t.Fatalf("the state takes %d bytes, want at most %d", got, most)
+	if got, bound := sim.controller.StateBytes(), sim.controller.StateBound(); got > bound {
+		sim.t.Fatalf("the state takes %d bytes, want at most %d", got, bound)
 	}
 }
 
--- a/internal/admission/statesize.go
+++ b/internal/admission/statesize.go
@@ -7,23 +7,23 @@
 
 // StateBytes returns the approximate size of the state in bytes, without the strings of the settings.
 func (c *Controller) StateBytes() int {
-	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
-	n += len(c.requests)*int(unsafe.Sizeof(openRequest{})) + len(c.connections)*int(unsafe.Sizeof(connection{})) + cap(c.expiry)*8
-	n += len(c.lastByOrderKey) * mapEntryBytes
-	n += (len(c.tenants) + len(c.freeTenants)) * c.tenantBytes()
-	n += c.clientCount() * c.clientBytes()
+	size := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
+	size += len(c.requests)*int(unsafe.Sizeof(openRequest{})) + len(c.connections)*int(unsafe.Sizeof(connection{})) + cap(c.expiry)*8
+	size += len(c.lastByOrderKey) * mapEntryBytes
+	size += (len(c.tenants) + len(c.freeTenants)) * c.tenantBytes()
+	size += c.clientCount() * c.clientBytes()
 	for i := range c.flows {
-		n += cap(c.flows[i].heap) * 8
+		size += cap(c.flows[i].heap) * 8
 	}
-	return n + cap(c.effects)*int(unsafe.Sizeof(Effect{}))
+	return size + cap(c.effects)*int(unsafe.Sizeof(Effect{}))
 }
 
 // StateBound returns the upper bound of StateBytes. It depends on the limits and the number of classes only.
 func (c *Controller) StateBound() int {
-	n := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
-	n += c.limits.Requests * (int(unsafe.Sizeof(openRequest{})) + 2*8 + mapEntryBytes)
-	n += c.limits.ConnectionSlots * (int(unsafe.Sizeof(connection{})) + 2*c.tenantBytes() + 4*c.clientBytes() + 4*8*len(c.classes))
-	return n + 4*(c.limits.Requests+c.limits.ConnectionSlots+8)*int(unsafe.Sizeof(Effect{}))
+	size := c.tenantDebts.bytes() + c.clientDebts.bytes() + c.evictedDebts.bytes() + c.bookings.bytes()
+	size += c.limits.Requests * (int(unsafe.Sizeof(openRequest{})) + 2*8 + mapEntryBytes)
+	size += c.limits.ConnectionSlots * (int(unsafe.Sizeof(connection{})) + 2*c.tenantBytes() + 4*c.clientBytes() + 4*8*len(c.classes))
+	return size + 4*(c.limits.Requests+c.limits.ConnectionSlots+8)*int(unsafe.Sizeof(Effect{}))
 }
 
 func (c *Controller) tenantBytes() int {
@@ -35,9 +35,9 @@
 }
 
 func (c *Controller) clientCount() int {
-	n := len(c.freeClients)
+	count := len(c.freeClients)
 	for _, tenant := range c.tenants {
-		n += len(tenant.clients)
+		count += len(tenant.clients)
 	}
-	return n
+	return count
 }
