--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -47,9 +47,9 @@
 	sim.startClosedLoop("10.0.0.3", "c", 20, 25*ms)
 	sim.advance(60 * rules.Second)
 	sum := sim.served["a"] + sim.served["b"] + sim.served["c"]
-	for name, part := range map[string]float64{"a": 1.0 / 7, "b": 2.0 / 7, "c": 4.0 / 7} {
-		if got := sim.served[name] / sum; math.Abs(got/part-1) > 0.1 {
-			t.Errorf("tenant %s got %.3f of the work, want %.3f", name, got, part)
+	for name, want := range map[string]float64{"a": 1.0 / 7, "b": 2.0 / 7, "c": 4.0 / 7} {
+		if got := sim.served[name] / sum; math.Abs(got/want-1) > 0.1 {
+			t.Errorf("tenant %s got %.3f of the work, want %.3f", name, got, want)
 		}
 	}
 	if used := sum / float64(60*rules.Second) / float64(sim.engineSlots); used < 0.99 {
@@ -81,7 +81,7 @@
 	clear(sim.served)
 	sim.advance(2 * rules.Second)
 	if share := sim.served["back"] / (sim.served["back"] + sim.served["busy"]); share > 0.6 {
-		t.Errorf("a tenant that was idle got %.2f of the work", share)
+		t.Errorf("a tenant that was idle got %.2f of the work, want at most 0.60", share)
 	}
 }
 
@@ -405,7 +405,7 @@
 	sim.startClosedLoop("192.0.2.1", "a", 20, 50*ms)
 	sim.startClosedLoop("192.0.2.2", "b", 20, 50*ms)
 	sim.advance(2 * rules.Second)
-	settings.Tenants = []Tenant{{Name: "a", Weight: 4}} // b is no longer declared: its requests now count for their address
+	settings.Tenants = []Tenant{{Name: "a", Weight: 4}} // requests of b now count for their address
 	settings.UnlistedWeight = 1
 	sim.handle(Event{Kind: Reconfigured, Settings: &settings})
 	clear(sim.served)
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -10,7 +10,7 @@
 	ConnectionOpened EventKind = iota + 1 // Conn, From: a connection was accepted
 	ConnectionClosed                      // Conn: a connection was closed, after RequestDone of its request
 	ConnectionIdle                        // Conn: the request of a connection was answered, and no other was sent
-	InputBuffered                         // Conn, Bytes: size of the incomplete packet that is buffered for a connection
+	InputBuffered                         // Conn, Bytes: size of the incomplete packet buffered for a connection
 	RequestArrived                        // Slot, Conn, Request: a complete request was read
 	RequestForwarded                      // Slot: the first attempt of a request was sent
 	EngineTimeUsed                        // Slot, EngineTime: an attempt of a request used an engine for EngineTime
@@ -18,7 +18,7 @@
 	RequestRejected                       // Slot: the decision module rejects a request; answered by a Reject effect
 	TimerFired                            // the time of the last SetTimer effect was reached
 	Reconfigured                          // Settings, DeclaredTenants: the settings were reloaded
-	Stopping                              // Deadline: the gateway shuts down; caps all deadlines, and no Retry-After is sent
+	Stopping                              // Deadline: the gateway shuts down; caps all deadlines, ends Retry-After
 )
 
 // Event is an input of the controller. Only the fields listed for its kind are used.
@@ -53,8 +53,8 @@
 // Kinds of effects, each with the fields of Effect that it uses.
 const (
 	Admit      EffectKind = iota + 1 // Slot, After: pass the request to the decision module
-	Reject                           // Slot, After, Reason: reject the request, with a Retry-After if After is positive
-	Evict                            // Conn, After, Reason: close with an error, with a Retry-After if After is positive
+	Reject                           // Slot, After, Reason: reject the request, with a Retry-After if positive
+	Evict                            // Conn, After, Reason: close with an error, and a Retry-After if positive
 	AbortInput                       // Conn, Reason: close, since its incomplete packet exceeds its quota
 	SetTimer                         // At: send TimerFired at this time; replaces the previous timer
 )
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -17,7 +17,7 @@
 	sim := newSimulation(t, settings, testLimits(), oneClass())
 	work := map[int]float64{}
 	n := 0
-	again := func(request *simulatedRequest) {
+	repeat := func(request *simulatedRequest) {
 		work[request.connection] += float64(request.runTime)
 		n++
 		sim.send(request.connection, fmt.Sprint("r", n), "coop", request.runTime, nil)
@@ -26,7 +26,7 @@
 	sim.onServed = nil
 	sim.send(idle, "once", "coop", 50*ms, nil)
 	sim.advance(100 * ms)
-	sim.onServed = again
+	sim.onServed = repeat
 	sim.startClosedLoop("10.0.0.1", "coop", 20, 50*ms)
 	sim.advance(30 * rules.Second)
 	clear(work)
@@ -46,14 +46,14 @@
 		idleWork += work[c]
 	}
 	if idleWork/sum > 0.6 {
-		t.Errorf("a client that was idle got %.2f of its tenant's work", idleWork/sum)
+		t.Errorf("a client that was idle got %.2f of its tenant's work, want at most 0.60", idleWork/sum)
 	}
 }
 
 // reconnectingShare simulates nine principals that always have requests open, and a tenth that sends a request of 400
 // ms, disconnects when it is served, and reconnects at once. It returns the share of the work that the tenth gets.
-func reconnectingShare(t *testing.T, set Settings, tenant func(i int) string, address func(i int) string) float64 {
-	sim := newSimulation(t, set, testLimits(), oneClass())
+func reconnectingShare(t *testing.T, settings Settings, tenant func(i int) string, address func(i int) string) float64 {
+	sim := newSimulation(t, settings, testLimits(), oneClass())
 	n := 0
 	mine, all := 0.0, 0.0
 	sim.onServed = func(request *simulatedRequest) {
@@ -82,7 +82,7 @@
 func TestDebtsOutlastAConnection(t *testing.T) {
 	share := reconnectingShare(t, trustingSettings(), func(i int) string { return fmt.Sprint("t", i) }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
 	if share > 0.14 {
-		t.Errorf("a tenant that disconnects after each request got %.2f of the work, want 0.10", share)
+		t.Errorf("a tenant that disconnects after each request got %.2f of the work, want about 0.10", share)
 	}
 }
 
@@ -91,7 +91,7 @@
 	settings.Tenants = []Tenant{{Name: "coop", Weight: 1}}
 	share := reconnectingShare(t, settings, func(int) string { return "coop" }, func(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) })
 	if share > 0.12 {
-		t.Errorf("a client that disconnects after each request got %.2f of its tenant's work, want 0.10", share)
+		t.Errorf("a client that disconnects after each request got %.2f of its tenant's work, want about 0.10", share)
 	}
 }
 
@@ -147,7 +147,8 @@
 			rejectedAt = sim.now
 		}
 	}
-	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms }) // 36 requests are ahead of it, 4 run at a time
+	// 36 requests are ahead of it, 4 run at a time.
+	request := sim.send(c, "hopeless", "flood", 200*ms, func(q *Request) { q.Deadline = sim.now + 800*ms })
 	if rejectedAt != request.arrivedAt {
 		t.Errorf("arrived at %d ms, rejected at %d ms", request.arrivedAt/ms, rejectedAt/ms)
 	}
@@ -165,7 +166,7 @@
 		sim.send(sim.connect("10.0.0.1"), fmt.Sprint("first", i), "coop", 100*ms, nil)
 	}
 	c := sim.connect("10.0.0.1")
-	sim.controller.addBooking(sim.controller.connections[0].client.key, 100*ms) // as if it had been sent this Retry-After
+	sim.controller.addBooking(sim.controller.connections[0].client.key, 100*ms) // a Retry-After of 100 ms
 	sim.advance(100 * ms)
 	sim.send(c, "back", "coop", 100*ms, nil)
 	queued := map[string]bool{}
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -139,13 +139,13 @@
 	for i := range debtTableWays {
 		full.put(debt{key(i), float64(10 + i), 0}, 0, 0)
 	}
-	if lost := full.put(debt{key(100), 5, 0}, 0, 0); lost.key != key(100) {
+	if evicted := full.put(debt{key(100), 5, 0}, 0, 0); evicted.key != key(100) {
 		t.Error("a debt evicted a larger one")
 	}
-	if lost := full.put(debt{key(101), 50, 0}, 0, 0); lost.key != key(0) {
+	if evicted := full.put(debt{key(101), 50, 0}, 0, 0); evicted.key != key(0) {
 		t.Error("the smallest debt was not the one that was evicted")
 	}
-	if lost := full.put(debt{key(102), 5, 0}, 11, 0); lost.key != 0 {
+	if evicted := full.put(debt{key(102), 5, 0}, 11, 0); evicted.key != 0 {
 		t.Error("an entry below the floor was not replaced")
 	}
 }
@@ -173,8 +173,7 @@
 	}
 }
 
-// A new tenant is served promptly even after many tenants that sent one request each have left their debts in the
-// sketch.
+// After many tenants that sent a single request each, a new tenant is still served as promptly as a regular one.
 func TestOneTimeTenantIsServedLikeARegularOne(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
 	for i := range 30_000 {
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -15,8 +15,8 @@
 	maxBiasFactor          = 4.0                    // greatest factor by which a prediction is corrected, up or down
 	earlyAllowanceFraction = 0.1                    // how early a client may return, as a fraction of its Retry-After,
 	maxEarlyAllowance      = 50 * rules.Millisecond // but at most this much
-	minLateAllowance       = rules.Second           // how late a client may return, or its Retry-After if that is longer
-	retryAfterJitter       = 0.2                    // jitter of capped Retry-After, as a fraction of Settings.MaxRetryAfter
+	minLateAllowance       = rules.Second           // how late a client may return; its Retry-After if longer
+	retryAfterJitter       = 0.2                    // jitter of capped Retry-After, as a fraction of the cap
 )
 
 // maxWaitRatio is the ratio of a request's predicted wait to the time left to admit it above which the request is
@@ -71,7 +71,7 @@
 	tenant := client.tenant
 	correction := math.Exp(c.retryAfterBias) // not applied to bookedUntil, which includes it already
 	after := rules.Time(max(c.expectedWait(client, 0)*correction, float64(tenant.bookedUntil-c.now)) + work/c.tenantRate(tenant)*correction)
-	if longest := c.settings.MaxRetryAfter; after > longest { // not booked, since demand exceeds the capacity until then
+	if longest := c.settings.MaxRetryAfter; after > longest { // not booked: demand exceeds the capacity until then
 		after = longest - rules.Time(retryAfterJitter*c.rng.Float64()*float64(longest))
 	} else {
 		tenant.bookedUntil = c.now + after
