--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -18,7 +18,7 @@
 	RequestRejected                       // Slot: the decision module rejects a request; answered by a Reject effect
 	TimerFired                            // the time of the last SetTimer effect was reached
 	Reconfigured                          // Settings, DeclaredTenants: the settings were reloaded
-	Stopping                              // Deadline: the gateway shuts down; caps all deadlines, ends Retry-After
+	Stopping                              // Deadline: shutdown; caps all deadlines, and no Retry-After is sent
 )
 
 // Event is an input of the controller. Only the fields listed for its kind are used.
@@ -53,8 +53,8 @@
 // Kinds of effects, each with the fields of Effect that it uses.
 const (
 	Admit      EffectKind = iota + 1 // Slot, After: pass the request to the decision module
-	Reject                           // Slot, After, Reason: reject the request, with a Retry-After if positive
-	Evict                            // Conn, After, Reason: close with an error, and a Retry-After if positive
+	Reject                           // Slot, After, Reason: reject the request; After is the Retry-After
+	Evict                            // Conn, After, Reason: close with an error; After is the Retry-After
 	AbortInput                       // Conn, Reason: close, since its incomplete packet exceeds its quota
 	SetTimer                         // At: send TimerFired at this time; replaces the previous timer
 )
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -42,7 +42,7 @@
 	declaredWork                       float64    // 0: not declared
 	engineTime                         float64    // work done so far by all threads
 	bookedAt                           rules.Time // when its Retry-After was sent
-	couldStartAt                       rules.Time // when the queue of its tenant became empty, at most arrivedAt
+	couldStartAt                       rules.Time // when the queue of its tenant became empty, or its arrival
 	bookedDelay                        rules.Time // the Retry-After that it returned at
 }
 
