--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -21,8 +21,7 @@
 	m.value += (v - m.value) / m.weight
 }
 
-// capacityTimeConstant is the time constant of the rates of work: the weight of work decays by a factor of
-// e per second.
+// capacityTimeConstant is the time in which the weight of past work in a rate decays by a factor of e.
 const capacityTimeConstant = 1 * rules.Second
 
 // decayingRate is an exponentially weighted rate.
@@ -30,7 +29,7 @@
 	sum          float64 // of all amounts, decayed until updatedAt
 	updatedAt    rules.Time
 	startedAt    rules.Time // when the first amount was added, or the rate first read
-	timeConstant float64    // time constant, in microseconds
+	timeConstant float64    // in microseconds
 }
 
 func (r *decayingRate) decay(now rules.Time) {
