--- a/internal/zones/observation.go
+++ b/internal/zones/observation.go
@@ -6,63 +6,63 @@
 	"foxlane/rules"
 )
 
-// This file turns what a gateway knows of its engines into what it sees of zones.
+// This file aggregates observations of engines into observations of zones.
 
-// EngineObservation is what a gateway knows of an engine that the endpoint list has as serving.
+// EngineObservation is what the gateway knows of an engine that the endpoint list reports as serving.
 type EngineObservation struct {
 	Engine       rules.EngineID
 	Zone         int
-	Cores        float64    // when warm
-	WarmFraction float64    // fraction of its speed that it has
-	Slowdown     float64    // time that queries take there over the time that they take alone
-	Excluded     bool       // it is ejected as an outlier or sends nothing
-	Overdue      bool       // an attempt there has taken longer than it should
-	LastRequest  rules.Time // when it was last sent something
+	Cores        float64    // capacity when warm
+	WarmFraction float64    // current speed as a fraction of its warm speed
+	Slowdown     float64    // ratio of the duration of queries to their duration when run alone
+	Excluded     bool       // ejected as an outlier, or silent
+	Overdue      bool       // an attempt is overdue
+	LastRequest  rules.Time // when the gateway last sent it something
 	LastResponse rules.Time // when it last sent something
-	LastFailure  rules.Time // when an attempt there last failed
+	LastFailure  rules.Time // when an attempt on it last failed
 }
 
-// Observation is what a gateway sees of a zone.
+// Observation is what the gateway knows of a zone.
 type Observation struct {
-	ListedCores     float64 // of all engines of the endpoint list there, as if warm; 0: none
-	UnansweredCores float64 // of these, in a lost zone, by the fraction of probes without an answer
-	HealthyCores    float64 // of engines that are serving and not excluded, as if warm
-	WarmCores       float64 // the same, engines that are warming up counted by their speed now
-	Slowdown        float64 // time that queries take there over the time that they take alone; under 1: not known
-	ActiveEngines   int
-	SilentEngines   int // active engines that are excluded and have sent nothing since the last request
+	ListedCores     float64 // of all engines of the zone in the endpoint list, as if warm
+	UnansweredCores float64 // estimate for a lost zone: ListedCores times the fraction of unanswered probes
+	HealthyCores    float64 // of the engines that are not excluded, as if warm
+	WarmCores       float64 // as HealthyCores, with engines that are warming up counted by their current speed
+	Slowdown        float64 // ratio of the duration of queries to their duration when run alone; under 1: unknown
+	ActiveEngines   int     // engines that were sent something within recentRequestSpan
+	SilentEngines   int     // active engines that are excluded and have sent nothing since the last request
 }
 
-// unreachable reports whether all active engines of a zone are silent, and these are more than one: the zone, or the
-// network to it, is down. That is one failure, and not one of each engine.
-func (s Observation) unreachable() bool {
-	return s.SilentEngines > 1 && s.SilentEngines == s.ActiveEngines
+// unreachable reports whether the zone has more than one active engine and all of them are silent. Then the zone, or
+// the network to it, is down, which is a single failure rather than one of each engine.
+func (o Observation) unreachable() bool {
+	return o.SilentEngines > 1 && o.SilentEngines == o.ActiveEngines
 }
 
-// healthyFraction is the fraction of a zone that is healthy.
-func (s Observation) healthyFraction() float64 {
-	if s.ListedCores <= 0 || s.unreachable() {
+// healthyFraction returns the healthy fraction of the listed cores of the zone.
+func (o Observation) healthyFraction() float64 {
+	if o.ListedCores <= 0 || o.unreachable() {
 		return 0
 	}
-	return min(s.HealthyCores/s.ListedCores, 1)
+	return min(o.HealthyCores/o.ListedCores, 1)
 }
 
-// ObserveResult is what an observation led to.
+// ObserveResult is what the caller of Observe has to act on.
 type ObserveResult struct {
 	Changes []Change
-	Probe   []rules.EngineID // engines to be probed now; ProbeAnswered takes the results
+	Probe   []rules.EngineID // engines to probe now; the results go to ProbeAnswered
 }
 
-// recentRequestSpan is how recently an engine must have been sent something to count as active.
+// recentRequestSpan is the time after a request in which an engine counts as active.
 const recentRequestSpan = 4 * rules.Second
 
-// Observe takes what a gateway knows of all serving engines, and of its own load. Where probes are not allowed, a
-// lost zone begins its recovery ramp after the time that probes would have taken: if requests fail there it is lost
-// again, with one more penalty.
-func (c *Controller) Observe(now rules.Time, engines []EngineObservation, standing rules.LoadSummary, probesAllowed bool) (out ObserveResult) {
+// Observe takes the observations of all serving engines and the load of this gateway, and updates states, split,
+// limits and shedding. If probes are not allowed, a lost zone starts its recovery ramp after the time that probes would
+// have taken; if requests fail there, it is lost again with another penalty.
+func (c *Controller) Observe(now rules.Time, engines []EngineObservation, load rules.LoadSummary, probesAllowed bool) (result ObserveResult) {
 	c.now = max(c.now, now)
-	out.Changes = c.updateZones(c.now, c.observations(engines))
-	for _, change := range out.Changes {
+	result.Changes = c.updateZones(c.now, c.observations(engines))
+	for _, change := range result.Changes {
 		if change.From != change.To {
 			c.zones[change.Zone].probes = probeState{}
 		}
@@ -70,45 +70,45 @@
 	for i := range c.zones {
 		if zone := &c.zones[i]; zone.state == Lost || zone.state == Returning || zone.probes.suspectedSince != 0 {
 			if id, ok := c.chooseProbe(i, zone, engines, probesAllowed); ok {
-				out.Probe = append(out.Probe, id)
+				result.Probe = append(result.Probe, id)
 			}
 		}
 	}
 	c.split = c.Split(c.now)
 	c.allocateSpillover()
-	c.updatePressure(standing)
-	return out
+	c.updatePressure(load)
+	return result
 }
 
-// observations adds up what is known of the engines of each zone.
+// observations aggregates the observations of engines by zone.
 func (c *Controller) observations(engines []EngineObservation) []Observation {
-	out, logSlowdown := make([]Observation, len(c.zones)), make([]float64, len(c.zones))
+	observations, logSlowdownSums := make([]Observation, len(c.zones)), make([]float64, len(c.zones))
 	lastResponse := c.lastResponses(engines)
 	overdue := make([]int, len(c.zones))
 	for _, engine := range engines {
-		if engine.Zone < 0 || engine.Zone >= len(out) {
-			continue // of no zone
+		if engine.Zone < 0 || engine.Zone >= len(observations) {
+			continue // the engine has no zone
 		}
-		c.countEngine(&out[engine.Zone], engine)
+		c.countEngine(&observations[engine.Zone], engine)
 		if c.now-engine.LastRequest < recentRequestSpan && lastResponse[engine.Zone] < engine.LastRequest &&
 			(engine.Overdue || engine.LastFailure > lastResponse[engine.Zone]) {
 			overdue[engine.Zone]++
 		}
-		logSlowdown[engine.Zone] += engine.Cores * math.Log(max(engine.Slowdown, 1))
+		logSlowdownSums[engine.Zone] += engine.Cores * math.Log(max(engine.Slowdown, 1))
 	}
-	for i := range out {
-		observation := &out[i]
+	for i := range observations {
+		observation := &observations[i]
 		if observation.ListedCores > 0 {
-			observation.Slowdown = math.Exp(logSlowdown[i] / observation.ListedCores)
+			observation.Slowdown = math.Exp(logSlowdownSums[i] / observation.ListedCores)
 		}
 		zone := &c.zones[i]
 		c.updateSuspicion(zone, overdue[i], lastResponse[i])
 		applyProbes(observation, zone)
 	}
-	return out
+	return observations
 }
 
-// lastResponses returns, by zone, when any engine last sent something.
+// lastResponses returns, by zone, the time of the last response of any engine.
 func (c *Controller) lastResponses(engines []EngineObservation) []rules.Time {
 	last := make([]rules.Time, len(c.zones))
 	for _, engine := range engines {
@@ -119,9 +119,9 @@
 	return last
 }
 
-// countEngine adds an engine to the observation of its zone. An engine that is excluded for failures from before the
-// recovery of its zone counts as healthy until it fails again: requests reach excluded engines seldom, and a zone
-// whose engines all wait for one would be lost again.
+// countEngine adds an engine to the observation of its zone. In a returning zone, an engine that was excluded for
+// failures before the recovery counts as healthy until it fails again. Excluded engines get few requests, so a zone in
+// which all engines waited for one to succeed would be lost again.
 func (c *Controller) countEngine(observation *Observation, engine EngineObservation) {
 	zone := &c.zones[engine.Zone]
 	excluded := engine.Excluded && (zone.state != Returning || engine.LastFailure >= zone.since)
@@ -138,8 +138,8 @@
 	}
 }
 
-// applyProbes overrides an observation by what probes say: a suspected zone that does not answer them is silent, and
-// a lost zone is as healthy as its last probes.
+// applyProbes overrides an observation by the results of probes: a suspected zone that does not answer them counts as
+// silent, and the health of a lost zone is the answered fraction of its last probes.
 func applyProbes(observation *Observation, zone *zoneRecord) {
 	if zone.probes.unanswered >= unansweredForSilence {
 		observation.ActiveEngines = max(observation.ActiveEngines, 2)
--- a/internal/zones/probes.go
+++ b/internal/zones/probes.go
@@ -2,27 +2,26 @@
 
 import "foxlane/rules"
 
-// This file decides which engines are probed. A lost zone gets no requests, so that only probes can show that it has
-// recovered.
+// This file decides which engines are probed. A lost zone gets no requests, so only probes can detect its recovery.
 
-// probeState is what probes say: of a lost zone, whose engines are excluded and get no requests; and of a suspected
-// one, whether it is still there.
+// probeState holds the results of probes of a zone that is lost or suspected.
 type probeState struct {
-	nextEngine     int // counts probes; the engine is that modulo the number of candidates
-	lastProbe      rules.Time
-	answers        [probeWindow]bool // of the last probes of a lost zone, the newest last
-	suspectedSince rules.Time        // since when the zone is suspected; 0: it is not
-	unanswered     int               // probes since then without an answer
+	nextEngine     int // number of probes; modulo the number of candidates it selects the engine
+	lastProbeAt    rules.Time
+	answers        [probeWindow]bool // whether the last probes of a lost zone were answered, newest last
+	suspectedSince rules.Time        // 0: the zone is not suspected
+	unanswered     int               // unanswered probes since suspectedSince
 }
 
 const (
-	probeWindow          = 4                 // probes by which a lost zone is judged
-	probeInterval        = rules.Second      // between two probes of a lost zone: hundreds of gateways probe it as well
-	suspectProbeInterval = probeInterval / 4 // between two probes of a suspected zone
-	unansweredForSilence = 2                 // probes in a row without an answer that make a suspected zone silent
+	probeWindow          = 4                 // number of last probes that determine the health of a lost zone
+	probeInterval        = rules.Second      // between probes of a lost zone, which hundreds of gateways probe as well
+	suspectProbeInterval = probeInterval / 4 // between probes of a suspected or returning zone
+	unansweredForSilence = 2                 // consecutive unanswered probes that make a suspected zone silent
 )
 
-// Suspect has a zone probed because other gateways say that it is lost. Only what its engines answer counts.
+// Suspect starts probing a present or returning zone that other gateways report as lost. Only the results of this
+// gateway's probes change its state.
 func (c *Controller) Suspect(index int) {
 	if index < 0 || index >= len(c.zones) {
 		return
@@ -32,7 +31,7 @@
 	}
 }
 
-// ProbeAnswered takes the result of a probe of an engine in a zone.
+// ProbeAnswered records whether a probe of an engine in a zone was answered.
 func (c *Controller) ProbeAnswered(index int, ok bool) {
 	if index < 0 || index >= len(c.zones) {
 		return
@@ -49,10 +48,10 @@
 	}
 }
 
-// chooseProbe chooses an engine to probe: of a lost or suspected zone any, one after the other; of a recovering zone
-// those that are still excluded.
+// chooseProbe returns the engine of a zone to probe now, if any. Candidates take turns: in a lost or suspected zone
+// they are all engines, in a returning zone those that are still excluded.
 func (c *Controller) chooseProbe(index int, zone *zoneRecord, engines []EngineObservation, probesAllowed bool) (id rules.EngineID, ok bool) {
-	probes, all := &zone.probes, zone.state == Lost || zone.probes.suspectedSince != 0
+	probes, probeAll := &zone.probes, zone.state == Lost || zone.probes.suspectedSince != 0
 	interval := probeInterval
 	if zone.state != Lost {
 		interval = suspectProbeInterval
@@ -63,35 +62,35 @@
 		}
 		return 0, false
 	}
-	if c.now-probes.lastProbe < interval {
+	if c.now-probes.lastProbeAt < interval {
 		return 0, false
 	}
 	candidates := 0
 	for _, engine := range engines {
-		if engine.Zone == index && (all || engine.Excluded) {
+		if engine.Zone == index && (probeAll || engine.Excluded) {
 			candidates++
 		}
 	}
 	if candidates == 0 {
 		return 0, false
 	}
-	probes.lastProbe = c.now
+	probes.lastProbeAt = c.now
 	probes.nextEngine++
-	n := probes.nextEngine % candidates
+	skip := probes.nextEngine % candidates
 	for _, engine := range engines {
-		if engine.Zone == index && (all || engine.Excluded) {
-			if n == 0 {
+		if engine.Zone == index && (probeAll || engine.Excluded) {
+			if skip == 0 {
 				return engine.Engine, true
 			}
-			n--
+			skip--
 		}
 	}
 	return 0, false
 }
 
-// updateSuspicion suspects a zone when more than one of its engines has an overdue or failed request and no engine
-// of it has sent anything since: that shows a loss long before its engines are excluded one by one. Any response
-// from the zone ends the suspicion.
+// updateSuspicion suspects a zone when more than one of its engines has an overdue or failed request and no engine of
+// the zone has responded since. That detects a loss long before the engines are excluded one by one. Any response from
+// the zone ends the suspicion.
 func (c *Controller) updateSuspicion(zone *zoneRecord, overdue int, lastResponse rules.Time) {
 	probes := &zone.probes
 	switch {
--- a/internal/zones/retries.go
+++ b/internal/zones/retries.go
@@ -6,9 +6,9 @@
 	"foxlane/rules"
 )
 
-// This file owns the retry budget of a zone.
+// This file owns the retry budget of each zone.
 
-// retryCounts counts the attempts sent to a zone, decaying by e over retryWindow.
+// retryCounts are exponentially decaying counts of the attempts sent to a zone, with the time constant retryWindow.
 type retryCounts struct {
 	first, retries float64
 	updatedAt      rules.Time
@@ -16,12 +16,12 @@
 
 const (
 	retryWindow = 10 * rules.Second
-	freeRetries = 5 // retries into a zone that are allowed within a window in any case
+	freeRetries = 5 // retries into a zone that are allowed within a window regardless of first attempts
 )
 
 func (r *retryCounts) decay(now rules.Time) {
-	keep := math.Exp(-float64(now-r.updatedAt) / float64(retryWindow))
-	r.first, r.retries, r.updatedAt = r.first*keep, r.retries*keep, now
+	factor := math.Exp(-float64(now-r.updatedAt) / float64(retryWindow))
+	r.first, r.retries, r.updatedAt = r.first*factor, r.retries*factor, now
 }
 
 func (r *retryCounts) add(now rules.Time, retry bool) {
@@ -33,8 +33,9 @@
 	}
 }
 
-// retryAllowed reports whether a zone may get one more retry. The decision module's own retry budget bounds all
-// retries of the gateway; this one bounds those that a zone gets on top of the load that it has taken over.
+// retryAllowed reports whether the retry budget of a zone allows one more retry. The retry budget of the decision
+// module bounds all retries of the gateway; this one bounds the retries that a zone gets in addition to the load that
+// it has taken over from other zones.
 func (c *Controller) retryAllowed(zone *zoneRecord) bool {
 	if c.settings.RetryBudget >= 1 {
 		return true
--- a/internal/zones/routing.go
+++ b/internal/zones/routing.go
@@ -6,12 +6,12 @@
 	"foxlane/rules"
 )
 
-// This file answers the decision module: in which zone a query may run.
+// This file implements rules.ZonePlan: it tells the decision module in which zone a query may run.
 
-// PickZone returns the zone from which the engine of a query is to be drawn (rules.ZonePlan): at random by the last
-// split, among the zones that admit it and had no attempt of it. For a gateway that has observed nothing yet, or a
-// query that all zones of the split have had, it returns any zone.
-func (c *Controller) PickZone(now rules.Time, drawn, work float64, tried []int) (int, bool) {
+// PickZone returns the zone in which a query is to run (rules.ZonePlan). It picks at random, weighted by the last
+// split, among the zones that admit the query and are not in tried. It returns -1 (any zone) and true if nothing has
+// been observed yet or all zones of the split have been tried, and false if the limits block the query in all others.
+func (c *Controller) PickZone(now rules.Time, random, work float64, tried []int) (int, bool) {
 	c.now = max(c.now, now)
 	total, blocked := 0.0, false
 	fractionOf := func(i int) float64 {
@@ -29,60 +29,61 @@
 	}
 	if total <= 0 {
 		if blocked {
-			c.noteBlocked()
+			c.recordBlocked()
 		}
 		return -1, !blocked
 	}
-	last := -1
-	drawn *= total
+	lastCandidate := -1
+	random *= total
 	for i := range c.split.Fractions {
-		if p := fractionOf(i); p > 0 {
-			if last = i; drawn < p {
+		if fraction := fractionOf(i); fraction > 0 {
+			if lastCandidate = i; random < fraction {
 				return i, true
 			}
-			drawn -= p
+			random -= fraction
 		}
 	}
-	return last, true
+	return lastCandidate, true
 }
 
-// Admits reports whether a query may run in a zone now (rules.ZonePlan): not in one that is lost or drained while
-// others are taken for healthy, nor over the spillover limit or the retry budget.
-func (c *Controller) Admits(now rules.Time, i int, work float64, retry bool) bool {
-	if i < 0 || i >= len(c.zones) || len(c.split.Fractions) == 0 {
+// Admits reports whether a query may run in a zone now (rules.ZonePlan). A lost or drained zone admits nothing unless
+// the split is in panic mode or sends load there; any other zone admits queries within its spillover limit and retry
+// budget.
+func (c *Controller) Admits(now rules.Time, index int, work float64, retry bool) bool {
+	if index < 0 || index >= len(c.zones) || len(c.split.Fractions) == 0 {
 		return true
 	}
 	c.now = max(c.now, now)
-	zone := &c.zones[i]
-	if (zone.state == Lost || zone.state == Drained) && !c.split.Panic && c.split.Fractions[i] <= 0 {
+	zone := &c.zones[index]
+	if (zone.state == Lost || zone.state == Drained) && !c.split.Panic && c.split.Fractions[index] <= 0 {
 		return false
 	}
-	return (!retry || c.retryAllowed(zone)) && c.spilloverAllowed(i, work)
+	return (!retry || c.retryAllowed(zone)) && c.spilloverAllowed(index, work)
 }
 
-// RecordSend notes that a query was sent to a zone (rules.ZonePlan).
-func (c *Controller) RecordSend(now rules.Time, i int, work float64, retry bool) {
-	if i < 0 || i >= len(c.zones) {
+// RecordSend records that a query was sent to a zone (rules.ZonePlan).
+func (c *Controller) RecordSend(now rules.Time, index int, work float64, retry bool) {
+	if index < 0 || index >= len(c.zones) {
 		return
 	}
 	c.now = max(c.now, now)
-	zone := &c.zones[i]
+	zone := &c.zones[index]
 	zone.retries.add(c.now, retry)
 	if retry {
 		c.counts.Retries++
 	} else {
 		c.demand.forwarded.add(c.now, work)
 	}
-	if i != c.ownZone {
+	if index != c.ownZone {
 		c.counts.Spillovers++
 	}
-	if c.spilloverLimited(i) {
+	if c.spilloverLimited(index) {
 		zone.spillover.sent.Add(c.now, work)
 	}
 }
 
-// noteBlocked notes that limits keep a query queued.
-func (c *Controller) noteBlocked() {
+// recordBlocked records that the limits keep a query queued.
+func (c *Controller) recordBlocked() {
 	c.counts.Blocked++
-	c.noteLimited()
+	c.recordLimited()
 }
--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -7,182 +7,182 @@
 	"foxlane/rules"
 )
 
-// This file simulates the loss and the recovery of zones with the code that decides at run time, so that `foxlane
-// plan` can't differ from it. One controller stands for all gateways of a zone.
+// This file simulates the loss and recovery of zones for `foxlane plan`. It runs the controller that decides at run
+// time, so the plan can't differ from what the gateways do. One controller represents all gateways of a zone.
 
 // ZoneSpec is a zone of a scenario.
 type ZoneSpec struct {
 	Name   string
-	Cores  float64 // of its engines, warm
+	Cores  float64 // of its engines when warm
 	Demand float64 // of its own clients, in cores
 }
 
 // ClassSpec is a class of a scenario.
 type ClassSpec struct {
 	Name               string
-	DemandFraction     float64 // of the demand
-	ValuePerCoreSecond float64 // priority weight over the seconds of work on one core
+	DemandFraction     float64 // fraction of the demand of each zone
+	ValuePerCoreSecond float64 // priority weight per core second of work
 }
 
-// Scenario is the loss of zones that Simulate plays.
+// Scenario is a loss of zones to simulate.
 type Scenario struct {
 	Zones            []ZoneSpec
 	Classes          []ClassSpec
 	LostZones        []int // zones that are lost with their engines and gateways
 	LostAt           rules.Time
-	ReturnAt         rules.Time // when they come back, cold; 0: never
-	UnlistAfter      rules.Time // from the loss until their engines leave the endpoint list
-	ClientsMoveAfter rules.Time // from the loss until their clients come to the gateways of other zones
-	ColdSpeed        float64    // fraction of its speed that an engine has at its start
-	WarmupTime       rules.Time // until it has all
+	ReturnAt         rules.Time // when the zones return, with cold engines; 0: never
+	UnlistAfter      rules.Time // time from the loss until their engines leave the endpoint list
+	ClientsMoveAfter rules.Time // time from the loss until their clients connect to gateways of other zones
+	ColdSpeed        float64    // speed of an engine at its start, as a fraction of its warm speed
+	WarmupTime       rules.Time // time from the start of an engine until it is warm
 	Duration         rules.Time
 }
 
-// Moment is the state in one second of a simulation.
+// Moment is the state at one second of a simulation.
 type Moment struct {
 	At       rules.Time
-	Zones    []ZoneMoment
+	Zones    []ZoneSample
 	Demand   float64 // cores
-	Unserved float64 // of these, shed, blocked by spillover limits, or more than the engines can do
+	Unserved float64 // cores of the demand that are shed, blocked by spillover limits or beyond the engines' capacity
 }
 
-// ZoneMoment is the state of one zone in it. Loads are in cores.
-type ZoneMoment struct {
+// ZoneSample is the state of one zone at a Moment. Capacity and loads are in cores.
+type ZoneSample struct {
 	State           State
-	LoadShare       float64  // fraction of its usual load that it takes
-	Capacity        float64  // what its engines can do
-	OwnLoad         float64  // load of its own gateways that goes there
-	ForeignLoad     float64  // load of other gateways that goes there
-	BlockedLoad     float64  // foreign load over the spillover limit
-	RejectedClasses []string // classes of which its gateways shed some
-	ShedLoad        float64  // load of its gateways that is shed
+	LoadShare       float64  // fraction of its normal load that the zone takes
+	Capacity        float64  // of its engines
+	OwnLoad         float64  // load that its own gateways send to it
+	ForeignLoad     float64  // load that gateways of other zones send to it
+	BlockedLoad     float64  // load from other zones over the spillover limit
+	RejectedClasses []string // classes of which its gateways shed requests
+	ShedLoad        float64  // load that its gateways shed
 }
 
 const simulationStep = 100 * rules.Millisecond
 
-// Simulate returns what would happen, second by second.
-func Simulate(set Settings, sc Scenario) []Moment {
-	n := len(sc.Zones)
-	gateways := make([]*Controller, n)
+// Simulate runs a scenario and returns its state at each second.
+func Simulate(settings Settings, scenario Scenario) []Moment {
+	zoneCount := len(scenario.Zones)
+	gateways := make([]*Controller, zoneCount)
 	for i := range gateways {
-		gateways[i] = New(set, Fleet{Zones: n, OwnZone: i, Gateways: n, Jitter: 0.5}, 0)
+		gateways[i] = New(settings, Fleet{Zones: zoneCount, OwnZone: i, Gateways: zoneCount, Jitter: 0.5}, 0)
 	}
-	var out []Moment
-	for now := rules.Time(1); now <= sc.Duration; now += simulationStep {
-		observations := make([]Observation, n)
+	var samples []Moment
+	for now := rules.Time(1); now <= scenario.Duration; now += simulationStep {
+		observations := make([]Observation, zoneCount)
 		for i := range observations {
-			observations[i] = sc.observation(i, now)
+			observations[i] = scenario.observation(i, now)
 		}
-		m := sc.simulateStep(gateways, observations, now)
+		sample := scenario.simulateStep(gateways, observations, now)
 		if (now-1)%rules.Second == 0 {
-			out = append(out, m)
+			samples = append(samples, sample)
 		}
 	}
-	return out
+	return samples
 }
 
-func (sc *Scenario) lost(i int, now rules.Time) bool {
-	return slices.Contains(sc.LostZones, i) && now >= sc.LostAt && (sc.ReturnAt == 0 || now < sc.ReturnAt)
+func (s *Scenario) isLost(zone int, now rules.Time) bool {
+	return slices.Contains(s.LostZones, zone) && now >= s.LostAt && (s.ReturnAt == 0 || now < s.ReturnAt)
 }
 
-// observation is what any gateway would see of a zone.
-func (sc *Scenario) observation(i int, now rules.Time) Observation {
-	cores := sc.Zones[i].Cores
+// observation returns what any gateway would observe of a zone.
+func (s *Scenario) observation(zone int, now rules.Time) Observation {
+	cores := s.Zones[zone].Cores
 	observation := Observation{ListedCores: cores, HealthyCores: cores, WarmCores: cores, ActiveEngines: 2}
-	if sc.lost(i, now) {
-		if observation.HealthyCores, observation.WarmCores, observation.SilentEngines = 0, 0, observation.ActiveEngines; now >= sc.LostAt+sc.UnlistAfter {
+	if s.isLost(zone, now) {
+		if observation.HealthyCores, observation.WarmCores, observation.SilentEngines = 0, 0, observation.ActiveEngines; now >= s.LostAt+s.UnlistAfter {
 			observation.ListedCores = 0
 		}
 		return observation
 	}
-	if slices.Contains(sc.LostZones, i) && sc.ReturnAt != 0 && now >= sc.ReturnAt && sc.WarmupTime > 0 {
-		observation.WarmCores *= min(1, sc.ColdSpeed+(1-sc.ColdSpeed)*float64(now-sc.ReturnAt)/float64(sc.WarmupTime))
+	if slices.Contains(s.LostZones, zone) && s.ReturnAt != 0 && now >= s.ReturnAt && s.WarmupTime > 0 {
+		observation.WarmCores *= min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(now-s.ReturnAt)/float64(s.WarmupTime))
 	}
 	return observation
 }
 
-// demand is the load that arrives at the gateways of a zone. The clients of a lost zone come to the others' gateways
-// ClientsMoveAfter its loss, and go back when its gateways return.
-func (sc *Scenario) demand(i int, now rules.Time) float64 {
-	if sc.lost(i, now) {
+// demand returns the load that arrives at the gateways of a zone, in cores. The clients of a lost zone move to the
+// gateways of the other zones ClientsMoveAfter the loss, and move back when their zone returns.
+func (s *Scenario) demand(zone int, now rules.Time) float64 {
+	if s.isLost(zone, now) {
 		return 0
 	}
 	moved, present := 0.0, 0.0
-	for j, z := range sc.Zones {
-		if !sc.lost(j, now) {
-			present += z.Demand
-		} else if now >= sc.LostAt+sc.ClientsMoveAfter {
-			moved += z.Demand
+	for other, spec := range s.Zones {
+		if !s.isLost(other, now) {
+			present += spec.Demand
+		} else if now >= s.LostAt+s.ClientsMoveAfter {
+			moved += spec.Demand
 		}
 	}
 	if present <= 0 {
 		return 0
 	}
-	return sc.Zones[i].Demand * (1 + moved/present)
+	return s.Zones[zone].Demand * (1 + moved/present)
 }
 
-func (sc *Scenario) simulateStep(gateways []*Controller, observations []Observation, now rules.Time) Moment {
-	n := len(gateways)
-	m := Moment{At: now, Zones: make([]ZoneMoment, n)}
+func (s *Scenario) simulateStep(gateways []*Controller, observations []Observation, now rules.Time) Moment {
+	zoneCount := len(gateways)
+	sample := Moment{At: now, Zones: make([]ZoneSample, zoneCount)}
 	for j := range gateways {
-		m.Zones[j].Capacity = observations[j].WarmCores
+		sample.Zones[j].Capacity = observations[j].WarmCores
 	}
 	for i, gateway := range gateways {
 		gateway.updateZones(now, observations)
 		gateway.split = gateway.Split(now)
 		gateway.allocateSpillover()
-		asked := sc.demand(i, now)
-		m.Demand += asked
-		moment := &m.Zones[i]
+		demand := s.demand(i, now)
+		sample.Demand += demand
+		zoneSample := &sample.Zones[i]
 		own := &gateway.zones[i]
-		moment.State, moment.LoadShare = own.state, gateway.loadShare(own)
-		gateway.shedExcess(sc, asked)
-		for _, class := range sc.Classes {
-			if part := gateway.demand.tiers[int(TierLowestValue)+ValueTier(class.ValuePerCoreSecond, float64(rules.Second))].shedFraction; part > 0 {
-				moment.RejectedClasses = append(moment.RejectedClasses, class.Name)
-				moment.ShedLoad += asked * class.DemandFraction * part
+		zoneSample.State, zoneSample.LoadShare = own.state, gateway.loadShare(own)
+		gateway.shedExcess(s, demand)
+		for _, class := range s.Classes {
+			if shedFraction := gateway.demand.tiers[int(TierLowestValue)+ValueTier(class.ValuePerCoreSecond, float64(rules.Second))].shedFraction; shedFraction > 0 {
+				zoneSample.RejectedClasses = append(zoneSample.RejectedClasses, class.Name)
+				zoneSample.ShedLoad += demand * class.DemandFraction * shedFraction
 			}
 		}
-		for j, part := range gateway.split.Fractions {
-			flow := (asked - moment.ShedLoad) * part
+		for j, fraction := range gateway.split.Fractions {
+			load := (demand - zoneSample.ShedLoad) * fraction
 			if j == i {
-				moment.OwnLoad += flow
+				zoneSample.OwnLoad += load
 				continue
 			}
-			goes := flow
+			sent := load
 			if gateway.spilloverLimited(j) {
-				goes = min(flow, gateway.zones[j].spillover.allowance/float64(spilloverWindow))
+				sent = min(load, gateway.zones[j].spillover.allowance/float64(spilloverWindow))
 			}
-			m.Zones[j].ForeignLoad += goes
-			m.Zones[j].BlockedLoad += flow - goes
+			sample.Zones[j].ForeignLoad += sent
+			sample.Zones[j].BlockedLoad += load - sent
 		}
 	}
-	for j := range m.Zones {
-		moment := &m.Zones[j]
-		m.Unserved += moment.ShedLoad + moment.BlockedLoad + math.Max(0, moment.OwnLoad+moment.ForeignLoad-moment.Capacity)
+	for j := range sample.Zones {
+		zoneSample := &sample.Zones[j]
+		sample.Unserved += zoneSample.ShedLoad + zoneSample.BlockedLoad + math.Max(0, zoneSample.OwnLoad+zoneSample.ForeignLoad-zoneSample.Capacity)
 	}
-	return m
+	return sample
 }
 
-// shedExcess sheds the demand that exceeds the cores available to it: that is where the pressure leads at run time,
-// once it has settled. A simulation has no retries and no tenants over their quota.
-func (c *Controller) shedExcess(sc *Scenario, asked float64) {
+// shedExcess sheds the demand that exceeds the available cores. At run time the shed fraction settles at the same
+// value. A simulation has no retries and no tenants over their quota.
+func (c *Controller) shedExcess(scenario *Scenario, offered float64) {
 	demand := &c.demand
 	for i := range demand.tiers {
 		demand.tiers[i].work = decayingSum{0, c.now}
 	}
-	for _, class := range sc.Classes {
-		demand.tiers[int(TierLowestValue)+ValueTier(class.ValuePerCoreSecond, float64(rules.Second))].work.add(c.now, asked*class.DemandFraction)
+	for _, class := range scenario.Classes {
+		demand.tiers[int(TierLowestValue)+ValueTier(class.ValuePerCoreSecond, float64(rules.Second))].work.add(c.now, offered*class.DemandFraction)
 	}
-	if open := c.availableCores(); !c.settings.SheddingEnabled || asked <= open {
+	if available := c.availableCores(); !c.settings.SheddingEnabled || offered <= available {
 		c.distributeShedding(0)
 	} else {
-		c.distributeShedding(1 - open/asked)
+		c.distributeShedding(1 - available/offered)
 	}
 }
 
-// availableCores are the cores that take the load of the gateways of a zone: those of the zone, and what they may
-// send to others.
+// availableCores returns the cores that the gateways of a zone can use: those of the zone, and what they may send to
+// other zones.
 func (c *Controller) availableCores() (cores float64) {
 	for i := range c.zones {
 		switch capacity := c.capacity(&c.zones[i]); {
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -6,24 +6,23 @@
 	"foxlane/rules"
 )
 
-// This file decides where the load of a gateway goes: over tiers of preference, as priority levels with
-// overprovisioning do.
+// This file splits the load of a gateway over zones by failover tiers, as load balancers do with priority levels and
+// overprovisioning.
 
-// Split is where load goes, in fractions of 1 by zone. With Panic too little is healthy for health to be
-// trusted, and all that is listed gets load by its size.
+// Split is the split of the load over zones.
 type Split struct {
-	Fractions []float64
-	Panic     bool
-	Unplaced  float64 // fraction of the load for which no zone has capacity
+	Fractions []float64 // by zone; their sum is 1, or 0 if nothing is listed
+	Panic     bool      // too little is healthy: health is ignored, and zones get load by their size
+	Unplaced  float64   // fraction of the load for which no zone has capacity
 }
 
-// crowdedSlowdown is the slowdown from which a zone counts as crowded: the part over it is taken off its capacity. It
-// is the square of the factor by which a query may take longer than alone before the decision module counts it as too
-// slow: a zone loses load when its engines are clearly slower than that, and not at the first slow query.
+// crowdedSlowdown is the slowdown above which a zone counts as crowded and its capacity is reduced in proportion. It is
+// the square of the factor above which the decision module counts a query as too slow, so a zone loses load only when
+// its engines are clearly slower than that, not at the first slow query.
 const crowdedSlowdown = 1.35 * 1.35
 
-// capacity is the load that a zone can take now, in cores: in a recovery the lesser of what the ramp and the
-// warmth of its engines allow.
+// capacity returns the load that a zone can take now, in cores. During a recovery it is the lesser of what the ramp and
+// the warm-up of its engines allow.
 func (c *Controller) capacity(zone *zoneRecord) float64 {
 	if zone.observation.unreachable() {
 		return 0
@@ -35,116 +34,117 @@
 	return cores
 }
 
-// usualCores is what a zone lists when nothing of it is gone, in cores. Engines that have failed leave the endpoint
-// list after a while: their cores count on, decaying by half in Damping.MaxSuppression, or the half that is left of
-// a zone would be taken for a complete one.
-func (c *Controller) usualCores(zone *zoneRecord) float64 {
-	faded := zone.usualCores * math.Exp2(-float64(c.now-zone.usualCoresAt)/float64(max(c.settings.Damping.MaxSuppression, 1)))
-	return max(zone.observation.ListedCores, faded, minCores/2)
+// nominalCores returns the cores of a zone when it is complete. Engines that have failed leave the endpoint list after
+// a while. Their cores still count, with the half-life Damping.MaxSuppression; otherwise a zone that has lost half of
+// its engines would count as complete.
+func (c *Controller) nominalCores(zone *zoneRecord) float64 {
+	decayed := zone.nominalCores * math.Exp2(-float64(c.now-zone.nominalCoresAt)/float64(max(c.settings.Damping.MaxSuppression, 1)))
+	return max(zone.observation.ListedCores, decayed, minCores/2)
 }
 
-// minCores is less than any engine has.
+// minCores is less than the cores of any engine.
 const minCores = 1e-6
 
-// preferenceTiers are all zones, in the order in which the load of a zone goes to them.
-func (c *Controller) preferenceTiers(from int) [][]int {
+// preferenceTiers returns all zones in the order in which the load of a zone prefers them: the zone itself, its
+// configured failover tiers, and the rest.
+func (c *Controller) preferenceTiers(ownZone int) [][]int {
 	placed := make([]bool, len(c.zones))
-	levels := [][]int{}
-	add := func(level []int) {
-		kept := make([]int, 0, len(level))
-		for _, i := range level {
+	tiers := [][]int{}
+	addTier := func(tier []int) {
+		kept := make([]int, 0, len(tier))
+		for _, i := range tier {
 			if i >= 0 && i < len(c.zones) && !placed[i] {
 				placed[i] = true
 				kept = append(kept, i)
 			}
 		}
 		if len(kept) > 0 {
-			levels = append(levels, kept)
+			tiers = append(tiers, kept)
 		}
 	}
-	add([]int{from})
-	for _, t := range c.settings.Tiers[from] {
-		add(t)
+	addTier([]int{ownZone})
+	for _, tier := range c.settings.Tiers[ownZone] {
+		addTier(tier)
 	}
-	rest := make([]int, 0, len(c.zones))
+	remaining := make([]int, 0, len(c.zones))
 	for i := range c.zones {
-		rest = append(rest, i)
+		remaining = append(remaining, i)
 	}
-	add(rest)
-	return levels
+	addTier(remaining)
+	return tiers
 }
 
-// Split returns where the load of this gateway goes now. A zone keeps all of its load while its capacity times
-// Overprovision is at least its usual cores; the rest goes to the next tier, within a tier by capacity.
+// Split returns the split of this gateway's load now. A tier keeps all of the load while its capacity times
+// Overprovision is at least its nominal cores; the rest goes to the next tier. Within a tier load is split by capacity.
 func (c *Controller) Split(now rules.Time) Split { return c.splitFrom(now, c.ownZone) }
 
-func (c *Controller) splitFrom(now rules.Time, from int) Split {
+func (c *Controller) splitFrom(now rules.Time, ownZone int) Split {
 	c.now = max(c.now, now)
-	s := Split{Fractions: make([]float64, len(c.zones))}
-	listed, there, well := 0.0, 0.0, 0.0
+	split := Split{Fractions: make([]float64, len(c.zones))}
+	listed, present, healthy := 0.0, 0.0, 0.0
 	for i := range c.zones {
 		zone := &c.zones[i]
 		listed += zone.observation.ListedCores
-		there += zone.presentCores()
-		well += zone.observation.ListedCores * zone.observation.healthyFraction()
+		present += zone.presentCores()
+		healthy += zone.observation.ListedCores * zone.observation.healthyFraction()
 	}
 	if listed <= 0 {
-		return s
+		return split
 	}
-	if well < c.settings.PanicThreshold*there {
-		s.Panic = true
-		c.splitBySize(&s, listed)
-		return s
+	if healthy < c.settings.PanicThreshold*present {
+		split.Panic = true
+		c.splitBySize(&split, listed)
+		return split
 	}
-	left := 1.0
-	for _, level := range c.preferenceTiers(from) {
-		capacity, usual := 0.0, 0.0
-		for _, i := range level {
+	remaining := 1.0
+	for _, tier := range c.preferenceTiers(ownZone) {
+		capacity, nominal := 0.0, 0.0
+		for _, i := range tier {
 			capacity += c.capacity(&c.zones[i])
-			usual += c.usualCores(&c.zones[i])
+			nominal += c.nominalCores(&c.zones[i])
 		}
 		if capacity <= 0 {
 			continue
 		}
-		part := min(left, c.settings.Overprovision*capacity/usual)
-		for _, i := range level {
-			s.Fractions[i] += part * c.capacity(&c.zones[i]) / capacity
+		fraction := min(remaining, c.settings.Overprovision*capacity/nominal)
+		for _, i := range tier {
+			split.Fractions[i] += fraction * c.capacity(&c.zones[i]) / capacity
 		}
-		if left -= part; left <= 0 {
-			return s
+		if remaining -= fraction; remaining <= 0 {
+			return split
 		}
 	}
-	c.spreadRemainder(&s, left, listed)
-	return s
+	c.spreadRemainder(&split, remaining, listed)
+	return split
 }
 
-// spreadRemainder gives the load for which no tier has capacity to all zones in proportion: nothing is held back
-// here; spillover limits and load shedding decide what is blocked or rejected.
-func (c *Controller) spreadRemainder(s *Split, left, listed float64) {
-	s.Unplaced = left
-	taken := 0.0
-	for _, p := range s.Fractions {
-		taken += p
+// spreadRemainder distributes the load for which no tier has capacity over the zones in proportion to their fractions.
+// No load is withheld here: the spillover limits and load shedding decide what is blocked or rejected.
+func (c *Controller) spreadRemainder(split *Split, remaining, listed float64) {
+	split.Unplaced = remaining
+	placed := 0.0
+	for _, fraction := range split.Fractions {
+		placed += fraction
 	}
-	if taken <= 0 {
-		s.Panic = true
-		c.splitBySize(s, listed)
+	if placed <= 0 {
+		split.Panic = true
+		c.splitBySize(split, listed)
 		return
 	}
-	for i := range s.Fractions {
-		s.Fractions[i] /= taken
+	for i := range split.Fractions {
+		split.Fractions[i] /= placed
 	}
 }
 
-// presentCores are the cores of a zone that exist, whatever their health is taken to be: that a probe was not
-// answered is a fact.
+// presentCores returns the cores of a zone that are present, whether they count as healthy or not. Only cores that did
+// not answer probes are known to be absent.
 func (z *zoneRecord) presentCores() float64 {
 	return max(z.observation.ListedCores-z.observation.UnansweredCores, 0)
 }
 
-// splitBySize splits the load by the present cores of each zone, without zones that are drained: no panic undoes the
-// operator's order.
-func (c *Controller) splitBySize(s *Split, listed float64) {
+// splitBySize splits the load by the present cores of each zone. Draining and drained zones get none, since panic mode
+// must not undo an operator'split drain.
+func (c *Controller) splitBySize(split *Split, listed float64) {
 	total := 0.0
 	size := func(zone *zoneRecord) float64 {
 		if zone.state == Draining || zone.state == Drained {
@@ -157,9 +157,9 @@
 	}
 	for i := range c.zones {
 		if zone := &c.zones[i]; total > 0 {
-			s.Fractions[i] = size(zone) / total
+			split.Fractions[i] = size(zone) / total
 		} else {
-			s.Fractions[i] = zone.observation.ListedCores / listed
+			split.Fractions[i] = zone.observation.ListedCores / listed
 		}
 	}
 }
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -6,77 +6,78 @@
 	"foxlane/rules"
 )
 
-// This file owns the states of zones and the share of its usual load that a zone takes in each of them.
+// This file owns the states of zones and the share of its normal load that a zone takes in each state.
 
 // State is the state of a zone.
 type State int
 
-// States of a zone. A zone goes Present -> Failing -> Lost -> Returning -> Present; from any of them
-// an order to drain leads to Draining -> Drained, and its end to Returning.
+// States of a zone. A loss and recovery goes Present -> Failing -> Lost -> Returning -> Present. An operator's drain
+// leads from any of these to Draining -> Drained; when it is lifted, the zone goes to Returning.
 const (
 	Present   State = iota
-	Failing         // too little of it is healthy; it counts as before until that has lasted
-	Lost            // it gets probes only, by which its recovery is seen
-	Returning       // its share rises on the recovery ramp
-	Draining        // its share falls, by an order of the operator
-	Drained         // it gets nothing, by an order of the operator
+	Failing         // too little is healthy; the zone keeps its share until that has lasted for the settling time
+	Lost            // the zone gets probes only, which detect its recovery
+	Returning       // the share rises on the recovery ramp
+	Draining        // the share falls to 0, as the operator ordered
+	Drained         // the zone gets no load, as the operator ordered
 )
 
-// String returns the name of a state as the log and `foxlane plan` have it.
+// String returns the name of the state as it is logged and printed by `foxlane plan`.
 func (s State) String() string {
 	return [...]string{"present", "failing", "lost", "returning", "draining", "drained"}[s]
 }
 
 // zoneRecord is the state of one zone.
 type zoneRecord struct {
-	state          State
-	since          rules.Time // when the state was entered
-	conditionSince rules.Time // since when the condition that would end the state holds; 0: it does not
-	rampFrom       float64    // the share at which a ramp or a drain began
-	rampBegins     rules.Time // with the jitter of this gateway
-	penalty        float64
-	penaltyAt      rules.Time // when penalty was last brought up to date
-	damped         bool
-	recovered      bool // while lost: it has been healthy again
-	losses         int
-	observation    Observation
-	observed       bool
-	usualCores     float64 // cores that were listed when most were
-	usualCoresAt   rules.Time
-	probes         probeState
-	spillover      spilloverState
-	retries        retryCounts
+	state            State
+	since            rules.Time // when the state was entered
+	conditionSince   rules.Time // since when the condition that would end the state holds; 0: it does not hold
+	rampStartShare   float64    // share at the start of the ramp or drain
+	rampStartsAt     rules.Time // including the jitter of this gateway
+	penalty          float64    // sum of flap penalties at penaltyUpdatedAt
+	penaltyUpdatedAt rules.Time
+	damped           bool
+	recovered        bool // in state Lost: the zone has been healthy again
+	losses           int
+	observation      Observation
+	observed         bool    // observation is set
+	nominalCores     float64 // decaying peak of the listed cores, as of nominalCoresAt
+	nominalCoresAt   rules.Time
+	probes           probeState
+	spillover        spilloverState
+	retries          retryCounts
 }
 
-// Change is a change of the state of a zone.
+// Change reports that the state of a zone, or its damping, has changed.
 type Change struct {
 	Zone     int
 	From, To State
-	Damped   bool // it is suppressed because it flaps, whether it is healthy or not
+	Damped   bool // the zone is suppressed because it flaps, even if it is healthy
 }
 
-// updateZones takes what the gateway sees of all zones, and returns which states have changed.
+// updateZones takes the observations of all zones and returns the changes of their states.
 func (c *Controller) updateZones(now rules.Time, observations []Observation) (changes []Change) {
 	c.now = max(c.now, now)
 	for i := range c.zones {
 		zone := &c.zones[i]
 		if i < len(observations) {
-			usual := c.usualCores(zone)
+			nominal := c.nominalCores(zone)
 			zone.observation, zone.observed = observations[i], true
-			zone.usualCores, zone.usualCoresAt = max(usual, observations[i].ListedCores), c.now
+			zone.nominalCores, zone.nominalCoresAt = max(nominal, observations[i].ListedCores), c.now
 		}
-		before, damped := zone.state, zone.damped
+		stateBefore, dampedBefore := zone.state, zone.damped
 		c.updateState(zone)
-		if zone.state != before || zone.damped != damped {
-			changes = append(changes, Change{Zone: i, From: before, To: zone.state, Damped: zone.damped})
+		if zone.state != stateBefore || zone.damped != dampedBefore {
+			changes = append(changes, Change{Zone: i, From: stateBefore, To: zone.state, Damped: zone.damped})
 		}
 	}
 	return changes
 }
 
-// conditionLasted reports whether a condition has held for the settling time.
-func (c *Controller) conditionLasted(zone *zoneRecord, is bool) bool {
-	if !is {
+// conditionLasted reports whether a condition has held for the settling time. It must be called with the current value
+// of the condition on each update.
+func (c *Controller) conditionLasted(zone *zoneRecord, holds bool) bool {
+	if !holds {
 		zone.conditionSince = 0
 		return false
 	}
@@ -86,22 +87,22 @@
 	return c.now-zone.conditionSince >= c.settings.SettlingTime
 }
 
-func (c *Controller) enterState(zone *zoneRecord, s State) {
-	zone.state, zone.since, zone.conditionSince = s, c.now, 0
+func (c *Controller) enterState(zone *zoneRecord, state State) {
+	zone.state, zone.since, zone.conditionSince = state, c.now, 0
 }
 
-// updateState moves one zone from state to state.
+// updateState applies the state transitions of one zone.
 func (c *Controller) updateState(zone *zoneRecord) {
-	if !zone.observed || zone.usualCores < minCores { // it never had an engine
+	if !zone.observed || zone.nominalCores < minCores { // the zone never had an engine
 		return
 	}
-	well := zone.observation.healthyFraction()
+	healthy := zone.observation.healthyFraction()
 	switch zone.state {
 	case Present, Returning:
-		if well < c.settings.LostBelow {
-			zone.rampFrom = c.loadShare(zone)
+		if healthy < c.settings.LostBelow {
+			zone.rampStartShare = c.loadShare(zone)
 			c.enterState(zone, Failing)
-			if zone.probes.unanswered >= unansweredForSilence { // the condition holds since the suspicion began
+			if zone.probes.unanswered >= unansweredForSilence { // the failure dates from the start of the suspicion
 				zone.conditionSince = zone.probes.suspectedSince
 			}
 			c.updateState(zone)
@@ -110,21 +111,21 @@
 		}
 	case Failing:
 		switch {
-		case well >= c.settings.RecoverAbove && zone.rampFrom < 1:
-			c.beginRamp(zone, zone.rampFrom)
-		case well >= c.settings.RecoverAbove:
+		case healthy >= c.settings.RecoverAbove && zone.rampStartShare < 1:
+			c.startRamp(zone, zone.rampStartShare)
+		case healthy >= c.settings.RecoverAbove:
 			c.enterState(zone, Present)
-		case c.conditionLasted(zone, well < c.settings.LostBelow):
+		case c.conditionLasted(zone, healthy < c.settings.LostBelow):
 			c.markLost(zone)
 		}
 	case Lost:
-		if zone.recovered && well < c.settings.LostBelow { // it flaps though it gets no requests
+		if zone.recovered && healthy < c.settings.LostBelow { // it flaps even without requests
 			c.addPenalty(zone)
 		}
-		zone.recovered = well >= c.settings.RecoverAbove || zone.recovered && well >= c.settings.LostBelow
+		zone.recovered = healthy >= c.settings.RecoverAbove || zone.recovered && healthy >= c.settings.LostBelow
 		zone.damped = c.suppressed(zone)
-		if c.conditionLasted(zone, well >= c.settings.RecoverAbove) && !zone.damped {
-			c.beginRamp(zone, 0)
+		if c.conditionLasted(zone, healthy >= c.settings.RecoverAbove) && !zone.damped {
+			c.startRamp(zone, 0)
 		}
 	case Draining:
 		if c.loadShare(zone) <= 0 {
@@ -140,20 +141,20 @@
 	c.enterState(zone, Lost)
 }
 
-// addPenalty counts a loss. The sum is bounded so that it decays to ReuseBelow within MaxSuppression.
+// addPenalty adds the penalty of one loss. The sum is bounded so that it decays to ReuseBelow within MaxSuppression.
 func (c *Controller) addPenalty(zone *zoneRecord) {
-	d := c.settings.Damping
-	most := d.ReuseBelow * math.Exp2(float64(d.MaxSuppression)/float64(d.HalfLife))
-	zone.penalty, zone.penaltyAt = min(c.penalty(zone)+d.Penalty, most), c.now
+	damping := c.settings.Damping
+	maxPenalty := damping.ReuseBelow * math.Exp2(float64(damping.MaxSuppression)/float64(damping.HalfLife))
+	zone.penalty, zone.penaltyUpdatedAt = min(c.penalty(zone)+damping.Penalty, maxPenalty), c.now
 }
 
-// penalty is the sum of penalties, decayed until now.
+// penalty returns the sum of penalties, decayed to the current time.
 func (c *Controller) penalty(zone *zoneRecord) float64 {
-	return zone.penalty * math.Exp2(-float64(c.now-zone.penaltyAt)/float64(c.settings.Damping.HalfLife))
+	return zone.penalty * math.Exp2(-float64(c.now-zone.penaltyUpdatedAt)/float64(c.settings.Damping.HalfLife))
 }
 
-// suppressed reports whether a zone flaps too much to be used. Once it does, it stays suppressed until the penalty has
-// decayed to ReuseBelow.
+// suppressed reports whether a zone flaps too much to be used: from a penalty of SuppressAbove on, until it has decayed
+// to ReuseBelow.
 func (c *Controller) suppressed(zone *zoneRecord) bool {
 	if zone.damped {
 		return c.penalty(zone) > c.settings.Damping.ReuseBelow
@@ -161,45 +162,46 @@
 	return c.penalty(zone) >= c.settings.Damping.SuppressAbove
 }
 
-// beginRamp begins the recovery ramp. Gateways that see a recovery together begin apart, each by its own fraction of
-// the jitter.
-func (c *Controller) beginRamp(zone *zoneRecord, from float64) {
-	zone.rampFrom, zone.rampBegins = from, c.now+rules.Time(c.jitter*c.settings.RampJitter*float64(c.settings.RecoveryRamp))
+// startRamp starts the recovery ramp at a share. Gateways see a recovery at the same time, so each delays its ramp by
+// its own fraction of the ramp jitter.
+func (c *Controller) startRamp(zone *zoneRecord, startShare float64) {
+	zone.rampStartShare, zone.rampStartsAt = startShare, c.now+rules.Time(c.jitter*c.settings.RampJitter*float64(c.settings.RecoveryRamp))
 	zone.damped = false
 	c.enterState(zone, Returning)
 }
 
-// loadShare is the fraction of its usual load that a zone takes now.
+// loadShare returns the fraction of its normal load that a zone takes now.
 func (c *Controller) loadShare(zone *zoneRecord) float64 {
-	part := func(from rules.Time, over rules.Time) float64 {
-		return min(max(float64(c.now-from)/float64(over), 0), 1)
+	progress := func(start rules.Time, duration rules.Time) float64 {
+		return min(max(float64(c.now-start)/float64(duration), 0), 1)
 	}
 	switch zone.state {
 	case Failing:
-		return zone.rampFrom
+		return zone.rampStartShare
 	case Returning:
-		return zone.rampFrom + (1-zone.rampFrom)*part(zone.rampBegins, c.settings.RecoveryRamp)
+		return zone.rampStartShare + (1-zone.rampStartShare)*progress(zone.rampStartsAt, c.settings.RecoveryRamp)
 	case Draining:
-		return zone.rampFrom * (1 - part(zone.since, c.settings.DrainTime))
+		return zone.rampStartShare * (1 - progress(zone.since, c.settings.DrainTime))
 	case Lost, Drained:
 		return 0
 	}
 	return 1
 }
 
-// SetDraining begins or ends a drain. A zone whose drain ends takes load again on the recovery ramp.
-func (c *Controller) SetDraining(now rules.Time, i int, on bool) {
+// SetDraining starts or lifts the drain of a zone. When a drain is lifted, the load returns on the recovery ramp. An
+// unknown zone is ignored.
+func (c *Controller) SetDraining(now rules.Time, index int, draining bool) {
 	c.now = max(c.now, now)
-	if i < 0 || i >= len(c.zones) {
+	if index < 0 || index >= len(c.zones) {
 		return
 	}
-	zone := &c.zones[i]
-	drains := zone.state == Draining || zone.state == Drained
+	zone := &c.zones[index]
+	isDraining := zone.state == Draining || zone.state == Drained
 	switch {
-	case on && !drains:
-		zone.rampFrom = c.loadShare(zone)
+	case draining && !isDraining:
+		zone.rampStartShare = c.loadShare(zone)
 		c.enterState(zone, Draining)
-	case !on && drains:
-		c.beginRamp(zone, c.loadShare(zone))
+	case !draining && isDraining:
+		c.startRamp(zone, c.loadShare(zone))
 	}
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,30 +1,32 @@
-// Package zones decides, for one gateway, what becomes of the load of a zone (a site or a hall: its engines and
-// its gateways) that fails, is lost, recovers or is drained: the state of each zone, the share of its usual load that
-// it takes, where queries go instead, how much load of other zones it may take, and which requests are shed first.
-// Every gateway decides from its own traffic and endpoint list alone, and hundreds of them decide alike: what they do
-// at the same time is spread by a jitter of their own and paced in fractions of warm capacity.
+// Package zones implements zone failover for one gateway. A zone is a site or a hall with its engines and gateways.
+// The package owns the state of each zone (present, failing, lost, recovering or drained). From it follow the share
+// of its normal load that each zone takes, the split of this gateway's load over the zones, the spillover limit and
+// the retry budget of each zone, and which requests are shed first.
 //
-// Observe takes what a gateway knows of its engines, in regular intervals; PickZone, Admits and RecordSend are the
-// calls of the decision module (rules.ZonePlan); RequestArrived is called ahead of it.
+// Each gateway decides alone, from its own traffic and endpoint list. Hundreds of gateways make the same decisions at
+// the same time, so each spreads its actions by a jitter of its own and paces them by fractions of warm capacity.
 //
-// The package owns the state of zones only. It must never pick an engine, queue a query, read a clock or draw at
-// random: time and random numbers are arguments, and the jitter of the gateway is given at the start.
+// Observe takes what the gateway knows of its engines, at regular intervals. The decision module calls PickZone,
+// Admits and RecordSend (rules.ZonePlan). RequestArrived is called for each request before the module receives it.
+//
+// The package must not pick engines, queue queries, read a clock or draw random numbers: times and random numbers are
+// arguments, and the jitter is set by New.
 package zones
 
 import "foxlane/rules"
 
-// Fleet is what a gateway knows of the fleet at its start.
+// Fleet describes the fleet as the gateway knows it at its start.
 type Fleet struct {
 	Zones             int
-	HasUnassignedZone bool    // the last zone holds the engines of no zone; no gateway has it as its own
-	OwnZone           int     // the zone of the gateway
-	Gateways          int     // of all zones
+	HasUnassignedZone bool    // the last zone stands for engines without a zone; no gateway belongs to it
+	OwnZone           int     // zone of this gateway
+	Gateways          int     // in all zones
 	Jitter            float64 // from 0 to 1, different for each gateway
 	Classes           []rules.Class
 	Tenants           []rules.Tenant
 }
 
-// gatewayZones is the number of zones that have gateways.
+// gatewayZones returns the number of zones that have gateways.
 func (f Fleet) gatewayZones() int {
 	if f.HasUnassignedZone {
 		return max(f.Zones-1, 1)
@@ -32,35 +34,37 @@
 	return max(f.Zones, 1)
 }
 
-// Controller holds the state of all zones, for one gateway. It is a rules.ZonePlan. Its owner serializes the calls.
+// Controller holds the state of all zones for one gateway and implements rules.ZonePlan. It is not safe for concurrent
+// use.
 type Controller struct {
-	settings     Settings
-	fleet        Fleet
-	ownZone      int
-	jitter       float64
-	zones        []zoneRecord
-	now          rules.Time
-	split        Split // of the last Observe
-	demand       demandState
-	limitedSince rules.Time // since when something has been shed or blocked; 0: nothing is
-	limitedLast  rules.Time // when something was last
-	counts       Counts
+	settings      Settings
+	fleet         Fleet
+	ownZone       int
+	jitter        float64
+	zones         []zoneRecord
+	now           rules.Time
+	split         Split // computed by the last Observe
+	demand        demandState
+	limitedSince  rules.Time // start of the current overload, in which requests are shed or blocked; 0: no overload
+	lastLimitedAt rules.Time // time of the last shed or blocked request
+	counts        Counts
 }
 
-// Counts are what the limits did since the start.
+// Counts are totals since the start.
 type Counts struct {
-	Spillovers     int // queries sent to zones other than the own one
-	Blocked        int // times that no zone could take a query
+	Spillovers     int // queries sent to zones other than the gateway's own
+	Blocked        int // calls of PickZone in which the limits left no zone for a query
 	Retries        int // retries sent
-	RetriesBlocked int // retries that the budget of a zone did not allow
-	Shed           [int(TierLowestValue) + 1]int
+	RetriesBlocked int // retries denied by the retry budget of a zone
+	// Shed counts shed requests by tier; all value tiers count as TierLowestValue.
+	Shed [int(TierLowestValue) + 1]int
 }
 
-// New returns the controller of a gateway that has just started. All zones are taken for present until it observes
-// otherwise: a gateway that starts while a zone is lost does what it would do without zones.
-func New(set Settings, fleet Fleet, now rules.Time) *Controller {
+// New returns the controller of a gateway that has just started. All zones count as present until observations say
+// otherwise, so a gateway that starts while a zone is lost first routes as it would without zones.
+func New(settings Settings, fleet Fleet, now rules.Time) *Controller {
 	fleet.Gateways = max(fleet.Gateways, 1)
-	controller := &Controller{settings: set, fleet: fleet, ownZone: fleet.OwnZone, jitter: fleet.Jitter, zones: make([]zoneRecord, fleet.Zones), now: now,
+	controller := &Controller{settings: settings, fleet: fleet, ownZone: fleet.OwnZone, jitter: fleet.Jitter, zones: make([]zoneRecord, fleet.Zones), now: now,
 		demand: newDemandState(fleet)}
 	for i := range controller.zones {
 		controller.zones[i].spillover.sent.Span = spilloverWindow
@@ -68,35 +72,35 @@
 	return controller
 }
 
-// Reconfigure goes over to other settings. States, ramps and penalties are kept.
-func (c *Controller) Reconfigure(set Settings) { c.settings = set }
+// Reconfigure replaces the settings. States, ramps and penalties are kept.
+func (c *Controller) Reconfigure(settings Settings) { c.settings = settings }
 
-// Status is what the log and other gateways are told of a zone.
+// Status is the status of a zone as it is logged and published to other gateways.
 type Status struct {
 	State           State
-	Since           rules.Time
-	LoadShare       float64 // fraction of its usual load that it takes
-	HealthyFraction float64 // fraction of it that is healthy
-	Penalty         float64
-	Damped          bool
-	Losses          int
-	TrafficFraction float64 // fraction of the gateway's load that goes there
-	SpilloverCores  float64 // cores of spillover that the gateway may send there; under 0: no limit
+	Since           rules.Time // when the state was entered
+	LoadShare       float64    // fraction of its normal load that the zone takes
+	HealthyFraction float64    // healthy fraction of its listed cores
+	Penalty         float64    // current sum of flap penalties
+	Damped          bool       // suppressed because it flaps
+	Losses          int        // since the start
+	TrafficFraction float64    // fraction of this gateway's load that is sent to the zone
+	SpilloverCores  float64    // cores of spillover that this gateway may send to the zone; negative: no limit
 }
 
 // Status returns the status of all zones.
 func (c *Controller) Status(now rules.Time) []Status {
 	c.now = max(c.now, now)
-	out := make([]Status, len(c.zones))
+	statuses := make([]Status, len(c.zones))
 	for i := range c.zones {
 		zone := &c.zones[i]
-		out[i] = Status{zone.state, zone.since, c.loadShare(zone), zone.observation.healthyFraction(), c.penalty(zone), zone.damped, zone.losses, 0, -1}
+		statuses[i] = Status{zone.state, zone.since, c.loadShare(zone), zone.observation.healthyFraction(), c.penalty(zone), zone.damped, zone.losses, 0, -1}
 		if i < len(c.split.Fractions) {
-			out[i].TrafficFraction = c.split.Fractions[i]
+			statuses[i].TrafficFraction = c.split.Fractions[i]
 		}
 		if c.spilloverLimited(i) {
-			out[i].SpilloverCores = zone.spillover.allowance / float64(spilloverWindow)
+			statuses[i].SpilloverCores = zone.spillover.allowance / float64(spilloverWindow)
 		}
 	}
-	return out
+	return statuses
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,17 +14,17 @@
 	second = rules.Second
 )
 
-// observedZone is a zone of 100 cores of which a fraction is healthy, all of it warm.
-func observedZone(well float64) Observation {
-	return Observation{ListedCores: 100, HealthyCores: 100 * well, WarmCores: 100 * well, ActiveEngines: 4}
+// observedZone returns the observation of a zone of 100 cores of which a fraction is healthy and warm.
+func observedZone(healthy float64) Observation {
+	return Observation{ListedCores: 100, HealthyCores: 100 * healthy, WarmCores: 100 * healthy, ActiveEngines: 4}
 }
 
-// observeFor repeats the same observations for a while and returns the time after it.
-func (c *Controller) observeFor(from, length rules.Time, observations ...Observation) rules.Time {
-	for now := from; now < from+length; now += 50 * ms {
+// observeFor repeats the same observations for some time and returns the time at the end.
+func (c *Controller) observeFor(from, duration rules.Time, observations ...Observation) rules.Time {
+	for now := from; now < from+duration; now += 50 * ms {
 		c.updateZones(now, observations)
 	}
-	return from + length
+	return from + duration
 }
 
 func threeZones() *Controller { return New(Defaults(), Fleet{Zones: 3, Jitter: 0.5}, 0) }
@@ -34,72 +34,72 @@
 	now := controller.observeFor(1, second, observedZone(1), observedZone(1), observedZone(1))
 	controller.updateZones(now, []Observation{observedZone(0), observedZone(1), observedZone(1)})
 	if s := controller.Status(now)[0]; s.State != Failing || s.LoadShare != 1 {
-		t.Fatalf("at the first sign %v with a share of %v", s.State, s.LoadShare)
+		t.Fatalf("after the first observation of the loss: state %v, share %v", s.State, s.LoadShare)
 	}
 	now = controller.observeFor(now, second, observedZone(0), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Lost || s.LoadShare != 0 || s.Losses != 1 {
-		t.Fatalf("after a second %+v", s)
+		t.Fatalf("1 s after the loss: %+v", s)
 	}
 	if to := controller.Split(now).Fractions; to[0] != 0 || math.Abs(to[1]-0.5) > 1e-9 || math.Abs(to[2]-0.5) > 1e-9 {
-		t.Fatalf("the lost zone's gateways send to %v", to)
+		t.Fatalf("gateways of the lost zone split their load as %v", to)
 	}
 	now = controller.observeFor(now, 600*ms, observedZone(1), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Returning || s.LoadShare != 0 {
-		t.Fatalf("recovered for 0.6 s, before the ramp with its jitter begins: %+v", s)
+		t.Fatalf("healthy for 0.6 s, before the ramp starts after its jitter: %+v", s)
 	}
 	last := 0.0
 	for range 30 {
 		now = controller.observeFor(now, 500*ms, observedZone(1), observedZone(1), observedZone(1))
 		s := controller.Status(now)[0]
 		if s.LoadShare < last || s.LoadShare > last+0.05 {
-			t.Fatalf("the share went from %v to %v within half a second of a ramp of 15 s", last, s.LoadShare)
+			t.Fatalf("the share went from %v to %v within 0.5 s of a ramp of 15 s", last, s.LoadShare)
 		}
 		last = s.LoadShare
 	}
 	now = controller.observeFor(now, 5*second, observedZone(1), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Present || s.LoadShare != 1 {
-		t.Fatalf("in the end %+v", s)
+		t.Fatalf("after the ramp: %+v", s)
 	}
 }
 
-// A zone that is half healthy stays in its state, whichever that is.
+// A zone that is half healthy stays in its state, whether that is present or lost.
 func TestHysteresis(t *testing.T) {
 	controller := threeZones()
 	now := controller.observeFor(1, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0].State; s != Present {
-		t.Errorf("present and half healthy: %v", s)
+		t.Errorf("present zone, half healthy: %v", s)
 	}
 	now = controller.observeFor(now, second, observedZone(0.2), observedZone(1), observedZone(1))
 	now = controller.observeFor(now, 5*second, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0].State; s != Lost {
-		t.Errorf("lost and half healthy: %v", s)
+		t.Errorf("lost zone, half healthy: %v", s)
 	}
 	now = controller.observeFor(now, 400*ms, observedZone(0.8), observedZone(1), observedZone(1))
 	controller.observeFor(now, 100*ms, observedZone(0.5), observedZone(1), observedZone(1))
 	if s := controller.Status(now + 600*ms)[0].State; s != Lost {
-		t.Errorf("healthy for less than the settling time: %v", s)
+		t.Errorf("lost zone, healthy for less than the settling time: %v", s)
 	}
 }
 
-// After its third loss a zone that flaps every 2 s is suppressed until it has been stable, and no longer than MaxSuppression.
-func TestFlapsAreDamped(t *testing.T) {
+// After its third loss, a zone that flaps every 2 s is suppressed until it has been stable, for at most MaxSuppression.
+func TestFlapDamping(t *testing.T) {
 	for _, every := range []rules.Time{2 * second, 10 * second, 60 * second} {
 		controller := threeZones()
 		controller.settings.RecoveryRamp = second
 		now, returns := rules.Time(1), 0
-		for flap := range 12 {
+		for flaps := range 12 {
 			now = controller.observeFor(now, every, observedZone(0), observedZone(1), observedZone(1))
 			before := controller.Status(now)[0].State
 			for range every / (50 * ms) {
 				for _, change := range controller.updateZones(now, []Observation{observedZone(1), observedZone(1), observedZone(1)}) {
-					if change.Zone == 0 && change.To == Returning && flap >= 3 {
+					if change.Zone == 0 && change.To == Returning && flaps >= 3 {
 						returns++
 					}
 				}
 				now += 50 * ms
 			}
 			if before != Lost && before != Failing {
-				t.Fatalf("%v: not lost: %v", every, before)
+				t.Fatalf("flaps every %v: state %v, want lost or failing", every, before)
 			}
 		}
 		t.Logf("flaps every %d s: %d returns in 9 flaps after the third", every/second, returns)
@@ -113,48 +113,48 @@
 	}
 }
 
-// A zone whose active engines are all silent is unreachable, however healthy its engines are taken to be.
+// A zone whose active engines are all silent is unreachable, even if its engines count as healthy.
 func TestSilentZoneIsUnreachable(t *testing.T) {
 	controller := threeZones()
-	cut := observedZone(1)
-	cut.SilentEngines = cut.ActiveEngines
-	now := controller.observeFor(1, second, cut, observedZone(1), observedZone(1))
+	silent := observedZone(1)
+	silent.SilentEngines = silent.ActiveEngines
+	now := controller.observeFor(1, second, silent, observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Lost || s.Losses != 1 {
 		t.Errorf("%+v", s)
 	}
-	one := Observation{ListedCores: 100, HealthyCores: 100, WarmCores: 100, ActiveEngines: 1, SilentEngines: 1}
+	singleEngine := Observation{ListedCores: 100, HealthyCores: 100, WarmCores: 100, ActiveEngines: 1, SilentEngines: 1}
 	controller = threeZones()
-	now = controller.observeFor(1, second, one, observedZone(1), observedZone(1))
+	now = controller.observeFor(1, second, singleEngine, observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Present {
-		t.Errorf("a zone of one engine, silent for a moment: %+v", s)
+		t.Errorf("a zone whose only active engine is silent: %+v", s)
 	}
 }
 
-func TestDrainOnPurpose(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	controller := threeZones()
-	all := []Observation{observedZone(1), observedZone(1), observedZone(1)}
-	now := controller.observeFor(1, second, all...)
+	healthyZones := []Observation{observedZone(1), observedZone(1), observedZone(1)}
+	now := controller.observeFor(1, second, healthyZones...)
 	controller.SetDraining(now, 0, true)
-	now = controller.observeFor(now, 5*second, all...)
+	now = controller.observeFor(now, 5*second, healthyZones...)
 	if s := controller.Status(now)[0]; s.State != Draining || math.Abs(s.LoadShare-0.5) > 0.02 {
-		t.Fatalf("half way %+v", s)
+		t.Fatalf("half way through the drain: %+v", s)
 	}
 	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
-		t.Errorf("half drained, it keeps %v of its load: half of its capacity counts with the factor 1.4", to[0])
+		t.Errorf("the half drained zone keeps %v of its load, want 0.7: half of its capacity times 1.4", to[0])
 	}
-	now = controller.observeFor(now, 6*second, all...)
+	now = controller.observeFor(now, 6*second, healthyZones...)
 	if s := controller.Status(now)[0]; s.State != Drained || s.Losses != 0 {
-		t.Fatalf("in the end %+v", s)
+		t.Fatalf("after the drain: %+v", s)
 	}
 	controller.SetDraining(now, 0, false)
-	now = controller.observeFor(now, 19*second, all...)
+	now = controller.observeFor(now, 19*second, healthyZones...)
 	if s := controller.Status(now)[0].State; s != Present {
-		t.Errorf("drained, then not: %v", s)
+		t.Errorf("19 s after the drain was lifted: %v", s)
 	}
 }
 
-// Where too little is healthy, health is ignored: the rest could not take the load of what is excluded.
-func TestPanic(t *testing.T) {
+// When too little is healthy, health is ignored: the healthy part could not take the load of the rest.
+func TestPanicMode(t *testing.T) {
 	controller := threeZones()
 	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(0), observedZone(0.9))
 	s := controller.Split(now)
@@ -163,71 +163,71 @@
 	}
 }
 
-func TestTiersInOrder(t *testing.T) {
+func TestFailoverTierOrder(t *testing.T) {
 	set := Defaults()
 	set.Tiers = map[int][][]int{0: {{2}}}
 	controller := New(set, Fleet{Zones: 4}, 0)
 	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(1), observedZone(1), observedZone(1))
 	if to := controller.Split(now).Fractions; to[2] != 1 {
-		t.Errorf("lost, with zone 2 preferred: %v", to)
+		t.Errorf("own zone lost, zone 2 preferred: %v", to)
 	}
 	now = controller.observeFor(now, 2*second, observedZone(0), observedZone(1), observedZone(0.5), observedZone(1))
 	if to := controller.Split(now).Fractions; math.Abs(to[2]-0.7) > 1e-9 || math.Abs(to[1]-0.15) > 1e-9 {
-		t.Errorf("and half of zone 2 gone: %v", to)
+		t.Errorf("own zone lost, half of zone 2 unhealthy: %v", to)
 	}
 	if s := controller.Split(now + 1); s.Panic {
-		t.Error("5 of 8 healthy is no panic")
+		t.Error("panic mode though 5/8 of the capacity is healthy")
 	}
 }
 
-// A zone whose engines have failed and left the endpoint list is not taken for complete.
-func TestHalfOfAZoneLeavesTheList(t *testing.T) {
+// A zone does not count as complete after failed engines have left the endpoint list.
+func TestUnlistedEnginesCountAsLost(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 2}, 0)
 	now := controller.observeFor(1, 2*second, observedZone(1), observedZone(1))
 	half := Observation{ListedCores: 50, HealthyCores: 50, WarmCores: 50, ActiveEngines: 2}
 	now = controller.observeFor(now, second, half, observedZone(1))
 	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
-		t.Errorf("half of it off the list: it keeps %v of its load, 0.7 wanted", to[0])
+		t.Errorf("half of the zone has left the list: it keeps %v of its load, want 0.7", to[0])
 	}
 	now = controller.observeFor(now, 5*controller.settings.Damping.MaxSuppression, half, observedZone(1))
 	if to := controller.Split(now).Fractions; to[0] < 0.99 {
-		t.Errorf("half of it gone for long: it keeps %v of its load", to[0])
+		t.Errorf("half of the zone left the list long ago: it keeps %v of its load", to[0])
 	}
 }
 
-// settingsWithSpillover are the settings of tests of the spillover limit and of load shedding.
-func settingsWithSpillover(spill float64) Settings {
-	s := Defaults()
-	s.SpilloverLimit, s.SheddingEnabled = spill, true
-	return s
+// settingsWithSpillover returns settings with a spillover limit and load shedding enabled.
+func settingsWithSpillover(limit float64) Settings {
+	settings := Defaults()
+	settings.SpilloverLimit, settings.SheddingEnabled = limit, true
+	return settings
 }
 
-// engineObservations are four engines of 25 cores in each zone, of which a fraction is healthy.
-func engineObservations(well ...float64) (out []EngineObservation) {
-	for zone, part := range well {
+// engineObservations returns four engines of 25 cores for each zone, of which a fraction is healthy.
+func engineObservations(healthy ...float64) (out []EngineObservation) {
+	for zone, fraction := range healthy {
 		for i := range 4 {
 			out = append(out, EngineObservation{Engine: rules.EngineID(10*zone + i + 1), Zone: zone, Cores: 25, WarmFraction: 1, Slowdown: 1,
-				Excluded: float64(i) >= 4*part})
+				Excluded: float64(i) >= 4*fraction})
 		}
 	}
 	return out
 }
 
-// All gateways together stay within the spillover limit of a zone in any second, with queries smaller and larger than
-// the part of one, and use most of it; gateways whose own zone is there need none of it.
+// All gateways together stay within the spillover limit of a zone in each second, with queries smaller and larger than
+// the allowance of one gateway, and use at least 0.35 of it. Gateways whose own zone is present don't spill over.
 func TestSpilloverStaysUnderItsLimit(t *testing.T) {
 	for _, work := range []rules.Time{5 * ms, 200 * ms, 2 * second} {
-		const gateways, length = 300, 40 * second
+		const gateways, duration = 300, 40 * second
 		set := settingsWithSpillover(0.3)
-		all := make([]*Controller, gateways)
-		for i := range all {
+		controllers := make([]*Controller, gateways)
+		for i := range controllers {
 			_, jitter := math.Modf(float64(i) * math.Phi)
-			all[i] = New(set, Fleet{Zones: 3, OwnZone: i % 3, Gateways: gateways, Jitter: jitter}, 0)
+			controllers[i] = New(set, Fleet{Zones: 3, OwnZone: i % 3, Gateways: gateways, Jitter: jitter}, 0)
 		}
-		var sent [length / second]float64
-		waits := 0
-		for now := rules.Time(1); now < length; now += 100 * ms {
-			for _, controller := range all {
+		var sent [duration / second]float64
+		blocked := 0
+		for now := rules.Time(1); now < duration; now += 100 * ms {
+			for _, controller := range controllers {
 				controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{Share: 1}, true)
 				if controller.ownZone != 0 {
 					continue
@@ -238,8 +238,8 @@
 						controller.RecordSend(now, zone, float64(work), false)
 						sent[now/second] += float64(work) / float64(second)
 					} else if !ok {
-						if waits++; controller.RetryAfter(now) <= 0 {
-							t.Fatal("blocked without a Retry-After")
+						if blocked++; controller.RetryAfter(now) <= 0 {
+							t.Fatal("query blocked without a Retry-After")
 						}
 					}
 				}
@@ -248,17 +248,18 @@
 		limit, sum := 2*0.3*100, 0.0
 		for at, s := range sent[2:] {
 			if sum += s; s > limit*1.001 {
-				t.Errorf("queries of %d ms, second %d: %v cores of foreign load, the limit is %v", work/ms, at+2, s, limit)
+				t.Errorf("queries of %d ms, second %d: %v cores of spillover, the limit is %v", work/ms, at+2, s, limit)
 			}
 		}
-		t.Logf("queries of %d ms: %.1f cores of a limit of %.0f, %d draws are blocked", work/ms, sum/float64(len(sent)-2), limit, waits)
-		if mean := sum / float64(len(sent)-2); mean < 0.35*limit || waits == 0 {
-			t.Errorf("queries of %d ms: %v cores of a limit of %v used, %d draws are blocked", work/ms, mean, limit, waits)
+		t.Logf("queries of %d ms: %.1f cores of a limit of %.0f used, %d picks blocked", work/ms, sum/float64(len(sent)-2), limit, blocked)
+		if mean := sum / float64(len(sent)-2); mean < 0.35*limit || blocked == 0 {
+			t.Errorf("queries of %d ms: %v cores of a limit of %v used, %d picks blocked", work/ms, mean, limit, blocked)
 		}
 	}
 }
 
-// There is no spillover limit for a gateway whose own zone has no engines, for engines of no zone, nor with one zone only.
+// There is no spillover limit for a gateway whose own zone has no engines or is unknown, in a fleet of one zone, or for
+// engines without a zone.
 func TestNoSpilloverLimitWithoutAnOwnZone(t *testing.T) {
 	for name, controller := range map[string]*Controller{
 		"no engine of its own zone": New(settingsWithSpillover(0.01), Fleet{Zones: 3, OwnZone: 2, Gateways: 9}, 0),
@@ -280,14 +281,14 @@
 	controller.Observe(1, engineObservations(1, 1), rules.LoadSummary{Share: 1}, true)
 	for range 50 {
 		if !controller.Admits(1, 1, float64(second), false) {
-			t.Fatal("engines of no zone are taken for those of another zone")
+			t.Fatal("the spillover limit applies to engines without a zone")
 		}
 		controller.RecordSend(1, 1, float64(second), false)
 	}
 }
 
-// Retries into a zone stay within a fraction of the first attempts there; other zones have their own budget.
-func TestRetriesByZone(t *testing.T) {
+// The retry budget bounds retries into a zone by a fraction of the first attempts there. Each zone has its own budget.
+func TestRetryBudgetPerZone(t *testing.T) {
 	set := Defaults()
 	set.RetryBudget = 0.2
 	controller := New(set, Fleet{Zones: 3, Gateways: 1}, 0)
@@ -299,86 +300,85 @@
 	for controller.Admits(now, 1, float64(ms), true) {
 		controller.RecordSend(now, 1, float64(ms), true)
 		if sent++; sent > 100 {
-			t.Fatal("retries without end")
+			t.Fatal("retries are not limited")
 		}
 	}
 	if sent != freeRetries+20 {
-		t.Errorf("%d retries on 100 first attempts", sent)
+		t.Errorf("%d retries for 100 first attempts, want 25", sent)
 	}
 	if !controller.Admits(now, 2, float64(ms), true) || !controller.Admits(now, 1, float64(ms), false) {
-		t.Error("the budget of one zone blocks retries into another, or first attempts")
+		t.Error("the retry budget of one zone blocks retries into another zone or first attempts")
 	}
 	if !controller.Admits(now+3*retryWindow, 1, float64(ms), true) {
-		t.Error("the budget does not recover")
+		t.Error("the retry budget does not recover")
 	}
 }
 
-// No query is drawn in or admitted to a zone that is lost or drained while others are healthy; in a panic all zones
-// admit queries.
-func TestOpenZones(t *testing.T) {
+// A lost zone admits no queries and is not picked while others are healthy. In panic mode all zones admit queries.
+func TestAdmittingZones(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 3, Gateways: 1}, 0)
 	for now := rules.Time(1); now < 2*second; now += 200 * ms {
 		controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{}, true)
 	}
 	if controller.Admits(2*second, 0, 1, false) || !controller.Admits(2*second, 1, 1, false) {
-		t.Error("the lost zone admits queries, or another does not")
+		t.Error("the lost zone admits queries, or a healthy zone does not")
 	}
 	for drawn := 0.0; drawn < 1; drawn += 0.05 {
 		if zone, ok := controller.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
-			t.Fatalf("after an attempt in zone 1, zone 0 lost: %d, %v", zone, ok)
+			t.Fatalf("zone 1 tried, zone 0 lost: picked zone %d, %v", zone, ok)
 		}
 	}
 	if zone, ok := controller.PickZone(2*second, 0.5, 1, []int{1, 2}); !ok || zone != -1 {
-		t.Errorf("all zones of the split had an attempt: %d, %v", zone, ok)
+		t.Errorf("all zones of the split tried: picked zone %d, %v", zone, ok)
 	}
 	for now := 2 * second; now < 5*second; now += 200 * ms {
 		controller.Observe(now, engineObservations(0, 0, 0), rules.LoadSummary{}, true)
 	}
 	if !controller.Admits(5*second, 0, 1, false) {
-		t.Error("nothing is healthy, and a zone admits no queries all the same")
+		t.Error("no zone is healthy, but a zone admits no queries")
 	}
 }
 
-// With a standing queue requests of the lowest value are shed, as many as the queue needs to drain; without pressure
-// nothing is. Nothing is shed where shedding is not enabled.
-func TestArriveUnderPressure(t *testing.T) {
+// Under overload, requests of the lowest value are shed, and no more of them than the excess demand. Without overload,
+// or with shedding disabled, nothing is shed.
+func TestSheddingUnderOverload(t *testing.T) {
 	classes := []rules.Class{{PriorityWeight: 1, LatencyObjective: second}, {PriorityWeight: 20, LatencyObjective: second}}
 	const work = float64(second) / 2
-	for _, shed := range []bool{false, true} {
+	for _, enabled := range []bool{false, true} {
 		set := settingsWithSpillover(1)
-		set.SheddingEnabled = shed
+		set.SheddingEnabled = enabled
 		controller := New(set, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
 		queued := 0.0
-		run := func(from, length rules.Time, load float64) (refused [2]int) {
-			due := 0.0
-			for now := from; now < from+length; now += 50 * ms {
+		run := func(from, duration rules.Time, load float64) (shed [2]int) {
+			arrivals := 0.0
+			for now := from; now < from+duration; now += 50 * ms {
 				controller.Observe(now, engineObservations(1), rules.LoadSummary{Share: 1, QueuedWork: queued, MeanWork: []float64{work, work}}, true)
-				for due += load * 100 * float64(50*ms) / work; due >= 1; due-- { // 100 cores do their work
-					if refuse, _ := controller.RequestArrived(now, Request{Class: int(due) % 2, DeclaredWork: work}); refuse {
-						refused[int(due)%2]++
+				for arrivals += load * 100 * float64(50*ms) / work; arrivals >= 1; arrivals-- { // load relative to the 100 cores
+					if reject, _ := controller.RequestArrived(now, Request{Class: int(arrivals) % 2, DeclaredWork: work}); reject {
+						shed[int(arrivals)%2]++
 					} else {
 						queued += work
 					}
 				}
-				for did := 0.0; did < 100*float64(50*ms) && queued >= work; did += work {
+				for done := 0.0; done < 100*float64(50*ms) && queued >= work; done += work {
 					queued -= work
 					controller.RecordSend(now, 0, work, false)
 				}
-				queued = min(queued, 400*float64(second)) // the rest has missed its deadline
+				queued = min(queued, 400*float64(second)) // requests beyond this miss their deadlines
 			}
-			return refused
+			return shed
 		}
-		if got := run(1, 20*second, 0.9); got != [2]int{} {
-			t.Errorf("shedding %v, a load of 0.9: %v rejected", shed, got)
+		if shed := run(1, 20*second, 0.9); shed != [2]int{} {
+			t.Errorf("shedding enabled %v, load of 0.9: %v rejected", enabled, shed)
 		}
 		run(20*second, 20*second, 1.4)
-		got := run(40*second, 20*second, 1.4)
-		if part := float64(got[0]) / (20 * 1.4 * 200); shed && (math.Abs(part-0.286) > 0.06 || got[1] != 0) || !shed && got != [2]int{} {
-			t.Errorf("shedding %v, a load of 1.4: %v rejected, %.3f of all; 0.286 is too much", shed, got, part)
+		shed := run(40*second, 20*second, 1.4)
+		if fraction := float64(shed[0]) / (20 * 1.4 * 200); enabled && (math.Abs(fraction-0.286) > 0.06 || shed[1] != 0) || !enabled && shed != [2]int{} {
+			t.Errorf("shedding enabled %v, load of 1.4: %v rejected, %.3f of all; the excess is 0.286", enabled, shed, fraction)
 		}
 		run(60*second, 60*second, 0.8)
 		if _, shedNow, _ := controller.SheddingStatus(); shedNow > 0.01 || controller.RetryAfter(120*second) != 0 {
-			t.Errorf("shedding %v, after the overload: %v shed, Retry-After %d", shed, shedNow, controller.RetryAfter(120*second))
+			t.Errorf("shedding enabled %v, after the overload: %v shed, Retry-After %d", enabled, shedNow, controller.RetryAfter(120*second))
 		}
 	}
 }
@@ -388,44 +388,44 @@
 	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 2, Tenants: []rules.Tenant{{QuotaPerSecond: 20}, {QuotaPerSecond: 20}},
 		Classes: []rules.Class{{PriorityWeight: 1, LatencyObjective: second}}}, 0)
 	controller.demand.tiers[TierOverQuota].shedFraction = 1
-	refused := [2]int{}
+	shed := [2]int{}
 	for now := rules.Time(1); now < 20*second; now += 50 * ms {
-		for tenant, n := range []int{3, 0} { // 60 a second, and 5: the even part of the quota for one gateway is 10
+		for tenant, n := range []int{3, 0} { // 60 and 5 requests a second; the quota is 10 a second per gateway
 			if tenant == 1 && now%(200*ms) == 1 {
 				n = 1
 			}
 			for range n {
-				if refuse, _ := controller.RequestArrived(now, Request{Tenant: tenant, DeclaredWork: float64(ms)}); refuse {
-					refused[tenant]++
+				if reject, _ := controller.RequestArrived(now, Request{Tenant: tenant, DeclaredWork: float64(ms)}); reject {
+					shed[tenant]++
 				}
 			}
 		}
 	}
-	if refused[0] < 500 || refused[1] != 0 {
-		t.Errorf("rejected by tenant: %v", refused)
+	if shed[0] < 500 || shed[1] != 0 {
+		t.Errorf("rejected by tenant: %v", shed)
 	}
 }
 
-// As much is shed as must be, from the first tier on, and of the last one only a part: tenants over their quota,
-// retries, then the lowest value.
+// Tiers are shed in order, each completely before the next and the last one in part: tenants over their quota, retries,
+// then the lowest value.
 func TestTiersAreShedInOrder(t *testing.T) {
 	controller := New(settingsWithSpillover(1), Fleet{Zones: 1, Gateways: 1, Classes: []rules.Class{{PriorityWeight: 1}, {PriorityWeight: 16}}}, 0)
 	light, heavy := TierLowestValue+PriorityTier(ValueTier(1, float64(second))), TierLowestValue+PriorityTier(ValueTier(16, float64(second)))
 	if heavy-light != 4*tiersPerDoubling {
-		t.Fatalf("16 times the priority weight is %d tiers up", heavy-light)
+		t.Fatalf("16 times the priority weight is %d tiers higher, want 8", heavy-light)
 	}
-	for _, c := range []struct{ part, over, again, less, more float64 }{{0, 0, 0, 0, 0}, {0.1, 1, 0, 0, 0}, {0.2, 1, 0.5, 0, 0},
+	for _, test := range []struct{ fraction, overQuota, retries, light, heavy float64 }{{0, 0, 0, 0, 0}, {0.1, 1, 0, 0, 0}, {0.2, 1, 0.5, 0, 0},
 		{0.4, 1, 1, 1.0 / 3, 0}, {0.7, 1, 1, 1, 1.0 / 4}} {
 		for i := range controller.demand.tiers {
 			controller.demand.tiers[i].work = decayingSum{0, controller.now}
 		}
-		for tier, asked := range map[PriorityTier]float64{TierOverQuota: 10, TierRetries: 20, light: 30, heavy: 40} {
-			controller.demand.tiers[tier].work.sum = asked
+		for tier, work := range map[PriorityTier]float64{TierOverQuota: 10, TierRetries: 20, light: 30, heavy: 40} {
+			controller.demand.tiers[tier].work.sum = work
 		}
-		controller.distributeShedding(c.part)
-		for tier, want := range map[PriorityTier]float64{TierOverQuota: c.over, TierRetries: c.again, light: c.less, heavy: c.more} {
+		controller.distributeShedding(test.fraction)
+		for tier, want := range map[PriorityTier]float64{TierOverQuota: test.overQuota, TierRetries: test.retries, light: test.light, heavy: test.heavy} {
 			if got := controller.demand.tiers[tier].shedFraction; math.Abs(got-want) > 1e-9 {
-				t.Errorf("of %v of all, tier %d sheds %v, want %v", c.part, tier, got, want)
+				t.Errorf("%v of the demand is shed: tier %d sheds %v, want %v", test.fraction, tier, got, want)
 			}
 		}
 	}
@@ -433,23 +433,23 @@
 	controller.demand.tiers[light].shedFraction = 0.25
 	shed := 0
 	for range 100 {
-		if refuse, after := controller.RequestArrived(second, Request{Class: 0, DeclaredWork: float64(second)}); refuse {
-			if shed++; after <= 0 {
-				t.Fatal("rejected without a Retry-After")
+		if reject, retryAfter := controller.RequestArrived(second, Request{Class: 0, DeclaredWork: float64(second)}); reject {
+			if shed++; retryAfter <= 0 {
+				t.Fatal("request shed without a Retry-After")
 			}
 		}
-		if refuse, _ := controller.RequestArrived(second, Request{Class: 1, DeclaredWork: float64(second)}); refuse {
-			t.Fatal("a request of higher value is rejected")
+		if reject, _ := controller.RequestArrived(second, Request{Class: 1, DeclaredWork: float64(second)}); reject {
+			t.Fatal("a request of a higher value tier was shed")
 		}
 	}
 	if shed != 25 {
-		t.Errorf("%d of 100 of a tier that sheds a quarter", shed)
+		t.Errorf("%d of 100 requests shed in a tier with a shed fraction of 0.25", shed)
 	}
 }
 
-// For random observations: fractions add up to one and lie within 0 and 1, nothing goes to a zone that lists nothing, and a
-// share never rises faster than the ramp.
-func TestSplitIsSound(t *testing.T) {
+// For random observations, the fractions of a split are within 0 and 1 and add up to 1, a zone without listed cores
+// gets no load, and no share rises faster than the ramp.
+func TestSplitInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "zones")
 		controller := New(Defaults(), Fleet{Zones: n, OwnZone: rapid.IntRange(0, n-1).Draw(t, "own"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}, 0)
@@ -483,22 +483,23 @@
 			split, sum := controller.Split(now), 0.0
 			for i, p := range split.Fractions {
 				if math.IsNaN(p) || p < 0 || p > 1+1e-9 {
-					t.Fatalf("parts %v", split.Fractions)
+					t.Fatalf("fractions %v", split.Fractions)
 				}
 				if p > 0 && observations[i].ListedCores <= 0 {
-					t.Fatalf("zone %d lists nothing and gets %v", i, p)
+					t.Fatalf("zone %d has no listed cores and gets %v", i, p)
 				}
 				sum += p
 			}
 			if listed > 0 && math.Abs(sum-1) > 1e-9 || listed == 0 && sum != 0 {
-				t.Fatalf("parts %v add up to %v, %v cores are listed", split.Fractions, sum, listed)
+				t.Fatalf("fractions %v add up to %v with %v cores listed", split.Fractions, sum, listed)
 			}
 		}
 	})
 }
 
-// A simulation of three zones: the others take the load of a lost one within the spillover limit, and its recovery is paced.
-func TestPlan(t *testing.T) {
+// In a simulation of three zones, two take the load of the lost one within the spillover limit, and its load returns
+// gradually.
+func TestSimulate(t *testing.T) {
 	sc := Scenario{
 		Zones:     []ZoneSpec{{"a", 100, 60}, {"b", 100, 60}, {"c", 100, 60}},
 		Classes:   []ClassSpec{{"point", 0.1, 22}, {"report", 0.6, 10}, {"load", 0.3, 11}},
@@ -511,70 +512,71 @@
 		for _, z := range m.Zones {
 			asked += z.OwnLoad + z.ForeignLoad + z.BlockedLoad + z.ShedLoad
 			if z.ForeignLoad > 0.3*100+1e-9 {
-				t.Errorf("second %d: %v cores of foreign load", at, z.ForeignLoad)
+				t.Errorf("second %d: %v cores of spillover, over the limit", at, z.ForeignLoad)
 			}
 		}
 		if math.Abs(asked-m.Demand) > 1e-6 {
-			t.Errorf("second %d: %v cores asked for, %v accounted for", at, m.Demand, asked)
+			t.Errorf("second %d: the demand is %v cores, loads add up to %v", at, m.Demand, asked)
 		}
 		if (at < 5 || at > 55) && (m.Unserved > 1e-6 || m.Zones[0].OwnLoad < 59) {
-			t.Errorf("second %d, nothing is lost: %+v", at, m)
+			t.Errorf("second %d, no zone is lost: %+v", at, m)
 		}
 		if at > 7 && at < 30 && (m.Zones[0].OwnLoad+m.Zones[0].ForeignLoad > 1e-9 || m.Unserved > 1) {
-			t.Errorf("second %d, a is lost and its clients fit the others: %+v", at, m)
+			t.Errorf("second %d, zone a is lost and the others have capacity for its clients: %+v", at, m)
 		}
 		if at == 33 && (m.Zones[0].OwnLoad > 30 || m.Zones[0].State != Returning) {
-			t.Errorf("second %d, a has been back for 3 s: %+v", at, m.Zones[0])
+			t.Errorf("second %d, zone a returned 3 s ago: %+v", at, m.Zones[0])
 		}
 	}
 }
 
-// Engines that are excluded for failures from before a recovery do not make the zone lost again; failures after it do.
+// Engines that are excluded for failures before a recovery do not cause another loss of the zone; failures after the
+// recovery do.
 func TestFailuresFromBeforeARecovery(t *testing.T) {
 	controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
-	look := func(from, length rules.Time, fault rules.Time, answers bool) rules.Time {
-		for now := from; now < from+length; now += 200 * ms {
+	observe := func(from, duration rules.Time, lastFailure rules.Time, answered bool) rules.Time {
+		for now := from; now < from+duration; now += 200 * ms {
 			list := engineObservations(0, 1)
 			for i := range list {
-				list[i].LastFailure = fault
+				list[i].LastFailure = lastFailure
 			}
 			for _, id := range controller.Observe(now, list, rules.LoadSummary{}, true).Probe {
 				if id < 10 {
-					controller.ProbeAnswered(0, answers)
+					controller.ProbeAnswered(0, answered)
 				}
 			}
 		}
-		return from + length
+		return from + duration
 	}
-	now := look(second, 3*second, second, false)
+	now := observe(second, 3*second, second, false)
 	if s := controller.Status(now)[0].State; s != Lost {
-		t.Fatalf("all excluded for 3 s: %v", s)
+		t.Fatalf("all engines excluded for 3 s: %v", s)
 	}
-	now = look(now, 7*second, second, true)
+	now = observe(now, 7*second, second, true)
 	if s := controller.Status(now)[0]; s.State != Returning || s.Losses != 1 {
-		t.Fatalf("its engines answer probes, and are still excluded for failures from before: %+v", s)
+		t.Fatalf("engines answer probes but are still excluded for earlier failures: %+v", s)
 	}
-	now = look(now, 2*second, now, true)
+	now = observe(now, 2*second, now, true)
 	if s := controller.Status(now)[0]; s.State != Lost || s.Losses != 2 {
-		t.Errorf("they have failed again since: %+v", s)
+		t.Errorf("engines have failed again since the recovery: %+v", s)
 	}
 }
 
-// A zone with two engines with overdue requests and no response since is probed, and lost within a second and a half if no
-// probe is answered, long before any of its engines is excluded. One overdue engine is no reason for suspicion; a
-// response from any ends it.
+// A zone is probed when two of its engines have overdue requests and none has responded since. If no probe is answered,
+// the zone is lost within 1.5 s, long before any of its engines is excluded. One overdue engine raises no suspicion,
+// and a response from any engine ends it.
 func TestSilentZoneIsSuspected(t *testing.T) {
-	type run struct {
-		late   int // engines of the first zone with an overdue request
-		answer bool
-		word   rules.Time // when another engine there sends a response; 0: never
+	type testCase struct {
+		overdue    int        // engines of the first zone with an overdue request
+		answered   bool       // probes are answered
+		respondsAt rules.Time // time after the start at which another engine of the zone responds; 0: never
 	}
-	play := func(r run) (asked int, lostAt rules.Time) {
+	simulate := func(test testCase) (probes int, lostAt rules.Time) {
 		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 		const start = 10 * second
-		due := map[rules.Time]bool{}
+		probeResults := map[rules.Time]bool{}
 		for now := rules.Time(start); now < start+4*second; now += 50 * ms {
-			if answer, ok := due[now]; ok {
+			if answer, ok := probeResults[now]; ok {
 				controller.ProbeAnswered(0, answer)
 			}
 			if now%(200*ms) != 0 {
@@ -583,58 +585,58 @@
 			list := engineObservations(1, 1)
 			for i := range list[:4] {
 				list[i].LastResponse = start - second
-				if i < r.late {
+				if i < test.overdue {
 					list[i].LastRequest, list[i].Overdue = start-100*ms, now > start
 				}
 			}
-			if r.word != 0 && now >= start+r.word {
-				list[3].LastResponse = start + r.word
+			if test.respondsAt != 0 && now >= start+test.respondsAt {
+				list[3].LastResponse = start + test.respondsAt
 			}
 			for _, id := range controller.Observe(now, list, rules.LoadSummary{}, true).Probe {
 				if id < 10 {
-					asked++
-					due[now+250*ms] = r.answer
+					probes++
+					probeResults[now+250*ms] = test.answered
 				}
 			}
 			if controller.Status(now)[0].State == Lost && lostAt == 0 {
 				lostAt = now - start
 			}
 		}
-		return asked, lostAt
+		return probes, lostAt
 	}
-	if asked, lostAt := play(run{late: 2}); asked < 2 || lostAt == 0 || lostAt > 1500*ms {
-		t.Errorf("silent: probed %d times, lost after %d ms", asked, lostAt/ms)
+	if probes, lostAt := simulate(testCase{overdue: 2}); probes < 2 || lostAt == 0 || lostAt > 1500*ms {
+		t.Errorf("silent zone: probed %d times, lost after %d ms", probes, lostAt/ms)
 	}
-	if asked, lostAt := play(run{late: 1}); asked != 0 || lostAt != 0 {
-		t.Errorf("one overdue engine: probed %d times, lost after %d ms", asked, lostAt/ms)
+	if probes, lostAt := simulate(testCase{overdue: 1}); probes != 0 || lostAt != 0 {
+		t.Errorf("one overdue engine: probed %d times, lost after %d ms", probes, lostAt/ms)
 	}
-	if asked, lostAt := play(run{late: 2, answer: true}); asked == 0 || lostAt != 0 {
-		t.Errorf("it answers: probed %d times, lost after %d ms", asked, lostAt/ms)
+	if probes, lostAt := simulate(testCase{overdue: 2, answered: true}); probes == 0 || lostAt != 0 {
+		t.Errorf("probes are answered: probed %d times, lost after %d ms", probes, lostAt/ms)
 	}
-	if asked, lostAt := play(run{late: 2, word: 300 * ms}); asked > 2 || lostAt != 0 {
-		t.Errorf("another engine responds: probed %d times, lost after %d ms", asked, lostAt/ms)
+	if probes, lostAt := simulate(testCase{overdue: 2, respondsAt: 300 * ms}); probes > 2 || lostAt != 0 {
+		t.Errorf("another engine responds: probed %d times, lost after %d ms", probes, lostAt/ms)
 	}
 }
 
-// A zone that other gateways say is lost is probed, and keeps its state while it answers.
+// A zone that peers report as lost is probed, and is lost only if it does not answer.
 func TestSuspicionFromPeers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
-		asked := 0
+		probes := 0
 		for now := rules.Time(second); now < 4*second; now += 250 * ms {
 			if now == 2*second {
 				controller.Suspect(0)
-				controller.Suspect(7) // no such zone
+				controller.Suspect(7) // unknown zone, ignored
 			}
 			for _, id := range controller.Observe(now, engineObservations(1, 1), rules.LoadSummary{}, true).Probe {
 				if id < 10 {
-					asked++
+					probes++
 					controller.ProbeAnswered(0, answers)
 				}
 			}
 		}
-		if s := controller.Status(4 * second)[0].State; asked == 0 || (s == Lost) == answers {
-			t.Errorf("answers %v: probed %d times, then %v", answers, asked, s)
+		if s := controller.Status(4 * second)[0].State; probes == 0 || (s == Lost) == answers {
+			t.Errorf("probes answered %v: probed %d times, then state %v", answers, probes, s)
 		}
 	}
 }
