--- a/internal/replica/budget.go
+++ b/internal/replica/budget.go
@@ -2,27 +2,29 @@
 
 import "foxlane/rules"
 
-// This file bounds what is sent: at most Budget bytes within a sliding second, in messages of at most MaxMessageBytes.
+// This file enforces the send budget: at most Budget bytes within a sliding second, in messages of at most
+// MaxMessageBytes.
 
 const (
 	maxRowBytes         = 8 + 10 + 10
-	maxHeaderBytes      = len(magic) + 2 + 1 + maxName + 10 + checksumSize
-	maxBlockHeaderBytes = 1 + maxName + 10 + 10 + 10 + 2
-	maxReplyMessages    = 4  // messages in answer to one
+	maxHeaderBytes      = len(magic) + 2 + 1 + maxNameBytes + 10 + checksumSize
+	maxBlockHeaderBytes = 1 + maxNameBytes + 10 + 10 + 10 + 2
+	maxReplyMessages    = 4  // messages sent in reply to one message
 	typicalEntryBytes   = 28 // measured on entries of one or two values
 )
 
-// withinBudget reports whether a message of n bytes may be sent now, and counts it as held back if not.
-func (s *Store) withinBudget(n int) bool {
-	if s.sentBytes.Total(s.now)+float64(n) <= float64(s.settings.Budget) {
+// withinBudget reports whether the budget allows a message of size bytes now, and counts the message in OverBudget if
+// not.
+func (s *Store) withinBudget(size int) bool {
+	if s.sentBytes.Total(s.now)+float64(size) <= float64(s.settings.Budget) {
 		return true
 	}
 	s.stats.OverBudget++
 	return false
 }
 
-// minInterval is for how long an entry is not sent again, however it changes: with hundreds of members, the entries of all must fit
-// into the budget of one. Urgent kinds are exempt.
+// minInterval returns the minimum time between two sends of an entry, even if it changes. It grows with the number of
+// members, since the entries of all members must fit into the budget of one. Urgent kinds are exempt.
 func (s *Store) minInterval(k Kind) rules.Time {
 	if urgent(k) {
 		return 0
@@ -30,14 +32,14 @@
 	return rules.Time(float64(len(s.members)*s.settings.Fanout*typicalEntryBytes) / float64(s.settings.Budget) * float64(rules.Second))
 }
 
-// beginMessage starts a message in the scratch buffer, which the result owns until finishMessage.
+// beginMessage starts a message in the scratch buffer. The writer owns the buffer until finishMessage.
 func (s *Store) beginMessage(t messageType) writer {
 	w := writer{buf: s.buf}
 	w.begin(t, s.settings.Name, s.own.incarnation)
 	return w
 }
 
-// finishMessage closes a message. The result is valid until the next beginMessage.
+// finishMessage completes a message and returns it. The result is valid until the next beginMessage.
 func (s *Store) finishMessage(w *writer) []byte {
 	msg := w.finish()
 	s.buf = msg[:0]
@@ -51,7 +53,7 @@
 	s.emit(Send{To: to, Data: append([]byte(nil), msg...)})
 }
 
-// sendWithinBudget sends a message, or drops it if the budget is used up.
+// sendWithinBudget sends a message, or drops it if the budget does not allow it.
 func (s *Store) sendWithinBudget(to string, msg []byte) {
 	if s.withinBudget(len(msg)) {
 		s.send(to, msg)
--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -11,22 +11,25 @@
 	"foxlane/rules"
 )
 
-// This file encodes and decodes messages: at most MaxMessageBytes each, with a version and a checksum, and independent of one another.
+// This file encodes and decodes messages. Each message has at most MaxMessageBytes, carries a version and a checksum,
+// and can be decoded independently of others.
 //
 //	message          = magic version type sender incarnation body checksum
-//	delta            = blocks of (origin, its incarnation, from, to, entries): all entries with counters over from, up to and with to
-//	digest           = whether an answer is wanted, rows of (hash of an origin, its incarnation, counter): the sender holds all up to it
-//	snapshot request = where to continue a snapshot: the hash of an origin, 0 at the beginning
-//	snapshot end     = where the part that was sent ends: the hash of an origin, 0 at the end of the snapshot
+//	delta            = blocks of (origin, incarnation, from, to, entries)
+//	digest           = answer-wanted flag, rows of (hash of the origin's name, incarnation, counter)
+//	snapshot request = hash of the origin after which to continue, 0 at the beginning
+//	snapshot end     = hash of the last origin that was sent, 0 at the end of the snapshot
 //
-// Numbers are uvarints. Ages are in hundredths of a second since the origin wrote the entry.
+// A block holds all entries of its origin with counters in (from, to]. A digest row says that the sender holds all
+// entries of the origin up to the counter. Numbers are uvarints. Ages are in units of ageUnit since the origin wrote
+// the entry.
 
 const (
 	magic           = "fxr"
 	version         = 1
-	minVersion      = 1 // the oldest version that is understood
-	maxName         = 64
-	maxMessage      = 8 << 10
+	minVersion      = 1 // oldest supported version
+	maxNameBytes    = 64
+	maxMessageBytes = 8 << 10 // upper bound of Settings.MaxMessageBytes
 	maxBlockEntries = 1024
 	ageUnit         = 10 * rules.Millisecond
 	maxAgeUnits     = 1 << 20
@@ -50,23 +53,24 @@
 	return fmt.Sprintf("message of type %d", uint8(t))
 }
 
-// Errors of messages that can't be used.
+// Errors of messages that are rejected.
 var (
-	ErrTruncated      = errors.New("replica: a message is cut short")
-	ErrChecksum       = errors.New("replica: the sum of a message does not fit it")
-	ErrForeignMessage = errors.New("replica: not a message of ours")
-	ErrOutOfRange     = errors.New("replica: a value is out of range")
+	ErrTruncated      = errors.New("replica: message is truncated")
+	ErrChecksum       = errors.New("replica: checksum mismatch")
+	ErrForeignMessage = errors.New("replica: foreign message")
+	ErrOutOfRange     = errors.New("replica: message has a value out of range")
 )
 
-// VersionError is a message of a version that is not understood here.
+// VersionError reports a message of an unsupported protocol version.
 type VersionError struct{ Version int }
 
 // Error implements error.
 func (e VersionError) Error() string {
-	return fmt.Sprintf("replica: a peer speaks version %d, versions %d to %d are understood", e.Version, minVersion, version+1)
+	return fmt.Sprintf("replica: message has version %d, supported are versions %d to %d", e.Version, minVersion, version+1)
 }
 
-// checksumFor covers an entry and the name of its origin, but not WrittenAt, which differs between holders.
+// checksumFor returns the checksum of an entry and the name of its origin. It excludes WrittenAt, which differs between
+// holders.
 func (e *Entry) checksumFor(origin string) uint32 {
 	var raw [1 + 8 + 8 + 4*ValueCount]byte
 	raw[0] = byte(e.Kind)
@@ -102,7 +106,7 @@
 	return binary.LittleEndian.AppendUint32(w.buf, uint32(xxh3.Hash(w.buf)))
 }
 
-// blockHeader appends what precedes n entries of an origin with counters over from, up to and with to.
+// blockHeader appends the header of a block of n entries of an origin with counters in (from, to].
 func (w *writer) blockHeader(o *origin, from, to uint64, n int) {
 	w.text(o.name)
 	w.uvarint(o.incarnation)
@@ -111,7 +115,7 @@
 	w.uvarint(uint64(n))
 }
 
-// entry appends an entry with its age now. A number that is 0 takes no bytes but its bit in a mask.
+// entry appends an entry with its age at now. Values of 0 are omitted; a mask has a bit for each value that is present.
 func (w *writer) entry(e *Entry, sum uint32, now rules.Time) {
 	w.buf = append(w.buf, byte(e.Kind))
 	w.uvarint(e.Subject)
@@ -134,7 +138,7 @@
 
 const maxEntryBytes = 1 + 10 + 10 + 5 + 1 + 4*ValueCount + 4
 
-// reader decodes a message. After the first error it returns zeros, and keeps that error.
+// reader decodes a message. It keeps the first error and returns zeros after it.
 type reader struct {
 	rest []byte
 	err  error
@@ -157,7 +161,7 @@
 	return n
 }
 
-// count returns a number that is at most limit.
+// count returns a number and fails if it is over limit.
 func (r *reader) count(limit int) int {
 	n := r.uvarint()
 	if n > uint64(limit) {
@@ -179,7 +183,7 @@
 }
 
 func (r *reader) text() string {
-	n := r.count(maxName)
+	n := r.count(maxNameBytes)
 	if r.err != nil {
 		return ""
 	}
@@ -215,7 +219,7 @@
 	return e, sum
 }
 
-// block is the entries of one origin in a delta: all with counters over from, up to and with to.
+// block holds all entries of one origin with counters in (from, to].
 type block struct {
 	origin      string
 	incarnation uint64
@@ -223,7 +227,7 @@
 	entries     []Entry
 }
 
-// block decodes a block. Entries of kinds of a later version are skipped.
+// block decodes a block. Entries of unknown kinds, which a later version may send, are skipped.
 func (r *reader) block(now rules.Time) block {
 	b := block{origin: r.text(), incarnation: r.uvarint(), from: r.uvarint(), to: r.uvarint()}
 	n := r.count(maxBlockEntries)
@@ -250,16 +254,17 @@
 	return b
 }
 
-// header begins each message.
+// header is the decoded header of a message.
 type header struct {
 	kind        messageType
 	sender      string
 	incarnation uint64
 }
 
-// decodeHeader checks a message's frame and returns a reader of its body.
+// decodeHeader verifies size, magic, version and checksum of a message, and returns its header and a reader of its
+// body.
 func decodeHeader(msg []byte) (h header, r reader, err error) {
-	if len(msg) > maxMessage {
+	if len(msg) > maxMessageBytes {
 		return h, r, ErrOutOfRange
 	}
 	if len(msg) < len(magic)+2+checksumSize {
@@ -268,7 +273,7 @@
 	if string(msg[:len(magic)]) != magic {
 		return h, r, ErrForeignMessage
 	}
-	if v := int(msg[len(magic)]); v < minVersion || v > version+1 { // the next version keeps this frame, so that upgrades can roll
+	if v := int(msg[len(magic)]); v < minVersion || v > version+1 { // the next version keeps this header, so that rolling upgrades work
 		return h, r, VersionError{v}
 	}
 	body, sum := msg[:len(msg)-checksumSize], binary.LittleEndian.Uint32(msg[len(msg)-checksumSize:])
--- a/internal/replica/digest.go
+++ b/internal/replica/digest.go
@@ -1,8 +1,9 @@
 package replica
 
-// This file runs anti-entropy: members exchange digests of how much each holds, and send what the other lacks.
+// This file implements anti-entropy: members exchange digests of the entries that they hold, and send each other the
+// missing ones.
 
-// digestRow says how much a member holds of an origin: all entries up to a counter.
+// digestRow states that a member holds all entries of an origin up to a counter.
 type digestRow struct{ hash, incarnation, counter uint64 }
 
 func (o *origin) digestRow() digestRow {
@@ -11,18 +12,19 @@
 
 const maxDigestRows = 512 // in one digest
 
-// digestCapacity is how many rows fit into one message.
+// digestCapacity returns the number of rows that fit into one message.
 func (s *Store) digestCapacity() int {
 	return min((s.settings.MaxMessageBytes-maxHeaderBytes-4)/maxRowBytes, maxDigestRows)
 }
 
-// sendDigest sends a member the rows of some origins, round robin, and asks for its answer.
+// sendDigest sends a member as many rows as fit into one message, in round-robin order of origins, and asks for an
+// answer.
 func (s *Store) sendDigest(to string) {
 	var rows []digestRow
 	for range min(len(s.originNames), s.digestCapacity()) {
-		s.nextDigestRow %= len(s.originNames)
-		rows = append(rows, s.origins[s.originNames[s.nextDigestRow]].digestRow())
-		s.nextDigestRow++
+		s.nextDigestOrigin %= len(s.originNames)
+		rows = append(rows, s.origins[s.originNames[s.nextDigestOrigin]].digestRow())
+		s.nextDigestOrigin++
 	}
 	s.sendDigestRows(to, rows, true)
 }
@@ -47,8 +49,8 @@
 	s.sendWithinBudget(to, s.finishMessage(&w))
 }
 
-// receiveDigest sends what the sender lacks, and answers with the rows of which the sender holds more. An answer is not answered
-// again.
+// receiveDigest sends the entries that the sender lacks. If the sender wants an answer, it replies with the rows of
+// which the sender holds more; that reply asks for no further answer.
 func (s *Store) receiveDigest(h header, body *reader) {
 	wantsAnswer := body.bytes(1)[0] == 1
 	n := body.count(maxDigestRows)
@@ -60,18 +62,18 @@
 		return
 	}
 	byHash := s.originsByHash()
-	var lacking []digestRow
+	var missing []digestRow
 	sent := 0
 	for _, row := range rows {
 		o := byHash[row.hash]
 		switch {
 		case o == nil:
-			lacking = append(lacking, digestRow{hash: row.hash})
+			missing = append(missing, digestRow{hash: row.hash})
 		case o == s.own && row.incarnation > o.incarnation:
 			s.refute(h.sender, row.incarnation)
 		case row.incarnation > o.incarnation || row.incarnation == o.incarnation && row.counter > o.completeTo:
 			if o != s.own && o.leftAt == 0 {
-				lacking = append(lacking, o.digestRow())
+				missing = append(missing, o.digestRow())
 			}
 		case sent < maxReplyMessages && row.incarnation < o.incarnation:
 			sent += s.sendEntries(h.sender, o, 0, maxReplyMessages-sent)
@@ -80,13 +82,13 @@
 		}
 	}
 	switch {
-	case len(lacking) == 0 && wantsAnswer:
+	case len(missing) == 0 && wantsAnswer:
 		s.behindSince = 0
-	case len(lacking) > 0 && s.behindSince == 0:
+	case len(missing) > 0 && s.behindSince == 0:
 		s.behindSince = max(s.now, 1)
 	}
 	if wantsAnswer {
-		s.sendDigestRows(h.sender, lacking, false)
+		s.sendDigestRows(h.sender, missing, false)
 	}
 }
 
@@ -98,8 +100,8 @@
 	return m
 }
 
-// sendEntries sends all entries of an origin over a counter, in messages of which each covers a contiguous range of counters, and
-// returns how many messages were sent, at most limit.
+// sendEntries sends the entries of an origin with counters over from, in at most limit messages that each cover a
+// contiguous range of counters. It stops when the budget is used up, and returns the number of messages sent.
 func (s *Store) sendEntries(to string, o *origin, from uint64, limit int) (sent int) {
 	list := o.entriesAfter(from)
 	for sent < limit {
--- a/internal/replica/entry.go
+++ b/internal/replica/entry.go
@@ -8,20 +8,21 @@
 	"foxlane/rules"
 )
 
-// Kind is what an entry reports. Each kind has its own merge over gateways, done by the readers; Settings.MaxAge bounds its age.
+// Kind is the kind of observation in an entry. Readers aggregate the entries of each kind over gateways in their own
+// way; Settings.MaxAge bounds their age.
 type Kind uint8
 
-// Kinds of entries. Subject identifies an engine's number, a class, a zone or the hash of a tenant, by kind. The numbers are part of the
-// wire form.
+// Kinds of entries, with the way in which readers aggregate them. Depending on the kind, Subject is an engine's number,
+// a class, a zone or the hash of a tenant. The values are part of the wire format.
 const (
-	EngineLoad         Kind = iota + 1 // threads and work of this gateway on an engine; read: summed over gateways
-	EngineFault                        // 1 while the engine is ejected here, 0 once it has recovered; read: gateways counted
-	SlowStartSpend                     // work sent to an engine in slow start within its window; read: summed
-	ClassEstimate                      // ratio of true over declared work and usual work of a class, with weights; read: median
-	OfferedLoad                        // work that the clients ask for, in cores; read: summed
-	TenantUsage                        // work done for a tenant within a window; read: summed
-	PromisedRetryAfter                 // until when a tenant was asked to stay away; read: the latest
-	ZoneState                          // state of a zone here; read: gateways counted
+	EngineLoad         Kind = iota + 1 // threads and work of the origin on an engine; sum
+	EngineFault                        // 1 while the origin ejects an engine, 0 after its recovery; count of gateways
+	SlowStartSpend                     // work sent to an engine in slow start within its window; sum
+	ClassEstimate                      // ratio of true to declared work, mean work and sample weight of a class; median
+	OfferedLoad                        // demand of the origin's clients, in cores; sum
+	TenantUsage                        // work done for a tenant within a window; sum
+	PromisedRetryAfter                 // time until which a tenant was asked not to retry; latest
+	ZoneState                          // state of a zone at the origin; count of gateways
 	KindCount
 )
 
@@ -34,11 +35,11 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// urgent reports whether readers act on a kind at once. Urgent entries are sent first and forwarded by every member; others are
-// sent by their origin to a few members and reach the rest by digests.
+// urgent reports whether readers act on entries of a kind at once. Urgent entries are sent first and forwarded by every
+// member. Others are sent by their origin to a few members, and reach the rest through digests.
 func urgent(k Kind) bool { return k == EngineFault || k == ZoneState || k == PromisedRetryAfter }
 
-// Key identifies an entry of one origin.
+// Key identifies an entry among those of one origin.
 type Key struct {
 	Kind    Kind
 	Subject uint64
@@ -48,46 +49,46 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 }
 
-// ValueCount is how many numbers an entry holds.
+// ValueCount is the number of values in an entry.
 const ValueCount = 4
 
-// Value is what an entry holds.
+// Value holds the values of an entry; their meaning depends on its kind.
 type Value [ValueCount]float32
 
-// withinStep reports whether two values differ by at most a part of the larger, in each number.
-func withinStep(a, b Value, step float32) bool {
+// withinChange reports whether a and b differ in each number by at most a fraction maxChange of the larger one.
+func withinChange(a, b Value, maxChange float32) bool {
 	for i := range a {
 		d := a[i] - b[i]
 		if d < 0 {
 			d = -d
 		}
-		if d > step*max(a[i], b[i], -a[i], -b[i]) {
+		if d > maxChange*max(a[i], b[i], -a[i], -b[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// Entry is one copy of what an origin wrote.
+// Entry is one copy of an entry of an origin.
 type Entry struct {
 	Key
-	Counter   uint64     // counter of its origin when it was written
-	WrittenAt rules.Time // on the clock of the holder
+	Counter   uint64     // of the origin when it wrote the entry
+	WrittenAt rules.Time // by the clock of the holder
 	Value     Value
-	checksum  uint32 // as received: bits that flip in memory later do not match it
+	checksum  uint32 // as received; detects bits that flip in memory
 }
 
-// origin is what is held of one gateway.
+// origin holds the entries of one gateway.
 type origin struct {
 	name        string
 	incarnation uint64
 	completeTo  uint64 // all entries up to this counter are held
 	entries     map[Key]*Entry
-	rumors      []rumor    // entries that are still forwarded
-	leftAt      rules.Time // when it left the members; 0: it has not
+	rumors      []rumor    // entries that are still being forwarded
+	leftAt      rules.Time // when it left the members; 0: it is a member
 }
 
-// entriesAfter returns the entries over a counter, in the order in which they were written.
+// entriesAfter returns the entries with counters over counter, in the order in which they were written.
 func (o *origin) entriesAfter(counter uint64) (list []*Entry) {
 	for _, e := range o.entries {
 		if e.Counter > counter {
@@ -98,7 +99,7 @@
 	return list
 }
 
-// sortedKeys returns the keys in a fixed order: a map's own order would make what is sent depend on more than the seed.
+// sortedKeys returns the keys in a fixed order, so that the messages sent depend on the seed and not on map iteration.
 func sortedKeys(m map[Key]*Entry) []Key {
 	keys := make([]Key, 0, len(m))
 	for k := range m {
--- a/internal/replica/merge.go
+++ b/internal/replica/merge.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// This file takes messages in and merges what they carry. Merging is commutative, associative and idempotent.
+// This file handles received messages and merges their entries. Merging is commutative, associative and idempotent.
 
-// receive takes a message. One that can't be decoded is rejected as a whole: no part of it is merged.
+// receive handles a message. A message that can't be decoded is rejected as a whole: no part of it is merged.
 func (s *Store) receive(from string, msg []byte) {
 	s.stats.BytesReceived += len(msg)
 	h, body, err := decodeHeader(msg)
@@ -16,7 +16,7 @@
 		s.reject(from, err)
 		return
 	case h.sender != from || !s.isMember(from):
-		s.reject(from, fmt.Errorf("%w: %q speaks as %q", ErrForeignMessage, from, h.sender))
+		s.reject(from, fmt.Errorf("%w: sent by %q in the name of %q", ErrForeignMessage, from, h.sender))
 		return
 	}
 	switch h.kind {
@@ -25,14 +25,14 @@
 	case typeDigest:
 		s.receiveDigest(h, &body)
 	case typeSnapshotRequest:
-		s.serveSnapshotPart(h, &body)
+		s.sendSnapshotPart(h, &body)
 	case typeSnapshotEnd:
 		s.receiveSnapshotEnd(h, &body)
-	default: // of a later version
+	default: // a message type of a later version
 		return
 	}
 	if body.err != nil {
-		s.reject(from, fmt.Errorf("%w, in a %s", body.err, h.kind))
+		s.reject(from, fmt.Errorf("%w in a %s", body.err, h.kind))
 	}
 }
 
@@ -41,13 +41,14 @@
 	s.emit(Reject{From: from, Err: err})
 }
 
-var errNameConflict = errors.New("replica: another process has our name")
+var errNameConflict = errors.New("replica: another process has this gateway's name")
 
-// maxRefutations is how often a process takes a later incarnation before it holds that another process has its name.
+// maxRefutations is the number of later incarnations that a process refutes before it assumes a name conflict.
 const maxRefutations = 3
 
-// refute takes an incarnation beyond the one that others hold of this gateway's name: an earlier process had it, and the clock has stepped
-// back since.
+// refute raises this gateway's incarnation above a later one that others hold of it. That one belongs to an earlier
+// process with this name, since the clock has stepped back between the two starts. After maxRefutations the cause must
+// be another running process with this name, which is reported.
 func (s *Store) refute(from string, incarnation uint64) {
 	if s.refutations++; s.refutations > maxRefutations {
 		s.reject(from, errNameConflict)
@@ -70,79 +71,79 @@
 	}
 }
 
-// mergeBlock merges entries of one origin into what is held. Of two copies the one with the later incarnation stands, then the one with the
-// higher counter, so that neither the order in which blocks arrive nor how often makes a difference.
-func (s *Store) mergeBlock(from string, b *block) {
-	if b.origin == s.settings.Name {
-		if b.incarnation > s.own.incarnation {
-			s.refute(from, b.incarnation)
+// mergeBlock merges the entries of one origin. Of two copies the one with the later incarnation wins, then the one with
+// the higher counter, so the result depends neither on the order of blocks nor on duplicates.
+func (s *Store) mergeBlock(from string, incoming *block) {
+	if incoming.origin == s.settings.Name {
+		if incoming.incarnation > s.own.incarnation {
+			s.refute(from, incoming.incarnation)
 		}
 		return
 	}
-	o := s.origins[b.origin]
+	o := s.origins[incoming.origin]
 	switch {
 	case o == nil && len(s.origins) >= s.settings.MaxOrigins:
 		return
 	case o == nil:
-		o = s.origin(b.origin)
-		o.incarnation = b.incarnation
-		if !s.isMember(b.origin) {
-			o.leftAt = max(s.now, 1) // it has left, or has not joined here yet: a tombstone that expires
+		o = s.origin(incoming.origin)
+		o.incarnation = incoming.incarnation
+		if !s.isMember(incoming.origin) {
+			o.leftAt = max(s.now, 1) // it has left or is not known as a member yet: keep it as a tombstone
 		}
-	case b.incarnation < o.incarnation:
-		s.stats.KnownEntries += len(b.entries)
+	case incoming.incarnation < o.incarnation:
+		s.stats.KnownEntries += len(incoming.entries)
 		return
-	case b.incarnation > o.incarnation:
+	case incoming.incarnation > o.incarnation:
 		s.removeAllEntries(o)
-		o.incarnation, o.completeTo, o.rumors = b.incarnation, 0, nil
+		o.incarnation, o.completeTo, o.rumors = incoming.incarnation, 0, nil
 	}
-	single := b.to-b.from == 1 // a rumor; longer ranges answer digests and are not forwarded
-	for i := range b.entries {
-		s.mergeEntry(o, &b.entries[i], single)
+	isRumor := incoming.to-incoming.from == 1 // longer ranges are replies to digests and are not forwarded
+	for i := range incoming.entries {
+		s.mergeEntry(o, &incoming.entries[i], isRumor)
 	}
-	if b.from <= o.completeTo && b.to > o.completeTo {
-		o.completeTo = b.to
+	if incoming.from <= o.completeTo && incoming.to > o.completeTo {
+		o.completeTo = incoming.to
 	}
 }
 
-func (s *Store) mergeEntry(o *origin, e *Entry, forward bool) {
-	held := o.entries[e.Key]
+func (s *Store) mergeEntry(o *origin, incoming *Entry, forward bool) {
+	held := o.entries[incoming.Key]
 	switch {
-	case held != nil && held.Counter >= e.Counter:
-		if held.Counter == e.Counter { // ages grow on the way: the older of two equal copies is nearer the truth
-			held.WrittenAt = min(held.WrittenAt, e.WrittenAt)
+	case held != nil && held.Counter >= incoming.Counter:
+		if held.Counter == incoming.Counter { // transit delays make ages too small, so the larger age is more accurate
+			held.WrittenAt = min(held.WrittenAt, incoming.WrittenAt)
 		}
 		s.stats.KnownEntries++
-		s.coolRumor(o, e.Key)
+		s.shortenRumor(o, incoming.Key)
 		return
-	case s.now-e.WrittenAt > s.settings.MaxAge[e.Kind]:
+	case s.now-incoming.WrittenAt > s.settings.MaxAge[incoming.Kind]:
 		return
-	case held == nil && len(o.entries) >= s.settings.MaxEntries:
+	case held == nil && len(o.entries) >= s.settings.MaxEntriesPerOrigin:
 		return
 	}
 	s.stats.NewEntries++
-	accepted := *e
-	o.entries[e.Key] = &accepted
-	if forward && urgent(e.Kind) {
-		s.spreadRumor(o, e.Key)
+	accepted := *incoming
+	o.entries[incoming.Key] = &accepted
+	if forward && urgent(incoming.Kind) {
+		s.spreadRumor(o, incoming.Key)
 	}
 	s.emit(Updated{Origin: o.name, Entry: accepted})
 }
 
-// verifyChecksums looks for bits that have flipped in memory, in a tenth of the origins per tick. A copy that does not match what was
-// received is dropped with its origin's others, and fetched again.
+// verifyChecksums detects entries whose bits have flipped in memory, checking a tenth of the origins per tick. If an
+// entry does not match its checksum, all entries of its origin are dropped and fetched again.
 func (s *Store) verifyChecksums() {
 	for range min(len(s.originNames), 1+len(s.originNames)/10) {
-		s.nextScrub %= len(s.originNames)
-		o := s.origins[s.originNames[s.nextScrub]]
-		s.nextScrub++
+		s.nextScrubOrigin %= len(s.originNames)
+		o := s.origins[s.originNames[s.nextScrubOrigin]]
+		s.nextScrubOrigin++
 		for _, k := range sortedKeys(o.entries) {
 			e := o.entries[k]
 			if e.checksumFor(o.name) == e.checksum {
 				continue
 			}
 			s.stats.Repaired++
-			if o == s.own { // the next Put writes it anew
+			if o == s.own { // the next Put writes it again
 				delete(o.entries, k)
 				continue
 			}
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -2,61 +2,62 @@
 
 import "foxlane/rules"
 
-// This file reads the store: entries by kind for the readers that merge them, copies and counts for operators.
+// This file provides read access to the store: entries by kind for readers that aggregate them, copies and counts for
+// operators.
 
-// Each calls do for all entries of a kind, of all gateways but this one, in the order of origin and subject.
-func (s *Store) Each(k Kind, do func(origin string, e *Entry)) {
+// Each calls visit for each entry of a kind from all gateways but this one, in the order of origin and subject.
+func (s *Store) Each(kind Kind, visit func(origin string, e *Entry)) {
 	for _, name := range s.originNames {
 		o := s.origins[name]
 		if o == s.own {
 			continue
 		}
 		for _, key := range sortedKeys(o.entries) {
-			if key.Kind == k {
-				do(name, o.entries[key])
+			if key.Kind == kind {
+				visit(name, o.entries[key])
 			}
 		}
 	}
 }
 
-// Copy is what is held of one origin.
+// Copy holds the copies of the entries of one origin.
 type Copy struct {
 	Origin      string
 	Incarnation uint64
 	Counter     uint64 // all entries up to it are held
-	Left        bool   // the origin is no member any more
+	Left        bool   // the origin is not a member
 	Entries     []Entry
 }
 
-// Copies returns all that is held, sorted by origin; entries are sorted by kind and subject.
+// Copies returns the copies of all origins, sorted by origin; entries are sorted by kind and subject.
 func (s *Store) Copies() []Copy {
-	out := make([]Copy, 0, len(s.originNames))
+	copies := make([]Copy, 0, len(s.originNames))
 	for _, name := range s.originNames {
 		o := s.origins[name]
-		c := Copy{Origin: name, Incarnation: o.incarnation, Counter: o.completeTo, Left: o.leftAt != 0}
+		copied := Copy{Origin: name, Incarnation: o.incarnation, Counter: o.completeTo, Left: o.leftAt != 0}
 		for _, k := range sortedKeys(o.entries) {
-			c.Entries = append(c.Entries, *o.entries[k])
+			copied.Entries = append(copied.Entries, *o.entries[k])
 		}
-		out = append(out, c)
+		copies = append(copies, copied)
 	}
-	return out
+	return copies
 }
 
-// Stats are counts since the start, and sizes now.
+// Stats are counts since the start and current sizes.
 type Stats struct {
 	BytesSent, BytesReceived int
 	MessagesSent             int
-	NewEntries, KnownEntries int        // entries received: accepted, and held already
-	Rejected                 int        // messages
-	Repaired                 int        // origins whose copy did not match its checksum and was fetched again
-	OverBudget               int        // messages held back for the budget
-	SnapshotOrigins          int        // origins sent as parts of snapshots
-	Entries, Origins         int        // now
+	NewEntries, KnownEntries int        // received entries that were accepted, and that were already held
+	Rejected                 int        // messages rejected
+	Repaired                 int        // checksum mismatches after which entries were written or fetched again
+	OverBudget               int        // messages not sent because of the budget
+	SnapshotOrigins          int        // origins sent in snapshots
+	Entries, Origins         int        // held now
 	Members                  int        // now
-	Lag                      rules.Time // for how long a member has held more than is held here; 0: none does
+	Lag                      rules.Time // for how long members have reported entries that are not held here; 0: none does
 }
 
-// Stats returns the counts since the start, and the sizes now.
+// Stats returns the counts since the start and the current sizes.
 func (s *Store) Stats() Stats {
 	stats := s.stats
 	stats.Members, stats.Origins = len(s.members), len(s.originNames)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,13 +1,14 @@
-// Package replica holds copies of what other gateways have observed and shares this gateway's own observations. It is a state machine:
-// (time, event) in, effects out.
+// Package replica replicates the observations of gateways: it publishes this gateway's own and holds copies of those of
+// its peers. It is a state machine that takes events and returns effects.
 //
-// Each entry has one writer, the gateway that observed it (its origin). A copy is identified by the origin's incarnation and a counter,
-// so of two copies one is always newer, whatever the order of arrival and however often each arrives; mergeBlock and mergeEntry apply
-// that rule and no other.
+// Each entry has a single writer, the gateway that observed it (its origin). The origin's incarnation and counter order
+// its copies, so which of two copies is newer depends neither on the order in which they arrive nor on how often.
+// mergeBlock and mergeEntry apply no other rule.
 //
-// The package does no I/O, reads no clock and draws random numbers from its seed only. It does not interpret observations: readers of
-// the entries do, and the decision module never depends on one. Messages carry ages, not wall-clock times; an entry older than its
-// kind's MaxAge is dropped. With no peers left, the copies expire and nothing else changes.
+// The package does no I/O, reads no clock and draws random numbers from its seed only. It does not interpret
+// observations; the readers of the entries do, and the decision module depends on none of them. Messages carry ages
+// instead of wall-clock times, and an entry older than its kind's MaxAge is dropped. Without peers the copies expire
+// and nothing else changes.
 package replica
 
 import (
@@ -19,35 +20,35 @@
 	"foxlane/rules"
 )
 
-// Member is another gateway.
+// Member identifies another gateway.
 type Member struct {
 	Name, Zone string
 }
 
 // Store holds the copies of one gateway.
 type Store struct {
-	settings        Settings
-	rng             *rand.Rand
-	now             rules.Time
-	own             *origin
-	origins         map[string]*origin
-	originNames     []string   // sorted: what is sent follows from the seed
-	members         []Member   // sorted by name
-	behindSince     rules.Time // when a member first reported more than is held here; 0: none does
-	sentBytes       window.Sum // within the last second
-	lastExpiry      rules.Time
-	lastTick        rules.Time
-	lastDigest      rules.Time
-	nextRumorOrigin int  // origin whose rumors are sent first
-	nextDigestRow   int  // origin at which the next digest begins
-	nextScrub       int  // origin at which the next check of checksums begins
-	synced          bool // a snapshot was received in full
-	cursor          snapshotCursor
-	refutations     int   // incarnations of this gateway's name that were later than its own
-	expired         []Key // scratch
-	effects         []Effect
-	buf             []byte // scratch: the message that is being written
-	stats           Stats
+	settings         Settings
+	rng              *rand.Rand
+	now              rules.Time
+	own              *origin
+	origins          map[string]*origin
+	originNames      []string   // sorted, so that the messages sent depend on the seed only
+	members          []Member   // sorted by name
+	behindSince      rules.Time // since when a member reports entries that are not held here; 0: none does
+	sentBytes        window.Sum // within the last second
+	lastExpiryAt     rules.Time
+	lastTickAt       rules.Time
+	lastDigestAt     rules.Time
+	nextRumorOrigin  int  // index of the origin whose rumors are sent first
+	nextDigestOrigin int  // index of the origin at which the next digest begins
+	nextScrubOrigin  int  // index of the origin whose checksums are verified next
+	synced           bool // a complete snapshot was received
+	cursor           snapshotCursor
+	refutations      int   // number of reports of an incarnation of this gateway later than its own
+	expiredKeys      []Key // scratch
+	effects          []Effect
+	buf              []byte // scratch: the message that is being written
+	stats            Stats
 }
 
 // New returns the empty store of a gateway that has just started.
@@ -59,11 +60,11 @@
 	return s
 }
 
-// Handle takes one event and returns what to do. The result is valid until the next call.
+// Handle processes one event and returns its effects, which are valid until the next call.
 func (s *Store) Handle(now rules.Time, event Event) []Effect {
 	s.effects = s.effects[:0]
 	s.now = max(s.now, now)
-	s.expireEntries() // first: what expired while the process stood still must not be acted on
+	s.expireEntries() // first, so that nothing acts on entries that expired while the process was suspended
 	switch event := event.(type) {
 	case Joined:
 		s.addMember(event.Member)
@@ -79,15 +80,15 @@
 
 func (s *Store) emit(effect Effect) { s.effects = append(s.effects, effect) }
 
-// pauseThreshold is the gap between two ticks from which on the process is held to have been suspended.
+// pauseThreshold is the gap between two ticks above which the process counts as having been suspended.
 const pauseThreshold = 2 * rules.Second
 
-// tick runs what is due at an interval of gossip: the check of checksums, a snapshot request, rumors and a digest.
+// tick runs a round of gossip: it verifies checksums, requests a snapshot if needed, and sends rumors and a digest.
 func (s *Store) tick() {
-	if gap := s.now - s.lastTick; s.lastTick != 0 && gap > pauseThreshold {
-		s.synced = false // what was missed arrives as a snapshot, aged by the pause
+	if gap := s.now - s.lastTickAt; s.lastTickAt != 0 && gap > pauseThreshold {
+		s.synced = false // fetch the missed updates as a snapshot
 	}
-	s.lastTick = s.now
+	s.lastTickAt = s.now
 	s.verifyChecksums()
 	if len(s.members) == 0 {
 		s.dropRumors()
@@ -95,40 +96,41 @@
 	}
 	s.requestSnapshot()
 	s.sendRumors()
-	if s.now-s.lastDigest >= s.settings.DigestInterval {
-		s.lastDigest = s.now
+	if s.now-s.lastDigestAt >= s.settings.DigestInterval {
+		s.lastDigestAt = s.now
 		s.sendDigest(s.members[s.rng.IntN(len(s.members))].Name)
 	}
 }
 
-// ---- the gateway's own entries
+// ---- entries of this gateway
 
-// Put writes an entry of this gateway. It is sent if it is new, differs by the kind's MinChange, or has not been sent for Refresh.
-func (s *Store) Put(now rules.Time, k Key, v Value) {
+// Put writes an entry of this gateway. It is sent if it is new, has changed by more than the kind's MinChange, or was
+// last sent RefreshInterval ago, but not again within minInterval. Otherwise Put does nothing.
+func (s *Store) Put(now rules.Time, key Key, value Value) {
 	s.now = max(s.now, now)
 	o := s.own
-	e := o.entries[k]
-	if e != nil && s.now-e.WrittenAt < s.settings.Refresh && withinStep(e.Value, v, s.settings.MinChange[k.Kind]) {
+	e := o.entries[key]
+	if e != nil && s.now-e.WrittenAt < s.settings.RefreshInterval && withinChange(e.Value, value, s.settings.MinChange[key.Kind]) {
 		return
 	}
 	if e == nil {
-		if len(o.entries) >= s.settings.MaxEntries {
-			return // what was written first stays until it expires
+		if len(o.entries) >= s.settings.MaxEntriesPerOrigin {
+			return // no eviction: earlier entries stay until they expire
 		}
-		e = &Entry{Key: k}
-		o.entries[k] = e
-	} else if s.now-e.WrittenAt < s.minInterval(k.Kind) {
+		e = &Entry{Key: key}
+		o.entries[key] = e
+	} else if s.now-e.WrittenAt < s.minInterval(key.Kind) {
 		return
 	}
 	o.completeTo++
-	e.Counter, e.WrittenAt, e.Value = o.completeTo, s.now, v
+	e.Counter, e.WrittenAt, e.Value = o.completeTo, s.now, value
 	e.checksum = e.checksumFor(o.name)
-	s.spreadRumor(o, k)
+	s.spreadRumor(o, key)
 }
 
 // ---- members
 
-// findMember returns the place of a member in the sorted list, or the place where it would be inserted.
+// findMember returns the index of a member in the sorted list, or the index at which to insert it.
 func (s *Store) findMember(name string) (i int, found bool) {
 	return slices.BinarySearchFunc(s.members, name, func(m Member, n string) int { return cmp.Compare(m.Name, n) })
 }
@@ -153,8 +155,8 @@
 	}
 }
 
-// removeMember lets the member's entries expire. Its incarnation and counter remain as a tombstone until all copies of its entries must
-// have expired, so that late messages can't restore them.
+// removeMember removes a member and lets its entries expire. Its incarnation and counter remain as a tombstone until
+// all copies of its entries must have expired, so that late messages can't restore them.
 func (s *Store) removeMember(name string) {
 	i, found := s.findMember(name)
 	if !found {
@@ -169,12 +171,12 @@
 	}
 }
 
-// Members returns the other gateways, sorted by name. It is not to be changed.
+// Members returns the other gateways, sorted by name. The caller must not change the slice.
 func (s *Store) Members() []Member { return s.members }
 
 // ---- origins
 
-// origin returns what is held of a gateway; it is created on first use.
+// origin returns the origin of a name, and creates it if there is none.
 func (s *Store) origin(name string) *origin {
 	o := s.origins[name]
 	if o == nil {
@@ -211,25 +213,26 @@
 	}
 }
 
-// expireEntries drops entries over their kind's MaxAge, and origins that left so long ago that no copy of their entries can remain.
+// expireEntries drops entries older than their kind's MaxAge, and origins that left so long ago that no copy of their
+// entries can remain. It runs at most once per GossipInterval.
 func (s *Store) expireEntries() {
-	if s.now-s.lastExpiry < s.settings.GossipInterval {
+	if s.now-s.lastExpiryAt < s.settings.GossipInterval {
 		return
 	}
-	s.lastExpiry = s.now
+	s.lastExpiryAt = s.now
 	for i := 0; i < len(s.originNames); i++ {
 		o := s.origins[s.originNames[i]]
 		for k, e := range o.entries {
 			if s.now-e.WrittenAt > s.settings.MaxAge[k.Kind] {
-				s.expired = append(s.expired, k)
+				s.expiredKeys = append(s.expiredKeys, k)
 			}
 		}
-		if len(s.expired) > 0 {
-			slices.SortFunc(s.expired, compareKeys)
-			for _, k := range s.expired {
+		if len(s.expiredKeys) > 0 {
+			slices.SortFunc(s.expiredKeys, compareKeys)
+			for _, k := range s.expiredKeys {
 				s.removeEntry(o, k)
 			}
-			s.expired = s.expired[:0]
+			s.expiredKeys = s.expiredKeys[:0]
 		}
 		if o != s.own && o.leftAt != 0 && s.now-o.leftAt > 2*s.settings.longestMaxAge() {
 			s.dropOrigin(o)
--- a/internal/replica/rumors.go
+++ b/internal/replica/rumors.go
@@ -2,29 +2,31 @@
 
 import "math/bits"
 
-// This file spreads rumors: an entry that is new is forwarded to a few members per tick, for a few ticks.
+// This file implements rumor mongering: a new entry is sent to a few members per tick, for a few ticks.
 
-// rumor is an entry that is still forwarded.
+// rumor is an entry that is being forwarded.
 type rumor struct {
 	key    Key
-	rounds int // ticks left
+	rounds int // remaining ticks
 }
 
 const (
-	coolingMembers = 16 // from this many members on, receiving a rumor that is forwarded here shortens its rounds
-	routineRounds  = 2  // ticks for which an origin sends an entry that is not urgent
-	// rumorStride is by how many origins the order of rumors moves per tick, so that no origin is always last when a message is full.
+	minMembersToShorten = 16 // number of members from which a rumor received again is forwarded for one round less
+	nonUrgentRounds     = 2  // ticks for which an origin sends an entry that is not urgent
+	// rumorStride is the number of origins by which the order of rumors rotates per tick, so that when messages are
+	// full it is not always the same origins that have to wait.
 	rumorStride = 7
 )
 
-// rumorRounds is for how many ticks an urgent entry is forwarded: enough to reach all members by doubling, and three more for losses.
+// rumorRounds returns the number of ticks for which an urgent entry is forwarded: enough to reach all members if each
+// round doubles their number, and three more for lost messages.
 func (s *Store) rumorRounds() int { return bits.Len(uint(len(s.members)+1)) + 3 }
 
-// spreadRumor begins to forward an entry, or begins again.
+// spreadRumor starts forwarding an entry, or restarts it.
 func (s *Store) spreadRumor(o *origin, k Key) {
 	rounds := s.rumorRounds()
 	if !urgent(k.Kind) {
-		rounds = routineRounds
+		rounds = nonUrgentRounds
 	}
 	for i := range o.rumors {
 		if o.rumors[i].key == k {
@@ -35,9 +37,10 @@
 	o.rumors = append(o.rumors, rumor{k, rounds})
 }
 
-// coolRumor shortens the rounds of a rumor that another member has just sent too: the more members forward it, the fewer need to.
-func (s *Store) coolRumor(o *origin, k Key) {
-	if len(s.members) < coolingMembers {
+// shortenRumor takes a round from a rumor that another member has just sent too: the more members forward it, the fewer
+// rounds each needs.
+func (s *Store) shortenRumor(o *origin, k Key) {
+	if len(s.members) < minMembersToShorten {
 		return
 	}
 	for i := range o.rumors {
@@ -47,7 +50,7 @@
 	}
 }
 
-// dropRumors ends all rumors: there is no member to send them to.
+// dropRumors drops all rumors when there is no member to send them to.
 func (s *Store) dropRumors() {
 	for _, name := range s.originNames {
 		s.origins[name].rumors = s.origins[name].rumors[:0]
@@ -63,8 +66,8 @@
 	return false
 }
 
-// sendRumors sends one message of rumors to Fanout members, urgent ones first. A rumor that finds no room in the message remains for
-// the next tick.
+// sendRumors sends one message of rumors, urgent ones first, to Fanout members. Rumors that don't fit into the message
+// wait for the next tick.
 func (s *Store) sendRumors() {
 	if !s.hasRumors() {
 		return
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -7,20 +7,22 @@
 	"foxlane/rules"
 )
 
-// This file transfers snapshots: a member that has just started, or was suspended, fetches all entries from one peer, in parts.
+// This file transfers snapshots: a member that has just started or was suspended fetches all entries from a peer, in
+// parts.
 
 // snapshotCursor is the progress of the snapshot that is being received.
 type snapshotCursor struct {
-	peer        string // that sends it; empty: none
-	next        uint64 // hash of the last origin that was received
+	peer        string // sender; empty: no snapshot is being received
+	next        uint64 // hash of the last origin received
 	requestedAt rules.Time
 }
 
-// snapshotTimeout is how long a peer may take to send a part before another is asked.
+// snapshotTimeout is the time after which a part that has not arrived is requested from another peer.
 const snapshotTimeout = 400 * rules.Millisecond
 
-// requestSnapshot asks a member for a snapshot, of the same zone if there is one; every fourth time it may be any, since the nearest may
-// have started just now too. Requests are served meanwhile.
+// requestSnapshot requests a snapshot until one is complete, preferably from a member of the same zone. One request in
+// four goes to any member, since those of the same zone may have just started as well. The gateway serves client
+// requests in the meantime.
 func (s *Store) requestSnapshot() {
 	if s.synced || s.cursor.peer != "" && s.now-s.cursor.requestedAt < snapshotTimeout {
 		return
@@ -47,9 +49,10 @@
 	s.sendWithinBudget(s.cursor.peer, msg)
 }
 
-// serveSnapshotPart sends origins in the order of their names' hashes, from where the last part ended, as far as the budget allows. The
-// last message says where the part ended; 0 is the end of the snapshot.
-func (s *Store) serveSnapshotPart(h header, body *reader) {
+// sendSnapshotPart sends the next part of a snapshot: origins in the order of the hashes of their names, from where
+// the last part ended, as far as the budget allows. The final message of a part has the hash of its last origin, or 0
+// at the end of the snapshot.
+func (s *Store) sendSnapshotPart(h header, body *reader) {
 	from := body.uvarint()
 	if body.err != nil {
 		return
@@ -71,7 +74,7 @@
 		s.stats.SnapshotOrigins++
 	}
 	if sent == 0 && len(list) > 0 {
-		return // the budget is used up: the requester asks again, or another member
+		return // the budget is used up; the requester retries after snapshotTimeout
 	}
 	end := uint64(0)
 	if len(list) > 0 && last != hashName(list[len(list)-1].name) {
@@ -82,7 +85,7 @@
 	s.send(h.sender, s.finishMessage(&w))
 }
 
-// receiveSnapshotEnd asks for the next part, or ends the snapshot.
+// receiveSnapshotEnd requests the next part, or completes the snapshot.
 func (s *Store) receiveSnapshotEnd(h header, body *reader) {
 	next := body.uvarint()
 	if body.err != nil || h.sender != s.cursor.peer {
