--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -1,8 +1,10 @@
-// Package gossip decides what a gateway publishes to the others, and what it makes of what they publish. An observation of a peer never
-// takes effect by itself: it triggers a probe of this gateway, or stands in where this gateway has no samples yet. So a peer that reports
-// falsely costs a few probes, and with all peers gone a gateway behaves as if it had none.
+// Package gossip owns the exchange of observations among gateways: which ones this gateway publishes, and how it
+// evaluates those of its peers. A peer observation has no effect by itself. It triggers a probe by this gateway, or is
+// used while this gateway has no samples of its own, so a false report costs a few probes at most. Without peers a
+// gateway behaves as if it were alone.
 //
-// The package is pure: time is an argument, and it reads and writes a replica.Store of the caller.
+// The package does no I/O and reads no clock: time is an argument, and it reads and writes a replica.Store of the
+// caller.
 package gossip
 
 import (
@@ -13,70 +15,71 @@
 	"foxlane/rules"
 )
 
-// Settings bound what is made of what peers publish.
+// Settings bound the effect of peer observations.
 type Settings struct {
-	MinObservers  int        // peers that must report a fault before this gateway probes for it
-	MaxReportAge  rules.Time // of reports that count
-	ProbeInterval rules.Time // between two probes of one engine on the word of peers
-	MaxProbes     int        // per Evaluate
-	LearnWindow   rules.Time // after the start, in which classes may be learned from peers
+	MinObservers  int        // peers that must report a fault before this gateway probes
+	MaxReportAge  rules.Time // older reports are ignored
+	ProbeInterval rules.Time // minimum time between probes of an engine triggered by peers
+	MaxProbes     int        // probes per Evaluate
+	LearnWindow   rules.Time // time after the start in which class estimates are learned from peers
 }
 
-// Defaults are for gateways that see each other's updates within a second.
+// Defaults returns settings for gateways that receive each other's updates within a second.
 func Defaults() Settings {
 	return Settings{MinObservers: 2, MaxReportAge: 4 * rules.Second, ProbeInterval: rules.Second, MaxProbes: 2, LearnWindow: 10 * rules.Second}
 }
 
-// View is what a gateway itself holds.
+// View holds this gateway's own observations.
 type View struct {
-	Engines   []zones.EngineObservation // that serve, in the order of the endpoint list
+	Engines   []zones.EngineObservation // serving engines, in the order of the endpoint list
 	Zones     []zones.Status            // nil: zones are not configured
 	Learned   []rules.ClassEstimate     // by class
-	SlowStart []rules.SlowStartUsage
+	SlowStart []rules.SlowStartUsage    // engines in slow start
 }
 
-// Observations exchanges observations with peers by way of a store.
+// Observations exchanges observations with peers through a replica.Store.
 type Observations struct {
 	settings        Settings
 	store           *replica.Store
 	startedAt       rules.Time
-	publishedFaults map[rules.EngineID]bool // engines that were published as ejected
-	probedAt        map[rules.EngineID]rules.Time
-	learned         bool // classes have been learned from peers: that happens once
+	publishedFaults map[rules.EngineID]bool       // engines that were last published as ejected
+	probedAt        map[rules.EngineID]rules.Time // last probes triggered by peers
+	classesLearned  bool                          // class estimates were learned from peers, which happens once
 	counts          Counts
 }
 
-// Counts are since the start.
+// Counts are totals since the start.
 type Counts struct {
-	EnginesProbed  int
-	ZonesSuspected int
-	ClassesLearned int
+	EnginesProbed  int // probes of engines triggered by peers
+	ZonesSuspected int // zones suspected because of peers
+	ClassesLearned int // class estimates learned from peers
 }
 
-// New returns the observations of a gateway that has just started.
+// New returns the Observations of a gateway that has just started.
 func New(settings Settings, store *replica.Store, now rules.Time) *Observations {
 	return &Observations{settings: settings, store: store, startedAt: now, publishedFaults: map[rules.EngineID]bool{},
 		probedAt: map[rules.EngineID]rules.Time{}}
 }
 
-// Counts returns what was done since the start.
+// Counts returns the totals since the start.
 func (o *Observations) Counts() Counts { return o.counts }
 
-// Publish writes to the store what peers may want to know.
-func (o *Observations) Publish(now rules.Time, v View) {
+// Publish writes this gateway's observations to the store: ejected and recovered engines, lost zones, class estimates
+// and work sent to engines in slow start.
+func (o *Observations) Publish(now rules.Time, view View) {
 	put := func(k replica.Kind, subject uint64, value replica.Value) {
 		o.store.Put(now, replica.Key{Kind: k, Subject: subject}, value)
 	}
 	listed := map[rules.EngineID]bool{}
-	for _, e := range v.Engines {
-		listed[e.Engine] = true
+	for _, engine := range view.Engines {
+		listed[engine.Engine] = true
 		switch {
-		case e.Excluded:
-			o.publishedFaults[e.Engine] = true
-			put(replica.EngineFault, uint64(e.Engine), replica.Value{1})
-		case o.publishedFaults[e.Engine]:
-			delete(o.publishedFaults, e.Engine)
-			put(replica.EngineFault, uint64(e.Engine), replica.Value{0})
+		case engine.Excluded:
+			o.publishedFaults[engine.Engine] = true
+			put(replica.EngineFault, uint64(engine.Engine), replica.Value{1})
+		case o.publishedFaults[engine.Engine]:
+			delete(o.publishedFaults, engine.Engine)
+			put(replica.EngineFault, uint64(engine.Engine), replica.Value{0})
 		}
 	}
 	for id := range o.publishedFaults {
@@ -89,116 +92,118 @@
 			delete(o.probedAt, id)
 		}
 	}
-	for i, z := range v.Zones {
-		if z.State == zones.Lost {
-			put(replica.ZoneState, uint64(i), replica.Value{float32(z.State)})
+	for i, zone := range view.Zones {
+		if zone.State == zones.Lost {
+			put(replica.ZoneState, uint64(i), replica.Value{float32(zone.State)})
 		}
 	}
-	for class, l := range v.Learned {
-		if l.SampleWeight > 1 {
-			put(replica.ClassEstimate, uint64(class), replica.Value{float32(l.CostRatio), float32(l.MeanWork), float32(min(l.SampleWeight, 100))})
+	for class, estimate := range view.Learned {
+		if estimate.SampleWeight > 1 {
+			put(replica.ClassEstimate, uint64(class), replica.Value{float32(estimate.CostRatio), float32(estimate.MeanWork), float32(min(estimate.SampleWeight, 100))})
 		}
 	}
-	for _, c := range v.SlowStart {
-		if c.Work > 0 {
-			put(replica.SlowStartSpend, uint64(c.Engine), replica.Value{float32(c.Work)})
+	for _, usage := range view.SlowStart {
+		if usage.Work > 0 {
+			put(replica.SlowStartSpend, uint64(usage.Engine), replica.Value{float32(usage.Work)})
 		}
 	}
 }
 
-// Advice is what follows from the reports of peers.
+// Advice lists the actions that follow from the observations of peers.
 type Advice struct {
-	Probe   []rules.EngineID // the result of the probe counts, not the reports
-	Suspect []int            // zones that are to be probed
+	Probe   []rules.EngineID // engines to probe; only the results of these probes have an effect
+	Suspect []int            // zones to probe
 	Events  []rules.Event    // for the decision module
 }
 
-// Evaluate reads the reports of peers.
-func (o *Observations) Evaluate(now rules.Time, v View) (out Advice) {
+// Evaluate returns the actions that follow from the observations of peers now.
+func (o *Observations) Evaluate(now rules.Time, view View) (advice Advice) {
 	observers := o.countObservers(now, replica.EngineFault, func(v replica.Value) bool { return v[0] > 0 })
-	for _, e := range v.Engines {
-		if len(out.Probe) >= o.settings.MaxProbes {
+	for _, engine := range view.Engines {
+		if len(advice.Probe) >= o.settings.MaxProbes {
 			break
 		}
-		if observers[uint64(e.Engine)] < o.settings.MinObservers || e.Excluded || now-o.probedAt[e.Engine] < o.settings.ProbeInterval {
+		if observers[uint64(engine.Engine)] < o.settings.MinObservers || engine.Excluded || now-o.probedAt[engine.Engine] < o.settings.ProbeInterval {
 			continue
 		}
-		o.probedAt[e.Engine] = now
+		o.probedAt[engine.Engine] = now
 		o.counts.EnginesProbed++
-		out.Probe = append(out.Probe, e.Engine)
+		advice.Probe = append(advice.Probe, engine.Engine)
 	}
-	if v.Zones != nil {
+	if view.Zones != nil {
 		lost := o.countObservers(now, replica.ZoneState, func(v replica.Value) bool { return zones.State(v[0]) == zones.Lost })
-		for i, z := range v.Zones {
-			if z.State == zones.Present && lost[uint64(i)] >= o.settings.MinObservers {
+		for i, zone := range view.Zones {
+			if zone.State == zones.Present && lost[uint64(i)] >= o.settings.MinObservers {
 				o.counts.ZonesSuspected++
-				out.Suspect = append(out.Suspect, i)
+				advice.Suspect = append(advice.Suspect, i)
 			}
 		}
 	}
-	out.Events = append(o.learnClasses(now, v), o.peerSlowStartSpend(v)...)
-	return out
+	advice.Events = append(o.learnClasses(now, view), o.peerSlowStartSpend(view)...)
+	return advice
 }
 
-// countObservers counts, by subject, the peers whose value matches and is not older than MaxReportAge.
-func (o *Observations) countObservers(now rules.Time, k replica.Kind, matches func(replica.Value) bool) map[uint64]int {
-	n := map[uint64]int{}
-	o.store.Each(k, func(_ string, e *replica.Entry) {
-		if now-e.WrittenAt <= o.settings.MaxReportAge && matches(e.Value) {
-			n[e.Subject]++
+// countObservers counts, by subject, the peers with an entry of a kind that matches and is not older than MaxReportAge.
+func (o *Observations) countObservers(now rules.Time, kind replica.Kind, matches func(replica.Value) bool) map[uint64]int {
+	counts := map[uint64]int{}
+	o.store.Each(kind, func(_ string, entry *replica.Entry) {
+		if now-entry.WrittenAt <= o.settings.MaxReportAge && matches(entry.Value) {
+			counts[entry.Subject]++
 		}
 	})
-	return n
+	return counts
 }
 
 const (
-	minLearnSources = 3
-	maxLearnSources = 15
-	// sufficientOwnWeight is the weight of own samples of a class from which on those of peers are not used.
+	minLearnSources = 3  // peers needed for a class estimate, in small fleets
+	maxLearnSources = 15 // peers needed for a class estimate, in large fleets
+	// sufficientOwnWeight is the weight of own samples of a class above which the estimates of peers are not used.
 	sufficientOwnWeight = 8
 )
 
-// learnClasses returns, once, what peers have learned of classes, to a gateway that has just started: the median, as soon as half of the
-// members or maxLearnSources have reported, so that a few false reports move it little. The weight that a peer claims is ignored.
-func (o *Observations) learnClasses(now rules.Time, v View) (out []rules.Event) {
-	if o.learned || now-o.startedAt > o.settings.LearnWindow {
+// learnClasses returns class estimates of peers as events, once and only within LearnWindow after the start. An
+// estimate is the median over peers, taken as soon as half of the members or maxLearnSources have reported, so that a
+// few false reports move it little. The sample weights that peers claim are ignored.
+func (o *Observations) learnClasses(now rules.Time, view View) (events []rules.Event) {
+	if o.classesLearned || now-o.startedAt > o.settings.LearnWindow {
 		return nil
 	}
-	ratios, works := make([][]float64, len(v.Learned)), make([][]float64, len(v.Learned))
-	o.store.Each(replica.ClassEstimate, func(_ string, e *replica.Entry) {
-		if e.Subject < uint64(len(ratios)) && e.Value[0] > 0 && e.Value[1] > 0 {
-			ratios[e.Subject] = append(ratios[e.Subject], float64(e.Value[0]))
-			works[e.Subject] = append(works[e.Subject], float64(e.Value[1]))
+	ratios, meanWorks := make([][]float64, len(view.Learned)), make([][]float64, len(view.Learned))
+	o.store.Each(replica.ClassEstimate, func(_ string, entry *replica.Entry) {
+		if entry.Subject < uint64(len(ratios)) && entry.Value[0] > 0 && entry.Value[1] > 0 {
+			ratios[entry.Subject] = append(ratios[entry.Subject], float64(entry.Value[0]))
+			meanWorks[entry.Subject] = append(meanWorks[entry.Subject], float64(entry.Value[1]))
 		}
 	})
-	enough := max(minLearnSources, min(len(o.store.Members())/2, maxLearnSources))
+	required := max(minLearnSources, min(len(o.store.Members())/2, maxLearnSources))
 	for class := range ratios {
-		if len(ratios[class]) < enough || v.Learned[class].SampleWeight > sufficientOwnWeight {
+		if len(ratios[class]) < required || view.Learned[class].SampleWeight > sufficientOwnWeight {
 			continue
 		}
-		out = append(out, rules.PeerEstimate{Class: class, CostRatio: median(ratios[class]), MeanWork: median(works[class])})
+		events = append(events, rules.PeerEstimate{Class: class, CostRatio: median(ratios[class]), MeanWork: median(meanWorks[class])})
 		o.counts.ClassesLearned++
 	}
-	if len(out) > 0 {
-		o.learned = true
+	if len(events) > 0 {
+		o.classesLearned = true
 	}
-	return out
+	return events
 }
 
-func median(of []float64) float64 {
-	slices.Sort(of)
-	return (of[(len(of)-1)/2] + of[len(of)/2]) / 2
+func median(values []float64) float64 {
+	slices.Sort(values)
+	return (values[(len(values)-1)/2] + values[len(values)/2]) / 2
 }
 
-// peerSlowStartSpend sums what peers have sent to engines in slow start within the last window.
-func (o *Observations) peerSlowStartSpend(v View) (out []rules.Event) {
-	if len(v.SlowStart) == 0 {
+// peerSlowStartSpend returns, for each engine in slow start, the work that peers have sent to it within the last
+// window.
+func (o *Observations) peerSlowStartSpend(view View) (events []rules.Event) {
+	if len(view.SlowStart) == 0 {
 		return nil
 	}
 	sums := map[uint64]float64{}
-	o.store.Each(replica.SlowStartSpend, func(_ string, e *replica.Entry) { sums[e.Subject] += float64(e.Value[0]) })
-	for _, c := range v.SlowStart {
-		out = append(out, rules.PeerSlowStartUsage{Engine: c.Engine, Work: sums[uint64(c.Engine)]})
+	o.store.Each(replica.SlowStartSpend, func(_ string, entry *replica.Entry) { sums[entry.Subject] += float64(entry.Value[0]) })
+	for _, usage := range view.SlowStart {
+		events = append(events, rules.PeerSlowStartUsage{Engine: usage.Engine, Work: sums[uint64(usage.Engine)]})
 	}
-	return out
+	return events
 }
