--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,9 +1,10 @@
-// Package members owns membership: which other gateways are there, by gossip (hashicorp/memberlist, SWIM), and the datagrams among them. It
-// reports who joins and leaves and hands over messages, in order, through a bounded queue: when the queue is full, messages are dropped and
-// counted, and nobody waits. The package decides nothing, does not look into what it carries, and never blocks request serving.
+// Package members owns the membership of the fleet and the messages between members. Membership is maintained by gossip
+// (SWIM, hashicorp/memberlist). Joins, leaves and received messages are delivered in order through a bounded queue. If
+// the queue is full, messages are dropped and counted; no sender waits. The package makes no decisions, does not
+// interpret messages and never blocks request serving.
 //
-// There are no keys and there is no encryption: a set of addresses says who may connect, and that is all. It is for a network of the
-// operators' own. The name of a sender is claimed, not proven.
+// Messages are neither authenticated nor encrypted. Access is restricted by a set of allowed addresses only, so members
+// must run on a private network of the operator. The name of a sender is not verified.
 package members
 
 import (
@@ -18,7 +19,7 @@
 
 // Errors of Start and Send.
 var (
-	ErrListen   = errors.New("members: can't listen") // may pass: another process may be about to release the address
+	ErrListen   = errors.New("members: can't listen") // may be temporary: another process may still hold the address
 	ErrNoMember = errors.New("members: no member")
 	ErrTooLarge = errors.New("members: message too large")
 )
@@ -29,45 +30,46 @@
 // Kinds of events.
 const (
 	Joined       Kind = iota + 1
-	Left              // it has left, or is held to be dead
+	Left              // the member has left or is considered dead
 	Received          // Data arrived on Channel
-	NameConflict      // another process has the name of a member; Text names the addresses of both
+	NameConflict      // another process has the name of a member; Text has the addresses of both
 )
 
-// Event is something that happened.
+// Event reports a change of the membership or a received message.
 type Event struct {
 	Kind    Kind
-	Name    string
-	Zone    string
-	Addr    netip.AddrPort
-	Channel byte
-	Data    []byte
-	Text    string
+	Name    string         // of the member or sender
+	Zone    string         // with Joined
+	Addr    netip.AddrPort // with Joined
+	Channel byte           // with Received
+	Data    []byte         // with Received
+	Text    string         // with NameConflict
 }
 
-// Membership is this process as a member.
+// Membership is the membership of this process.
 type Membership struct {
 	settings Settings
 	list     *memberlist.Memberlist
 	queue    chan Event
-	notify   func() // called when something was put into the queue
-	done     chan struct{}
-	wg       sync.WaitGroup // the goroutine of rejoin
+	notify   func()         // called after an event was added to the queue
+	done     chan struct{}  // closed by Close
+	wg       sync.WaitGroup // waits for rejoin
 	mu       sync.Mutex
-	nodes    map[string]*memberlist.Node
+	nodes    map[string]*memberlist.Node // other members by name, guarded by mu
 	stats    struct{ dropped, bytesSent, bytesReceived, rejected atomic.Int64 }
 }
 
-// Stats are counts since the start, and the number of members now.
+// Stats are counts since the start and the current number of members.
 type Stats struct {
-	Members       int
-	Dropped       int64 // events that found the queue full
+	Members       int   // now, including this process
+	Dropped       int64 // events lost because the queue was full
 	BytesSent     int64
 	BytesReceived int64
-	Rejected      int64 // packets and connections of addresses that are not allowed
+	Rejected      int64 // packets and connections from addresses that are not allowed
 }
 
-// Start joins the members, and goes on to look for them until Close. Notify is called, from any goroutine, when Next has something.
+// Start starts this process as a member, which tries to join the others until Close. It calls notify, from any
+// goroutine, when Next has an event.
 func Start(settings Settings, notify func()) (*Membership, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -82,15 +84,15 @@
 		return nil, err
 	}
 	if m.list, err = memberlist.Create(m.config(t)); err != nil {
-		_ = t.Shutdown() // it reports nothing
+		_ = t.Shutdown() // the error of Create is returned
 		return nil, fmt.Errorf("members: start at %s: %w", settings.Bind, err)
 	}
 	m.wg.Go(m.rejoin)
 	return m, nil
 }
 
-// enqueue adds an event. A message is dropped if the queue is full. Any other event must not be lost: it displaces older ones until there is
-// room.
+// enqueue adds an event to the queue. If the queue is full, a message is dropped. Any other event must not be lost, so
+// it displaces older events until there is room.
 func (m *Membership) enqueue(e Event) {
 	for {
 		select {
@@ -121,16 +123,16 @@
 	}
 }
 
-// Send sends a message to a member: as a datagram, or over a connection if it is larger than one, for which it waits. Delivery is not
-// guaranteed.
+// Send sends a message to a member: as a datagram, or over a connection if it does not fit into one. In the second case
+// it blocks until the message is written. Delivery is not guaranteed.
 func (m *Membership) Send(to string, channel byte, data []byte) error {
 	if len(data) > maxReliableMessage {
 		return fmt.Errorf("%w: %d bytes to %q, over %d", ErrTooLarge, len(data), to, maxReliableMessage)
 	}
 	m.mu.Lock()
-	n := m.nodes[to]
+	node := m.nodes[to]
 	m.mu.Unlock()
-	if n == nil {
+	if node == nil {
 		return fmt.Errorf("%w %q", ErrNoMember, to)
 	}
 	msg := make([]byte, 0, 2+len(m.settings.Name)+len(data))
@@ -141,22 +143,22 @@
 	if len(msg) > maxDatagram {
 		send = m.list.SendReliable
 	}
-	if err := send(n, msg); err != nil {
-		return fmt.Errorf("members: send to %q at %s: %w", to, n.Address(), err)
+	if err := send(node, msg); err != nil {
+		return fmt.Errorf("members: send to %q at %s: %w", to, node.Address(), err)
 	}
 	return nil
 }
 
-// Stats returns the counts since the start.
+// Stats returns the counts since the start and the current number of members.
 func (m *Membership) Stats() Stats {
 	return Stats{Members: m.list.NumMembers(), Dropped: m.stats.dropped.Load(), BytesSent: m.stats.bytesSent.Load(),
 		BytesReceived: m.stats.bytesReceived.Load(), Rejected: m.stats.rejected.Load()}
 }
 
-// Close leaves the members, for which it waits at most leaveTimeout, and ends all goroutines. It must be called once.
+// Close leaves the membership, waiting for at most leaveTimeout, and ends all goroutines. It must be called once.
 func (m *Membership) Close() {
 	close(m.done)
-	_ = m.list.Leave(leaveTimeout) // a timeout: the others detect the failure instead
-	_ = m.list.Shutdown()          // it reports nothing
+	_ = m.list.Leave(leaveTimeout) // after a timeout the others detect the failure instead
+	_ = m.list.Shutdown()          // always returns nil
 	m.wg.Wait()
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -19,8 +19,9 @@
 	"foxlane/internal/faultproxy"
 )
 
-// TestMain fails if a goroutine outlives the tests: Close ends all that Start began. A probe of memberlist that is running at its Shutdown
-// ends by its own timeout, which grows to eight probe intervals on a slow machine: longer than goleak waits by itself.
+// TestMain fails if a goroutine outlives the tests, since Close must end all goroutines of Start. A probe of memberlist
+// that is running at Shutdown ends only at its timeout, which grows to eight probe intervals on a slow machine. That is
+// longer than goleak waits by default.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if code == 0 {
@@ -36,7 +37,7 @@
 	os.Exit(code)
 }
 
-// freeAddr is an address that nobody listens on, for TCP and UDP.
+// freeAddr returns an address on which no process listens.
 func freeAddr(t *testing.T, i int) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.9.%d.1:0", i+1))
@@ -49,7 +50,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// member is a member with what it has reported.
+// member is a Membership with the events that it has reported.
 type member struct {
 	*Membership
 	present   []string
@@ -57,7 +58,7 @@
 	conflicts int
 }
 
-// drain takes all events that wait.
+// drain processes all queued events.
 func (m *member) drain() {
 	for {
 		e, ok := m.Next()
@@ -87,102 +88,103 @@
 	return &member{Membership: m}
 }
 
-func waitUntil(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, condition string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if ok() {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if met() {
 			return
 		}
 	}
-	t.Errorf("not within 10 s: %s", what)
+	t.Errorf("condition not met within 10 s: %s", condition)
 }
 
-// Three members find one another by one seed and exchange messages; one leaves; no goroutine of any remains.
+// Three members find each other through one seed and exchange messages. The others notice when one leaves. No goroutine
+// remains after Close.
 func TestJoinAndLeave(t *testing.T) {
 	before := runtime.NumGoroutine()
-	var at []netip.AddrPort
+	var addrs []netip.AddrPort
 	for i := range 3 {
-		at = append(at, freeAddr(t, i))
+		addrs = append(addrs, freeAddr(t, i))
 	}
-	var all []*member
+	var members []*member
 	for i := range 3 {
-		all = append(all, startMember(t, Settings{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i), Bind: at[i], Seeds: at[:1]}))
+		members = append(members, startMember(t, Settings{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i), Bind: addrs[i], Seeds: addrs[:1]}))
 	}
-	waitUntil(t, "all know all", func() bool {
-		for _, m := range all {
+	waitUntil(t, "all members know each other", func() bool {
+		for _, m := range members {
 			if m.drain(); len(m.present) != 2 {
 				return false
 			}
 		}
 		return true
 	})
-	slices.Sort(all[0].present)
-	if got := fmt.Sprint(all[0].present); got != "[n1@z1 n2@z2]" {
-		t.Errorf("the first knows %s", got)
+	slices.Sort(members[0].present)
+	if got := fmt.Sprint(members[0].present); got != "[n1@z1 n2@z2]" {
+		t.Errorf("the first member knows %s", got)
 	}
-	if err := all[1].Send("n2", 7, []byte("hello")); err != nil {
+	if err := members[1].Send("n2", 7, []byte("hello")); err != nil {
 		t.Error(err)
 	}
-	if err := all[1].Send("nobody", 7, nil); !errors.Is(err, ErrNoMember) {
-		t.Errorf("sent to nobody: %v", err)
+	if err := members[1].Send("nobody", 7, nil); !errors.Is(err, ErrNoMember) {
+		t.Errorf("send to an unknown member: %v", err)
 	}
-	if err := all[1].Send("n2", 7, make([]byte, 100<<10)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("sent 100 KiB: %v", err)
+	if err := members[1].Send("n2", 7, make([]byte, 100<<10)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("send of 100 KiB: %v", err)
 	}
-	waitUntil(t, "a datagram", func() bool { all[2].drain(); return slices.Contains(all[2].messages, "n1/7 hello") })
-	if err := all[1].Send("n2", 8, make([]byte, 20<<10)); err != nil {
+	waitUntil(t, "a datagram arrives", func() bool { members[2].drain(); return slices.Contains(members[2].messages, "n1/7 hello") })
+	if err := members[1].Send("n2", 8, make([]byte, 20<<10)); err != nil {
 		t.Error(err)
 	}
-	waitUntil(t, "more than a datagram", func() bool {
-		all[2].drain()
-		return slices.ContainsFunc(all[2].messages, func(s string) bool { return len(s) > 20<<10 })
+	waitUntil(t, "a message larger than a datagram arrives", func() bool {
+		members[2].drain()
+		return slices.ContainsFunc(members[2].messages, func(s string) bool { return len(s) > 20<<10 })
 	})
-	all[1].Close()
-	waitUntil(t, "one that leaves is gone", func() bool {
-		all[0].drain()
-		all[2].drain()
-		return len(all[0].present) == 1 && len(all[2].present) == 1
+	members[1].Close()
+	waitUntil(t, "the member that left is removed", func() bool {
+		members[0].drain()
+		members[2].drain()
+		return len(members[0].present) == 1 && len(members[2].present) == 1
 	})
-	all[0].Close()
-	all[2].Close()
+	members[0].Close()
+	members[2].Close()
 	waitUntil(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before+2 })
 }
 
-// A second process of one name is reported; addresses that are not allowed are rejected and counted.
+// A second process with the name of a member is reported. Addresses that are not allowed are rejected and counted.
 func TestNameConflictsAndRejectedAddresses(t *testing.T) {
-	at := []netip.AddrPort{freeAddr(t, 10), freeAddr(t, 11), freeAddr(t, 12)}
-	var b netipx.IPSetBuilder
-	b.AddPrefix(netip.MustParsePrefix("127.9.0.0/16"))
-	b.Remove(at[2].Addr())
-	allowed, err := b.IPSet()
+	addrs := []netip.AddrPort{freeAddr(t, 10), freeAddr(t, 11), freeAddr(t, 12)}
+	var allowedSet netipx.IPSetBuilder
+	allowedSet.AddPrefix(netip.MustParsePrefix("127.9.0.0/16"))
+	allowedSet.Remove(addrs[2].Addr())
+	allowed, err := allowedSet.IPSet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := startMember(t, Settings{Name: "n0", Bind: at[0], Allowed: allowed})
-	defer one.Close()
-	two := startMember(t, Settings{Name: "n0", Bind: at[1], Seeds: at[:1], Allowed: allowed})
-	defer two.Close()
-	third := startMember(t, Settings{Name: "n1", Bind: freeAddr(t, 13), Seeds: at[:2], Allowed: allowed})
+	first := startMember(t, Settings{Name: "n0", Bind: addrs[0], Allowed: allowed})
+	defer first.Close()
+	second := startMember(t, Settings{Name: "n0", Bind: addrs[1], Seeds: addrs[:1], Allowed: allowed})
+	defer second.Close()
+	third := startMember(t, Settings{Name: "n1", Bind: freeAddr(t, 13), Seeds: addrs[:2], Allowed: allowed})
 	defer third.Close()
 	waitUntil(t, "the name conflict is reported", func() bool { third.drain(); return third.conflicts > 0 })
-	outsider := startMember(t, Settings{Name: "n9", Bind: at[2], Seeds: at[:1]})
+	outsider := startMember(t, Settings{Name: "n9", Bind: addrs[2], Seeds: addrs[:1]})
 	defer outsider.Close()
-	waitUntil(t, "the address that is not allowed is counted", func() bool { return one.Stats().Rejected > 0 })
-	if one.drain(); slices.ContainsFunc(one.present, func(s string) bool { return strings.HasPrefix(s, "n9@") }) {
-		t.Errorf("an address that is not allowed is a member: %v", one.present)
+	waitUntil(t, "traffic from a disallowed address is counted", func() bool { return first.Stats().Rejected > 0 })
+	if first.drain(); slices.ContainsFunc(first.present, func(s string) bool { return strings.HasPrefix(s, "n9@") }) {
+		t.Errorf("a process with a disallowed address became a member: %v", first.present)
 	}
-	if (Settings{Name: "x", Bind: at[2], Allowed: allowed}).Validate() == nil {
-		t.Error("a member that is not allowed itself is valid")
+	if (Settings{Name: "x", Bind: addrs[2], Allowed: allowed}).Validate() == nil {
+		t.Error("settings whose own address is not allowed are valid")
 	}
 }
 
-// Behind a fault-injecting proxy for each pair and direction that loses and delays datagrams, all find one another. A member that is cut
-// off is held to be dead, and found again.
+// Members find each other although a proxy for each pair and direction drops and delays datagrams. A member that is cut
+// off is considered dead and rejoins once the links work again.
 func TestThroughFaultProxy(t *testing.T) {
 	const n = 3
-	at := []netip.AddrPort{freeAddr(t, 20), freeAddr(t, 21), freeAddr(t, 22)}
-	var links []*faultproxy.Link
-	var all []*member
+	addrs := []netip.AddrPort{freeAddr(t, 20), freeAddr(t, 21), freeAddr(t, 22)}
+	var cutLinks []*faultproxy.Link
+	var members []*member
 	for i := range n {
 		dialAddrs := map[netip.AddrPort]netip.AddrPort{}
 		for j := range n {
@@ -190,23 +192,23 @@
 				continue
 			}
 			there, back := faultproxy.NewLink(uint64(i*n+j)), faultproxy.NewLink(uint64(100+i*n+j))
-			p, err := faultproxy.NewTCPAndUDP(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), at[j].String(), there, back)
+			proxy, err := faultproxy.NewTCPAndUDP(fmt.Sprintf("127.9.%d.%d", 40+i, 1+j), addrs[j].String(), there, back)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer p.Close()
-			dialAddrs[at[j]] = p.Addr()
+			defer proxy.Close()
+			dialAddrs[addrs[j]] = proxy.Addr()
 			if i == 2 || j == 2 {
-				links = append(links, there, back)
+				cutLinks = append(cutLinks, there, back)
 			}
 			there.SetConditions(faultproxy.Conditions{Loss: 0.2, Delay: 5 * time.Millisecond})
 		}
-		all = append(all, startMember(t, Settings{Name: fmt.Sprint("n", i), Bind: at[i], Seeds: at, DialAddrs: dialAddrs}))
-		defer all[i].Close()
+		members = append(members, startMember(t, Settings{Name: fmt.Sprint("n", i), Bind: addrs[i], Seeds: addrs, DialAddrs: dialAddrs}))
+		defer members[i].Close()
 	}
-	know := func(counts ...int) func() bool {
+	allKnow := func(counts ...int) func() bool {
 		return func() bool {
-			for i, m := range all {
+			for i, m := range members {
 				if m.drain(); len(m.present) != counts[i] {
 					return false
 				}
@@ -214,18 +216,18 @@
 			return true
 		}
 	}
-	waitUntil(t, "all know all through the proxies", know(2, 2, 2))
-	for _, link := range links {
+	waitUntil(t, "all members know each other through the proxies", allKnow(2, 2, 2))
+	for _, link := range cutLinks {
 		link.SetConditions(faultproxy.Conditions{Cut: true})
 	}
-	waitUntil(t, "the third is cut off", know(1, 1, 0))
-	for _, link := range links {
+	waitUntil(t, "the third member is considered dead", allKnow(1, 1, 0))
+	for _, link := range cutLinks {
 		link.SetConditions(faultproxy.Conditions{})
 	}
-	waitUntil(t, "and found again", know(2, 2, 2))
+	waitUntil(t, "the third member has rejoined", allKnow(2, 2, 2))
 }
 
-// A full queue drops messages, and keeps the events of members that join and leave.
+// A full queue drops messages but keeps events of members that join and leave.
 func TestQueueIsBounded(t *testing.T) {
 	m := &Membership{queue: make(chan Event, 4), notify: func() {}}
 	for i := range 20 {
@@ -243,31 +245,32 @@
 		left = left || e.Kind == Left
 	}
 	if got != 4 || !left || m.stats.dropped.Load() != 17 {
-		t.Errorf("%d events kept, %d lost, the one of the member that left among them: %v", got, m.stats.dropped.Load(), left)
+		t.Errorf("%d events kept, %d dropped, Left event kept: %v", got, m.stats.dropped.Load(), left)
 	}
 }
 
-// Shutdown ends though packets wait that nobody takes: the sockets' goroutines would block it otherwise.
-func TestShutdownWithPacketsThatWait(t *testing.T) {
-	at := freeAddr(t, 30)
+// Shutdown returns even if nobody consumes the packets that have arrived. Otherwise the listeners' goroutines, which
+// block on delivering them, would block Shutdown.
+func TestShutdownWithUnreadPackets(t *testing.T) {
+	addr := freeAddr(t, 30)
 	var rejected atomic.Int64
-	tr, err := listen(Settings{Bind: at}, &rejected)
+	tr, err := listen(Settings{Bind: addr}, &rejected)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("udp", at.String())
+	conn, err := net.Dial("udp", addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
-		if _, err := c.Write([]byte("a packet")); err != nil {
+		if _, err := conn.Write([]byte("a packet")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Close(); err != nil {
+	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // the packets are read, and wait
+	time.Sleep(50 * time.Millisecond) // until the packets are read and blocked in delivery
 	ended := make(chan error, 1)
 	go func() { ended <- tr.Shutdown() }()
 	select {
@@ -276,6 +279,6 @@
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("Shutdown does not end")
+		t.Fatal("Shutdown did not return within 5 s")
 	}
 }
--- a/internal/members/rejoin.go
+++ b/internal/members/rejoin.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// rejoin looks for seeds that are not among the members: often while there is no member at all, and now and then for those that a partition
-// has cut off.
+// rejoin tries to join seeds that are not members until Close. Attempts are frequent while there is no other member,
+// and rare otherwise, to find seeds that a partition has cut off.
 func (m *Membership) rejoin() {
 	delay := minRejoinDelay
 	for {
@@ -28,11 +28,11 @@
 	}
 }
 
-// missingSeeds are the seeds that are not among the members, in random order.
+// missingSeeds returns the seeds that are not members, in random order.
 func (m *Membership) missingSeeds() (seeds []string) {
 	present := map[string]bool{m.settings.Bind.String(): true}
 	for _, n := range m.list.Members() {
-		present[netip.AddrPortFrom(addrOf(n.Addr), n.Port).String()] = true
+		present[netip.AddrPortFrom(toAddr(n.Addr), n.Port).String()] = true
 	}
 	for _, i := range rand.Perm(len(m.settings.Seeds)) {
 		if s := m.settings.Seeds[i].String(); !present[s] {
@@ -42,7 +42,7 @@
 	return seeds
 }
 
-func addrOf(ip net.IP) netip.Addr {
+func toAddr(ip net.IP) netip.Addr {
 	a, _ := netip.AddrFromSlice(ip)
 	return a.Unmap()
 }
--- a/internal/members/settings.go
+++ b/internal/members/settings.go
@@ -10,44 +10,44 @@
 	"go4.org/netipx"
 )
 
-// Settings are how a member finds others.
+// Settings configure a member.
 type Settings struct {
 	Name          string
 	Zone          string
-	Bind          netip.AddrPort                    // for UDP and TCP, as others reach it
-	Seeds         []netip.AddrPort                  // members that are tried first
-	Allowed       *netipx.IPSet                     // addresses that are accepted; nil: any
-	DialAddrs     map[netip.AddrPort]netip.AddrPort // by the address that a member announces: where it is reached, as behind a NAT
-	QueueSize     int                               // events; 0: defaultQueueSize
-	FastDetection bool                              // for links of a millisecond: failures are detected sooner
+	Bind          netip.AddrPort                    // UDP and TCP address at which other members reach this one
+	Seeds         []netip.AddrPort                  // members to join
+	Allowed       *netipx.IPSet                     // addresses from which traffic is accepted; nil: any
+	DialAddrs     map[netip.AddrPort]netip.AddrPort // address to dial by announced address, for members behind NAT
+	QueueSize     int                               // in events; 0: defaultQueueSize
+	FastDetection bool                              // detect failures sooner, for links with latencies of a millisecond
 }
 
 const (
 	defaultQueueSize   = 1024
-	maxName            = 64
-	maxDatagram        = 1400 // bytes that memberlist sends as one packet
+	maxNameBytes       = 64
+	maxDatagram        = 1400 // bytes sent as one packet
 	maxReliableMessage = 64 << 10
 	minRejoinDelay     = 500 * time.Millisecond
 	maxRejoinDelay     = 15 * time.Second
 	leaveTimeout       = 300 * time.Millisecond
 )
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error for the first invalid setting, or nil.
 func (s Settings) Validate() error {
 	switch {
-	case s.Name == "" || len(s.Name) > maxName || len(s.Zone) > maxName:
-		return fmt.Errorf("members: name %q must have 1 to %d bytes, zone %q at most that", s.Name, maxName, s.Zone)
+	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Zone) > maxNameBytes:
+		return fmt.Errorf("members: name %q must have 1 to %d bytes, zone %q must not be longer", s.Name, maxNameBytes, s.Zone)
 	case !s.Bind.IsValid() || s.Bind.Port() == 0:
 		return errors.New("members: bind must be an address with a port")
 	case s.Bind.Addr().IsUnspecified():
-		return errors.New("members: bind must be one address, which others are told")
+		return errors.New("members: bind must be a specific address, since it is announced to other members")
 	case s.Allowed != nil && !s.Allowed.Contains(s.Bind.Addr()):
-		return fmt.Errorf("members: %s itself is not among the addresses that may speak", s.Bind.Addr())
+		return fmt.Errorf("members: own address %s is not among the allowed addresses", s.Bind.Addr())
 	}
 	return nil
 }
 
-// config is memberlist's own defaults for a local network, but for what differs here.
+// config returns the configuration of memberlist, based on its defaults for a local network.
 func (m *Membership) config(t *transport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	if m.settings.FastDetection {
@@ -58,8 +58,8 @@
 	c.Name, c.Transport, c.Logger, c.LogOutput = m.settings.Name, t, discardLogger(), nil
 	c.BindAddr, c.BindPort = m.settings.Bind.Addr().String(), int(m.settings.Bind.Port())
 	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
-	c.Delegate, c.Events, c.Conflict = delegate{m}, events{m}, conflicts{m}
+	c.Delegate, c.Events, c.Conflict = delegate{m}, eventDelegate{m}, conflictDelegate{m}
 	c.EnableCompression, c.UDPBufferSize = false, maxDatagram+128
-	c.DeadNodeReclaimTime = time.Second // a process that returns at another address has its name again
+	c.DeadNodeReclaimTime = time.Second // a restarted process may use its name at another address
 	return c
 }
--- a/internal/members/transport.go
+++ b/internal/members/transport.go
@@ -14,8 +14,8 @@
 	"go4.org/netipx"
 )
 
-// transport is memberlist's own transport, but that it accepts allowed addresses only, and dials some members at other addresses than they
-// announce.
+// transport wraps memberlist's transport. It accepts traffic from allowed addresses only, and dials members at the
+// addresses in dialAddrs instead of those that they announce.
 type transport struct {
 	*memberlist.NetTransport
 	localAddr netip.Addr
@@ -24,15 +24,15 @@
 	rejected  *atomic.Int64
 	packets   chan *memberlist.Packet
 	streams   chan net.Conn
-	closing   chan struct{} // closed first: what still arrives is discarded
-	done      chan struct{} // closed last: the filter ends
+	closing   chan struct{} // closed first: filter discards what still arrives
+	done      chan struct{} // closed last: filter ends
 	shutdown  sync.Once
-	wg        sync.WaitGroup // the filter's goroutine
+	wg        sync.WaitGroup // waits for filter
 }
 
 func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// listen opens the sockets and starts the filter. Shutdown ends both.
+// listen opens the sockets and starts filter. Shutdown ends both.
 func listen(settings Settings, rejected *atomic.Int64) (*transport, error) {
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{settings.Bind.Addr().String()},
 		BindPort: int(settings.Bind.Port()), Logger: discardLogger()})
@@ -45,14 +45,14 @@
 	return t, nil
 }
 
-// filter passes on what comes from allowed addresses.
+// filter forwards packets and connections from allowed addresses, and discards others.
 func (t *transport) filter() {
 	for {
 		select {
 		case <-t.done:
 			return
 		case p := <-t.NetTransport.PacketCh():
-			if !t.isAllowed(p.From) {
+			if !t.checkAllowed(p.From) {
 				continue
 			}
 			select {
@@ -60,33 +60,33 @@
 			case <-t.closing:
 			}
 		case c := <-t.NetTransport.StreamCh():
-			if !t.isAllowed(c.RemoteAddr()) {
-				_ = c.Close() // nothing was written to it
+			if !t.checkAllowed(c.RemoteAddr()) {
+				_ = c.Close() // nothing was written, so the error does not matter
 				continue
 			}
 			select {
 			case t.streams <- c:
 			case <-t.closing:
-				_ = c.Close() // nothing was written to it
+				_ = c.Close() // nothing was written, so the error does not matter
 			}
 		}
 	}
 }
 
-// isAllowed reports whether an address is accepted, and counts it if not.
-func (t *transport) isAllowed(a net.Addr) bool {
+// checkAllowed reports whether traffic from an address is accepted, and counts it as rejected if not.
+func (t *transport) checkAllowed(addr net.Addr) bool {
 	if t.allowed == nil {
 		return true
 	}
-	at, err := netip.ParseAddrPort(a.String())
-	if err == nil && t.allowed.Contains(at.Addr().Unmap()) {
+	addrPort, err := netip.ParseAddrPort(addr.String())
+	if err == nil && t.allowed.Contains(addrPort.Addr().Unmap()) {
 		return true
 	}
 	t.rejected.Add(1)
 	return false
 }
 
-// dialAddr is where the member that announces an address is reached.
+// dialAddr returns the address at which to reach the member that announces addr.
 func (t *transport) dialAddr(addr string) string {
 	if announced, err := netip.ParseAddrPort(addr); err == nil {
 		if at, ok := t.dialAddrs[announced]; ok {
@@ -96,10 +96,10 @@
 	return addr
 }
 
-// PacketCh returns the packets of allowed addresses.
+// PacketCh returns the channel of packets from allowed addresses.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh returns the connections of allowed addresses.
+// StreamCh returns the channel of connections from allowed addresses.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // WriteTo sends a packet.
@@ -107,24 +107,24 @@
 	return t.NetTransport.WriteTo(b, t.dialAddr(addr))
 }
 
-// WriteToAddress sends a packet; names are not needed to reach a member.
+// WriteToAddress sends a packet. It ignores the name in the address.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
-// DialTimeout connects from the address that this member announces: it is the one that others allow.
+// DialTimeout connects to a member from the address that this member announces, which is the one that others allow.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localAddr.AsSlice()}}
 	return d.Dial("tcp", t.dialAddr(addr))
 }
 
-// DialAddressTimeout connects as DialTimeout.
+// DialAddressTimeout connects like DialTimeout. It ignores the name in the address.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// Shutdown closes the sockets and ends the filter. The listeners of NetTransport end only once what they have read is taken, so the filter
-// goes on to take it until they have.
+// Shutdown closes the sockets and ends filter. The listeners of NetTransport end only after everything that they have
+// read is consumed, so filter keeps consuming it until they have ended.
 func (t *transport) Shutdown() (err error) {
 	t.shutdown.Do(func() {
 		close(t.closing)
