--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -172,7 +172,7 @@
 // without duplicates.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Messages of three writers with two incarnations each, in the order in which they were messages.
+		// Messages of three writers with two incarnations each, in the order in which they were sent.
 		var messages [][2]any
 		record := func(from string) func(string, []byte) {
 			return func(_ string, data []byte) { messages = append(messages, [2]any{from, append([]byte(nil), data...)}) }
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -228,7 +228,7 @@
 }
 
 // distributeShedding sets the shed fractions of the tiers so that a fraction of the demand is shed: each tier is shed
-// completely before the next one, the last one in fraction.
+// completely before the next one, the last one in part.
 func (c *Controller) distributeShedding(fraction float64) {
 	demand := &c.demand
 	total := 0.0
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -85,6 +85,8 @@
 		return true
 	}
 	totalAllowance := spillover.allowance * float64(c.fleet.Gateways) / float64(c.fleet.gatewayZones()) // estimate of the whole limit
+	// rootCount solves x*x + samplingMargin*x = totalAllowance/work: on average x*x queries are sent, with the
+	// standard deviation x.
 	rootCount := math.Sqrt(totalAllowance/work+samplingMargin*samplingMargin/4) - samplingMargin/2
 	samplingLimit := spillover.allowance * rootCount * rootCount * work / max(totalAllowance, 1e-9)
 	return work > spillover.allowance && sent+c.windowSample(index)*work <= samplingLimit
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -143,7 +143,7 @@
 }
 
 // splitBySize splits the load by the present cores of each zone. Draining and drained zones get none, since panic mode
-// must not undo an operator'split drain.
+// must not undo an operator's drain.
 func (c *Controller) splitBySize(split *Split, listed float64) {
 	total := 0.0
 	size := func(zone *zoneRecord) float64 {
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -40,8 +40,8 @@
 	if s := controller.Status(now)[0]; s.State != Lost || s.LoadShare != 0 || s.Losses != 1 {
 		t.Fatalf("1 s after the loss: %+v", s)
 	}
-	if to := controller.Split(now).Fractions; to[0] != 0 || math.Abs(to[1]-0.5) > 1e-9 || math.Abs(to[2]-0.5) > 1e-9 {
-		t.Fatalf("gateways of the lost zone split their load as %v", to)
+	if fractions := controller.Split(now).Fractions; fractions[0] != 0 || math.Abs(fractions[1]-0.5) > 1e-9 || math.Abs(fractions[2]-0.5) > 1e-9 {
+		t.Fatalf("gateways of the lost zone split their load as %v", fractions)
 	}
 	now = controller.observeFor(now, 600*ms, observedZone(1), observedZone(1), observedZone(1))
 	if s := controller.Status(now)[0]; s.State != Returning || s.LoadShare != 0 {
@@ -139,8 +139,8 @@
 	if s := controller.Status(now)[0]; s.State != Draining || math.Abs(s.LoadShare-0.5) > 0.02 {
 		t.Fatalf("half way through the drain: %+v", s)
 	}
-	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
-		t.Errorf("the half drained zone keeps %v of its load, want 0.7: half of its capacity times 1.4", to[0])
+	if fractions := controller.Split(now).Fractions; math.Abs(fractions[0]-0.7) > 0.02 {
+		t.Errorf("the half drained zone keeps %v of its load, want 0.7: half of its capacity times 1.4", fractions[0])
 	}
 	now = controller.observeFor(now, 6*second, healthyZones...)
 	if s := controller.Status(now)[0]; s.State != Drained || s.Losses != 0 {
@@ -164,16 +164,16 @@
 }
 
 func TestFailoverTierOrder(t *testing.T) {
-	set := Defaults()
-	set.Tiers = map[int][][]int{0: {{2}}}
-	controller := New(set, Fleet{Zones: 4}, 0)
+	settings := Defaults()
+	settings.Tiers = map[int][][]int{0: {{2}}}
+	controller := New(settings, Fleet{Zones: 4}, 0)
 	now := controller.observeFor(1, 2*second, observedZone(0), observedZone(1), observedZone(1), observedZone(1))
-	if to := controller.Split(now).Fractions; to[2] != 1 {
-		t.Errorf("own zone lost, zone 2 preferred: %v", to)
+	if fractions := controller.Split(now).Fractions; fractions[2] != 1 {
+		t.Errorf("own zone lost, zone 2 preferred: %v", fractions)
 	}
 	now = controller.observeFor(now, 2*second, observedZone(0), observedZone(1), observedZone(0.5), observedZone(1))
-	if to := controller.Split(now).Fractions; math.Abs(to[2]-0.7) > 1e-9 || math.Abs(to[1]-0.15) > 1e-9 {
-		t.Errorf("own zone lost, half of zone 2 unhealthy: %v", to)
+	if fractions := controller.Split(now).Fractions; math.Abs(fractions[2]-0.7) > 1e-9 || math.Abs(fractions[1]-0.15) > 1e-9 {
+		t.Errorf("own zone lost, half of zone 2 unhealthy: %v", fractions)
 	}
 	if s := controller.Split(now + 1); s.Panic {
 		t.Error("panic mode though 5/8 of the capacity is healthy")
@@ -186,12 +186,12 @@
 	now := controller.observeFor(1, 2*second, observedZone(1), observedZone(1))
 	half := Observation{ListedCores: 50, HealthyCores: 50, WarmCores: 50, ActiveEngines: 2}
 	now = controller.observeFor(now, second, half, observedZone(1))
-	if to := controller.Split(now).Fractions; math.Abs(to[0]-0.7) > 0.02 {
-		t.Errorf("half of the zone has left the list: it keeps %v of its load, want 0.7", to[0])
+	if fractions := controller.Split(now).Fractions; math.Abs(fractions[0]-0.7) > 0.02 {
+		t.Errorf("half of the zone has left the list: it keeps %v of its load, want 0.7", fractions[0])
 	}
 	now = controller.observeFor(now, 5*controller.settings.Damping.MaxSuppression, half, observedZone(1))
-	if to := controller.Split(now).Fractions; to[0] < 0.99 {
-		t.Errorf("half of the zone left the list long ago: it keeps %v of its load", to[0])
+	if fractions := controller.Split(now).Fractions; fractions[0] < 0.99 {
+		t.Errorf("half of the zone left the list long ago: it keeps %v of its load", fractions[0])
 	}
 }
 
@@ -203,14 +203,14 @@
 }
 
 // engineObservations returns four engines of 25 cores for each zone, of which a fraction is healthy.
-func engineObservations(healthy ...float64) (out []EngineObservation) {
+func engineObservations(healthy ...float64) (observations []EngineObservation) {
 	for zone, fraction := range healthy {
 		for i := range 4 {
-			out = append(out, EngineObservation{Engine: rules.EngineID(10*zone + i + 1), Zone: zone, Cores: 25, WarmFraction: 1, Slowdown: 1,
+			observations = append(observations, EngineObservation{Engine: rules.EngineID(10*zone + i + 1), Zone: zone, Cores: 25, WarmFraction: 1, Slowdown: 1,
 				Excluded: float64(i) >= 4*fraction})
 		}
 	}
-	return out
+	return observations
 }
 
 // All gateways together stay within the spillover limit of a zone in each second, with queries smaller and larger than
@@ -218,11 +218,11 @@
 func TestSpilloverStaysUnderItsLimit(t *testing.T) {
 	for _, work := range []rules.Time{5 * ms, 200 * ms, 2 * second} {
 		const gateways, duration = 300, 40 * second
-		set := settingsWithSpillover(0.3)
+		settings := settingsWithSpillover(0.3)
 		controllers := make([]*Controller, gateways)
 		for i := range controllers {
 			_, jitter := math.Modf(float64(i) * math.Phi)
-			controllers[i] = New(set, Fleet{Zones: 3, OwnZone: i % 3, Gateways: gateways, Jitter: jitter}, 0)
+			controllers[i] = New(settings, Fleet{Zones: 3, OwnZone: i % 3, Gateways: gateways, Jitter: jitter}, 0)
 		}
 		var sent [duration / second]float64
 		blocked := 0
@@ -246,9 +246,9 @@
 			}
 		}
 		limit, sum := 2*0.3*100, 0.0
-		for at, s := range sent[2:] {
-			if sum += s; s > limit*1.001 {
-				t.Errorf("queries of %d ms, second %d: %v cores of spillover, the limit is %v", work/ms, at+2, s, limit)
+		for at, cores := range sent[2:] {
+			if sum += cores; cores > limit*1.001 {
+				t.Errorf("queries of %d ms, second %d: %v cores of spillover, the limit is %v", work/ms, at+2, cores, limit)
 			}
 		}
 		t.Logf("queries of %d ms: %.1f cores of a limit of %.0f used, %d picks blocked", work/ms, sum/float64(len(sent)-2), limit, blocked)
@@ -289,9 +289,9 @@
 
 // The retry budget bounds retries into a zone by a fraction of the first attempts there. Each zone has its own budget.
 func TestRetryBudgetPerZone(t *testing.T) {
-	set := Defaults()
-	set.RetryBudget = 0.2
-	controller := New(set, Fleet{Zones: 3, Gateways: 1}, 0)
+	settings := Defaults()
+	settings.RetryBudget = 0.2
+	controller := New(settings, Fleet{Zones: 3, Gateways: 1}, 0)
 	now, sent := rules.Time(second), 0
 	controller.Observe(now, engineObservations(0, 1, 1), rules.LoadSummary{}, false)
 	for range 100 {
@@ -323,8 +323,8 @@
 	if controller.Admits(2*second, 0, 1, false) || !controller.Admits(2*second, 1, 1, false) {
 		t.Error("the lost zone admits queries, or a healthy zone does not")
 	}
-	for drawn := 0.0; drawn < 1; drawn += 0.05 {
-		if zone, ok := controller.PickZone(2*second, drawn, 1, []int{1}); !ok || zone != 2 {
+	for random := 0.0; random < 1; random += 0.05 {
+		if zone, ok := controller.PickZone(2*second, random, 1, []int{1}); !ok || zone != 2 {
 			t.Fatalf("zone 1 tried, zone 0 lost: picked zone %d, %v", zone, ok)
 		}
 	}
@@ -345,9 +345,9 @@
 	classes := []rules.Class{{PriorityWeight: 1, LatencyObjective: second}, {PriorityWeight: 20, LatencyObjective: second}}
 	const work = float64(second) / 2
 	for _, enabled := range []bool{false, true} {
-		set := settingsWithSpillover(1)
-		set.SheddingEnabled = enabled
-		controller := New(set, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
+		settings := settingsWithSpillover(1)
+		settings.SheddingEnabled = enabled
+		controller := New(settings, Fleet{Zones: 1, Gateways: 1, Classes: classes}, 0)
 		queued := 0.0
 		run := func(from, duration rules.Time, load float64) (shed [2]int) {
 			arrivals := 0.0
@@ -451,14 +451,14 @@
 // gets no load, and no share rises faster than the ramp.
 func TestSplitInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 5).Draw(t, "zones")
-		controller := New(Defaults(), Fleet{Zones: n, OwnZone: rapid.IntRange(0, n-1).Draw(t, "own"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}, 0)
+		zoneCount := rapid.IntRange(1, 5).Draw(t, "zones")
+		controller := New(Defaults(), Fleet{Zones: zoneCount, OwnZone: rapid.IntRange(0, zoneCount-1).Draw(t, "own"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}, 0)
 		now := rules.Time(1)
 		before := controller.Status(now)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			gap := rules.Time(rapid.IntRange(1, 3000).Draw(t, "gap")) * ms
-			now += gap
-			observations := make([]Observation, n)
+			elapsed := rules.Time(rapid.IntRange(1, 3000).Draw(t, "gap")) * ms
+			now += elapsed
+			observations := make([]Observation, zoneCount)
 			listed := 0.0
 			for i := range observations {
 				observation := Observation{ListedCores: rapid.Float64Range(0, 200).Draw(t, "listed"), Slowdown: rapid.Float64Range(0, 9).Draw(t, "slow"),
@@ -470,25 +470,25 @@
 				listed += observation.ListedCores
 			}
 			if rapid.Bool().Draw(t, "drains") {
-				controller.SetDraining(now, rapid.IntRange(0, n-1).Draw(t, "zone"), rapid.Bool().Draw(t, "on"))
+				controller.SetDraining(now, rapid.IntRange(0, zoneCount-1).Draw(t, "zone"), rapid.Bool().Draw(t, "on"))
 			}
 			controller.updateZones(now, observations)
 			status := controller.Status(now)
 			for i := range status {
-				if up := status[i].LoadShare - before[i].LoadShare; up > float64(gap)/float64(controller.settings.RecoveryRamp)+1e-9 {
-					t.Fatalf("the share of zone %d rose by %v in %d ms", i, up, gap/ms)
+				if increase := status[i].LoadShare - before[i].LoadShare; increase > float64(elapsed)/float64(controller.settings.RecoveryRamp)+1e-9 {
+					t.Fatalf("the share of zone %d rose by %v in %d ms", i, increase, elapsed/ms)
 				}
 			}
 			before = status
 			split, sum := controller.Split(now), 0.0
-			for i, p := range split.Fractions {
-				if math.IsNaN(p) || p < 0 || p > 1+1e-9 {
+			for i, fraction := range split.Fractions {
+				if math.IsNaN(fraction) || fraction < 0 || fraction > 1+1e-9 {
 					t.Fatalf("fractions %v", split.Fractions)
 				}
-				if p > 0 && observations[i].ListedCores <= 0 {
-					t.Fatalf("zone %d has no listed cores and gets %v", i, p)
+				if fraction > 0 && observations[i].ListedCores <= 0 {
+					t.Fatalf("zone %d has no listed cores and gets %v", i, fraction)
 				}
-				sum += p
+				sum += fraction
 			}
 			if listed > 0 && math.Abs(sum-1) > 1e-9 || listed == 0 && sum != 0 {
 				t.Fatalf("fractions %v add up to %v with %v cores listed", split.Fractions, sum, listed)
@@ -500,32 +500,32 @@
 // In a simulation of three zones, two take the load of the lost one within the spillover limit, and its load returns
 // gradually.
 func TestSimulate(t *testing.T) {
-	sc := Scenario{
+	scenario := Scenario{
 		Zones:     []ZoneSpec{{"a", 100, 60}, {"b", 100, 60}, {"c", 100, 60}},
 		Classes:   []ClassSpec{{"point", 0.1, 22}, {"report", 0.6, 10}, {"load", 0.3, 11}},
 		LostZones: []int{0}, LostAt: 5 * second, ReturnAt: 30 * second, UnlistAfter: 3 * second, ClientsMoveAfter: 2 * second,
 		ColdSpeed: 0.33, WarmupTime: 15 * second, Duration: 60 * second,
 	}
-	for _, m := range Simulate(settingsWithSpillover(0.3), sc) {
-		at := int(m.At / second)
-		asked := 0.0
-		for _, z := range m.Zones {
-			asked += z.OwnLoad + z.ForeignLoad + z.BlockedLoad + z.ShedLoad
-			if z.ForeignLoad > 0.3*100+1e-9 {
-				t.Errorf("second %d: %v cores of spillover, over the limit", at, z.ForeignLoad)
+	for _, sample := range Simulate(settingsWithSpillover(0.3), scenario) {
+		at := int(sample.At / second)
+		total := 0.0
+		for _, zone := range sample.Zones {
+			total += zone.OwnLoad + zone.ForeignLoad + zone.BlockedLoad + zone.ShedLoad
+			if zone.ForeignLoad > 0.3*100+1e-9 {
+				t.Errorf("second %d: %v cores of spillover, over the limit", at, zone.ForeignLoad)
 			}
 		}
-		if math.Abs(asked-m.Demand) > 1e-6 {
-			t.Errorf("second %d: the demand is %v cores, loads add up to %v", at, m.Demand, asked)
+		if math.Abs(total-sample.Demand) > 1e-6 {
+			t.Errorf("second %d: the demand is %v cores, loads add up to %v", at, sample.Demand, total)
 		}
-		if (at < 5 || at > 55) && (m.Unserved > 1e-6 || m.Zones[0].OwnLoad < 59) {
-			t.Errorf("second %d, no zone is lost: %+v", at, m)
+		if (at < 5 || at > 55) && (sample.Unserved > 1e-6 || sample.Zones[0].OwnLoad < 59) {
+			t.Errorf("second %d, no zone is lost: %+v", at, sample)
 		}
-		if at > 7 && at < 30 && (m.Zones[0].OwnLoad+m.Zones[0].ForeignLoad > 1e-9 || m.Unserved > 1) {
-			t.Errorf("second %d, zone a is lost and the others have capacity for its clients: %+v", at, m)
+		if at > 7 && at < 30 && (sample.Zones[0].OwnLoad+sample.Zones[0].ForeignLoad > 1e-9 || sample.Unserved > 1) {
+			t.Errorf("second %d, zone a is lost and the others have capacity for its clients: %+v", at, sample)
 		}
-		if at == 33 && (m.Zones[0].OwnLoad > 30 || m.Zones[0].State != Returning) {
-			t.Errorf("second %d, zone a returned 3 s ago: %+v", at, m.Zones[0])
+		if at == 33 && (sample.Zones[0].OwnLoad > 30 || sample.Zones[0].State != Returning) {
+			t.Errorf("second %d, zone a returned 3 s ago: %+v", at, sample.Zones[0])
 		}
 	}
 }
@@ -620,7 +620,7 @@
 
 // A zone that peers report as lost is probed, and is lost only if it does not answer.
 func TestSuspicionFromPeers(t *testing.T) {
-	for _, answers := range []bool{true, false} {
+	for _, answered := range []bool{true, false} {
 		controller := New(Defaults(), Fleet{Zones: 2, Gateways: 2}, 0)
 		probes := 0
 		for now := rules.Time(second); now < 4*second; now += 250 * ms {
@@ -631,12 +631,12 @@
 			for _, id := range controller.Observe(now, engineObservations(1, 1), rules.LoadSummary{}, true).Probe {
 				if id < 10 {
 					probes++
-					controller.ProbeAnswered(0, answers)
+					controller.ProbeAnswered(0, answered)
 				}
 			}
 		}
-		if s := controller.Status(4 * second)[0].State; probes == 0 || (s == Lost) == answers {
-			t.Errorf("probes answered %v: probed %d times, then state %v", answers, probes, s)
+		if s := controller.Status(4 * second)[0].State; probes == 0 || (s == Lost) == answered {
+			t.Errorf("probes answered %v: probed %d times, then state %v", answered, probes, s)
 		}
 	}
 }
