--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -54,7 +54,7 @@
 
 func (s SheddingSettings) validate() error {
 	if !(s.Threshold > 1) || !(s.Hysteresis >= 0 && s.Hysteresis < s.Threshold-1) || s.SettlingTime < 0 {
-		return settingsErrorf("shedding: up must be above 1, slack at least 0 and below up - 1, settle at least 0")
+		return settingsErrorf("shedding: up must be above 1, slack at least 0 and under up - 1, settle at least 0")
 	}
 	return nil
 }
