--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -11,15 +11,15 @@
 	"foxlane/internal/gateway"
 )
 
-// This file has the poller, which reads and writes all connections, and the connections that clients make.
+// This file runs the poller, which reads and writes all connections, and accepts connections from clients.
 
 const (
 	readBufferSize   = 16 << 10
-	maxReadsPerEvent = 16 // reads of one connection before the next has its turn
-	acceptErrorPause = 10 * time.Millisecond
+	maxReadsPerEvent = 16 // consecutive reads of one connection before the poller serves the next
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// startPoller begins to listen, and to read and write connections.
+// startPoller starts listening for clients and starts the poller that reads and writes connections.
 func (s *Server) startPoller() error {
 	s.poller = nbio.NewEngine(nbio.Config{
 		Network: "tcp", Addrs: []string{s.cfg.Listen.String()}, NPoller: 1, ReadBufferSize: readBufferSize,
@@ -38,9 +38,8 @@
 	return s.poller.Start()
 }
 
-// onOpen takes in a connection that a client has opened, or that a dial has. Where clients come faster than the reducer
-// can close others for them, the accepting goroutine waits here: descriptors must not run out, or dials to engines fail
-// with them.
+// onOpen registers an accepted or dialed connection. If clients connect faster than the reducer closes excess
+// connections, the accepting goroutine blocks here: running out of descriptors would also make dials to engines fail.
 func (s *Server) onOpen(nb *nbio.Conn) {
 	s.mu.Lock()
 	c := s.connsByNB[nb]
@@ -63,7 +62,7 @@
 }
 
 func (s *Server) onData(nb *nbio.Conn, data []byte) {
-	if c := s.countRead(nb); c != nil {
+	if c := s.recordQueuedRead(nb); c != nil {
 		s.queue.enqueueReceived(c.id, data)
 	}
 }
@@ -79,16 +78,16 @@
 	s.queue.enqueue(gateway.ConnectionClosed{Conn: c.id, Err: err, AcceptedBytes: c.acceptedBytes.Load()})
 }
 
-// onAcceptError waits before the next accept: where descriptors ran out they come back when something closes. Once the
-// listener is closed nothing more is accepted.
+// onAcceptError waits before the next accept: after descriptor exhaustion, descriptors become free when connections
+// close. The error is not logged during shutdown, when accepts fail because the listener is closed.
 func (s *Server) onAcceptError(err error) {
 	if !s.shuttingDown.Load() {
 		s.log.Warn("accept failed", zap.Error(err))
 	}
-	time.Sleep(acceptErrorPause)
+	time.Sleep(acceptRetryDelay)
 }
 
-// remoteIP returns the IP address of the other side, or the zero address.
+// remoteIP returns the IP address of a TCP address, or the zero Addr for any other address.
 func remoteIP(a net.Addr) netip.Addr {
 	if tcp, ok := a.(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr().Unmap()
--- a/internal/transport/clock.go
+++ b/internal/transport/clock.go
@@ -6,15 +6,13 @@
 	"foxlane/rules"
 )
 
-// This file has the server's time.
-
-// Clock tells the wall clock's time, which may be stepped, and the time that has passed since some moment, which may not.
+// Clock reads the wall clock, which may be stepped, and a monotonic clock with an arbitrary origin.
 type Clock interface {
 	Wall() time.Time
 	Elapsed() time.Duration
 }
 
-// systemClock is that of the operating system.
+// systemClock is the operating system's clock.
 type systemClock struct{ origin time.Time }
 
 // Wall implements Clock.
@@ -23,7 +21,8 @@
 // Elapsed implements Clock.
 func (c systemClock) Elapsed() time.Duration { return time.Since(c.origin) }
 
-// clock is the Unix time of the start, carried on by the monotonic clock: a step of the wall clock does not move it.
+// clock is the server's time: the Unix time at the start, advanced by the monotonic clock. A step of the wall clock
+// does not change it.
 type clock struct {
 	Clock
 	startElapsed time.Duration
@@ -38,7 +37,7 @@
 	return rules.Time(c.startUnix + (c.Elapsed() - c.startElapsed).Microseconds())
 }
 
-// skew is by how much the wall clock is ahead of this one: by what it was stepped since the start.
+// skew returns how far the wall clock is ahead of this clock, which is the sum of its steps since the start.
 func (c *clock) skew() rules.Time {
 	return rules.Time(c.Wall().UnixMicro()) - c.now()
 }
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -10,16 +10,17 @@
 	"foxlane/rules"
 )
 
-// This file has how connections end. A close while received bytes are unread resets the connection, and takes with it what
-// the other side has not read yet: our last answer. So a client's connection ends by a lingering close: our half is
-// closed behind what was written, and the other half is read to its end, within bounds.
+// This file closes connections. Closing a socket that holds unread received bytes resets the connection, and the peer
+// loses what it has not read yet, such as the last answer. Client connections therefore use a lingering close: the
+// write half is closed after the last write, and the read half is read to its end, for a bounded time and a bounded
+// number of connections.
 
-// errClosedHere is why a connection was shut down that the reducer has closed.
-var errClosedHere = errors.New("done with")
+// errClosedLocally is the cause of a shutdown that the reducer requested.
+var errClosedLocally = errors.New("closed by the gateway")
 
-// closeAfterWrites closes a connection once nothing is pending on it, or after a while.
+// closeAfterWrites closes a connection once its pending bytes are written, or after FlushTimeout.
 func (s *Server) closeAfterWrites(c *conn) {
-	c.closing.Store(true)
+	c.closeWhenDrained.Store(true)
 	if c.pending.Load() <= 0 {
 		s.closeGracefully(c)
 		return
@@ -27,26 +28,27 @@
 	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errPeerNotReading) })
 }
 
-// closeGracefully ends a connection on which nothing is pending. That of an engine ends at once: no attempt is in flight
-// on it, and what it still sends answers nothing.
+// closeGracefully closes a connection that has no pending bytes. A client connection gets a lingering close; the
+// oldest lingering connection is closed if there are more than MaxLingering. An engine connection is closed at once:
+// no attempt is in flight on it, so whatever the engine still sends is not an answer.
 func (s *Server) closeGracefully(c *conn) {
 	if !c.fromClient {
-		s.shutdownConn(c, errClosedHere)
+		s.shutdownConn(c, errClosedLocally)
 		return
 	}
 	s.mu.Lock()
 	var oldest *conn
-	if known := s.conns[c.id] == c && s.closeWrite(c); known && len(s.lingering) > s.limits.MaxLingering {
+	if halfClosed := s.conns[c.id] == c && s.closeWrite(c); halfClosed && len(s.lingering) > s.limits.MaxLingering {
 		oldest = s.lingering[0]
 	}
 	s.mu.Unlock()
 	if oldest != nil {
-		s.shutdownConn(oldest, errClosedHere)
+		s.shutdownConn(oldest, errClosedLocally)
 	}
-	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errClosedHere) })
+	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errClosedLocally) })
 }
 
-// closeWrite closes our half of a connection that is known. The caller holds the lock.
+// closeWrite closes the write half of a connection and reports whether that half is closed. The caller holds s.mu.
 func (s *Server) closeWrite(c *conn) bool {
 	if c.halfClosed {
 		return true
@@ -59,28 +61,28 @@
 	return true
 }
 
-// shutdownConn ends a connection at once. It shuts the socket down, and the poller closes it when it sees that. The poller
-// works off events in batches, by descriptor: a socket that is closed from another goroutine within a batch may be a new
-// connection's before its old event has its turn, which then ends the wrong connection.
-func (s *Server) shutdownConn(c *conn, why error) {
+// shutdownConn ends a connection at once. It only shuts the socket down; the poller closes it when it gets the event.
+// The poller handles events in batches, keyed by descriptor: if another goroutine closed the socket during a batch,
+// its descriptor could be reused for a new connection, which the stale event would then close.
+func (s *Server) shutdownConn(c *conn, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns[c.id] != c || c.closeErr != nil {
 		return
 	}
-	c.closeErr = why
+	c.closeErr = cause
 	if c.ownsDescriptor() {
-		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR) // it fails where the other side has ended it already
+		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR) // fails if the peer has already closed the connection
 	}
-	s.after(s.limits.FlushTimeout, func() { // in case the system tells the poller nothing
+	s.after(s.limits.FlushTimeout, func() { // in case the poller gets no event
 		if s.connByID(c.id) == c {
-			_ = c.nb.Close() // nothing of it is needed any more
+			_ = c.nb.Close() // the connection is no longer used
 			s.reserveDescriptor(c.nb.Hash())
 		}
 	})
 }
 
-// reset resets a connection: neither side reads what the system still holds of it.
+// reset resets a connection, which discards the bytes still held in socket buffers.
 func (s *Server) reset(c *conn) {
 	if c.ownsDescriptor() {
 		_ = syscall.SetsockoptLinger(c.nb.Hash(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1, Linger: 0})
@@ -88,8 +90,9 @@
 	s.shutdownConn(c, errPeerNotReading)
 }
 
-// ownsDescriptor answers whether the connection's descriptor is still its own. nbio reports a close after the fact, from
-// another goroutine: the descriptor may be another connection's by then. No two connections have the same two addresses.
+// ownsDescriptor reports whether the connection's descriptor still belongs to it. nbio reports a close afterwards,
+// from another goroutine, when the descriptor may already belong to another connection. The comparison of both
+// addresses is sufficient, since no two connections share the same pair.
 func (c *conn) ownsDescriptor() bool {
 	fd := c.nb.Hash()
 	local, err := syscall.Getsockname(fd)
@@ -100,18 +103,20 @@
 	return err == nil && sameAddress(remote, c.nb.RemoteAddr())
 }
 
-func sameAddress(a syscall.Sockaddr, b net.Addr) bool {
-	var at netip.AddrPort
-	switch a := a.(type) {
+// sameAddress reports whether sockaddr and addr are the same TCP address.
+func sameAddress(sockaddr syscall.Sockaddr, addr net.Addr) bool {
+	var addrPort netip.AddrPort
+	switch a := sockaddr.(type) {
 	case *syscall.SockaddrInet4:
-		at = netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
+		addrPort = netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
 	case *syscall.SockaddrInet6:
-		at = netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
+		addrPort = netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
 	}
-	tcp, ok := b.(*net.TCPAddr)
-	return ok && at.IsValid() && at == netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), tcp.AddrPort().Port())
+	tcp, ok := addr.(*net.TCPAddr)
+	return ok && addrPort.IsValid() && addrPort == netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), tcp.AddrPort().Port())
 }
 
+// after calls a function in a goroutine of its own once d has passed.
 func (s *Server) after(d rules.Time, do func()) {
 	time.AfterFunc(time.Duration(d)*time.Microsecond, do)
 }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -15,30 +15,30 @@
 	"foxlane/internal/gateway"
 )
 
-// The poller works off a batch of events by descriptor. A connection that is ended from elsewhere within the batch,
-// with its descriptor given to a new one, must not have its old event end the new one.
-func TestStaleEventEndsNoNewConnection(t *testing.T) {
-	t.Run("ended by a write that finds it broken", func(t *testing.T) { testStaleEvent(t, true) })
-	t.Run("ended by a close", func(t *testing.T) { testStaleEvent(t, false) })
+// The poller handles a batch of events by descriptor. If a connection is ended by another goroutine during the batch
+// and its descriptor is reused, the stale event must not close the new connection.
+func TestStaleEventDoesNotCloseNewConnection(t *testing.T) {
+	t.Run("closed by a failed write", func(t *testing.T) { testStaleEvent(t, true) })
+	t.Run("closed by the reducer", func(t *testing.T) { testStaleEvent(t, false) })
 }
 
-func testStaleEvent(t *testing.T, write bool) {
+func testStaleEvent(t *testing.T, failedWrite bool) {
 	server := newBareServer(t)
-	low, err := syscall.Dup(0) // the system gives out the lowest number that is free
+	lowestFD, err := syscall.Dup(0) // the kernel allocates the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, _ := server.connectClient(t)
-	second, c2 := server.connectClient(t)
+	second, secondConn := server.connectClient(t)
 	third, _ := server.connectClient(t)
-	room := func(most, bytes int) {
+	setQueueBytes := func(limit, queued int) {
 		server.queue.mu.Lock()
-		server.queue.maxBytes, server.queue.queuedBytes = most, bytes
+		server.queue.maxBytes, server.queue.queuedBytes = limit, queued
 		server.queue.notFull.Broadcast()
 		server.queue.mu.Unlock()
 	}
-	most := server.queue.maxBytes
-	room(0, 1) // the poller waits in a batch, on the first connection's bytes
+	maxBytes := server.queue.maxBytes
+	setQueueBytes(0, 1) // the poller blocks within a batch, on the first connection's bytes
 	send := func(nc net.Conn) {
 		if _, err := nc.Write([]byte("x")); err != nil {
 			t.Fatal(err)
@@ -49,23 +49,23 @@
 	send(third)
 	mustClose(t, second)
 	time.Sleep(50 * time.Millisecond)
-	room(0, 0) // and now in its next, on the third's bytes, with the end of the second behind them
-	server.awaitQueue(t, "the first's bytes", func(q *eventQueue) bool { return q.queuedBytes > 0 })
+	setQueueBytes(0, 0) // the poller blocks in its next batch, on the third's bytes, ahead of the second's close event
+	server.awaitQueue(t, "the bytes of the first connection", func(q *eventQueue) bool { return q.queuedBytes > 0 })
 	time.Sleep(50 * time.Millisecond)
-	// New connections wait at the accepting goroutine, which holds one.
+	// The accepting goroutine blocks in onOpen with one new connection; the others wait to be accepted.
 	server.mu.Lock()
 	server.clientCount += 1000
-	had := server.lastAccepted
+	lastAccepted := server.lastAccepted
 	server.mu.Unlock()
 	var fillers []int
-	for fd := 0; fd < c2.nb.Hash(); {
+	for fd := 0; fd < secondConn.nb.Hash(); {
 		if fd, err = syscall.Dup(0); err != nil {
 			t.Fatal(err)
 		}
 		fillers = append(fillers, fd)
 	}
-	const fresh = 3
-	for range fresh {
+	const newConns = 3
+	for range newConns {
 		nc, err := net.Dial("tcp", server.cfg.Listen.String())
 		if err != nil {
 			t.Fatal(err)
@@ -73,30 +73,30 @@
 		defer mustClose(t, nc)
 	}
 	time.Sleep(50 * time.Millisecond)
-	server.mu.Lock() // the second ends from here, as an engine's connection does
-	c2.fromClient = false
+	server.mu.Lock() // the second connection is closed by this process, as an engine's connection is
+	secondConn.fromClient = false
 	server.clientCount--
 	server.mu.Unlock()
-	if write {
+	if failedWrite {
 		for range 3 {
-			server.execute(&gateway.Write{Conn: c2.id, Data: bytes.Repeat([]byte("x"), 64)})
+			server.execute(&gateway.Write{Conn: secondConn.id, Data: bytes.Repeat([]byte("x"), 64)})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	server.execute(gateway.CloseConnection{Conn: c2.id})
+	server.execute(gateway.CloseConnection{Conn: secondConn.id})
 	time.Sleep(50 * time.Millisecond)
-	mustCloseFD(t, low)
+	mustCloseFD(t, lowestFD)
 	server.mu.Lock()
 	server.clientCount -= 1000
 	server.clientClosed.Broadcast()
 	server.mu.Unlock()
-	waitFor(t, "the new connections", func() bool { return server.connByID(had+fresh) != nil })
-	room(most, 0)
-	waitFor(t, "the second to be gone", func() bool { return server.connByID(c2.id) == nil })
+	waitFor(t, "the new connections", func() bool { return server.connByID(lastAccepted+newConns) != nil })
+	setQueueBytes(maxBytes, 0)
+	waitFor(t, "the second connection to be removed", func() bool { return server.connByID(secondConn.id) == nil })
 	time.Sleep(50 * time.Millisecond)
-	for i := range gateway.ConnID(fresh) {
-		if server.connByID(had+1+i) == nil {
-			t.Errorf("new connection %d was ended by the old event of another", i)
+	for i := range gateway.ConnID(newConns) {
+		if server.connByID(lastAccepted+1+i) == nil {
+			t.Errorf("new connection %d was closed by the stale event of another", i)
 		}
 	}
 	for _, fd := range fillers {
@@ -104,11 +104,11 @@
 	}
 }
 
-// A client that is refused while it still sends reads the refusal and an end, no reset: a close over its unread bytes
-// would take the refusal with it.
+// A client that is rejected while it still sends must read the rejection and then EOF. Closing the socket with unread
+// bytes would reset the connection, and the client would lose the rejection.
 func TestRejectionIsReadBeforeTheClose(t *testing.T) {
 	s := newTestbed(t)
-	defer s.end()
+	defer s.shutdown()
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
@@ -119,12 +119,12 @@
 			}
 			defer mustClose(t, nc)
 			_ = nc.SetDeadline(time.Now().Add(3 * time.Second))
-			// A packet that is too large, and a body of it that goes on coming.
-			ahead := append(loginPacket(), 0xff, 0xff, 0xfe, 0)
-			if _, err := nc.Write(append(ahead, bytes.Repeat([]byte{3}, 4<<20)...)); err != nil {
-				t.Errorf("the client could not send to the end: %v", err)
+			// A packet header with a size over the limit, followed by a large body.
+			packets := append(loginPacket(), 0xff, 0xff, 0xfe, 0)
+			if _, err := nc.Write(append(packets, bytes.Repeat([]byte{3}, 4<<20)...)); err != nil {
+				t.Errorf("the client could not send the whole body: %v", err)
 			}
-			time.Sleep(50 * time.Millisecond) // it is slow to read
+			time.Sleep(50 * time.Millisecond) // the client is slow to read
 			got, err := io.ReadAll(nc)
 			if err != nil || !strings.Contains(string(got), "packet of") {
 				t.Errorf("the client read %.200q, then %v", got, err)
@@ -134,33 +134,33 @@
 	wg.Wait()
 }
 
-// Reading stops while the queue is full, and with it reports of clients that leave: one iteration of the reducer later all
-// are reported, however many they are.
-func TestClosesBehindAFullQueue(t *testing.T) {
+// A full queue stops the poller, which then reports no closed connections. After the queue is drained once, all
+// closes must be reported, regardless of their number.
+func TestClosesAreReportedAfterFullQueue(t *testing.T) {
 	server := newBareServer(t)
-	const leaving = 200
+	const closing = 200
 	sender, _ := server.connectClient(t)
-	var gone []net.Conn
+	var clients []net.Conn
 	ids := map[gateway.ConnID]bool{}
-	for range leaving {
+	for range closing {
 		nc, c := server.connectClient(t)
-		gone, ids[c.id] = append(gone, nc), true
+		clients, ids[c.id] = append(clients, nc), true
 	}
 	server.queue.drain(nil, nil)
 	server.queue.mu.Lock()
 	server.queue.maxBytes = 1000
 	server.queue.mu.Unlock()
-	for range 2 { // the first fills it, the second has the poller wait
+	for range 2 { // the first write fills the queue, the second blocks the poller
 		if _, err := sender.Write(make([]byte, 4000)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	for _, nc := range gone {
+	for _, nc := range clients {
 		mustClose(t, nc)
 	}
 	time.Sleep(50 * time.Millisecond)
-	heard := func() (n int) {
+	countCloses := func() (n int) {
 		events, _ := server.queue.drain(nil, nil)
 		for _, ev := range events {
 			if closed, ok := ev.event.(gateway.ConnectionClosed); ok && ids[closed.Conn] {
@@ -169,31 +169,32 @@
 		}
 		return n
 	}
-	if n := heard(); n != 0 {
-		t.Fatalf("%d were heard of ahead of the turn: the test has lost its subject", n)
+	if n := countCloses(); n != 0 {
+		t.Fatalf("%d closes were reported while the queue was full; the test needs a blocked poller", n)
 	}
-	server.awaitQueue(t, "word of all", func(q *eventQueue) bool { return len(q.events) > leaving })
-	if n := heard(); n != leaving {
-		t.Errorf("%d of %d were heard of within one turn", n, leaving)
+	server.awaitQueue(t, "events of all closes", func(q *eventQueue) bool { return len(q.events) > closing })
+	if n := countCloses(); n != closing {
+		t.Errorf("%d of %d closes were reported after one drain of the queue", n, closing)
 	}
 }
 
-// Nbio tells of a close behind it: by then the number may be another connection's, which must not be shut down for it.
+// nbio reports a close only after the fact. The descriptor may already belong to another connection, which must not
+// be shut down in its place.
 func TestReusedDescriptorIsNotShutDown(t *testing.T) {
 	server := newBareServer(t)
 	_, old := server.connectClient(t)
 	client, other := server.connectClient(t)
-	if err := syscall.Dup3(other.nb.Hash(), old.nb.Hash(), 0); err != nil { // as if it were closed and given out again
+	if err := syscall.Dup3(other.nb.Hash(), old.nb.Hash(), 0); err != nil { // as if the descriptor were closed and reused
 		t.Fatal(err)
 	}
 	server.execute(gateway.CloseConnection{Conn: old.id})
-	server.shutdownConn(old, errClosedHere)
+	server.shutdownConn(old, errClosedLocally)
 	time.Sleep(20 * time.Millisecond)
 	_ = client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the other connection's client read %v", err)
 	}
 	if server.connByID(other.id) == nil {
-		t.Error("the other connection has ended")
+		t.Error("the other connection was closed")
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,34 +15,34 @@
 	"foxlane/rules"
 )
 
-// This file has the connections that are open: who they are, what is written to them and how far that has got.
+// This file keeps track of open connections and writes to them.
 
-// conn is a connection with what the server knows of it.
+// conn is the state of one connection.
 type conn struct {
 	id         gateway.ConnID
 	nb         *nbio.Conn
-	fromClient bool // it was accepted; false: it was dialed, to an engine
+	fromClient bool // accepted from a client; false: dialed to an engine
 
-	// Written by the reducer's goroutine, read by the poller's, or the other way round.
-	pending       atomic.Int64 // bytes that were written and that the system has not accepted
-	maxPending    int64        // beyond which the connection is shut down
-	acceptedBytes atomic.Int64 // bytes that the system has accepted, in all
-	closing       atomic.Bool  // to be closed once none are pending
-	notifyDrained atomic.Bool  // the reducer asked for WriteDrained once none are pending
+	// Shared by the reducer's and the poller's goroutines.
+	pending          atomic.Int64 // bytes written that the kernel has not accepted yet
+	maxPending       int64        // bytes; the connection is shut down if more are pending
+	acceptedBytes    atomic.Int64 // total bytes that the kernel has accepted
+	closeWhenDrained atomic.Bool  // close the connection once no bytes are pending
+	notifyDrained    atomic.Bool  // the reducer asked for WriteDrained once no bytes are pending
 
 	blockedMu    sync.Mutex   // keeps WriteBlocked and WriteDrained in order
-	blockedSince atomic.Int64 // when bytes to an engine became pending, in the server's time; 0: none are
+	blockedSince atomic.Int64 // server time at which bytes to an engine became pending; 0: no bytes are pending
 
-	// Under the server's lock.
-	queuedReads int   // DataReceived events of it in the queue
-	halfClosed  bool  // our half is closed: what comes is read and dropped
-	closeErr    error // why it was shut down from here; nil: it was not
+	// Guarded by Server.mu.
+	queuedReads int   // DataReceived events of this connection in the queue
+	halfClosed  bool  // the write half is closed; received bytes are read and dropped
+	closeErr    error // why this process shut the connection down; nil: it did not
 }
 
-// errPeerNotReading is why a connection was shut down to which more is pending than it may hold.
-var errPeerNotReading = errors.New("the other side does not read")
+// errPeerNotReading is the cause of a shutdown after too many bytes were pending, or were pending for too long.
+var errPeerNotReading = errors.New("peer is not reading")
 
-// slowThreshold is how long events or written bytes wait before that is worth a line in the log.
+// slowThreshold is how long events or written bytes may wait before a warning is logged.
 const slowThreshold = 100 * time.Millisecond
 
 func (s *Server) connByID(id gateway.ConnID) *conn {
@@ -51,15 +51,15 @@
 	return s.conns[id]
 }
 
-// connByNB finds the connection that an nbio connection belongs to. The session that nbio would keep of it is not
-// synchronised between its goroutines.
+// connByNB returns the state of an nbio connection, or nil. It uses a map because access to the session value of an
+// nbio connection is not synchronized between nbio's goroutines.
 func (s *Server) connByNB(nb *nbio.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connsByNB[nb]
 }
 
-// removeConn forgets a connection that has closed. It returns why it was shut down from here, if it was.
+// removeConn removes a closed connection. It returns the cause if this process shut the connection down.
 func (s *Server) removeConn(c *conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,9 +75,9 @@
 	return c.closeErr
 }
 
-// countRead finds the connection on which bytes have come, and counts them as queued. It returns nil where they are to be
-// dropped, as behind a half close.
-func (s *Server) countRead(nb *nbio.Conn) *conn {
+// recordQueuedRead counts a read as queued and returns its connection. It returns nil if the received bytes are to be
+// dropped, as they are after a half close.
+func (s *Server) recordQueuedRead(nb *nbio.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.connsByNB[nb]
@@ -88,8 +88,8 @@
 	return c
 }
 
-// uncountReads notes which received bytes the reducer takes from the queue.
-func (s *Server) uncountReads(events []queuedEvent) {
+// recordDequeuedReads counts the reads among the events as taken from the queue.
+func (s *Server) recordDequeuedReads(events []queuedEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range events {
@@ -102,8 +102,8 @@
 	}
 }
 
-// send writes to a connection. Where the connection turns out to be broken nbio closes it here and now, and its
-// descriptor must not be given out again while the poller may still hold an event of it (see shutdownConn).
+// send writes to a connection. If the write fails, nbio closes the connection immediately; its descriptor is then
+// reserved so that it is not reused while the poller may still hold an event for it (see shutdownConn).
 func (s *Server) send(c *conn, data []byte) {
 	if c.pending.Add(int64(len(data))) > c.maxPending {
 		s.shutdownConn(c, errPeerNotReading)
@@ -112,10 +112,10 @@
 	if _, err := c.nb.Write(data); err != nil && !errors.Is(err, net.ErrClosed) {
 		s.reserveDescriptor(c.nb.Hash())
 	}
-	s.noteBlocked(c)
+	s.reportBlocked(c)
 }
 
-// onWritten takes note that the system has accepted bytes. It runs under nbio's lock of the connection.
+// onWritten records that the kernel has accepted n bytes. nbio calls it with its lock on the connection held.
 func (s *Server) onWritten(nb *nbio.Conn, _ []byte, n int) {
 	c := s.connByNB(nb)
 	if c == nil {
@@ -125,14 +125,14 @@
 	if c.pending.Add(-int64(n)) > 0 {
 		return
 	}
-	s.noteUnblocked(c)
-	if c.closing.Load() {
-		go s.closeGracefully(c) // it needs that lock
+	s.reportUnblocked(c)
+	if c.closeWhenDrained.Load() {
+		go s.closeGracefully(c) // closing takes the lock that nbio holds here
 	}
 	s.reportDrained(c)
 }
 
-// notifyWhenDrained has the reducer hear of it once nothing is pending.
+// notifyWhenDrained sends one WriteDrained event to the reducer once no bytes are pending.
 func (s *Server) notifyWhenDrained(c *conn) {
 	c.notifyDrained.Store(true)
 	if c.pending.Load() <= 0 {
@@ -140,15 +140,15 @@
 	}
 }
 
-// reportDrained tells the reducer, if it has asked, that a connection has taken all that was written to it: once.
+// reportDrained sends WriteDrained to the reducer if it asked for it, once per request.
 func (s *Server) reportDrained(c *conn) {
 	if c.notifyDrained.Swap(false) {
 		s.queue.enqueue(gateway.WriteDrained{Conn: c.id})
 	}
 }
 
-// noteBlocked tells the reducer that an engine does not take what was written to it, if it does not.
-func (s *Server) noteBlocked(c *conn) {
+// reportBlocked sends WriteBlocked to the reducer if bytes to an engine have become pending.
+func (s *Server) reportBlocked(c *conn) {
 	if c.fromClient || c.pending.Load() <= 0 || c.blockedSince.Load() != 0 {
 		return
 	}
@@ -156,13 +156,14 @@
 	c.blockedSince.Store(int64(s.now()))
 	s.queue.enqueue(gateway.WriteBlocked{Conn: c.id})
 	c.blockedMu.Unlock()
-	if c.pending.Load() <= 0 { // it was taken meanwhile
-		s.noteUnblocked(c)
+	if c.pending.Load() <= 0 { // the bytes were accepted in the meantime
+		s.reportUnblocked(c)
 	}
 }
 
-// noteUnblocked tells the reducer that an engine has taken what it did not before, and the log how long that took.
-func (s *Server) noteUnblocked(c *conn) {
+// reportUnblocked sends WriteDrained to the reducer if writes to an engine were blocked. It logs a wait of at least
+// slowThreshold.
+func (s *Server) reportUnblocked(c *conn) {
 	if c.blockedSince.Load() == 0 {
 		return
 	}
--- a/internal/transport/control.go
+++ b/internal/transport/control.go
@@ -13,17 +13,17 @@
 	"foxlane/internal/gateway"
 )
 
-// This file has the listener for operators' commands.
+// This file serves operators' commands on the control socket.
 
 const (
-	maxControlConns       = 8
-	maxControlRequestSize = 64 << 10 // bytes of a request
-	controlTimeout        = 6 * time.Second
-	controlAcceptPause    = 10 * time.Millisecond // after an accept has failed
+	maxControlConns         = 8
+	maxControlRequestSize   = 64 << 10 // bytes of a request
+	controlTimeout          = 6 * time.Second
+	controlAcceptRetryDelay = 10 * time.Millisecond // between a failed accept and the next
 )
 
-// controlServer takes requests of operators' commands, one line on each connection, passes them to the reducer and
-// writes its responses.
+// controlServer reads one request line from each control connection, passes it to the reducer and writes the
+// reducer's response.
 type controlServer struct {
 	listener net.Listener
 	queue    *eventQueue
@@ -31,7 +31,7 @@
 	workers  sync.WaitGroup
 
 	mu       sync.Mutex
-	conns    map[gateway.ConnID]net.Conn // whose request is read or not answered yet
+	conns    map[gateway.ConnID]net.Conn // connections without a complete response
 	lastConn gateway.ConnID
 	closed   bool
 }
@@ -46,17 +46,18 @@
 	return c, nil
 }
 
-// stop ends the listener and all connections; wait waits for their goroutines.
+// stop closes the listener and all connections without waiting for their goroutines.
 func (c *controlServer) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	_ = c.listener.Close() // it accepts nothing more in any case
+	_ = c.listener.Close() // an error has no consequence: the server is stopping
 	for _, conn := range c.conns {
-		_ = conn.Close() // its command gets no answer
+		_ = conn.Close() // the command gets no response
 	}
 }
 
+// wait waits for the server's goroutines to end. It is called after stop.
 func (c *controlServer) wait() { c.workers.Wait() }
 
 func (c *controlServer) accept() {
@@ -66,12 +67,12 @@
 			if c.isClosed() {
 				return
 			}
-			time.Sleep(controlAcceptPause)
+			time.Sleep(controlAcceptRetryDelay)
 			continue
 		}
 		id, ok := c.add(conn)
 		if !ok {
-			_ = conn.Close() // too many commands at a time, or the end
+			_ = conn.Close() // too many connections, or the server is stopping
 			continue
 		}
 		c.workers.Go(func() { c.readRequest(id, conn) })
@@ -84,6 +85,7 @@
 	return c.closed
 }
 
+// add registers a connection. It returns false if the server is stopping or maxControlConns are open.
 func (c *controlServer) add(conn net.Conn) (id gateway.ConnID, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,32 +97,32 @@
 	return c.lastConn, true
 }
 
-// readRequest passes a request to the reducer, whose response closes the connection.
+// readRequest reads a request and passes it to the reducer. The connection stays open for the response.
 func (c *controlServer) readRequest(id gateway.ConnID, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(controlTimeout)) // it fails on a closed connection, as Scan does then
-	in := bufio.NewScanner(conn)
-	in.Buffer(make([]byte, 0, 512), maxControlRequestSize)
-	if !in.Scan() {
+	_ = conn.SetDeadline(time.Now().Add(controlTimeout)) // fails only on a closed connection, on which Scan fails too
+	scanner := bufio.NewScanner(conn)
+	scanner.Buffer(make([]byte, 0, 512), maxControlRequestSize)
+	if !scanner.Scan() {
 		c.remove(id)
 		return
 	}
-	c.queue.enqueueBytes(in.Bytes(), func(line []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: line} })
+	c.queue.enqueueBytes(scanner.Bytes(), func(line []byte) gateway.Event { return gateway.ControlRequest{Conn: id, Data: line} })
 }
 
-// respond writes a response from a goroutine of its own and closes the connection.
-func (c *controlServer) respond(f gateway.ControlResponse) {
+// respond writes a response in a goroutine of its own and then closes the connection.
+func (c *controlServer) respond(response gateway.ControlResponse) {
 	c.mu.Lock()
-	conn := c.conns[f.Conn]
+	conn := c.conns[response.Conn]
 	c.mu.Unlock()
 	if conn == nil {
 		return
 	}
-	line := bytes.Clone(f.Data)
+	line := bytes.Clone(response.Data)
 	c.workers.Go(func() {
 		if _, err := conn.Write(line); err != nil {
 			c.log.Debug("control: answer not written", zap.Error(err))
 		}
-		c.remove(f.Conn)
+		c.remove(response.Conn)
 	})
 }
 
@@ -128,7 +130,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[id]; conn != nil {
-		_ = conn.Close() // a response that did not arrive is logged where it is written
+		_ = conn.Close() // respond logs failed writes
 	}
 	delete(c.conns, id)
 }
--- a/internal/transport/control_test.go
+++ b/internal/transport/control_test.go
@@ -15,8 +15,9 @@
 	"foxlane/internal/gateway"
 )
 
-// newControl is a control server whose requests stay in the queue.
-func newControl(t *testing.T) (*controlServer, func(line string) (net.Conn, *bufio.Reader)) {
+// newTestControlServer returns a control server whose requests stay in the queue, and a function that connects and
+// sends a line.
+func newTestControlServer(t *testing.T) (*controlServer, func(line string) (net.Conn, *bufio.Reader)) {
 	t.Helper()
 	c, err := startControl(netip.MustParseAddrPort(freeAddress(t)), newEventQueue(config.Limits{EventQueueBytes: 1 << 20}), zap.NewNop())
 	if err != nil {
@@ -40,6 +41,7 @@
 	}
 }
 
+// takeRequest waits for the next request in the queue.
 func (c *controlServer) takeRequest(t *testing.T) (out gateway.ControlRequest) {
 	t.Helper()
 	waitFor(t, "a request", func() bool {
@@ -53,9 +55,10 @@
 	return out
 }
 
-// A request reaches the reducer as one line, its response reaches the command, and the connection ends with it.
+// A request is passed to the reducer as one line, the response is written to its connection, and the connection is
+// closed.
 func TestControlRequestIsAnswered(t *testing.T) {
-	c, dial := newControl(t)
+	c, dial := newTestControlServer(t)
 	_, in := dial("members\n")
 	request := c.takeRequest(t)
 	if string(request.Data) != "members" {
@@ -66,16 +69,16 @@
 	if line, err := in.ReadString('\n'); err != nil || line != "[]\n" {
 		t.Errorf("the command got %q, %v", line, err)
 	}
-	waitFor(t, "the connection to be forgotten", func() bool {
+	waitFor(t, "the connection to be removed", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.conns) == 0
 	})
 }
 
-// Commands beyond the limit are closed at once; those that are there still get their responses.
+// Connections over the limit are closed at once; the open ones still get their responses.
 func TestControlConnectionsAreLimited(t *testing.T) {
-	c, dial := newControl(t)
+	c, dial := newTestControlServer(t)
 	var readers []*bufio.Reader
 	for range maxControlConns {
 		_, in := dial("copies\n")
@@ -88,7 +91,7 @@
 	})
 	_, in := dial("")
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("one command too many read %v, want the end", err)
+		t.Errorf("a connection over the limit read %v, want EOF", err)
 	}
 	for id := range gateway.ConnID(maxControlConns) {
 		c.respond(gateway.ControlResponse{Conn: id + 1, Data: []byte("{}\n")})
@@ -100,10 +103,10 @@
 	}
 }
 
-// The end closes commands that wait for a response, and those that have not sent their request.
-func TestControlEnds(t *testing.T) {
-	c, dial := newControl(t)
-	_, waits := dial("members\n")
+// Stopping the server closes connections that wait for a response and connections that have sent no request.
+func TestControlStopClosesConnections(t *testing.T) {
+	c, dial := newTestControlServer(t)
+	_, waiting := dial("members\n")
 	c.takeRequest(t)
 	_, silent := dial("")
 	waitFor(t, "both connections", func() bool {
@@ -113,9 +116,9 @@
 	})
 	c.stop()
 	c.wait()
-	for what, in := range map[string]*bufio.Reader{"that waits": waits, "that is silent": silent} {
+	for what, in := range map[string]*bufio.Reader{"that waits for a response": waiting, "that has sent no request": silent} {
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the command %s read %v, want the end", what, err)
+			t.Errorf("the connection %s read %v, want EOF", what, err)
 		}
 	}
 }
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -5,13 +5,14 @@
 	"syscall"
 )
 
-// This file reserves descriptors: one that was closed a moment ago is kept from being given out again until the poller has
-// done with its batch of events (see shutdownConn). A reserved descriptor is a duplicate of /dev/null's.
+// This file reserves descriptors: it keeps a descriptor that was just closed from being reused until the poller has
+// handled its current batch of events (see shutdownConn). A reserved descriptor is a duplicate of that of /dev/null.
 
-// maxReserveAttempts is how many lower descriptors are passed over on the way to the one that is to be reserved.
+// maxReserveAttempts is how many times a descriptor is duplicated to reach the number to be reserved.
 const maxReserveAttempts = 8
 
-// reserveDescriptor reserves a descriptor, for a while and if it is free. Few are reserved at a time: the oldest gives way.
+// reserveDescriptor reserves a descriptor for FlushTimeout if it is free. At most MaxReservedDescriptors are reserved
+// at a time; the oldest is released to make room.
 func (s *Server) reserveDescriptor(fd int) {
 	var lower []int
 	defer func() {
@@ -20,14 +21,14 @@
 		}
 	}()
 	for range maxReserveAttempts {
-		n, err := syscall.Dup(int(s.devNull.Fd())) // the lowest number that is free
+		n, err := syscall.Dup(int(s.devNull.Fd())) // dup returns the lowest free descriptor
 		switch {
 		case err != nil:
 			return
 		case n == fd:
-			s.keepReserved(n)
+			s.addReserved(n)
 			return
-		case n > fd: // it is in use
+		case n > fd: // fd is in use
 			closeDescriptor(n)
 			return
 		}
@@ -35,8 +36,8 @@
 	}
 }
 
-// keepReserved takes over a descriptor that was just made.
-func (s *Server) keepReserved(fd int) {
+// addReserved adds a duplicate to the reserved descriptors and schedules its release.
+func (s *Server) addReserved(fd int) {
 	s.mu.Lock()
 	s.reserved = append(s.reserved, fd)
 	if len(s.reserved) > s.limits.MaxReservedDescriptors {
@@ -47,7 +48,7 @@
 	s.after(s.limits.FlushTimeout, func() { s.releaseDescriptor(fd) })
 }
 
-// releaseDescriptor gives a descriptor free that is still reserved.
+// releaseDescriptor closes a descriptor if it is still reserved.
 func (s *Server) releaseDescriptor(fd int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-func (s *Server) releaseAllDescriptors() {
+func (s *Server) releaseReservedDescriptors() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, fd := range s.reserved {
@@ -66,5 +67,5 @@
 	s.reserved = nil
 }
 
-// closeDescriptor closes a duplicate of /dev/null's descriptor, on which nothing can be lost.
+// closeDescriptor closes a duplicate of the /dev/null descriptor. Errors are ignored: no data can be lost.
 func closeDescriptor(fd int) { _ = syscall.Close(fd) }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -14,9 +14,9 @@
 	"foxlane/rules"
 )
 
-// This file has the connections that the gateway makes to engines.
+// This file dials engines.
 
-// startDial connects in a goroutine of its own, within a timeout and until the reducer closes the connection.
+// startDial dials in a goroutine of its own, until the timeout or until the reducer closes the connection.
 func (s *Server) startDial(id gateway.ConnID, addr netip.AddrPort, timeout rules.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(timeout)*time.Microsecond)
 	s.mu.Lock()
@@ -28,50 +28,50 @@
 	})
 }
 
-// dial connects and gives the connection to the poller. It connects by the standard library, which tells a refusal from a
-// silence.
+// dial connects and hands the connection to the poller. It dials through the standard library, which distinguishes a
+// refused connection from a timeout.
 func (s *Server) dial(ctx context.Context, id gateway.ConnID, addr netip.AddrPort) {
-	std, err := s.dialWithRetry(ctx, addr)
+	netConn, err := s.dialWithRetry(ctx, addr)
 	var c *conn
 	if err == nil {
-		c, err = s.registerDialed(id, std)
+		c, err = s.registerDialed(id, netConn)
 	}
 	if c != nil {
 		if _, err = s.poller.AddConn(c.nb); err == nil {
-			return // onOpen reports it
+			return // onOpen reports the connection
 		}
-		_ = s.removeConn(c) // it was never in use
+		_ = s.removeConn(c) // the connection was never used
 	}
 	s.cancelDial(id)
 	s.queue.enqueue(gateway.DialFailed{Conn: id, Err: err, Local: syserr.Local(err)})
 }
 
-// A dial that failed for want of something on this machine is retried a few times: what it lacks may be back at once. A
-// request that waited longer could have gone elsewhere.
+// A dial that failed for a cause on this machine is retried a few times, since a lacking resource may soon be
+// available again. Retries are kept short: after a longer wait the request could have been sent to another engine.
 const (
 	maxDialAttempts = 4
-	dialRetryPause  = 10 * time.Millisecond
+	dialRetryDelay  = 10 * time.Millisecond
 )
 
-// dialWithRetry dials, and dials again where the call failed for want of something on this machine.
+// dialWithRetry dials, with retries after failures whose cause is on this machine.
 func (s *Server) dialWithRetry(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	for attempt := 1; ; attempt++ {
-		std, err := s.platform.Dial(ctx, addr)
-		if err == nil || attempt == maxDialAttempts || !syserr.Local(err) || !sleep(ctx, dialRetryPause) {
-			return std, err
+		netConn, err := s.platform.Dial(ctx, addr)
+		if err == nil || attempt == maxDialAttempts || !syserr.Local(err) || !sleep(ctx, dialRetryDelay) {
+			return netConn, err
 		}
 	}
 }
 
-// errDialCancelled is why a connection that came up was closed at once.
-var errDialCancelled = errors.New("given up")
+// errDialCancelled is the error of a dial that succeeded after it was cancelled.
+var errDialCancelled = errors.New("dial cancelled")
 
-// registerDialed makes a connection that came up one of the server's. One whose dial was cancelled meanwhile is closed:
-// nothing would ever use it.
-func (s *Server) registerDialed(id gateway.ConnID, std net.Conn) (*conn, error) {
-	nb, err := nbio.NBConn(std)
+// registerDialed registers an established connection. If the dial was cancelled in the meantime, it closes the
+// connection and returns errDialCancelled.
+func (s *Server) registerDialed(id gateway.ConnID, netConn net.Conn) (*conn, error) {
+	nb, err := nbio.NBConn(netConn)
 	if err != nil {
-		_ = std.Close() // err says what is wrong with it
+		_ = netConn.Close() // the caller gets err
 		return nil, err
 	}
 	s.mu.Lock()
@@ -79,15 +79,15 @@
 	_, wanted := s.pendingDials[id]
 	delete(s.pendingDials, id)
 	if !wanted {
-		_ = nb.Close() // nothing was written on it
+		_ = nb.Close() // nothing was written to it
 		return nil, errDialCancelled
 	}
 	c := &conn{id: id, nb: nb, maxPending: int64(s.limits.EngineSendBuffer)}
-	s.connsByNB[nb], s.conns[id] = c, c // from here on a CloseConnection finds it
+	s.connsByNB[nb], s.conns[id] = c, c // CloseConnection effects find the connection from here on
 	return c, nil
 }
 
-// cancelDial ends a dial whose connection is no longer wanted.
+// cancelDial cancels a pending dial; if there is none, it does nothing.
 func (s *Server) cancelDial(id gateway.ConnID) {
 	s.mu.Lock()
 	cancel := s.pendingDials[id]
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -14,26 +14,27 @@
 	"foxlane/internal/syserr"
 )
 
-// Small writes are not held back, on accepted connections and dialled ones.
+// TCP_NODELAY is set on accepted and dialed connections, so that small writes are not delayed.
 func TestNoDelay(t *testing.T) {
 	server := newBareServer(t)
 	_, accepted := server.connectClient(t)
 	ln := listenLoopback(t)
 	server.startDial(1<<63|1, addrOf(ln), server.limits.ConnectTimeout)
 	waitFor(t, "the dial", func() bool { return server.connByID(1<<63|1) != nil })
-	for name, c := range map[string]*conn{"accepted": accepted, "dialled": server.connByID(1<<63 | 1)} {
+	for name, c := range map[string]*conn{"accepted": accepted, "dialed": server.connByID(1<<63 | 1)} {
 		if on, err := syscall.GetsockoptInt(c.nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 			t.Errorf("%s: TCP_NODELAY is %d, %v", name, on, err)
 		}
 	}
 }
 
-// A dial that is cancelled ends at once, and a connection that comes up in that moment is closed: nothing would use it.
+// A cancelled dial ends at once. A connection that is established in the same moment is closed, since nothing would
+// use it.
 func TestDialCancelled(t *testing.T) {
 	server := newBareServer(t)
 	ln := listenLoopback(t)
 	const id = gateway.ConnID(1<<63 | 7)
-	server.mu.Lock() // it comes up while the close is on its way
+	server.mu.Lock() // the connection is established while the cancellation is in progress
 	server.pendingDials[id] = func() {}
 	server.mu.Unlock()
 	server.cancelDial(id)
@@ -45,12 +46,12 @@
 	defer mustClose(t, nc)
 	_ = nc.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the other side read %v, want the end", err)
+		t.Errorf("the peer read %v, want EOF", err)
 	}
 	if server.connByID(id) != nil || len(server.pendingDials) != 0 {
-		t.Error("the server still knows it")
+		t.Error("the server still has the connection or the dial")
 	}
-	// One that never comes up: a listener whose line is full.
+	// Dials that are never answered: the backlog of the listener is full.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -76,11 +77,12 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Error("a dial that was given up goes on")
+		t.Error("a cancelled dial has not ended after 5 s")
 	}
 }
 
-// The reducer closes a connection that is up, and of which it will hear in a moment: it is found all the same.
+// The reducer may close a connection that is established but not yet reported to it: the close must still take
+// effect.
 func TestCloseBetweenDialAndEvent(t *testing.T) {
 	server := newBareServer(t)
 	ln := listenLoopback(t)
@@ -100,16 +102,16 @@
 	if _, err := server.poller.AddConn(c.nb); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the connection to be gone", func() bool { return server.connByID(id) == nil })
+	waitFor(t, "the connection to be removed", func() bool { return server.connByID(id) == nil })
 }
 
-// Dials that fail for a cause on this machine are distinguished from those that the engine refuses.
+// Dial errors with a cause on this machine are distinguished from those caused by the engine or the network.
 func TestLocalDialErrors(t *testing.T) {
-	for err, ours := range map[error]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
+	for err, local := range map[error]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
 		syscall.ENOMEM: true, syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false} {
 		wrapped := &net.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
-		if syserr.Local(wrapped) != ours {
-			t.Errorf("%v counts as ours: %v", err, !ours)
+		if syserr.Local(wrapped) != local {
+			t.Errorf("%v counts as local: %v", err, !local)
 		}
 	}
 }
--- a/internal/transport/dns.go
+++ b/internal/transport/dns.go
@@ -11,14 +11,15 @@
 	"foxlane/internal/gateway"
 )
 
-// This file has the sockets by which the name service is queried.
+// This file queries the name service over UDP sockets.
 
-// readErrorPause is between reads of a socket whose reads fail, as they do while the name service refuses.
-const readErrorPause = time.Millisecond
+// dnsReadRetryDelay is the pause after a failed read. Reads fail while the name service's port is unreachable.
+const dnsReadRetryDelay = time.Millisecond
 
-// openDNS moves to a name service, with a new socket. Only its datagrams are read from then on; where it is the one that
-// was queried before, those that still come to the last socket count too. Where no descriptor is left for a new socket,
-// the old ones are closed for it.
+// openDNS opens a new socket to a name service, which replaces the current one. If the address is unchanged, the
+// replaced socket stays open, so that late responses to it are still read; otherwise it is closed. If the socket
+// can't be opened, for example because no descriptor is free, the old sockets are closed and the open is retried
+// once.
 func (s *Server) openDNS(addr netip.AddrPort) error {
 	s.dnsAddr = addr
 	udp, err := s.platform.DialUDP(addr)
@@ -30,13 +31,13 @@
 		return err
 	}
 	if s.previousDNSConn != nil {
-		_ = s.previousDNSConn.Close() // UDP: nothing is lost that matters
+		_ = s.previousDNSConn.Close() // UDP: no unsent data to lose
 		s.previousDNSConn = nil
 	}
 	if old := s.dnsConn; old != nil && old.RemoteAddr().String() == udp.RemoteAddr().String() {
 		s.previousDNSConn = old
 	} else if old != nil {
-		_ = old.Close() // as above
+		_ = old.Close() // UDP: no unsent data to lose
 	}
 	s.dnsConn = udp
 	s.dnsReaders.Go(func() { s.readDNS(udp) })
@@ -46,26 +47,26 @@
 func (s *Server) closeDNS() {
 	for _, udp := range []net.Conn{s.dnsConn, s.previousDNSConn} {
 		if udp != nil {
-			_ = udp.Close() // UDP: nothing is lost that matters
+			_ = udp.Close() // UDP: no unsent data to lose
 		}
 	}
 	s.dnsConn, s.previousDNSConn = nil, nil
 }
 
-// queryDNS sends a query. Where the socket could not be opened the last time, that is tried again first.
-func (s *Server) queryDNS(question []byte) {
+// queryDNS sends a query. If the last attempt to open a socket failed, it first tries again.
+func (s *Server) queryDNS(query []byte) {
 	if s.dnsConn == nil {
 		if err := s.openDNS(s.dnsAddr); err != nil {
 			s.log.Warn("name service: no socket to ask from", zap.Error(err))
 			return
 		}
 	}
-	if _, err := s.dnsConn.Write(question); err != nil {
+	if _, err := s.dnsConn.Write(query); err != nil {
 		s.log.Warn("name service: query not sent", zap.Error(err))
 	}
 }
 
-// readDNS queues what comes on a socket, until the socket is closed.
+// readDNS queues the datagrams received on a socket until the socket is closed.
 func (s *Server) readDNS(udp net.Conn) {
 	buf := make([]byte, s.limits.MaxDatagramBytes)
 	for {
@@ -77,7 +78,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			time.Sleep(readErrorPause)
+			time.Sleep(dnsReadRetryDelay)
 		}
 	}
 }
--- a/internal/transport/dns_test.go
+++ b/internal/transport/dns_test.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// With no descriptor left the gateway still moves to another name service: it closes the old socket for the new one.
+// With no free descriptor the gateway can still move to another name service: it closes the old socket to open the
+// new one.
 func TestNameServiceMoveAtDescriptorLimit(t *testing.T) {
 	server := newBareServer(t)
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	probe, err := syscall.Dup(0) // the lowest number that is free
+	probe, err := syscall.Dup(0) // the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,47 +33,47 @@
 		t.Fatal(err)
 	}
 	if full == nil {
-		t.Fatal("descriptors are free below the limit: nothing is shown")
+		t.Fatal("descriptors are free below the limit; the test needs all of them in use")
 	}
 	if first != nil || second != nil || server.dnsConn == nil || server.dnsConn.RemoteAddr().String() != "127.0.0.1:10" {
-		t.Errorf("moved with %v, again with %v", first, second)
+		t.Errorf("first open: %v, second open: %v", first, second)
 	}
 }
 
-// A name service that answers each socket for a while only: the gateway queries it from a new one, and learns of a drain
+// A name service may stop answering a socket. The gateway must then query it from a new socket, and learn of a drain
 // within the time after which it counts as notified.
-func TestDrainSeenThroughANewSocket(t *testing.T) {
-	s := newTestbed(t, served(time.Millisecond, "a\tb\tc\n"), served(time.Millisecond, "a\tb\tc\n"))
-	defer s.end()
+func TestDrainIsSeenThroughNewSocket(t *testing.T) {
+	s := newTestbed(t, replyAfter(time.Millisecond, "a\tb\tc\n"), replyAfter(time.Millisecond, "a\tb\tc\n"))
+	defer s.shutdown()
 	var mu sync.Mutex
-	heard := map[string]int{}
-	s.names.SetFilter(func(from string) bool {
+	queries := map[string]int{}
+	s.nameServer.SetFilter(func(from string) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		heard[from]++
-		return heard[from] <= 3
+		queries[from]++
+		return queries[from] <= 3
 	})
-	time.Sleep(600 * time.Millisecond) // its socket is silent by now, for good
+	time.Sleep(600 * time.Millisecond) // the first socket gets no more answers by now
 	drained := slices.Clone(s.hosts)
 	drained[0].Draining = true
-	s.names.SetHosts(2, drained)
-	told := time.Now()
+	s.nameServer.SetHosts(2, drained)
+	drainedAt := time.Now()
 	waitFor(t, "a query from a new socket", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(heard) > 1
+		return len(queries) > 1
 	})
 	time.Sleep(300 * time.Millisecond)
-	if took := time.Since(told); took > 5*time.Second {
-		t.Errorf("heard %v after the drain", took)
+	if took := time.Since(drainedAt); took > 5*time.Second {
+		t.Errorf("queried from a new socket %v after the drain, want 5 s at most", took)
 	}
 	before := len(s.engines[0].Requests())
 	for i := range 12 {
-		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 0xd00+i), 1500)); err != nil {
+		if _, err := queryRows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 0xd00+i), 1500)); err != nil {
 			t.Error(err)
 		}
 	}
 	if n := len(s.engines[0].Requests()); n != before {
-		t.Errorf("%d attempts went to an engine that drains", n-before)
+		t.Errorf("%d attempts were sent to a draining engine", n-before)
 	}
 }
--- a/internal/transport/execute.go
+++ b/internal/transport/execute.go
@@ -7,53 +7,51 @@
 	"foxlane/internal/gateway"
 )
 
-// This file executes effects of the reducer.
-
-// execute executes an effect. SetTimer and Exit are the reducer loop's.
+// execute executes an effect of the reducer. SetTimer and Exit are handled by the reducer loop.
 func (s *Server) execute(effect gateway.Effect) {
-	switch f := effect.(type) {
+	switch effect := effect.(type) {
 	case *gateway.Write:
-		if c := s.connByID(f.Conn); c != nil {
-			s.send(c, f.Data)
+		if c := s.connByID(effect.Conn); c != nil {
+			s.send(c, effect.Data)
 		}
 	case gateway.CloseConnection:
-		if c := s.connByID(f.Conn); c != nil {
+		if c := s.connByID(effect.Conn); c != nil {
 			s.closeAfterWrites(c)
 		} else {
-			s.cancelDial(f.Conn)
+			s.cancelDial(effect.Conn)
 		}
 	case gateway.ResetConnection:
-		if c := s.connByID(f.Conn); c != nil {
+		if c := s.connByID(effect.Conn); c != nil {
 			s.reset(c)
 		}
 	case gateway.NotifyDrained:
-		if c := s.connByID(f.Conn); c != nil {
+		if c := s.connByID(effect.Conn); c != nil {
 			s.notifyWhenDrained(c)
 		}
 	case gateway.Dial:
-		s.startDial(f.Conn, f.Addr, f.Timeout)
+		s.startDial(effect.Conn, effect.Addr, effect.Timeout)
 	case gateway.QueryDNS:
-		s.queryDNS(f.Data)
+		s.queryDNS(effect.Data)
 	case gateway.SetNameServer:
-		if err := s.openDNS(f.Addr); err != nil {
+		if err := s.openDNS(effect.Addr); err != nil {
 			s.log.Warn("name service: not reached at its new address", zap.Error(err))
 		}
 	case gateway.SubmitSpool:
-		s.submitToResultStore(f.Effect)
+		s.submitToResultStore(effect.Effect)
 	case gateway.SendToMember:
-		s.sendToMember(f)
+		s.sendToMember(effect)
 	case gateway.JoinMembers:
 		s.joinMembersOrRetry()
 	case gateway.LeaveMembers:
 		s.leaveMembers()
 	case gateway.ControlResponse:
 		if m := s.membership; m != nil && m.control != nil {
-			m.control.respond(f)
+			m.control.respond(effect)
 		}
 	case gateway.PersistVoterLog:
-		s.persist(f.Batch)
+		s.persist(effect.Batch)
 	case gateway.Log:
-		s.writeLog(f)
+		s.writeLog(effect)
 	}
 }
 
@@ -61,13 +59,13 @@
 	gateway.Debug: zapcore.DebugLevel, gateway.Info: zapcore.InfoLevel, gateway.Warn: zapcore.WarnLevel,
 }
 
-func (s *Server) writeLog(f gateway.Log) {
-	entry := s.log.Check(logLevels[f.Level], f.Text)
+func (s *Server) writeLog(effect gateway.Log) {
+	entry := s.log.Check(logLevels[effect.Level], effect.Text)
 	if entry == nil {
 		return
 	}
-	fields := make([]zap.Field, len(f.Attrs))
-	for i, a := range f.Attrs {
+	fields := make([]zap.Field, len(effect.Attrs))
+	for i, a := range effect.Attrs {
 		fields[i] = zap.Any(a.Key, a.Value)
 	}
 	entry.Write(fields...)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -23,10 +23,10 @@
 	"foxlane/internal/standin"
 )
 
-// This file has what the tests of the package share: a whole gateway between fake servers, a server without a reducer, and
-// small helpers.
+// This file has helpers shared by the package's tests: a whole gateway between fake servers, a server without a
+// reducer, and small functions.
 
-// No goroutine of a server is left behind.
+// TestMain checks that no goroutines are leaked.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const testSettings = `{"classes":[
@@ -36,42 +36,43 @@
 "limits":{"cancel":true,"connIdle":15000000,"connectTimeout":250000,"maxAttempts":3,"maxOpen":20000,"multiplex":32,"parallelTries":true},
 "machineTypes":["std-16"],"membershipMode":"push","rules":{"answerSlack":5000,"stopSendingWithin":1000000},"siblings":1,"tick":1000,"zones":["hall-a"]}`
 
-// ordinaryLimits are those of the tests that are not about limits.
-const ordinaryLimits = `{"cores":1,"memory_mb":192,"sockets":1024}`
+// defaultLimits are the limits in tests that do not depend on limits.
+const defaultLimits = `{"cores":1,"memory_mb":192,"sockets":1024}`
 
-// testbed is a gateway between fake servers, on loopback.
+// testbed is a gateway on loopback with a fake name server and fake engines.
 type testbed struct {
-	t       *testing.T
-	addr    string
-	names   *standin.NameServer
-	engines []*standin.Engine
-	hosts   []standin.Host
-	config  string
-	stop    chan os.Signal
-	hup     chan os.Signal
-	ended   chan error
-	db      *sql.DB
+	t          *testing.T
+	addr       string
+	nameServer *standin.NameServer
+	engines    []*standin.Engine
+	hosts      []standin.Host
+	config     string
+	stop       chan os.Signal
+	hup        chan os.Signal
+	exited     chan error
+	db         *sql.DB
 }
 
+// newTestbed starts a gateway with an engine for each function in answers.
 func newTestbed(t *testing.T, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
-	return newTestbedWithLimits(t, ordinaryLimits, answers...)
+	return newTestbedWithLimits(t, defaultLimits, answers...)
 }
 
-// newTestbedWithLimits has a gateway with other limits.
+// newTestbedWithLimits is like newTestbed, with the given limits.
 func newTestbedWithLimits(t *testing.T, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
 	return newTestbedOn(t, System(), limits, answers...)
 }
 
-// newTestbedOn has a gateway on a platform that may be a double.
+// newTestbedOn is like newTestbed, with the given platform and limits.
 func newTestbedOn(t *testing.T, platform Platform, limits string, answers ...func(standin.Request) standin.Reply) *testbed {
 	t.Helper()
-	s := &testbed{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	goroutines, files, heap := runtime.NumGoroutine(), descriptors(t), heapAlloc()
-	t.Cleanup(func() { s.checkNoLeaks(goroutines, files, heap) }) // behind all that the test defers
+	s := &testbed{t: t, stop: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), exited: make(chan error, 1)}
+	goroutines, files, heap := runtime.NumGoroutine(), countDescriptors(t), heapAlloc()
+	t.Cleanup(func() { s.checkNoLeaks(goroutines, files, heap) }) // runs after the deferred calls of the test
 	var err error
-	if s.names, err = standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
+	if s.nameServer, err = standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan"); err != nil {
 		t.Fatal(err)
 	}
 	var servers []string
@@ -84,53 +85,54 @@
 		s.engines, s.hosts = append(s.engines, e), append(s.hosts, h)
 		servers = append(servers, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"hall-a","kind":"std-16","state":"active","weight":4}`, h.ID, h.Addr))
 	}
-	s.names.SetHosts(1, s.hosts)
+	s.nameServer.SetHosts(1, s.hosts)
 	s.addr = freeAddress(t)
 	s.config = `{"name":"n0","listen":"` + s.addr + `","seed":"01","limits":` + limits + `,
-		"dns":"` + s.names.Addr() + `","known":{"seq":1,"results":[{"seq":1,"fleet":{"full":true,"servers":[` +
+		"dns":"` + s.nameServer.Addr() + `","known":{"seq":1,"results":[{"seq":1,"fleet":{"full":true,"servers":[` +
 		strings.Join(servers, ",") + `]}}]},"settings":` + testSettings + `}`
 	cfg, err := config.Parse([]byte(s.config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { s.ended <- RunOn(platform, cfg, zap.NewNop(), Signals{Reload: s.hup, Terminate: s.stop}) }()
+	go func() { s.exited <- RunOn(platform, cfg, zap.NewNop(), Signals{Reload: s.hup, Terminate: s.stop}) }()
 	if s.db, err = sql.Open("mysql", "app@tcp("+s.addr+")/main?interpolateParams=true"); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; s.db.Ping() != nil; i++ {
 		if i > 200 {
-			t.Fatal("the gateway does not answer")
+			t.Fatal("the gateway does not answer pings")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return s
 }
 
-// end asks the gateway to end and closes the rest.
-func (s *testbed) end() {
+// shutdown sends SIGTERM to the gateway, waits for it to exit and closes the fake servers.
+func (s *testbed) shutdown() {
 	s.t.Helper()
 	s.stop <- syscall.SIGTERM
 	select {
-	case err := <-s.ended:
+	case err := <-s.exited:
 		if err != nil {
-			s.t.Errorf("ended with %v", err)
+			s.t.Errorf("Run returned %v", err)
 		}
 	case <-time.After(5 * time.Second):
-		s.t.Error("not ended 5 s after SIGTERM")
+		s.t.Error("still running 5 s after SIGTERM")
 	}
 	mustClose(s.t, s.db)
 	for _, e := range s.engines {
 		e.Close()
 	}
-	s.names.Close()
+	s.nameServer.Close()
 }
 
+// statement returns a query of a class with a request id and a timeout in milliseconds.
 func statement(class, id string, timeout int) string {
 	return fmt.Sprintf("/* kind=%s,req=%s,timeout=%d */ SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = 'x''y'", class, id, timeout)
 }
 
-// rows reads all of a result.
-func rows(ctx context.Context, db *sql.DB, text string) (out []string, err error) {
+// queryRows runs a query and returns all rows of the result, with the columns of a row joined by |.
+func queryRows(ctx context.Context, db *sql.DB, text string) (out []string, err error) {
 	r, err := db.QueryContext(ctx, text)
 	if err != nil {
 		return nil, err
@@ -150,48 +152,51 @@
 	return out, r.Err()
 }
 
-func served(after time.Duration, pages ...string) func(standin.Request) standin.Reply {
+// replyAfter returns an engine behavior that answers every request with the pages, after a delay.
+func replyAfter(delay time.Duration, pages ...string) func(standin.Request) standin.Reply {
 	return func(standin.Request) standin.Reply {
-		return standin.Reply{Delay: after, Status: "served", Pages: pages}
+		return standin.Reply{Delay: delay, Status: "served", Pages: pages}
 	}
 }
 
-// checkNoLeaks checks, behind each scene, that goroutines, descriptors and memory are as before.
+// checkNoLeaks checks that no more goroutines, descriptors and heap bytes are in use than before the test.
 func (s *testbed) checkNoLeaks(goroutines, files int, heap uint64) {
-	const spare = 4 << 20 // what libraries keep for later, and what the testbed itself holds
+	const tolerance = 4 << 20 // bytes; allows for caches of libraries and for the testbed itself
 	if s.t.Failed() {
 		return
 	}
 	for i := 0; ; i++ {
-		n, f, h := runtime.NumGoroutine(), descriptors(s.t), heapAlloc()
-		if n <= goroutines && f <= files && h <= heap+spare {
+		n, f, h := runtime.NumGoroutine(), countDescriptors(s.t), heapAlloc()
+		if n <= goroutines && f <= files && h <= heap+tolerance {
 			return
 		}
 		if i > 100 {
-			s.t.Fatalf("%d goroutines, %d descriptors and %d bytes are left; %d, %d and %d before", n, f, h, goroutines, files, heap)
+			s.t.Fatalf("%d goroutines, %d descriptors and %d heap bytes in use; %d, %d and %d before the test", n, f, h, goroutines, files, heap)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// heapAlloc is how much memory is in use after garbage collection.
+// heapAlloc returns the heap bytes in use after garbage collection.
 func heapAlloc() uint64 {
 	runtime.GC()
-	runtime.GC() // pools keep theirs over one
+	runtime.GC() // a sync.Pool keeps its items for one collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-func descriptors(t *testing.T) int {
+// countDescriptors returns the number of open descriptors.
+func countDescriptors(t *testing.T) int {
 	t.Helper()
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skip("/proc/self/fd is not available")
 	}
 	return len(list)
 }
 
+// waitFor waits up to 2 s for a condition and fails the test if it does not become true.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 200 {
@@ -200,18 +205,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 // ---- a server without a reducer
 
-// newBareServer is a server without a reducer: events stay in the queue until the test takes them.
+// newBareServer returns a server without a reducer: events stay in the queue until the test takes them.
 func newBareServer(t *testing.T) *Server {
 	t.Helper()
-	return newBareServerOn(t, System(), ordinaryLimits)
+	return newBareServerOn(t, System(), defaultLimits)
 }
 
-// newBareServerOn is a server without a reducer on a platform that may be a double.
+// newBareServerOn is like newBareServer, with the given platform and limits.
 func newBareServerOn(t *testing.T, platform Platform, limits string) *Server {
 	t.Helper()
 	server := newServer(platform, loopbackConfig(t, limits), zap.NewNop())
@@ -219,21 +224,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(server.close)
-	// The loops of nbio begin in goroutines of their own, and one that is stopped before it has begun goes on for ever: both
-	// have begun once a byte has come. (A gateway lives 0.9 s at least.)
+	// nbio's event loops run in goroutines of their own, and a loop that is stopped before it has begun never ends.
+	// Both loops have begun once a byte was received. (A gateway runs for at least 0.9 s.)
 	client, c := server.connectClient(t)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	server.awaitQueue(t, "a byte", func(q *eventQueue) bool { return q.queuedBytes > 0 })
 	mustClose(t, client)
-	waitFor(t, "its end", func() bool { return server.connByID(c.id) == nil })
-	server.awaitQueue(t, "the event of it", func(q *eventQueue) bool { return len(q.events) == 3 })
+	waitFor(t, "the connection to be removed", func() bool { return server.connByID(c.id) == nil })
+	server.awaitQueue(t, "the events of the connection", func(q *eventQueue) bool { return len(q.events) == 3 })
 	server.queue.drain(nil, nil)
 	return server
 }
 
-// awaitQueue waits until something holds of the queue.
+// awaitQueue waits until the queue fulfills a condition.
 func (s *Server) awaitQueue(t *testing.T, what string, ok func(q *eventQueue) bool) {
 	t.Helper()
 	waitFor(t, what, func() bool {
@@ -243,11 +248,11 @@
 	})
 }
 
-// connectClient connects a client to a bare server.
+// connectClient connects a client to the server and returns both sides of the connection.
 func (s *Server) connectClient(t *testing.T) (client net.Conn, c *conn) {
 	t.Helper()
 	s.mu.Lock()
-	had := s.lastAccepted
+	lastAccepted := s.lastAccepted
 	s.mu.Unlock()
 	client, err := net.Dial("tcp", s.cfg.Listen.String())
 	if err != nil {
@@ -255,13 +260,13 @@
 	}
 	t.Cleanup(func() { _ = client.Close() }) // the test may have closed it
 	waitFor(t, "the connection", func() bool {
-		c = s.connByID(had + 1)
+		c = s.connByID(lastAccepted + 1)
 		return c != nil
 	})
 	return client, c
 }
 
-// awaitDialResult waits for what becomes of a dial.
+// awaitDialResult waits for a DialSucceeded or DialFailed event.
 func (s *Server) awaitDialResult(t *testing.T) (out gateway.Event) {
 	t.Helper()
 	waitFor(t, "the end of the dial", func() bool {
@@ -280,7 +285,7 @@
 
 // ---- small helpers
 
-// loopbackConfig is that of a gateway without engines or a name service, on a free address.
+// loopbackConfig returns the configuration of a gateway on a free address, without engines or a name service.
 func loopbackConfig(t *testing.T, limits string) config.Config {
 	t.Helper()
 	cfg, err := config.Parse(configText(freeAddress(t), limits))
@@ -290,12 +295,13 @@
 	return cfg
 }
 
+// configText returns the configuration file of a gateway without engines or a name service.
 func configText(listen, limits string) []byte {
 	return []byte(`{"name":"n0","listen":"` + listen + `","seed":"01","limits":` + limits + `,
 		"dns":"127.0.0.1:9","known":{"seq":0},"settings":` + testSettings + `}`)
 }
 
-// listenLoopback listens until the test ends.
+// listenLoopback listens on a free loopback address until the test ends.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -306,7 +312,7 @@
 	return ln
 }
 
-// freeAddress is one on which nothing listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -319,7 +325,7 @@
 
 func addrOf(ln net.Listener) netip.AddrPort { return netip.MustParseAddrPort(ln.Addr().String()) }
 
-// mustClose closes what nothing else has closed.
+// mustClose closes c and fails the test on an error.
 func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -327,7 +333,7 @@
 	}
 }
 
-// mustCloseFD closes a descriptor that the test has made.
+// mustCloseFD closes a descriptor and fails the test on an error.
 func mustCloseFD(t *testing.T, fd int) {
 	t.Helper()
 	if err := syscall.Close(fd); err != nil {
@@ -335,21 +341,21 @@
 	}
 }
 
-// loginPacket is a client's login, with its header.
+// loginPacket returns a client's login packet, including the header.
 func loginPacket() []byte {
 	login := append([]byte{0, 0x82, 8, 0, 0, 0, 0, 1, 45}, make([]byte, 23)...)
 	login = append(login, "app\x00\x00"...)
 	return append([]byte{byte(len(login)), 0, 0, 1}, login...)
 }
 
-// transientFault answers an error for so many calls, then none.
+// transientFault returns an error for a number of calls, then none.
 type transientFault struct {
-	left atomic.Int64
-	err  error
+	remaining atomic.Int64
+	err       error
 }
 
 func (f *transientFault) next() error {
-	if f.left.Add(-1) >= 0 {
+	if f.remaining.Add(-1) >= 0 {
 		return &net.OpError{Op: "dial", Err: os.NewSyscallError("call", f.err)}
 	}
 	return nil
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -9,37 +9,36 @@
 	"foxlane/rules"
 )
 
-// This file has the reducer's goroutine.
-
-// pacer keeps an interval between iterations of the reducer, as the simulator does between its batches: what comes
-// meanwhile is worked off and written together, which spares all sides calls and wakes. Where little comes, nothing waits.
+// pacer keeps a minimum interval between iterations of the reducer loop, as the simulator does between its batches.
+// Events that arrive within the interval are handled, and their output written, together, which saves system calls
+// and wakeups on both sides. Under low load nothing is delayed.
 type pacer struct{ interval, last rules.Time }
 
-// wait is how long to wait before the next iteration.
-func (p pacer) wait(now rules.Time) rules.Time {
+// delay returns how long to wait before the next iteration; zero or less means not at all.
+func (p pacer) delay(now rules.Time) rules.Time {
 	return min(p.last+p.interval-now, p.interval)
 }
 
-// reducerLoop is the goroutine that alone calls the reducer: it executes the effects, waits for something to happen and
-// passes what has happened to the reducer.
+// reducerLoop executes the reducer's effects, waits for events and passes them to the reducer. Its goroutine is the
+// only one that calls the reducer.
 type reducerLoop struct {
 	*Server
 	reducer  Reducer
 	timer    *time.Timer
 	timerAt  rules.Time
-	pace     pacer
+	pacer    pacer
 	reload   reloadState
 	shutdown shutdownState
-	events   []queuedEvent // the buffers of the last iteration
+	events   []queuedEvent // with arena: the queue buffers of the last iteration
 	arena    []byte
 }
 
 func newReducerLoop(s *Server) *reducerLoop {
 	return &reducerLoop{Server: s, reducer: s.platform.Reducer(s.cfg, s.now()), timer: time.NewTimer(time.Hour),
-		pace: pacer{interval: s.limits.MinBatchInterval}, reload: newReloadState()}
+		pacer: pacer{interval: s.limits.MinBatchInterval}, reload: newReloadState()}
 }
 
-// run returns once the process may end.
+// run runs the loop until the process may exit.
 func (l *reducerLoop) run(signals Signals) {
 	defer l.timer.Stop()
 	l.stepRecovered()
@@ -53,7 +52,7 @@
 	}
 }
 
-// stepRecovered passes to the reducer what was found on disks at the start.
+// stepRecovered passes the results and the voter's log that were recovered from disk at the start to the reducer.
 func (l *reducerLoop) stepRecovered() {
 	if l.results != nil {
 		l.reducer.Step(l.now(), gateway.SpoolCompleted{Events: l.results.recovered})
@@ -65,7 +64,7 @@
 	}
 }
 
-// executeEffects executes what the reducer asks for. It answers whether that is the end of the process.
+// executeEffects executes the reducer's pending effects and reports whether an Exit was among them.
 func (l *reducerLoop) executeEffects() (exit bool) {
 	for _, effect := range l.reducer.Flush() {
 		switch f := effect.(type) {
@@ -81,11 +80,11 @@
 	return exit
 }
 
-// wait waits until something has happened. What comes on a channel of its own it passes to the reducer here.
+// wait blocks until there is something to do. Events that arrive on channels other than the queue are handled here.
 func (l *reducerLoop) wait(signals Signals) {
 	reload := signals.Reload
 	if l.reload.current != 0 {
-		reload = nil // one at a time: what is asked for meanwhile comes after it
+		reload = nil // one reload at a time; a signal received meanwhile stays in the channel
 	}
 	select {
 	case <-l.queue.ready:
@@ -107,20 +106,20 @@
 	}
 }
 
-// stepQueued passes the queued events to the reducer, not before the next iteration is due.
+// stepQueued waits out the pacer's interval, then passes the queued events to the reducer.
 func (l *reducerLoop) stepQueued() {
-	if wait := l.pace.wait(l.now()); wait > 0 {
-		time.Sleep(time.Duration(wait) * time.Microsecond)
+	if delay := l.pacer.delay(l.now()); delay > 0 {
+		time.Sleep(time.Duration(delay) * time.Microsecond)
 	}
 	if age := l.queue.oldestAge(); age >= slowThreshold {
 		l.log.Warn("events waited for the reducer", zap.Int64("ms", age.Milliseconds()))
 	}
 	l.events, l.arena = l.queue.drain(l.events, l.arena)
-	l.uncountReads(l.events)
+	l.recordDequeuedReads(l.events)
 	now := l.now()
-	l.pace.last = now
+	l.pacer.last = now
 	for i := range l.events {
-		l.reducer.Step(now, l.events[i].get())
+		l.reducer.Step(now, l.events[i].unwrap())
 	}
 	l.stepMemberEvents(now, l.reducer)
 	if now >= l.timerAt {
--- a/internal/transport/members.go
+++ b/internal/transport/members.go
@@ -14,17 +14,17 @@
 	"foxlane/rules"
 )
 
-// This file has the way to other gateways: who the members are, and what is sent among them.
+// This file joins and leaves the other gateways, called members, and exchanges messages with them.
 
-// membership is the way to other gateways, from joining them to leaving them. What is sent goes through a bounded queue to
-// a goroutine of its own; when the queue is full, it is lost.
+// membership is the connection to the other members from join to leave. Messages are sent by goroutines that read
+// bounded queues; a message is dropped if its queue is full.
 type membership struct {
-	members *members.Membership
-	small   chan memberMessage // datagrams
-	large   chan memberMessage // what takes a connection: it may stall, and must not hold up the others
-	leaving atomic.Bool        // what is still queued is not sent any more
-	senders sync.WaitGroup
-	control *controlServer // nil: operators' commands are not answered
+	members   *members.Membership
+	datagrams chan memberMessage // messages that fit in a datagram
+	streams   chan memberMessage // messages sent over connections, which may stall and must not delay datagrams
+	leaving   atomic.Bool        // set by leaveMembers; messages still queued are then dropped
+	senders   sync.WaitGroup
+	control   *controlServer // nil: there is no control socket
 }
 
 // memberMessage is a message to a member.
@@ -35,25 +35,26 @@
 }
 
 const (
-	maxQueuedMessages      = 512
-	maxQueuedLargeMessages = 16
-	largeMessageSize       = 1200 // bytes that still fit into a datagram
-	maxMemberEventsPerStep = 256  // member events in one iteration of the reducer
+	maxQueuedDatagrams      = 512
+	maxQueuedStreamMessages = 16
+	maxDatagramPayload      = 1200 // bytes; larger messages may not fit in a datagram
+	maxMemberEventsPerStep  = 256  // member events per iteration of the reducer loop
 
-	rejoinPause  = 250 * time.Millisecond // between attempts to join
-	leaveTimeout = time.Second            // for which the end of the process waits: some members may not answer
+	rejoinDelay  = 250 * time.Millisecond // between attempts to join
+	leaveTimeout = time.Second            // how long shutdown waits for a leave; some members may not answer
 )
 
-// errLeaving is why members can't be joined again yet: the address is still in use, and the reducer waits for nobody.
-var errLeaving = errors.New("members: still being left")
+// errLeaving means that members can't be joined yet because a previous membership still uses the address. The join is
+// retried later, since waiting here would block the reducer's goroutine.
+var errLeaving = errors.New("members: the previous membership has not ended yet")
 
-// joinMembers begins to look for members, if the operator's file says so.
+// joinMembers joins the members if the site configuration has any and they are not joined yet.
 func (s *Server) joinMembers() error {
 	if s.cfg.Site == nil || s.cfg.Site.Members == nil || s.membership != nil {
 		return nil
 	}
-	set := s.cfg.Site.Members
-	allowed, err := set.AllowedSet()
+	memberCfg := s.cfg.Site.Members
+	allowed, err := memberCfg.AllowedSet()
 	if err != nil {
 		return err
 	}
@@ -61,47 +62,48 @@
 	if i := s.cfg.Settings.Rules.Zone; i >= 0 && i < len(s.cfg.Settings.ZoneNames) {
 		zone = s.cfg.Settings.ZoneNames[i]
 	}
-	if s.leaving.Load() > 0 {
+	if s.openMemberships.Load() > 0 {
 		return errLeaving
 	}
-	m := &membership{small: make(chan memberMessage, maxQueuedMessages), large: make(chan memberMessage, maxQueuedLargeMessages)}
-	settings := members.Settings{Name: s.cfg.Name, Zone: zone, Bind: set.Bind, Seeds: set.Seeds, Allowed: allowed,
-		DialAddrs: set.AddressMap, FastDetection: set.FastTimers}
+	m := &membership{datagrams: make(chan memberMessage, maxQueuedDatagrams), streams: make(chan memberMessage, maxQueuedStreamMessages)}
+	settings := members.Settings{Name: s.cfg.Name, Zone: zone, Bind: memberCfg.Bind, Seeds: memberCfg.Seeds, Allowed: allowed,
+		DialAddrs: memberCfg.AddressMap, FastDetection: memberCfg.FastTimers}
 	if m.members, err = members.Start(settings, func() { s.queue.signal() }); err != nil {
 		return err
 	}
-	if set.Control.IsValid() {
-		if m.control, err = startControl(set.Control, s.queue, s.log); err != nil {
+	if memberCfg.Control.IsValid() {
+		if m.control, err = startControl(memberCfg.Control, s.queue, s.log); err != nil {
 			m.members.Close()
 			return err
 		}
 	}
-	for _, queue := range []chan memberMessage{m.small, m.large} {
+	for _, queue := range []chan memberMessage{m.datagrams, m.streams} {
 		m.senders.Go(func() { m.send(queue) })
 	}
 	s.membership = m
 	return nil
 }
 
-// send sends what is queued, until the queue is closed.
+// send sends queued messages until the queue is closed.
 func (m *membership) send(queue <-chan memberMessage) {
 	for message := range queue {
 		if !m.leaving.Load() {
-			_ = m.members.Send(message.to, message.channel, message.data) // a member that has left loses it
+			_ = m.members.Send(message.to, message.channel, message.data) // a failed send is a lost message, as on the network
 		}
 	}
 }
 
-// joinMembersOrRetry looks for members, and again later where that fails: the address may still be another process's.
+// joinMembersOrRetry joins the members. If that fails, for example because another process still uses the address, it
+// schedules another attempt.
 func (s *Server) joinMembersOrRetry() {
 	s.rejoin = nil
 	if err := s.joinMembers(); err != nil {
 		s.log.Warn("members: not joined, to be tried again", zap.Error(err))
-		s.rejoin = time.After(rejoinPause)
+		s.rejoin = time.After(rejoinDelay)
 	}
 }
 
-// leaveMembers leaves the members. That takes a while, for which the reducer does not wait: awaitLeave does.
+// leaveMembers starts to leave the members without blocking the reducer's goroutine; awaitLeave waits for the end.
 func (s *Server) leaveMembers() {
 	s.rejoin = nil
 	m := s.membership
@@ -110,15 +112,16 @@
 	}
 	s.membership = nil
 	m.leaving.Store(true)
-	close(m.small)
-	close(m.large)
-	s.leaving.Add(1)
+	close(m.datagrams)
+	close(m.streams)
+	s.openMemberships.Add(1)
 	s.leaveWorkers.Go(func() {
-		defer s.leaving.Add(-1)
+		defer s.openMemberships.Add(-1)
 		m.close()
 	})
 }
 
+// close leaves the members and waits for all goroutines of the membership to end.
 func (m *membership) close() {
 	if m.control != nil {
 		m.control.stop()
@@ -130,44 +133,44 @@
 	}
 }
 
-// awaitLeave waits, for a bounded time, until all members are left.
+// awaitLeave waits until all memberships have ended, for leaveTimeout at most.
 func (s *Server) awaitLeave() {
 	if !returnsWithin(leaveTimeout, s.leaveWorkers.Wait) {
 		s.log.Warn("members: not left in time, the process ends without")
 	}
 }
 
-// sendToMember queues a message to a member.
-func (s *Server) sendToMember(f gateway.SendToMember) {
+// sendToMember queues a message to a member. The message is dropped if its queue is full.
+func (s *Server) sendToMember(effect gateway.SendToMember) {
 	m := s.membership
 	if m == nil {
 		return
 	}
-	queue := m.small
-	if len(f.Data) > largeMessageSize {
-		queue = m.large
+	queue := m.datagrams
+	if len(effect.Data) > maxDatagramPayload {
+		queue = m.streams
 	}
 	select {
-	case queue <- memberMessage{f.To, f.Channel, bytes.Clone(f.Data)}:
-	default: // it is lost, as on the network
+	case queue <- memberMessage{effect.To, effect.Channel, bytes.Clone(effect.Data)}:
+	default: // dropped, as it could be on the network
 	}
 }
 
 var peerKinds = map[members.Kind]gateway.PeerKind{members.Joined: gateway.PeerJoined, members.Left: gateway.PeerLeft,
 	members.Received: gateway.PeerMessage, members.NameConflict: gateway.PeerNameConflict}
 
-// stepMemberEvents passes what has happened among the members to the reducer, a bounded number in each iteration.
+// stepMemberEvents passes member events to the reducer, at most maxMemberEventsPerStep of them.
 func (s *Server) stepMemberEvents(now rules.Time, reducer Reducer) {
 	m := s.membership
 	if m == nil {
 		return
 	}
 	for range maxMemberEventsPerStep {
-		x, ok := m.members.Next()
+		event, ok := m.members.Next()
 		if !ok {
 			return
 		}
-		reducer.Step(now, gateway.PeerEvent{Kind: peerKinds[x.Kind], Name: x.Name, Zone: x.Zone, Channel: x.Channel, Data: x.Data, Text: x.Text})
+		reducer.Step(now, gateway.PeerEvent{Kind: peerKinds[event.Kind], Name: event.Name, Zone: event.Zone, Channel: event.Channel, Data: event.Data, Text: event.Text})
 	}
-	s.queue.signal() // the rest comes in the next iteration
+	s.queue.signal() // the next iteration handles the rest
 }
--- a/internal/transport/platform.go
+++ b/internal/transport/platform.go
@@ -14,29 +14,29 @@
 	"foxlane/rules"
 )
 
-// This file has what the server takes from the system it runs on. Tests put doubles in its place that fail as systems
-// do; the released program has no way to choose anything but System.
+// This file defines the server's interface to the operating system. Tests substitute platforms that inject system
+// faults; the released program always uses System.
 
-// Reducer is the gateway's state: events with their time go in, effects come out.
+// Reducer is the gateway's state machine. Step applies an event at a time; Flush returns the effects to execute.
 type Reducer interface {
 	Step(now rules.Time, event gateway.Event)
 	Flush() []gateway.Effect
 }
 
-// Folder is one in which results are kept, locked for this process until Close.
+// Folder is a folder that stores results. It is locked for this process until Close.
 type Folder interface {
 	disk.FS
 	Close() error
 }
 
-// VoterLog persists what a voter on directives has promised.
+// VoterLog persists the state that a voter on directives has promised to keep.
 type VoterLog interface {
 	Persist(batch directives.Batch) error
-	Repair() error // after Persist has failed, before the next call
+	Repair() error // must succeed after a failed Persist before Persist is called again
 	Close()
 }
 
-// Platform is the clock, the sockets, the file system and the reducer of a gateway.
+// Platform provides the clock, the sockets, the file system and the reducer of a gateway.
 type Platform struct {
 	Clock        Clock
 	Listen       func(addr string) (net.Listener, error)
@@ -47,7 +47,7 @@
 	Reducer      func(cfg config.Config, now rules.Time) Reducer
 }
 
-// System is the platform that the operating system gives.
+// System returns the platform of the operating system.
 func System() Platform {
 	return Platform{
 		Clock:   systemClock{time.Now()},
@@ -62,17 +62,17 @@
 			return folder, nil
 		},
 		OpenVoterLog: func(path string) (VoterLog, directives.PersistedState, error) {
-			log, kept, err := wal.Open(path)
+			log, state, err := wal.Open(path)
 			if err != nil {
-				return nil, kept, err
+				return nil, state, err
 			}
-			return log, kept, nil
+			return log, state, nil
 		},
 		Reducer: func(cfg config.Config, now rules.Time) Reducer { return gateway.New(cfg, now) },
 	}
 }
 
-// dialTCP connects by the standard library, which tells a refusal from a silence.
+// dialTCP dials through the standard library, which distinguishes a refused connection from a timeout.
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", addr.String())
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -9,35 +9,33 @@
 	"foxlane/internal/gateway"
 )
 
-// This file has the queue of events on their way to the reducer.
-
-// queuedEvent is an event in the queue. Received bytes lie in it by value, so that they cost no allocation each.
+// queuedEvent is an event in the queue. A DataReceived event is held by value to avoid an allocation for each read.
 type queuedEvent struct {
-	event    gateway.Event // nil: it is received
+	event    gateway.Event // nil: the event is in received
 	received gateway.DataReceived
 }
 
-// get returns the event, valid until the queue's buffers are used again.
-func (q *queuedEvent) get() gateway.Event {
+// unwrap returns the event. It is valid until the queue's buffers are reused.
+func (q *queuedEvent) unwrap() gateway.Event {
 	if q.event == nil {
 		return &q.received
 	}
 	return q.event
 }
 
-// eventQueue holds events until the reducer's goroutine takes them. The bytes of events lie in an arena. Events and arena
-// are used again, in turn with those that the reducer's goroutine has taken.
+// eventQueue holds events until the reducer's goroutine takes them. The bytes of events are stored in an arena.
+// Events and arena are double buffered: the queue and the reducer's goroutine swap theirs in drain.
 type eventQueue struct {
 	mu          sync.Mutex
 	notFull     sync.Cond
 	events      []queuedEvent
 	arena       []byte
 	queuedBytes int
-	maxBytes    int           // beyond which no more bytes are taken, and reading stops
-	maxArena    int           // capacity of an arena that is used again
-	ready       chan struct{} // holds a value once there is something to take
+	maxBytes    int           // if more bytes are queued, adding bytes blocks, which stops reading from sockets
+	maxArena    int           // an arena with a larger capacity is not reused
+	ready       chan struct{} // signals that there may be events to take
 	closed      bool
-	oldestAt    time.Time // when the oldest event came
+	oldestAt    time.Time // when the oldest event was added
 }
 
 func newEventQueue(l config.Limits) *eventQueue {
@@ -46,7 +44,7 @@
 	return q
 }
 
-// enqueue adds an event that carries no bytes. It never waits.
+// enqueue adds an event that carries no bytes. It never blocks.
 func (q *eventQueue) enqueue(event gateway.Event) {
 	q.mu.Lock()
 	q.add(queuedEvent{event: event})
@@ -54,37 +52,37 @@
 	q.wakeReducer()
 }
 
-// enqueueReceived adds bytes that came on a connection, once there is room.
+// enqueueReceived adds bytes received on a connection. It blocks while the queue is full.
 func (q *eventQueue) enqueueReceived(conn gateway.ConnID, data []byte) {
 	q.mu.Lock()
-	q.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: q.copyIn(data)}})
+	q.add(queuedEvent{received: gateway.DataReceived{Conn: conn, Data: q.copyToArena(data)}})
 	q.mu.Unlock()
 	q.wakeReducer()
 }
 
-// enqueueBytes adds an event that is made from a copy of bytes, once there is room.
-func (q *eventQueue) enqueueBytes(data []byte, event func(copied []byte) gateway.Event) {
+// enqueueBytes adds the event that newEvent makes from a copy of data. It blocks while the queue is full.
+func (q *eventQueue) enqueueBytes(data []byte, newEvent func(copied []byte) gateway.Event) {
 	q.mu.Lock()
-	q.add(queuedEvent{event: event(q.copyIn(data))})
+	q.add(queuedEvent{event: newEvent(q.copyToArena(data))})
 	q.mu.Unlock()
 	q.wakeReducer()
 }
 
-// copyIn copies bytes into the arena. Where too many wait, it first waits for room. The caller holds the lock.
-func (q *eventQueue) copyIn(data []byte) []byte {
+// copyToArena copies bytes into the arena. It blocks while more than maxBytes are queued. The caller holds q.mu.
+func (q *eventQueue) copyToArena(data []byte) []byte {
 	if len(data) == 0 {
 		return data
 	}
 	for q.queuedBytes > q.maxBytes && !q.closed {
 		q.notFull.Wait()
 	}
-	from := len(q.arena)
+	start := len(q.arena)
 	q.arena = append(q.arena, data...)
 	q.queuedBytes += len(data)
-	return q.arena[from:len(q.arena):len(q.arena)]
+	return q.arena[start:len(q.arena):len(q.arena)]
 }
 
-// add appends an event. The caller holds the lock.
+// add appends an event. The caller holds q.mu.
 func (q *eventQueue) add(event queuedEvent) {
 	if len(q.events) == 0 {
 		q.oldestAt = time.Now()
@@ -92,13 +90,14 @@
 	q.events = append(q.events, event)
 }
 
+// wakeReducer signals the reducer's goroutine and yields the processor to it.
 func (q *eventQueue) wakeReducer() {
 	if q.signal() {
-		runtime.Gosched() // the reducer may go at once, not when the poller's next wait has lost its processor
+		runtime.Gosched() // otherwise the reducer would only run once the poller's next wait gives up its processor
 	}
 }
 
-// signal has the reducer's goroutine look at the queue. It answers whether no signal was under way.
+// signal makes the reducer's goroutine look at the queue. It returns false if a signal was already pending.
 func (q *eventQueue) signal() bool {
 	select {
 	case q.ready <- struct{}{}:
@@ -108,7 +107,7 @@
 	}
 }
 
-// oldestAge is for how long the oldest event has waited; 0: there is none.
+// oldestAge returns how long the oldest event has waited, or 0 if the queue is empty.
 func (q *eventQueue) oldestAge() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,7 +117,7 @@
 	return time.Since(q.oldestAt)
 }
 
-// drain takes all events, and gives the buffers of the last iteration back.
+// drain takes all events and their arena. The arguments are the buffers of the last call, which the queue reuses.
 func (q *eventQueue) drain(events []queuedEvent, arena []byte) ([]queuedEvent, []byte) {
 	clear(events)
 	if cap(arena) > q.maxArena {
@@ -126,13 +125,13 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	outEvents, outArena := q.events, q.arena
+	takenEvents, takenArena := q.events, q.arena
 	q.events, q.arena, q.queuedBytes = events[:0], arena[:0], 0
 	q.notFull.Broadcast()
-	return outEvents, outArena
+	return takenEvents, takenArena
 }
 
-// close ends all waits for room, now and later.
+// close releases all goroutines that wait for room in the queue; later additions do not block.
 func (q *eventQueue) close() {
 	q.mu.Lock()
 	q.closed = true
--- a/internal/transport/resultstore.go
+++ b/internal/transport/resultstore.go
@@ -13,29 +13,30 @@
 	"foxlane/rules"
 )
 
-// This file has the disk on which the spool keeps results.
+// This file stores the spool's results on disk.
 
-// resultStore is the folder in which results are kept, and the worker that writes to it.
+// resultStore is the folder that stores results and the worker that reads and writes it.
 type resultStore struct {
 	folder    Folder
 	worker    *disk.Worker
-	recovered []spool.Event // what the folder held at the start, until the reducer has it
+	recovered []spool.Event // results found in the folder at the start, until the reducer receives them
 }
 
 const (
-	segmentSize          = 32 << 20
+	segmentSize          = 32 << 20 // bytes
 	maxQueuedDiskEffects = 4096
-	wasteDivisor         = 8 // one in so many bytes of the budget may be waste before segments are compacted
+	wasteDivisor         = 8 // segments are compacted once 1/wasteDivisor of the disk budget is waste
 )
 
-// openResultStore opens the operator's folder, recovers what it holds and starts its worker, if results are kept on a disk.
+// openResultStore opens the configured folder, recovers its results and starts the disk worker. It does nothing if no
+// folder is configured.
 func (s *Server) openResultStore() error {
 	if s.cfg.Site == nil || s.cfg.Site.Spool == nil || s.cfg.Site.Spool.Folder == "" {
 		return nil
 	}
-	set := s.cfg.Site.Spool
+	spoolCfg := s.cfg.Site.Spool
 	var folder Folder
-	openFolder := func() (err error) { folder, err = s.platform.OpenFolder(set.Folder); return err }
+	openFolder := func() (err error) { folder, err = s.platform.OpenFolder(spoolCfg.Folder); return err }
 	if err := s.retryStart("spool", openFolder); err != nil {
 		return err
 	}
@@ -46,19 +47,19 @@
 		return err
 	}
 	s.results = &resultStore{folder: folder}
-	for _, found := range recovery.Results {
-		s.results.recovered = append(s.results.recovered, spool.ResultRecovered{ID: found.ID, Secret: found.Meta.Secret,
-			Tenant: found.Meta.Tenant, Class: int(found.Meta.Class), Created: rules.Time(found.Meta.Created),
-			LeaseEnd: rules.Time(found.Meta.LeaseEnd), Locations: found.Locations})
+	for _, result := range recovery.Results {
+		s.results.recovered = append(s.results.recovered, spool.ResultRecovered{ID: result.ID, Secret: result.Meta.Secret,
+			Tenant: result.Meta.Tenant, Class: int(result.Meta.Class), Created: rules.Time(result.Meta.Created),
+			LeaseEnd: rules.Time(result.Meta.LeaseEnd), Locations: result.Locations})
 	}
-	s.logRecovery(set.Folder, recovery, s.now()-start)
-	s.results.worker = disk.NewWorker(store, maxQueuedDiskEffects, set.Budget.DiskBytes/wasteDivisor,
+	s.logRecovery(spoolCfg.Folder, recovery, s.now()-start)
+	s.results.worker = disk.NewWorker(store, maxQueuedDiskEffects, spoolCfg.Budget.DiskBytes/wasteDivisor,
 		func(events []spool.Event) { s.queue.enqueue(gateway.SpoolCompleted{Events: events}) },
 		func(err error) { s.log.Warn("spool: the disk fails", zap.Error(err)) })
 	return nil
 }
 
-// openStore reads the folder's segments.
+// openStore opens the store in a folder and recovers its results.
 func (s *Server) openStore(folder Folder) (store *disk.Store, recovery *disk.Recovery, err error) {
 	var salt [8]byte
 	if _, err := rand.Read(salt[:]); err != nil {
@@ -72,6 +73,7 @@
 	return store, recovery, err
 }
 
+// logRecovery logs what was recovered from a folder, and each damaged range.
 func (s *Server) logRecovery(folder string, recovery *disk.Recovery, took rules.Time) {
 	s.log.Info("spool opened", zap.String("folder", folder), zap.Int("results", len(recovery.Results)), zap.Int("damaged", len(recovery.Lost)),
 		zap.Int("unfinished", recovery.Unfinished), zap.Int64("torn_bytes", recovery.TornBytes), zap.Int64("took_ms", int64(took/rules.Millisecond)))
@@ -81,7 +83,7 @@
 	}
 }
 
-// closeResultStore writes what is queued and unlocks the folder, within a bounded time.
+// closeResultStore finishes queued writes and unlocks the folder, within diskCloseTimeout.
 func (s *Server) closeResultStore() {
 	if s.results == nil {
 		return
@@ -90,13 +92,13 @@
 		if err := s.results.worker.Close(); err != nil {
 			s.log.Warn("spool: not closed in order", zap.Error(err))
 		}
-		_ = s.results.folder.Close() // the end of the process unlocks it in any case
+		_ = s.results.folder.Close() // the lock ends with the process in any case
 	}) {
 		s.log.Warn("spool: the disk hangs, left as it is")
 	}
 }
 
-// submitToResultStore queues an effect for the disk. One that can't be queued is reported as failed.
+// submitToResultStore queues an effect for the disk worker. An effect that can't be queued is reported as failed.
 func (s *Server) submitToResultStore(effect spool.DiskEffect) {
 	if s.results != nil && s.results.worker.Submit(effect) == nil {
 		return
@@ -108,7 +110,7 @@
 	case spool.LoadChunk:
 		failed = spool.ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Failed: true}
 	case spool.DiscardRecords:
-		return // nothing waits for it
+		return // the reducer expects no event for it
 	}
 	s.queue.enqueue(gateway.SpoolCompleted{Events: []spool.Event{failed}})
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,6 @@
-// Package transport is the transport of a gateway: it owns the sockets, the clock and the log, turns what happens there into
-// events for the reducer and executes the effects that the reducer returns. It must never decide anything, look into the
-// bytes it carries, or keep the reducer waiting.
+// Package transport runs a gateway on the operating system. It owns the sockets, the clock and the log, turns input
+// into events for the reducer and executes the effects that the reducer returns. It must not make decisions,
+// interpret the bytes it carries or block the reducer.
 package transport
 
 import (
@@ -26,71 +26,69 @@
 	"foxlane/rules"
 )
 
-// This file has the server's state, its start and its end. Each group of fields has a file of its own.
-
-// Server is the transport of one gateway.
+// Server is the transport of one gateway. Each group of fields is used mainly by the files named above it.
 type Server struct {
-	cfg      config.Config // only the reducer's goroutine uses it
+	cfg      config.Config // used only by the reducer's goroutine
 	limits   config.Limits
 	log      *zap.Logger
 	queue    *eventQueue
 	poller   *nbio.Engine
 	clock    *clock
 	platform Platform
-	ctx      context.Context // done once the process has begun to end
+	ctx      context.Context // cancelled at shutdown
 	cancel   context.CancelFunc
 
-	// The name service (dns.go). Only the reducer's goroutine uses the connections.
-	dnsConn         net.Conn // nil: it could not be opened
-	previousDNSConn net.Conn // the one before, to which late answers may still come; nil: none
+	// Name service (dns.go). The connections are used only by the reducer's goroutine.
+	dnsConn         net.Conn // nil: no socket could be opened
+	previousDNSConn net.Conn // the previous socket, on which late responses may still arrive; nil: none
 	dnsAddr         netip.AddrPort
 	dnsReaders      sync.WaitGroup
 
-	// Connections (conn.go, accept.go, dial.go, close.go). The lock is for all that follows up to shuttingDown.
+	// Connections (conn.go, accept.go, dial.go, close.go). mu guards the fields up to reserved.
 	mu           sync.Mutex
-	clientClosed sync.Cond // signalled when clientCount falls, and at the end
-	clientCount  int       // accepted connections that are not closed
+	clientClosed sync.Cond // signalled when clientCount decreases, and at shutdown
+	clientCount  int       // accepted connections that are open
 	conns        map[gateway.ConnID]*conn
 	connsByNB    map[*nbio.Conn]*conn
 	lastAccepted gateway.ConnID
 	pendingDials map[gateway.ConnID]context.CancelFunc
-	lingering    []*conn // half closed, oldest first
-	reserved     []int   // descriptors (descriptors.go), oldest first
+	lingering    []*conn // half closed connections, oldest first
+	reserved     []int   // reserved descriptors (descriptors.go), oldest first
 
 	dialWorkers  sync.WaitGroup
 	devNull      *os.File
 	listener     net.Listener
-	shuttingDown atomic.Bool // nothing more is accepted
+	shuttingDown atomic.Bool // no more connections are accepted
 
-	results *resultStore // nil: no results are kept on a disk
+	results *resultStore // nil: results are not stored on disk
 	voter   *voterWorker // nil: this gateway does not vote on directives
 
-	// Other gateways (members.go). Only the reducer's goroutine uses the first two.
-	membership   *membership      // nil: there are no members
-	rejoin       <-chan time.Time // when joining is tried again after it failed
-	leaving      atomic.Int64     // memberships that are still being left
-	leaveWorkers sync.WaitGroup   // that leave them
+	// Other gateways (members.go). membership and rejoin are used only by the reducer's goroutine.
+	membership      *membership      // nil: members are not joined
+	rejoin          <-chan time.Time // fires when a failed join is to be retried
+	openMemberships atomic.Int64     // memberships that are not closed yet
+	leaveWorkers    sync.WaitGroup   // goroutines that close memberships
 }
 
-// Signals are those that a process gets, each kind on a channel of its own: none may be lost behind another.
+// Signals are the signals to the process. Each kind has its own channel, so that one kind can't displace another.
 type Signals struct {
-	Reload    <-chan os.Signal // the configuration is to be read again; several that come meanwhile count as one
-	Terminate <-chan os.Signal
+	Reload    <-chan os.Signal // reload the configuration; signals that arrive during a reload count as one
+	Terminate <-chan os.Signal // shut down gracefully
 }
 
-// Run serves until the process is asked to end by a signal, and all requests are answered.
+// Run serves until a Terminate signal arrives and all requests are answered. It returns an error if the start fails.
 func Run(cfg config.Config, log *zap.Logger, signals Signals) error {
 	return RunOn(System(), cfg, log, signals)
 }
 
-// RunOn serves as Run does, on a platform that may be a test double.
+// RunOn is like Run, on the given platform, which may be a test double.
 func RunOn(platform Platform, cfg config.Config, log *zap.Logger, signals Signals) error {
 	s := newServer(platform, cfg, log)
 	defer s.cancel()
 	if _, err := rand.Read(s.cfg.Entropy[:]); err != nil {
 		return fmt.Errorf("entropy: %w", err)
 	}
-	// The folders come first: another process that uses them ends this one before it has done anything.
+	// The folders come first: if another process uses them, this one fails before it has any effect.
 	if err := s.openResultStore(); err != nil {
 		return err
 	}
@@ -104,8 +102,8 @@
 	}
 	defer s.awaitLeave()
 	defer s.leaveMembers()
-	// The sockets come last: once the loops of nbio are started they must have begun before they are stopped, which a
-	// start that fails later would not wait for.
+	// The sockets come last: nbio's event loops must not be stopped before they have begun to run, and the cleanup
+	// after a later failed step of the start would not wait for that.
 	if err := s.open(); err != nil {
 		return err
 	}
@@ -124,23 +122,24 @@
 	return s
 }
 
+// now returns the server's time.
 func (s *Server) now() rules.Time { return s.clock.now() }
 
-// open opens the sockets. What fails transiently is retried for a while: a start must not fail for one call.
+// open opens the sockets. Transient errors are retried, so that a single failed call does not fail the start.
 func (s *Server) open() (err error) {
 	logging.SetLogger(silentLogger{})
-	nbio.MaxOpenFiles = max(s.limits.Sockets, minTableSize)
+	nbio.MaxOpenFiles = max(s.limits.Sockets, minConnTableSize)
 	defer func() {
 		if err != nil {
 			s.closeDNS()
 			s.dnsReaders.Wait()
 			if s.devNull != nil {
-				_ = s.devNull.Close() // it was only read
+				_ = s.devNull.Close() // opened read-only
 			}
 		}
 	}()
-	openNull := func() (err error) { s.devNull, err = os.Open(os.DevNull); return err }
-	if err := s.retryStart("open "+os.DevNull, openNull); err != nil {
+	openDevNull := func() (err error) { s.devNull, err = os.Open(os.DevNull); return err }
+	if err := s.retryStart("open "+os.DevNull, openDevNull); err != nil {
 		return err
 	}
 	if err := s.retryStart("name service", func() error { return s.openDNS(s.cfg.DNS) }); err != nil {
@@ -149,31 +148,31 @@
 	return s.retryStart("listen", s.startPoller)
 }
 
-// minTableSize is the least size of nbio's table of connections, which it indexes by descriptor.
-const minTableSize = 4096
+// minConnTableSize is the minimum size of nbio's connection table, which is indexed by descriptor.
+const minConnTableSize = 4096
 
-// A call of the start that fails transiently is retried, with a pause, for so long.
+// Steps of the start that fail transiently are retried for startRetryTimeout, with a pause between attempts.
 const (
 	startRetryTimeout = 5 * time.Second
-	startRetryPause   = 50 * time.Millisecond
+	startRetryDelay   = 50 * time.Millisecond
 )
 
-// retryStart calls a step of the start, and calls it again where it fails transiently.
-func (s *Server) retryStart(what string, step func() error) error {
-	for until := time.Now().Add(startRetryTimeout); ; {
+// retryStart runs a step of the start, with retries after transient errors.
+func (s *Server) retryStart(operation string, step func() error) error {
+	for deadline := time.Now().Add(startRetryTimeout); ; {
 		err := step()
-		if err == nil || !transient(err) || time.Now().After(until) {
+		if err == nil || !isTransient(err) || time.Now().After(deadline) {
 			return err
 		}
-		s.log.Warn("start: tried again", zap.String("what", what), zap.Error(err))
-		time.Sleep(startRetryPause)
+		s.log.Warn("start: tried again", zap.String("what", operation), zap.Error(err))
+		time.Sleep(startRetryDelay)
 	}
 }
 
-// transient answers whether what failed may work a moment later.
-func transient(err error) bool { return syserr.Transient(err) || errors.Is(err, members.ErrListen) }
+// isTransient reports whether a retry after err may succeed.
+func isTransient(err error) bool { return syserr.Transient(err) || errors.Is(err, members.ErrListen) }
 
-// close stops everything that open has started and waits for its goroutines.
+// close stops everything that open started and waits for its goroutines.
 func (s *Server) close() {
 	s.mu.Lock()
 	s.shuttingDown.Store(true)
@@ -188,11 +187,11 @@
 	s.dnsReaders.Wait()
 	s.dialWorkers.Wait()
 	s.poller.Stop()
-	s.releaseAllDescriptors()
-	_ = s.devNull.Close() // it was only read
+	s.releaseReservedDescriptors()
+	_ = s.devNull.Close() // opened read-only
 }
 
-// silentLogger keeps nbio from writing a log of its own.
+// silentLogger discards nbio's log.
 type silentLogger struct{}
 
 // SetLevel implements logging.Logger.
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -23,44 +23,43 @@
 	"foxlane/rules"
 )
 
-// A whole life on loopback, with an ordinary client library as the peer: many
-// queries at a time, an engine that dies, a killed query, SIGTERM with queries
-// open. Nothing of it is left behind.
+// A gateway serves concurrent queries of an ordinary client library, does not use an engine that has left the list,
+// and sends safe queries to another engine after one has died. It exits on SIGTERM without leaking resources.
 func TestLifecycle(t *testing.T) {
-	long := strings.Repeat("x", 300)
-	pages := []string{"1\ta\t" + long + "\n2\tb\t\n", "3\tc\tz\n", "4\td\tz\n"}
-	s := newTestbed(t, served(20*time.Millisecond, pages...), served(20*time.Millisecond, pages...), served(time.Hour))
-	s.names.SetHosts(2, s.hosts[:2]) // the third never answers; it leaves the list
+	longValue := strings.Repeat("x", 300)
+	pages := []string{"1\ta\t" + longValue + "\n2\tb\t\n", "3\tc\tz\n", "4\td\tz\n"}
+	s := newTestbed(t, replyAfter(20*time.Millisecond, pages...), replyAfter(20*time.Millisecond, pages...), replyAfter(time.Hour))
+	s.nameServer.SetHosts(2, s.hosts[:2]) // the third engine never answers; it is removed from the list
 	time.Sleep(300 * time.Millisecond)
 	var wg sync.WaitGroup
 	for i := range 60 {
 		wg.Go(func() {
-			got, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", i), 1500))
-			if want := []string{"1|a|" + long, "2|b|", "3|c|z", "4|d|z"}; err != nil || strings.Join(got, "\n") != strings.Join(want, "\n") {
+			got, err := queryRows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", i), 1500))
+			if want := []string{"1|a|" + longValue, "2|b|", "3|c|z", "4|d|z"}; err != nil || strings.Join(got, "\n") != strings.Join(want, "\n") {
 				t.Errorf("query %d: %v, %.200q", i, err, got)
 			}
 		})
 	}
 	wg.Wait()
 	if n := len(s.engines[0].Requests()) + len(s.engines[1].Requests()); n != 60 || len(s.engines[2].Requests()) > 0 {
-		t.Errorf("%d attempts for 60 queries, %d to an engine that has left", n, len(s.engines[2].Requests()))
+		t.Errorf("%d attempts for 60 queries, %d to an engine that was removed", n, len(s.engines[2].Requests()))
 	}
 	if a := append(s.engines[0].Requests(), s.engines[1].Requests()...)[0]; a.Fields["lane"] != "point" || !strings.HasPrefix(a.Statement, "SELECT day") {
 		t.Errorf("the engine got %+v", a)
 	}
-	s.engines[0].Close() // its connections are reset; safe queries go elsewhere
+	s.engines[0].Close() // its connections are reset; safe queries are sent to another engine
 	for i := range 10 {
-		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 100+i), 1500)); err != nil {
+		if _, err := queryRows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 100+i), 1500)); err != nil {
 			t.Errorf("after an engine died: %v", err)
 		}
 	}
-	s.end()
+	s.shutdown()
 }
 
-// KILL QUERY from another session gives a query up at its engine, and the killed session gets nothing.
+// KILL QUERY from another session cancels a query at its engine, and the killed session gets no answer.
 func TestKillQuery(t *testing.T) {
-	s := newTestbed(t, served(time.Hour))
-	defer s.end()
+	s := newTestbed(t, replyAfter(time.Hour))
+	defer s.shutdown()
 	conn, err := s.db.Conn(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -71,10 +70,10 @@
 		t.Fatal(err)
 	}
 	defer mustClose(t, nc)
-	// A client of our own that writes login and query ahead of the greeting.
+	// This client writes the login and the query before it reads the greeting.
 	q := append([]byte{3}, statement("load", "00000000000000aa", 4000)...)
-	ahead := append(append(loginPacket(), byte(len(q)), 0, 0, 0), q...)
-	if _, err := nc.Write(ahead); err != nil {
+	packets := append(append(loginPacket(), byte(len(q)), 0, 0, 0), q...)
+	if _, err := nc.Write(packets); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 4096)
@@ -88,17 +87,17 @@
 	if _, err := s.db.ExecContext(t.Context(), fmt.Sprintf("KILL QUERY %d", session)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the query given up", func() bool { return len(s.engines[0].Cancelled()) == 1 })
+	waitFor(t, "the query to be cancelled", func() bool { return len(s.engines[0].Cancelled()) == 1 })
 	if err := nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	rest, err := io.ReadAll(nc)
-	if !errors.Is(err, os.ErrDeadlineExceeded) || len(rest) > 11 { // the OK of the login at most
+	if !errors.Is(err, os.ErrDeadlineExceeded) || len(rest) > 11 { // at most the OK packet of the login
 		t.Errorf("the killed session got %q, %v", rest, err)
 	}
 }
 
-// SIGTERM: what is open is answered, new connections are still taken, and all ends in time.
+// After SIGTERM open requests are answered, new connections are still accepted, and the gateway exits in time.
 func TestTerminate(t *testing.T) {
 	s := newTestbed(t, func(a standin.Request) standin.Reply {
 		if a.Fields["lane"] == "load" {
@@ -108,44 +107,44 @@
 	})
 	results := make(chan error, 2)
 	go func() {
-		_, err := rows(context.Background(), s.db, statement("load", "00000000000000bb", 30000))
+		_, err := queryRows(context.Background(), s.db, statement("load", "00000000000000bb", 30000))
 		results <- err
 	}()
 	waitFor(t, "the load at its engine", func() bool { return len(s.engines[0].Requests()) == 1 })
 	began := time.Now()
 	s.stop <- syscall.SIGTERM
 	time.Sleep(100 * time.Millisecond)
-	fresh, err := sql.Open("mysql", "app@tcp("+s.addr+")/main")
+	newDB, err := sql.Open("mysql", "app@tcp("+s.addr+")/main")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mustClose(t, fresh)
-	if got, err := rows(t.Context(), fresh, statement("point", "00000000000000cc", 1500)); err != nil || len(got) != 1 {
+	defer mustClose(t, newDB)
+	if got, err := queryRows(t.Context(), newDB, statement("point", "00000000000000cc", 1500)); err != nil || len(got) != 1 {
 		t.Errorf("a query after SIGTERM: %v, %v", got, err)
 	}
 	err = <-results
-	var answer *mysql.MySQLError
-	if !errors.As(err, &answer) || answer.Number == 1040 || answer.Number == 1203 || answer.Number == 1226 {
-		t.Errorf("a load that may have run ended with %v, want an error that is no refusal", err)
+	var mysqlErr *mysql.MySQLError
+	if !errors.As(err, &mysqlErr) || mysqlErr.Number == 1040 || mysqlErr.Number == 1203 || mysqlErr.Number == 1226 {
+		t.Errorf("a load that may have run ended with %v, want an error that is not a rejection", err)
 	}
 	if took := time.Since(began); took > 3500*time.Millisecond {
 		t.Errorf("the last answer came %v after SIGTERM", took)
 	}
-	s.end()
+	s.shutdown()
 }
 
-// SIGHUP ended the process. It moves the gateway to the name service that its file names now, any
-// number of times and beside queries; a file that can't be used changes nothing.
+// SIGHUP used to end the process. It must reload the configuration, repeatedly and while queries run, and move the
+// gateway to the configured name service. An invalid file must change nothing.
 func TestReload(t *testing.T) {
-	s := newTestbed(t, served(200*time.Millisecond, "a\tb\tc\n"), served(200*time.Millisecond, "a\tb\tc\n"))
-	defer s.end()
+	s := newTestbed(t, replyAfter(200*time.Millisecond, "a\tb\tc\n"), replyAfter(200*time.Millisecond, "a\tb\tc\n"))
+	defer s.shutdown()
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(config.EnvConfig, path)
-	second, err := standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan")
+	newNameServer, err := standin.NewNameServer("127.0.0.1:0", "_data._tcp.farm.lan")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Close()
+	defer newNameServer.Close()
 	reload := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -153,24 +152,24 @@
 		}
 		s.hup <- syscall.SIGHUP
 	}
-	open := make(chan error, 1)
+	openQuery := make(chan error, 1)
 	go func() {
-		_, err := rows(context.Background(), s.db, statement("point", "00000000000000ba", 1500))
-		open <- err
+		_, err := queryRows(context.Background(), s.db, statement("point", "00000000000000ba", 1500))
+		openQuery <- err
 	}()
 	waitFor(t, "a query at an engine", func() bool { return len(s.engines[0].Requests())+len(s.engines[1].Requests()) == 1 })
 	reload(s.config[:len(s.config)/2])
-	reload(strings.Replace(s.config, s.names.Addr(), second.Addr(), 1))
-	if err := <-open; err != nil {
-		t.Errorf("the query that was open: %v", err)
+	reload(strings.Replace(s.config, s.nameServer.Addr(), newNameServer.Addr(), 1))
+	if err := <-openQuery; err != nil {
+		t.Errorf("the query that was open during the reload: %v", err)
 	}
-	s.names.SetHosts(9, nil) // the old one counts no more
-	second.SetHosts(2, s.hosts[1:])
+	s.nameServer.SetHosts(9, nil) // the old name service is no longer used
+	newNameServer.SetHosts(2, s.hosts[1:])
 	time.Sleep(400 * time.Millisecond)
 	before := len(s.engines[0].Requests())
 	for i := range 6 {
-		if _, err := rows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 200+i), 1500)); err != nil {
-			t.Errorf("after the move: %v", err)
+		if _, err := queryRows(t.Context(), s.db, statement("point", fmt.Sprintf("%016x", 200+i), 1500)); err != nil {
+			t.Errorf("after the move to the new name service: %v", err)
 		}
 	}
 	if n := len(s.engines[0].Requests()); n != before {
@@ -178,78 +177,79 @@
 	}
 }
 
-// What a client library sees of a refusal: an error that says when to come back is harmless to retry.
+// A client library gets error 1226 for a rejected request, which is safe to retry, and error 1064 for an invalid
+// query.
 func TestRejection(t *testing.T) {
 	s := newTestbed(t, func(standin.Request) standin.Reply { return standin.Reply{Status: "overload"} })
-	defer s.end()
-	_, err := rows(t.Context(), s.db, statement("load", "00000000000000dd", 800))
-	var answer *mysql.MySQLError
-	if !errors.As(err, &answer) || answer.Number != 1226 {
+	defer s.shutdown()
+	_, err := queryRows(t.Context(), s.db, statement("load", "00000000000000dd", 800))
+	var mysqlErr *mysql.MySQLError
+	if !errors.As(err, &mysqlErr) || mysqlErr.Number != 1226 {
 		t.Errorf("got %v, want error 1226", err)
 	}
 	for _, bad := range []string{"SELECT 1", statement("other", "00000000000000de", 800), "/* kind=point", statement("point", "xyz", 800)} {
-		if _, err := rows(t.Context(), s.db, bad); !errors.As(err, &answer) || answer.Number != 1064 {
+		if _, err := queryRows(t.Context(), s.db, bad); !errors.As(err, &mysqlErr) || mysqlErr.Number != 1064 {
 			t.Errorf("%.30q: got %v, want error 1064", bad, err)
 		}
 	}
 }
 
-// An address that is taken is an error, and nothing runs on.
+// Run returns an error if its address is in use, and leaves no goroutine running.
 func TestListenFails(t *testing.T) {
-	cfg, err := config.Parse(configText(listenLoopback(t).Addr().String(), ordinaryLimits))
+	cfg, err := config.Parse(configText(listenLoopback(t).Addr().String(), defaultLimits))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Run(cfg, zap.NewNop(), Signals{}); err == nil {
-		t.Error("serving on an address that is taken")
+		t.Error("no error on an address in use")
 	}
 }
 
-// An iteration for every event would keep the other sides busy with many small reads: iterations keep an interval, but the
-// first after a quiet time comes at once.
+// An iteration for each event would cause many small reads at the peers. Iterations therefore keep a minimum
+// interval, but the first one after an idle period starts at once.
 func TestPacer(t *testing.T) {
 	p := pacer{interval: 2000, last: 10_000}
-	for _, c := range []struct{ now, rest rules.Time }{{10_000, 2000}, {11_500, 500}, {12_000, 0}, {90_000, -78_000}, {9_000, 2000}} {
-		if got := p.wait(c.now); got != c.rest {
-			t.Errorf("at %d: rest %d, want %d", c.now, got, c.rest)
+	for _, c := range []struct{ now, delay rules.Time }{{10_000, 2000}, {11_500, 500}, {12_000, 0}, {90_000, -78_000}, {9_000, 2000}} {
+		if got := p.delay(c.now); got != c.delay {
+			t.Errorf("at %d: wait %d, want %d", c.now, got, c.delay)
 		}
 	}
 }
 
-// On the smallest machine, hundreds of connections that say nothing, or send what is no packet, get an
-// error or a close within 3 s; a client that asks meanwhile is served at once.
-func TestCrowdOnTheSmallestMachine(t *testing.T) {
-	s := newTestbedWithLimits(t, `{"cores":0.25,"memory_mb":32,"sockets":256}`, served(5*time.Millisecond, "a\tb\tc\n"))
-	defer s.end()
-	var crowd sync.WaitGroup
+// On the smallest machine, hundreds of connections that send nothing or invalid packets must get an error or a close
+// within 3 s, and another client must be served without delay in the meantime.
+func TestManyConnectionsOnSmallestMachine(t *testing.T) {
+	s := newTestbedWithLimits(t, `{"cores":0.25,"memory_mb":32,"sockets":256}`, replyAfter(5*time.Millisecond, "a\tb\tc\n"))
+	defer s.shutdown()
+	var clients sync.WaitGroup
 	for i := range 300 {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		crowd.Go(func() {
+		clients.Go(func() {
 			defer mustClose(t, nc)
 			if i%3 == 0 {
-				_, _ = nc.Write([]byte(strings.Repeat("\xff", 1+i))) // it may be closed already
+				_, _ = nc.Write([]byte(strings.Repeat("\xff", 1+i))) // the gateway may have closed it already
 			}
 			if err := nc.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
 				t.Error(err)
 			}
 			if _, err := io.Copy(io.Discard, nc); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("connection %d of the crowd was left open", i)
+				t.Errorf("connection %d was left open", i)
 			}
 		})
 	}
 	for i := range 20 {
 		began := time.Now()
-		fresh, err := sql.Open("mysql", "app@tcp("+s.addr+")/main")
+		newDB, err := sql.Open("mysql", "app@tcp("+s.addr+")/main")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rows(t.Context(), fresh, statement("point", fmt.Sprintf("%016x", 300+i), 1500)); err != nil || time.Since(began) > time.Second {
-			t.Errorf("a client beside the crowd: %v after %v", err, time.Since(began))
+		if _, err := queryRows(t.Context(), newDB, statement("point", fmt.Sprintf("%016x", 300+i), 1500)); err != nil || time.Since(began) > time.Second {
+			t.Errorf("a query beside the other connections: %v after %v", err, time.Since(began))
 		}
-		mustClose(t, fresh)
+		mustClose(t, newDB)
 	}
-	crowd.Wait()
+	clients.Wait()
 }
--- a/internal/transport/shutdown.go
+++ b/internal/transport/shutdown.go
@@ -6,18 +6,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file has the end of the process, once the reducer says that all is answered.
+// This file closes the connections at shutdown, after the reducer has reported that all requests are answered.
 
-// shutdownPollInterval is how often the end of the process is looked at.
+// shutdownPollInterval is how often the progress of the shutdown is checked.
 const shutdownPollInterval = 2 * time.Millisecond
 
-// shutdownState is how far the end of the process has come. The zero value is that it has not begun.
+// shutdownState is the progress of the shutdown. The zero value means that it has not begun.
 type shutdownState struct {
-	deadline time.Time // zero: it has not begun
+	deadline time.Time // zero: the shutdown has not begun
 	tick     <-chan time.Time
 }
 
-// next goes on with the end, or takes it back: something has come that is to be answered first.
+// next returns the state for the next iteration. Without exit, the shutdown is reverted: new input must be answered
+// first.
 func (s shutdownState) next(exit bool) shutdownState {
 	if !exit {
 		return shutdownState{}
@@ -26,33 +27,33 @@
 	return s
 }
 
-// advanceShutdown goes on with the end of the process: nothing is accepted any more, and each client's connection is half
-// closed on which no byte waits to be read. What waits goes to the reducer first. It answers whether all connections have
-// ended, or the time for that is over.
+// advanceShutdown stops accepting connections and half closes each client connection that has no unread bytes; unread
+// bytes go to the reducer first. It reports whether the shutdown is complete: all client connections are closed, and
+// no written bytes or queued events are pending, or FlushTimeout has passed.
 func (s *Server) advanceShutdown(state *shutdownState) bool {
 	if state.deadline.IsZero() {
 		state.deadline = time.Now().Add(time.Duration(s.limits.FlushTimeout) * time.Microsecond)
 		s.shuttingDown.Store(true)
-		_ = s.listener.Close() // it is closed already where the end was taken back
+		_ = s.listener.Close() // already closed if the shutdown was reverted before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := len(s.queue.ready) > 0
+	busy := len(s.queue.ready) > 0
 	for _, c := range s.conns {
 		switch {
 		case c.pending.Load() > 0:
-			left = true
+			busy = true
 		case c.fromClient:
-			left = true
+			busy = true
 			if !c.halfClosed && c.queuedReads == 0 && unreadBytes(c) == 0 {
 				s.closeWrite(c)
 			}
 		}
 	}
-	return !left || !time.Now().Before(state.deadline)
+	return !busy || !time.Now().Before(state.deadline)
 }
 
-// unreadBytes is how many bytes wait to be read on a connection, as far as the system says.
+// unreadBytes returns how many bytes the kernel holds for reading on a connection, or 0 if that is unknown.
 func unreadBytes(c *conn) int {
 	n, err := unix.IoctlGetInt(c.nb.Hash(), unix.SIOCINQ)
 	if err != nil {
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -15,65 +15,66 @@
 	"foxlane/internal/standin"
 )
 
-// At shutdown a connection with unread bytes, in its socket or in the queue, is left open until the reducer has had them; an
-// idle one is half closed, and what comes on it after that is dropped.
+// At shutdown a connection with unread bytes in its socket or in the queue stays open until the reducer has received
+// them. An idle connection is half closed, and bytes received on it afterwards are dropped.
 func TestShutdownWaitsForUnreadBytes(t *testing.T) {
 	server := newBareServer(t)
-	resting, rest := server.connectClient(t)
-	asking, ask := server.connectClient(t)
-	if _, err := asking.Write([]byte("a request")); err != nil {
+	idleClient, idle := server.connectClient(t)
+	activeClient, active := server.connectClient(t)
+	if _, err := activeClient.Write([]byte("a request")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the bytes in the queue", func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
-		return ask.queuedReads > 0
+		return active.queuedReads > 0
 	})
 	s := shutdownState{}.next(true)
 	if server.advanceShutdown(&s) {
-		t.Fatal("over with a request in the queue")
+		t.Fatal("the shutdown is complete with a request in the queue")
 	}
 	server.mu.Lock()
-	if ask.halfClosed || !rest.halfClosed {
-		t.Errorf("half closed: the one that asks %v, the idle one %v", ask.halfClosed, rest.halfClosed)
+	if active.halfClosed || !idle.halfClosed {
+		t.Errorf("half closed: the connection with a request %v, the idle one %v", active.halfClosed, idle.halfClosed)
 	}
 	server.mu.Unlock()
 	if _, err := net.DialTimeout("tcp", server.cfg.Listen.String(), time.Second); err == nil {
-		t.Error("a new connection was taken")
+		t.Error("a new connection was accepted")
 	}
 	events, _ := server.queue.drain(nil, nil)
-	server.uncountReads(events)
+	server.recordDequeuedReads(events)
 	if s = s.next(false).next(true); server.advanceShutdown(&s) {
-		t.Error("over with two clients that have not closed yet")
+		t.Error("the shutdown is complete with two client connections open")
 	}
 	server.mu.Lock()
-	if !ask.halfClosed {
-		t.Error("what was read and answered is not half closed")
+	if !active.halfClosed {
+		t.Error("the connection whose request was read is not half closed")
 	}
 	server.mu.Unlock()
-	_ = resting.SetReadDeadline(time.Now().Add(2 * time.Second))
-	if _, err := resting.Write([]byte("a request that crosses")); err != nil {
+	_ = idleClient.SetReadDeadline(time.Now().Add(2 * time.Second))
+	if _, err := idleClient.Write([]byte("a request that crosses")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if _, err := resting.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the resting client read %v, want the end", err)
+	if _, err := idleClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle client read %v, want EOF", err)
 	}
 	events, _ = server.queue.drain(nil, nil)
 	for _, ev := range events {
-		if received, ok := ev.get().(*gateway.DataReceived); ok {
-			t.Errorf("the reducer hears %q of a connection that was half closed", received.Data)
+		if received, ok := ev.unwrap().(*gateway.DataReceived); ok {
+			t.Errorf("the reducer got %q from a half closed connection", received.Data)
 		}
 	}
-	mustClose(t, resting)
-	mustClose(t, asking)
-	waitFor(t, "both to be gone", func() bool { return server.advanceShutdown(&s) })
+	mustClose(t, idleClient)
+	mustClose(t, activeClient)
+	waitFor(t, "the shutdown to complete", func() bool { return server.advanceShutdown(&s) })
 }
 
-// Requests that cross the end of the process, one by one from well ahead of it to well behind: each is answered, or its
-// connection ends with not a byte of an answer and no engine has seen it. None is reset.
+// Requests are sent one by one from shortly before the process exits to shortly after. Each is either answered, or
+// its connection ends without any byte of an answer and no engine has received the request. A reset is only accepted
+// after the process has exited.
 func TestRequestsDuringShutdown(t *testing.T) {
-	s := newTestbed(t, served(5*time.Millisecond, "a\tb\tc\n"))
+	s := newTestbed(t, replyAfter(5*time.Millisecond, "a\tb\tc\n"))
 	const clients = 60
 	type outcome struct {
 		id     string
@@ -81,10 +82,10 @@
 		err    error
 	}
 	outcomes := make(chan outcome, clients)
-	linger := 900 * time.Millisecond
+	shutdownDelay := 900 * time.Millisecond
 	from := netip.Addr{}
-	all := make([]*standin.Client, clients)
-	for i := range all {
+	conns := make([]*standin.Client, clients)
+	for i := range conns {
 		c, err := standin.Connect(s.addr, from, time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -92,59 +93,59 @@
 		if err := c.QueryRows("SET x = 1", time.Second, nil); err != nil {
 			t.Fatal(err)
 		}
-		all[i] = c
+		conns[i] = c
 	}
 	began := time.Now()
 	s.stop <- syscall.SIGTERM
-	for i, c := range all {
+	for i, c := range conns {
 		go func() {
 			defer c.Close()
-			time.Sleep(time.Until(began.Add(linger + time.Duration(i-10)*10*time.Millisecond)))
+			time.Sleep(time.Until(began.Add(shutdownDelay + time.Duration(i-10)*10*time.Millisecond)))
 			o := outcome{id: fmt.Sprintf("%016x", 0xabc000+i)}
 			var n int
 			n, o.err = c.Query(statement("point", o.id, 1500), 3*time.Second)
-			var refusal *standin.ServerError
-			o.answer = n > 0 || errors.As(o.err, &refusal)
+			var serverErr *standin.ServerError
+			o.answer = n > 0 || errors.As(o.err, &serverErr)
 			outcomes <- o
 		}()
 	}
-	ids := map[string]bool{}
-	answered, ended := 0, 0
+	unanswered := map[string]bool{}
+	answered, closed := 0, 0
 	for range clients {
 		switch o := <-outcomes; {
 		case o.answer:
 			answered++
 		case errors.Is(o.err, io.EOF), errors.Is(o.err, syscall.EPIPE):
-			ended++
-			ids[o.id] = true
+			closed++
+			unanswered[o.id] = true
 		case errors.Is(o.err, syscall.ECONNRESET):
-			ended++ // its bytes came behind the end of the process, not only of the connection
-			ids[o.id] = true
+			closed++ // the bytes arrived after the process had exited, not only after the connection was closed
+			unanswered[o.id] = true
 		default:
 			t.Errorf("%s: %v", o.id, o.err)
 		}
 	}
 	select {
-	case err := <-s.ended:
-		s.ended <- err
+	case err := <-s.exited:
+		s.exited <- err
 	case <-time.After(5 * time.Second):
-		t.Fatal("not ended")
+		t.Fatal("still running 5 s after the last request")
 	}
 	for _, a := range s.engines[0].Requests() {
-		if ids[a.ID] {
-			t.Errorf("%s went to an engine, and its client has no answer", a.ID)
+		if unanswered[a.ID] {
+			t.Errorf("%s was sent to an engine, but its client got no answer", a.ID)
 		}
 	}
-	if answered == 0 || ended == 0 {
-		t.Logf("%d answered, %d ended: the end was not crossed on this machine", answered, ended)
+	if answered == 0 || closed == 0 {
+		t.Logf("%d answered, %d closed: the requests did not overlap the exit on this machine", answered, closed)
 	}
-	s.end() // a second SIGTERM, and the rest
+	s.shutdown() // sends a second SIGTERM and closes the fake servers
 }
 
-// A client that never closes, one that sends without end and reads nothing, half a login and a login with nothing
-// behind it: the process ends in time all the same.
+// The process exits in time despite clients that never close: an idle one, one that sends a lot and reads nothing,
+// one that sent part of a login packet and one that sent only a login.
 func TestShutdownWithClientsThatNeverClose(t *testing.T) {
-	s := newTestbed(t, served(5*time.Millisecond, "a\tb\tc\n"))
+	s := newTestbed(t, replyAfter(5*time.Millisecond, "a\tb\tc\n"))
 	for i := range 4 {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -160,5 +161,5 @@
 			_, _ = nc.Write(loginPacket())
 		}
 	}
-	s.end()
+	s.shutdown()
 }
--- a/internal/transport/transient_test.go
+++ b/internal/transport/transient_test.go
@@ -20,16 +20,16 @@
 	"foxlane/rules"
 )
 
-// smallLimits are those of a small machine.
+// smallLimits are the limits of a small machine.
 const smallLimits = `{"cores":1,"memory_mb":64,"sockets":256}`
 
-// A start at which socket calls fail for a moment goes on once they don't.
+// A start during which socket calls fail transiently succeeds once the calls do.
 func TestStartRetriesTransientErrors(t *testing.T) {
 	p := System()
-	var listens, names transientFault
-	listens.err, names.err = syscall.ENOBUFS, syscall.ENFILE
-	listens.left.Store(3)
-	names.left.Store(3)
+	var listens, dnsDials transientFault
+	listens.err, dnsDials.err = syscall.ENOBUFS, syscall.ENFILE
+	listens.remaining.Store(3)
+	dnsDials.remaining.Store(3)
 	p.Listen = func(addr string) (net.Listener, error) {
 		if err := listens.next(); err != nil {
 			return nil, err
@@ -37,7 +37,7 @@
 		return System().Listen(addr)
 	}
 	p.DialUDP = func(addr netip.AddrPort) (net.Conn, error) {
-		if err := names.next(); err != nil {
+		if err := dnsDials.next(); err != nil {
 			return nil, err
 		}
 		return System().DialUDP(addr)
@@ -45,30 +45,30 @@
 	cfg := loopbackConfig(t, smallLimits)
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- RunOn(p, cfg, zap.NewNop(), Signals{Terminate: stop}) }()
-	served := false
-	for i := 0; i < 200 && !served; i++ {
+	listening := false
+	for i := 0; i < 200 && !listening; i++ {
 		if c, err := net.DialTimeout("tcp", cfg.Listen.String(), time.Second); err == nil {
-			served = true
+			listening = true
 			mustClose(t, c)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if !served {
+	if !listening {
 		t.Error("the gateway does not listen 2 s after its start")
 	}
 	stop <- syscall.SIGTERM
 	if err := <-ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 }
 
-// A dial that fails because this machine has no way out for a moment is tried again, and says nothing of the engine.
+// A dial that fails for a transient local cause is retried. If it keeps failing, the error is reported as local.
 func TestDialRetriesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN} {
 		engine := listenLoopback(t)
 		p := System()
 		calls := transientFault{err: errno}
-		calls.left.Store(2)
+		calls.remaining.Store(2)
 		p.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 			if err := calls.next(); err != nil {
 				return nil, err
@@ -79,17 +79,17 @@
 		addr := addrOf(engine)
 		server.startDial(1<<63|1, addr, rules.Second)
 		if ev := server.awaitDialResult(t); ev != gateway.Event(gateway.DialSucceeded{Conn: 1<<63 | 1}) {
-			t.Errorf("%v twice: %#v", errno, ev)
+			t.Errorf("%v for two calls: %#v", errno, ev)
 		}
-		calls.left.Store(1 << 40)
+		calls.remaining.Store(1 << 40)
 		server.startDial(1<<63|2, addr, rules.Second)
 		if ev, ok := server.awaitDialResult(t).(gateway.DialFailed); !ok || !ev.Local {
-			t.Errorf("%v for long: failed %v, ours %v", errno, ok, ev.Local)
+			t.Errorf("%v for all calls: failed %v, local %v", errno, ok, ev.Local)
 		}
 	}
 }
 
-// The name service is asked again within moments where its socket could not be opened at a reload.
+// If the socket to a new name service could not be opened at a reload, the next queries retry it.
 func TestNameServiceSocketRetried(t *testing.T) {
 	service, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -105,10 +105,10 @@
 		return System().DialUDP(addr)
 	}
 	server := newBareServerOn(t, p, smallLimits)
-	calls.left.Store(4)
+	calls.remaining.Store(4)
 	server.execute(gateway.SetNameServer{Addr: netip.MustParseAddrPort(service.LocalAddr().String())})
 	buf := make([]byte, 16)
-	for range 4 { // polls
+	for range 4 { // the first two fail to open the socket
 		server.execute(gateway.QueryDNS{Data: []byte("who is there")})
 	}
 	_ = service.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
@@ -117,27 +117,27 @@
 	}
 }
 
-// brokenLog is a voter's log that fails for a while.
-type brokenLog struct {
+// failingVoterLog is a voter's log whose Persist fails a number of times.
+type failingVoterLog struct {
 	transientFault
-	kept, repaired atomic.Int64
+	persisted, repairs atomic.Int64
 }
 
-func (l *brokenLog) Persist(directives.Batch) error {
+func (l *failingVoterLog) Persist(directives.Batch) error {
 	if err := l.next(); err != nil {
 		return err
 	}
-	l.kept.Add(1)
+	l.persisted.Add(1)
 	return nil
 }
 
-func (l *brokenLog) Repair() error { l.repaired.Add(1); return nil }
-func (l *brokenLog) Close()        {}
+func (l *failingVoterLog) Repair() error { l.repairs.Add(1); return nil }
+func (l *failingVoterLog) Close()        {}
 
-// A voter whose disk fails for a while goes on once it works again: the batch is persisted then, and not reported as failed.
+// A batch is persisted once the disk of a voter works again after failures, and is not reported as failed.
 func TestVoterDiskRetried(t *testing.T) {
 	p := System()
-	log := &brokenLog{transientFault: transientFault{err: syscall.EIO}}
+	log := &failingVoterLog{transientFault: transientFault{err: syscall.EIO}}
 	p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
 		return log, directives.PersistedState{}, nil
 	}
@@ -147,29 +147,30 @@
 		t.Fatal(err)
 	}
 	defer server.closeVoterLog()
-	log.left.Store(3)
+	log.remaining.Store(3)
 	server.persist(directives.Batch{})
-	waitFor(t, "the batch to be kept", func() bool {
+	waitFor(t, "the batch to be persisted", func() bool {
 		events, _ := server.queue.drain(nil, nil)
 		for _, ev := range events {
 			if persisted, ok := ev.event.(gateway.VoterLogPersisted); ok {
 				if persisted.Err != nil {
-					t.Fatalf("told as %v", persisted.Err)
+					t.Fatalf("reported as failed: %v", persisted.Err)
 				}
 				return true
 			}
 		}
 		return false
 	})
-	if log.kept.Load() != 1 || log.repaired.Load() != 3 {
-		t.Errorf("kept %d times, repaired %d times", log.kept.Load(), log.repaired.Load())
+	if log.persisted.Load() != 1 || log.repairs.Load() != 3 {
+		t.Errorf("persisted %d times, repaired %d times, want 1 and 3", log.persisted.Load(), log.repairs.Load())
 	}
 }
 
-// A start that fails behind the opening of the sockets ends with its error: it does not wait for loops of the sockets' library
-// that were stopped ahead of their beginning, with clients that connect and hear nothing.
+// A failed start returns its error. A step that failed after the sockets were open used to make the start hang: it
+// waited for event loops of nbio that were stopped before they had begun, while clients could connect and got no
+// answer.
 func TestFailedStartReturns(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as the program has it
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // as in the released program
 	for range 20 {
 		p := System()
 		p.OpenVoterLog = func(string) (VoterLog, directives.PersistedState, error) {
@@ -182,17 +183,17 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, errDamaged) {
-				t.Fatalf("ended with %v", err)
+				t.Fatalf("Run returned %v", err)
 			}
 		case <-time.After(3 * time.Second):
-			t.Fatal("not ended 3 s after its start has failed")
+			t.Fatal("still running 3 s after the start failed")
 		}
 	}
 }
 
 var errDamaged = errors.New("damaged")
 
-// The end of the process does not wait for members that do not answer.
+// Shutdown waits only for a bounded time for members that do not answer.
 func TestShutdownWaitsForMembersWithinBounds(t *testing.T) {
 	server := newBareServerOn(t, System(), smallLimits)
 	stopped := make(chan struct{})
--- a/internal/transport/voter.go
+++ b/internal/transport/voter.go
@@ -12,25 +12,23 @@
 	"foxlane/internal/gateway"
 )
 
-// This file has the log of a voter on directives, and the goroutine that writes it.
-
-// voterWorker persists what a voter on directives has promised.
+// voterWorker writes the log of a voter on directives.
 type voterWorker struct {
 	log       VoterLog
 	batches   chan directives.Batch
 	writer    sync.WaitGroup
-	recovered directives.PersistedState // what the log held at the start
+	recovered directives.PersistedState // content of the log at the start
 }
 
 const (
-	maxQueuedBatches = 64                     // batches that wait for the disk: few ever do, one and a snapshot
-	voterRepairPause = 100 * time.Millisecond // for which a disk that failed is left alone
+	maxQueuedBatches = 64                     // usually at most one batch and a snapshot wait for the disk
+	voterRepairDelay = 100 * time.Millisecond // between a disk failure and the next attempt to repair the log
 )
 
-// errNoVoterLog is why a batch is not persisted: there is no log, or too much waits for it.
-var errNoVoterLog = errors.New("directives: no disk to keep a vote on")
+// errNoVoterLog means that a batch is not persisted because there is no log or the queue of batches is full.
+var errNoVoterLog = errors.New("directives: no voter's log, or its write queue is full")
 
-// openVoterLog opens the voter's log and starts its writer, if this gateway is a voter.
+// openVoterLog opens the voter's log and starts its writer. It does nothing if this gateway is not a voter.
 func (s *Server) openVoterLog() error {
 	if s.cfg.Site == nil || s.cfg.Site.Directives == nil || s.cfg.Site.Members == nil || s.cfg.Site.Directives.LogFolder == "" ||
 		!slices.Contains(s.cfg.Site.Directives.Voters, s.cfg.Name) {
@@ -55,8 +53,9 @@
 	return nil
 }
 
-// persistWithRetry persists a batch, and repairs the log and tries again where that fails, until it is persisted or the
-// process ends. No promise that rests on the batch is made meanwhile: a voter whose disk fails is one that is slow.
+// persistWithRetry persists a batch. After a failure it repairs the log and tries again, until the batch is persisted
+// or the process shuts down. The voter makes no promise that depends on the batch until then, so to its peers a voter
+// with a failing disk is merely slow.
 func (s *Server) persistWithRetry(log VoterLog, batch directives.Batch) error {
 	for failed := false; ; failed = true {
 		err := log.Persist(batch)
@@ -68,7 +67,7 @@
 		}
 		s.log.Warn("directives: the voter's disk fails", zap.Error(err))
 		for {
-			if !sleep(s.ctx, voterRepairPause) {
+			if !sleep(s.ctx, voterRepairDelay) {
 				return err
 			}
 			if err = log.Repair(); err == nil {
@@ -79,20 +78,20 @@
 	}
 }
 
-// closeVoterLog persists what is queued and closes the log, within a bounded time.
+// closeVoterLog persists the queued batches and closes the log, within diskCloseTimeout.
 func (s *Server) closeVoterLog() {
 	v := s.voter
 	if v == nil {
 		return
 	}
-	s.cancel() // retries end
+	s.cancel() // ends retries
 	close(v.batches)
 	if !returnsWithin(diskCloseTimeout, func() { v.writer.Wait(); v.log.Close() }) {
 		s.log.Warn("directives: the voter's disk hangs, left as it is")
 	}
 }
 
-// persist queues a batch for the voter's log.
+// persist queues a batch for the voter's log. A batch that can't be queued is reported as failed.
 func (s *Server) persist(batch directives.Batch) {
 	if s.voter == nil {
 		s.queue.enqueue(gateway.VoterLogPersisted{Err: errNoVoterLog})
--- a/internal/transport/wait.go
+++ b/internal/transport/wait.go
@@ -5,12 +5,10 @@
 	"time"
 )
 
-// This file has waits that end.
-
-// diskCloseTimeout is how long the end of the process waits for a disk. What was acknowledged is on it already.
+// diskCloseTimeout is how long shutdown waits for a disk. Acknowledged data is already on the disk.
 const diskCloseTimeout = time.Second
 
-// sleep waits, or answers false once the context ends.
+// sleep waits for d and returns true, or returns false as soon as the context is done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -20,8 +18,8 @@
 	}
 }
 
-// returnsWithin answers whether a call has returned in time. A call that has not goes on in its goroutine, which nothing
-// can stop where a disk or a mount hangs: it ends with the process.
+// returnsWithin reports whether a call returns within d. A call that does not goes on in its goroutine, since a call
+// on a hanging disk or mount can't be stopped; it ends with the process.
 func returnsWithin(d time.Duration, call func()) bool {
 	done := make(chan struct{})
 	go func() { defer close(done); call() }()
