--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,13 +1,14 @@
-// Package eventqueue owns the event queue of a simulation in virtual time: events are run by time, and those of one
-// time in the order in which they were scheduled. It must never look at a clock: time is what its owner says it is.
+// Package eventqueue implements the event queue of a simulation in virtual time. Events run in order of time, and
+// events with equal times in the order in which they were scheduled. It must never read a clock: its caller supplies
+// the time.
 package eventqueue
 
 import "foxlane/rules"
 
 // Queue holds the events of one simulation. The zero value is an empty queue. A Queue is not safe for concurrent use.
 //
-// The heap is written out instead of container/heap so that an event isn't boxed in an interface each time it is
-// scheduled or run.
+// It implements the heap itself instead of using container/heap, which would box an event in an interface each time
+// the event is scheduled or run.
 type Queue struct {
 	heap         []event // a binary heap ordered by event.before
 	lastSequence uint64
@@ -15,15 +16,16 @@
 
 type event struct {
 	at       rules.Time
-	sequence uint64 // orders events of the same time
+	sequence uint64 // orders events with equal times
 	run      func()
 }
 
+// before reports whether e runs before other.
 func (e event) before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// Schedule adds an event. A time that has passed already is allowed: the event is the next to run.
+// Schedule adds an event that calls run at a time. A time in the past is allowed; such an event is the next to run.
 func (q *Queue) Schedule(at rules.Time, run func()) {
 	q.lastSequence++
 	q.heap = append(q.heap, event{at, q.lastSequence, run})
@@ -37,7 +39,7 @@
 	}
 }
 
-// Len is the number of events that wait.
+// Len returns the number of scheduled events.
 func (q *Queue) Len() int { return len(q.heap) }
 
 // NextAt returns the time of the next event; ok is false if there is none.
@@ -56,7 +58,7 @@
 	first := q.heap[0]
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
-	q.heap[last] = event{} // its function may hold memory
+	q.heap[last] = event{} // releases the memory that its function refers to
 	q.heap = q.heap[:last]
 	q.siftDown()
 	return first.at, first.run, true
@@ -80,8 +82,8 @@
 	}
 }
 
-// RunUntil runs all events up to and including until, those too that are scheduled meanwhile. It sets *now to the time
-// of each event before the event runs, and to until at the end.
+// RunUntil runs all events with times up to and including until, also those scheduled by other events meanwhile. It
+// sets *now to the time of each event before the event runs, and to until at the end.
 func (q *Queue) RunUntil(until rules.Time, now *rules.Time) {
 	for {
 		at, run, ok := q.PopUntil(until)
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// Events run by time, and those of one time in the order in which they were scheduled.
+// Events run in order of time, and events with equal times in the order in which they were scheduled.
 func TestOrder(t *testing.T) {
 	type scheduled struct {
 		at    rules.Time
@@ -41,7 +41,8 @@
 	}
 }
 
-// RunUntil runs what is due, also what is scheduled by an event, leaves the rest, and ends at its limit.
+// RunUntil runs all due events, including those scheduled by other events, leaves the rest, and sets the time to its
+// limit.
 func TestRunUntil(t *testing.T) {
 	var queue Queue
 	var now rules.Time
