--- a/internal/framebuf/buffer.go
+++ b/internal/framebuf/buffer.go
@@ -1,17 +1,17 @@
-// Package framebuf has the buffer in which bytes of a stream wait until a message is complete. It never reads from anywhere
-// itself; its user limits how much it holds.
+// Package framebuf implements a buffer for the bytes of a stream until a message is complete. It does no I/O and sets
+// no limit on its size; both are left to the caller.
 package framebuf
 
-// maxIdleCapacity is the capacity, in bytes, that an empty buffer may keep between messages.
+// maxIdleCapacity is the maximum capacity, in bytes, that an empty buffer keeps when the next bytes are added.
 const maxIdleCapacity = 4096
 
-// Buffer holds bytes that have come and are not used yet. The zero value is ready for use.
+// Buffer holds received bytes until they are consumed with Skip. The zero value is an empty buffer.
 type Buffer struct {
 	data  []byte
-	start int // of the bytes that are not used yet
+	start int // index of the first byte that is not consumed
 }
 
-// Add appends bytes that have come. They are copied.
+// Add appends a copy of the received bytes p.
 func (b *Buffer) Add(p []byte) {
 	if b.start == len(b.data) {
 		b.data, b.start = b.data[:0], 0
@@ -25,11 +25,11 @@
 	b.data = append(b.data, p...)
 }
 
-// Bytes returns the bytes that are not used yet. They are valid until the next Add.
+// Bytes returns the bytes that are not consumed yet. They are valid until the next Add.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
-// Len is the number of bytes that are not used yet.
+// Len returns the number of bytes that are not consumed yet.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Skip uses n bytes, at most Len.
+// Skip consumes the next n bytes; n must not be greater than Len.
 func (b *Buffer) Skip(n int) { b.start += n }
--- a/internal/framebuf/buffer_test.go
+++ b/internal/framebuf/buffer_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Whatever is added and skipped, what is left is what was added and not skipped, in order; and the buffer holds its own copy.
+// For random sequences of Add and Skip, Bytes returns exactly the bytes that were added and not skipped, in order.
+// The buffer holds its own copy.
 func TestBytesAreThoseNotSkipped(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var b Buffer
@@ -23,24 +24,25 @@
 		b.Skip(n)
 		want = want[n:]
 		if !bytes.Equal(b.Bytes(), want) || b.Len() != len(want) {
-			t.Fatalf("%d bytes are left, want %d", b.Len(), len(want))
+			t.Fatalf("%d bytes are left, want %d with the same content", b.Len(), len(want))
 		}
 	}
 }
 
-// A buffer that has held a large message does not keep its memory once that is used and the next begins.
-func TestLargeBufferIsGivenUp(t *testing.T) {
+// A buffer that held a large message releases its memory once the message is consumed and the next one begins.
+func TestLargeBufferIsReleased(t *testing.T) {
 	var b Buffer
 	b.Add(make([]byte, 100*maxIdleCapacity))
 	b.Skip(b.Len())
 	b.Add([]byte("next"))
 	if n := cap(b.data); n > maxIdleCapacity {
-		t.Errorf("%d bytes are kept, want %d at most", n, maxIdleCapacity)
+		t.Errorf("capacity of %d bytes, want %d at most", n, maxIdleCapacity)
 	}
 }
 
-// Used bytes make room, also where the buffer is never empty: a stream of small messages does not grow it.
-func TestUsedBytesMakeRoom(t *testing.T) {
+// The space of consumed bytes is reused even if the buffer is never empty: a stream of small messages does not grow
+// it.
+func TestConsumedSpaceIsReused(t *testing.T) {
 	var b Buffer
 	b.Add([]byte("x"))
 	for range 100_000 {
@@ -48,6 +50,6 @@
 		b.Skip(64)
 	}
 	if n := cap(b.data); n > maxIdleCapacity || b.Len() != 1 {
-		t.Errorf("the buffer has grown to %d bytes for %d", n, b.Len())
+		t.Errorf("capacity of %d bytes for %d unconsumed bytes", n, b.Len())
 	}
 }
