--- a/internal/minheap/minheap.go
+++ b/internal/minheap/minheap.go
@@ -1,22 +1,22 @@
-// Package minheap is a binary heap over a slice of values, the smallest first.
+// Package minheap implements a binary min-heap over a slice of values.
 //
-// It exists beside container/heap because that boxes every element in an interface, which costs an allocation for each timer
-// or event. Elements are moved in the same order as container/heap moves them, so that elements that compare equal leave
-// the two in the same order; callers that replay recorded runs depend on that.
+// It replaces container/heap, which boxes every element in an interface and so costs an allocation for each timer or
+// event. Elements are moved in the same order as by container/heap, so that both return equal elements in the same
+// order; callers that replay recorded runs depend on that.
 package minheap
 
-// Item is the pointer to an element that can be compared with others of its type. Elements are compared by pointer, since
-// copying two of them for each comparison took a seventh of the gateway's processor time.
+// Item is a pointer to an element of type T that can be compared with other elements. Elements are passed by pointer,
+// since copying two of them for each comparison took a seventh of the gateway's processor time.
 type Item[T any] interface {
 	*T
-	// Before reports whether the item comes out strictly ahead of other.
+	// Before reports whether the item is strictly less than other, and so is popped first.
 	Before(other *T) bool
 }
 
-// Heap holds items, the first of them at index 0. The zero value is an empty heap.
+// Heap is a min-heap of items. The smallest item is at index 0. The zero value is an empty heap.
 type Heap[T any, P Item[T]] []T
 
-// Push adds an item.
+// Push adds an item to the heap.
 func (h *Heap[T, P]) Push(item T) {
 	items := append(*h, item)
 	child := len(items) - 1
@@ -31,13 +31,13 @@
 	*h = items
 }
 
-// Pop removes the first item and returns it. The heap must not be empty. The slot that the last item leaves is cleared, so that
-// the heap keeps nothing alive that has been taken out.
+// Pop removes and returns the smallest item. The heap must not be empty. The slot freed at the end of the slice is
+// cleared, so that the heap does not keep removed items alive.
 func (h *Heap[T, P]) Pop() T {
 	items := *h
 	first, last := items[0], len(items)-1
-	// The last item takes the first one's place and sinks. It stays in its slot until its new place is found, so that each
-	// item on the way is moved once; the result is that of swaps.
+	// The last item replaces the first and is sifted down. It stays in its slot until its final position is found, so
+	// that each item on the path is moved only once; the result is the same as with swaps.
 	sinking, hole := &items[last], 0
 	for {
 		child := 2*hole + 1
--- a/internal/minheap/minheap_test.go
+++ b/internal/minheap/minheap_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// timed is an item whose order is decided by its time alone; id tells equal ones apart.
+// timed is an item ordered by its time alone; id distinguishes items with equal times.
 type timed struct{ at, id int }
 
 func (t *timed) Before(other *timed) bool { return t.at < other.at }
 
-// reference is the same heap on container/heap.
+// reference implements heap.Interface for the same items.
 type reference []timed
 
 func (r reference) Len() int           { return len(r) }
@@ -24,8 +24,8 @@
 	return last
 }
 
-// Items leave in the order in which container/heap gives them, those with equal keys too, for random sequences of pushes
-// and pops.
+// For random sequences of pushes and pops, items are popped in the same order as by container/heap, also items with
+// equal times.
 func TestSameOrderAsContainerHeap(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -38,7 +38,7 @@
 				}
 				continue
 			}
-			item := timed{rng.IntN(20), id} // few keys: many are equal
+			item := timed{rng.IntN(20), id} // a small range, so that many items have equal times
 			items.Push(item)
 			heap.Push(&want, item)
 		}
@@ -53,7 +53,7 @@
 	}
 }
 
-// What was taken out isn't kept alive by the heap's array.
+// The heap's array does not keep popped items alive.
 func TestPopClearsItsSlot(t *testing.T) {
 	var items Heap[timed, *timed]
 	items.Push(timed{1, 1})
@@ -65,7 +65,7 @@
 	}
 }
 
-// A push into an array that is large enough and a pop allocate nothing.
+// Push within the capacity of the slice and Pop do not allocate.
 func TestNoAllocation(t *testing.T) {
 	items := make(Heap[timed, *timed], 0, 64)
 	if n := testing.AllocsPerRun(100, func() {
@@ -80,7 +80,7 @@
 	}
 }
 
-// sized is an item as large as the gateway's timers.
+// sized is an item of the same size as the gateway's timers.
 type sized struct {
 	at    int
 	words [10]uint64
@@ -88,7 +88,7 @@
 
 func (s *sized) Before(other *sized) bool { return s.at < other.at }
 
-// BenchmarkPushPop has the size of the gateway's heap of timers under load.
+// BenchmarkPushPop uses a heap as large as the gateway's timer heap under load.
 func BenchmarkPushPop(b *testing.B) {
 	var items Heap[sized, *sized]
 	rng := rand.New(rand.NewPCG(1, 1))
