--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,40 +1,42 @@
-// Package window has sums over a sliding window of time: what was added within the last span, and up to a bucket more. A
-// token bucket would let twice as much through within one span. It never looks at a clock.
+// Package window implements sums over a sliding time window. A sum covers the last span and at most one bucket more.
+// It suits limits better than a token bucket, which would let through up to twice the limit within one span. The
+// package never reads a clock.
 package window
 
 import "foxlane/rules"
 
-// bucketCount is how many buckets a span has.
+// bucketCount is the number of buckets in a span.
 const bucketCount = 10
 
-// Sum is a sum over the last span. The zero value with a Span set is empty.
+// Sum is a sum over the last Span. A Sum with only Span set is empty. Span must be at least bucketCount units of
+// time.
 type Sum struct {
 	Span    rules.Time
-	buckets [bucketCount + 1]float64 // latest first
+	buckets [bucketCount + 1]float64 // the latest first
 	current rules.Time               // number of the latest bucket, counted from time 0
 }
 
-// advance drops the buckets that are too old.
+// advance drops the buckets that are older than the span at now.
 func (s *Sum) advance(now rules.Time) {
-	at := now / (s.Span / bucketCount)
-	for n := min(at-s.current, rules.Time(len(s.buckets))); n > 0; n-- {
+	latest := now / (s.Span / bucketCount)
+	for n := min(latest-s.current, rules.Time(len(s.buckets))); n > 0; n-- {
 		copy(s.buckets[1:], s.buckets[:])
 		s.buckets[0] = 0
 	}
-	s.current = max(s.current, at)
+	s.current = max(s.current, latest)
 }
 
-// Add adds to the sum.
-func (s *Sum) Add(now rules.Time, x float64) {
+// Add adds amount to the sum at now.
+func (s *Sum) Add(now rules.Time, amount float64) {
 	s.advance(now)
-	s.buckets[0] += x
+	s.buckets[0] += amount
 }
 
-// Total is what was added within the last span.
+// Total returns the sum of what was added within the last Span before now.
 func (s *Sum) Total(now rules.Time) (sum float64) {
 	s.advance(now)
-	for _, x := range s.buckets {
-		sum += x
+	for _, bucket := range s.buckets {
+		sum += bucket
 	}
 	return sum
 }
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -8,7 +8,8 @@
 	"foxlane/rules"
 )
 
-// Whatever is added when: nothing of the last span is missing, nothing older than a span and a step counts.
+// For random additions, the total includes everything added within the last span and nothing older than a span and a
+// bucket.
 func TestSumCoversItsSpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Sum{Span: rules.Second}
@@ -23,17 +24,17 @@
 			x := float64(rapid.IntRange(0, 9).Draw(t, "x"))
 			s.Add(now, x)
 			all = append(all, added{now, x})
-			least, most := 0.0, 0.0
+			lower, upper := 0.0, 0.0
 			for _, a := range all {
 				if now-a.at < rules.Second {
-					least += a.x
+					lower += a.x
 				}
 				if now-a.at <= rules.Second+rules.Second/bucketCount {
-					most += a.x
+					upper += a.x
 				}
 			}
-			if got := s.Total(now); got < least || got > most {
-				t.Fatalf("%v within the span, %v to %v were added", got, least, most)
+			if got := s.Total(now); got < lower || got > upper {
+				t.Fatalf("total %v, want %v to %v", got, lower, upper)
 			}
 		}
 	})
