--- a/internal/syserr/syserr_test.go
+++ b/internal/syserr/syserr_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-func TestLists(t *testing.T) {
+func TestLocalAndTransient(t *testing.T) {
 	wrap := func(e syscall.Errno) error {
 		return fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", e)})
 	}
 	for _, c := range []struct {
-		err            error
-		local, passing bool
+		err              error
+		local, transient bool
 	}{
 		{wrap(syscall.ENETUNREACH), true, true},
 		{wrap(syscall.EADDRNOTAVAIL), true, true},
@@ -27,8 +27,8 @@
 		{errors.New("other"), false, false},
 		{nil, false, false},
 	} {
-		if Local(c.err) != c.local || Transient(c.err) != c.passing {
-			t.Errorf("%v: local %v, passing %v", c.err, Local(c.err), Transient(c.err))
+		if Local(c.err) != c.local || Transient(c.err) != c.transient {
+			t.Errorf("%v: local %v, transient %v", c.err, Local(c.err), Transient(c.err))
 		}
 	}
 }
