--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,5 +1,5 @@
-// Package wallclock converts timestamps of the wall clock to the time of a process, which a step of the wall clock does
-// not move. It is pure: its caller tells it of steps.
+// Package wallclock converts timestamps of the wall clock to process time, which a step of the wall clock does not
+// change. It never reads a clock: its caller reports the steps.
 package wallclock
 
 import (
@@ -9,19 +9,19 @@
 )
 
 const (
-	// minStep is the least difference between two readings that counts as a step and not as a clock being slewed.
+	// minStep is the minimum change of the skew that counts as a step. Smaller changes are attributed to slewing.
 	minStep = 100 * rules.Millisecond
-	// maxFuture is how far a stamp may lie ahead of now: clocks of machines differ a little.
+	// maxFuture is how far a timestamp may be ahead of now, since clocks of different machines differ slightly.
 	maxFuture = rules.Second
-	// maxSteps is how many steps are kept.
+	// maxSteps is the number of steps that are kept.
 	maxSteps = 8
 )
 
-// Steps are the steps of the wall clock since the process began, the last few of them, each as the wall clock's distance from
-// the process's time. The zero value has none.
+// Steps records the last few steps of the wall clock since the process began. Each is stored as the skew after the
+// step: how far the wall clock is ahead of process time. The zero value has no steps.
 type Steps struct{ skews []rules.Time }
 
-// Note records by how much the wall clock is ahead of the process's time now.
+// Note records the current skew as a step if it differs from the last recorded skew by at least minStep.
 func (s *Steps) Note(skew rules.Time) {
 	last := rules.Time(0)
 	if n := len(s.skews); n > 0 {
@@ -35,10 +35,10 @@
 	}
 }
 
-// ProcessTime converts a timestamp of when something started. The timestamp may have been made before or after any step, so
-// there are several readings of it; the latest that is not in the future counts: what is taken for younger than it is gets
-// less load for a while, what is taken for older would be overloaded. A timestamp that is in the future by all readings
-// is taken as now.
+// ProcessTime converts a wall clock timestamp of an engine's start to process time. The timestamp may have been made
+// before or after any step, so it has several possible conversions. ProcessTime returns the latest one that is not in
+// the future: an engine that is assumed younger than it is gets less load for a while, one that is assumed older
+// would be overloaded. If all conversions are in the future, it returns now.
 func (s *Steps) ProcessTime(stamp, now rules.Time) rules.Time {
 	best, found := rules.Time(0), false
 	for _, skew := range append([]rules.Time{0}, s.skews...) {
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -10,7 +10,7 @@
 
 const hour = 3600 * rules.Second
 
-func TestBegan(t *testing.T) {
+func TestProcessTime(t *testing.T) {
 	const now = 1000 * hour
 	for name, c := range map[string]struct {
 		skews       []rules.Time
@@ -18,9 +18,9 @@
 	}{
 		"no step":                        {nil, now - 5*rules.Second, now - 5*rules.Second},
 		"slewed":                         {[]rules.Time{90 * rules.Millisecond}, now - 5*rules.Second, now - 5*rules.Second},
-		"stamped behind a step forward":  {[]rules.Time{hour}, now + hour - 2*rules.Second, now - 2*rules.Second},
+		"stamped after a step forward":   {[]rules.Time{hour}, now + hour - 2*rules.Second, now - 2*rules.Second},
 		"stamped before a step forward":  {[]rules.Time{hour}, now - 2*rules.Second, now - 2*rules.Second},
-		"stamped behind a step back":     {[]rules.Time{-hour}, now - hour - 2*rules.Second, now - 2*rules.Second},
+		"stamped after a step back":      {[]rules.Time{-hour}, now - hour - 2*rules.Second, now - 2*rules.Second},
 		"stamped before a step back":     {[]rules.Time{-hour}, now - 2*rules.Second, now - 2*rules.Second},
 		"stepped and stepped back again": {[]rules.Time{hour, 0}, now + hour - rules.Second, now - rules.Second},
 		"a clock that is ahead":          {nil, now + hour, now},
@@ -35,7 +35,7 @@
 	}
 }
 
-// Whatever was stepped and whenever the stamp was made, an engine is never held to be older than it is.
+// For random steps and timestamps, an engine is never taken to be older than it is.
 func TestNeverOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Steps
@@ -50,7 +50,7 @@
 			s.Note(skew)
 		}
 		if got := s.ProcessTime(stamp, now); got < began-6*minStep {
-			t.Fatalf("held to be %v older than it is", began-got)
+			t.Fatalf("taken to be %v older than it is", began-got)
 		}
 	})
 }
