--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,55 +1,54 @@
-// Package guard checks invariants while a gateway runs. It is pure: the caller passes what is about to be done and what it
-// knows, and gets the invariants that this would violate. It never prevents anything: the decision has been made elsewhere,
-// and a gateway in service must not fail for a check. Violations are counted by name.
+// Package guard checks a gateway's invariants at run time. It is pure: the caller describes an action that it is about to
+// take, and gets the invariants that the action would violate. The checks only report: a gateway in service must not fail
+// because of one, so the action goes ahead. Violations are counted per invariant.
 package guard
 
 import "foxlane/rules"
 
-// Invariant is a condition that holds for everything a gateway does.
+// Invariant is a condition that every action of a gateway must satisfy.
 type Invariant int
 
-// Invariants, by what they are about: an attempt, a retry, an answer, a close, the start of a request. The comment says what
-// violates it.
+// The invariants of sending, retries, answers, connection closes and request starts. Each comment describes the violation.
 const (
-	SendAfterEnd       Invariant = iota // an attempt begins for a request that needs no answer any more
-	SendAfterDeadline                   // an attempt begins, or its engine may run on, after its client's deadline
-	SendToDraining                      // an attempt goes to an engine that has been draining or delisted for longer than the grace
-	SendMisplaced                       // an attempt goes to a zone or kind that its class must not use
-	SendParallel                        // an attempt begins while another is in flight and no two may be
-	SendOverBudget                      // one gateway alone sends an engine in slow start more than all together may
-	RetryUnsafe                         // a retry of a class that is not idempotent, after an attempt that may have run
-	RetryOutsideWindow                  // a retry with an idempotency key outside the key's group or window
-	RetryOverLimit                      // more attempts than a request may have
-	AnswerTwice                         // a final answer to a request that has one
+	SendAfterEnd       Invariant = iota // an attempt starts for a request that is answered or whose client has gone
+	SendAfterDeadline                   // an attempt starts, or may still run on its engine, after the client's deadline
+	SendToDraining                      // an attempt goes to an engine that has been draining or delisted beyond the drain grace
+	SendMisplaced                       // an attempt goes to a zone or engine kind that its class does not allow
+	SendParallel                        // an attempt starts while another is in flight, and hedged requests are off
+	SendOverBudget                      // this gateway alone exceeds the slow-start budget that all gateways share
+	RetryUnsafe                         // a retry of a non-idempotent class after an attempt that may have run
+	RetryOutsideWindow                  // a retry with an idempotency key outside the key's dedup scope or window
+	RetryOverLimit                      // more attempts than the limit of a request
+	AnswerTwice                         // a second final answer to a request
 	AnswerLate                          // a final answer long after its client's deadline
-	RejectedMayHaveRun                  // a rejection promises that nothing ran, and something may have
-	CloseUnanswered                     // the gateway closes a client's connection while its request has no answer
-	CloseInFlight                       // the gateway closes an engine's connection with an attempt in flight that was not abandoned
-	StartTwice                          // a request begins with an ID that is in use, or on a connection with an unanswered request
-	StartAfterEnd                       // a request begins on a connection that the gateway has closed
-	count
+	RejectedMayHaveRun                  // a rejection states that nothing ran, although an attempt may have run
+	CloseUnanswered                     // the gateway closes a client connection with an unanswered request
+	CloseInFlight                       // the gateway closes an engine connection with an attempt in flight that was not abandoned
+	StartTwice                          // a request starts with an ID in use, or on a connection with an unanswered request
+	StartAfterEnd                       // a request starts on a connection that the gateway has closed
+	invariantCount
 )
 
 // Count is the number of invariants.
-const Count = int(count)
+const Count = int(invariantCount)
 
-// invariantNames are the names under which operators find the invariants in the log and the statistics.
+// invariantNames are the names of the invariants in logs and statistics.
 var invariantNames = [...]string{"send_after_end", "send_after_deadline", "send_to_drained", "send_misplaced", "send_parallel", "send_over_budget",
 	"repeat_unsafe", "repeat_outside", "repeat_over_limit", "answer_twice", "answer_late", "refused_may_have_run", "close_unanswered",
 	"close_in_flight", "start_twice", "start_after_end"}
 
 func (i Invariant) String() string { return invariantNames[i] }
 
-// Violations counts, by invariant, how often it was violated.
+// Violations counts violations per invariant.
 type Violations [Count]int
 
-// Record counts a violation. It answers whether it is the first of its invariant, which is worth a line in the log.
+// Record counts a violation and reports whether it is the first of its invariant; callers log only the first.
 func (v *Violations) Record(i Invariant) (first bool) {
 	v[i]++
 	return v[i] == 1
 }
 
-// Sum is how many violations there were, of all invariants.
+// Sum returns the number of violations of all invariants.
 func (v *Violations) Sum() (n int) {
 	for _, k := range v {
 		n += k
@@ -57,7 +56,7 @@
 	return n
 }
 
-// Findings are the invariants that something would violate. The zero value has none.
+// Findings lists the invariants that an action would violate. The zero value is empty.
 type Findings struct {
 	list [Count]Invariant
 	n    int
@@ -70,26 +69,26 @@
 	}
 }
 
-// All returns them, in the order of the checks.
+// All returns the violated invariants in the order of the checks.
 func (f *Findings) All() []Invariant { return f.list[:f.n] }
 
-// Slack is how far beyond a time limit something may be before it is a violation: delivery and timers take time.
+// Slack is how far an action may exceed a time limit before it counts as a violation, since delivery and timers take time.
 const Slack = 50 * rules.Millisecond
 
-// DeadlineSlack is by how much an engine's deadline may lie after its client's.
+// DeadlineSlack is how far the deadline given to an engine may lie after the client's deadline.
 const DeadlineSlack = 150 * rules.Millisecond
 
 // PriorAttempt is an earlier attempt of a request.
 type PriorAttempt struct {
-	At       rules.Time // when the module sent it
+	At       rules.Time // when the decision module issued it
 	Sent     bool       // written to a connection
 	Ended    bool
-	NeverRan bool // proven
+	NeverRan bool // it is known not to have run
 	Zone     int
 	Cell     int
 }
 
-// MayHaveRun answers whether the attempt may have had an effect.
+// MayHaveRun reports whether an engine may have executed the attempt.
 func (p *PriorAttempt) MayHaveRun() bool { return p.Sent && (!p.Ended || !p.NeverRan) }
 
 // Send is an attempt that is about to be written to an engine.
@@ -97,32 +96,32 @@
 	Now             rules.Time
 	Answered        bool // the request has its final answer, or its client has gone
 	Deadline        rules.Time
-	ClientDeadline  rules.Time // until when the client waits
+	ClientDeadline  rules.Time // when the client stops waiting
 	State           rules.EngineState
-	NotifiedAt      rules.Time // when the gateway was notified of that state
+	NotifiedAt      rules.Time // when the gateway was notified of State
 	Zone            int
 	Kind            int
 	Cell            int
-	SlowStartSent   float64 // work that this gateway alone has sent it within the window, this attempt included
-	SlowStartBudget float64 // what it may get from all gateways within that; 0: it is not in slow start
+	SlowStartSent   float64 // work that this gateway has sent to the engine within the window, including this attempt
+	SlowStartBudget float64 // work that all gateways together may send it within the window; 0: not in slow start
 	Class           *rules.Class
 	Duties          *rules.Constraints
 	Limits          *rules.Limits
-	PriorAttempts   []PriorAttempt // earlier attempts
+	PriorAttempts   []PriorAttempt
 }
 
-// Check returns what the attempt would violate.
+// Check returns the invariants that the attempt would violate.
 func (s *Send) Check() (f Findings) {
 	f.add(s.Answered, SendAfterEnd)
 	f.add(s.Now >= s.ClientDeadline+Slack || s.Deadline > s.ClientDeadline+DeadlineSlack, SendAfterDeadline)
 	f.add(s.State != rules.EngineServing && s.Now > s.NotifiedAt+s.Duties.DrainGrace+Slack, SendToDraining)
-	f.add(!allowed(s.Class.AllowedZones, s.Zone) || !allowed(s.Class.AllowedKinds, s.Kind), SendMisplaced)
+	f.add(!isAllowed(s.Class.AllowedZones, s.Zone) || !isAllowed(s.Class.AllowedKinds, s.Kind), SendMisplaced)
 	f.add(s.SlowStartBudget > 0 && s.SlowStartSent > s.SlowStartBudget, SendOverBudget)
 	if len(s.PriorAttempts) == 0 {
 		return f
 	}
 	f.add(s.Limits.MaxAttempts > 0 && len(s.PriorAttempts) >= s.Limits.MaxAttempts, RetryOverLimit)
-	parallel, unsafe, outside := false, false, false
+	parallel, unsafe, outsideWindow := false, false, false
 	for i := range s.PriorAttempts {
 		p := &s.PriorAttempts[i]
 		parallel = parallel || p.Sent && !p.Ended && !s.Limits.HedgedRequests
@@ -130,15 +129,16 @@
 			continue
 		}
 		unsafe = unsafe || s.Class.Idempotency == rules.NotIdempotent
-		outside = outside || s.Class.Idempotency == rules.IdempotentWithKey && (s.Now >= p.At+s.Class.DedupWindow+Slack || !s.sameGroup(p))
+		outsideWindow = outsideWindow || s.Class.Idempotency == rules.IdempotentWithKey && (s.Now >= p.At+s.Class.DedupWindow+Slack || !s.inDedupScope(p))
 	}
 	f.add(parallel, SendParallel)
 	f.add(unsafe, RetryUnsafe)
-	f.add(outside, RetryOutsideWindow)
+	f.add(outsideWindow, RetryOutsideWindow)
 	return f
 }
 
-func (s *Send) sameGroup(p *PriorAttempt) bool {
+// inDedupScope reports whether the attempt runs in the dedup scope of a prior one, where engines recognize its key.
+func (s *Send) inDedupScope(p *PriorAttempt) bool {
 	switch s.Class.DedupScope {
 	case rules.DedupZone:
 		return p.Zone == s.Zone
@@ -148,8 +148,8 @@
 	return true
 }
 
-// allowed answers whether a zone or kind is among those of a class; nil: any is.
-func allowed(places []int, place int) bool {
+// isAllowed reports whether a class allows a zone or engine kind. A nil list allows every one.
+func isAllowed(places []int, place int) bool {
 	if places == nil {
 		return true
 	}
@@ -161,20 +161,20 @@
 	return false
 }
 
-// Answer is a final answer that is about to be given.
+// Answer is a final answer that is about to be sent to a client.
 type Answer struct {
 	Now            rules.Time
 	ClientDeadline rules.Time
 	Answered       bool
-	Rejection      bool // it promises that nothing ran, or that running twice is harmless
+	Rejection      bool // it tells the client that a retry is safe: nothing ran, or running twice is harmless
 	Class          *rules.Class
 	PriorAttempts  []PriorAttempt
 }
 
-// lateAnswerSlack is how far behind its time an answer still only earns nothing.
+// lateAnswerSlack is how late an answer may be without a violation: it has no value for the client, but does no harm.
 const lateAnswerSlack = 500 * rules.Millisecond
 
-// Check returns what the answer would violate.
+// Check returns the invariants that the answer would violate.
 func (a *Answer) Check() (f Findings) {
 	f.add(a.Answered, AnswerTwice)
 	f.add(a.Now > a.ClientDeadline+lateAnswerSlack, AnswerLate)
