--- a/internal/directives/directives.go
+++ b/internal/directives/directives.go
@@ -1,9 +1,9 @@
-// Package directives replicates operators' directives, which must be the same at every gateway: drains of zones and engines, a limit on
-// spillover, request classes that are rejected. They are few and change rarely: one log, replicated by raft among the one, three or five
-// voters that the operators name. All other gateways follow what is committed.
+// Package directives replicates operators' directives to all gateways: drains of zones and engines, rejected request
+// classes and a limit on spillover. Directives are few and change rarely, so a single raft log holds them all. One,
+// three or five configured gateways are its voters; all other gateways follow the committed state.
 //
-// The package is pure: time comes as ticks, what is to be persisted and sent are effects, and nothing is sent before the state on which it
-// rests is persisted. It does not carry directives out: readers of the State do.
+// The package is pure: time arrives as ticks, disk writes and messages are returned as effects, and a message is sent
+// only after the state that it depends on is persisted. Readers of State carry the directives out.
 package directives
 
 import (
@@ -11,7 +11,7 @@
 	"fmt"
 )
 
-// Kind is what a directive orders.
+// Kind is the type of a directive.
 type Kind string
 
 // Kinds of directives.
@@ -19,38 +19,38 @@
 	DrainZone      Kind = "drain-zone"   // Subject: a zone
 	DrainEngine    Kind = "drain-engine" // Subject: an engine's id
 	RejectClass    Kind = "refuse-class" // Subject: a request class
-	SpilloverLimit Kind = "spill"        // Value: the part of a zone that load of other zones may take
+	SpilloverLimit Kind = "spill"        // Value: the fraction of a zone's capacity that load of other zones may use
 )
 
-// Directive is one order.
+// Directive is an operator's instruction to all gateways.
 type Directive struct {
 	Kind    Kind    `json:"kind"`
 	Subject string  `json:"subject,omitempty"`
 	Value   float64 `json:"value,omitempty"`
-	By      string  `json:"by,omitempty"`    // who gave it, in their own words
-	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of the voter that took it; for display only
+	By      string  `json:"by,omitempty"`    // the operator, as free text
+	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of the voter that proposed it; for display only
 }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// Ops.
+// Operations.
 const (
 	Set   Op = "set"
 	Unset Op = "unset"
 )
 
-// Command is a change of the state, as the log holds it.
+// Command is a change of the state, as stored in the log.
 type Command struct {
-	ID string `json:"id"` // idempotency key: a command that is committed twice applies once
+	ID string `json:"id"` // idempotency key: a command that is committed twice is applied once
 	Op Op     `json:"op"`
 	Directive
 }
 
-// maxTextBytes bounds the texts of a command.
+// maxTextBytes bounds each of a command's ID, subject and author.
 const maxTextBytes = 64
 
-// Validate returns an error that says why the command can't be applied anywhere.
+// Validate returns an error if the command is malformed, whatever the state.
 func (c Command) Validate() error {
 	switch {
 	case c.ID == "" || len(c.ID) > maxTextBytes || len(c.Subject) > maxTextBytes || len(c.By) > maxTextBytes:
--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -21,7 +21,8 @@
 	second = rules.Second
 )
 
-// disk is what a voter has persisted: a batch in flight is lost when the voter dies.
+// disk is a voter's persisted state. It stores a batch at once; the Persisted that answers it is dropped if the voter is
+// killed first.
 type disk struct{ state PersistedState }
 
 func (d *disk) persist(b Batch) {
@@ -39,18 +40,18 @@
 	}
 }
 
-func (d *disk) copy() PersistedState {
-	k := PersistedState{Initialized: d.state.Initialized, Entries: slices.Clone(d.state.Entries)}
+func (d *disk) clone() PersistedState {
+	clone := PersistedState{Initialized: d.state.Initialized, Entries: slices.Clone(d.state.Entries)}
 	if d.state.HardState != nil {
-		k.HardState = proto.Clone(d.state.HardState).(*pb.HardState)
+		clone.HardState = proto.Clone(d.state.HardState).(*pb.HardState)
 	}
 	if d.state.Snapshot != nil {
-		k.Snapshot = proto.Clone(d.state.Snapshot).(*pb.Snapshot)
+		clone.Snapshot = proto.Clone(d.state.Snapshot).(*pb.Snapshot)
 	}
-	return k
+	return clone
 }
 
-// testCluster is voters on a simulated network that loses and delays messages, and whose links can be cut.
+// testCluster is a set of voters on a simulated network that delays and drops messages, and whose links can be cut.
 type testCluster struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -58,103 +59,103 @@
 	names        []string
 	voters       map[string]*Voter
 	disks        map[string]*disk
-	cut          map[[2]string]bool
+	cutLinks     map[[2]string]bool
 	loss         float64
 	queue        []delivery
-	acks         map[string]bool   // ids of commands that were answered as committed
-	failed       map[string]bool   // ids of commands that were answered with an error
-	commandIDs   map[uint64]string // by request
+	acknowledged map[string]bool   // IDs of commands that were answered as committed
+	failed       map[string]bool   // IDs of commands that were answered with an error
+	commandIDs   map[uint64]string // by request ID
 	logged       []string
 	failingDisks map[string]bool
-	states       map[uint64]string // by index
-	divergence   error             // two states of one index that differed
+	states       map[uint64]string // by log index
+	divergence   error             // set when two voters had different states at one index
 }
 
-// delivery is an event that is due at a voter.
+// delivery is an event scheduled for a voter.
 type delivery struct {
 	at    rules.Time
 	to    string
 	event Event
-	voter *Voter // that a Persisted is for: one that has been restarted since must not get it
+	voter *Voter // the recipient of a Persisted: its successor after a restart must not get it; nil: any
 }
 
 func newTestCluster(t *testing.T, n int, seed uint64) *testCluster {
-	p := &testCluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: map[string]*Voter{}, disks: map[string]*disk{}, cut: map[[2]string]bool{},
-		acks: map[string]bool{}, failed: map[string]bool{}, commandIDs: map[uint64]string{}, failingDisks: map[string]bool{}, states: map[uint64]string{}}
+	cluster := &testCluster{t: t, rng: rand.New(rand.NewPCG(seed, 9)), voters: map[string]*Voter{}, disks: map[string]*disk{}, cutLinks: map[[2]string]bool{},
+		acknowledged: map[string]bool{}, failed: map[string]bool{}, commandIDs: map[uint64]string{}, failingDisks: map[string]bool{}, states: map[uint64]string{}}
 	for i := range n {
-		p.names = append(p.names, fmt.Sprint("v", i))
+		cluster.names = append(cluster.names, fmt.Sprint("v", i))
 	}
-	for _, name := range p.names {
-		p.disks[name] = &disk{PersistedState{Initialized: true}}
-		p.start(name)
+	for _, name := range cluster.names {
+		cluster.disks[name] = &disk{PersistedState{Initialized: true}}
+		cluster.start(name)
 	}
-	return p
+	return cluster
 }
 
-func (p *testCluster) start(name string) {
-	v, err := NewVoter(Settings{Self: name, Voters: p.names, TickInterval: 100 * ms}, p.disks[name].copy(), p.now)
+func (cluster *testCluster) start(name string) {
+	v, err := NewVoter(Settings{Self: name, Voters: cluster.names, TickInterval: 100 * ms}, cluster.disks[name].clone(), cluster.now)
 	if err != nil {
-		p.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	p.voters[name] = v
+	cluster.voters[name] = v
 }
 
-func (p *testCluster) kill(name string) { delete(p.voters, name) }
+func (cluster *testCluster) kill(name string) { delete(cluster.voters, name) }
 
-func (p *testCluster) handle(name string, e Event) {
-	v := p.voters[name]
+func (cluster *testCluster) handle(name string, e Event) {
+	v := cluster.voters[name]
 	if v == nil {
 		return
 	}
-	for _, effect := range v.Handle(p.now, e) {
+	for _, effect := range v.Handle(cluster.now, e) {
 		switch f := effect.(type) {
 		case Send:
-			if !p.cut[[2]string{name, f.To}] && p.rng.Float64() >= p.loss {
-				p.queue = append(p.queue, delivery{at: p.now + rules.Time(1+p.rng.IntN(60))*ms, to: f.To, event: Received{From: name, Data: slices.Clone(f.Data)}})
+			if !cluster.cutLinks[[2]string{name, f.To}] && cluster.rng.Float64() >= cluster.loss {
+				cluster.queue = append(cluster.queue, delivery{at: cluster.now + rules.Time(1+cluster.rng.IntN(60))*ms, to: f.To, event: Received{From: name, Data: slices.Clone(f.Data)}})
 			}
 		case Persist:
-			ok := !p.failingDisks[name]
+			ok := !cluster.failingDisks[name]
 			if ok {
-				p.disks[name].persist(f.Batch)
+				cluster.disks[name].persist(f.Batch)
 			}
-			p.queue = append(p.queue, delivery{at: p.now + 2*ms, to: name, event: Persisted{OK: ok}, voter: v})
+			cluster.queue = append(cluster.queue, delivery{at: cluster.now + 2*ms, to: name, event: Persisted{OK: ok}, voter: v})
 		case Reply:
-			if id := p.commandIDs[f.RequestID]; f.Err == nil {
-				p.acks[id] = true
+			if id := cluster.commandIDs[f.RequestID]; f.Err == nil {
+				cluster.acknowledged[id] = true
 			} else {
-				p.failed[id] = true
+				cluster.failed[id] = true
 			}
 		case Applied:
 			state := fmt.Sprint(v.state.Directives)
-			if was, ok := p.states[f.Index]; ok && was != state {
-				p.divergence = fmt.Errorf("states of index %d differ: %s and %s", f.Index, was, state)
+			if previous, ok := cluster.states[f.Index]; ok && previous != state {
+				cluster.divergence = fmt.Errorf("states of index %d differ: %s and %s", f.Index, previous, state)
 			}
-			p.states[f.Index] = state
+			cluster.states[f.Index] = state
 		case Log:
-			p.logged = append(p.logged, name+": "+f.Text)
+			cluster.logged = append(cluster.logged, name+": "+f.Text)
 		}
 	}
 }
 
-// run lets time pass.
-func (p *testCluster) run(d rules.Time) {
-	for until := p.now + d; p.now < until; p.now += ms {
-		if (p.now/ms)%100 == 0 {
-			for _, name := range p.names {
-				p.handle(name, Tick{})
+// run advances the simulated time by d.
+func (cluster *testCluster) run(d rules.Time) {
+	for until := cluster.now + d; cluster.now < until; cluster.now += ms {
+		if (cluster.now/ms)%100 == 0 {
+			for _, name := range cluster.names {
+				cluster.handle(name, Tick{})
 			}
 		}
 		var due []delivery
-		p.queue = slices.DeleteFunc(p.queue, func(d delivery) bool {
-			if d.at <= p.now {
+		cluster.queue = slices.DeleteFunc(cluster.queue, func(d delivery) bool {
+			if d.at <= cluster.now {
 				due = append(due, d)
 				return true
 			}
 			return false
 		})
 		for _, d := range due {
-			if d.voter == nil || d.voter == p.voters[d.to] {
-				p.handle(d.to, d.event)
+			if d.voter == nil || d.voter == cluster.voters[d.to] {
+				cluster.handle(d.to, d.event)
 			}
 		}
 	}
@@ -162,199 +163,201 @@
 
 var lastRequestID uint64
 
-func (p *testCluster) propose(name string, c Command) {
+func (cluster *testCluster) propose(name string, c Command) {
 	lastRequestID++
-	p.commandIDs[lastRequestID] = c.ID
-	p.handle(name, Propose{RequestID: lastRequestID, Command: c})
+	cluster.commandIDs[lastRequestID] = c.ID
+	cluster.handle(name, Propose{RequestID: lastRequestID, Command: c})
 }
 
 func testCommand(i int) Command {
 	return Command{ID: fmt.Sprint("c", i), Op: Set, Directive: Directive{Kind: DrainEngine, Subject: fmt.Sprint("e", i%40), Value: float64(i)}}
 }
 
-func (p *testCluster) leader() string {
-	for _, n := range p.names {
-		if v := p.voters[n]; v != nil && v.Status().Leader == n {
+func (cluster *testCluster) leader() string {
+	for _, n := range cluster.names {
+		if v := cluster.voters[n]; v != nil && v.Status().Leader == n {
 			return n
 		}
 	}
 	return ""
 }
 
-// A command is applied by all voters. A minority commits none and retains its state; once the links work again, all have the same state.
+// All voters apply a committed command. A leader that is cut off from the other voters commits nothing and keeps its
+// state; once the links work again, it catches up.
 func TestQuorum(t *testing.T) {
-	p := newTestCluster(t, 3, 1)
-	p.run(4 * second)
-	p.propose("v0", testCommand(1))
-	p.run(2 * second)
-	if !p.acks["c1"] {
-		t.Fatal("no answer with all voters there")
+	cluster := newTestCluster(t, 3, 1)
+	cluster.run(4 * second)
+	cluster.propose("v0", testCommand(1))
+	cluster.run(2 * second)
+	if !cluster.acknowledged["c1"] {
+		t.Fatal("no command was committed with all voters running")
 	}
-	lead := p.leader()
-	for _, n := range p.names {
-		if n != lead {
-			p.cut[[2]string{lead, n}], p.cut[[2]string{n, lead}] = true, true
+	leader := cluster.leader()
+	for _, n := range cluster.names {
+		if n != leader {
+			cluster.cutLinks[[2]string{leader, n}], cluster.cutLinks[[2]string{n, leader}] = true, true
 		}
 	}
-	p.propose(lead, testCommand(2))
-	p.run(8 * second)
-	if p.acks["c2"] || !p.failed["c2"] {
-		t.Error("a voter on its own has taken a command, or never answered")
+	cluster.propose(leader, testCommand(2))
+	cluster.run(8 * second)
+	if cluster.acknowledged["c2"] || !cluster.failed["c2"] {
+		t.Error("an isolated voter committed a command, or never answered")
 	}
-	other := p.names[(slices.Index(p.names, lead)+1)%3]
-	p.propose(other, testCommand(3))
-	p.run(3 * second)
-	if !p.acks["c3"] {
-		t.Error("the majority takes no command")
+	other := cluster.names[(slices.Index(cluster.names, leader)+1)%3]
+	cluster.propose(other, testCommand(3))
+	cluster.run(3 * second)
+	if !cluster.acknowledged["c3"] {
+		t.Error("the majority committed no command")
 	}
-	if got := p.voters[lead].State().Subjects(DrainEngine); !reflect.DeepEqual(got, []string{"e1"}) {
-		t.Errorf("the minority holds %v", got)
+	if got := cluster.voters[leader].State().Subjects(DrainEngine); !reflect.DeepEqual(got, []string{"e1"}) {
+		t.Errorf("the isolated voter has %v", got)
 	}
-	clear(p.cut)
-	p.run(5 * second)
-	for _, n := range p.names {
-		if got := p.voters[n].State().Subjects(DrainEngine); !slices.Contains(got, "e1") || !slices.Contains(got, "e3") {
-			t.Errorf("healed, %s holds %v", n, got)
+	clear(cluster.cutLinks)
+	cluster.run(5 * second)
+	for _, n := range cluster.names {
+		if got := cluster.voters[n].State().Subjects(DrainEngine); !slices.Contains(got, "e1") || !slices.Contains(got, "e3") {
+			t.Errorf("after the links were restored, %s has %v", n, got)
 		}
 	}
 }
 
-var schedules = flag.Int("schedules", 40, "random schedules that are played")
+var schedules = flag.Int("schedules", 40, "number of random schedules to run")
 
-// Through crashes, cut links and losses, a command that was answered as committed is applied everywhere, and states of one index are the same.
+// A command that was answered as committed is applied at every voter despite crashes, cut links and message loss, and
+// voters never have different states at one index.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	acknowledged := 0
 	defer func() {
 		if acknowledged < 150 {
-			t.Errorf("%d commands were acknowledged: the test has lost its subject", acknowledged)
+			t.Errorf("only %d commands were acknowledged, too few for this test to be meaningful", acknowledged)
 		}
 	}()
 	for seed := range uint64(*schedules) {
-		p := newTestCluster(t, 3+2*int(seed%2), seed)
-		p.run(2 * second)
+		cluster := newTestCluster(t, 3+2*int(seed%2), seed)
+		cluster.run(2 * second)
 		for i := range 12 {
-			switch n := p.names[p.rng.IntN(len(p.names))]; p.rng.IntN(5) {
+			switch n := cluster.names[cluster.rng.IntN(len(cluster.names))]; cluster.rng.IntN(5) {
 			case 0:
-				p.kill(n)
+				cluster.kill(n)
 			case 1:
-				if p.voters[n] == nil {
-					p.start(n)
+				if cluster.voters[n] == nil {
+					cluster.start(n)
 				}
 			case 2:
-				o := p.names[p.rng.IntN(len(p.names))]
-				p.cut[[2]string{n, o}] = true
+				other := cluster.names[cluster.rng.IntN(len(cluster.names))]
+				cluster.cutLinks[[2]string{n, other}] = true
 			case 3:
-				clear(p.cut)
+				clear(cluster.cutLinks)
 			case 4:
-				p.loss = p.rng.Float64() * 0.3
+				cluster.loss = cluster.rng.Float64() * 0.3
 			}
-			p.propose(p.names[p.rng.IntN(len(p.names))], testCommand(int(seed)*100+i))
-			p.run(rules.Time(100+p.rng.IntN(1200)) * ms)
-		}
-		clear(p.cut)
-		p.loss = 0
-		for _, n := range p.names {
-			if p.voters[n] == nil {
-				p.start(n)
+			cluster.propose(cluster.names[cluster.rng.IntN(len(cluster.names))], testCommand(int(seed)*100+i))
+			cluster.run(rules.Time(100+cluster.rng.IntN(1200)) * ms)
+		}
+		clear(cluster.cutLinks)
+		cluster.loss = 0
+		for _, n := range cluster.names {
+			if cluster.voters[n] == nil {
+				cluster.start(n)
 			}
 		}
-		p.run(8 * second)
-		if p.divergence != nil {
-			t.Errorf("seed %d: %v", seed, p.divergence)
+		cluster.run(8 * second)
+		if cluster.divergence != nil {
+			t.Errorf("seed %d: %v", seed, cluster.divergence)
 		}
-		acknowledged += len(p.acks)
-		for id := range p.acks {
-			for _, n := range p.names {
-				if !slices.Contains(p.voters[n].state.SeenIDs, id) {
-					t.Errorf("seed %d: %s was acknowledged, and %s does not have it", seed, id, n)
+		acknowledged += len(cluster.acknowledged)
+		for id := range cluster.acknowledged {
+			for _, n := range cluster.names {
+				if !slices.Contains(cluster.voters[n].state.SeenIDs, id) {
+					t.Errorf("seed %d: command %s was acknowledged, but %s has not applied it", seed, id, n)
 				}
 			}
 		}
 	}
 }
 
-// A voter whose disk is an old copy of itself, or is gone, listens before it votes, and holds all directives again in the end.
-func TestVoterThatForgot(t *testing.T) {
-	for _, gone := range []bool{false, true} {
-		p := newTestCluster(t, 3, 5)
-		p.run(3 * second)
-		who := p.names[(slices.Index(p.names, p.leader())+1)%3]
+// A voter whose disk was reset to an older state, or is empty, listens before it votes and recovers all directives.
+func TestVoterThatLostItsLog(t *testing.T) {
+	for _, diskLost := range []bool{false, true} {
+		cluster := newTestCluster(t, 3, 5)
+		cluster.run(3 * second)
+		restarted := cluster.names[(slices.Index(cluster.names, cluster.leader())+1)%3]
 		old := PersistedState{}
 		for i := range 8 {
-			if i == 2 && !gone {
-				old = p.disks[who].copy()
+			if i == 2 && !diskLost {
+				old = cluster.disks[restarted].clone()
 			}
-			p.propose("v0", testCommand(i))
-			p.run(second)
+			cluster.propose("v0", testCommand(i))
+			cluster.run(second)
 		}
-		p.kill(who)
-		p.disks[who] = &disk{old}
-		p.start(who)
-		p.run(25 * second)
-		if got := len(p.voters[who].state.Directives); got != 8 {
-			t.Errorf("gone %v: it holds %d of 8 directives; logged: %v", gone, got, p.logged)
+		cluster.kill(restarted)
+		cluster.disks[restarted] = &disk{old}
+		cluster.start(restarted)
+		cluster.run(25 * second)
+		if got := len(cluster.voters[restarted].state.Directives); got != 8 {
+			t.Errorf("disk lost %v: it has %d of 8 directives; logged: %v", diskLost, got, cluster.logged)
 		}
-		if p.voters[who].Status().Listens {
-			t.Errorf("gone %v: it still listens", gone)
+		if cluster.voters[restarted].Status().Listens {
+			t.Errorf("disk lost %v: it still listens", diskLost)
 		}
-		if p.divergence != nil {
-			t.Error(p.divergence)
+		if cluster.divergence != nil {
+			t.Error(cluster.divergence)
 		}
-		if !slices.ContainsFunc(p.logged, func(s string) bool { return strings.HasPrefix(s, who+": directives: has listened long enough") }) {
-			t.Errorf("gone %v: it did not listen before it voted: %v", gone, p.logged)
+		if !slices.ContainsFunc(cluster.logged, func(s string) bool { return strings.HasPrefix(s, restarted+": directives: has listened long enough") }) {
+			t.Errorf("disk lost %v: it did not listen before it voted: %v", diskLost, cluster.logged)
 		}
 	}
 }
 
-// When the disk of a voter fails, be it the leader or not, the voter sends nothing that rests on it, answers proposals with ErrDiskFailed, and
-// takes part again after a restart. A command that was proposed to a leader at that moment may be lost with it; proposed again it is
-// committed.
+// A voter whose disk fails, leader or not, sends nothing that depends on the failed write, answers proposals with
+// ErrDiskFailed, and rejoins after a restart. A command that is proposed while the leader's disk fails may be lost with
+// the leader, but is committed when it is proposed again.
 func TestDiskFails(t *testing.T) {
-	for _, leads := range []bool{false, true} {
-		p := newTestCluster(t, 3, 2)
-		p.run(3 * second)
-		lead := p.leader()
-		i := slices.Index(p.names, lead)
+	for _, failLeader := range []bool{false, true} {
+		cluster := newTestCluster(t, 3, 2)
+		cluster.run(3 * second)
+		leader := cluster.leader()
+		i := slices.Index(cluster.names, leader)
 		if i < 0 {
-			t.Fatal("nobody leads after 3 s")
+			t.Fatal("no leader after 3 s")
 		}
-		bad, good := p.names[(i+1)%3], p.names[(i+2)%3]
-		if leads {
-			bad = lead
+		failing, healthy := cluster.names[(i+1)%3], cluster.names[(i+2)%3]
+		if failLeader {
+			failing = leader
 		}
-		p.failingDisks[bad] = true
-		times := 1
-		if leads {
-			times = 4
+		cluster.failingDisks[failing] = true
+		proposals := 1
+		if failLeader {
+			proposals = 4
 		}
-		for range times {
-			if !p.acks["c1"] {
-				p.propose(good, testCommand(1))
-				p.run(3 * second)
+		for range proposals {
+			if !cluster.acknowledged["c1"] {
+				cluster.propose(healthy, testCommand(1))
+				cluster.run(3 * second)
 			}
 		}
-		if !p.acks["c1"] {
-			t.Errorf("leads %v: two voters with disks take no command", leads)
+		if !cluster.acknowledged["c1"] {
+			t.Errorf("leader fails %v: the two healthy voters committed no command", failLeader)
 		}
-		if !p.voters[bad].Status().Broken {
-			t.Fatalf("leads %v: the third does not report that its disk failed", leads)
+		if !cluster.voters[failing].Status().Broken {
+			t.Fatalf("leader fails %v: the voter does not report that its disk failed", failLeader)
 		}
-		p.propose(bad, testCommand(2))
-		if !p.failed["c2"] {
-			t.Errorf("leads %v: a voter whose disk failed takes a command", leads)
+		cluster.propose(failing, testCommand(2))
+		if !cluster.failed["c2"] {
+			t.Errorf("leader fails %v: a voter whose disk failed accepted a command", failLeader)
 		}
-		delete(p.failingDisks, bad)
-		p.kill(bad)
-		p.start(bad)
-		p.run(4 * second)
-		if !slices.Contains(p.voters[bad].state.SeenIDs, "c1") {
-			t.Errorf("leads %v: after its restart it lacks what was committed", leads)
+		delete(cluster.failingDisks, failing)
+		cluster.kill(failing)
+		cluster.start(failing)
+		cluster.run(4 * second)
+		if !slices.Contains(cluster.voters[failing].state.SeenIDs, "c1") {
+			t.Errorf("leader fails %v: the restarted voter lacks a committed command", failLeader)
 		}
 	}
 }
 
-// A message that no voter sends is ignored. One that contradicts the log ends the voter's part until a restart; the process, and the other
-// voters, go on.
+// A message that no voter would send is ignored. A message that contradicts the log stops the voter until a restart,
+// without crashing the process, and the other voters go on.
 func TestForgedMessages(t *testing.T) {
 	committed := func(v *Voter) (index, term uint64) {
 		index = v.Status().Commit
@@ -372,101 +375,101 @@
 		change func(v *Voter, m *pb.Message)
 		broken bool
 	}{
-		{"of the process itself", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgReadIndex.Enum() }, false},
-		{"of the caller", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgTransferLeader.Enum() }, false},
+		{"type used within a process only", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgReadIndex.Enum() }, false},
+		{"type used by the caller only", func(_ *Voter, m *pb.Message) { m.Type = pb.MsgTransferLeader.Enum() }, false},
 		{"a proposal with a term", func(_ *Voter, m *pb.Message) {
 			m.Type, m.Term, m.Entries = pb.MsgProp.Enum(), proto.Uint64(9), []*pb.Entry{entry(9, 9)}
 		}, false},
-		{"a proposal of nothing", func(_ *Voter, m *pb.Message) { m.Type, m.Term = pb.MsgProp.Enum(), nil }, false},
-		{"of the voter itself", func(_ *Voter, m *pb.Message) { m.Type, m.From = pb.MsgHeartbeat.Enum(), m.To }, false},
-		{"entries that undo a committed one", func(v *Voter, m *pb.Message) {
+		{"a proposal without entries", func(_ *Voter, m *pb.Message) { m.Type, m.Term = pb.MsgProp.Enum(), nil }, false},
+		{"from the voter itself", func(_ *Voter, m *pb.Message) { m.Type, m.From = pb.MsgHeartbeat.Enum(), m.To }, false},
+		{"entries that overwrite a committed one", func(v *Voter, m *pb.Message) {
 			index, term := committed(v)
 			m.Type, m.Index, m.LogTerm, m.Entries = pb.MsgApp.Enum(), proto.Uint64(index), proto.Uint64(term), []*pb.Entry{entry(index, term+9)}
 		}, true},
 	} {
-		p := newTestCluster(t, 3, 6)
-		p.run(3 * second)
-		p.propose("v0", testCommand(1))
-		p.run(second)
-		i := (slices.Index(p.names, p.leader()) + 1) % 3
-		name, v := p.names[i], p.voters[p.names[i]]
+		cluster := newTestCluster(t, 3, 6)
+		cluster.run(3 * second)
+		cluster.propose("v0", testCommand(1))
+		cluster.run(second)
+		i := (slices.Index(cluster.names, cluster.leader()) + 1) % 3
+		name, v := cluster.names[i], cluster.voters[cluster.names[i]]
 		m := &pb.Message{To: proto.Uint64(uint64(i + 1)), From: proto.Uint64(uint64((i+1)%3 + 1)), Term: proto.Uint64(99)}
 		c.change(v, m)
 		raw, err := proto.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		logged := len(p.logged)
-		p.handle(name, Received{From: p.names[m.GetFrom()-1], Data: raw})
-		if v.Status().Broken != c.broken || len(p.logged) != logged+1 {
-			t.Errorf("%s: broken %v, logged %v", c.name, v.Status().Broken, p.logged[logged:])
+		logged := len(cluster.logged)
+		cluster.handle(name, Received{From: cluster.names[m.GetFrom()-1], Data: raw})
+		if v.Status().Broken != c.broken || len(cluster.logged) != logged+1 {
+			t.Errorf("%s: broken %v, logged %v", c.name, v.Status().Broken, cluster.logged[logged:])
 		}
-		p.run(second)
-		p.propose(name, testCommand(2))
-		p.propose(p.names[(i+1)%3], testCommand(3))
-		p.run(4 * second)
-		if p.acks["c2"] == c.broken || p.failed["c2"] != c.broken || !p.acks["c3"] {
-			t.Errorf("%s: acknowledged %v, failed %v", c.name, p.acks, p.failed)
+		cluster.run(second)
+		cluster.propose(name, testCommand(2))
+		cluster.propose(cluster.names[(i+1)%3], testCommand(3))
+		cluster.run(4 * second)
+		if cluster.acknowledged["c2"] == c.broken || cluster.failed["c2"] != c.broken || !cluster.acknowledged["c3"] {
+			t.Errorf("%s: acknowledged %v, failed %v", c.name, cluster.acknowledged, cluster.failed)
 		}
 	}
 }
 
-// No message, whatever a claimed sender puts into it, panics or keeps a voter from returning.
+// No forged message makes a voter panic or hang.
 func TestRandomMessages(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 77))
-		p := newTestCluster(t, 3, seed)
-		p.run(3 * second)
-		p.propose("v0", testCommand(1))
-		p.run(second)
+		cluster := newTestCluster(t, 3, seed)
+		cluster.run(3 * second)
+		cluster.propose("v0", testCommand(1))
+		cluster.run(second)
 		to := rng.IntN(3)
-		small := func() *uint64 { return proto.Uint64(uint64(rng.IntN(10))) }
+		smallNumber := func() *uint64 { return proto.Uint64(uint64(rng.IntN(10))) }
 		for range 30 {
 			from := rng.IntN(3)
 			m := &pb.Message{Type: pb.MessageType(rng.IntN(len(pb.MessageType_name))).Enum(), To: proto.Uint64(uint64(to + 1)), From: proto.Uint64(uint64(from + 1)),
-				Term: small(), LogTerm: small(), Index: small(), Commit: small(), Reject: proto.Bool(rng.IntN(2) == 0), RejectHint: small()}
+				Term: smallNumber(), LogTerm: smallNumber(), Index: smallNumber(), Commit: smallNumber(), Reject: proto.Bool(rng.IntN(2) == 0), RejectHint: smallNumber()}
 			for range rng.IntN(3) {
-				m.Entries = append(m.Entries, &pb.Entry{Index: small(), Term: small(), Data: []byte("x")})
+				m.Entries = append(m.Entries, &pb.Entry{Index: smallNumber(), Term: smallNumber(), Data: []byte("x")})
 			}
 			if rng.IntN(4) == 0 {
-				m.Snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: small(), Term: small(), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}, Data: []byte("{}")}
+				m.Snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: smallNumber(), Term: smallNumber(), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}, Data: []byte("{}")}
 			}
 			raw, err := proto.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.handle(p.names[to], Received{From: p.names[from], Data: raw})
-			p.run(50 * ms)
+			cluster.handle(cluster.names[to], Received{From: cluster.names[from], Data: raw})
+			cluster.run(50 * ms)
 		}
 	}
 }
 
-// Long logs are compacted, and a voter that was down for long receives a snapshot.
+// Long logs are compacted, and a voter that was down during the compaction receives a snapshot.
 func TestSnapshots(t *testing.T) {
-	p := newTestCluster(t, 3, 4)
-	p.run(3 * second)
-	p.kill("v1")
+	cluster := newTestCluster(t, 3, 4)
+	cluster.run(3 * second)
+	cluster.kill("v1")
 	for i := range 2 * compactThreshold {
-		p.propose("v0", testCommand(i))
-		p.run(150 * ms)
+		cluster.propose("v0", testCommand(i))
+		cluster.run(150 * ms)
 	}
-	for n, d := range p.disks {
+	for n, d := range cluster.disks {
 		if len(d.state.Entries) > 2*compactThreshold {
-			t.Errorf("%s retains %d entries", n, len(d.state.Entries))
+			t.Errorf("%s has %d entries on disk", n, len(d.state.Entries))
 		}
 	}
-	p.start("v1")
-	p.run(6 * second)
-	if a, b := p.voters["v0"].state, p.voters["v1"].state; a.Index != b.Index || !reflect.DeepEqual(a.Directives, b.Directives) {
-		t.Errorf("at index %d and %d, %d and %d directives", a.Index, b.Index, len(a.Directives), len(b.Directives))
+	cluster.start("v1")
+	cluster.run(6 * second)
+	if a, b := cluster.voters["v0"].state, cluster.voters["v1"].state; a.Index != b.Index || !reflect.DeepEqual(a.Directives, b.Directives) {
+		t.Errorf("indexes %d and %d, %d and %d directives", a.Index, b.Index, len(a.Directives), len(b.Directives))
 	}
 }
 
 func TestState(t *testing.T) {
-	var b State
-	put := func(i uint64, c Command) error {
+	var state State
+	apply := func(i uint64, c Command) error {
 		raw := fmt.Sprintf(`{"id":%q,"op":%q,"kind":%q,"subject":%q,"value":%v}`, c.ID, c.Op, c.Kind, c.Subject, c.Value)
-		_, err := b.apply(i, []byte(raw))
+		_, err := state.applyEntry(i, []byte(raw))
 		return err
 	}
 	for i, c := range []struct {
@@ -474,32 +477,32 @@
 		err error
 	}{
 		{Command{"a", Set, Directive{Kind: DrainZone, Subject: "hall-a"}}, nil},
-		{Command{"a", Unset, Directive{Kind: DrainZone, Subject: "hall-a"}}, nil}, // comes twice: counts once
+		{Command{"a", Unset, Directive{Kind: DrainZone, Subject: "hall-a"}}, nil}, // repeated ID: applied once
 		{Command{"b", Set, Directive{Kind: SpilloverLimit, Value: 0.3}}, nil},
 		{Command{"c", Unset, Directive{Kind: DrainZone, Subject: "hall-b"}}, ErrNotFound},
 	} {
-		if err := put(uint64(i+2), c.Command); !errors.Is(err, c.err) {
+		if err := apply(uint64(i+2), c.Command); !errors.Is(err, c.err) {
 			t.Errorf("%+v: %v", c.Command, err)
 		}
 	}
-	if v, ok := b.Value(SpilloverLimit); !ok || v != 0.3 || !reflect.DeepEqual(b.Subjects(DrainZone), []string{"hall-a"}) || b.Index != 5 || len(b.History) != 3 {
-		t.Errorf("%+v", b)
+	if v, ok := state.Value(SpilloverLimit); !ok || v != 0.3 || !reflect.DeepEqual(state.Subjects(DrainZone), []string{"hall-a"}) || state.Index != 5 || len(state.History) != 3 {
+		t.Errorf("%+v", state)
 	}
 	for _, c := range []Command{{}, {ID: "x", Op: "do", Directive: Directive{Kind: SpilloverLimit}}, {ID: "x", Op: Set, Directive: Directive{Kind: "dance", Subject: "y"}},
 		{ID: "x", Op: Set, Directive: Directive{Kind: DrainZone}}, {ID: "x", Op: Set, Directive: Directive{Kind: SpilloverLimit, Value: 2}}} {
 		if c.Validate() == nil {
-			t.Errorf("%+v passes", c)
+			t.Errorf("%+v was accepted", c)
 		}
 	}
 	for i := range 2 * maxDirectives {
-		_ = put(uint64(i+10), testCommand(i))
+		_ = apply(uint64(i+10), testCommand(i))
 	}
 	for i := range 2 * maxDirectives {
 		c := testCommand(0)
 		c.ID, c.Subject = fmt.Sprint("m", i), fmt.Sprint("m", i)
-		_ = put(uint64(i+1000), c)
+		_ = apply(uint64(i+1000), c)
 	}
-	if len(b.Directives) > maxDirectives || len(b.History) > maxHistory || len(b.SeenIDs) > maxSeenIDs {
-		t.Errorf("%d held, %d in the history, %d seen", len(b.Directives), len(b.History), len(b.SeenIDs))
+	if len(state.Directives) > maxDirectives || len(state.History) > maxHistory || len(state.SeenIDs) > maxSeenIDs {
+		t.Errorf("%d directives, %d changes in the history, %d seen IDs", len(state.Directives), len(state.History), len(state.SeenIDs))
 	}
 }
--- a/internal/directives/events.go
+++ b/internal/directives/events.go
@@ -6,25 +6,25 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Event is something that happened: one of Tick, Received, Propose and Persisted.
+// Event is an input of a voter: one of Tick, Received, Propose and Persisted.
 type Event interface{ isEvent() }
 
-// Tick says that Settings.TickInterval has passed.
+// Tick reports that Settings.TickInterval has passed.
 type Tick struct{}
 
-// Received is a raft message of another voter.
+// Received is a raft message from another voter.
 type Received struct {
 	From string
 	Data []byte
 }
 
-// Propose asks for a command to be committed. A Reply with the same RequestID answers it.
+// Propose requests that a command be committed. A Reply with the same RequestID answers it.
 type Propose struct {
 	RequestID uint64
 	Command   Command
 }
 
-// Persisted answers the oldest Persist that is not answered yet.
+// Persisted reports the result of the oldest outstanding Persist.
 type Persisted struct{ OK bool }
 
 func (Tick) isEvent()      {}
@@ -32,10 +32,10 @@
 func (Propose) isEvent()   {}
 func (Persisted) isEvent() {}
 
-// Effect is something to do: one of Send, Persist, Applied, Reply and Log.
+// Effect is an output for the caller to carry out: one of Send, Persist, Applied, Reply and Log.
 type Effect interface{ isEffect() }
 
-// Channel separates the messages of raft from those that carry the state to followers.
+// Channel distinguishes raft messages from the messages that replicate the state to followers.
 type Channel int
 
 // Channels.
@@ -51,20 +51,20 @@
 	Data    []byte
 }
 
-// Persist writes a batch to the disk and syncs it. Persisted answers it.
+// Persist requests that a batch be written to disk and synced. Persisted reports the result.
 type Persist struct{ Batch Batch }
 
-// Applied says that the state has changed.
+// Applied reports that the state has changed, as of Index.
 type Applied struct{ Index uint64 }
 
-// Reply answers a Propose: the command is committed as of Index, or failed with Err.
+// Reply answers a Propose: the command is committed at Index, or failed with Err.
 type Reply struct {
 	RequestID uint64
 	Index     uint64
 	Err       error
 }
 
-// Log is a warning for the operators.
+// Log is a warning for operators.
 type Log struct{ Text string }
 
 func (Send) isEffect()    {}
@@ -73,22 +73,22 @@
 func (Reply) isEffect()   {}
 func (Log) isEffect()     {}
 
-// PersistedState is what a voter's disk held at its start.
+// PersistedState is the content of a voter's log on disk at startup.
 type PersistedState struct {
-	Initialized bool          // an operator made it a voter: without that it has lost its log, or is new
+	Initialized bool          // an operator initialized the log; false if the log is new or was lost
 	HardState   *pb.HardState // nil: none
 	Entries     []*pb.Entry
 	Snapshot    *pb.Snapshot // nil: none
 }
 
-// Batch is what is persisted at once.
+// Batch is a set of changes that is persisted in one step.
 type Batch struct {
 	HardState *pb.HardState // nil: unchanged
 	Entries   []*pb.Entry
-	Snapshot  *pb.Snapshot // replaces all that was persisted before; nil: none
+	Snapshot  *pb.Snapshot // replaces everything persisted before; nil: none
 }
 
-// Errors of proposals. Operators' commands print their texts.
+// Errors of proposals. The operators' commands print these texts.
 var (
 	ErrNoQuorum   = errors.New("directives: no quorum of voters answers: the command may or may not come to hold; ask for the list")
 	ErrBusy       = errors.New("directives: too many commands are on their way")
--- a/internal/directives/node.go
+++ b/internal/directives/node.go
@@ -9,8 +9,8 @@
 	"foxlane/rules"
 )
 
-// This file holds the state at every gateway. A gateway that does not vote follows what voters report as committed. Any gateway may
-// announce how far its state reaches; the state itself is accepted from voters only.
+// This file replicates the committed state from the voters to all other gateways, the followers. Any gateway announces
+// the index of its state, but followers accept the state itself from voters only.
 
 const (
 	announceInterval = rules.Second
@@ -19,22 +19,22 @@
 
 // Types of messages on ChannelState, by their first byte.
 const (
-	stateAnnouncement byte = iota + 1 // the sender's index, and whether it sees a quorum
-	stateRequest                      // asks for the state
-	stateTransfer                     // the state
+	stateAnnouncement byte = iota + 1 // the sender's index, and whether it is a voter that sees a quorum
+	stateRequest                      // a request for the state
+	stateTransfer                     // the state, in JSON
 )
 
-const announcementBytes = 1 + 8 + 1
+const announcementBytes = 1 + 8 + 1 // type, index, quorum flag
 
-// Node is a gateway's part in the replicated log, as a voter or a follower.
+// Node is a gateway in its role as a voter or a follower.
 type Node struct {
 	settings     Settings
-	voter        *Voter // nil: this gateway does not vote, or has not opened its log yet
-	state        State  // of a follower
+	voter        *Voter // nil: this gateway is a follower, or has not opened its log yet
+	state        State  // received as a follower
 	rng          *rand.Rand
 	lastAnnounce rules.Time
 	lastRequest  rules.Time
-	confirmedAt  rules.Time // when a voter that sees a quorum last had no newer state; 0: never
+	confirmedAt  rules.Time // when a voter with a quorum last had the same state; 0: never
 	lastTick     rules.Time
 	effects      []Effect
 }
@@ -47,7 +47,7 @@
 // IsVoter reports whether this gateway is one of the voters.
 func (n *Node) IsVoter() bool { return n.settings.voterID(n.settings.Self) != 0 }
 
-// StartVoter begins to vote with what the disk held.
+// StartVoter starts the voter from its persisted log.
 func (n *Node) StartVoter(now rules.Time, persisted PersistedState) error {
 	v, err := NewVoter(n.settings, persisted, now)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// State returns the directives that hold here. It is not to be changed.
+// State returns the current state of this gateway. The caller must not change it.
 func (n *Node) State() *State {
 	if n.voter != nil && n.voter.state.Index >= n.state.Index {
 		return &n.voter.state
@@ -65,7 +65,7 @@
 	return &n.state
 }
 
-// Status returns the status of a voter; ok is false for followers.
+// Status returns the status of the voter. It returns ok false on a gateway without a running voter.
 func (n *Node) Status() (s Status, ok bool) {
 	if n.voter == nil {
 		return s, false
@@ -73,12 +73,13 @@
 	return n.voter.Status(), true
 }
 
-// Staleness is how long ago a voter that sees a quorum confirmed the state; ok is false if none ever has.
+// Staleness returns the time since a voter that sees a quorum last confirmed the state. It returns ok false if none
+// ever has.
 func (n *Node) Staleness(now rules.Time) (age rules.Time, ok bool) {
 	return now - n.confirmedAt, n.confirmedAt != 0
 }
 
-// seesQuorum reports whether this gateway votes and knows a leader.
+// seesQuorum reports whether this gateway is a working voter that knows a leader.
 func (n *Node) seesQuorum() bool {
 	if n.voter == nil || n.voter.failure != nil {
 		return false
@@ -86,8 +87,8 @@
 	return n.voter.Status().Leader != ""
 }
 
-// Tick lets time pass. Members are the other gateways, one of which is sent an announcement now and then. The result is valid until the
-// next call.
+// Tick advances the time. Every announceInterval, a random one of members, the other gateways, gets an announcement.
+// The result is valid until the next call.
 func (n *Node) Tick(now rules.Time, members []string) []Effect {
 	n.effects = n.effects[:0]
 	if n.voter != nil && now-n.lastTick >= n.settings.TickInterval {
@@ -116,7 +117,8 @@
 	return append(msg, 0)
 }
 
-// Handle takes an event for the voter. The result is valid until the next call.
+// Handle passes an event to the voter; without one, a proposal fails with ErrDiskFailed. The result is valid until the
+// next call.
 func (n *Node) Handle(now rules.Time, e Event) []Effect {
 	n.effects = n.effects[:0]
 	if n.voter == nil {
@@ -129,7 +131,8 @@
 	return n.effects
 }
 
-// HandleStateMessage takes a message on ChannelState. One that can't be used is ignored. The result is valid until the next call.
+// HandleStateMessage handles a message on ChannelState; invalid messages are ignored. The result is valid until the
+// next call.
 func (n *Node) HandleStateMessage(now rules.Time, from string, data []byte) []Effect {
 	n.effects = n.effects[:0]
 	if len(data) == 0 {
@@ -152,7 +155,7 @@
 	case stateTransfer:
 		var s State
 		if !fromVoter || n.IsVoter() || json.Unmarshal(data[1:], &s) != nil || s.Index <= n.state.Index || len(s.Directives) > maxDirectives ||
-			!slices.IsSortedFunc(s.Directives, compare) {
+			!slices.IsSortedFunc(s.Directives, compareDirectives) {
 			return nil
 		}
 		n.state = s
@@ -161,8 +164,9 @@
 	return n.effects
 }
 
-// handleAnnouncement asks for a newer state, or announces the own one if the sender's is older. Anyone's announcement is answered, but
-// only a voter's confirms the state and only a voter is asked.
+// handleAnnouncement requests the state if the sender's is newer, and announces the local one if the sender's is older.
+// It answers any gateway, but requests the state from voters only, and only a voter's announcement confirms the local
+// state.
 func (n *Node) handleAnnouncement(now rules.Time, from string, fromVoter bool, index uint64, quorum bool) {
 	switch own := n.State().Index; {
 	case index > own && !n.IsVoter() && now-n.lastRequest >= requestInterval:
--- a/internal/directives/state.go
+++ b/internal/directives/state.go
@@ -14,34 +14,35 @@
 	maxSeenIDs    = 64
 )
 
-// Errors of commands that are valid and can't be applied. Their texts are part of the history that gateways show.
+// Errors of valid commands that can't be applied. Their texts are stored in the history, which gateways show.
 var (
 	ErrTooMany  = errors.New("directives: the book is full")
 	ErrNotFound = errors.New("directives: there is no such directive")
 )
 
-// Change is a command that was applied.
+// Change is an entry of the history: a command from the log, and its error if it could not be applied.
 type Change struct {
 	Index uint64 `json:"index"`
 	Command
 	Failed string `json:"failed,omitempty"`
 }
 
-// State is the directives as of an index of the log. States of one index are the same at every gateway.
+// State is the set of directives at an index of the log. All gateways have the same state for the same index.
 type State struct {
 	Index      uint64      `json:"index"`
 	Directives []Directive `json:"held,omitempty"` // sorted by kind and subject
 	History    []Change    `json:"history,omitempty"`
-	SeenIDs    []string    `json:"seen,omitempty"` // of the latest commands
+	SeenIDs    []string    `json:"seen,omitempty"` // IDs of the latest commands, for deduplication
 }
 
-func compare(a, b Directive) int {
+// compareDirectives orders directives by kind and subject.
+func compareDirectives(a, b Directive) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 }
 
-// apply applies the log entry of an index. A command that fails is in the history with its cause. An entry without data is the first of
-// a new leader.
-func (s *State) apply(index uint64, data []byte) (c Command, err error) {
+// applyEntry applies the log entry at an index. A command that fails is recorded in the history with its error. An
+// entry without data is the one that raft appends when a new leader is elected.
+func (s *State) applyEntry(index uint64, data []byte) (c Command, err error) {
 	s.Index = index
 	if len(data) == 0 {
 		return c, nil
@@ -54,7 +55,7 @@
 	}
 	s.SeenIDs = append(s.SeenIDs, c.ID)
 	s.SeenIDs = s.SeenIDs[max(0, len(s.SeenIDs)-maxSeenIDs):]
-	err = s.change(c)
+	err = s.applyCommand(c)
 	change := Change{Index: index, Command: c}
 	if err != nil {
 		change.Failed = err.Error()
@@ -64,11 +65,12 @@
 	return c, err
 }
 
-func (s *State) change(c Command) error {
+// applyCommand adds, replaces or removes a directive.
+func (s *State) applyCommand(c Command) error {
 	if err := c.Validate(); err != nil {
 		return err
 	}
-	i, found := slices.BinarySearchFunc(s.Directives, c.Directive, compare)
+	i, found := slices.BinarySearchFunc(s.Directives, c.Directive, compareDirectives)
 	switch {
 	case c.Op == Unset && !found:
 		return ErrNotFound
@@ -94,7 +96,7 @@
 	return subjects
 }
 
-// Value returns the value of a kind that has no subjects; ok is false if there is no such directive.
+// Value returns the value of a kind that has no subjects. It returns ok false if there is no such directive.
 func (s *State) Value(k Kind) (v float64, ok bool) {
 	for _, d := range s.Directives {
 		if d.Kind == k {
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -15,11 +15,11 @@
 	"foxlane/rules"
 )
 
-// This file drives raft as a state machine: events in, effects out, one batch at a time.
+// This file runs raft as a state machine: it handles one event at a time and returns the effects.
 
-// Settings name the voters.
+// Settings identifies this gateway and the voters.
 type Settings struct {
-	Self         string
+	Self         string   // name of this gateway
 	Voters       []string // the same list at every gateway
 	TickInterval rules.Time
 }
@@ -31,30 +31,30 @@
 	maxInFlight        = 16
 	compactThreshold   = 128 // entries in the log
 	proposalTimeout    = 4 * rules.Second
-	listenTicks        = 10 * electionTicks // for which a voter that lost its log follows a leader before it votes
+	listenTicks        = 10 * electionTicks // how long a voter that lost its log follows a leader before it votes
 	maxPendingRequests = 16
 )
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error for the first invalid setting.
 func (s Settings) Validate() error {
 	switch {
 	case len(s.Voters) != 1 && len(s.Voters) != 3 && len(s.Voters) != 5:
-		return fmt.Errorf("directives: %d voters; 1, 3 or 5 are possible", len(s.Voters))
+		return fmt.Errorf("directives: %d voters; there must be 1, 3 or 5", len(s.Voters))
 	case s.TickInterval <= 0:
-		return errors.New("directives: tick must be over 0")
+		return errors.New("directives: tick must be positive")
 	}
 	for i, v := range s.Voters {
 		if v == "" || slices.Contains(s.Voters[:i], v) {
-			return fmt.Errorf("directives: voter %q has no name of its own", v)
+			return fmt.Errorf("directives: voter name %q is empty or used twice", v)
 		}
 	}
 	return nil
 }
 
-// voterID is raft's number of a voter; 0: it is none.
+// voterID returns the raft ID of a voter, or 0 if name is not a voter.
 func (s Settings) voterID(name string) uint64 { return uint64(slices.Index(s.Voters, name) + 1) }
 
-// Voter is one of the voters.
+// Voter is a member of the raft group.
 type Voter struct {
 	settings         Settings
 	raftNode         *raft.RawNode
@@ -63,29 +63,30 @@
 	state            State
 	now              rules.Time
 	pendingReady     *raft.Ready // being persisted; nil: none
-	inFlightPersists []bool      // in order: whether each is pendingReady, or else a snapshot of compact
+	inFlightPersists []bool      // outstanding Persists, oldest first: true for pendingReady, false for a snapshot of compact
 	pendingRequests  []pendingRequest
-	listenTicksLeft  int    // ticks for which the voter still listens only; 0: it votes
-	highestTerm      uint64 // heard of while it listens
-	lastUnsafeTerm   uint64 // the voter may have voted in terms up to this one, and votes in later ones only
-	failure          error  // ErrDiskFailed or ErrLogInvalid: the voter does nothing until a restart; nil: none
+	listenTicksLeft  int    // ticks with a leader until the voter votes again; 0: it votes
+	highestTermSeen  uint64 // highest term in messages received while the voter listens
+	maxVotedTerm     uint64 // terms up to this one may have the voter's vote from before it lost its log; it votes in later ones only
+	failure          error  // ErrDiskFailed or ErrLogInvalid: the voter is stopped until a restart; nil: it runs
 	effects          []Effect
 }
 
-// pendingRequest is a Propose that is not answered yet.
+// pendingRequest is an unanswered Propose.
 type pendingRequest struct {
 	requestID uint64
 	commandID string
 	deadline  rules.Time
 }
 
-// Each log begins at the same index and term, so that voters that start at different times agree on the first snapshot.
+// Index and term at which every log starts. They are fixed so that voters that start at different times agree on the
+// first snapshot.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// NewVoter returns a voter with what its disk held.
+// NewVoter returns a voter that continues from its persisted log.
 func NewVoter(settings Settings, persisted PersistedState, now rules.Time) (*Voter, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -95,24 +96,24 @@
 		v.confState.Voters = append(v.confState.Voters, uint64(i+1))
 	}
 	if settings.voterID(settings.Self) == 0 {
-		return nil, fmt.Errorf("directives: %q is none of the voters", settings.Self)
+		return nil, fmt.Errorf("directives: %q is not a voter", settings.Self)
 	}
 	snapshotIndex, err := v.restore(persisted)
 	if err != nil {
 		return nil, err
 	}
-	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+	discardLogger := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 	v.raftNode, err = raft.NewRawNode(&raft.Config{ID: settings.voterID(settings.Self), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
 		Storage: v.storage, Applied: snapshotIndex, MaxSizePerMsg: maxMessageBytes / 4, MaxInflightMsgs: maxInFlight, CheckQuorum: true, PreVote: true,
-		MaxUncommittedEntriesSize: maxMessageBytes, Logger: quiet})
+		MaxUncommittedEntriesSize: maxMessageBytes, Logger: discardLogger})
 	if err != nil {
-		return nil, fmt.Errorf("directives: raft: %w", err)
+		return nil, fmt.Errorf("directives: start raft: %w", err)
 	}
 	return v, nil
 }
 
-// restore fills the storage and the state with what the disk held, and returns the index of its snapshot. A log that lacks entries that
-// were committed counts as lost: the voter listens before it votes.
+// restore loads the persisted log into the storage and the state, and returns the index of its snapshot. A log without
+// all its committed entries counts as lost: the voter listens before it votes.
 func (v *Voter) restore(persisted PersistedState) (snapshotIndex uint64, err error) {
 	snapshot := persisted.Snapshot
 	if snapshot == nil {
@@ -124,32 +125,32 @@
 	}
 	snapshotIndex = snapshot.GetMetadata().GetIndex()
 	if err := json.Unmarshal(snapshot.GetData(), &v.state); err != nil {
-		return 0, fmt.Errorf("directives: the snapshot of index %d can't be read: %w", snapshotIndex, err)
+		return 0, fmt.Errorf("directives: decode the snapshot at index %d: %w", snapshotIndex, err)
 	}
 	if err := v.storage.ApplySnapshot(snapshot); err != nil {
-		return 0, fmt.Errorf("directives: the snapshot of index %d: %w", snapshotIndex, err)
+		return 0, fmt.Errorf("directives: restore the snapshot at index %d: %w", snapshotIndex, err)
 	}
-	hard := persisted.HardState
-	if hard == nil {
-		hard = &pb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(snapshotIndex)}
+	hardState := persisted.HardState
+	if hardState == nil {
+		hardState = &pb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(snapshotIndex)}
 	}
 	if err := v.storage.Append(persisted.Entries); err != nil {
-		return 0, fmt.Errorf("directives: the %d entries of the log: %w", len(persisted.Entries), err)
+		return 0, fmt.Errorf("directives: restore the %d entries of the log: %w", len(persisted.Entries), err)
 	}
 	last, err := v.storage.LastIndex()
 	if err != nil {
-		return 0, fmt.Errorf("directives: the last index of the log: %w", err)
+		return 0, fmt.Errorf("directives: look up the last index of the log: %w", err)
 	}
 	initialized := persisted.Initialized
-	if hard.GetCommit() > last {
+	if hardState.GetCommit() > last {
 		initialized = false
-		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(last)}
+		hardState = &pb.HardState{Term: hardState.Term, Vote: hardState.Vote, Commit: proto.Uint64(last)}
 	}
-	if hard.GetCommit() < snapshotIndex {
-		hard = &pb.HardState{Term: hard.Term, Vote: hard.Vote, Commit: proto.Uint64(snapshotIndex)}
+	if hardState.GetCommit() < snapshotIndex {
+		hardState = &pb.HardState{Term: hardState.Term, Vote: hardState.Vote, Commit: proto.Uint64(snapshotIndex)}
 	}
-	if err := v.storage.SetHardState(hard); err != nil {
-		return 0, fmt.Errorf("directives: the state of term %d: %w", hard.GetTerm(), err)
+	if err := v.storage.SetHardState(hardState); err != nil {
+		return 0, fmt.Errorf("directives: restore the hard state of term %d: %w", hardState.GetTerm(), err)
 	}
 	if !initialized {
 		v.listenTicksLeft = listenTicks
@@ -157,23 +158,23 @@
 	return snapshotIndex, nil
 }
 
-// State returns the directives that hold here. It is not to be changed.
+// State returns the committed state of this voter. The caller must not change it.
 func (v *Voter) State() *State { return &v.state }
 
-// Status is what operators see of a voter. The names of its fields are keys of the JSON that gateways answer.
+// Status describes a voter to operators. Its field names are keys of the JSON in gateways' answers.
 type Status struct {
-	Leader  string // empty: none is known
+	Leader  string // empty: unknown
 	Term    uint64
 	Commit  uint64
-	Listens bool // it has lost its log and does not vote yet
+	Listens bool // it lost its log and does not vote yet
 	Broken  bool // its disk failed, or its log is invalid
 }
 
 // Status returns the voter's status.
 func (v *Voter) Status() Status {
-	b := v.raftNode.BasicStatus()
-	s := Status{Term: b.GetTerm(), Commit: b.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.failure != nil}
-	if leader := int(b.Lead); leader >= 1 && leader <= len(v.settings.Voters) {
+	basicStatus := v.raftNode.BasicStatus()
+	s := Status{Term: basicStatus.GetTerm(), Commit: basicStatus.GetCommit(), Listens: v.listenTicksLeft > 0, Broken: v.failure != nil}
+	if leader := int(basicStatus.Lead); leader >= 1 && leader <= len(v.settings.Voters) {
 		s.Leader = v.settings.Voters[leader-1]
 	}
 	return s
@@ -181,7 +182,7 @@
 
 func (v *Voter) emit(e Effect) { v.effects = append(v.effects, e) }
 
-// fail ends the voter's part until a restart.
+// fail stops the voter until a restart, logs text, and fails all pending requests.
 func (v *Voter) fail(failure error, text string) {
 	v.failure = failure
 	v.emit(Log{text})
@@ -191,7 +192,7 @@
 	v.pendingRequests = nil
 }
 
-// Handle takes one event and returns what to do. The result is valid until the next call.
+// Handle handles one event and returns its effects. The result is valid until the next call.
 func (v *Voter) Handle(now rules.Time, e Event) []Effect {
 	v.effects = v.effects[:0]
 	v.now = max(v.now, now)
@@ -202,14 +203,15 @@
 		return v.effects
 	}
 	if err := v.step(e); err != nil {
-		v.effects = v.effects[:0] // nothing may be sent that rests on this log
+		v.effects = v.effects[:0] // no message may depend on this log any more
 		v.fail(ErrLogInvalid, fmt.Sprintf("%v: %v", ErrLogInvalid, err))
 	}
 	return v.effects
 }
 
-// step hands an event to raft. Raft panics where a message contradicts its log, as where it would undo a committed entry. Senders are not
-// authenticated, so such a message must not end the process: step returns what raft says of it.
+// step passes an event to raft. Raft panics on a message that contradicts its log, such as one that overwrites a
+// committed entry. Senders are not authenticated, so such a message must not crash the process: step returns the panic
+// as an error.
 func (v *Voter) step(e Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -234,22 +236,22 @@
 		v.raftNode.TickQuiesced()
 		if v.Status().Leader != "" {
 			if v.listenTicksLeft--; v.listenTicksLeft == 0 {
-				v.lastUnsafeTerm = v.highestTerm
+				v.maxVotedTerm = v.highestTermSeen
 				v.emit(Log{"directives: has listened long enough, votes again"})
 			}
 		}
 	} else {
 		v.raftNode.Tick()
 	}
-	waiting := v.pendingRequests[:0]
+	remaining := v.pendingRequests[:0]
 	for _, p := range v.pendingRequests {
 		if v.now < p.deadline {
-			waiting = append(waiting, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		v.emit(Reply{RequestID: p.requestID, Err: ErrNoQuorum})
 	}
-	v.pendingRequests = waiting
+	v.pendingRequests = remaining
 }
 
 func (v *Voter) propose(p Propose) {
@@ -274,11 +276,12 @@
 	v.pendingRequests = append(v.pendingRequests, pendingRequest{p.RequestID, p.Command.ID, v.now + proposalTimeout})
 }
 
-// lostLogPrefix begins the message of a voter that has lost entries which it had acknowledged; its name follows. The leader would send
-// only what follows those entries, so it hands over to another voter, which asks anew how far the log of each reaches.
+// lostLogPrefix and the sender's name make up the message of a voter that lost entries it had acknowledged. The leader
+// would send it only the entries after those, so it transfers leadership to another voter, which determines anew how
+// far each voter's log reaches.
 const lostLogPrefix = "forgotten "
 
-// receive takes a message of another voter.
+// receive handles a message from another voter.
 func (v *Voter) receive(from string, data []byte) {
 	if string(data) == lostLogPrefix+from {
 		v.transferLeadership(from)
@@ -292,38 +295,40 @@
 		return
 	}
 	if v.listenTicksLeft > 0 {
-		v.highestTerm = max(v.highestTerm, m.GetTerm())
+		v.highestTermSeen = max(v.highestTermSeen, m.GetTerm())
 	}
 	asksForVote := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
-	if asksForVote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.lastUnsafeTerm) { // it may have voted in that term, and does not know
+	// A voter that lost its log may have voted in this term already.
+	if asksForVote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.maxVotedTerm) {
 		return
 	}
 	last, err := v.storage.LastIndex()
 	if err == nil && m.GetType() == pb.MsgHeartbeat && m.GetCommit() > last && v.pendingReady == nil {
-		// The leader has acknowledgements for entries that are not in the log: the disk is an old copy of itself.
+		// The leader has acknowledgements from this voter for entries that its log lacks: the disk was reset to an
+		// older state.
 		if v.listenTicksLeft == 0 {
 			v.emit(Log{"directives: this voter has forgotten what it had kept; it listens before it votes again"})
 		}
-		v.listenTicksLeft, v.highestTerm = listenTicks, max(v.highestTerm, m.GetTerm())
+		v.listenTicksLeft, v.highestTermSeen = listenTicks, max(v.highestTermSeen, m.GetTerm())
 		v.emit(Send{To: from, Channel: ChannelRaft, Data: []byte(lostLogPrefix + v.settings.Self)})
 		return
 	}
-	_ = v.raftNode.Step(m) // raft recovers from a message that it does not accept as from one that is lost
+	_ = v.raftNode.Step(m) // raft recovers from a rejected message as it does from a lost one
 }
 
-// isPeerMessage reports whether voters send one another messages of this kind. Raft takes others from its own process only, and panics at
-// some of them.
+// isPeerMessage reports whether voters send each other messages of this type. All other types are internal to a raft
+// process, and raft panics on some of them.
 func isPeerMessage(m *pb.Message) bool {
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgAppResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgSnap, pb.MsgTimeoutNow:
 		return true
-	case pb.MsgProp: // which a follower forwards to its leader
+	case pb.MsgProp: // forwarded by a follower to its leader
 		return m.GetTerm() == 0 && len(m.GetEntries()) > 0
 	}
 	return false
 }
 
-// transferLeadership hands over to a voter other than the given one, if this voter leads.
+// transferLeadership transfers leadership to a voter other than except, if this voter is the leader.
 func (v *Voter) transferLeadership(except string) {
 	if v.Status().Leader != v.settings.Self {
 		return
@@ -336,14 +341,15 @@
 	}
 }
 
-// maxBatches bounds the batches of one event that need no disk. A log whose committed entries can't be read offers the same batch for ever.
+// maxBatches bounds the batches of one event that need no disk write: if committed entries can't be read from the log,
+// raft returns the same batch forever.
 const maxBatches = 1000
 
-// collectReady takes the next batch out of raft, unless one is being persisted.
+// collectReady takes batches from raft until one has to be persisted; it takes none while one is being persisted.
 func (v *Voter) collectReady() error {
-	for n := 0; v.pendingReady == nil && v.failure == nil && v.raftNode.HasReady(); n++ {
-		if n == maxBatches {
-			return fmt.Errorf("raft: %d batches without progress", n)
+	for batches := 0; v.pendingReady == nil && v.failure == nil && v.raftNode.HasReady(); batches++ {
+		if batches == maxBatches {
+			return fmt.Errorf("raft: %d batches without progress", batches)
 		}
 		ready := v.raftNode.Ready()
 		v.pendingReady = &ready
@@ -361,8 +367,8 @@
 	return nil
 }
 
-// handlePersisted goes on with a batch that is persisted. If the disk failed, the voter sends nothing any more: what it would send may
-// rest on what is not persisted.
+// handlePersisted continues with a batch that has been persisted. If the disk failed, the voter stops sending, because
+// its messages could depend on state that is not persisted.
 func (v *Voter) handlePersisted(ok bool) {
 	if len(v.inFlightPersists) == 0 {
 		return
@@ -378,7 +384,7 @@
 	}
 }
 
-// applyReady sends and applies what the persisted batch allows.
+// applyReady sends the messages and applies the committed entries of the persisted batch.
 func (v *Voter) applyReady() {
 	ready := *v.pendingReady
 	v.pendingReady = nil
@@ -400,7 +406,7 @@
 			if raw, err := proto.Marshal(m); err == nil {
 				v.emit(Send{To: v.settings.Voters[to-1], Channel: ChannelRaft, Data: raw})
 			}
-			if m.GetType() == pb.MsgSnap { // whether it arrives is not known: raft sends it again if it is asked to
+			if m.GetType() == pb.MsgSnap { // its arrival is not tracked: raft sends it again if the receiver rejects later entries
 				v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
@@ -410,14 +416,14 @@
 	v.compact()
 }
 
-// applyCommitted applies entries to the state and answers the requests that they came from.
+// applyCommitted applies entries to the state and answers the requests that proposed them.
 func (v *Voter) applyCommitted(entries []*pb.Entry) {
 	changed := false
 	for _, e := range entries {
 		if e.GetIndex() <= v.state.Index {
 			continue
 		}
-		c, err := v.state.apply(e.GetIndex(), e.GetData())
+		c, err := v.state.applyEntry(e.GetIndex(), e.GetData())
 		changed = true
 		v.pendingRequests = slices.DeleteFunc(v.pendingRequests, func(p pendingRequest) bool {
 			if p.commandID == c.ID && c.ID != "" {
@@ -432,7 +438,7 @@
 	}
 }
 
-// compact replaces a long log by a snapshot.
+// compact replaces the log with a snapshot once it has compactThreshold entries.
 func (v *Voter) compact() {
 	first, err := v.storage.FirstIndex()
 	if err != nil || v.state.Index < first+compactThreshold {
@@ -448,10 +454,10 @@
 		return
 	}
 	if err := v.storage.Compact(state.Index); err == nil {
-		hard, _, _ := v.storage.InitialState()
+		hardState, _, _ := v.storage.InitialState()
 		last, _ := v.storage.LastIndex()
 		entries, _ := v.storage.Entries(state.Index+1, last+1, ^uint64(0))
 		v.inFlightPersists = append(v.inFlightPersists, false)
-		v.emit(Persist{Batch{HardState: hard, Entries: entries, Snapshot: snapshot}})
+		v.emit(Persist{Batch{HardState: hardState, Entries: entries, Snapshot: snapshot}})
 	}
 }
--- a/internal/directives/wal/record.go
+++ b/internal/directives/wal/record.go
@@ -12,8 +12,8 @@
 	"foxlane/internal/directives"
 )
 
-// This file encodes and decodes the log: magic, then records of (type, length of the data, CRC-32C of both and the data, data), integers
-// in little endian.
+// This file encodes and decodes the log: the magic string, then records. A record is a type byte, the length of the
+// data, a CRC-32C over type, length and data, and the data. Integers are little-endian.
 
 const (
 	magic          = "foxlane directives 1\n"
@@ -22,24 +22,24 @@
 )
 
 const (
-	recordInitialized byte = iota + 1 // an operator made this a voter's log
+	recordInitialized byte = iota + 1 // an operator initialized this voter's log
 	recordHardState
-	recordEntry    // replaces the entry of its index and all that follow it
-	recordSnapshot // replaces all entries before it
+	recordEntry    // replaces the entry at its index and all later ones
+	recordSnapshot // replaces all preceding entries
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of a log's content.
+// Errors of Decode.
 var (
-	ErrCorrupt = errors.New("wal: the log is damaged before its end")
+	ErrCorrupt = errors.New("wal: the log is corrupt before its end")
 	ErrNotLog  = errors.New("wal: not a voter's log")
 )
 
-// CorruptError says where a log is damaged. It matches ErrCorrupt.
+// CorruptError reports where a log is corrupt. It matches ErrCorrupt.
 type CorruptError struct {
-	Offset int   // of the first record that can't be read
-	Err    error // nil: its checksum or length is wrong
+	Offset int   // of the first invalid record
+	Err    error // nil: the checksum or length is wrong
 }
 
 // Error implements error.
@@ -66,14 +66,14 @@
 	return append(b, data...)
 }
 
-// newLog is the content of the log of a voter that an operator has made, with the given records.
+// newLog returns the content of an initialized voter's log with the given records.
 func newLog(records []byte) []byte {
 	return append(append([]byte(magic), encodeRecord(recordInitialized, nil)...), records...)
 }
 
-// encodeBatch encodes a batch as records, in the order in which Decode must read them.
+// encodeBatch encodes a batch as records, in the order in which Decode must apply them.
 func encodeBatch(b directives.Batch) (records []byte, err error) {
-	add := func(kind byte, m proto.Message) error {
+	appendRecord := func(kind byte, m proto.Message) error {
 		raw, err := proto.Marshal(m)
 		if err != nil {
 			return fmt.Errorf("wal: encode a record of type %d: %w", kind, err)
@@ -82,58 +82,59 @@
 		return nil
 	}
 	if b.Snapshot != nil {
-		if err := add(recordSnapshot, b.Snapshot); err != nil {
+		if err := appendRecord(recordSnapshot, b.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	for _, e := range b.Entries {
-		if err := add(recordEntry, e); err != nil {
+		if err := appendRecord(recordEntry, e); err != nil {
 			return nil, err
 		}
 	}
 	if b.HardState != nil {
-		if err := add(recordHardState, b.HardState); err != nil {
+		if err := appendRecord(recordHardState, b.HardState); err != nil {
 			return nil, err
 		}
 	}
 	return records, nil
 }
 
-// Decode decodes the content of a log and returns where its last complete record ends. An incomplete record at the end is ignored: nothing
-// was sent that rests on it. An incomplete record that others follow is damage.
+// Decode decodes the content of a log and returns the offset at which its last complete record ends. An incomplete
+// record at the end is ignored, because no message that depends on it was sent. If complete records follow an invalid
+// one, the error is a CorruptError.
 func Decode(raw []byte) (state directives.PersistedState, end int, err error) {
 	if len(raw) < len(magic) || string(raw[:len(magic)]) != magic {
 		return state, 0, ErrNotLog
 	}
-	at := len(magic)
-	for at < len(raw) {
-		kind, data, size := nextRecord(raw[at:])
+	offset := len(magic)
+	for offset < len(raw) {
+		kind, data, size := readRecord(raw[offset:])
 		if size == 0 {
-			if recordFollows(raw[at+1:]) {
-				return state, at, &CorruptError{Offset: at}
+			if recordFollows(raw[offset+1:]) {
+				return state, offset, &CorruptError{Offset: offset}
 			}
-			return state, at, nil
+			return state, offset, nil
 		}
 		if err := decodeRecord(&state, kind, data); err != nil {
-			return state, at, &CorruptError{Offset: at, Err: err}
+			return state, offset, &CorruptError{Offset: offset, Err: err}
 		}
-		at += size
+		offset += size
 	}
-	return state, at, nil
+	return state, offset, nil
 }
 
 // recordFollows reports whether a complete record with data begins at any byte.
 func recordFollows(raw []byte) bool {
-	for from := range raw {
-		if kind, _, size := nextRecord(raw[from:]); size > headerSize && kind >= recordInitialized && kind <= recordSnapshot {
+	for start := range raw {
+		if kind, _, size := readRecord(raw[start:]); size > headerSize && kind >= recordInitialized && kind <= recordSnapshot {
 			return true
 		}
 	}
 	return false
 }
 
-// nextRecord returns the record at the beginning of raw; size is 0 if it is not complete.
-func nextRecord(raw []byte) (kind byte, data []byte, size int) {
+// readRecord returns the record at the beginning of raw; size is 0 if it is not complete.
+func readRecord(raw []byte) (kind byte, data []byte, size int) {
 	if len(raw) < headerSize {
 		return 0, nil, 0
 	}
--- a/internal/directives/wal/wal.go
+++ b/internal/directives/wal/wal.go
@@ -1,6 +1,6 @@
-// Package wal keeps a voter's log on a disk: records that are appended and synced before anything is sent that rests on them. A snapshot
-// starts a new file, which replaces the old one once it is complete. The package does not decide what is persisted; Persist does not return
-// before the batch is on the disk.
+// Package wal stores a voter's log on disk as a file of appended records. Persist returns only after its batch is
+// synced, so that the voter never sends a message that depends on unsynced state. A snapshot starts a new file, which
+// replaces the old one once it is complete.
 package wal
 
 import (
@@ -22,19 +22,20 @@
 
 // Errors of a voter's directory.
 var (
-	ErrLocked = errors.New("wal: another process uses the folder")
-	ErrExists = errors.New("wal: there is a voter's log in the folder already")
+	ErrLocked = errors.New("wal: the directory is locked by another process")
+	ErrExists = errors.New("wal: the directory already has a voter's log")
 )
 
-// Log is an open log.
+// Log is an open log file in a locked directory.
 type Log struct {
 	dir         string
 	file        *os.File // positioned at its end; nil after an Open that failed
 	lock        *os.File
-	syncedBytes int64
+	syncedBytes int64 // length of the file up to the last successful Persist
 }
 
-// Init writes the log of a new voter to a directory: a voter without one listens before it votes.
+// Init writes the log of a new voter to a directory. A voter that starts without such a log listens before it votes.
+// Init returns ErrExists if the directory already has a log.
 func Init(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("wal: %w", err)
@@ -46,7 +47,8 @@
 	return replaceFile(dir, newLog(nil))
 }
 
-// replaceFile writes a complete log and renames it into place: the directory holds the old log or the new one, never a part of it.
+// replaceFile writes a complete log and renames it into place, so that the directory has either the old log or the
+// complete new one.
 func replaceFile(dir string, data []byte) error {
 	temp := filepath.Join(dir, tempName)
 	f, err := os.OpenFile(temp, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
@@ -76,15 +78,17 @@
 	if err != nil {
 		return err
 	}
-	defer discardClose(d)
+	defer closeIgnoringError(d)
 	return d.Sync()
 }
 
-// discardClose closes a file whose content is synced already, or is given up: an error of Close says nothing about it.
-func discardClose(f *os.File) { _ = f.Close() }
+// closeIgnoringError closes a file whose content is already synced or no longer needed, so an error of Close has no
+// consequence.
+func closeIgnoringError(f *os.File) { _ = f.Close() }
 
-// Open reads a directory's log and locks the directory. An incomplete record at the end is cut off: nothing was sent that rests on it.
-// The log of a directory without one is that of a voter that has lost its log, or was never made one.
+// Open locks a directory and reads its log. An incomplete record at the end is truncated: no message that depends on it
+// was sent. In a directory without a log, Open creates one that is not initialized, as for a voter that lost its log or
+// was never initialized. Open returns ErrLocked if another process has locked the directory.
 func Open(dir string) (l *Log, state directives.PersistedState, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, state, fmt.Errorf("wal: %w", err)
@@ -106,7 +110,7 @@
 
 func (l *Log) path() string { return filepath.Join(l.dir, fileName) }
 
-// open reads the file, or creates it, and positions it behind the last complete record.
+// open reads the file, or creates it, and positions it after the last complete record.
 func (l *Log) open() (state directives.PersistedState, err error) {
 	raw, err := os.ReadFile(l.path())
 	if errors.Is(err, os.ErrNotExist) {
@@ -132,9 +136,9 @@
 	return state, err
 }
 
-// Repair makes the log usable after Persist has failed: what was written since the last Persist that succeeded is cut off, so that the
-// batch can be persisted again as a whole. A sync that failed may have left its bytes in memory only, marked as written: they are
-// written again.
+// Repair makes the log usable after a failed Persist: it truncates the file to the last successful Persist, so that the
+// whole batch can be persisted again. The batch has to be written again because a failed sync may leave pages in memory
+// that are marked clean but are not on the disk.
 func (l *Log) Repair() error {
 	f, err := os.OpenFile(l.path(), os.O_RDWR, 0o600)
 	if err != nil {
@@ -146,37 +150,38 @@
 		}
 	}
 	if err != nil {
-		discardClose(f)
+		closeIgnoringError(f)
 		return fmt.Errorf("wal: %w", err)
 	}
 	if l.file != nil {
-		discardClose(l.file)
+		closeIgnoringError(l.file)
 	}
 	l.file = f
 	return nil
 }
 
-// adoptReplacement notices that a snapshot's file has replaced the old one though Persist failed behind that: it was synced before, so all of
-// it is on the disk.
+// adoptReplacement detects that a snapshot's file replaced the old one before Persist failed. The new file was synced
+// before the rename, so its whole length counts as synced.
 func (l *Log) adoptReplacement(f *os.File) error {
-	now, err := f.Stat()
+	current, err := f.Stat()
 	if err != nil || l.file == nil {
 		return err
 	}
-	before, err := l.file.Stat()
-	if err == nil && !os.SameFile(before, now) {
-		l.syncedBytes = now.Size()
+	previous, err := l.file.Stat()
+	if err == nil && !os.SameFile(previous, current) {
+		l.syncedBytes = current.Size()
 	}
 	return err
 }
 
-// Persist writes a batch and syncs it. After an error the content of the disk is unknown: Repair comes before the next call.
+// Persist writes a batch and syncs it. After an error the content of the disk is unknown, and the caller must call
+// Repair before the next Persist.
 func (l *Log) Persist(b directives.Batch) error {
 	records, err := encodeBatch(b)
 	if err != nil {
 		return err
 	}
-	if b.Snapshot != nil && b.HardState != nil { // the batch is complete: it needs nothing of the old file
+	if b.Snapshot != nil && b.HardState != nil { // the batch is self-contained: nothing of the old file is needed
 		return l.replace(newLog(records))
 	}
 	if _, err := l.file.Write(records); err != nil {
@@ -189,7 +194,7 @@
 	return nil
 }
 
-// replace goes over to a new file with the given content.
+// replace writes a new file with the given content and continues with it.
 func (l *Log) replace(data []byte) error {
 	if err := replaceFile(l.dir, data); err != nil {
 		return err
@@ -198,7 +203,7 @@
 	if err != nil {
 		return fmt.Errorf("wal: %w", err)
 	}
-	discardClose(l.file)
+	closeIgnoringError(l.file)
 	l.file = f
 	if l.syncedBytes, err = f.Seek(0, io.SeekEnd); err != nil {
 		return fmt.Errorf("wal: %w", err)
@@ -206,12 +211,12 @@
 	return nil
 }
 
-// Close closes the log and unlocks the directory. What Persist wrote is on the disk already.
+// Close closes the log and unlocks the directory. Everything persisted is already synced.
 func (l *Log) Close() {
 	if l.file != nil {
-		discardClose(l.file)
+		closeIgnoringError(l.file)
 	}
 	if l.lock != nil {
-		discardClose(l.lock)
+		closeIgnoringError(l.lock)
 	}
 }
--- a/internal/directives/wal/wal_test.go
+++ b/internal/directives/wal/wal_test.go
@@ -25,7 +25,7 @@
 	return &pb.Snapshot{Data: []byte(text), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(term)}}
 }
 
-// entryTexts returns the texts of the entries, for comparison.
+// entryTexts returns the entries' data as strings.
 func entryTexts(s directives.PersistedState) (out []string) {
 	for _, e := range s.Entries {
 		out = append(out, string(e.GetData()))
@@ -33,7 +33,7 @@
 	return out
 }
 
-// openNew returns the log of a voter that was just made, and its directory.
+// openNew initializes a voter's log in a new directory and opens it.
 func openNew(t *testing.T) (dir string, l *Log) {
 	t.Helper()
 	dir = t.TempDir()
@@ -47,7 +47,7 @@
 	return dir, l
 }
 
-// persist writes a batch that must not fail.
+// persist persists a batch and fails the test on an error.
 func persist(t *testing.T, l *Log, b directives.Batch) {
 	t.Helper()
 	if err := l.Persist(b); err != nil {
@@ -55,7 +55,8 @@
 	}
 }
 
-// What was persisted is there after every kind of end; two processes can't open one directory; Init refuses a directory that has a log.
+// Persisted batches are read back after a reopen, with and without a snapshot. A directory can't be opened twice, and
+// Init rejects a directory that already has a log.
 func TestPersistAndOpen(t *testing.T) {
 	dir, l := openNew(t)
 	if err := Init(dir); !errors.Is(err, ErrExists) {
@@ -88,9 +89,9 @@
 	empty.Close()
 }
 
-// Cut at any byte, the log opens with the records that were complete. A changed byte before the end is reported with its place, and
-// loses nothing that was persisted before it.
-func TestEveryByte(t *testing.T) {
+// A log truncated at any byte decodes to its complete records. A corrupted byte before the end is reported with its
+// offset, and all records before it are decoded.
+func TestTruncationAndCorruption(t *testing.T) {
 	dir, l := openNew(t)
 	path := filepath.Join(dir, fileName)
 	ends := map[int]int{}
@@ -114,48 +115,48 @@
 		}
 		state, _, err := Decode(raw[:n])
 		if err != nil || len(state.Entries) != complete {
-			t.Fatalf("cut at %d of %d: %v, %d entries, %d were complete", n, len(raw), err, len(state.Entries), complete)
+			t.Fatalf("truncated at %d of %d: %v, got %d entries, want %d", n, len(raw), err, len(state.Entries), complete)
 		}
 	}
 	for i := range raw {
-		bad := append([]byte(nil), raw...)
-		bad[i] ^= 0x10
-		state, _, err := Decode(bad)
+		corrupted := append([]byte(nil), raw...)
+		corrupted[i] ^= 0x10
+		state, _, err := Decode(corrupted)
 		for j, text := range entryTexts(state) {
 			if want := []string{"one", "two", "three"}[j]; text != want {
-				t.Fatalf("byte %d changed: entry %d is %q", i, j, text)
+				t.Fatalf("byte %d corrupted: entry %d is %q", i, j, text)
 			}
 		}
 		if err == nil && len(state.Entries) == 3 && state.Initialized {
-			t.Fatalf("byte %d changed, and nobody noticed", i)
+			t.Fatalf("byte %d corrupted, and no error was reported", i)
 		}
 		var corrupt *CorruptError
 		if err != nil && !errors.Is(err, ErrNotLog) && (!errors.As(err, &corrupt) || !errors.Is(err, ErrCorrupt) || corrupt.Offset > i) {
-			t.Fatalf("byte %d changed: %v", i, err)
+			t.Fatalf("byte %d corrupted: %v", i, err)
 		}
 	}
 }
 
-// Persist reports a disk that fails.
+// Persist returns the error of a failed write.
 func TestDiskFails(t *testing.T) {
 	_, l := openNew(t)
 	if err := l.file.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Persist(directives.Batch{HardState: hardState(2, 1, 1)}); !errors.Is(err, os.ErrClosed) {
-		t.Errorf("persisted on a file that is closed: %v", err)
+		t.Errorf("Persist on a closed file: %v", err)
 	}
 	l.Close()
 }
 
-// After a write that failed half way, and after a snapshot's file replaced the old one though Persist failed behind that, the log can be
-// repaired: what was persisted before is there, what failed is there once it is persisted again, and nothing else is.
+// Repair recovers from a partial write, and from a Persist that failed after a snapshot's file had replaced the old
+// one. The log then contains exactly the batches persisted before the failure and those persisted again after it.
 func TestRepair(t *testing.T) {
 	dir, l := openNew(t)
 	persist(t, l, directives.Batch{Entries: []*pb.Entry{entry(2, 2, "a")}})
 	writable := l.file
 	var err error
-	if l.file, err = os.Open(filepath.Join(dir, fileName)); err != nil { // takes no writes
+	if l.file, err = os.Open(filepath.Join(dir, fileName)); err != nil { // read-only: writes fail
 		t.Fatal(err)
 	}
 	if _, err := writable.Write([]byte("half a record")); err != nil {
@@ -163,13 +164,13 @@
 	}
 	b := directives.Batch{Entries: []*pb.Entry{entry(3, 2, "b")}}
 	if l.Persist(b) == nil {
-		t.Fatal("persisted on a file that takes no writes")
+		t.Fatal("Persist succeeded on a read-only file")
 	}
 	if err := l.Repair(); err != nil {
 		t.Fatal(err)
 	}
 	persist(t, l, b)
-	if err := replaceFile(dir, newLog(encodedSnapshot(t, snapshot("state", 3, 2)))); err != nil { // and the rest of Persist failed
+	if err := replaceFile(dir, newLog(encodedSnapshot(t, snapshot("state", 3, 2)))); err != nil { // as if the rest of Persist had failed
 		t.Fatal(err)
 	}
 	if err := l.Repair(); err != nil {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard checks a gateway's invariants at run time. It is pure: the caller describes an action that it is about to
-// take, and gets the invariants that the action would violate. The checks only report: a gateway in service must not fail
-// because of one, so the action goes ahead. Violations are counted per invariant.
+// Package guard checks a gateway's invariants at run time. It is pure: the caller describes an action that it is about
+// to take, and gets the invariants that the action would violate. The checks only report: a gateway in service must not
+// fail because of one, so the action goes ahead. Violations are counted per invariant.
 package guard
 
 import "foxlane/rules"
@@ -8,7 +8,8 @@
 // Invariant is a condition that every action of a gateway must satisfy.
 type Invariant int
 
-// The invariants of sending, retries, answers, connection closes and request starts. Each comment describes the violation.
+// The invariants of sending, retries, answers, connection closes and request starts. Each comment describes the
+// violation.
 const (
 	SendAfterEnd       Invariant = iota // an attempt starts for a request that is answered or whose client has gone
 	SendAfterDeadline                   // an attempt starts, or may still run on its engine, after the client's deadline
@@ -72,7 +73,8 @@
 // All returns the violated invariants in the order of the checks.
 func (f *Findings) All() []Invariant { return f.list[:f.n] }
 
-// Slack is how far an action may exceed a time limit before it counts as a violation, since delivery and timers take time.
+// Slack is how far an action may exceed a time limit before it counts as a violation, since delivery and timers take
+// time.
 const Slack = 50 * rules.Millisecond
 
 // DeadlineSlack is how far the deadline given to an engine may lie after the client's deadline.
