--- a/internal/mysql/fields.go
+++ b/internal/mysql/fields.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// This file reads the fields in the comment ahead of a statement.
+// This file parses the fields in the comment before a statement.
 
-// Query is a statement and what was read from it.
+// Query is a parsed query: its fields and its statement.
 type Query struct {
 	Fields     Fields
-	Statement  []byte // without the comment that has the fields
-	TableGroup int    // number of the group of tables; 0: none was found
-	Write      bool
+	Statement  []byte // without the leading comment
+	TableGroup int    // number in the schema name, see scanTables; 0: none found
+	Write      bool   // the statement writes
 }
 
 // Fields are the fields of the leading comment.
 type Fields struct {
 	Class          string
-	ID             string
+	ID             string // 16 hexadecimal digits
 	TimeoutMS      int64
 	WorkMS         float64 // 0: not given
 	MemoryMB       float64 // 0: not given
 	IsRetry        bool
 	Tenant         string // empty: none
-	OrderKey       string // requests of an ordered class with the same key run one after the other; empty: none
-	IdempotencyKey string // by which engines recognize a retry; empty: none
-	WantsHandle    bool   // a handle to the result is requested
+	OrderKey       string // requests of an ordered class with the same key run one at a time; empty: none
+	IdempotencyKey string // key by which engines deduplicate retries; empty: none
+	WantsHandle    bool   // the client requests a handle to the stored result
 }
 
 const (
@@ -37,30 +37,30 @@
 	maxAmount    = 1e9     // ms or MB
 )
 
-// HasFields says whether a statement begins with a comment.
+// HasFields reports whether a statement begins with a comment, which should have the fields.
 func HasFields(text []byte) bool {
 	return bytes.HasPrefix(bytes.TrimLeft(text, " \t\r\n"), []byte("/*"))
 }
 
-// ParseQuery reads a statement that begins with its fields.
+// ParseQuery parses a statement that begins with a comment with its fields.
 func ParseQuery(text []byte) (q Query, err error) {
-	bad := func(format string, args ...any) (Query, error) {
+	parseError := func(format string, args ...any) (Query, error) {
 		return Query{}, &Error{CodeParse, fmt.Sprintf(format, args...)}
 	}
 	text = bytes.TrimLeft(text, " \t\r\n")
 	if !bytes.HasPrefix(text, []byte("/*")) {
-		return bad("no comment with fields ahead of the statement")
+		return parseError("no comment with fields ahead of the statement")
 	}
 	comment, statement, ok := bytes.Cut(text[2:], []byte("*/"))
 	if !ok {
-		return bad("the comment with the fields never ends")
+		return parseError("the comment with the fields never ends")
 	}
 	if err := q.Fields.parse(string(bytes.TrimSpace(comment))); err != nil {
-		return bad("%v", err)
+		return parseError("%v", err)
 	}
 	q.Statement = bytes.TrimLeft(statement, " \t\r\n")
 	if len(q.Statement) == 0 {
-		return bad("no statement behind the fields")
+		return parseError("no statement behind the fields")
 	}
 	q.TableGroup, q.Write = scanTables(q.Statement)
 	return q, nil
@@ -120,10 +120,10 @@
 	return ok
 }
 
-// maxTokenBytes is longer than any key or name.
+// maxTokenBytes bounds a forwarded value; it is longer than any key or name in use.
 const maxTokenBytes = 128
 
-// isForwardable says whether a value can be sent to an engine unchanged, as a value in a list of fields.
+// isForwardable reports whether a value can be sent to an engine unchanged in a list of fields.
 func isForwardable(value string) bool {
 	for _, c := range []byte(value) {
 		if c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
@@ -136,16 +136,16 @@
 // Resume is a client's request to read a stored result again, or to release it.
 type Resume struct {
 	Handle    string
-	FromChunk int    // first chunk to send; 0: all
-	Release   bool   // the client needs the result no longer
+	FromChunk int    // index of the first chunk to send; 0: the whole result
+	Release   bool   // the client no longer needs the result
 	Tenant    string // empty: none
 }
 
-// maxChunk is more than the chunks of any result.
+// maxChunk bounds a chunk index; no result has that many chunks.
 const maxChunk = 1 << 30
 
-// ParseResume reads a comment that begins with resume=HANDLE or release=HANDLE and ignores what follows it. It returns
-// ok false for any other comment.
+// ParseResume parses a comment that begins with resume=HANDLE or release=HANDLE, and ignores unknown fields and
+// the text after the comment. It returns ok false for any other text.
 func ParseResume(text []byte) (r Resume, ok bool, err error) {
 	text = bytes.TrimLeft(text, " \t\r\n")
 	comment, _, closed := bytes.Cut(bytes.TrimPrefix(text, []byte("/*")), []byte("*/"))
@@ -180,6 +180,7 @@
 	return r, true, nil
 }
 
+// isID reports whether s is a valid request ID.
 func isID(s string) bool {
 	if len(s) != idDigits {
 		return false
@@ -192,6 +193,7 @@
 	return true
 }
 
+// parseAmount parses a number of milliseconds or megabytes from 0 to below maxAmount.
 func parseAmount(s string) (float64, bool) {
 	f, err := strconv.ParseFloat(s, 64)
 	return f, err == nil && f >= 0 && f < maxAmount
--- a/internal/mysql/mysql_test.go
+++ b/internal/mysql/mysql_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestScan(t *testing.T) {
+func TestScanTables(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		group int
@@ -87,7 +87,8 @@
 	}
 }
 
-// Packets are decoded however the stream is cut, and too large ones are an error before they are buffered.
+// Packets are decoded however the stream is split into chunks, and the header of an oversized packet is an error before
+// its payload arrives.
 func TestDecoder(t *testing.T) {
 	stream := append([]byte{3, 0, 0, 7, 'a', 'b', 'c'}, 0, 0, 0, 8, 1, 0, 0, 9, 'd')
 	for size := 1; size <= len(stream); size++ {
@@ -109,7 +110,7 @@
 			}
 		}
 		if s := strings.Join(got, ","); s != "abc7,8,d9" {
-			t.Errorf("cut at %d: %s", size, s)
+			t.Errorf("chunks of %d bytes: %s", size, s)
 		}
 	}
 	d := Decoder{MaxPayload: 10}
@@ -121,33 +122,33 @@
 }
 
 func TestParseLogin(t *testing.T) {
-	fixed := func(caps ...byte) []byte {
-		return append(append([]byte{}, caps...), make([]byte, loginFixed-len(caps))...)
+	loginWithCapabilities := func(caps ...byte) []byte {
+		return append(append([]byte{}, caps...), make([]byte, loginFixedBytes-len(caps))...)
 	}
-	good := append(fixed(0x08, 0x82, 0x08, 0), "app\x00\x00main\x00mysql_native_password\x00"...)
-	if l, err := ParseLogin(good); err != nil || l != (Login{User: "app", Database: "main"}) {
+	validLogin := append(loginWithCapabilities(0x08, 0x82, 0x08, 0), "app\x00\x00main\x00mysql_native_password\x00"...)
+	if l, err := ParseLogin(validLogin); err != nil || l != (Login{User: "app", Database: "main"}) {
 		t.Errorf("got %+v, %v", l, err)
 	}
-	if l, err := ParseLogin(append(fixed(0, 0x82), "app\x00\x02xy"...)); err != nil || !l.Password {
+	if l, err := ParseLogin(append(loginWithCapabilities(0, 0x82), "app\x00\x02xy"...)); err != nil || !l.Password {
 		t.Errorf("a password: %+v, %v", l, err)
 	}
-	for n := range len(good) - len("mysql_native_password\x00") {
-		if _, err := ParseLogin(good[:n]); err == nil {
-			t.Errorf("half a login of %d bytes passed", n)
+	for n := range len(validLogin) - len("mysql_native_password\x00") {
+		if _, err := ParseLogin(validLogin[:n]); err == nil {
+			t.Errorf("a login truncated to %d bytes was accepted", n)
 		}
 	}
 	for name, p := range map[string][]byte{
-		"encryption":    fixed(0, 0x8a),
-		"old protocol":  append(fixed(0, 0x80), "app\x00\x00"...),
-		"long password": append(fixed(0, 0x82, 0x20), "app\x00\xfe\xff\xff\xff\xff\xff\xff\xff\xffxy"...),
+		"encryption":    loginWithCapabilities(0, 0x8a),
+		"old protocol":  append(loginWithCapabilities(0, 0x80), "app\x00\x00"...),
+		"long password": append(loginWithCapabilities(0, 0x82, 0x20), "app\x00\xfe\xff\xff\xff\xff\xff\xff\xff\xffxy"...),
 	} {
 		if _, err := ParseLogin(p); err == nil {
-			t.Errorf("%s passed", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
 
-// Rows of any size have correct lengths, and a row with another number of columns is reported.
+// Rows of any size are encoded with correct lengths, and a row with a wrong number of columns is rejected.
 func TestAppendRow(t *testing.T) {
 	for _, n := range []int{0, 1, 250, 251, 252, 70000} {
 		cell := strings.Repeat("x", n)
@@ -168,7 +169,7 @@
 	}
 	for _, line := range []string{"", "a\tb", "a\tb\tc\td"} {
 		if _, _, ok := AppendRow(nil, 0, []byte(line), 3); ok {
-			t.Errorf("%q passed for three columns", line)
+			t.Errorf("%q was accepted as three columns", line)
 		}
 	}
 }
@@ -176,10 +177,10 @@
 func FuzzClient(f *testing.F) {
 	f.Add([]byte{3, 0, 0, 7, 'a', 'b', 'c'})
 	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d41,timeout=5 */ SELECT 'x\\' FROM `a_1`.b -- c"))
-	f.Add([]byte("\xff\xff\xff\x00\x03")) // 16 MB to come
+	f.Add([]byte("\xff\xff\xff\x00\x03")) // header of a 16 MB packet
 	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d41,timeout=1e9,ms=NaN,need_mb=-Inf */ SELECT 1"))
 	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d41,timeout=99999999999999999999 */ SELECT 1"))
-	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d4")) // half a request
+	f.Add([]byte("/* kind=a,req=9b1f03aa5c7e2d4")) // incomplete fields
 	f.Add([]byte("KILL QUERY 99999999999999999999"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := Decoder{MaxPayload: 1 << 10}
@@ -192,7 +193,7 @@
 			_, _ = ParseLogin(p)
 		}
 		if q, err := ParseQuery(b); err == nil && !bytes.HasSuffix(b, q.Statement) {
-			t.Errorf("the statement %q is not what came", q.Statement)
+			t.Errorf("the statement %q is not a suffix of the input", q.Statement)
 		}
 		scanTables(b)
 		ParseKill(b)
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -1,10 +1,9 @@
-// Package mysql owns the server's side of the MySQL client protocol 4.1: it
-// decodes packets and commands of clients and encodes the packets of responses.
-// It must never do I/O, read a clock or decide anything; input that it can't
-// read is described by an Error.
+// Package mysql implements the server side of the MySQL client protocol 4.1: it decodes clients' packets and commands,
+// and encodes response packets. It does no I/O, reads no clock and makes no decisions; an Error describes malformed
+// input.
 //
-// packet.go has packets and the login, response.go the packets of responses,
-// fields.go the comment ahead of a statement, sql.go the statement.
+// packet.go contains packets and the login, response.go the response packets, fields.go the comment before a statement,
+// and sql.go the statement itself.
 package mysql
 
 import (
@@ -15,16 +14,16 @@
 	"foxlane/internal/framebuf"
 )
 
-// Error describes input that violates the protocol, with the code to answer it with.
+// Error describes input that violates the protocol, with the MySQL error code to send to the client.
 type Error struct {
 	Code uint16
 	Text string
 }
 
-// Error returns the text for the client.
+// Error returns the text that is sent to the client.
 func (e *Error) Error() string { return e.Text }
 
-// Error codes of MySQL.
+// MySQL error codes.
 const (
 	CodeBadHandshake       = 1043 // malformed login
 	CodeAccessDenied       = 1045
@@ -45,41 +44,41 @@
 }
 
 const (
-	headerSize = 4
-	maxPacket  = 1<<24 - 1
+	headerSize     = 4
+	maxPacketBytes = 1<<24 - 1
 )
 
-// Decoder splits a client's stream into packets.
+// Decoder splits a client's byte stream into packets.
 type Decoder struct {
-	MaxPayload int
-	in         framebuf.Buffer
+	MaxPayload int // bytes; a larger packet is an error
+	buffer     framebuf.Buffer
 }
 
-// Feed adds received bytes. They are copied.
-func (d *Decoder) Feed(p []byte) { d.in.Add(p) }
+// Feed appends received bytes. It copies p.
+func (d *Decoder) Feed(p []byte) { d.buffer.Add(p) }
 
-// Buffered is the number of bytes of an incomplete packet.
-func (d *Decoder) Buffered() int { return d.in.Len() }
+// Buffered returns the number of received bytes that Next has not returned yet.
+func (d *Decoder) Buffered() int { return d.buffer.Len() }
 
-// Next returns the next complete packet, or ok false if there is none yet. The
-// payload is valid until the next Feed.
+// Next returns the payload and sequence number of the next complete packet, or ok false if there is none yet. The
+// payload is valid until the next Feed. A packet larger than MaxPayload is an Error with CodePacketTooLarge.
 func (d *Decoder) Next() (payload []byte, seq byte, ok bool, err error) {
-	b := d.in.Bytes()
+	b := d.buffer.Bytes()
 	if len(b) < headerSize {
 		return nil, 0, false, nil
 	}
 	n := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
-	if n > d.MaxPayload || n == maxPacket {
+	if n > d.MaxPayload || n == maxPacketBytes {
 		return nil, 0, false, &Error{CodePacketTooLarge, fmt.Sprintf("packet of %d bytes, %d at most", n, d.MaxPayload)}
 	}
 	if len(b) < headerSize+n {
 		return nil, 0, false, nil
 	}
-	d.in.Skip(headerSize + n)
+	d.buffer.Skip(headerSize + n)
 	return b[headerSize : headerSize+n : headerSize+n], b[3], true, nil
 }
 
-// Capabilities.
+// Capability flags and other constants of the protocol.
 const (
 	capLongPassword  = 1 << 0
 	capConnectWithDB = 1 << 3
@@ -98,31 +97,31 @@
 	protocolVersion  = 10
 	typeVarString    = 253
 	columnLength     = 1024
-	loginFixed       = 32
+	loginFixedBytes  = 32
 	packetOK         = 0x00
 	packetEOF        = 0xfe
 	packetErr        = 0xff
-	lenencTwo        = 0xfc
-	lenencThree      = 0xfd
-	lenencEight      = 0xfe
-	lenencOneByteMax = 250
+	lenencTwoBytes   = 0xfc
+	lenencThreeBytes = 0xfd
+	lenencEightBytes = 0xfe
+	maxOneByteLenenc = 250
 )
 
-// openPacket appends a packet header. closePacket fills in its length.
-func openPacket(dst []byte, seq byte) ([]byte, int) {
-	at := len(dst)
-	return append(dst, 0, 0, 0, seq), at
+// beginPacket appends a packet header and returns its offset, with which endPacket fills in the length.
+func beginPacket(dst []byte, seq byte) ([]byte, int) {
+	start := len(dst)
+	return append(dst, 0, 0, 0, seq), start
 }
 
-func closePacket(dst []byte, at int) []byte {
-	n := len(dst) - at - headerSize
-	dst[at], dst[at+1], dst[at+2] = byte(n), byte(n>>8), byte(n>>16)
+func endPacket(dst []byte, start int) []byte {
+	n := len(dst) - start - headerSize
+	dst[start], dst[start+1], dst[start+2] = byte(n), byte(n>>8), byte(n>>16)
 	return dst
 }
 
-// AppendGreeting appends the packet that opens a session.
+// AppendGreeting appends the initial handshake packet of a session.
 func AppendGreeting(dst []byte, session uint32, scramble [scrambleSize]byte, version string) []byte {
-	dst, at := openPacket(dst, 0)
+	dst, start := beginPacket(dst, 0)
 	dst = append(dst, protocolVersion)
 	dst = append(append(dst, version...), 0)
 	dst = binary.LittleEndian.AppendUint32(dst, session)
@@ -135,33 +134,33 @@
 	dst = append(dst, make([]byte, 10)...)
 	dst = append(append(dst, scramble[8:]...), 0)
 	dst = append(append(dst, authPlugin...), 0)
-	return closePacket(dst, at)
+	return endPacket(dst, start)
 }
 
-// Login is what a client sends to log in.
+// Login is the content of a client's login packet.
 type Login struct {
 	User     string
 	Database string
-	Password bool // a password was sent
+	Password bool // whether a password was sent
 }
 
-// ParseLogin reads a HandshakeResponse41.
+// ParseLogin parses a HandshakeResponse41 packet.
 func ParseLogin(p []byte) (l Login, err error) {
-	bad := func(what string) (Login, error) { return Login{}, &Error{CodeBadHandshake, "login: " + what} }
-	if len(p) < loginFixed {
-		return bad("too short")
+	malformed := func(what string) (Login, error) { return Login{}, &Error{CodeBadHandshake, "login: " + what} }
+	if len(p) < loginFixedBytes {
+		return malformed("too short")
 	}
 	caps := binary.LittleEndian.Uint32(p)
 	if caps&capSSL != 0 {
-		return bad("encryption is not offered")
+		return malformed("encryption is not offered")
 	}
 	if caps&capProtocol41 == 0 {
-		return bad("protocol 4.1 is needed")
+		return malformed("protocol 4.1 is needed")
 	}
-	p = p[loginFixed:]
+	p = p[loginFixedBytes:]
 	user, p, ok := cutNul(p)
 	if !ok {
-		return bad("user does not end")
+		return malformed("user does not end")
 	}
 	l.User = string(user)
 	var auth []byte
@@ -176,19 +175,20 @@
 		auth, p, ok = cutNul(p)
 	}
 	if !ok {
-		return bad("password does not end")
+		return malformed("password does not end")
 	}
 	l.Password = len(auth) > 0
 	if caps&capConnectWithDB != 0 {
 		db, _, ok := cutNul(p)
 		if !ok {
-			return bad("database does not end")
+			return malformed("database does not end")
 		}
 		l.Database = string(db)
 	}
 	return l, nil
 }
 
+// cutNul splits off a null-terminated string.
 func cutNul(p []byte) (head, rest []byte, ok bool) { return bytes.Cut(p, []byte{0}) }
 
 // cutLenenc splits off a length-encoded string.
@@ -198,14 +198,14 @@
 	}
 	n, width := uint64(p[0]), 1
 	switch p[0] {
-	case lenencTwo:
+	case lenencTwoBytes:
 		width = 3
-	case lenencThree:
+	case lenencThreeBytes:
 		width = 4
-	case lenencEight:
+	case lenencEightBytes:
 		width = 9
 	}
-	if len(p) < width || p[0] > lenencOneByteMax && width == 1 {
+	if len(p) < width || p[0] > maxOneByteLenenc && width == 1 {
 		return nil, nil, false
 	}
 	if width > 1 {
--- a/internal/mysql/sql.go
+++ b/internal/mysql/sql.go
@@ -6,8 +6,7 @@
 	"strings"
 )
 
-// This file reads statements: the group of the tables that they name, and KILL.
-// It never changes a statement.
+// This file scans statements for the group of their tables, and parses KILL. It never changes a statement.
 
 // tokenKind is the type of a token of a statement.
 type tokenKind int
@@ -24,10 +23,11 @@
 	text []byte
 }
 
-// scanner splits a statement into tokens. The contents of strings and comments are skipped.
+// scanner splits a statement into tokens. It skips comments and the contents of strings.
 type scanner struct{ rest []byte }
 
-func isWord(c byte) bool {
+// isWordByte reports whether c can be part of an unquoted identifier or keyword.
+func isWordByte(c byte) bool {
 	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
@@ -43,13 +43,13 @@
 			s.rest = b[2:]
 			s.skipTo("*/")
 		case c == '\'' || c == '"':
-			s.quoted(c, true)
+			s.readQuoted(c, true)
 			return token{kind: tokenOther}
 		case c == '`':
-			return token{tokenQuoted, s.quoted(c, false)}
-		case isWord(c):
+			return token{tokenQuoted, s.readQuoted(c, false)}
+		case isWordByte(c):
 			n := 1
-			for n < len(b) && isWord(b[n]) {
+			for n < len(b) && isWordByte(b[n]) {
 				n++
 			}
 			s.rest = b[n:]
@@ -62,17 +62,18 @@
 	return token{}
 }
 
-func (s *scanner) skipTo(mark string) {
-	if i := bytes.Index(s.rest, []byte(mark)); i >= 0 {
-		s.rest = s.rest[i+len(mark):]
+// skipTo skips input up to and including terminator, or to the end of the input if there is none.
+func (s *scanner) skipTo(terminator string) {
+	if i := bytes.Index(s.rest, []byte(terminator)); i >= 0 {
+		s.rest = s.rest[i+len(terminator):]
 	} else {
 		s.rest = nil
 	}
 }
 
-// quoted skips a quoted text and returns what is between the quotes. A doubled
-// quote does not end it, and in strings a backslash escapes the next byte.
-func (s *scanner) quoted(quote byte, backslash bool) []byte {
+// readQuoted skips a quoted string or identifier and returns the text between the quotes. A doubled quote does not end
+// it. With backslash set, a backslash escapes the next byte.
+func (s *scanner) readQuoted(quote byte, backslash bool) []byte {
 	b := s.rest
 	for i := 1; i < len(b); i++ {
 		switch {
@@ -89,8 +90,8 @@
 	return b[1:]
 }
 
-// is says whether a token is this keyword.
-func (t token) is(word string) bool {
+// isKeyword reports whether the token is the keyword word, in any case.
+func (t token) isKeyword(word string) bool {
 	return t.kind == tokenWord && bytes.EqualFold(t.text, []byte(word))
 }
 
@@ -103,56 +104,55 @@
 var tableKeywords = []string{"FROM", "JOIN", "INTO", "UPDATE", "TABLE"}
 var writeKeywords = []string{"INSERT", "UPDATE", "DELETE", "REPLACE", "LOAD", "COPY", "MERGE", "TRUNCATE", "CREATE", "ALTER", "DROP"}
 
-func (t token) isAnyOf(words []string) bool {
+func (t token) isAnyKeyword(words []string) bool {
 	for _, w := range words {
-		if t.is(w) {
+		if t.isKeyword(w) {
 			return true
 		}
 	}
 	return false
 }
 
-// scanTables returns the number of the group of tables: that in the name of the
-// first schema after FROM, JOIN, INTO, UPDATE or TABLE, or after a comma in
-// their list; if there is none, that of the first qualified name. It also says
-// whether the statement writes.
+// scanTables returns the table group of a statement and whether the statement writes. The group is the number in the
+// first numbered schema name in a table list, which begins at FROM, JOIN, INTO, UPDATE or TABLE and separates its
+// tables by commas. If there is none, it is the number of the first numbered schema in any qualified name, else 0.
 func scanTables(statement []byte) (group int, write bool) {
 	s := scanner{statement}
-	fallback, found := 0, false
-	inTables, tableNext := false, false // within a list of tables; the next name is a table
+	fallback, hasFallback := 0, false
+	inTableList, expectTable := false, false // within a table list; the next name is a table
 	t := s.next()
-	write = t.isAnyOf(writeKeywords)
+	write = t.isAnyKeyword(writeKeywords)
 	for t.kind != tokenEnd {
 		next := s.next()
 		switch {
 		case t.isName() && next.isPunctuation('.'):
 			n, ok := tableGroup(t.text)
-			if ok && tableNext {
+			if ok && expectTable {
 				return n, write
 			}
-			if ok && !found {
-				fallback, found = n, true
+			if ok && !hasFallback {
+				fallback, hasFallback = n, true
 			}
 			for next.isPunctuation('.') { // the rest of the qualified name
 				s.next()
 				next = s.next()
 			}
-			tableNext = false
-		case t.isAnyOf(tableKeywords):
-			inTables, tableNext = true, true
+			expectTable = false
+		case t.isAnyKeyword(tableKeywords):
+			inTableList, expectTable = true, true
 		case t.isPunctuation(','):
-			tableNext = inTables
-		case t.isPunctuation('('), t.isPunctuation(')'), t.is("WHERE"), t.is("SELECT"), t.is("SET"), t.is("ON"), t.is("GROUP"), t.is("ORDER"), t.is("VALUES"):
-			inTables, tableNext = false, false
+			expectTable = inTableList
+		case t.isPunctuation('('), t.isPunctuation(')'), t.isKeyword("WHERE"), t.isKeyword("SELECT"), t.isKeyword("SET"), t.isKeyword("ON"), t.isKeyword("GROUP"), t.isKeyword("ORDER"), t.isKeyword("VALUES"):
+			inTableList, expectTable = false, false
 		case t.isName():
-			tableNext = tableNext && t.is("ONLY")
+			expectTable = expectTable && t.isKeyword("ONLY")
 		}
 		t = next
 	}
 	return fallback, write
 }
 
-// tableGroup is the number after the last underscore of a schema's name.
+// tableGroup returns the number after the last underscore of a schema name. The schema staging has none.
 func tableGroup(schema []byte) (int, bool) {
 	i := bytes.LastIndexByte(schema, '_')
 	if i < 0 || bytes.EqualFold(schema, []byte("staging")) {
@@ -162,14 +162,14 @@
 	return int(n), err == nil
 }
 
-// ParseKill reads KILL [QUERY | CONNECTION] n.
+// ParseKill parses KILL [QUERY | CONNECTION] n. query reports whether only the query is to be killed.
 func ParseKill(text []byte) (session uint32, query, ok bool) {
 	s := scanner{text}
-	if !s.next().is("KILL") {
+	if !s.next().isKeyword("KILL") {
 		return 0, false, false
 	}
 	t := s.next()
-	if query = t.is("QUERY"); query || t.is("CONNECTION") {
+	if query = t.isKeyword("QUERY"); query || t.isKeyword("CONNECTION") {
 		t = s.next()
 	}
 	n, err := strconv.ParseUint(string(t.text), 10, 32)
@@ -180,7 +180,7 @@
 	return uint32(n), query, t.kind == tokenWord && err == nil && end.kind == tokenEnd
 }
 
-// FirstWord is the first word of a statement, in capitals.
+// FirstWord returns the first word of a statement in upper case.
 func FirstWord(text []byte) string {
 	s := scanner{text}
 	return strings.ToUpper(string(s.next().text))
