--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -1,6 +1,6 @@
-// Package dns owns the part of RFC 1035 that the name service needs: queries for
-// SRV records, and answers with SRV, A, TXT and SOA records. It must never do
-// I/O or decide anything; an incomplete or malformed answer is an error.
+// Package dns implements the part of RFC 1035 that the client of the name service needs: it encodes queries for SRV
+// records and parses answers with SRV, A, TXT and SOA records. It does no I/O and makes no decisions; an incomplete or
+// malformed answer is an error.
 package dns
 
 import (
@@ -11,36 +11,36 @@
 	"strings"
 )
 
-// Errors of an answer.
+// Errors of Parse.
 var (
-	ErrShort     = errors.New("dns: the answer ends early")
-	ErrName      = errors.New("dns: a name is malformed or loops")
-	ErrMismatch  = errors.New("dns: not an answer to this query")
-	ErrTruncated = errors.New("dns: the answer is truncated")
-	ErrRefused   = errors.New("dns: the name service reports an error")
+	ErrShort     = errors.New("dns: the answer is cut short")
+	ErrName      = errors.New("dns: a name is malformed or its pointers loop")
+	ErrMismatch  = errors.New("dns: the answer does not match the query")
+	ErrTruncated = errors.New("dns: the answer has the truncation flag")
+	ErrRefused   = errors.New("dns: the name service returned an error")
 	ErrRecord    = errors.New("dns: a record is malformed")
-	ErrMissing   = errors.New("dns: a record is missing")
+	ErrMissing   = errors.New("dns: a required record is missing")
 )
 
 const (
 	headerSize    = 12
 	maxNameBytes  = 255
 	maxLabelBytes = 63
-	maxJumps      = 32
+	maxPointers   = 32
 	classIN       = 1
 	typeA         = 1
 	typeSOA       = 6
 	typeTXT       = 16
 	typeSRV       = 33
-	soaFixed      = 20 // five numbers behind the two names
+	soaFixedBytes = 20 // five numbers after the two names
 
-	flagAnswer    = 1 << 15
-	flagTruncated = 1 << 9
-	maskOpcode    = 0xf << 11
-	maskCode      = 0xf
+	flagAnswer       = 1 << 15
+	flagTruncated    = 1 << 9
+	maskOpcode       = 0xf << 11
+	maskResponseCode = 0xf
 )
 
-// AppendQuery appends a query for the SRV records of a name.
+// AppendQuery appends to dst a query with this ID for the SRV records of a name.
 func AppendQuery(dst []byte, id uint16, name string) []byte {
 	dst = binary.BigEndian.AppendUint16(dst, id)
 	dst = append(dst, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0)
@@ -50,24 +50,24 @@
 	return append(dst, 0, 0, typeSRV, 0, classIN)
 }
 
-// Host is an engine in the list.
+// Host is an engine in the endpoint list.
 type Host struct {
-	ID, Zone string // the first two labels of its name
+	ID, Zone string // first two labels of the SRV target
 	Addr     netip.AddrPort
 	Priority uint16
 	Weight   uint16
 	Kind     string
 	Cell     int
-	Started  int64 // Unix milliseconds; 0: long ago
+	Started  int64 // start of the engine, Unix milliseconds; 0: long ago
 }
 
-// Answer is the complete list.
+// Answer is a complete endpoint list.
 type Answer struct {
-	Serial uint32
+	Serial uint32 // of the SOA record
 	Hosts  []Host
 }
 
-// ID returns the ID of a message, or ok false if the message is too short.
+// ID returns the ID of a message, or ok false if the message is shorter than a header.
 func ID(msg []byte) (id uint16, ok bool) {
 	if len(msg) < headerSize {
 		return 0, false
@@ -75,59 +75,61 @@
 	return binary.BigEndian.Uint16(msg), true
 }
 
+// reader reads a message from an offset onward.
 type reader struct {
-	msg []byte
-	at  int
+	msg    []byte
+	offset int
 }
 
-func (r *reader) uint16() (uint16, error) {
-	if len(r.msg)-r.at < 2 {
+func (r *reader) readUint16() (uint16, error) {
+	if len(r.msg)-r.offset < 2 {
 		return 0, ErrShort
 	}
-	r.at += 2
-	return binary.BigEndian.Uint16(r.msg[r.at-2:]), nil
+	r.offset += 2
+	return binary.BigEndian.Uint16(r.msg[r.offset-2:]), nil
 }
 
-// name reads a name, compressed or not, in lower case. The number of pointers is bounded, since they may form a loop.
-func (r *reader) name() (string, error) {
+// readName reads a name, compressed or not, and returns it in lower case. It follows at most maxPointers compression
+// pointers, since they may form a loop.
+func (r *reader) readName() (string, error) {
 	var out strings.Builder
-	at, jumped := r.at, false
-	for jumps := 0; ; {
-		if at >= len(r.msg) {
+	offset, followedPointer := r.offset, false
+	for pointers := 0; ; {
+		if offset >= len(r.msg) {
 			return "", ErrShort
 		}
-		n := int(r.msg[at])
+		n := int(r.msg[offset])
 		switch {
 		case n == 0:
-			if !jumped {
-				r.at = at + 1
+			if !followedPointer {
+				r.offset = offset + 1
 			}
 			return strings.ToLower(out.String()), nil
 		case n&0xc0 == 0xc0:
-			if at+1 >= len(r.msg) {
+			if offset+1 >= len(r.msg) {
 				return "", ErrShort
 			}
-			if !jumped {
-				r.at, jumped = at+2, true
+			if !followedPointer {
+				r.offset, followedPointer = offset+2, true
 			}
-			at = n&0x3f<<8 | int(r.msg[at+1])
-			if jumps++; jumps > maxJumps {
+			offset = n&0x3f<<8 | int(r.msg[offset+1])
+			if pointers++; pointers > maxPointers {
 				return "", ErrName
 			}
 		case n > maxLabelBytes:
 			return "", ErrName
 		default:
-			if at+1+n > len(r.msg) {
+			if offset+1+n > len(r.msg) {
 				return "", ErrShort
 			}
 			if out.Len() > 0 {
 				out.WriteByte('.')
 			}
-			out.Write(r.msg[at+1 : at+1+n])
+			out.Write(r.msg[offset+1 : offset+1+n])
 			if out.Len() > maxNameBytes {
 				return "", ErrName
 			}
-			at += 1 + n
+			offset += 1 + n
 		}
 	}
 }
@@ -135,41 +137,42 @@
 type record struct {
 	name string
 	kind uint16
-	data reader // at the record's data; the message ends with it, and names may point to all before
+	data reader // positioned at the record's data, with which msg ends; names may point to anything before
 }
 
-func (r *reader) record() (rec record, err error) {
-	if rec.name, err = r.name(); err != nil {
+// readRecord reads a resource record. Its kind is 0 if its class is not IN.
+func (r *reader) readRecord() (rec record, err error) {
+	if rec.name, err = r.readName(); err != nil {
 		return rec, err
 	}
-	if len(r.msg)-r.at < 10 {
+	if len(r.msg)-r.offset < 10 {
 		return rec, ErrShort
 	}
-	fixed := r.msg[r.at : r.at+10]
+	fixed := r.msg[r.offset : r.offset+10]
 	rec.kind = binary.BigEndian.Uint16(fixed)
 	if class := binary.BigEndian.Uint16(fixed[2:]); class != classIN {
-		rec.kind = 0 // another class, or an option: ignored
+		rec.kind = 0 // another class, or an EDNS option record: ignored
 	}
-	r.at += 10
-	end := r.at + int(binary.BigEndian.Uint16(fixed[8:]))
+	r.offset += 10
+	end := r.offset + int(binary.BigEndian.Uint16(fixed[8:]))
 	if end > len(r.msg) {
 		return rec, ErrShort
 	}
-	rec.data = reader{r.msg[:end], r.at}
-	r.at = end
+	rec.data = reader{r.msg[:end], r.offset}
+	r.offset = end
 	return rec, nil
 }
 
-// hostDetails are the A and TXT records of a name.
+// hostDetails is the content of the A and TXT records of a name.
 type hostDetails struct {
 	addr    netip.Addr
 	kind    string
 	cell    int
 	started int64
-	text    bool
+	hasText bool // a TXT record was found
 }
 
-// Parse reads the answer to the query with this id and name.
+// Parse parses the answer to the query with this ID and name.
 func Parse(msg []byte, id uint16, name string) (Answer, error) {
 	var a Answer
 	if got, ok := ID(msg); !ok || got != id {
@@ -181,47 +184,48 @@
 		return a, ErrMismatch
 	case flags&flagTruncated != 0:
 		return a, ErrTruncated
-	case flags&maskCode != 0:
+	case flags&maskResponseCode != 0:
 		return a, ErrRefused
 	}
 	r := &reader{msg, headerSize}
-	if err := r.question(name); err != nil {
+	if err := r.checkQuestion(name); err != nil {
 		return a, err
 	}
-	return a, a.records(r, strings.ToLower(strings.TrimSuffix(name, ".")))
+	return a, a.parseRecords(r, strings.ToLower(strings.TrimSuffix(name, ".")))
 }
 
-// question checks that the answer repeats the query.
-func (r *reader) question(name string) error {
+// checkQuestion checks that the answer repeats the question of the query.
+func (r *reader) checkQuestion(name string) error {
 	if binary.BigEndian.Uint16(r.msg[4:]) != 1 {
 		return ErrMismatch
 	}
-	asked, err := r.name()
+	questionName, err := r.readName()
 	if err != nil {
 		return err
 	}
-	kind, err1 := r.uint16()
-	class, err2 := r.uint16()
-	if err1 != nil || err2 != nil {
+	kind, kindErr := r.readUint16()
+	class, classErr := r.readUint16()
+	if kindErr != nil || classErr != nil {
 		return ErrShort
 	}
-	if !strings.EqualFold(asked, strings.TrimSuffix(name, ".")) || kind != typeSRV || class != classIN {
+	if !strings.EqualFold(questionName, strings.TrimSuffix(name, ".")) || kind != typeSRV || class != classIN {
 		return ErrMismatch
 	}
 	return nil
 }
 
-// records reads all sections. Each SRV record of the name needs the A and TXT records of its target.
-func (a *Answer) records(r *reader, name string) error {
+// parseRecords parses the records of all sections into the list. It needs an SOA record, and the A and TXT records of
+// the target of each SRV record of the name.
+func (a *Answer) parseRecords(r *reader, name string) error {
 	count := 0
 	for i := 6; i < headerSize; i += 2 {
 		count += int(binary.BigEndian.Uint16(r.msg[i:]))
 	}
 	details := map[string]*hostDetails{}
 	var targets []string
-	serial := false
+	hasSerial := false
 	for range count {
-		rec, err := r.record()
+		rec, err := r.readRecord()
 		if err != nil {
 			return err
 		}
@@ -230,7 +234,7 @@
 			if rec.name != name {
 				continue
 			}
-			h, target, err := rec.srv()
+			h, target, err := rec.parseSRV()
 			if err != nil {
 				return err
 			}
@@ -241,22 +245,22 @@
 				d = &hostDetails{}
 				details[rec.name] = d
 			}
-			if err := rec.hostDetail(d); err != nil {
+			if err := rec.parseHostDetail(d); err != nil {
 				return err
 			}
 		case typeSOA:
-			if a.Serial, err = rec.soa(); err != nil {
+			if a.Serial, err = rec.parseSOA(); err != nil {
 				return err
 			}
-			serial = true
+			hasSerial = true
 		}
 	}
-	if !serial {
+	if !hasSerial {
 		return ErrMissing
 	}
 	for i := range a.Hosts {
 		h, d := &a.Hosts[i], details[targets[i]]
-		if d == nil || !d.addr.IsValid() || !d.text {
+		if d == nil || !d.addr.IsValid() || !d.hasText {
 			return ErrMissing
 		}
 		h.Addr = netip.AddrPortFrom(d.addr, h.Addr.Port())
@@ -265,14 +269,15 @@
 	return nil
 }
 
-func (rec *record) srv() (h Host, target string, err error) {
+// parseSRV parses an SRV record into a host without its details, and returns the target.
+func (rec *record) parseSRV() (h Host, target string, err error) {
 	var port uint16
 	for _, field := range []*uint16{&h.Priority, &h.Weight, &port} {
-		if *field, err = rec.data.uint16(); err != nil {
+		if *field, err = rec.data.readUint16(); err != nil {
 			return h, "", ErrRecord
 		}
 	}
-	if target, err = rec.data.name(); err != nil {
+	if target, err = rec.data.readName(); err != nil {
 		return h, "", err
 	}
 	var ok bool
@@ -285,8 +290,9 @@
 	return h, target, nil
 }
 
-func (rec *record) hostDetail(d *hostDetails) error {
-	data := rec.data.msg[rec.data.at:]
+// parseHostDetail parses an A or TXT record into d. It ignores unknown keys of a TXT record.
+func (rec *record) parseHostDetail(d *hostDetails) error {
+	data := rec.data.msg[rec.data.offset:]
 	if rec.kind == typeA {
 		addr, ok := netip.AddrFromSlice(data)
 		if !ok || !addr.Is4() {
@@ -295,7 +301,7 @@
 		d.addr = addr
 		return nil
 	}
-	d.text = true
+	d.hasText = true
 	for len(data) > 0 {
 		n := int(data[0])
 		if len(data) < 1+n {
@@ -319,14 +325,15 @@
 	return nil
 }
 
-func (rec *record) soa() (uint32, error) {
+// parseSOA returns the serial of an SOA record.
+func (rec *record) parseSOA() (uint32, error) {
 	for range 2 {
-		if _, err := rec.data.name(); err != nil {
+		if _, err := rec.data.readName(); err != nil {
 			return 0, err
 		}
 	}
-	numbers := rec.data.msg[rec.data.at:]
-	if len(numbers) < soaFixed {
+	numbers := rec.data.msg[rec.data.offset:]
+	if len(numbers) < soaFixedBytes {
 		return 0, ErrRecord
 	}
 	return binary.BigEndian.Uint32(numbers), nil
--- a/internal/dns/dns_test.go
+++ b/internal/dns/dns_test.go
@@ -32,23 +32,24 @@
 	}
 }
 
-// An independent library reads our query, and we read its answer, compressed or not.
-func TestPeer(t *testing.T) {
+// An independent DNS library parses the queries of this package, and this package parses that library's answers, with
+// and without name compression.
+func TestInteroperability(t *testing.T) {
 	var q miekg.Msg
 	if err := q.Unpack(AppendQuery(nil, 7, name)); err != nil || len(q.Question) != 1 || q.Question[0].Name != name+"." ||
 		q.Question[0].Qtype != miekg.TypeSRV || q.Id != 7 {
-		t.Fatalf("our query reads as %v, %v", q, err)
+		t.Fatalf("the query was parsed as %v, %v", q, err)
 	}
 	for _, compress := range []bool{false, true} {
 		var m miekg.Msg
 		m.SetReply(&q)
 		m.Compress = compress
 		for _, line := range []string{name + ". 5 IN SRV 0 40 7001 s-00c41f7a.east.hosts."} {
-			m.Answer = append(m.Answer, parsed(t, line))
+			m.Answer = append(m.Answer, parseRecord(t, line))
 		}
-		m.Ns = append(m.Ns, parsed(t, "farm.lan. 5 IN SOA ns.farm.lan. root.farm.lan. 9 1 1 1 1"))
-		m.Extra = append(m.Extra, parsed(t, `s-00c41f7a.east.hosts. 5 IN A 10.1.0.9`),
-			parsed(t, `s-00c41f7a.east.hosts. 5 IN TXT "kind=std" "cell=2" "started=0"`))
+		m.Ns = append(m.Ns, parseRecord(t, "farm.lan. 5 IN SOA ns.farm.lan. root.farm.lan. 9 1 1 1 1"))
+		m.Extra = append(m.Extra, parseRecord(t, `s-00c41f7a.east.hosts. 5 IN A 10.1.0.9`),
+			parseRecord(t, `s-00c41f7a.east.hosts. 5 IN TXT "kind=std" "cell=2" "started=0"`))
 		m.SetEdns0(1232, false)
 		b, err := m.Pack()
 		if err != nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-func parsed(t *testing.T, line string) miekg.RR {
+func parseRecord(t *testing.T, line string) miekg.RR {
 	t.Helper()
 	rr, err := miekg.NewRR(line)
 	if err != nil {
@@ -71,15 +72,15 @@
 	return rr
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	good := standin.EncodeAnswer(7, name, 41, hosts)
-	change := func(at int, b byte) []byte {
+	change := func(offset int, b byte) []byte {
 		out := append([]byte{}, good...)
-		out[at] = b
+		out[offset] = b
 		return out
 	}
-	loop := append(append([]byte{}, good[:12]...), 0xc0, 12, 0, 33, 0, 1)
-	for what, c := range map[string]struct {
+	loopingName := append(append([]byte{}, good[:12]...), 0xc0, 12, 0, 33, 0, 1)
+	for description, c := range map[string]struct {
 		msg  []byte
 		want error
 	}{
@@ -88,17 +89,17 @@
 		"truncated flag":   {change(2, 0x86), ErrTruncated},
 		"server failure":   {change(3, 2), ErrRefused},
 		"another question": {change(14, 'x'), ErrMismatch},
-		"a looping name":   {loop, ErrName},
-		"a record too few": {change(11, 3), ErrMissing},
+		"a looping name":   {loopingName, ErrName},
+		"a missing record": {change(11, 3), ErrMissing},
 		"empty":            {nil, ErrMismatch},
 	} {
 		if _, err := Parse(c.msg, 7, name); !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want %v", what, err, c.want)
+			t.Errorf("%s: got %v, want %v", description, err, c.want)
 		}
 	}
 	for n := range len(good) {
 		if _, err := Parse(good[:n], 7, name); err == nil {
-			t.Fatalf("an answer cut at %d passed", n)
+			t.Fatalf("an answer truncated to %d bytes was accepted", n)
 		}
 	}
 }
