--- a/internal/simprotocol/codec_test.go
+++ b/internal/simprotocol/codec_test.go
@@ -8,7 +8,7 @@
 	"foxlane/rules"
 )
 
-// Every action has the command and keys of the protocol, and is valid JSON.
+// Every action is encoded as the protocol's command, with its keys, in valid JSON.
 func TestActions(t *testing.T) {
 	for _, c := range []struct {
 		action rules.Action
@@ -32,7 +32,7 @@
 		var e encoder
 		e.openReply()
 		e.openGroup(3)
-		e.action(c.action)
+		e.appendAction(c.action)
 		e.closeGroup()
 		got, want := string(e.closeReply()), `{"managers":[{"who":3,"cmds":[`+c.want+"]}]}\n"
 		if got != want {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Every event is decoded with all its values.
+// Every event is decoded with all its fields.
 func TestEvents(t *testing.T) {
 	s := rules.Settings{Classes: make([]rules.Class, 2), Tenants: make([]rules.Tenant, 2)}
 	for _, c := range []struct {
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -9,18 +9,19 @@
 	"foxlane/rules"
 )
 
-// batch is one line of input.
+// batch is a line of input.
 type batch struct {
 	Timestamp *int64       `json:"ts"`
 	Groups    []batchGroup `json:"managers"`
 }
 
+// batchGroup contains the events of a batch for one instance.
 type batchGroup struct {
-	Instance *int        `json:"who"`
-	Events   []wireEvent `json:"input"`
+	InstanceID *int        `json:"who"`
+	Events     []wireEvent `json:"input"`
 }
 
-// wireEvent has the fields of all events; which of them are used depends on Command.
+// wireEvent is an event of any kind. Command determines which fields are used.
 type wireEvent struct {
 	Command           string             `json:"cmd"`
 	Seed              json.Number        `json:"randomSeed"`
@@ -51,6 +52,7 @@
 	Payload           string             `json:"content"`
 }
 
+// wireEngine is an engine in a numbered list.
 type wireEngine struct {
 	Cell      int     `json:"cluster"`
 	Zone      int     `json:"campus"`
@@ -61,13 +63,14 @@
 	Scale     float64 `json:"scale"`
 }
 
-// Bits of wireEvent.Flags, and units of wireEvent.MeasuredCost: milliseconds, and in the lower digits memory.
+// Bits of wireEvent.Flags, and the encoding of wireEvent.MeasuredCost: milliseconds of work times costUnitsPerMS, plus
+// memory in units of memoryMBPerCostUnit.
 const (
-	flagHasWork      = 1
-	flagRetry        = 2
-	flagWrite        = 4
-	costMSUnit       = 4096
-	costMemoryUnitMB = 4
+	flagHasEstimate     = 1
+	flagRetry           = 2
+	flagWrite           = 4
+	costUnitsPerMS      = 4096
+	memoryMBPerCostUnit = 4
 )
 
 var statuses = map[string]rules.Status{
@@ -83,18 +86,18 @@
 	"INCREMENTAL": rules.UpdateDelta, "FULL": rules.UpdateFull, "SAVED": rules.UpdateCached, "FAILED": rules.UpdateFailed,
 }
 
-// lookUp returns the value of a word of the wire.
-func lookUp[T any](what, word string, words map[string]T) (T, error) {
-	v, ok := words[word]
+// decodeName returns the value that a name on the wire stands for. The error names the field.
+func decodeName[T any](field, name string, values map[string]T) (T, error) {
+	v, ok := values[name]
 	if !ok {
-		return v, fmt.Errorf("unknown %s %q", what, word)
+		return v, fmt.Errorf("unknown %s %q", field, name)
 	}
 	return v, nil
 }
 
 func engineID(n *int64) (rules.EngineID, error) {
 	if n == nil {
-		return 0, errors.New("no engine")
+		return 0, errors.New("engine is missing")
 	}
 	if *n < 0 || *n >= 1<<32 {
 		return 0, fmt.Errorf("engine %d is out of range", *n)
@@ -109,12 +112,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i, err)
 		}
-		state, err := lookUp("health", l.State, engineStates)
+		state, err := decodeName("health", l.State, engineStates)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", i, err)
 		}
 		if l.Zone < 0 || l.Kind < 0 || l.Cell < 0 || l.Scale < 0 {
-			return nil, fmt.Errorf("line %d: a negative value", i)
+			return nil, fmt.Errorf("line %d: negative value", i)
 		}
 		out = append(out, rules.Engine{
 			ID: id, Cell: l.Cell, Zone: l.Zone, Kind: l.Kind,
@@ -126,12 +129,12 @@
 
 func (w *wireEvent) requestID() (rules.RequestID, error) {
 	if w.RequestID == "" {
-		return "", errors.New("no xid")
+		return "", errors.New("xid is missing")
 	}
 	return rules.RequestID(w.RequestID), nil
 }
 
-// decode decodes an event for the module of one instance.
+// decode decodes an event for an instance with the settings s.
 func (w *wireEvent) decode(s *rules.Settings) (rules.Event, error) {
 	switch w.Command {
 	case "Accept":
@@ -153,7 +156,7 @@
 	case "Bell":
 		return rules.TimerFired{Token: w.TimerToken}, nil
 	case "HealthResult":
-		return w.decodeHealth()
+		return w.decodeHealthResult()
 	case "FromPeer":
 		payload, err := base64.StdEncoding.DecodeString(w.Payload)
 		if err != nil {
@@ -176,14 +179,14 @@
 		return nil, fmt.Errorf("owner %d is out of range", w.Tenant)
 	}
 	if w.Deadline == nil {
-		return nil, errors.New("no due")
+		return nil, errors.New("due is missing")
 	}
 	if w.EstimatedWork < 0 || w.EstimatedMemoryMB < 0 {
-		return nil, errors.New("a negative estimate")
+		return nil, errors.New("negative estimate")
 	}
 	return rules.Arrival{Request: rules.Request{
 		ID: id, Class: w.Class, Tenant: w.Tenant, OrderKey: w.OrderKey, Deadline: rules.Time(*w.Deadline),
-		EstimatedWork: rules.Time(w.EstimatedWork), HasEstimate: w.Flags&flagHasWork != 0 && w.EstimatedWork > 0,
+		EstimatedWork: rules.Time(w.EstimatedWork), HasEstimate: w.Flags&flagHasEstimate != 0 && w.EstimatedWork > 0,
 		EstimatedMemoryMB: w.EstimatedMemoryMB, DataSet: int(w.DataSet),
 		IsRetry: w.Flags&flagRetry != 0, IsWrite: w.Flags&flagWrite != 0,
 	}}, nil
@@ -199,27 +202,27 @@
 		return nil, err
 	}
 	if w.Attempt < 0 || w.Latency < 0 || w.MeasuredCost < 0 {
-		return nil, errors.New("a negative value")
+		return nil, errors.New("negative value")
 	}
 	return rules.Outcome{
 		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency), Closed: w.Closed,
-		MeasuredWork:     rules.Time(w.MeasuredCost/costMSUnit) * rules.Millisecond,
-		MeasuredMemoryMB: float64(w.MeasuredCost%costMSUnit) * costMemoryUnitMB,
+		MeasuredWork:     rules.Time(w.MeasuredCost/costUnitsPerMS) * rules.Millisecond,
+		MeasuredMemoryMB: float64(w.MeasuredCost%costUnitsPerMS) * memoryMBPerCostUnit,
 		Load:             w.Load,
 	}, nil
 }
 
-// engineStatus is what an event says about an attempt or a health check on an engine.
+// engineStatus decodes the engine and the status of an attempt or a probe.
 func (w *wireEvent) engineStatus() (rules.EngineID, rules.Status, error) {
 	engine, err := engineID(w.Engine)
 	if err != nil {
 		return 0, 0, err
 	}
-	status, err := lookUp("verdict", w.Status, statuses)
+	status, err := decodeName("verdict", w.Status, statuses)
 	return engine, status, err
 }
 
-func (w *wireEvent) decodeHealth() (rules.Event, error) {
+func (w *wireEvent) decodeHealthResult() (rules.Event, error) {
 	engine, status, err := w.engineStatus()
 	if err != nil {
 		return nil, err
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -9,13 +9,12 @@
 	"foxlane/rules"
 )
 
-// encoder builds a reply line: groups of commands, one group for each instance.
-// Replies are written once for every batch and the CPU time counts, so it appends
-// text instead of using reflection.
+// encoder builds a reply line, which contains a group of commands for each instance. It appends text instead of using
+// reflection, because a reply is written for every batch and its CPU time counts.
 type encoder struct {
 	buf           []byte
-	groupStart    int // where the open group begins
-	commandsStart int // where its commands begin
+	groupStart    int // offset of the open group
+	commandsStart int // offset of its commands
 }
 
 func (e *encoder) openReply() { e.buf = append(e.buf[:0], `{"managers":[`...) }
@@ -25,18 +24,18 @@
 	return e.buf
 }
 
-func (e *encoder) openGroup(who int) {
+func (e *encoder) openGroup(instanceID int) {
 	e.groupStart = len(e.buf)
 	if e.buf[len(e.buf)-1] != '[' {
 		e.buf = append(e.buf, ',')
 	}
 	e.buf = append(e.buf, `{"who":`...)
-	e.buf = strconv.AppendInt(e.buf, int64(who), 10)
+	e.buf = strconv.AppendInt(e.buf, int64(instanceID), 10)
 	e.buf = append(e.buf, `,"cmds":[`...)
 	e.commandsStart = len(e.buf)
 }
 
-// closeGroup ends the group; a group without commands is left out.
+// closeGroup ends the open group, and removes it if it has no commands.
 func (e *encoder) closeGroup() {
 	if len(e.buf) == e.commandsStart {
 		e.buf = e.buf[:e.groupStart]
@@ -45,11 +44,11 @@
 	e.buf = append(e.buf, "]}"...)
 }
 
-// dropGroup removes the commands of the open group: the instance that asked for
-// them has ended within this batch.
+// dropGroup removes the commands of the open group, because the instance that issued them was stopped or replaced
+// within this batch.
 func (e *encoder) dropGroup() { e.buf = e.buf[:e.commandsStart] }
 
-// openCommand begins a command. Its fields and closeCommand follow.
+// openCommand begins a command. The caller appends its fields and calls closeCommand.
 func (e *encoder) openCommand(name string) {
 	if len(e.buf) > e.commandsStart {
 		e.buf = append(e.buf, ',')
@@ -72,7 +71,7 @@
 }
 
 func (e *encoder) text(key, value string) {
-	quoted, _ := json.Marshal(value) // a string has no value that can't be marshalled
+	quoted, _ := json.Marshal(value) // marshalling a string never fails
 	e.key(key)
 	e.buf = append(e.buf, quoted...)
 }
@@ -90,14 +89,14 @@
 
 func (e *encoder) closeCommand() { e.buf = append(e.buf, '}') }
 
-func (e *encoder) panicReport(reason string) {
+func (e *encoder) appendPanicReport(reason string) {
 	e.openCommand("Crash")
 	e.text("msg", reason)
 	e.closeCommand()
 }
 
-// action appends one action of the module.
-func (e *encoder) action(a rules.Action) {
+// appendAction appends an action of the decision module as a command.
+func (e *encoder) appendAction(a rules.Action) {
 	switch a := a.(type) {
 	case rules.Send:
 		e.openRequestCommand("Dispatch", a.ID)
@@ -142,7 +141,7 @@
 		e.openCommand("Remark")
 		e.text("msg", a.Text)
 	default:
-		panic(fmt.Sprintf("no wire form for %T", a)) // a bug, not reachable by input; Host.decide recovers
+		panic(fmt.Sprintf("no wire form for %T", a)) // a bug, not reachable by input; Host.runModule recovers
 	}
 	e.closeCommand()
 }
