--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -20,7 +20,7 @@
 // Settings identifies this gateway and the voters.
 type Settings struct {
 	Self         string   // name of this gateway
-	Voters       []string // the same list at every gateway
+	Voters       []string // same names in the same order at every gateway: raft IDs are positions in this list
 	TickInterval rules.Time
 }
 
@@ -67,7 +67,7 @@
 	pendingRequests  []pendingRequest
 	listenTicksLeft  int    // ticks with a leader until the voter votes again; 0: it votes
 	highestTermSeen  uint64 // highest term in messages received while the voter listens
-	maxVotedTerm     uint64 // terms up to this one may have the voter's vote from before it lost its log; it votes in later ones only
+	maxVotedTerm     uint64 // highest term in which the voter may have voted before it lost its log; it votes in later terms only
 	failure          error  // ErrDiskFailed or ErrLogInvalid: the voter is stopped until a restart; nil: it runs
 	effects          []Effect
 }
@@ -231,6 +231,7 @@
 	return v.collectReady()
 }
 
+// tick advances raft or the listening time, and fails requests that are past their deadline.
 func (v *Voter) tick() {
 	if v.listenTicksLeft > 0 {
 		v.raftNode.TickQuiesced()
@@ -254,6 +255,7 @@
 	v.pendingRequests = remaining
 }
 
+// propose passes a command to raft. The request stays pending until the command is committed.
 func (v *Voter) propose(p Propose) {
 	p.Command.AtMS = int64(v.now / rules.Millisecond)
 	raw, err := json.Marshal(p.Command)
@@ -276,9 +278,9 @@
 	v.pendingRequests = append(v.pendingRequests, pendingRequest{p.RequestID, p.Command.ID, v.now + proposalTimeout})
 }
 
-// lostLogPrefix and the sender's name make up the message of a voter that lost entries it had acknowledged. The leader
-// would send it only the entries after those, so it transfers leadership to another voter, which determines anew how
-// far each voter's log reaches.
+// lostLogPrefix, followed by the sender's name, is the message of a voter that lost entries it had acknowledged. The
+// leader counts those entries as received and would send only later ones. It therefore transfers leadership to another
+// voter, which determines anew how far each voter's log reaches.
 const lostLogPrefix = "forgotten "
 
 // receive handles a message from another voter.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,7 +19,7 @@
 	SendOverBudget                      // this gateway alone exceeds the slow-start budget that all gateways share
 	RetryUnsafe                         // a retry of a non-idempotent class after an attempt that may have run
 	RetryOutsideWindow                  // a retry with an idempotency key outside the key's dedup scope or window
-	RetryOverLimit                      // more attempts than the limit of a request
+	RetryOverLimit                      // a request exceeds its limit of attempts
 	AnswerTwice                         // a second final answer to a request
 	AnswerLate                          // a final answer long after its client's deadline
 	RejectedMayHaveRun                  // a rejection states that nothing ran, although an attempt may have run
@@ -38,6 +38,7 @@
 	"repeat_unsafe", "repeat_outside", "repeat_over_limit", "answer_twice", "answer_late", "refused_may_have_run", "close_unanswered",
 	"close_in_flight", "start_twice", "start_after_end"}
 
+// String returns the name of the invariant in logs and statistics.
 func (i Invariant) String() string { return invariantNames[i] }
 
 // Violations counts violations per invariant.
