--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// parseSRV parses an SRV record into a host without its details, and returns the target.
+// parseSRV parses an SRV record and returns the host, without its A and TXT data, and the target.
 func (rec *record) parseSRV() (h Host, target string, err error) {
 	var port uint16
 	for _, field := range []*uint16{&h.Priority, &h.Weight, &port} {
--- a/internal/mysql/fields.go
+++ b/internal/mysql/fields.go
@@ -37,12 +37,12 @@
 	maxAmount    = 1e9     // ms or MB
 )
 
-// HasFields reports whether a statement begins with a comment, which should have the fields.
+// HasFields reports whether a statement begins with a comment, where its fields are expected.
 func HasFields(text []byte) bool {
 	return bytes.HasPrefix(bytes.TrimLeft(text, " \t\r\n"), []byte("/*"))
 }
 
-// ParseQuery parses a statement that begins with a comment with its fields.
+// ParseQuery parses a statement and the fields in its leading comment. Its errors are of type *Error, with CodeParse.
 func ParseQuery(text []byte) (q Query, err error) {
 	parseError := func(format string, args ...any) (Query, error) {
 		return Query{}, &Error{CodeParse, fmt.Sprintf(format, args...)}
