--- a/internal/spool/capacity.go
+++ b/internal/spool/capacity.go
@@ -4,13 +4,13 @@
 	"foxlane/rules"
 )
 
-// This file decides what may be stored: reservations, quotas and eviction. Invariant: diskBytes is the sum of
-// tenantBytes, and that of reserved and bytes over all results.
+// This file handles reservations, quotas and eviction. Invariant: diskBytes equals the sum of tenantBytes, and the sum
+// of reserved and bytes of all results.
 
-// reserve reserves capacity before a query is sent, so that a full store rejects only queries that never ran.
+// reserve reserves capacity before a query is sent, so that a full store rejects a query before it has run.
 func (s *Store) reserve(e Reserve) {
 	need := min(s.sizes.estimate(e.Class, e.Shape), s.budget.MaxResultBytes)
-	reason, after := s.makeRoom(e.Tenant, need)
+	reason, retryAfter := s.ensureCapacity(e.Tenant, need)
 	if reason == ReasonNone && e.Durable && s.diskLost {
 		reason = ReasonDiskFailed
 	}
@@ -19,7 +19,7 @@
 	}
 	if reason != ReasonNone {
 		s.stats.Rejected++
-		s.emit(Rejected{ID: e.ID, Reason: reason, RetryAfter: after})
+		s.emit(Rejected{ID: e.ID, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
 	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, shape: e.Shape, durable: e.Durable, state: filling,
@@ -32,30 +32,31 @@
 
 func anyResult(*result) bool { return true }
 
-// makeRoom says whether this much more may be stored; if not, why, and after what time it may be possible. Results
-// whose lease has expired are evicted for it, only the tenant's own where its quota is what is used up.
-func (s *Store) makeRoom(tenant uint64, need int64) (Reason, rules.Time) {
+// ensureCapacity ensures that need more bytes of a tenant can be stored, evicting results with an expired lease if
+// necessary. If the tenant's quota is exhausted, only results of that tenant are evicted. On failure it returns the
+// reason, and the time after which a retry may succeed (0: not known).
+func (s *Store) ensureCapacity(tenant uint64, need int64) (Reason, rules.Time) {
 	if need > s.budget.MaxResultBytes {
 		return ReasonTooLarge, 0
 	}
-	if len(s.results) >= s.budget.MaxResults && !s.evict(anyResult) {
-		return ReasonTooMany, s.nextEviction(anyResult)
+	if len(s.results) >= s.budget.MaxResults && !s.evictOne(anyResult) {
+		return ReasonTooMany, s.timeToNextEviction(anyResult)
 	}
 	ofTenant := func(r *result) bool { return r.tenant == tenant }
 	for s.tenantBytes[tenant]+need > s.budget.MaxTenantBytes {
-		if !s.evict(ofTenant) {
-			return ReasonQuota, s.nextEviction(ofTenant)
+		if !s.evictOne(ofTenant) {
+			return ReasonQuota, s.timeToNextEviction(ofTenant)
 		}
 	}
 	for s.diskBytes+need > s.capacity() {
-		if !s.evict(anyResult) {
-			return ReasonCapacity, s.nextEviction(anyResult)
+		if !s.evictOne(anyResult) {
+			return ReasonCapacity, s.timeToNextEviction(anyResult)
 		}
 	}
 	return ReasonNone, 0
 }
 
-// capacity is how many bytes may be stored in all: on the disk, or in memory where there is no disk.
+// capacity returns the total number of bytes that may be stored: on the disk, or in memory if no disk is available.
 func (s *Store) capacity() int64 {
 	if s.diskLost || s.budget.DiskBytes == 0 {
 		return s.budget.MemoryBytes
@@ -63,8 +64,9 @@
 	return s.budget.DiskBytes
 }
 
-// evict removes the result of the longest expired lease among those that match and have no reader, if there is one.
-func (s *Store) evict(matches func(*result) bool) bool {
+// evictOne removes the result whose lease expired first among the matching results without readers. It returns false
+// if there is none.
+func (s *Store) evictOne(matches func(*result) bool) bool {
 	var victim *result
 	for _, r := range s.leases {
 		if r.leaseEnd <= s.now && r.readerCount == 0 && matches(r) && (victim == nil || r.leaseEnd < victim.leaseEnd) {
@@ -79,21 +81,21 @@
 	return true
 }
 
-// nextEviction is the time until a matching result may be evicted; 0: there is none.
-func (s *Store) nextEviction(matches func(*result) bool) rules.Time {
-	after := rules.Time(0)
+// timeToNextEviction returns the time until a matching result may be evicted, or 0 if there is none.
+func (s *Store) timeToNextEviction(matches func(*result) bool) rules.Time {
+	wait := rules.Time(0)
 	for _, r := range s.leases {
-		if left := max(r.leaseEnd-s.now, rules.Millisecond); matches(r) && (after == 0 || left < after) {
-			after = left
+		if remaining := max(r.leaseEnd-s.now, rules.Millisecond); matches(r) && (wait == 0 || remaining < wait) {
+			wait = remaining
 		}
 	}
-	return after
+	return wait
 }
 
-// evictToBudget evicts after the budget became smaller. Results whose lease still runs stay until it expires;
-// meanwhile nothing new is reserved.
+// evictToBudget evicts results after the budget was reduced. Results with a running lease are kept until it expires;
+// until then no capacity is reserved.
 func (s *Store) evictToBudget() {
-	for s.diskBytes > s.capacity() && s.evict(anyResult) {
+	for s.diskBytes > s.capacity() && s.evictOne(anyResult) {
 	}
 }
 
@@ -103,17 +105,18 @@
 	s.diskBytes += n
 }
 
-// useReservation takes the bytes of a page out of a result's reservation, which grows if need be: by half of what has
-// arrived, else by what is missing. It returns why it can't grow, or ReasonNone.
-func (s *Store) useReservation(r *result, n int64) Reason {
+// consumeReservation moves n bytes of a page from a result's reservation to its stored bytes. If the reservation is too
+// small, it grows by half of the bytes that have arrived, or by the missing bytes if there is no capacity for more. It
+// returns the reason if it can't grow, or ReasonNone.
+func (s *Store) consumeReservation(r *result, n int64) Reason {
 	if r.bytes+n > s.budget.MaxResultBytes {
 		return ReasonTooLarge
 	}
 	if missing := n - r.reserved; missing > 0 {
 		grow := max(missing, min(r.bytes/2, s.budget.MaxResultBytes-r.bytes-r.reserved))
-		if reason, _ := s.makeRoom(r.tenant, grow); reason != ReasonNone {
+		if reason, _ := s.ensureCapacity(r.tenant, grow); reason != ReasonNone {
 			grow = missing
-			if reason, _ := s.makeRoom(r.tenant, grow); reason != ReasonNone {
+			if reason, _ := s.ensureCapacity(r.tenant, grow); reason != ReasonNone {
 				return reason
 			}
 		}
@@ -124,13 +127,14 @@
 	return ReasonNone
 }
 
-func (s *Store) returnReservation(r *result, n int64) {
+func (s *Store) releaseReservation(r *result, n int64) {
 	r.reserved -= n
 	s.diskBytes -= n
 	s.chargeTenant(r.tenant, -n)
 }
 
-// chargeTenant adds to a tenant's bytes. A tenant without any has no entry, so that the map does not grow for ever.
+// chargeTenant adds n to a tenant's bytes. It deletes the entry of a tenant that has none left, so that the map does
+// not grow without bound.
 func (s *Store) chargeTenant(tenant uint64, n int64) {
 	if s.tenantBytes[tenant] += n; s.tenantBytes[tenant] == 0 {
 		delete(s.tenantBytes, tenant)
--- a/internal/spool/effect.go
+++ b/internal/spool/effect.go
@@ -5,62 +5,62 @@
 	"foxlane/rules"
 )
 
-// This file owns the effects that come out of a Store, and the reasons that they give.
+// This file defines the effects that a Store returns, and the reasons in them.
 
-// Effect is something that the owner of a Store has to do: a FillEffect, a DiskEffect, DeliverChunk, Acknowledged, Deny,
-// AbortRead or SetTimer.
+// Effect is an action that the owner of a Store has to execute: a FillEffect, a DiskEffect, DeliverChunk, Acknowledged,
+// Deny, AbortRead or SetTimer.
 type Effect interface{ effect() }
 
-// FillEffect is an effect that concerns a result which is being filled: Granted, Rejected, FetchPages, ReleaseEngine,
-// Completed or Failed.
+// FillEffect is an effect on a result that is being filled, or on its reservation: Granted, Rejected, FetchPages,
+// ReleaseEngine, Completed or Failed.
 type FillEffect interface {
 	Effect
 	ResultID() ID
 }
 
-// DiskEffect is an effect for the disk: WriteRecord, LoadChunk or DiscardRecords.
+// DiskEffect is an effect that the disk has to execute: WriteRecord, LoadChunk or DiscardRecords.
 type DiskEffect interface {
 	Effect
 	diskEffect()
 }
 
-// Granted says that the query may be sent.
+// Granted reports that capacity is reserved: the query may be sent.
 type Granted struct{ ID ID }
 
-// Rejected says that the query may not be sent, and nothing ran.
+// Rejected reports that no capacity is reserved: the query must not be sent, and has not run.
 type Rejected struct {
 	ID         ID
 	Reason     Reason
-	RetryAfter rules.Time // after which it may be possible; 0: not known
+	RetryAfter rules.Time // time until capacity may be available; 0: not known
 }
 
-// FetchPages asks the engine for its pages Index to End-1.
+// FetchPages requests the pages Index to End-1 from the engine.
 type FetchPages struct {
 	ID         ID
 	Index, End int
 }
 
-// ReleaseEngine says that the engine is not needed any more.
+// ReleaseEngine reports that the engine is no longer needed.
 type ReleaseEngine struct{ ID ID }
 
-// Completed says that the result may be offered.
+// Completed reports that the result can be read.
 type Completed struct{ ID ID }
 
-// Failed says that the result can't be completed.
+// Failed reports that the result can't be completed.
 type Failed struct {
 	ID     ID
 	Reason Reason
 }
 
-// WriteRecord appends a record. RecordWritten answers it, until then Data must not change.
+// WriteRecord appends a record to the disk. RecordWritten answers it; until then Data must not change.
 type WriteRecord struct {
 	ID     ID
 	Record segment.Kind
-	Index  int // of the chunk; of a Seal: how many chunks there are
+	Index  int // index of the chunk; for a Seal, the number of chunks
 	Data   []byte
 }
 
-// LoadChunk reads a chunk for a reader. ChunkLoaded answers it.
+// LoadChunk reads a chunk from the disk for a reader. ChunkLoaded answers it.
 type LoadChunk struct {
 	Reader   int
 	ID       ID
@@ -68,33 +68,33 @@
 	Location Location
 }
 
-// DiscardRecords says that all records of a result are dead.
+// DiscardRecords reports that no record of a result is needed any more, so that their space can be reclaimed.
 type DiscardRecords struct {
 	ID        ID
-	Locations []Location // of the chunks
+	Locations []Location // locations of the chunks
 }
 
-// DeliverChunk hands chunk Index of End to a reader.
+// DeliverChunk delivers chunk Index to a reader. End is the number of chunks of the result.
 type DeliverChunk struct {
 	Reader     int
 	Index, End int
 	Data       []byte
-	Last       bool // no chunk follows
+	Last       bool // this is the last chunk
 }
 
-// Acknowledged says that a reader's Acknowledge is done.
+// Acknowledged reports that the result named in a reader's Acknowledge has been removed.
 type Acknowledged struct{ Reader int }
 
-// Deny gives a reader nothing, and no reason.
+// Deny rejects a reader without a reason.
 type Deny struct{ Reader int }
 
-// AbortRead says that a reader's result was lost while it was read.
+// AbortRead ends a read because the result was lost or removed, or a chunk could not be read.
 type AbortRead struct {
 	Reader int
 	Reason Reason
 }
 
-// SetTimer asks for TimerFired at At, instead of at the time that was asked for before.
+// SetTimer requests a TimerFired event at At. It replaces the previous request.
 type SetTimer struct{ At rules.Time }
 
 func (Granted) effect()        {}
@@ -116,41 +116,41 @@
 func (LoadChunk) diskEffect()      {}
 func (DiscardRecords) diskEffect() {}
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f Granted) ResultID() ID { return f.ID }
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f Rejected) ResultID() ID { return f.ID }
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f FetchPages) ResultID() ID { return f.ID }
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f ReleaseEngine) ResultID() ID { return f.ID }
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f Completed) ResultID() ID { return f.ID }
 
-// ResultID names the result.
+// ResultID returns the ID of the result.
 func (f Failed) ResultID() ID { return f.ID }
 
-// Reason says why a result was rejected, failed or removed.
+// Reason is why a result was rejected, failed or removed.
 type Reason uint8
 
-// Reasons.
+// Reasons for rejecting, failing or removing a result.
 const (
 	ReasonNone          Reason = iota
-	ReasonCapacity             // the disk or the memory that may be used is full
-	ReasonQuota                // the tenant's quota is used up
-	ReasonTooLarge             // the result is larger than one may be
-	ReasonTooMany              // as many results as may be are stored
-	ReasonDiskFailed           // a write, sync or read of the disk failed
-	ReasonAttemptFailed        // the attempt that gave the pages failed
-	ReasonLeaseExpired         // the lease had expired
+	ReasonCapacity             // the store has no free disk or memory capacity
+	ReasonQuota                // the tenant's quota is exhausted
+	ReasonTooLarge             // the result exceeds the maximum size or number of pages
+	ReasonTooMany              // the maximum number of results is stored
+	ReasonDiskFailed           // a disk write, sync or read failed
+	ReasonAttemptFailed        // the attempt that produced the pages failed
+	ReasonLeaseExpired         // the lease expired
 )
 
-// The names are part of log lines and of errors that clients see; docs/ops/spool.md lists them.
+// reasonNames appear in log lines and in errors that clients receive; docs/ops/spool.md lists them.
 var reasonNames = [...]string{"nothing", "room", "quota", "size", "count", "disk", "broken", "time"}
 
-// String returns the name that log lines and errors carry.
+// String returns the name that is used in log lines and errors.
 func (r Reason) String() string { return reasonNames[r] }
--- a/internal/spool/event.go
+++ b/internal/spool/event.go
@@ -5,72 +5,73 @@
 	"foxlane/rules"
 )
 
-// This file owns the events that go into a Store; effect.go owns what comes out. Messages are handed from goroutine to
-// goroutine, so they are values that nobody changes.
+// This file defines the events that a Store handles; effect.go defines its effects. Events and effects are passed
+// between goroutines, so they are values that must not be modified after they are sent.
 
-// ID identifies a result. It is random, but not secret.
+// ID identifies a result. It is random but not secret.
 type ID = segment.ID
 
-// Secret is the SHA-256 of the key that a client must show to read a result.
+// Secret is the SHA-256 hash of the key that a client must present to read a result.
 type Secret = [32]byte
 
-// Location says where a record is stored on the disk.
+// Location is the place of a record on the disk.
 type Location struct {
 	Segment uint32
 	Offset  int64
-	Size    int32 // of the whole record; 0: the record is not stored
+	Size    int32 // size of the whole record; 0: the record is not stored
 }
 
-// Event is the input of a Store: one type for each kind. Those about a result or a reader that is gone change nothing.
+// Event is an input of a Store. An event about a result or a reader that no longer exists has no effect.
 type Event interface{ event() }
 
-// Reserve asks for capacity for the result of a query that is about to be sent. Granted or Rejected answers it.
+// Reserve requests capacity for the result of a query that is about to be sent. Granted or Rejected answers it.
 type Reserve struct {
 	ID      ID
 	Secret  Secret
 	Tenant  uint64
 	Class   int
 	Shape   uint64 // hash of the statement's shape; 0: not known
-	Durable bool   // a handle was asked for: the result must outlast a restart
+	Durable bool   // the client requested a handle, so the result must survive a restart
 }
 
-// PageArrived brings a page of the engine. The Store keeps Data.
+// PageArrived delivers a page of the engine's result. The Store retains Data.
 type PageArrived struct {
 	ID        ID
 	Index     int
-	PageCount int // pages of the engine's result
+	PageCount int // total pages of the engine's result
 	Data      []byte
 }
 
-// AttemptFailed reports that the attempt failed or was cancelled: its pages are void.
+// AttemptFailed reports that the attempt failed or was cancelled. The result can't be completed, and its pages are
+// discarded.
 type AttemptFailed struct{ ID ID }
 
-// RecordWritten answers a WriteRecord. A record that was written may still be lost in a crash.
+// RecordWritten answers a WriteRecord. A written record may still be lost in a crash, until it is synced.
 type RecordWritten struct {
 	ID       ID
 	Record   segment.Kind
 	Index    int
-	Location Location // not set if Failed
+	Location Location // unset if Failed
 	Failed   bool     // the record was not written
 }
 
-// ResultSynced follows the RecordWritten of a Seal: the disk has synced it, and the whole result outlasts a crash.
+// ResultSynced follows the RecordWritten of a Seal, after the sync. Unless Failed, the whole result survives a crash.
 type ResultSynced struct {
 	ID     ID
-	Failed bool // whether the result would outlast a crash is unknown
+	Failed bool // it is unknown whether the result would survive a crash
 }
 
-// Attach reports that a reader asks for a result, from a chunk on. DeliverChunk or Deny answers it, once the result is
-// complete.
+// Attach reports that a reader requests a result, starting at chunk Index. DeliverChunk, Deny or AbortRead answers it.
+// DeliverChunk comes only after the result is complete.
 type Attach struct {
 	Reader int
 	ID     ID
 	Secret Secret
 	Tenant uint64
-	Index  int // of the first chunk
+	Index  int // index of the first chunk to read
 }
 
-// NextChunk reports that a reader has read all chunks before Index, and asks for that one.
+// NextChunk reports that a reader has read all chunks before Index and requests chunk Index.
 type NextChunk struct {
 	Reader int
 	Index  int
@@ -81,14 +82,14 @@
 	Reader  int
 	Index   int
 	Data    []byte // nil if Failed
-	Failed  bool   // the disk did not read the chunk
-	Corrupt bool   // with Failed: the stored bytes differ from those that were written, and always will
+	Failed  bool   // the chunk could not be read
+	Corrupt bool   // with Failed: the stored bytes differ from those that were written, so a retry can't succeed
 }
 
-// Detach reports that a reader has gone.
+// Detach reports that a reader has disconnected.
 type Detach struct{ Reader int }
 
-// Acknowledge reports that a client needs a result no longer. Acknowledged or Deny answers it.
+// Acknowledge reports that a client no longer needs a result. Acknowledged or Deny answers it.
 type Acknowledge struct {
 	Reader int
 	ID     ID
@@ -96,16 +97,16 @@
 	Tenant uint64
 }
 
-// Release reports that a result is not wanted any more.
+// Release removes a result that is no longer needed, in any state.
 type Release struct{ ID ID }
 
-// TimerFired reports that the time of the last SetTimer has come.
+// TimerFired reports that the time of the last SetTimer has been reached.
 type TimerFired struct{}
 
-// SetBudget brings the limits that hold from now on.
+// SetBudget replaces the limits of the Store.
 type SetBudget struct{ Budget Budget }
 
-// ResultRecovered reports a complete result that the disk held at the start.
+// ResultRecovered reports a complete result that was found on the disk at the start.
 type ResultRecovered struct {
 	ID        ID
 	Secret    Secret
@@ -113,22 +114,22 @@
 	Class     int
 	Created   rules.Time
 	LeaseEnd  rules.Time
-	Locations []Location // of its chunks, in order
+	Locations []Location // locations of its chunks, in order
 }
 
-// DiskLost reports that nothing can be written to the disk or read from it any more.
+// DiskLost reports that the disk can no longer be read or written.
 type DiskLost struct{}
 
-// DiskRestored reports that the disk can be used again.
+// DiskRestored reports that the disk can be read and written again.
 type DiskRestored struct{}
 
-// SegmentTailLost reports that the contents of a segment from an offset on are unknown.
+// SegmentTailLost reports that the contents of a segment at and after Offset are unknown.
 type SegmentTailLost struct {
 	Segment uint32
 	Offset  int64
 }
 
-// ChunkMoved reports that a compaction moved a chunk.
+// ChunkMoved reports the new location of a chunk that a compaction moved.
 type ChunkMoved struct {
 	ID       ID
 	Index    int
--- a/internal/spool/handle_test.go
+++ b/internal/spool/handle_test.go
@@ -11,18 +11,18 @@
 	if len(text) != HandleSize || !strings.HasPrefix(text, "0102ff") {
 		t.Errorf("got %q", text)
 	}
-	if back, err := ParseHandle([]byte(text)); err != nil || back != h {
-		t.Errorf("%+v, %v", back, err)
+	if parsed, err := ParseHandle([]byte(text)); err != nil || parsed != h {
+		t.Errorf("%+v, %v", parsed, err)
 	}
-	for _, bad := range []string{"", text[1:], text + "0", strings.ToUpper(text), strings.Repeat("g", HandleSize), text[:63] + " "} {
-		if _, err := ParseHandle([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+	for _, invalid := range []string{"", text[1:], text + "0", strings.ToUpper(text), strings.Repeat("g", HandleSize), text[:63] + " "} {
+		if _, err := ParseHandle([]byte(invalid)); err == nil {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 	other := h
 	other.Key[15] ^= 1
 	if h.Secret() == other.Secret() || h.Secret() == (Secret{}) {
-		t.Error("a key has no secret of its own")
+		t.Error("the secret does not depend on the key")
 	}
 }
 
@@ -31,7 +31,7 @@
 	f.Add([]byte("0123"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if h, err := ParseHandle(text); err == nil && h.String() != string(text) {
-			t.Errorf("%q became %q", text, h)
+			t.Errorf("parsing %q gave the handle %q", text, h)
 		}
 	})
 }
--- a/internal/spool/lease.go
+++ b/internal/spool/lease.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// This file owns leases. A completed result is kept until its lease expires, and as long again while nobody needs
-// the capacity. leaseHeap holds all completed results and no others.
+// This file handles leases. A completed result is kept until its lease expires, and for another lease time unless its
+// capacity is needed. Store.leases holds exactly the completed results.
 
 func (s *Store) renewLease(r *result) {
 	r.leaseEnd = s.now + s.budget.LeaseTime
 	s.leases.fix(r)
 }
 
-// expire removes the results whose lease expired a whole lease time ago.
+// expire removes the results whose lease expired at least one lease time ago. A result with a reader gets a new lease
+// instead.
 func (s *Store) expire() {
 	for len(s.leases) > 0 {
 		r := s.leases[0]
 		if r.readerCount > 0 && r.leaseEnd+s.budget.LeaseTime <= s.now {
-			s.renewLease(r) // a reader that takes long for one chunk is still reading
+			s.renewLease(r) // a slow reader is still reading its chunk
 			continue
 		}
 		if r.leaseEnd+s.budget.LeaseTime > s.now {
@@ -26,7 +27,7 @@
 	}
 }
 
-// setTimer asks for the next TimerFired, if its time has changed.
+// setTimer requests the next TimerFired event if its time has changed.
 func (s *Store) setTimer() {
 	if len(s.leases) == 0 {
 		s.timerAt = 0
@@ -38,7 +39,7 @@
 	}
 }
 
-// leaseHeap is a heap of completed results by the end of their lease. Each result knows its index.
+// leaseHeap is a min-heap of results, ordered by the end of their lease. Each result stores its index in the heap.
 type leaseHeap []*result
 
 func (h *leaseHeap) push(r *result) {
@@ -47,7 +48,7 @@
 	h.sift(r.heapIndex)
 }
 
-// fix restores the order after the lease of a result changed.
+// fix restores the heap order after the lease of a result changed. A result outside the heap is ignored.
 func (h *leaseHeap) fix(r *result) {
 	if r.heapIndex >= 0 {
 		h.sift(r.heapIndex)
@@ -55,17 +56,18 @@
 }
 
 func (h *leaseHeap) remove(r *result) {
-	s, i, last := *h, r.heapIndex, len(*h)-1
+	heap, i, last := *h, r.heapIndex, len(*h)-1
 	if i < 0 {
 		return
 	}
 	r.heapIndex = -1
-	s[i], s[last] = s[last], nil
-	if *h = s[:last]; i < last {
+	heap[i], heap[last] = heap[last], nil
+	if *h = heap[:last]; i < last {
 		h.sift(i)
 	}
 }
 
+// sift moves the result at index i up or down to its place in the heap.
 func (h leaseHeap) sift(i int) {
 	less := func(a, b int) bool { return h[a].leaseEnd < h[b].leaseEnd }
 	swap := func(a, b int) { h[a], h[b] = h[b], h[a]; h[a].heapIndex, h[b].heapIndex = a, b }
@@ -74,18 +76,18 @@
 		swap(i, (i-1)/2)
 	}
 	for {
-		least := 2*i + 1
-		if least >= len(h) {
+		smallest := 2*i + 1
+		if smallest >= len(h) {
 			return
 		}
-		if least+1 < len(h) && less(least+1, least) {
-			least++
+		if smallest+1 < len(h) && less(smallest+1, smallest) {
+			smallest++
 		}
-		if !less(least, i) {
+		if !less(smallest, i) {
 			return
 		}
-		swap(i, least)
-		i = least
+		swap(i, smallest)
+		i = smallest
 	}
 }
 
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -6,38 +6,37 @@
 	"slices"
 )
 
-// This file owns readers: who may read a result, and which chunk a reader gets next. Invariant: no chunk of a result
-// that is not completed is delivered.
+// This file authorizes readers and delivers chunks to them. Invariant: only chunks of completed results are delivered.
 
-// authorized compares in a time that does not depend on where the two differ.
-func authorized(r *result, secret Secret, tenant uint64) bool {
+// credentialsMatch compares the secret and the tenant of a result in constant time.
+func credentialsMatch(r *result, secret Secret, tenant uint64) bool {
 	same := subtle.ConstantTimeCompare(r.secret[:], secret[:])
 	return same&subtle.ConstantTimeEq(int32(r.tenant), int32(tenant))&subtle.ConstantTimeEq(int32(r.tenant>>32), int32(tenant>>32)) == 1
 }
 
-// unknownResult is compared with where there is no result, so that the time tells nothing about which IDs exist.
-var unknownResult result
+// dummyResult is compared with if an ID is unknown, so that the response time does not reveal which IDs exist.
+var dummyResult result
 
-// authorize returns a result if the secret and the tenant that were shown allow to use it, else nil.
+// authorize returns the result with this ID if the secret and the tenant match, or nil.
 func (s *Store) authorize(id ID, secret Secret, tenant uint64) *result {
 	r := s.results[id]
 	if r == nil {
-		authorized(&unknownResult, secret, tenant)
+		credentialsMatch(&dummyResult, secret, tenant)
 		return nil
 	}
-	if !authorized(r, secret, tenant) {
+	if !credentialsMatch(r, secret, tenant) {
 		return nil
 	}
 	return r
 }
 
-// deny answers a reader. An unknown, foreign, expired or failed result is denied in the same way.
+// deny rejects a reader. It gives no reason, so that unknown, foreign, expired and failed results look the same.
 func (s *Store) deny(reader int) {
 	s.stats.Denied++
 	s.emit(Deny{Reader: reader})
 }
 
-// attach lets a client read a result.
+// attach adds a reader to a result. If the result is not complete, the reader waits for it.
 func (s *Store) attach(e Attach) {
 	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil || e.Index < 0 || s.readers[e.Reader] != nil || r.state == completed && e.Index >= len(r.chunks) {
@@ -50,7 +49,7 @@
 	s.serveReader(e.Reader)
 }
 
-// acknowledge removes a result that its client needs no longer. Other readers of it are aborted.
+// acknowledge removes a result that its client no longer needs. It aborts all readers of the result.
 func (s *Store) acknowledge(e Acknowledge) {
 	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil {
@@ -61,14 +60,14 @@
 	s.emit(Acknowledged{Reader: e.Reader})
 }
 
-// nextChunk moves a reader to chunk Index, which says that it has read all before. Reading renews the lease; reading
-// the last chunk removes the result.
+// nextChunk moves a reader to chunk Index, which confirms that it has read all earlier chunks. It renews the lease. A
+// reader past the last chunk is detached, and the result is removed if it has no other reader.
 func (s *Store) nextChunk(e NextChunk) {
-	d := s.readers[e.Reader]
-	if d == nil {
+	rd := s.readers[e.Reader]
+	if rd == nil {
 		return
 	}
-	r := d.result
+	r := rd.result
 	s.renewLease(r)
 	if r.state == completed && e.Index >= len(r.chunks) {
 		s.detach(e.Reader)
@@ -82,54 +81,54 @@
 		s.emit(Deny{Reader: e.Reader})
 		return
 	}
-	d.index, d.waiting = e.Index, true
+	rd.index, rd.waiting = e.Index, true
 	s.serveReader(e.Reader)
 }
 
-// serveReader delivers the chunk that a reader waits for, or has it loaded from the disk.
-func (s *Store) serveReader(n int) {
-	d := s.readers[n]
-	r := d.result
-	if !d.waiting || d.loading || r.state != completed {
-		return // a result that is not completed is offered later, by complete
-	}
-	if d.index >= len(r.chunks) { // asked for before the number of chunks was known
-		s.detach(n)
-		s.deny(n)
+// serveReader delivers the chunk that a reader waits for, or requests it from the disk.
+func (s *Store) serveReader(number int) {
+	rd := s.readers[number]
+	r := rd.result
+	if !rd.waiting || rd.loading || r.state != completed {
+		return // complete serves the readers of a result that is not completed yet
+	}
+	if rd.index >= len(r.chunks) { // requested before the number of chunks was known
+		s.detach(number)
+		s.deny(number)
 		return
 	}
-	c := &r.chunks[d.index]
+	c := &r.chunks[rd.index]
 	if c.data == nil {
-		d.loading = true
-		s.emit(LoadChunk{Reader: n, ID: r.id, Index: d.index, Location: c.location})
+		rd.loading = true
+		s.emit(LoadChunk{Reader: number, ID: r.id, Index: rd.index, Location: c.location})
 		return
 	}
-	s.deliver(n, d, c.data)
+	s.deliver(number, rd, c.data)
 }
 
-func (s *Store) deliver(n int, d *reader, data []byte) {
-	d.waiting = false
+func (s *Store) deliver(number int, rd *reader, data []byte) {
+	rd.waiting = false
 	s.stats.Delivered++
-	chunks := len(d.result.chunks)
-	s.emit(DeliverChunk{Reader: n, Index: d.index, End: chunks, Data: data, Last: d.index == chunks-1})
+	chunks := len(rd.result.chunks)
+	s.emit(DeliverChunk{Reader: number, Index: rd.index, End: chunks, Data: data, Last: rd.index == chunks-1})
 }
 
-// serveWaiting serves all readers of a result that wait for a chunk.
-func (s *Store) serveWaiting(r *result) {
+// serveWaitingReaders serves all readers of a result that are waiting for a chunk.
+func (s *Store) serveWaitingReaders(r *result) {
 	if r.readerCount == 0 {
 		return
 	}
-	for _, n := range s.readersOf(r, func(d *reader) bool { return d.waiting }) {
-		s.serveReader(n)
+	for _, number := range s.readersOf(r, func(rd *reader) bool { return rd.waiting }) {
+		s.serveReader(number)
 	}
 }
 
-// readersOf returns the readers of a result that match, sorted: the order of effects must not differ from run to run.
+// readersOf returns the matching readers of a result, sorted so that the order of effects is deterministic.
 func (s *Store) readersOf(r *result, matches func(*reader) bool) []int {
 	var numbers []int
-	for n, d := range s.readers {
-		if d.result == r && matches(d) {
-			numbers = append(numbers, n)
+	for number, rd := range s.readers {
+		if rd.result == r && matches(rd) {
+			numbers = append(numbers, number)
 		}
 	}
 	slices.SortFunc(numbers, cmp.Compare[int])
@@ -137,27 +136,27 @@
 }
 
 func (s *Store) chunkLoaded(e ChunkLoaded) {
-	d := s.readers[e.Reader]
-	if d == nil || !d.loading {
+	rd := s.readers[e.Reader]
+	if rd == nil || !rd.loading {
 		return
 	}
-	d.loading = false
+	rd.loading = false
 	switch {
-	case e.Corrupt: // the stored bytes are not those that were written: no reader may get them
-		s.fail(d.result, ReasonDiskFailed)
-	case e.Failed: // the read may succeed another time, so a result that was promised stays
+	case e.Corrupt: // the stored bytes are not those that were written, so no reader may get them
+		s.fail(rd.result, ReasonDiskFailed)
+	case e.Failed: // a later read may succeed, so the result is kept
 		s.detach(e.Reader)
 		s.emit(AbortRead{Reader: e.Reader, Reason: ReasonDiskFailed})
-	case e.Index != d.index: // the reader asked for another chunk meanwhile
+	case e.Index != rd.index: // the reader has requested another chunk in the meantime
 		s.serveReader(e.Reader)
 	default:
-		s.deliver(e.Reader, d, e.Data)
+		s.deliver(e.Reader, rd, e.Data)
 	}
 }
 
-func (s *Store) detach(n int) {
-	if d := s.readers[n]; d != nil {
-		d.result.readerCount--
-		delete(s.readers, n)
+func (s *Store) detach(number int) {
+	if rd := s.readers[number]; rd != nil {
+		rd.result.readerCount--
+		delete(s.readers, number)
 	}
 }
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -1,17 +1,19 @@
-// Package spool owns results that outlive their engine and their client: the
-// reservation of capacity, quotas and leases, what is written to the disk, who
-// may read a result, and which results are evicted. It must never do I/O, read
-// a clock, draw a random number or know a protocol.
+// Package spool owns the state of the result store, which keeps results after
+// their engine has been released and their client has disconnected: capacity
+// reservations, quotas, leases, writes to the disk, read authorization and
+// eviction. It must never do I/O, read a clock, draw a random number or depend
+// on a protocol.
 //
-// It is a state machine: an event with its time goes in, effects come out, in
-// order. Pages from an engine are gathered into chunks, the pages that clients
-// see. Chunks stay in memory up to a threshold and are written to the disk
-// beyond it. A result is offered only once it is complete; a durable one, which
-// must outlast a restart, only once its seal was synced.
+// Store is a deterministic state machine: it takes an event and its time, and
+// returns an ordered list of effects. It packs the pages of an engine into
+// chunks, which are the pages that clients read. A result that exceeds a
+// threshold is written to the disk, a smaller one stays in memory. Readers get a
+// result only after it is complete; a durable result, which must survive a
+// restart, only after its seal has been synced.
 //
-// event.go and effect.go have the messages, capacity.go reservations and
-// eviction, write.go the way from the engine to the disk, read.go the readers,
-// lease.go expiry.
+// event.go and effect.go define the inputs and outputs, capacity.go handles
+// reservations and eviction, write.go the path from the engine to the disk,
+// read.go the readers, lease.go expiry, sizes.go the estimates of result sizes.
 package spool
 
 import (
@@ -19,20 +21,21 @@
 	"foxlane/rules"
 )
 
+// state is the lifecycle state of a result.
 type state uint8
 
 const (
-	filling   state = iota + 1 // pages arrive
-	sealing                    // all pages are here; the seal is being written
-	completed                  // the result may be read
+	filling   state = iota + 1 // pages are arriving
+	sealing                    // all pages have arrived; the seal is being written
+	completed                  // readers may read the result
 )
 
-// chunk is one page as clients see it.
+// chunk is one page of a result as clients read it.
 type chunk struct {
-	data     []byte // nil: on the disk only
+	data     []byte // nil: stored on the disk only
 	size     int32
-	location Location // Size 0: not written
-	writing  bool     // its WriteRecord is not answered yet
+	location Location // Size 0: not yet written
+	writing  bool     // its WriteRecord is still pending
 }
 
 // result is a stored result, complete or not.
@@ -44,90 +47,91 @@
 	shape       uint64
 	durable     bool
 	state       state
-	reserved    int64 // bytes reserved beyond those that have arrived
-	bytes       int64 // that have arrived, in chunks and out of order
+	reserved    int64 // bytes reserved but not yet used by arrived pages
+	bytes       int64 // bytes that have arrived, including pages received out of order
 	created     rules.Time
 	leaseEnd    rules.Time
-	heapIndex   int // in the heap of leases; -1: not in it
+	heapIndex   int // position in Store.leases; -1: not in the heap
 	readerCount int
 
-	pageCount   int            // pages of the engine, 0: not known
-	nextPage    int            // page that is appended next
-	requested   int            // pages before this one were requested
-	outOfOrder  map[int][]byte // pages that arrived before an earlier one
-	openChunk   []byte         // the chunk that is being filled
+	pageCount   int            // total pages of the engine's result; 0: not known
+	nextPage    int            // index of the next page to append
+	requested   int            // all pages below this index have been requested
+	outOfOrder  map[int][]byte // pages that arrived ahead of a missing one, by index
+	openChunk   []byte         // the chunk being filled
 	chunks      []chunk
-	onDisk      bool // over the threshold, or durable: chunks are written
-	openWritten bool // the WriteRecord of its Open was emitted
+	onDisk      bool // chunks are written to the disk: durable, over DiskThreshold, or memory was full
+	openWritten bool // the WriteRecord of its Open record was emitted
 }
 
-// reader is a client that reads a result.
+// reader is a client that is reading a result.
 type reader struct {
 	result  *result
-	index   int  // of the chunk that it asked for
-	waiting bool // for that chunk
-	loading bool // a LoadChunk is not answered yet
+	index   int  // index of the requested chunk
+	waiting bool // the requested chunk has not been delivered
+	loading bool // a LoadChunk is pending
 }
 
-// Store is the whole state of the result store. It is not safe for concurrent use.
+// Store holds the state of all results and readers. It is not safe for concurrent use.
 type Store struct {
 	budget         Budget
 	now            rules.Time
 	effects        []Effect
 	results        map[ID]*result
-	readers        map[int]*reader
-	tenantBytes    map[uint64]int64 // stored and reserved, by tenant
+	readers        map[int]*reader  // by reader number
+	tenantBytes    map[uint64]int64 // stored and reserved bytes by tenant
 	leases         leaseHeap
-	diskBytes      int64 // stored and reserved, in all
-	memoryBytes    int64 // held in memory
-	unwrittenBytes int64 // of these, those that are being written
+	diskBytes      int64 // stored and reserved bytes of all tenants
+	memoryBytes    int64 // bytes held in memory
+	unwrittenBytes int64 // the part of memoryBytes whose write is pending
 	diskLost       bool
 	timerAt        rules.Time
 	sizes          sizeEstimator
 	stats          Stats
 }
 
-// Stats are counts since the start, and the present state.
+// Stats holds counters since the start and current gauges.
 type Stats struct {
 	Reserved, Rejected, Completed, Failed, Delivered, Denied, Expired, Evicted int
 
-	Results, Readers       int   // now
-	DiskBytes, MemoryBytes int64 // now
+	Results, Readers       int   // current number
+	DiskBytes, MemoryBytes int64 // current size; DiskBytes includes reservations
 }
 
-// New returns an empty store. The seed decides which statement shapes share a slot of the size estimator.
+// New returns an empty Store. The seed selects the hash function that maps statement shapes to slots of the size
+// estimator.
 func New(budget Budget, seed uint64) *Store {
 	return &Store{budget: budget, results: map[ID]*result{}, readers: map[int]*reader{}, tenantBytes: map[uint64]int64{},
 		sizes: newSizeEstimator(budget, seed)}
 }
 
-// resultIn returns a result if it is in a state, else nil.
-func (s *Store) resultIn(st state, id ID) *result {
+// resultInState returns the result with this ID if it is in state st, or nil.
+func (s *Store) resultInState(st state, id ID) *result {
 	if r := s.results[id]; r != nil && r.state == st {
 		return r
 	}
 	return nil
 }
 
-// Handle takes one event and returns what to do. The effects are valid until the next call.
+// Handle applies one event and returns the resulting effects in order. The returned slice is valid until the next call.
 func (s *Store) Handle(now rules.Time, e Event) []Effect {
 	s.effects = s.effects[:0]
-	s.now = max(s.now, now) // time never steps back here, whatever the clock does
+	s.now = max(s.now, now) // the store's time never goes back, even if the clock does
 	switch e := e.(type) {
 	case Reserve:
 		s.reserve(e)
 	case PageArrived:
-		if r := s.resultIn(filling, e.ID); r != nil {
+		if r := s.resultInState(filling, e.ID); r != nil {
 			s.pageArrived(r, e)
 		}
 	case AttemptFailed:
-		if r := s.resultIn(filling, e.ID); r != nil {
+		if r := s.resultInState(filling, e.ID); r != nil {
 			s.fail(r, ReasonAttemptFailed)
 		}
 	case RecordWritten:
 		s.recordWritten(e)
 	case ResultSynced:
-		if r := s.resultIn(sealing, e.ID); r != nil {
+		if r := s.resultInState(sealing, e.ID); r != nil {
 			s.resultSynced(r, e.Failed)
 		}
 	case Attach:
@@ -151,7 +155,7 @@
 		s.resultRecovered(e)
 	case DiskLost:
 		s.diskLost = true
-		s.failAffected(func(c *chunk) bool { return c.data == nil || c.writing })
+		s.failResultsWith(func(c *chunk) bool { return c.data == nil || c.writing })
 	case DiskRestored:
 		s.diskLost = false
 	case SegmentTailLost:
@@ -166,16 +170,16 @@
 
 func (s *Store) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// Stats returns the counts.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	st := s.stats
 	st.Results, st.Readers, st.DiskBytes, st.MemoryBytes = len(s.results), len(s.readers), s.diskBytes, s.memoryBytes
 	return st
 }
 
-// ---- the end of a result
+// ---- failure and removal of results
 
-// fail ends a result that can't be completed, or that was complete and is lost.
+// fail removes a result that can't be completed, or that was complete and is lost.
 func (s *Store) fail(r *result, reason Reason) {
 	s.stats.Failed++
 	if r.state != completed {
@@ -184,8 +188,9 @@
 	s.remove(r, reason)
 }
 
-// failAffected fails all results that have a chunk which can't be read any more.
-func (s *Store) failAffected(lost func(*chunk) bool) {
+// failResultsWith fails all results that have a chunk for which lost is true. They are sorted by ID so that the order
+// of effects is deterministic.
+func (s *Store) failResultsWith(lost func(*chunk) bool) {
 	var affected []*result
 	for _, r := range s.results {
 		for i := range r.chunks {
@@ -201,21 +206,21 @@
 	}
 }
 
-// segmentTailLost fails the results with a chunk in the part of a segment that is lost.
+// segmentTailLost fails the results that have a chunk in the lost part of a segment.
 func (s *Store) segmentTailLost(e SegmentTailLost) {
-	s.failAffected(func(c *chunk) bool {
+	s.failResultsWith(func(c *chunk) bool {
 		return c.location.Size > 0 && c.location.Segment == e.Segment && c.location.Offset >= e.Offset
 	})
 }
 
-// chunkMoved follows a compaction.
+// chunkMoved updates the location of a chunk that a compaction moved.
 func (s *Store) chunkMoved(e ChunkMoved) {
 	if r := s.results[e.ID]; r != nil && e.Index < len(r.chunks) && r.chunks[e.Index].location.Size > 0 {
 		r.chunks[e.Index].location = e.Location
 	}
 }
 
-// remove removes a result and all that is accounted for it. Its readers are aborted.
+// remove deletes a result, releases all capacity that it uses, and aborts its readers.
 func (s *Store) remove(r *result, reason Reason) {
 	delete(s.results, r.id)
 	s.leases.remove(r)
@@ -243,15 +248,16 @@
 		s.emit(WriteRecord{ID: r.id, Record: segment.Drop})
 		s.emit(DiscardRecords{ID: r.id, Locations: locations})
 	}
-	for _, n := range s.readersOf(r, func(*reader) bool { return true }) {
-		delete(s.readers, n)
-		s.emit(AbortRead{Reader: n, Reason: reason})
+	for _, number := range s.readersOf(r, func(*reader) bool { return true }) {
+		delete(s.readers, number)
+		s.emit(AbortRead{Reader: number, Reason: reason})
 	}
 }
 
-// ---- the start
+// ---- recovery
 
-// resultRecovered takes in a result that the disk held complete and sealed.
+// resultRecovered adds a complete, sealed result that was found on the disk at the start. It discards the result if a
+// limit would be exceeded or its lease has long expired.
 func (s *Store) resultRecovered(e ResultRecovered) {
 	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, durable: true, state: completed, created: e.Created,
 		leaseEnd: e.LeaseEnd, heapIndex: -1, onDisk: true, openWritten: true}
@@ -266,7 +272,7 @@
 		s.emit(DiscardRecords{ID: e.ID, Locations: e.Locations})
 		return
 	}
-	r.leaseEnd = min(r.leaseEnd, s.now+s.budget.LeaseTime) // a clock that was ahead before the restart lengthens no lease
+	r.leaseEnd = min(r.leaseEnd, s.now+s.budget.LeaseTime) // the clock may have been ahead before the restart
 	s.results[e.ID] = r
 	s.diskBytes += r.bytes
 	s.tenantBytes[r.tenant] += r.bytes
--- a/internal/spool/teststore_test.go
+++ b/internal/spool/teststore_test.go
@@ -10,155 +10,156 @@
 	"foxlane/rules"
 )
 
-// testStore is a store with a simulated disk, engines and readers. handle checks each effect.
+// testStore is a Store with a simulated disk, engines and readers. handle checks each effect that the Store returns.
 type testStore struct {
 	t            rapid.TB
-	s            *Store
+	store        *Store
 	now          rules.Time
 	disk         map[int64][]byte // records by offset
-	end          int64
+	diskEnd      int64
 	diskQueue    []DiskEffect
-	pages        map[ID][][]byte
-	requested    map[ID]int // pages that the engine may be asked for, up to here
-	state        map[ID]string
+	enginePages  map[ID][][]byte
+	requested    map[ID]int // number of pages requested from the engine so far
+	states       map[ID]string
 	readers      map[int]*testReader
 	timerAt      rules.Time
-	diskFails    bool // the disk does
-	diskCorrupts bool // it returns other bytes than were written
+	diskFails    bool // reads and writes of the disk fail
+	diskCorrupts bool // reads return bytes that differ from those written
 	denied       []int
 	aborted      []int
-	reason       map[ID]Reason
+	reasons      map[ID]Reason
 	retryAfter   map[ID]rules.Time
 	discarded    []Location
 }
 
 type testReader struct {
-	id      ID
-	next    int
-	got     []byte
-	last    bool
-	waiting bool // a chunk that it asked for has not come yet
+	id       ID
+	next     int
+	received []byte
+	isLast   bool // the last chunk has been received
+	waiting  bool // the requested chunk has not been delivered
 }
 
 func newTestStore(t rapid.TB, b Budget) *testStore {
 	if err := b.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	return &testStore{t: t, s: New(b, 1), now: rules.Second, disk: map[int64][]byte{}, pages: map[ID][][]byte{}, requested: map[ID]int{},
-		state: map[ID]string{}, readers: map[int]*testReader{}, reason: map[ID]Reason{}, retryAfter: map[ID]rules.Time{}}
+	return &testStore{t: t, store: New(b, 1), now: rules.Second, disk: map[int64][]byte{}, enginePages: map[ID][][]byte{}, requested: map[ID]int{},
+		states: map[ID]string{}, readers: map[int]*testReader{}, reasons: map[ID]Reason{}, retryAfter: map[ID]rules.Time{}}
 }
 
-func (w *testStore) handle(e Event) {
-	for _, f := range append([]Effect(nil), w.s.Handle(w.now, e)...) {
-		switch f := f.(type) {
+func (ts *testStore) handle(e Event) {
+	for _, effect := range append([]Effect(nil), ts.store.Handle(ts.now, e)...) {
+		switch effect := effect.(type) {
 		case Granted:
-			w.state[f.ID], w.requested[f.ID] = "granted", 1
+			ts.states[effect.ID], ts.requested[effect.ID] = "granted", 1
 		case Rejected:
-			if w.state[f.ID] != "" {
-				w.t.Fatalf("refused after it was %s", w.state[f.ID])
+			if ts.states[effect.ID] != "" {
+				ts.t.Fatalf("rejected in state %s", ts.states[effect.ID])
 			}
-			w.state[f.ID], w.reason[f.ID], w.retryAfter[f.ID] = "refused", f.Reason, f.RetryAfter
+			ts.states[effect.ID], ts.reasons[effect.ID], ts.retryAfter[effect.ID] = "rejected", effect.Reason, effect.RetryAfter
 		case FetchPages:
-			if f.Index != w.requested[f.ID] {
-				w.t.Fatalf("asked for pages from %d, up to %d were asked for", f.Index, w.requested[f.ID])
+			if effect.Index != ts.requested[effect.ID] {
+				ts.t.Fatalf("pages requested from %d, want from %d", effect.Index, ts.requested[effect.ID])
 			}
-			w.requested[f.ID] = f.End
+			ts.requested[effect.ID] = effect.End
 		case ReleaseEngine:
-			w.state[f.ID] = "free"
+			ts.states[effect.ID] = "released"
 		case Completed:
-			if w.state[f.ID] != "free" {
-				w.t.Fatalf("whole while %s", w.state[f.ID])
+			if ts.states[effect.ID] != "released" {
+				ts.t.Fatalf("completed in state %s", ts.states[effect.ID])
 			}
-			w.state[f.ID] = "whole"
+			ts.states[effect.ID] = "completed"
 		case Failed:
-			if w.state[f.ID] == "whole" {
-				w.t.Fatal("failed after it was whole")
+			if ts.states[effect.ID] == "completed" {
+				ts.t.Fatal("failed after it was completed")
 			}
-			w.state[f.ID], w.reason[f.ID] = "failed", f.Reason
+			ts.states[effect.ID], ts.reasons[effect.ID] = "failed", effect.Reason
 		case WriteRecord:
-			f.Data = bytes.Clone(f.Data)
-			w.diskQueue = append(w.diskQueue, f)
+			effect.Data = bytes.Clone(effect.Data)
+			ts.diskQueue = append(ts.diskQueue, effect)
 		case LoadChunk:
-			w.diskQueue = append(w.diskQueue, f)
+			ts.diskQueue = append(ts.diskQueue, effect)
 		case DeliverChunk:
-			r := w.readers[f.Reader]
-			if r == nil || f.Index != r.next {
-				w.t.Fatalf("reader %d got chunk %d", f.Reader, f.Index)
+			r := ts.readers[effect.Reader]
+			if r == nil || effect.Index != r.next {
+				ts.t.Fatalf("reader %d received unexpected chunk %d", effect.Reader, effect.Index)
 			}
-			if w.state[r.id] != "whole" {
-				w.t.Fatalf("reader %d got a chunk of a result that is %s", f.Reader, w.state[r.id])
+			if ts.states[r.id] != "completed" {
+				ts.t.Fatalf("reader %d received a chunk of a result in state %s", effect.Reader, ts.states[r.id])
 			}
-			r.got = append(r.got, f.Data...)
-			r.last, r.waiting = f.Last, false
+			r.received = append(r.received, effect.Data...)
+			r.isLast, r.waiting = effect.Last, false
 		case Deny:
-			w.denied = append(w.denied, f.Reader)
-			delete(w.readers, f.Reader)
+			ts.denied = append(ts.denied, effect.Reader)
+			delete(ts.readers, effect.Reader)
 		case AbortRead:
-			w.aborted = append(w.aborted, f.Reader)
-			delete(w.readers, f.Reader)
+			ts.aborted = append(ts.aborted, effect.Reader)
+			delete(ts.readers, effect.Reader)
 		case DiscardRecords:
-			w.discarded = append(w.discarded, f.Locations...)
+			ts.discarded = append(ts.discarded, effect.Locations...)
 		case SetTimer:
-			w.timerAt = f.At
+			ts.timerAt = effect.At
 		}
 	}
-	w.checkInvariants()
+	ts.checkInvariants()
 }
 
-func (w *testStore) checkInvariants() {
-	s, b := w.s, w.s.budget
-	most := b.MemoryBytes + b.MaxUnwritten + int64((b.FetchWindow+1)*len(s.results)*1000)
-	if s.memoryBytes > most || s.memoryBytes < 0 || s.diskBytes < 0 || s.unwrittenBytes < 0 {
-		w.t.Fatalf("%d bytes in memory, %d waiting, %d on the disk", s.memoryBytes, s.unwrittenBytes, s.diskBytes)
+func (ts *testStore) checkInvariants() {
+	s, b := ts.store, ts.store.budget
+	maxMemory := b.MemoryBytes + b.MaxUnwritten + int64((b.FetchWindow+1)*len(s.results)*1000)
+	if s.memoryBytes > maxMemory || s.memoryBytes < 0 || s.diskBytes < 0 || s.unwrittenBytes < 0 {
+		ts.t.Fatalf("%d bytes in memory, %d unwritten, %d on the disk", s.memoryBytes, s.unwrittenBytes, s.diskBytes)
 	}
 	if len(s.results) > b.MaxResults {
-		w.t.Fatalf("%d results", len(s.results))
+		ts.t.Fatalf("%d results stored", len(s.results))
 	}
 	var sum int64
 	for _, n := range s.tenantBytes {
 		if n <= 0 {
-			w.t.Fatalf("a tenant has %d bytes", n)
+			ts.t.Fatalf("a tenant is charged %d bytes", n)
 		}
 		sum += n
 	}
 	if sum != s.diskBytes {
-		w.t.Fatalf("tenants have %d bytes, %d are kept", sum, s.diskBytes)
+		ts.t.Fatalf("tenants are charged %d bytes, the store %d", sum, s.diskBytes)
 	}
 }
 
-// runDiskEffect executes one queued effect of the disk.
-func (w *testStore) runDiskEffect(i int) {
-	effect := w.diskQueue[i]
-	w.diskQueue = append(w.diskQueue[:i], w.diskQueue[i+1:]...)
-	switch f := effect.(type) {
+// runDiskEffect executes the queued disk effect at index i.
+func (ts *testStore) runDiskEffect(i int) {
+	effect := ts.diskQueue[i]
+	ts.diskQueue = append(ts.diskQueue[:i], ts.diskQueue[i+1:]...)
+	switch effect := effect.(type) {
 	case LoadChunk:
-		data, ok := w.disk[f.Location.Offset]
-		w.handle(ChunkLoaded{Reader: f.Reader, Index: f.Index, Data: data, Failed: !ok || w.diskFails || w.diskCorrupts, Corrupt: !ok || w.diskCorrupts})
+		data, ok := ts.disk[effect.Location.Offset]
+		ts.handle(ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Data: data, Failed: !ok || ts.diskFails || ts.diskCorrupts, Corrupt: !ok || ts.diskCorrupts})
 	case WriteRecord:
-		w.writeRecord(f)
+		ts.writeRecord(effect)
 	}
 }
 
-func (w *testStore) writeRecord(f WriteRecord) {
-	place := Location{Segment: 1, Offset: w.end, Size: int32(segment.RecordSize(len(f.Data)))}
-	if !w.diskFails {
-		w.disk[w.end] = f.Data
-		w.end += int64(place.Size)
+func (ts *testStore) writeRecord(write WriteRecord) {
+	location := Location{Segment: 1, Offset: ts.diskEnd, Size: int32(segment.RecordSize(len(write.Data)))}
+	if !ts.diskFails {
+		ts.disk[ts.diskEnd] = write.Data
+		ts.diskEnd += int64(location.Size)
 	}
-	w.handle(RecordWritten{ID: f.ID, Record: f.Record, Index: f.Index, Location: place, Failed: w.diskFails})
-	if f.Record == segment.Seal && !w.diskFails {
-		w.handle(ResultSynced{ID: f.ID})
+	ts.handle(RecordWritten{ID: write.ID, Record: write.Record, Index: write.Index, Location: location, Failed: ts.diskFails})
+	if write.Record == segment.Seal && !ts.diskFails {
+		ts.handle(ResultSynced{ID: write.ID})
 	}
 }
 
 func isSeal(effect DiskEffect) bool {
-	f, ok := effect.(WriteRecord)
-	return ok && f.Record == segment.Seal
+	write, ok := effect.(WriteRecord)
+	return ok && write.Record == segment.Seal
 }
 
-func (w *testStore) runDisk() {
-	for len(w.diskQueue) > 0 {
-		w.runDiskEffect(0)
+// runDisk executes disk effects until the queue is empty.
+func (ts *testStore) runDisk() {
+	for len(ts.diskQueue) > 0 {
+		ts.runDiskEffect(0)
 	}
 }
 
@@ -166,59 +167,60 @@
 
 func secret(n int) Secret { return Secret{byte(n), 7} }
 
-// reserve reserves a result and fixes the pages that its engine has.
-func (w *testStore) reserve(n, pages, size int, lasting bool) ID {
-	k := id(n)
-	rng := rand.New(rand.NewPCG(uint64(n), 1))
-	var truth [][]byte
-	for range pages {
-		p := make([]byte, size)
-		for i := range p {
-			p[i] = byte(rng.Uint32())
+// reserve reserves a result and generates the pages that its engine will return.
+func (ts *testStore) reserve(number, pageCount, size int, durable bool) ID {
+	resultID := id(number)
+	rng := rand.New(rand.NewPCG(uint64(number), 1))
+	var pages [][]byte
+	for range pageCount {
+		page := make([]byte, size)
+		for i := range page {
+			page[i] = byte(rng.Uint32())
 		}
-		truth = append(truth, p)
+		pages = append(pages, page)
 	}
-	w.pages[k] = truth
-	w.handle(Reserve{ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Class: 1, Durable: lasting})
-	return k
+	ts.enginePages[resultID] = pages
+	ts.handle(Reserve{ID: resultID, Secret: secret(number), Tenant: uint64(number%2 + 1), Class: 1, Durable: durable})
+	return resultID
 }
 
-func (w *testStore) deliverPage(k ID, n int) {
-	if w.state[k] == "granted" && n < w.requested[k] {
-		w.handle(PageArrived{ID: k, Index: n, PageCount: len(w.pages[k]), Data: w.pages[k][n]})
+// deliverPage delivers a page if the result is being filled and the page was requested.
+func (ts *testStore) deliverPage(resultID ID, index int) {
+	if ts.states[resultID] == "granted" && index < ts.requested[resultID] {
+		ts.handle(PageArrived{ID: resultID, Index: index, PageCount: len(ts.enginePages[resultID]), Data: ts.enginePages[resultID][index]})
 	}
 }
 
-// deliverAllPages delivers all pages, with the disk idle after each.
-func (w *testStore) deliverAllPages(k ID) {
-	for n := range w.pages[k] {
-		w.deliverPage(k, n)
-		w.runDisk()
+// deliverAllPages delivers all pages and runs all disk effects after each.
+func (ts *testStore) deliverAllPages(resultID ID) {
+	for index := range ts.enginePages[resultID] {
+		ts.deliverPage(resultID, index)
+		ts.runDisk()
 	}
 }
 
-func (w *testStore) attach(reader int, k ID, n int, from int) {
-	w.readers[reader] = &testReader{id: k, next: from, waiting: true}
-	w.handle(Attach{Reader: reader, ID: k, Secret: secret(n), Tenant: uint64(n%2 + 1), Index: from})
+func (ts *testStore) attach(reader int, resultID ID, number int, from int) {
+	ts.readers[reader] = &testReader{id: resultID, next: from, waiting: true}
+	ts.handle(Attach{Reader: reader, ID: resultID, Secret: secret(number), Tenant: uint64(number%2 + 1), Index: from})
 }
 
-// readAll reads to the end and returns the bytes.
-func (w *testStore) readAll(reader int) []byte {
+// readAll reads to the last chunk and returns all bytes, or nil if the read was denied or aborted.
+func (ts *testStore) readAll(reader int) []byte {
 	for {
-		w.runDisk()
-		r := w.readers[reader]
+		ts.runDisk()
+		r := ts.readers[reader]
 		if r == nil {
 			return nil
 		}
 		if r.waiting {
-			w.t.Fatalf("reader %d waits for chunk %d of a result that is %s", reader, r.next, w.state[r.id])
+			ts.t.Fatalf("reader %d waits for chunk %d of a result in state %s", reader, r.next, ts.states[r.id])
 		}
 		r.next++
 		r.waiting = true
-		last, got := r.last, r.got
-		w.handle(NextChunk{Reader: reader, Index: r.next})
+		last, got := r.isLast, r.received
+		ts.handle(NextChunk{Reader: reader, Index: r.next})
 		if last {
-			delete(w.readers, reader)
+			delete(ts.readers, reader)
 			return got
 		}
 	}
--- a/internal/spool/write.go
+++ b/internal/spool/write.go
@@ -2,9 +2,9 @@
 
 import "foxlane/internal/spool/segment"
 
-// This file owns the way of a result from the engine into chunks and onto the disk. Invariants: chunks hold the
-// engine's pages in their order; memoryBytes counts all bytes of a result that lie in memory; a result is completed
-// only with all its pages, a durable one only after its seal was synced.
+// This file packs the pages of an engine into chunks and writes them to the disk. Invariants: chunks hold the engine's
+// pages in order; memoryBytes counts all result bytes held in memory; a result is completed only after all its pages
+// have arrived, and a durable one only after its seal has been synced.
 
 func (s *Store) pageArrived(r *result, e PageArrived) {
 	if r.pageCount == 0 {
@@ -21,7 +21,7 @@
 	if e.Index < r.nextPage || r.outOfOrder[e.Index] != nil {
 		return // a duplicate
 	}
-	if reason := s.useReservation(r, int64(len(e.Data))); reason != ReasonNone {
+	if reason := s.consumeReservation(r, int64(len(e.Data))); reason != ReasonNone {
 		s.fail(r, reason)
 		return
 	}
@@ -46,8 +46,8 @@
 	s.fetchPages(r)
 }
 
-// fetchPages requests further pages, unless too many bytes are being written: with a slow disk the engine has to
-// wait, so that memory stays bounded.
+// fetchPages requests the next pages from the engine, unless the writes pending for the disk exceed MaxUnwritten. This
+// backpressure keeps memory bounded when the disk is slow.
 func (s *Store) fetchPages(r *result) {
 	if r.pageCount == 0 || r.requested >= r.pageCount || r.onDisk && s.unwrittenBytes > s.budget.MaxUnwritten {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// appendPage appends the next page in order.
+// appendPage appends the next page in order to the open chunk. Pages are never split between chunks.
 func (s *Store) appendPage(r *result, data []byte) {
 	r.nextPage++
 	if len(r.openChunk) > 0 && len(r.openChunk)+len(data) > s.budget.ChunkBytes {
@@ -67,6 +67,7 @@
 	r.openChunk = append(r.openChunk, data...)
 }
 
+// closeChunk completes the open chunk. It moves the result to the disk if the result or the memory in use is too large.
 func (s *Store) closeChunk(r *result) {
 	r.chunks = append(r.chunks, chunk{data: r.openChunk, size: int32(len(r.openChunk))})
 	r.openChunk = nil
@@ -76,10 +77,10 @@
 	if r.onDisk {
 		s.writeChunks(r)
 	}
-	s.serveWaiting(r)
+	s.serveWaitingReaders(r)
 }
 
-// writeChunks writes the chunks that are in memory only.
+// writeChunks emits writes of all chunks that are only in memory, after the Open record if that was not written yet.
 func (s *Store) writeChunks(r *result) {
 	if !r.openWritten {
 		r.openWritten = true
@@ -99,21 +100,22 @@
 	s.emit(WriteRecord{ID: r.id, Record: kind, Index: n, Data: data})
 }
 
-// allPagesArrived releases the engine, however slowly the result is written or read from now on.
+// allPagesArrived releases the engine at once: the rest of the work does not need it, even if the disk or the client is
+// slow. It completes the result, or writes its seal.
 func (s *Store) allPagesArrived(r *result) {
 	if len(r.openChunk) > 0 || len(r.chunks) == 0 {
 		s.closeChunk(r)
 	}
 	s.emit(ReleaseEngine{ID: r.id})
 	s.sizes.observe(r.class, r.shape, r.bytes)
-	s.returnReservation(r, r.reserved)
+	s.releaseReservation(r, r.reserved)
 	if !r.onDisk {
 		s.complete(r)
 		return
 	}
 	r.state = sealing
 	s.writeRecord(r, segment.Seal, len(r.chunks), segment.AppendSummary(nil, segment.Summary{Chunks: uint32(len(r.chunks)), Bytes: uint64(r.bytes)}))
-	if !r.durable { // the disk only saves memory: nobody was promised that the result outlasts a restart
+	if !r.durable { // the disk only relieves memory; the result does not have to survive a restart
 		s.complete(r)
 	}
 }
@@ -124,12 +126,12 @@
 	s.leases.push(r)
 	s.stats.Completed++
 	s.emit(Completed{ID: r.id})
-	s.serveWaiting(r)
+	s.serveWaitingReaders(r)
 }
 
-// ---- answers of the disk
+// ---- completions of disk writes
 
-// recordWritten frees the memory of a chunk that is on the disk now, which may let engines go on.
+// recordWritten frees the memory of a written chunk, and resumes fetching for engines that waited for the disk.
 func (s *Store) recordWritten(e RecordWritten) {
 	r := s.results[e.ID]
 	if r == nil {
@@ -155,8 +157,8 @@
 	}
 }
 
-// stalledResults are the results whose engine waits for the disk. They are sorted, since the order of a map differs
-// from run to run, and that of effects must not.
+// stalledResults returns the results whose engine waits for the disk. They are sorted by ID so that the order of
+// effects is deterministic.
 func (s *Store) stalledResults() []*result {
 	if s.unwrittenBytes > s.budget.MaxUnwritten {
 		return nil
