--- a/internal/spool/segment/payload.go
+++ b/internal/spool/segment/payload.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-// Meta is the payload of an Open: what is known of a result before its first chunk.
+// Meta is the payload of an Open record: the properties of a result that are known before its first chunk.
 type Meta struct {
-	Tenant   uint64   // hash of its name, the same after a restart
+	Tenant   uint64   // hash of the tenant's name, stable across restarts
 	Secret   [32]byte // SHA-256 of the handle's key
 	Class    uint32
 	Created  int64 // Unix microseconds
@@ -13,7 +13,7 @@
 
 const metaSize = 8 + 32 + 4 + 8 + 8
 
-// AppendMeta appends the payload of an Open.
+// AppendMeta appends the payload of an Open record to dst.
 func AppendMeta(dst []byte, m Meta) []byte {
 	dst = binary.LittleEndian.AppendUint64(dst, m.Tenant)
 	dst = append(dst, m.Secret[:]...)
@@ -22,7 +22,7 @@
 	return binary.LittleEndian.AppendUint64(dst, uint64(m.LeaseEnd))
 }
 
-// ParseMeta reads the payload of an Open.
+// ParseMeta decodes the payload of an Open record. ok is false if its length is wrong.
 func ParseMeta(b []byte) (m Meta, ok bool) {
 	if len(b) != metaSize {
 		return m, false
@@ -35,20 +35,20 @@
 	return m, true
 }
 
-// Summary is the payload of a Seal: what a complete result holds.
+// Summary is the payload of a Seal record: the totals of a complete result.
 type Summary struct {
-	Chunks uint32
-	Bytes  uint64 // of all chunks
+	Chunks uint32 // number of chunks
+	Bytes  uint64 // total bytes of all chunks
 }
 
 const summarySize = 4 + 8
 
-// AppendSummary appends the payload of a Seal.
+// AppendSummary appends the payload of a Seal record to dst.
 func AppendSummary(dst []byte, s Summary) []byte {
 	return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(dst, s.Chunks), s.Bytes)
 }
 
-// ParseSummary reads the payload of a Seal.
+// ParseSummary decodes the payload of a Seal record. ok is false if its length is wrong.
 func ParseSummary(b []byte) (s Summary, ok bool) {
 	if len(b) != summarySize {
 		return s, false
@@ -58,10 +58,10 @@
 
 const leaseSize = 8
 
-// AppendLease appends the payload of a Lease: when it ends, in Unix microseconds.
+// AppendLease appends the payload of a Lease record to dst: the end of the lease in Unix microseconds.
 func AppendLease(dst []byte, t int64) []byte { return binary.LittleEndian.AppendUint64(dst, uint64(t)) }
 
-// ParseLease reads the payload of a Lease.
+// ParseLease decodes the payload of a Lease record. ok is false if its length is wrong.
 func ParseLease(b []byte) (t int64, ok bool) {
 	if len(b) != leaseSize {
 		return 0, false
--- a/internal/spool/segment/scanner.go
+++ b/internal/spool/segment/scanner.go
@@ -9,31 +9,32 @@
 	"foxlane/internal/framebuf"
 )
 
-// Item is what a Scanner found: a record, or a part that is damaged.
+// Item is a record or a damaged range that a Scanner found.
 type Item struct {
 	Offset       int64
 	Size         int64
-	Record       Record // its payload is valid until the next call
+	Record       Record // its payload is valid until the next call of Next or Feed
 	Damaged      bool
-	HeaderIntact bool // if Damaged: Record has the kind, ID and index of the damaged record
+	HeaderIntact bool // if Damaged: Record holds the kind, ID and chunk index of the damaged record
 }
 
-// Scanner reads the records of a segment, fed in pieces of any size. After damage it goes on at the next record whose
-// header checksum holds.
+// Scanner reads the records of a segment, which is fed in pieces of any size. After a damaged range it continues at the
+// next record with an intact header.
 type Scanner struct {
 	header      Header
 	buf         framebuf.Buffer
-	offset      int64 // of the buffer's first byte
-	damageStart int64 // offset of the damaged part, if damaged
+	offset      int64 // offset of the buffer's first byte in the segment
+	damageStart int64 // offset of the current damaged range, if damaged
 	damaged     bool
 }
 
-// NewScanner returns a scanner for the bytes that follow a header.
+// NewScanner returns a Scanner for the bytes that follow the header of a segment.
 func NewScanner(h Header) *Scanner { return &Scanner{header: h, offset: HeaderSize} }
 
-// Feed adds the next bytes. They are copied.
+// Feed adds the next bytes of the segment. It copies them.
 func (s *Scanner) Feed(p []byte) { s.buf.Add(p) }
 
+// skip removes n bytes from the buffer.
 func (s *Scanner) skip(n int) {
 	s.buf.Skip(n)
 	s.offset += int64(n)
@@ -41,8 +42,8 @@
 
 var recordMagicBytes = binary.LittleEndian.AppendUint32(nil, recordMagic)
 
-// Next returns the next item, or false if more bytes are needed. A damaged part is returned once a record that follows
-// it is found, since only then its end is known.
+// Next returns the next item, or false if more bytes are needed. A damaged range is returned only when an intact record
+// header is found after it, since its end is not known before.
 func (s *Scanner) Next() (Item, bool) {
 	for {
 		b := s.buf.Bytes()
@@ -54,7 +55,7 @@
 			if !s.damaged {
 				s.damageStart, s.damaged = s.offset, true
 			}
-			// Go on at the next possible record.
+			// Skip to the next occurrence of the magic number, where a record may start.
 			if i := bytes.Index(b[1:], recordMagicBytes); i >= 0 {
 				s.skip(1 + i)
 			} else {
@@ -81,8 +82,8 @@
 	}
 }
 
-// ValidEnd is the offset at which the last complete record ends, once all bytes were fed. What follows it is an
-// incomplete write.
+// ValidEnd returns the offset at which the last complete record ends, after all bytes were fed. The bytes after it are
+// an incomplete write.
 func (s *Scanner) ValidEnd() int64 {
 	if s.damaged {
 		return s.damageStart
--- a/internal/spool/segment/segment.go
+++ b/internal/spool/segment/segment.go
@@ -1,15 +1,14 @@
-// Package segment owns the format of the result store's segments: a header and
-// checksummed records, one after the other. It must never do I/O, nor decide
-// what a record means or whether it is still needed; docs/spool.md has the
-// format byte by byte.
+// Package segment owns the file format of the result store's segments: a header
+// followed by checksummed records. It must never do I/O or decide whether a
+// record is still needed. docs/spool.md specifies the format byte by byte.
 //
-// A record is bound to its offset: the checksums cover the folder's salt, the
-// segment's number and the record's offset. Bytes that a disk returns from
-// another place are therefore not taken for a record, nor are rows of a client
-// that look like one.
+// A record is bound to its place: its checksums depend on the folder's salt, the
+// segment's number and the record's offset. Therefore neither bytes that a disk
+// returns from another place nor client rows that imitate a record are accepted
+// as a record.
 //
-// This file has the header and records, scanner.go reads a segment with damage,
-// payload.go has what records carry.
+// This file encodes and decodes headers and records, scanner.go reads segments
+// that may be damaged, payload.go encodes and decodes the payloads.
 package segment
 
 import (
@@ -23,13 +22,13 @@
 // Kind is the type of a Record.
 type Kind uint8
 
-// Kinds of records.
+// Kinds of the records of a result.
 const (
-	Open    Kind = iota + 1 // a result begins; the payload is its Meta
-	Chunk                   // one of its chunks; the payload is its rows
-	Seal                    // all its chunks are written; the payload is its Summary
-	Lease                   // its lease was renewed; the payload is when it ends
-	Drop                    // it is not needed any more
+	Open    Kind = iota + 1 // first record of a result; the payload is its Meta
+	Chunk                   // one chunk of the result; the payload is the chunk's rows
+	Seal                    // written after all chunks; the payload is the result's Summary
+	Lease                   // the lease was renewed; the payload is the end of the lease
+	Drop                    // the result is no longer needed; there is no payload
 	kindEnd = iota + 1
 )
 
@@ -40,79 +39,81 @@
 type Record struct {
 	Kind    Kind
 	ID      ID
-	Chunk   uint32 // index of a Chunk
+	Chunk   uint32 // index of the chunk, if Kind is Chunk
 	Payload []byte
 }
 
 // Sizes of the format, in bytes.
 const (
-	HeaderSize        = 32 // of a segment
+	HeaderSize        = 32 // header of a segment
 	recordHeaderSize  = 40
 	recordTrailerSize = 8
 	MaxPayload        = 1 << 20
-	RecordOverhead    = recordHeaderSize + recordTrailerSize // of a record beyond its payload
+	RecordOverhead    = recordHeaderSize + recordTrailerSize // size of a record without its payload
 	version           = 1
 	recordMagic       = 0xf05c9a17
 	segmentMagic      = "FOXSPOOL"
 )
 
-// RecordSize is the size of a record with a payload of this many bytes.
+// RecordSize returns the size in bytes of a record with a payload of this many bytes.
 func RecordSize(payload int) int64 { return int64(RecordOverhead + payload) }
 
-// Header is the start of a segment.
+// Header is the header of a segment.
 type Header struct {
 	Number uint32
-	Salt   uint64 // of the folder, random: a client that knew it could forge records in its rows
+	Salt   uint64 // random value of the folder; a client that knew it could forge records in its rows
 }
 
-// AppendHeader appends a segment's header.
+// AppendHeader appends an encoded segment header to dst.
 func AppendHeader(dst []byte, h Header) []byte {
-	from := len(dst)
+	start := len(dst)
 	dst = append(dst, segmentMagic...)
 	dst = binary.LittleEndian.AppendUint32(dst, version)
 	dst = binary.LittleEndian.AppendUint32(dst, h.Number)
 	dst = binary.LittleEndian.AppendUint64(dst, h.Salt)
-	return binary.LittleEndian.AppendUint64(dst, xxh3.Hash(dst[from:]))
+	return binary.LittleEndian.AppendUint64(dst, xxh3.Hash(dst[start:]))
 }
 
-// Errors of a header.
+// Errors that ParseHeader returns.
 var (
-	ErrNotSegment = errors.New("segment: no segment of a spool")
-	ErrVersion    = errors.New("segment: written by another version")
+	ErrNotSegment = errors.New("segment: not a segment of a spool")
+	ErrVersion    = errors.New("segment: unsupported format version")
 )
 
-// ParseHeader reads a segment's header.
+// ParseHeader decodes a segment header. It returns ErrNotSegment if b is not an intact header, and ErrVersion if the
+// format has another version.
 func ParseHeader(b []byte) (h Header, err error) {
 	if len(b) < HeaderSize || string(b[:8]) != segmentMagic || xxh3.Hash(b[:24]) != binary.LittleEndian.Uint64(b[24:]) {
 		return h, ErrNotSegment
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v != version {
-		return h, fmt.Errorf("%w: %d, this is %d", ErrVersion, v, version)
+		return h, fmt.Errorf("%w: %d, want %d", ErrVersion, v, version)
 	}
 	return Header{binary.LittleEndian.Uint32(b[12:]), binary.LittleEndian.Uint64(b[16:])}, nil
 }
 
-// checksumSeed binds a checksum to an offset of a segment of a folder.
+// checksumSeed returns the seed that binds a checksum to a folder, a segment and an offset.
 func (h Header) checksumSeed(offset int64) uint64 {
 	return h.Salt ^ uint64(h.Number)<<40 ^ uint64(offset)*0x9e3779b97f4a7c15
 }
 
-// Append appends a record that will be stored at an offset of a segment.
+// Append appends an encoded record to dst. The record must be stored at this offset of the segment.
 func Append(dst []byte, h Header, offset int64, r Record) []byte {
-	from := len(dst)
+	start := len(dst)
 	dst = binary.LittleEndian.AppendUint32(dst, recordMagic)
 	dst = append(dst, byte(r.Kind), 0, 0, 0)
 	dst = binary.LittleEndian.AppendUint32(dst, r.Chunk)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(r.Payload)))
 	dst = append(dst, r.ID[:]...)
-	sum := xxh3.HashSeed(dst[from:], h.checksumSeed(offset))
+	sum := xxh3.HashSeed(dst[start:], h.checksumSeed(offset))
 	dst = binary.LittleEndian.AppendUint64(dst, sum)
 	dst = append(dst, r.Payload...)
 	return binary.LittleEndian.AppendUint64(dst, xxh3.HashSeed(r.Payload, sum))
 }
 
-// parseRecordHeader reads the header of the record at an offset: the record without its payload, the payload's length
-// and the header's checksum. It returns ok false if the bytes are not the header of a record there.
+// parseRecordHeader decodes the header of the record at an offset. It returns the record without its payload, the
+// payload's length and the header's checksum. ok is false if b does not start with an intact record header for this
+// offset. b must hold at least recordHeaderSize bytes.
 func parseRecordHeader(b []byte, h Header, offset int64) (r Record, length int, sum uint64, ok bool) {
 	if binary.LittleEndian.Uint32(b) != recordMagic {
 		return r, 0, 0, false
@@ -127,20 +128,20 @@
 	return r, length, sum, true
 }
 
-// Parse reads a record that was stored at an offset. b must hold exactly that record.
+// Parse decodes and verifies a record that was stored at an offset. b must hold exactly that record.
 func Parse(b []byte, h Header, offset int64) (Record, error) {
 	if len(b) < RecordOverhead {
-		return Record{}, errDamaged
+		return Record{}, errCorrupt
 	}
 	r, length, sum, ok := parseRecordHeader(b, h, offset)
 	if !ok || len(b) != RecordOverhead+length {
-		return Record{}, errDamaged
+		return Record{}, errCorrupt
 	}
 	r.Payload = b[recordHeaderSize : recordHeaderSize+length]
 	if xxh3.HashSeed(r.Payload, sum) != binary.LittleEndian.Uint64(b[recordHeaderSize+length:]) {
-		return Record{}, errDamaged
+		return Record{}, errCorrupt
 	}
 	return r, nil
 }
 
-var errDamaged = errors.New("segment: other bytes than were written")
+var errCorrupt = errors.New("segment: record is corrupt")
