--- a/internal/spool/disk/compact.go
+++ b/internal/spool/disk/compact.go
@@ -7,14 +7,15 @@
 	"foxlane/internal/spool/segment"
 )
 
-// Sweep removes the oldest segments that hold no live record.
+// Sweep removes segments without live records, from the oldest up to the first segment that has one. It never removes
+// the last segment. It returns the number of removed segments.
 func (s *Store) Sweep() (removed int, err error) {
 	for len(s.segments) > 1 && s.segments[0].liveBytes <= 0 {
-		g := s.segments[0]
-		if err := s.fs.Remove(segmentName(g.number)); err != nil {
+		seg := s.segments[0]
+		if err := s.fs.Remove(segmentName(seg.number)); err != nil {
 			return removed, fmt.Errorf("disk: %w", err)
 		}
-		_ = g.file.Close() // the file is removed
+		_ = seg.file.Close() // the file is already removed
 		s.segments = s.segments[1:]
 		removed++
 	}
@@ -24,45 +25,45 @@
 	return removed, err
 }
 
-// WastedBytes is the size of all records that belong to no stored result.
+// WastedBytes returns the number of bytes in segments that belong to no stored result.
 func (s *Store) WastedBytes() int64 {
 	var sum int64
-	for _, g := range s.segments {
-		sum += g.size - g.liveBytes
+	for _, seg := range s.segments {
+		sum += seg.size - seg.liveBytes
 	}
 	return sum
 }
 
-// Compact copies the live results of the oldest segment to the end of the newest, so that the oldest can be removed.
-// The events tell the result store where chunks are stored now. While a result of that segment is not sealed, or is
-// broken, nothing is copied.
-func (s *Store) Compact() (out []Completion, err error) {
+// Compact copies the live results of the oldest segment to the end of the newest, and removes the oldest. It returns
+// ChunkMoved events with the new locations. It copies nothing while a result in that segment is unsealed or broken.
+func (s *Store) Compact() (completions []Completion, err error) {
 	if len(s.segments) < 2 {
 		return nil, nil
 	}
-	defer func() { out = s.takeSyncFailures(out) }()
+	defer func() { completions = s.drainSyncFailures(completions) }()
 	ids, ok := s.resultsIn(s.segments[0].number)
 	if !ok {
 		return nil, nil
 	}
 	for _, id := range ids {
-		old := s.entries[id]
-		fresh, err := s.copyResult(id, old)
+		original := s.entries[id]
+		replacement, err := s.copyResult(id, original)
 		if err != nil {
-			return out, err
+			return completions, err
 		}
-		s.addLive(old, -1)
-		s.entries[id] = fresh
-		s.addLive(fresh, 1)
-		for n := range len(fresh.chunks) {
-			out = append(out, Completion{Event: spool.ChunkMoved{ID: id, Index: n, Location: fresh.chunks[n]}})
+		s.addLive(original, -1)
+		s.entries[id] = replacement
+		s.addLive(replacement, 1)
+		for n := range len(replacement.chunks) {
+			completions = append(completions, Completion{Event: spool.ChunkMoved{ID: id, Index: n, Location: replacement.chunks[n]}})
 		}
 	}
 	_, err = s.Sweep()
-	return out, err
+	return completions, err
 }
 
-// resultsIn returns the results that have a record in a segment, sorted, or ok false if one of them can't be copied.
+// resultsIn returns the sorted IDs of the results that have a record in a segment, or ok false if one of them can't be
+// copied.
 func (s *Store) resultsIn(number uint32) (ids []spool.ID, ok bool) {
 	for id, e := range s.entries {
 		if !e.anyRecord(func(l spool.Location) bool { return l.Segment == number }) {
@@ -77,32 +78,32 @@
 	return ids, true
 }
 
-// copyResult appends a copy of all records of a result and syncs it.
-func (s *Store) copyResult(id spool.ID, old *entry) (*entry, error) {
-	write := func(kind segment.Kind, n int, data []byte) (spool.Location, error) {
-		g, err := s.activeSegment()
+// copyResult appends a copy of the Open, Chunk and Seal records of a result and syncs it.
+func (s *Store) copyResult(id spool.ID, original *entry) (*entry, error) {
+	write := func(kind segment.Kind, index int, data []byte) (spool.Location, error) {
+		seg, err := s.activeSegment()
 		if err != nil {
 			return spool.Location{}, err
 		}
-		return s.appendRecord(g, segment.Record{Kind: kind, ID: id, Chunk: uint32(n), Payload: data})
+		return s.appendRecord(seg, segment.Record{Kind: kind, ID: id, Chunk: uint32(index), Payload: data})
 	}
-	open, err := write(segment.Open, 0, segment.AppendMeta(nil, old.meta))
+	open, err := write(segment.Open, 0, segment.AppendMeta(nil, original.meta))
 	if err != nil {
 		return nil, err
 	}
-	fresh := newEntry(old.meta, open)
-	fresh.summary = old.summary
-	for n := range len(old.chunks) {
-		data, err := s.Read(id, n, old.chunks[n])
+	replacement := newEntry(original.meta, open)
+	replacement.summary = original.summary
+	for n := range len(original.chunks) {
+		data, err := s.Read(id, n, original.chunks[n])
 		if err != nil {
 			return nil, err
 		}
-		if fresh.chunks[n], err = write(segment.Chunk, n, data); err != nil {
+		if replacement.chunks[n], err = write(segment.Chunk, n, data); err != nil {
 			return nil, err
 		}
 	}
-	if fresh.sealRecord, err = write(segment.Seal, len(old.chunks), segment.AppendSummary(nil, old.summary)); err != nil {
+	if replacement.sealRecord, err = write(segment.Seal, len(original.chunks), segment.AppendSummary(nil, original.summary)); err != nil {
 		return nil, err
 	}
-	return fresh, s.sync()
+	return replacement, s.sync()
 }
--- a/internal/spool/disk/disk_test.go
+++ b/internal/spool/disk/disk_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) {
 	rapidtest.FixSeed()
-	goleak.VerifyTestMain(m) // each Worker is closed by its test
+	goleak.VerifyTestMain(m) // each test must close its Workers
 }
 
 var errFault = errors.New("fault")
@@ -26,165 +26,167 @@
 
 func id(n int) spool.ID { return spool.ID{byte(n), byte(n >> 8), 3} }
 
-// rows returns chunk n of result k.
-func rows(k, n int) []byte { return bytes.Repeat([]byte{byte(k), byte(n), '\n'}, 20+10*(n%4)) }
+// chunkData returns the payload of a chunk of result number.
+func chunkData(number, index int) []byte {
+	return bytes.Repeat([]byte{byte(number), byte(index), '\n'}, 20+10*(index%4))
+}
 
-// writes returns the effects that write a result with this many chunks.
-func writes(k, chunks int) (out []spool.WriteRecord) {
-	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(k), Secret: [32]byte{byte(k)}, Class: 1, Created: 5, LeaseEnd: 100})
-	out = append(out, spool.WriteRecord{ID: id(k), Record: segment.Open, Data: meta})
+// resultWrites returns the effects that write and seal result number.
+func resultWrites(number, chunks int) (writes []spool.WriteRecord) {
+	meta := segment.AppendMeta(nil, segment.Meta{Tenant: uint64(number), Secret: [32]byte{byte(number)}, Class: 1, Created: 5, LeaseEnd: 100})
+	writes = append(writes, spool.WriteRecord{ID: id(number), Record: segment.Open, Data: meta})
 	sum := uint64(0)
 	for n := range chunks {
-		sum += uint64(len(rows(k, n)))
-		out = append(out, spool.WriteRecord{ID: id(k), Record: segment.Chunk, Index: n, Data: rows(k, n)})
+		sum += uint64(len(chunkData(number, n)))
+		writes = append(writes, spool.WriteRecord{ID: id(number), Record: segment.Chunk, Index: n, Data: chunkData(number, n)})
 	}
-	return append(out, spool.WriteRecord{ID: id(k), Record: segment.Seal, Index: chunks,
+	return append(writes, spool.WriteRecord{ID: id(number), Record: segment.Seal, Index: chunks,
 		Data: segment.AppendSummary(nil, segment.Summary{Chunks: uint32(chunks), Bytes: sum})})
 }
 
-func drop(k int) []spool.WriteRecord {
-	return []spool.WriteRecord{{ID: id(k), Record: segment.Drop}}
+func dropWrite(number int) []spool.WriteRecord {
+	return []spool.WriteRecord{{ID: id(number), Record: segment.Drop}}
 }
 
-// synced returns the results that a commit reported as synced, and those that it reported as failed.
-func synced(done []Completion) (good, bad []spool.ID) {
-	for _, d := range done {
-		if e, ok := d.Event.(spool.ResultSynced); ok {
+// syncResults returns the results that a commit reported as synced, and those whose sync it reported as failed.
+func syncResults(completions []Completion) (synced, failed []spool.ID) {
+	for _, completion := range completions {
+		if e, ok := completion.Event.(spool.ResultSynced); ok {
 			if e.Failed {
-				bad = append(bad, e.ID)
+				failed = append(failed, e.ID)
 			} else {
-				good = append(good, e.ID)
+				synced = append(synced, e.ID)
 			}
 		}
 	}
-	return good, bad
+	return synced, failed
 }
 
 func open(t interface{ Fatal(...any) }, fs FS) (*Store, *Recovery) {
-	s, rec, err := Open(fs, options)
+	s, recovery, err := Open(fs, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, rec
+	return s, recovery
 }
 
-// check reads a recovered result and compares every byte.
-func check(s *Store, f RecoveredResult, k, chunks int) error {
-	if f.ID != id(k) || len(f.Locations) != chunks || f.Meta.Tenant != uint64(k) {
-		return fmt.Errorf("found %v with %d chunks", f.ID, len(f.Locations))
+// verifyResult reads a recovered result and compares every byte with what resultWrites wrote.
+func verifyResult(s *Store, result RecoveredResult, number, chunks int) error {
+	if result.ID != id(number) || len(result.Locations) != chunks || result.Meta.Tenant != uint64(number) {
+		return fmt.Errorf("found result %v with %d chunks", result.ID, len(result.Locations))
 	}
-	for n, p := range f.Locations {
-		got, err := s.Read(f.ID, n, p)
+	for index, location := range result.Locations {
+		got, err := s.Read(result.ID, index, location)
 		if err != nil {
-			return fmt.Errorf("chunk %d of result %d: %w", n, k, err)
+			return fmt.Errorf("chunk %d of result %d: %w", index, number, err)
 		}
-		if !bytes.Equal(got, rows(k, n)) {
-			return fmt.Errorf("chunk %d of result %d: %d bytes that differ", n, k, len(got))
+		if !bytes.Equal(got, chunkData(number, index)) {
+			return fmt.Errorf("chunk %d of result %d: read %d bytes that differ", index, number, len(got))
 		}
 	}
 	return nil
 }
 
-func find(rec *Recovery, k int) (RecoveredResult, bool) {
-	for _, f := range rec.Results {
-		if f.ID == id(k) {
-			return f, true
+func findResult(recovery *Recovery, number int) (RecoveredResult, bool) {
+	for _, result := range recovery.Results {
+		if result.ID == id(number) {
+			return result, true
 		}
 	}
 	return RecoveredResult{}, false
 }
 
-// logOf returns a folder with results written one after the other, across segments, and the size of the folder when
-// each was reported as synced.
-func logOf(t testing.TB, results, chunks int) (fs *memoryFS, acked map[int]int64) {
+// folderWithResults returns a folder with results that were written one after the other, across segments. acked holds
+// the size of the folder at the time when each result was reported as synced.
+func folderWithResults(t testing.TB, results, chunks int) (fs *memoryFS, acked map[int]int64) {
 	fs, acked = newMemoryFS(), map[int]int64{}
 	s, _ := open(t, fs)
-	for k := range results {
-		good, _ := synced(s.Commit(writes(k, chunks)))
-		if len(good) != 1 {
-			t.Fatalf("result %d is not acknowledged", k)
+	for number := range results {
+		synced, _ := syncResults(s.Commit(resultWrites(number, chunks)))
+		if len(synced) != 1 {
+			t.Fatalf("result %d was not reported as synced", number)
 		}
-		acked[k] = fs.size()
+		acked[number] = fs.size()
 	}
 	return fs, acked
 }
 
-// cutAt returns the folder as it was after this many of its bytes were written.
-func cutAt(fs *memoryFS, at int64) *memoryFS {
-	out := newMemoryFS()
+// truncatedCopy returns a copy of the folder as it was after length bytes had been written to it.
+func truncatedCopy(fs *memoryFS, length int64) *memoryFS {
+	copied := newMemoryFS()
 	names, _ := fs.List()
 	slices.Sort(names)
 	for _, name := range names {
 		data := fs.files[name].data
-		if at <= 0 {
+		if length <= 0 {
 			break
 		}
-		data = data[:min(at, int64(len(data)))]
-		at -= int64(len(data))
-		out.files[name] = &memFile{fs: out, data: bytes.Clone(data), synced: bytes.Clone(data)}
+		data = data[:min(length, int64(len(data)))]
+		length -= int64(len(data))
+		copied.files[name] = &memoryFile{fs: copied, data: bytes.Clone(data), synced: bytes.Clone(data)}
 	}
-	return out
+	return copied
 }
 
-// After a kill at any byte all synced results are complete, and nothing is left of others.
-func TestEveryCutOfALog(t *testing.T) {
-	fs, acked := logOf(t, 5, 7)
+// After the process is killed at any byte, recovery finds all synced results complete, and no others.
+func TestRecoveryAfterTruncationAtEveryByte(t *testing.T) {
+	fs, acked := folderWithResults(t, 5, 7)
 	if len(fs.files) < 3 {
-		t.Fatalf("only %d segments: the test has lost its subject", len(fs.files))
+		t.Fatalf("only %d segments: the test needs at least 3", len(fs.files))
 	}
-	for at := int64(0); at <= fs.size(); at++ {
-		cut := cutAt(fs, at)
-		s, rec := open(t, cut)
-		if len(rec.Damage) > 0 || len(rec.Lost) > 0 {
-			t.Fatalf("cut at %d: a torn tail is told as damage: %+v, %v", at, rec.Damage, rec.Lost)
+	for length := int64(0); length <= fs.size(); length++ {
+		truncated := truncatedCopy(fs, length)
+		s, recovery := open(t, truncated)
+		if len(recovery.Damage) > 0 || len(recovery.Lost) > 0 {
+			t.Fatalf("truncated at %d: an incomplete write is reported as damage: %+v, %v", length, recovery.Damage, recovery.Lost)
 		}
-		for k, end := range acked {
-			f, ok := find(rec, k)
-			if ok != (end <= at) {
-				t.Fatalf("cut at %d: result %d, acknowledged at %d, found %v", at, k, end, ok)
+		for number, end := range acked {
+			result, ok := findResult(recovery, number)
+			if ok != (end <= length) {
+				t.Fatalf("truncated at %d: result %d, synced at %d, found %v", length, number, end, ok)
 			}
 			if ok {
-				if err := check(s, f, k, 7); err != nil {
-					t.Fatalf("cut at %d: %v", at, err)
+				if err := verifyResult(s, result, number, 7); err != nil {
+					t.Fatalf("truncated at %d: %v", length, err)
 				}
 			}
 		}
-		// The folder can be written to, and is intact at the next start.
-		if at%37 == 0 {
-			if good, _ := synced(s.Commit(writes(50, 4))); len(good) != 1 {
-				t.Fatalf("cut at %d: nothing can be written any more", at)
+		// The recovered folder accepts writes, and the next recovery finds them.
+		if length%37 == 0 {
+			if synced, _ := syncResults(s.Commit(resultWrites(50, 4))); len(synced) != 1 {
+				t.Fatalf("truncated at %d: a write after recovery failed", length)
 			}
-			s2, rec := open(t, cut)
-			f, ok := find(rec, 50)
-			if !ok || check(s2, f, 50, 4) != nil {
-				t.Fatalf("cut at %d: what was written afterwards is not found", at)
+			reopened, recovery := open(t, truncated)
+			result, ok := findResult(recovery, 50)
+			if !ok || verifyResult(reopened, result, 50, 4) != nil {
+				t.Fatalf("truncated at %d: a result written after recovery is not found", length)
 			}
 		}
 	}
 }
 
-// A changed byte costs only the result that it belongs to, and is reported.
-func TestEveryDamageOfALog(t *testing.T) {
-	fs, _ := logOf(t, 4, 5)
+// A changed byte invalidates only the result that it belongs to, and is reported.
+func TestRecoveryAfterCorruptionOfEveryByte(t *testing.T) {
+	fs, _ := folderWithResults(t, 4, 5)
 	names, _ := fs.List()
 	slices.Sort(names)
 	for i, name := range names {
-		for at := range fs.files[name].data {
-			bad := cutAt(fs, 1<<40)
-			bad.files[name].data[at] ^= 0x5a
-			s, rec := open(t, bad)
-			if at < segment.HeaderSize {
-				if i == len(names)-1 && len(rec.Damage) == 0 {
-					t.Fatalf("%s: a damaged head is not told", name)
+		for offset := range fs.files[name].data {
+			corrupted := truncatedCopy(fs, 1<<40)
+			corrupted.files[name].data[offset] ^= 0x5a
+			s, recovery := open(t, corrupted)
+			if offset < segment.HeaderSize {
+				if i == len(names)-1 && len(recovery.Damage) == 0 {
+					t.Fatalf("%s: a damaged header is not reported", name)
 				}
 				continue
 			}
-			if len(rec.Results) < 3 || len(rec.Damage) == 0 && rec.TornBytes == 0 {
-				t.Fatalf("%s byte %d: %d of 4 found, damage %v, torn %d", name, at, len(rec.Results), rec.Damage, rec.TornBytes)
+			if len(recovery.Results) < 3 || len(recovery.Damage) == 0 && recovery.TornBytes == 0 {
+				t.Fatalf("%s byte %d: %d of 4 results found, damage %v, torn bytes %d", name, offset, len(recovery.Results), recovery.Damage, recovery.TornBytes)
 			}
-			for _, f := range rec.Results {
-				if err := check(s, f, int(f.ID[0]), 5); err != nil {
-					t.Fatalf("%s byte %d: %v", name, at, err)
+			for _, result := range recovery.Results {
+				if err := verifyResult(s, result, int(result.ID[0]), 5); err != nil {
+					t.Fatalf("%s byte %d: %v", name, offset, err)
 				}
 			}
 		}
@@ -193,31 +195,31 @@
 
 func TestFailedWrites(t *testing.T) {
 	for n := 1; n <= 30; n++ {
-		fs, _ := logOf(t, 2, 5)
+		fs, _ := folderWithResults(t, 2, 5)
 		s, _ := open(t, fs)
 		fs.failWrite = n
 		failed := false
-		for _, d := range s.Commit(writes(9, 8)) {
-			if e, ok := d.Event.(spool.RecordWritten); ok && e.Failed {
+		for _, completion := range s.Commit(resultWrites(9, 8)) {
+			if e, ok := completion.Event.(spool.RecordWritten); ok && e.Failed {
 				failed = true
 			}
 		}
 		fs.failWrite = 0
-		if good, _ := synced(s.Commit(writes(10, 3))); len(good) != 1 {
-			t.Fatalf("after write %d failed nothing more can be written", n)
+		if synced, _ := syncResults(s.Commit(resultWrites(10, 3))); len(synced) != 1 {
+			t.Fatalf("after write %d failed: the next result can't be written", n)
 		}
-		s2, rec := open(t, fs)
-		for _, k := range []int{0, 1, 10} {
-			f, ok := find(rec, k)
+		reopened, recovery := open(t, fs)
+		for _, number := range []int{0, 1, 10} {
+			result, ok := findResult(recovery, number)
 			if !ok {
-				t.Fatalf("after write %d failed result %d is gone", n, k)
+				t.Fatalf("after write %d failed: result %d is lost", n, number)
 			}
-			if err := check(s2, f, k, len(f.Locations)); err != nil {
+			if err := verifyResult(reopened, result, number, len(result.Locations)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if f, ok := find(rec, 9); ok && (failed || check(s2, f, 9, 8) != nil) {
-			t.Fatalf("after write %d failed a result is offered that is not whole", n)
+		if result, ok := findResult(recovery, 9); ok && (failed || verifyResult(reopened, result, 9, 8) != nil) {
+			t.Fatalf("after write %d failed: an incomplete result was recovered", n)
 		}
 	}
 }
@@ -226,130 +228,131 @@
 	fs := newMemoryFS()
 	fs.capacity = 4000
 	s, _ := open(t, fs)
-	kept := 0
-	for k := range 20 {
-		if good, _ := synced(s.Commit(writes(k, 5))); len(good) == 1 {
-			kept++
+	stored := 0
+	for number := range 20 {
+		if synced, _ := syncResults(s.Commit(resultWrites(number, 5))); len(synced) == 1 {
+			stored++
 		}
 	}
-	if kept == 0 || kept == 20 {
-		t.Fatalf("%d of 20 fit: the test has lost its subject", kept)
+	if stored == 0 || stored == 20 {
+		t.Fatalf("%d of 20 results fit: the test needs a disk that holds some, but not all", stored)
 	}
-	_, rec := open(t, fs)
-	if len(rec.Results) != kept {
-		t.Errorf("%d were acknowledged, %d are found", kept, len(rec.Results))
+	_, recovery := open(t, fs)
+	if len(recovery.Results) != stored {
+		t.Errorf("%d results were reported as synced, %d are found", stored, len(recovery.Results))
 	}
 }
 
-// Results behind a failed sync are not offered, neither then nor after a restart.
+// A result whose sync failed is reported as failed and is not recovered after a restart, even if its bytes reached the
+// disk.
 func TestFailedSync(t *testing.T) {
-	fs, _ := logOf(t, 2, 5)
+	fs, _ := folderWithResults(t, 2, 5)
 	s, _ := open(t, fs)
 	fs.failSync = true
-	done := s.Commit(writes(9, 3))
-	good, bad := synced(done)
+	completions := s.Commit(resultWrites(9, 3))
+	synced, failed := syncResults(completions)
 	reported := false
-	for _, d := range done {
-		_, lost := d.Event.(spool.SegmentTailLost)
+	for _, completion := range completions {
+		_, lost := completion.Event.(spool.SegmentTailLost)
 		reported = reported || lost
 	}
-	if len(good) != 0 || len(bad) != 1 || !reported {
-		t.Fatalf("acknowledged %v, refused %v, told %v", good, bad, reported)
+	if len(synced) != 0 || len(failed) != 1 || !reported {
+		t.Fatalf("synced %v, failed %v, lost tail reported %v", synced, failed, reported)
 	}
 	fs.failSync = false
-	if good, _ := synced(s.Commit(writes(10, 3))); len(good) != 1 {
-		t.Error("nothing can be written after a failed sync")
+	if synced, _ := syncResults(s.Commit(resultWrites(10, 3))); len(synced) != 1 {
+		t.Error("a write after a failed sync failed")
 	}
-	for _, after := range []*memoryFS{fs, fs.crash(func(n int) int { return n })} {
-		_, rec := open(t, after)
-		if _, ok := find(rec, 9); ok || len(rec.Results) != 3 {
-			t.Errorf("%d found, the one whose sync failed: %v", len(rec.Results), ok)
+	for _, folder := range []*memoryFS{fs, fs.crash(func(n int) int { return n })} {
+		_, recovery := open(t, folder)
+		if _, ok := findResult(recovery, 9); ok || len(recovery.Results) != 3 {
+			t.Errorf("%d results found, including the one whose sync failed: %v", len(recovery.Results), ok)
 		}
 	}
 }
 
 func TestReadDetectsCorruption(t *testing.T) {
-	fs, _ := logOf(t, 2, 5)
-	s, rec := open(t, fs)
-	f, _ := find(rec, 0)
-	g := fs.files[segmentName(f.Locations[2].Segment)]
-	g.data[f.Locations[2].Offset+50] ^= 1
-	if _, err := s.Read(f.ID, 2, f.Locations[2]); !errors.Is(err, ErrCorrupt) {
+	fs, _ := folderWithResults(t, 2, 5)
+	s, recovery := open(t, fs)
+	result, _ := findResult(recovery, 0)
+	file := fs.files[segmentName(result.Locations[2].Segment)]
+	file.data[result.Locations[2].Offset+50] ^= 1
+	if _, err := s.Read(result.ID, 2, result.Locations[2]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("changed bytes: %v", err)
 	}
-	if _, err := s.Read(f.ID, 1, f.Locations[3]); !errors.Is(err, ErrCorrupt) {
+	if _, err := s.Read(result.ID, 1, result.Locations[3]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another chunk: %v", err)
 	}
-	if _, err := s.Read(id(1), 3, f.Locations[3]); !errors.Is(err, ErrCorrupt) {
+	if _, err := s.Read(id(1), 3, result.Locations[3]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another result's chunk: %v", err)
 	}
-	if _, err := s.Read(f.ID, 0, spool.Location{Segment: 99, Size: 60}); err == nil {
-		t.Error("a segment that is not there")
+	if _, err := s.Read(result.ID, 0, spool.Location{Segment: 99, Size: 60}); err == nil {
+		t.Error("a read from a segment that does not exist succeeded")
 	}
 }
 
-// Dropped results stay dropped, and their space is freed.
+// Dropped results are never recovered again, and their space is freed.
 func TestSweepAndCompact(t *testing.T) {
-	fs, _ := logOf(t, 12, 5)
+	fs, _ := folderWithResults(t, 12, 5)
 	s, _ := open(t, fs)
 	segments := len(fs.files)
-	for _, k := range []int{0, 1, 2, 4, 5, 7, 8, 9, 10} { // 3, 6 and 11 stay
-		s.Commit(drop(k))
+	for _, number := range []int{0, 1, 2, 4, 5, 7, 8, 9, 10} { // 3, 6 and 11 are kept
+		s.Commit(dropWrite(number))
 	}
 	for range segments {
-		done, err := s.Compact()
+		completions, err := s.Compact()
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range done {
-			if e, ok := d.Event.(spool.ChunkMoved); ok {
-				if got, err := s.Read(e.ID, e.Index, e.Location); err != nil || !bytes.Equal(got, rows(int(e.ID[0]), e.Index)) {
-					t.Fatalf("moved chunk: %v", err)
+		for _, completion := range completions {
+			if e, ok := completion.Event.(spool.ChunkMoved); ok {
+				if got, err := s.Read(e.ID, e.Index, e.Location); err != nil || !bytes.Equal(got, chunkData(int(e.ID[0]), e.Index)) {
+					t.Fatalf("moved chunk can't be read: %v", err)
 				}
 			}
 		}
-		s2, rec := open(t, cutAt(fs, 1<<40)) // at each step a restart finds the three and no other
-		if len(rec.Results) != 3 {
-			t.Fatalf("%d found", len(rec.Results))
+		reopened, recovery := open(t, truncatedCopy(fs, 1<<40)) // a restart at any step finds exactly the three kept results
+		if len(recovery.Results) != 3 {
+			t.Fatalf("%d results found, want 3", len(recovery.Results))
 		}
-		for _, f := range rec.Results {
-			if err := check(s2, f, int(f.ID[0]), 5); err != nil {
+		for _, result := range recovery.Results {
+			if err := verifyResult(reopened, result, int(result.ID[0]), 5); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if s.Bytes() > 8*1500 {
-		t.Errorf("%d bytes are taken by three results", s.Bytes())
+		t.Errorf("three results use %d bytes", s.Bytes())
 	}
-	for _, k := range []int{3, 6, 11} {
-		s.Commit(drop(k))
+	for _, number := range []int{3, 6, 11} {
+		s.Commit(dropWrite(number))
 	}
 	if _, err := s.Sweep(); err != nil || len(s.segments) > 1 {
-		t.Errorf("%v, %d segments of nothing", err, len(s.segments))
+		t.Errorf("error %v, %d segments left without live records", err, len(s.segments))
 	}
 }
 
-// A compaction that fails leaves an incomplete copy: the original is used, also after restarts and further compactions.
+// A failed compaction leaves an incomplete copy. The original is used, also after restarts and further compactions.
 func TestInterruptedCompaction(t *testing.T) {
 	for n := 1; n <= 12; n++ {
-		fs, _ := logOf(t, 3, 7)
+		fs, _ := folderWithResults(t, 3, 7)
 		s, _ := open(t, fs)
-		s.Commit(drop(0))
+		s.Commit(dropWrite(0))
 		fs.failWrite = n
 		if _, err := s.Compact(); err == nil {
 			continue
 		}
 		fs.failWrite = 0
 		for range 6 {
-			var rec *Recovery
-			s, rec = open(t, cutAt(fs, 1<<40))
-			for _, k := range []int{1, 2} {
-				if f, ok := find(rec, k); !ok || check(s, f, k, 7) != nil {
-					t.Fatalf("after write %d of a compaction failed result %d is lost", n, k)
+			var recovery *Recovery
+			s, recovery = open(t, truncatedCopy(fs, 1<<40))
+			for _, number := range []int{1, 2} {
+				if result, ok := findResult(recovery, number); !ok || verifyResult(s, result, number, 7) != nil {
+					t.Fatalf("after write %d of a compaction failed: result %d is lost", n, number)
 				}
 			}
 			s, _ = open(t, fs)
-			s.Commit(writes(40, 1))
+			s.Commit(resultWrites(40, 1))
 			if _, err := s.Compact(); err != nil {
 				t.Fatal(err)
 			}
@@ -357,69 +360,69 @@
 	}
 }
 
-func TestTwoProcessesOnOneFolder(t *testing.T) {
+func TestFolderLockAndReopen(t *testing.T) {
 	dir := t.TempDir()
 	first, err := OpenFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenFolder(dir); !errors.Is(err, ErrLocked) {
-		t.Errorf("the second got %v", err)
+		t.Errorf("second open of a locked folder: %v", err)
 	}
 	s, _ := open(t, first)
-	for k := range 3 {
-		if good, _ := synced(s.Commit(writes(k, 30))); len(good) != 1 {
-			t.Fatal("not acknowledged")
+	for number := range 3 {
+		if synced, _ := syncResults(s.Commit(resultWrites(number, 30))); len(synced) != 1 {
+			t.Fatal("a result was not reported as synced")
 		}
 	}
 	if err := errors.Join(s.Close(), first.Close()); err != nil {
 		t.Fatal(err)
 	}
-	again, err := OpenFolder(dir)
+	reopened, err := OpenFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = again.Close() }()
-	s, rec := open(t, again)
+	defer func() { _ = reopened.Close() }()
+	s, recovery := open(t, reopened)
 	defer func() { _ = s.Close() }()
-	for k := range 3 {
-		f, ok := find(rec, k)
-		if !ok || check(s, f, k, 30) != nil {
-			t.Errorf("result %d after a restart: %v", k, ok)
+	for number := range 3 {
+		result, ok := findResult(recovery, number)
+		if !ok || verifyResult(s, result, number, 30) != nil {
+			t.Errorf("result %d after a restart: found %v", number, ok)
 		}
 	}
 }
 
-// Random results, drops, compactions, faults and crashes against a plain map: results that were synced and not dropped
-// are complete after every start, and no incomplete result is offered.
+// Random results, drops, compactions, faults and crashes, checked against a model of plain maps: results that were
+// synced and not dropped are complete after every recovery, and no incomplete result is recovered.
 func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fs := newMemoryFS()
 		s, _ := open(rt, fs)
-		kept, maybe := map[int]int{}, map[int]int{} // chunks; maybe: neither acknowledged nor known to be gone
-		k := 0
+		acked, uncertain := map[int]int{}, map[int]int{} // numbers of chunks; uncertain: not acked, or dropped without a sync
+		number := 0
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 7).Draw(rt, "op") {
 			case 0, 1, 2:
-				k++
+				number++
 				chunks := rapid.IntRange(1, 12).Draw(rt, "chunks")
-				all := writes(k, chunks)
+				records := resultWrites(number, chunks)
 				if rapid.IntRange(0, 5).Draw(rt, "unfinished") == 0 {
-					all = all[:rapid.IntRange(1, len(all)-1).Draw(rt, "records")]
+					records = records[:rapid.IntRange(1, len(records)-1).Draw(rt, "records")]
 				}
-				if good, _ := synced(s.Commit(all)); len(good) == 1 {
-					kept[k] = chunks
+				if synced, _ := syncResults(s.Commit(records)); len(synced) == 1 {
+					acked[number] = chunks
 				} else {
-					maybe[k] = chunks
+					uncertain[number] = chunks
 				}
 			case 3:
-				if k > 0 {
-					d := rapid.IntRange(1, k).Draw(rt, "dropped")
-					for _, done := range s.Commit(drop(d)) {
-						_, written := done.Event.(spool.RecordWritten)
-						if n, ok := kept[d]; ok && written {
-							maybe[d] = n // a Drop is not synced by itself
-							delete(kept, d)
+				if number > 0 {
+					dropped := rapid.IntRange(1, number).Draw(rt, "dropped")
+					for _, completion := range s.Commit(dropWrite(dropped)) {
+						_, written := completion.Event.(spool.RecordWritten)
+						if n, ok := acked[dropped]; ok && written {
+							uncertain[dropped] = n // a Drop alone is not synced
+							delete(acked, dropped)
 						}
 					}
 				}
@@ -433,24 +436,24 @@
 				fs.failSync = rapid.IntRange(0, 3).Draw(rt, "sync") == 0
 			case 7:
 				fs = fs.crash(func(n int) int { return rapid.IntRange(0, n).Draw(rt, "kept") })
-				var rec *Recovery
-				s, rec = open(rt, fs)
-				if len(rec.Damage) > 0 {
-					rt.Fatalf("damage after a crash: %+v", rec.Damage)
+				var recovery *Recovery
+				s, recovery = open(rt, fs)
+				if len(recovery.Damage) > 0 {
+					rt.Fatalf("damage after a crash: %+v", recovery.Damage)
 				}
-				for k, chunks := range kept {
-					if f, ok := find(rec, k); !ok || check(s, f, k, chunks) != nil {
-						rt.Fatalf("result %d was acknowledged and is not whole (found %v)", k, ok)
+				for number, chunks := range acked {
+					if result, ok := findResult(recovery, number); !ok || verifyResult(s, result, number, chunks) != nil {
+						rt.Fatalf("result %d was reported as synced but is not complete (found %v)", number, ok)
 					}
 				}
-				for _, f := range rec.Results {
-					k := int(f.ID[0])
-					chunks, ok := maybe[k]
-					if _, known := kept[k]; known {
+				for _, result := range recovery.Results {
+					number := int(result.ID[0])
+					chunks, ok := uncertain[number]
+					if _, known := acked[number]; known {
 						continue
 					}
-					if !ok || check(s, f, k, chunks) != nil {
-						rt.Fatalf("result %d is offered", k)
+					if !ok || verifyResult(s, result, number, chunks) != nil {
+						rt.Fatalf("result %d was recovered but is not complete", number)
 					}
 				}
 			}
--- a/internal/spool/disk/fs.go
+++ b/internal/spool/disk/fs.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// File is one segment.
+// File is the file of one segment.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -19,26 +19,28 @@
 	Close() error
 }
 
-// FS is a folder with segments. Folder is that of the system; tests inject faults.
+// FS is a folder of segment files. Folder is the implementation of the operating system; tests use others to inject
+// faults.
 type FS interface {
 	List() ([]string, error)
 	Open(name string, create bool) (File, error)
 	Remove(name string) error
-	Sync() error // of the list of files, after Open with create and Remove
+	Sync() error // makes the creation and removal of files durable
 }
 
-// Folder is a folder of the system that this process holds a lock on.
+// Folder is a folder in the file system that is locked by this process.
 type Folder struct {
 	path string
 	lock *os.File
 }
 
-// ErrLocked is returned if another process uses the folder.
-var ErrLocked = errors.New("disk: another process uses this folder")
+// ErrLocked is returned if another process holds the lock of the folder.
+var ErrLocked = errors.New("disk: folder is locked by another process")
 
 const lockName = "LOCK"
 
-// OpenFolder locks a folder for this process until Close or the end of the process. It creates the folder if need be.
+// OpenFolder locks a folder until Close or the end of the process. It creates the folder if it does not exist. It
+// returns ErrLocked if another process holds the lock.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -46,12 +48,12 @@
 	return lockFolder(path)
 }
 
-// OpenExisting locks a folder that must exist.
+// OpenExisting is like OpenFolder, but returns an error if the folder does not exist.
 func OpenExisting(path string) (*Folder, error) {
 	if info, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	} else if !info.IsDir() {
-		return nil, fmt.Errorf("disk: %s is no folder", path)
+		return nil, fmt.Errorf("disk: %s is not a folder", path)
 	}
 	return lockFolder(path)
 }
@@ -62,7 +64,7 @@
 		return nil, fmt.Errorf("disk: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // nothing was written to it
+		_ = lock.Close() // nothing was written, so the error does not matter
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 		}
@@ -74,7 +76,7 @@
 // Close releases the lock.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-// List returns the names of the files, without that of the lock.
+// List returns the names of the regular files in the folder, without the lock file.
 func (f *Folder) List() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, e := range entries {
@@ -85,10 +87,10 @@
 	return names, err
 }
 
-// osFile is a file of the system.
+// osFile is a File in the file system.
 type osFile struct{ *os.File }
 
-// Size returns the present size.
+// Size returns the current size in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -97,7 +99,7 @@
 	return info.Size(), nil
 }
 
-// Open opens a file; with create it creates one that must not exist.
+// Open opens an existing file, or with create, creates a file that must not exist.
 func (f *Folder) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -110,7 +112,7 @@
 	return osFile{file}, nil
 }
 
-// Remove removes a file.
+// Remove deletes a file. Sync makes the removal durable.
 func (f *Folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
 
 // Sync makes the creation and removal of files durable.
@@ -119,6 +121,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }() // it was only read
+	defer func() { _ = d.Close() }() // the folder was only read, so the error does not matter
 	return d.Sync()
 }
--- a/internal/spool/disk/index.go
+++ b/internal/spool/disk/index.go
@@ -5,30 +5,30 @@
 	"foxlane/internal/spool/segment"
 )
 
-// entry says where the records of a result are stored.
+// entry holds the locations of the records of a result.
 type entry struct {
 	meta        segment.Meta
 	openRecord  spool.Location
 	chunks      map[int]spool.Location
 	summary     segment.Summary
-	sealRecord  spool.Location // Size 0: there is none
-	broken      bool           // a record of it is lost
-	replacement *entry         // during recovery: a copy that a compaction began; it takes over once it is complete
+	sealRecord  spool.Location // Size 0: not sealed
+	broken      bool           // a record of the result is lost
+	replacement *entry         // during recovery: a copy made by a compaction; used once it is complete
 }
 
 func newEntry(meta segment.Meta, open spool.Location) *entry {
 	return &entry{meta: meta, openRecord: open, chunks: map[int]spool.Location{}}
 }
 
-// newest returns the copy that records read now belong to. The entry may be nil.
-func (e *entry) newest() *entry {
+// current returns the copy that the next scanned record of the result belongs to. The entry may be nil.
+func (e *entry) current() *entry {
 	if e != nil && e.replacement != nil {
 		return e.replacement
 	}
 	return e
 }
 
-// complete says whether all that a result's seal names is stored.
+// complete reports whether the result is sealed and all chunks that its Seal counts are stored.
 func (e *entry) complete() bool {
 	if e.sealRecord.Size == 0 || e.broken || len(e.chunks) != int(e.summary.Chunks) {
 		return false
@@ -43,7 +43,7 @@
 	return bytes == e.summary.Bytes
 }
 
-// locations returns those of the chunks, in order. The entry must be complete.
+// locations returns the locations of the chunks, in order. The entry must be complete.
 func (e *entry) locations() []spool.Location {
 	out := make([]spool.Location, len(e.chunks))
 	for n, l := range e.chunks {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// anyRecord says whether a record of the result matches.
+// anyRecord reports whether any record of the result matches.
 func (e *entry) anyRecord(matches func(spool.Location) bool) bool {
 	if matches(e.openRecord) || matches(e.sealRecord) {
 		return true
@@ -65,11 +65,11 @@
 	return false
 }
 
-// addLive adds the sizes of a result's records to the live bytes of their segments, or subtracts them with sign -1.
+// addLive adds the sizes of a result's records to the live bytes of their segments. With sign -1 it subtracts them.
 func (s *Store) addLive(e *entry, sign int64) {
 	add := func(l spool.Location) {
-		if g := s.segment(l.Segment); g != nil {
-			g.liveBytes += sign * int64(l.Size)
+		if seg := s.segmentByNumber(l.Segment); seg != nil {
+			seg.liveBytes += sign * int64(l.Size)
 		}
 	}
 	add(e.openRecord)
@@ -79,31 +79,31 @@
 	add(e.sealRecord)
 }
 
-// trackRecord updates the index after a record was written.
-func (s *Store) trackRecord(f *spool.WriteRecord, at spool.Location) {
-	e := s.entries[f.ID]
-	switch f.Record {
+// trackRecord updates the index and the live bytes after a record was written.
+func (s *Store) trackRecord(write *spool.WriteRecord, location spool.Location) {
+	e := s.entries[write.ID]
+	switch write.Record {
 	case segment.Open:
-		meta, _ := segment.ParseMeta(f.Data)
-		e = newEntry(meta, at)
-		s.entries[f.ID] = e
+		meta, _ := segment.ParseMeta(write.Data)
+		e = newEntry(meta, location)
+		s.entries[write.ID] = e
 	case segment.Chunk:
 		if e != nil {
-			e.chunks[f.Index] = at
+			e.chunks[write.Index] = location
 		}
 	case segment.Seal:
 		if e != nil {
-			e.summary, _ = segment.ParseSummary(f.Data)
-			e.sealRecord = at
+			e.summary, _ = segment.ParseSummary(write.Data)
+			e.sealRecord = location
 		}
 	case segment.Drop:
 		if e != nil {
 			s.addLive(e, -1)
-			delete(s.entries, f.ID)
+			delete(s.entries, write.ID)
 		}
 		return
 	}
-	if e != nil && f.Record != segment.Lease {
-		s.segment(at.Segment).liveBytes += int64(at.Size)
+	if e != nil && write.Record != segment.Lease {
+		s.segmentByNumber(location.Segment).liveBytes += int64(location.Size)
 	}
 }
--- a/internal/spool/disk/memoryfs_test.go
+++ b/internal/spool/disk/memoryfs_test.go
@@ -7,21 +7,22 @@
 	"slices"
 )
 
-// memoryFS is a folder in memory with injected faults, which loses bytes that are not synced in a crash.
+// memoryFS is an in-memory folder with injected faults. In a crash it loses bytes that are not synced.
 type memoryFS struct {
-	files     map[string]*memFile
-	failWrite int // the write so many from now on fails, having written a half; 0: none does
+	files     map[string]*memoryFile
+	failWrite int // the n-th write from now fails after writing half of its bytes; 0: none fails
 	failSync  bool
-	capacity  int64 // bytes that it takes; 0: any
+	capacity  int64 // maximum total bytes; 0: unlimited
 }
 
-type memFile struct {
+// memoryFile is a file of a memoryFS.
+type memoryFile struct {
 	fs     *memoryFS
 	data   []byte
-	synced []byte
+	synced []byte // contents at the last successful Sync
 }
 
-func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memFile{}} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}} }
 
 func (m *memoryFS) List() (names []string, err error) {
 	for name := range m.files {
@@ -36,7 +37,7 @@
 		return nil, fmt.Errorf("%s: create %v", name, create)
 	}
 	if create {
-		f = &memFile{fs: m}
+		f = &memoryFile{fs: m}
 		m.files[name] = f
 	}
 	return f, nil
@@ -52,7 +53,7 @@
 	return n
 }
 
-// crash returns the folder after a power failure: of the bytes that were not synced, only a part is there.
+// crash returns the folder after a power failure. Of the n unsynced bytes at the end of a file, part(n) are kept.
 func (m *memoryFS) crash(part func(n int) int) *memoryFS {
 	out := newMemoryFS()
 	names, _ := m.List()
@@ -63,12 +64,12 @@
 		if len(f.data) > len(f.synced) && bytes.HasPrefix(f.data, f.synced) {
 			kept = f.data[:len(f.synced)+part(len(f.data)-len(f.synced))]
 		}
-		out.files[name] = &memFile{fs: out, data: bytes.Clone(kept), synced: bytes.Clone(kept)}
+		out.files[name] = &memoryFile{fs: out, data: bytes.Clone(kept), synced: bytes.Clone(kept)}
 	}
 	return out
 }
 
-func (f *memFile) ReadAt(p []byte, off int64) (int, error) {
+func (f *memoryFile) ReadAt(p []byte, off int64) (int, error) {
 	if off >= int64(len(f.data)) {
 		return 0, io.EOF
 	}
@@ -79,7 +80,7 @@
 	return n, nil
 }
 
-func (f *memFile) WriteAt(p []byte, off int64) (int, error) {
+func (f *memoryFile) WriteAt(p []byte, off int64) (int, error) {
 	n, err := len(p), error(nil)
 	if f.fs.failWrite > 0 {
 		if f.fs.failWrite--; f.fs.failWrite == 0 {
@@ -96,7 +97,7 @@
 	return n, err
 }
 
-func (f *memFile) Sync() error {
+func (f *memoryFile) Sync() error {
 	if f.fs.failSync {
 		return errFault
 	}
@@ -104,6 +105,6 @@
 	return nil
 }
 
-func (f *memFile) Truncate(n int64) error { f.data = f.data[:n]; return nil }
-func (f *memFile) Size() (int64, error)   { return int64(len(f.data)), nil }
-func (f *memFile) Close() error           { return nil }
+func (f *memoryFile) Truncate(n int64) error { f.data = f.data[:n]; return nil }
+func (f *memoryFile) Size() (int64, error)   { return int64(len(f.data)), nil }
+func (f *memoryFile) Close() error           { return nil }
--- a/internal/spool/disk/recover_test.go
+++ b/internal/spool/disk/recover_test.go
@@ -8,55 +8,56 @@
 	"foxlane/internal/spool"
 )
 
-// failingFS is a folder in which, for a while, nothing can be written or removed; files are still created.
+// failingFS is a folder in which writes to new files and removals fail while fails is set. Files can still be created.
 type failingFS struct {
 	*memoryFS
 	fails bool
 }
 
-func (s *failingFS) Open(name string, create bool) (File, error) {
-	if create && s.files[name] != nil {
+func (f *failingFS) Open(name string, create bool) (File, error) {
+	if create && f.files[name] != nil {
 		return nil, fmt.Errorf("open %s: %w", name, fs.ErrExist)
 	}
-	if s.fails {
-		s.failWrite = 1
+	if f.fails {
+		f.failWrite = 1
 	}
-	return s.memoryFS.Open(name, create)
+	return f.memoryFS.Open(name, create)
 }
 
-func (s *failingFS) Remove(name string) error {
-	if s.fails {
+func (f *failingFS) Remove(name string) error {
+	if f.fails {
 		return errFault
 	}
-	return s.memoryFS.Remove(name)
+	return f.memoryFS.Remove(name)
 }
 
-// Once a folder works again in which the creation of a segment failed, results are stored again without a restart.
+// A segment whose creation failed leaves a file under the name that the next attempt needs. Once the folder works
+// again, that file is removed, and results are stored without a restart.
 func TestUnfinishedSegmentIsRemoved(t *testing.T) {
 	folder := &failingFS{memoryFS: newMemoryFS(), fails: true}
 	s, _, err := Open(folder, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sealed := func(k int) bool {
+	storeResult := func(number int) bool {
 		ok := false
-		for _, d := range s.Commit(writes(k, 2)) {
-			if e, synced := d.Event.(spool.ResultSynced); synced {
+		for _, completion := range s.Commit(resultWrites(number, 2)) {
+			if e, synced := completion.Event.(spool.ResultSynced); synced {
 				ok = !e.Failed
 			}
 		}
 		return ok
 	}
-	for k := range 3 {
-		if sealed(k) {
-			t.Fatal("a result counts as kept on a folder that takes no writes")
+	for number := range 3 {
+		if storeResult(number) {
+			t.Fatal("a result was reported as synced while all writes failed")
 		}
 	}
 	folder.fails, folder.failWrite = false, 0
-	if !sealed(4) {
-		t.Error("the folder works again, and results are still not kept")
+	if !storeResult(4) {
+		t.Error("a result was not stored after the folder worked again")
 	}
-	if _, rec, err := Open(folder, options); err != nil || len(rec.Results) != 1 || len(rec.Lost)+len(rec.Damage) != 0 {
-		t.Errorf("after a start: %+v, %v", rec, err)
+	if _, recovery, err := Open(folder, options); err != nil || len(recovery.Results) != 1 || len(recovery.Lost)+len(recovery.Damage) != 0 {
+		t.Errorf("after a restart: %+v, %v", recovery, err)
 	}
 }
--- a/internal/spool/disk/recovery.go
+++ b/internal/spool/disk/recovery.go
@@ -10,38 +10,39 @@
 	"foxlane/internal/spool/segment"
 )
 
-// Damage is a part of a segment that could not be read.
+// Damage is a damaged range of a segment.
 type Damage struct {
 	Segment uint32
 	Offset  int64
 	Size    int64
-	ID      spool.ID // of the result that the part belongs to, if Known
+	ID      spool.ID // result that the range belongs to, if Known
 	Known   bool
 }
 
-// RecoveredResult is a result that was complete and sealed when the folder was opened.
+// RecoveredResult is a sealed and complete result that was found when the folder was opened.
 type RecoveredResult struct {
 	ID        spool.ID
 	Meta      segment.Meta
-	Locations []spool.Location
+	Locations []spool.Location // locations of the chunks, in order
 }
 
-// Recovery is what was found in the folder.
+// Recovery reports what Open found in the folder.
 type Recovery struct {
 	Results    []RecoveredResult
-	Lost       []spool.ID // sealed, but damaged
-	Unfinished int        // results that were never sealed, and are dropped
+	Lost       []spool.ID // results that were sealed, but are damaged
+	Unfinished int        // number of results without a seal, which are ignored
 	Damage     []Damage
-	TornBytes  int64 // cut behind the last complete record
+	TornBytes  int64 // bytes of incomplete writes after the last complete record
 }
 
 const scanBufferSize = 256 << 10
 
-// Open opens the segments of a folder. Results that are sealed and complete are returned. An incomplete write at the
-// end is cut; damage elsewhere costs only the results that it lies in.
-func Open(fs FS, opt Options) (*Store, *Recovery, error) {
-	s := &Store{fs: fs, options: opt, salt: max(opt.Salt, 1), entries: map[spool.ID]*entry{}}
-	rec := &Recovery{}
+// Open opens the segments of a folder and returns the sealed and complete results in the Recovery. It truncates an
+// incomplete write at the end of the last segment, unless ReadOnly. Damage elsewhere affects only the results that the
+// damaged records belong to.
+func Open(fs FS, options Options) (*Store, *Recovery, error) {
+	s := &Store{fs: fs, options: options, salt: max(options.Salt, 1), entries: map[spool.ID]*entry{}}
+	recovery := &Recovery{}
 	names, err := fs.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("disk: %w", err)
@@ -54,57 +55,58 @@
 	}
 	slices.Sort(numbers)
 	for i, n := range numbers {
-		if err := s.scanSegment(n, i == len(numbers)-1, rec); err != nil {
-			_ = s.Close() // the error that matters is the first one
+		if err := s.scanSegment(n, i == len(numbers)-1, recovery); err != nil {
+			_ = s.Close() // the first error is the relevant one
 			return nil, nil, err
 		}
 	}
-	s.finishRecovery(rec)
-	return s, rec, nil
+	s.finishRecovery(recovery)
+	return s, recovery, nil
 }
 
-// scanSegment reads one segment into the index. Only the last one may end within a record.
-func (s *Store) scanSegment(n uint32, last bool, rec *Recovery) error {
-	g, valid, err := s.openSegment(n)
+// scanSegment adds the records of a segment to the index. Only the last segment may end within a record.
+func (s *Store) scanSegment(number uint32, last bool, recovery *Recovery) error {
+	seg, valid, err := s.openSegment(number)
 	if err != nil {
 		return err
 	}
 	if !valid {
-		if last && g.size < segment.HeaderSize || g.size == 0 { // the process ended while it created the segment
-			rec.TornBytes += g.size
-			_ = g.file.Close()
+		if last && seg.size < segment.HeaderSize || seg.size == 0 { // the process ended while creating the segment
+			recovery.TornBytes += seg.size
+			_ = seg.file.Close()
 			if s.options.ReadOnly {
 				return nil
 			}
-			return s.fs.Remove(segmentName(n))
+			return s.fs.Remove(segmentName(number))
 		}
-		rec.Damage = append(rec.Damage, Damage{Segment: n, Size: g.size})
-		g.full = true
-		s.segments = append(s.segments, g) // it holds no record, and is removed once it is the oldest
+		recovery.Damage = append(recovery.Damage, Damage{Segment: number, Size: seg.size})
+		seg.full = true
+		s.segments = append(s.segments, seg) // none of its records is indexed, so Sweep removes it once it is the oldest
 		return nil
 	}
-	s.salt = g.header.Salt
-	s.segments = append(s.segments, g)
-	end, err := s.scanRecords(g, rec)
+	s.salt = seg.header.Salt
+	s.segments = append(s.segments, seg)
+	end, err := s.indexRecords(seg, recovery)
 	if err != nil {
 		return err
 	}
-	if err := s.cutTail(g, end, last, rec); err != nil {
+	if err := s.cutTail(seg, end, last, recovery); err != nil {
 		return err
 	}
-	if last && !s.options.ReadOnly { // what was read may still be in the system's memory alone, and is offered from now on
-		if err := g.file.Sync(); err != nil {
-			return &SegmentError{Segment: n, Err: err}
+	// The records just read may still be only in the page cache, and their results can be read from now on.
+	if last && !s.options.ReadOnly {
+		if err := seg.file.Sync(); err != nil {
+			return &SegmentError{Segment: number, Err: err}
 		}
 	}
-	g.syncedBytes = g.size
+	seg.syncedBytes = seg.size
 	return nil
 }
 
-// openSegment opens a segment and reads its header. A header that is not one is no error, a version that is not
-// known is.
-func (s *Store) openSegment(n uint32) (g *segmentFile, valid bool, err error) {
-	f, err := s.fs.Open(segmentName(n), false)
+// openSegment opens a segment and reads its header. For an invalid header it returns valid false and no error; an
+// unsupported version is an error.
+func (s *Store) openSegment(number uint32) (seg *segmentFile, valid bool, err error) {
+	f, err := s.fs.Open(segmentName(number), false)
 	if err != nil {
 		return nil, false, fmt.Errorf("disk: %w", err)
 	}
@@ -115,116 +117,117 @@
 	}()
 	size, err := f.Size()
 	if err != nil {
-		return nil, false, &SegmentError{Segment: n, Err: err}
+		return nil, false, &SegmentError{Segment: number, Err: err}
 	}
-	g = &segmentFile{number: n, file: f, size: size}
-	head := make([]byte, min(size, segment.HeaderSize))
-	if _, err := f.ReadAt(head, 0); err != nil && !errors.Is(err, io.EOF) {
-		return nil, false, &SegmentError{Segment: n, Err: err}
+	seg = &segmentFile{number: number, file: f, size: size}
+	headerBytes := make([]byte, min(size, segment.HeaderSize))
+	if _, err := f.ReadAt(headerBytes, 0); err != nil && !errors.Is(err, io.EOF) {
+		return nil, false, &SegmentError{Segment: number, Err: err}
 	}
-	header, parseErr := segment.ParseHeader(head)
+	header, parseErr := segment.ParseHeader(headerBytes)
 	if errors.Is(parseErr, segment.ErrVersion) {
-		return nil, false, &SegmentError{Segment: n, Err: parseErr}
+		return nil, false, &SegmentError{Segment: number, Err: parseErr}
 	}
-	g.header = header
-	return g, parseErr == nil && header.Number == n, nil
+	seg.header = header
+	return seg, parseErr == nil && header.Number == number, nil
 }
 
-// scanRecords applies all records of a segment to the index. It returns where the last complete one ends.
-func (s *Store) scanRecords(g *segmentFile, rec *Recovery) (end int64, err error) {
-	scanner := segment.NewScanner(g.header)
+// indexRecords applies all records of a segment to the index. It returns the offset at which the last complete record
+// ends.
+func (s *Store) indexRecords(seg *segmentFile, recovery *Recovery) (end int64, err error) {
+	scanner := segment.NewScanner(seg.header)
 	buf := make([]byte, scanBufferSize)
-	for at := int64(segment.HeaderSize); ; {
+	for offset := int64(segment.HeaderSize); ; {
 		for {
 			item, ok := scanner.Next()
 			if !ok {
 				break
 			}
-			s.applyItem(g, item, rec)
+			s.applyItem(seg, item, recovery)
 		}
-		if at >= g.size {
+		if offset >= seg.size {
 			return scanner.ValidEnd(), nil
 		}
-		n, err := g.file.ReadAt(buf[:min(int64(len(buf)), g.size-at)], at)
+		n, err := seg.file.ReadAt(buf[:min(int64(len(buf)), seg.size-offset)], offset)
 		if n == 0 && err != nil {
-			return 0, &SegmentError{g.number, at, err}
+			return 0, &SegmentError{seg.number, offset, err}
 		}
 		scanner.Feed(buf[:n])
-		at += int64(n)
+		offset += int64(n)
 	}
 }
 
-// cutTail removes what a crash left of a write behind the last complete record. In a segment that others follow such
-// bytes are damage.
-func (s *Store) cutTail(g *segmentFile, end int64, last bool, rec *Recovery) error {
-	if end >= g.size {
+// cutTail truncates the incomplete write that a crash left after the last complete record of the last segment. In an
+// earlier segment, bytes after the last complete record are reported as damage.
+func (s *Store) cutTail(seg *segmentFile, end int64, last bool, recovery *Recovery) error {
+	if end >= seg.size {
 		return nil
 	}
 	if !last {
-		rec.Damage = append(rec.Damage, Damage{Segment: g.number, Offset: end, Size: g.size - end})
+		recovery.Damage = append(recovery.Damage, Damage{Segment: seg.number, Offset: end, Size: seg.size - end})
 		return nil
 	}
-	rec.TornBytes += g.size - end
+	recovery.TornBytes += seg.size - end
 	if !s.options.ReadOnly {
-		err := g.file.Truncate(end)
+		err := seg.file.Truncate(end)
 		if err == nil {
-			err = g.file.Sync() // else the tail may be back after another crash, with segments behind it
+			err = seg.file.Sync() // else another crash could restore the tail after later segments were written
 		}
 		if err != nil {
-			return &SegmentError{Segment: g.number, Err: err}
+			return &SegmentError{Segment: seg.number, Err: err}
 		}
 	}
-	g.size = end
+	seg.size = end
 	return nil
 }
 
-// applyItem applies what a scan found to the index.
-func (s *Store) applyItem(g *segmentFile, item segment.Item, rec *Recovery) {
-	r, at := item.Record, spool.Location{Segment: g.number, Offset: item.Offset, Size: int32(item.Size)}
-	e := s.entries[r.ID]
+// applyItem applies a scanned record or damaged range to the index.
+func (s *Store) applyItem(seg *segmentFile, item segment.Item, recovery *Recovery) {
+	record, location := item.Record, spool.Location{Segment: seg.number, Offset: item.Offset, Size: int32(item.Size)}
+	e := s.entries[record.ID]
 	if item.Damaged {
-		rec.Damage = append(rec.Damage, Damage{g.number, item.Offset, item.Size, r.ID, item.HeaderIntact})
-		if newest := e.newest(); item.HeaderIntact && newest != nil && r.Kind != segment.Lease {
-			newest.broken = true
+		recovery.Damage = append(recovery.Damage, Damage{seg.number, item.Offset, item.Size, record.ID, item.HeaderIntact})
+		if current := e.current(); item.HeaderIntact && current != nil && record.Kind != segment.Lease {
+			current.broken = true
 		}
 		return
 	}
-	switch r.Kind {
+	switch record.Kind {
 	case segment.Open:
-		meta, ok := segment.ParseMeta(r.Payload)
+		meta, ok := segment.ParseMeta(record.Payload)
 		if !ok {
 			return
 		}
-		fresh := newEntry(meta, at)
-		if e != nil && e.sealRecord.Size > 0 { // a copy that may be incomplete: the first one counts until it is complete
-			fresh.meta.LeaseEnd = max(meta.LeaseEnd, e.meta.LeaseEnd)
-			e.replacement = fresh
+		candidate := newEntry(meta, location)
+		if e != nil && e.sealRecord.Size > 0 { // a copy made by a compaction; the original is used until it is complete
+			candidate.meta.LeaseEnd = max(meta.LeaseEnd, e.meta.LeaseEnd)
+			e.replacement = candidate
 		} else {
-			s.entries[r.ID] = fresh
+			s.entries[record.ID] = candidate
 		}
 	case segment.Chunk:
-		if e = e.newest(); e != nil {
-			e.chunks[int(r.Chunk)] = at
+		if e = e.current(); e != nil {
+			e.chunks[int(record.Chunk)] = location
 		}
 	case segment.Seal:
-		summary, ok := segment.ParseSummary(r.Payload)
-		if newest := e.newest(); ok && newest != nil {
-			newest.summary, newest.sealRecord = summary, at
-			if newest != e && newest.complete() {
-				s.entries[r.ID] = newest
+		summary, ok := segment.ParseSummary(record.Payload)
+		if current := e.current(); ok && current != nil {
+			current.summary, current.sealRecord = summary, location
+			if current != e && current.complete() {
+				s.entries[record.ID] = current
 			}
 		}
 	case segment.Lease:
-		if end, ok := segment.ParseLease(r.Payload); ok && e != nil {
+		if end, ok := segment.ParseLease(record.Payload); ok && e != nil {
 			e.meta.LeaseEnd = end
 		}
 	case segment.Drop:
-		delete(s.entries, r.ID)
+		delete(s.entries, record.ID)
 	}
 }
 
-// finishRecovery returns the complete results and forgets all others.
-func (s *Store) finishRecovery(rec *Recovery) {
+// finishRecovery adds the complete results to the Recovery and removes all others from the index.
+func (s *Store) finishRecovery(recovery *Recovery) {
 	var ids []spool.ID
 	for id := range s.entries {
 		ids = append(ids, id)
@@ -234,13 +237,13 @@
 		e := s.entries[id]
 		switch {
 		case e.complete():
-			rec.Results = append(rec.Results, RecoveredResult{id, e.meta, e.locations()})
+			recovery.Results = append(recovery.Results, RecoveredResult{id, e.meta, e.locations()})
 			s.addLive(e, 1)
 			continue
 		case e.sealRecord.Size > 0:
-			rec.Lost = append(rec.Lost, id)
+			recovery.Lost = append(recovery.Lost, id)
 		default:
-			rec.Unfinished++
+			recovery.Unfinished++
 		}
 		delete(s.entries, id)
 	}
--- a/internal/spool/disk/worker.go
+++ b/internal/spool/disk/worker.go
@@ -8,8 +8,9 @@
 	"foxlane/internal/spool/segment"
 )
 
-// Worker executes effects of a result store on a goroutine of its own, so that
-// a slow disk blocks nobody. It never calls back on the caller's goroutine.
+// Worker executes the disk effects of a result store on its own goroutine, so
+// that a slow disk does not block the caller. It calls its callbacks only on that
+// goroutine.
 type Worker struct {
 	store        *Store
 	queue        chan spool.DiskEffect
@@ -19,15 +20,15 @@
 	stopped      sync.WaitGroup
 }
 
-// ErrQueueFull is returned if as many effects are queued as may be.
-var ErrQueueFull = errors.New("disk: too much waits to be done")
+// ErrQueueFull is returned by Submit if the queue is full.
+var ErrQueueFull = errors.New("disk: queue is full")
 
-// maxBatch is how many effects are executed together. All records of a batch share one sync.
+// maxBatch is the maximum number of effects that are executed together. Consecutive records in a batch share one sync.
 const maxBatch = 256
 
-// NewWorker starts a worker, which owns the store from then on until Close. Up to queueLength effects are queued.
-// deliver gets events in order, and onError each error for the log, both on the worker's goroutine. Segments are
-// compacted once more than compactAbove bytes, and more than half of all, are wasted.
+// NewWorker starts a Worker, which owns the store until Close. Up to queueLength effects are queued. The worker's
+// goroutine calls deliver with events in order, and onError with each error. Segments are compacted when more than
+// compactAbove bytes and more than half of all bytes are wasted.
 func NewWorker(store *Store, queueLength int, compactAbove int64, deliver func([]spool.Event), onError func(error)) *Worker {
 	w := &Worker{store: store, queue: make(chan spool.DiskEffect, queueLength), deliver: deliver, onError: onError, compactAbove: compactAbove}
 	w.stopped.Add(1)
@@ -35,17 +36,18 @@
 	return w
 }
 
-// Submit queues an effect. The Data of a WriteRecord must not change until it is answered.
-func (w *Worker) Submit(f spool.DiskEffect) error {
+// Submit queues an effect, or returns ErrQueueFull. It does not block. The Data of a WriteRecord must not change until
+// its RecordWritten event.
+func (w *Worker) Submit(effect spool.DiskEffect) error {
 	select {
-	case w.queue <- f:
+	case w.queue <- effect:
 		return nil
 	default:
 		return ErrQueueFull
 	}
 }
 
-// Close executes what was submitted, stops the goroutine and closes the store. Submit must not be called after it.
+// Close executes all submitted effects, stops the goroutine and closes the store. Submit must not be called after it.
 func (w *Worker) Close() error {
 	close(w.queue)
 	w.stopped.Wait()
@@ -55,22 +57,22 @@
 func (w *Worker) run() {
 	defer w.stopped.Done()
 	batch := make([]spool.DiskEffect, 0, maxBatch)
-	for f := range w.queue {
-		batch = w.fillBatch(append(batch[:0], f))
+	for effect := range w.queue {
+		batch = w.fillBatch(append(batch[:0], effect))
 		w.execute(batch)
-		clear(batch) // so that no Data is held until the next batch
+		clear(batch) // releases the Data of the effects before the next batch
 	}
 }
 
-// fillBatch adds the effects that are queued already.
+// fillBatch adds effects that are already queued, up to maxBatch.
 func (w *Worker) fillBatch(batch []spool.DiskEffect) []spool.DiskEffect {
 	for len(batch) < maxBatch {
 		select {
-		case f, ok := <-w.queue:
+		case effect, ok := <-w.queue:
 			if !ok {
 				return batch
 			}
-			batch = append(batch, f)
+			batch = append(batch, effect)
 		default:
 			return batch
 		}
@@ -78,10 +80,10 @@
 	return batch
 }
 
-// execute executes a batch in order, with one commit for records that follow one another.
+// execute executes a batch in order, with one commit for each run of consecutive records.
 func (w *Worker) execute(batch []spool.DiskEffect) {
 	var events []spool.Event
-	var writes []spool.WriteRecord // that follow one another and are not committed yet
+	var writes []spool.WriteRecord // consecutive records that are not committed yet
 	discarded := false
 	for _, effect := range batch {
 		if write, ok := effect.(spool.WriteRecord); ok {
@@ -105,7 +107,7 @@
 	}
 }
 
-// commit writes records that follow one another, if there are any, and appends the events that answer them.
+// commit commits consecutive records, if there are any, and appends the resulting events.
 func (w *Worker) commit(events []spool.Event, writes []spool.WriteRecord) []spool.Event {
 	if len(writes) == 0 {
 		return events
@@ -113,7 +115,7 @@
 	return w.report(events, w.store.Commit(writes))
 }
 
-// report appends the events of completions, and passes their errors on.
+// report appends the events of completions and passes their errors to onError.
 func (w *Worker) report(events []spool.Event, completions []Completion) []spool.Event {
 	for _, c := range completions {
 		if c.Err != nil {
@@ -124,15 +126,16 @@
 	return events
 }
 
-func (w *Worker) load(f spool.LoadChunk) spool.Event {
-	data, err := w.store.Read(f.ID, f.Index, f.Location)
+// load reads a chunk and returns the event that answers the effect.
+func (w *Worker) load(effect spool.LoadChunk) spool.Event {
+	data, err := w.store.Read(effect.ID, effect.Index, effect.Location)
 	if err != nil {
 		w.onError(err)
 	}
-	return spool.ChunkLoaded{Reader: f.Reader, Index: f.Index, Data: data, Failed: err != nil, Corrupt: errors.Is(err, ErrCorrupt)}
+	return spool.ChunkLoaded{Reader: effect.Reader, Index: effect.Index, Data: data, Failed: err != nil, Corrupt: errors.Is(err, ErrCorrupt)}
 }
 
-// freeSegments removes segments without live records, and compacts if too much is wasted.
+// freeSegments removes segments without live records, and compacts the oldest segment if too many bytes are wasted.
 func (w *Worker) freeSegments(events []spool.Event) []spool.Event {
 	if _, err := w.store.Sweep(); err != nil {
 		w.onError(err)
@@ -147,10 +150,10 @@
 	return events
 }
 
-// DropEffects returns the effects that write the records which end results.
-func DropEffects(ids []spool.ID) (out []spool.WriteRecord) {
+// DropEffects returns the effects that write the Drop records of results.
+func DropEffects(ids []spool.ID) (writes []spool.WriteRecord) {
 	for _, id := range ids {
-		out = append(out, spool.WriteRecord{ID: id, Record: segment.Drop})
+		writes = append(writes, spool.WriteRecord{ID: id, Record: segment.Drop})
 	}
-	return out
+	return writes
 }
--- a/internal/spool/disk/worker_test.go
+++ b/internal/spool/disk/worker_test.go
@@ -9,12 +9,13 @@
 	"foxlane/internal/spool"
 )
 
-// slowFS is a folder with slow writes.
+// slowFS is a folder in which each write takes delay.
 type slowFS struct {
 	*memoryFS
 	delay time.Duration
 }
 
+// slowFile is a file of a slowFS.
 type slowFile struct {
 	File
 	delay time.Duration
@@ -30,46 +31,47 @@
 	return f.File.WriteAt(p, off)
 }
 
-// inbox collects the events of a worker.
-type inbox struct {
-	mu     sync.Mutex
-	events []spool.Event
-	came   chan struct{}
+// eventCollector collects the events that a Worker delivers.
+type eventCollector struct {
+	mu      sync.Mutex
+	events  []spool.Event
+	arrived chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{came: make(chan struct{}, 1000)} }
+func newEventCollector() *eventCollector { return &eventCollector{arrived: make(chan struct{}, 1000)} }
 
-func (i *inbox) deliver(events []spool.Event) {
-	i.mu.Lock()
+func (c *eventCollector) deliver(events []spool.Event) {
+	c.mu.Lock()
 	for _, e := range events {
 		if loaded, ok := e.(spool.ChunkLoaded); ok {
 			loaded.Data = bytes.Clone(loaded.Data)
 			e = loaded
 		}
-		i.events = append(i.events, e)
-		i.came <- struct{}{}
+		c.events = append(c.events, e)
+		c.arrived <- struct{}{}
 	}
-	i.mu.Unlock()
+	c.mu.Unlock()
 }
 
-func (i *inbox) wait(t *testing.T, n int) []spool.Event {
+// wait waits for n events and returns all that have arrived.
+func (c *eventCollector) wait(t *testing.T, n int) []spool.Event {
 	t.Helper()
 	for range n {
 		select {
-		case <-i.came:
+		case <-c.arrived:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the runner does not answer")
+			t.Fatal("the worker delivered no event within 10 s")
 		}
 	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	out := i.events
-	i.events = nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := c.events
+	c.events = nil
 	return out
 }
 
-// failed tells whether an event reports a failure.
-func failed(e spool.Event) bool {
+// reportsFailure reports whether an event reports a failure.
+func reportsFailure(e spool.Event) bool {
 	switch e := e.(type) {
 	case spool.RecordWritten:
 		return e.Failed
@@ -81,73 +83,73 @@
 	return false
 }
 
-// A slow disk does not block Submit, and effects beyond the queue are rejected at once.
+// Submit does not block on a slow disk. When the queue is full, it rejects effects at once.
 func TestSlowDiskDoesNotBlockCallers(t *testing.T) {
-	s, _ := open(t, slowFS{newMemoryFS(), 5 * time.Millisecond})
-	in := newInbox()
-	r := NewWorker(s, 8, 1<<20, in.deliver, func(err error) { t.Error(err) })
-	all := writes(1, 20)
-	taken := 0
+	store, _ := open(t, slowFS{newMemoryFS(), 5 * time.Millisecond})
+	collector := newEventCollector()
+	worker := NewWorker(store, 8, 1<<20, collector.deliver, func(err error) { t.Error(err) })
+	records := resultWrites(1, 20)
+	accepted := 0
 	start := time.Now()
-	for _, f := range all {
-		if r.Submit(f) == nil {
-			taken++
+	for _, write := range records {
+		if worker.Submit(write) == nil {
+			accepted++
 		}
 	}
-	if took := time.Since(start); took > 50*time.Millisecond {
-		t.Errorf("handing over took %v", took)
+	if elapsed := time.Since(start); elapsed > 50*time.Millisecond {
+		t.Errorf("submitting took %v", elapsed)
 	}
-	if taken == len(all) || taken < 8 {
-		t.Errorf("%d of %d were taken, 8 may wait", taken, len(all))
+	if accepted == len(records) || accepted < 8 {
+		t.Errorf("%d of %d effects were accepted, with a queue of 8", accepted, len(records))
 	}
-	in.wait(t, taken)
-	if err := r.Close(); err != nil {
+	collector.wait(t, accepted)
+	if err := worker.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestWorkerWritesReadsAndCompacts(t *testing.T) {
 	fs := newMemoryFS()
-	s, _ := open(t, fs)
-	in := newInbox()
-	r := NewWorker(s, 1000, 500, in.deliver, func(err error) { t.Error(err) })
-	places := map[int][]spool.Location{}
-	for k := range 10 {
-		for _, f := range writes(k, 5) {
-			if err := r.Submit(f); err != nil {
+	store, _ := open(t, fs)
+	collector := newEventCollector()
+	worker := NewWorker(store, 1000, 500, collector.deliver, func(err error) { t.Error(err) })
+	locations := map[int][]spool.Location{}
+	for number := range 10 {
+		for _, write := range resultWrites(number, 5) {
+			if err := worker.Submit(write); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for _, e := range in.wait(t, 8) { // open, five chunks, seal, sync
+		for _, e := range collector.wait(t, 8) { // Open, five Chunks, Seal and the sync
 			if e, ok := e.(spool.RecordWritten); ok && e.Record == 2 {
-				places[k] = append(places[k], e.Location)
+				locations[number] = append(locations[number], e.Location)
 			}
-			if failed(e) {
+			if reportsFailure(e) {
 				t.Fatalf("%+v", e)
 			}
 		}
 	}
-	if err := r.Submit(spool.LoadChunk{Reader: 4, ID: id(3), Index: 2, Location: places[3][2]}); err != nil {
+	if err := worker.Submit(spool.LoadChunk{Reader: 4, ID: id(3), Index: 2, Location: locations[3][2]}); err != nil {
 		t.Fatal(err)
 	}
-	if e, ok := in.wait(t, 1)[0].(spool.ChunkLoaded); !ok || e.Reader != 4 || !bytes.Equal(e.Data, rows(3, 2)) {
-		t.Errorf("read %+v", e)
+	if e, ok := collector.wait(t, 1)[0].(spool.ChunkLoaded); !ok || e.Reader != 4 || !bytes.Equal(e.Data, chunkData(3, 2)) {
+		t.Errorf("got %+v", e)
 	}
-	before := fs.size()
-	for _, k := range []int{0, 1, 2, 4, 5, 6, 7, 9} {
-		_ = r.Submit(drop(k)[0])
-		_ = r.Submit(spool.DiscardRecords{ID: id(k)})
+	sizeBefore := fs.size()
+	for _, number := range []int{0, 1, 2, 4, 5, 6, 7, 9} {
+		_ = worker.Submit(dropWrite(number)[0])
+		_ = worker.Submit(spool.DiscardRecords{ID: id(number)})
 	}
-	in.wait(t, 8)
-	if err := r.Close(); err != nil { // carries out all that was handed over
+	collector.wait(t, 8)
+	if err := worker.Close(); err != nil { // executes all submitted effects
 		t.Error(err)
 	}
-	s2, rec := open(t, fs)
-	if len(rec.Results) != 2 || fs.size() > before/2 {
-		t.Errorf("%d found, %d bytes of %d", len(rec.Results), fs.size(), before)
+	reopened, recovery := open(t, fs)
+	if len(recovery.Results) != 2 || fs.size() > sizeBefore/2 {
+		t.Errorf("%d results found, want 2; %d bytes left of %d", len(recovery.Results), fs.size(), sizeBefore)
 	}
-	for _, f := range rec.Results {
-		if err := check(s2, f, int(f.ID[0]), 5); err != nil {
+	for _, result := range recovery.Results {
+		if err := verifyResult(reopened, result, int(result.ID[0]), 5); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/spool/disk/write.go
+++ b/internal/spool/disk/write.go
@@ -9,93 +9,94 @@
 	"foxlane/internal/spool/segment"
 )
 
-// Completion answers one WriteRecord: an event for the result store, and the error behind a failure. A Seal is
-// answered by RecordWritten and, after the sync, by ResultSynced.
+// Completion is an event for the result store that reports the outcome of an operation, with the error if it failed.
+// Each WriteRecord yields a RecordWritten; a Seal that was written also yields a ResultSynced after the sync.
 type Completion struct {
 	Event spool.Event
 	Err   error
 }
 
-// Commit appends records, and syncs once if there is a seal among them. The events are for the result store, in order.
-// The Data of the effects is used during the call only.
-func (s *Store) Commit(writes []spool.WriteRecord) (out []Completion) {
+// Commit appends records, and syncs once if they include a Seal. It returns the events for the result store in order.
+// It does not retain the Data of the effects.
+func (s *Store) Commit(writes []spool.WriteRecord) (completions []Completion) {
 	var seals []spool.ID
 	for i := range writes {
-		f := &writes[i]
-		written := spool.RecordWritten{ID: f.ID, Record: f.Record, Index: f.Index}
-		at, err := s.writeRecord(f)
+		write := &writes[i]
+		written := spool.RecordWritten{ID: write.ID, Record: write.Record, Index: write.Index}
+		location, err := s.writeRecord(write)
 		if err != nil {
 			written.Failed = true
-			out = append(out, Completion{written, err})
-			if e := s.entries[f.ID]; e != nil {
-				e.broken = true // its seal must not be reported as synced, whatever follows
+			completions = append(completions, Completion{written, err})
+			if e := s.entries[write.ID]; e != nil {
+				e.broken = true // its Seal must not be reported as synced
 			}
 			continue
 		}
-		written.Location = at
-		out = append(out, Completion{Event: written})
-		if f.Record == segment.Seal {
-			seals = append(seals, f.ID)
+		written.Location = location
+		completions = append(completions, Completion{Event: written})
+		if write.Record == segment.Seal {
+			seals = append(seals, write.ID)
 		}
 	}
 	if len(seals) > 0 {
-		_ = s.sync() // a failure is in syncFailures, and marks the results that it concerns as broken
+		_ = s.sync() // a failure is recorded in syncFailures and marks the affected results as broken
 	}
-	out = s.takeSyncFailures(out)
+	completions = s.drainSyncFailures(completions)
 	for _, id := range seals {
 		e := s.entries[id]
-		out = append(out, Completion{Event: spool.ResultSynced{ID: id, Failed: e == nil || e.broken}})
+		completions = append(completions, Completion{Event: spool.ResultSynced{ID: id, Failed: e == nil || e.broken}})
 	}
-	return out
+	return completions
 }
 
-// takeSyncFailures appends the reports of failed syncs.
-func (s *Store) takeSyncFailures(out []Completion) []Completion {
-	out = append(out, s.syncFailures...)
+// drainSyncFailures appends the pending reports of failed syncs and clears them.
+func (s *Store) drainSyncFailures(completions []Completion) []Completion {
+	completions = append(completions, s.syncFailures...)
 	s.syncFailures = nil
-	return out
+	return completions
 }
 
-// writeRecord appends the record of an effect.
-func (s *Store) writeRecord(f *spool.WriteRecord) (spool.Location, error) {
-	g, err := s.activeSegment()
+// writeRecord appends the record of an effect to the active segment and updates the index.
+func (s *Store) writeRecord(write *spool.WriteRecord) (spool.Location, error) {
+	seg, err := s.activeSegment()
 	if err != nil {
 		return spool.Location{}, err
 	}
-	at, err := s.appendRecord(g, segment.Record{Kind: f.Record, ID: f.ID, Chunk: uint32(f.Index), Payload: f.Data})
+	location, err := s.appendRecord(seg, segment.Record{Kind: write.Record, ID: write.ID, Chunk: uint32(write.Index), Payload: write.Data})
 	if err != nil {
-		return at, err
+		return location, err
 	}
-	s.trackRecord(f, at)
-	return at, nil
+	s.trackRecord(write, location)
+	return location, nil
 }
 
-// appendRecord appends one record. If the write fails, the segment's size stays: the next record overwrites what it left.
-func (s *Store) appendRecord(g *segmentFile, r segment.Record) (spool.Location, error) {
-	s.buf = segment.Append(s.buf[:0], g.header, g.size, r)
-	if _, err := g.file.WriteAt(s.buf, g.size); err != nil {
-		_ = g.file.Truncate(g.size) // only to free space: the next record overwrites it in any case
-		return spool.Location{}, &SegmentError{Segment: g.number, Err: err}
-	}
-	at := spool.Location{Segment: g.number, Offset: g.size, Size: int32(len(s.buf))}
-	g.size += int64(len(s.buf))
-	return at, nil
+// appendRecord appends one record. If the write fails, the segment's size does not change, so the next record
+// overwrites the partial write.
+func (s *Store) appendRecord(seg *segmentFile, r segment.Record) (spool.Location, error) {
+	s.buf = segment.Append(s.buf[:0], seg.header, seg.size, r)
+	if _, err := seg.file.WriteAt(s.buf, seg.size); err != nil {
+		_ = seg.file.Truncate(seg.size) // only frees space; a failure is harmless, since the next record overwrites the rest
+		return spool.Location{}, &SegmentError{Segment: seg.number, Err: err}
+	}
+	location := spool.Location{Segment: seg.number, Offset: seg.size, Size: int32(len(s.buf))}
+	seg.size += int64(len(s.buf))
+	return location, nil
 }
 
-// activeSegment returns the segment to append to. A full one is synced before the next is created.
+// activeSegment returns the segment to append to. If the last one is full, it is synced and a new one is created.
 func (s *Store) activeSegment() (*segmentFile, error) {
 	next := uint32(1)
 	if n := len(s.segments); n > 0 {
-		g := s.segments[n-1]
-		if !g.full && g.size < s.options.SegmentBytes {
-			return g, nil
+		seg := s.segments[n-1]
+		if !seg.full && seg.size < s.options.SegmentBytes {
+			return seg, nil
 		}
-		if g.syncedBytes < g.size {
+		if seg.syncedBytes < seg.size {
 			if err := s.sync(); err != nil {
 				return nil, err
 			}
 		}
-		next = g.number + 1
+		next = seg.number + 1
 	}
 	if err := s.removeUnfinished(); err != nil {
 		return nil, err
@@ -104,25 +105,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	g := &segmentFile{number: next, file: f, header: segment.Header{Number: next, Salt: s.salt}}
-	head := segment.AppendHeader(nil, g.header)
-	if _, err = f.WriteAt(head, 0); err == nil {
-		if err = f.Sync(); err == nil { // the header must be safe before records, and before later segments
+	seg := &segmentFile{number: next, file: f, header: segment.Header{Number: next, Salt: s.salt}}
+	header := segment.AppendHeader(nil, seg.header)
+	if _, err = f.WriteAt(header, 0); err == nil {
+		if err = f.Sync(); err == nil { // the header must be durable before any record and any later segment
 			err = s.fs.Sync()
 		}
 	}
 	if err != nil {
-		_ = f.Close() // it is removed
+		_ = f.Close() // the file is removed below
 		s.unfinished = segmentName(next)
-		_ = s.removeUnfinished() // else the next call does
+		_ = s.removeUnfinished() // if this fails, the next call retries it
 		return nil, &SegmentError{Segment: next, Err: err}
 	}
-	g.size, g.syncedBytes = int64(len(head)), int64(len(head))
-	s.segments = append(s.segments, g)
-	return g, nil
+	seg.size, seg.syncedBytes = int64(len(header)), int64(len(header))
+	s.segments = append(s.segments, seg)
+	return seg, nil
 }
 
-// removeUnfinished removes a segment whose creation failed, since its name is needed again.
+// removeUnfinished removes a segment file whose creation failed, since the next segment needs its name.
 func (s *Store) removeUnfinished() error {
 	if s.unfinished == "" {
 		return nil
@@ -134,26 +135,27 @@
 	return nil
 }
 
-// sync makes all records durable. If it fails, the state of all bytes since the last sync is unknown, and a later sync
-// may succeed without having written them: they are cut off, and nothing more is appended to that segment.
+// sync makes all records durable. After a failure the state of all bytes since the last sync is unknown, and a later
+// sync may succeed without having written them. Therefore sync truncates these bytes, marks the affected results as
+// broken, and closes the segment for appends.
 func (s *Store) sync() error {
-	g := s.segments[len(s.segments)-1]
-	err := g.file.Sync()
+	seg := s.segments[len(s.segments)-1]
+	err := seg.file.Sync()
 	if err == nil {
-		g.syncedBytes = g.size
+		seg.syncedBytes = seg.size
 		return nil
 	}
-	lost := spool.SegmentTailLost{Segment: g.number, Offset: max(g.syncedBytes, segment.HeaderSize)}
-	if g.file.Truncate(lost.Offset) == nil {
-		g.size = lost.Offset
+	lost := spool.SegmentTailLost{Segment: seg.number, Offset: max(seg.syncedBytes, segment.HeaderSize)}
+	if seg.file.Truncate(lost.Offset) == nil {
+		seg.size = lost.Offset
 	}
 	for _, e := range s.entries {
 		e.broken = e.broken || e.anyRecord(func(l spool.Location) bool {
 			return l.Size > 0 && l.Segment == lost.Segment && l.Offset >= lost.Offset
 		})
 	}
-	g.full, g.syncedBytes = true, g.size
-	err = &SegmentError{Segment: g.number, Err: err}
+	seg.full, seg.syncedBytes = true, seg.size
+	err = &SegmentError{Segment: seg.number, Err: err}
 	s.syncFailures = append(s.syncFailures, Completion{lost, err})
 	return err
 }
