--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines asynchronously: a bounded buffer and a goroutine that empties it. Writing a line never
-// waits for whoever reads the log. Lines that find no room, or that could not be written, are counted, and the count is
-// written as a line of its own once there is room again.
+// Package asynclog writes log lines asynchronously, with a bounded buffer and a goroutine that drains it. Logging never
+// blocks on a slow reader of the log. Lines that do not fit into the buffer or could not be written are counted, and
+// their number is written as a separate line with the next write.
 package asynclog
 
 import (
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// Writer takes log lines without ever blocking and writes them from a goroutine of its own.
+// Writer accepts log lines without blocking and writes them from its own goroutine. It is safe for concurrent use.
 type Writer struct {
 	out        io.Writer
-	maxBytes   int // that may be pending
+	maxBytes   int // limit of len(pending)
 	formatLost func(lines int) []byte
 	wake       chan struct{}
 	done       chan struct{}
 
 	mu           sync.Mutex
 	pending      []byte
-	pendingLines int // of waiting
-	lostLines    int // lines dropped and not yet reported
+	pendingLines int // number of lines in pending
+	lostLines    int // lines lost and not yet reported
 	closed       bool
 }
 
-// New starts a writer that holds at most so many bytes. Lost formats the line that reports lost lines. The writer's
-// goroutine ends with Close.
-func New(out io.Writer, most int, lost func(lines int) []byte) *Writer {
-	w := &Writer{out: out, maxBytes: most, formatLost: lost, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// New starts a Writer that buffers at most maxBytes. formatLost formats the line that reports a number of lost lines.
+// Close stops the Writer's goroutine.
+func New(out io.Writer, maxBytes int, formatLost func(lines int) []byte) *Writer {
+	w := &Writer{out: out, maxBytes: maxBytes, formatLost: formatLost, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line, or drops and counts it where there is no room. It never fails and never waits for the reader.
+// Write buffers one line, or drops and counts it if the buffer is full or the Writer is closed. It never fails and
+// never blocks on the reader.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	switch {
@@ -47,26 +48,27 @@
 	return len(line), nil
 }
 
-// Sync does nothing: whoever logs must not wait for the reader. Close waits, for a bounded time.
+// Sync does nothing, since logging must not block on a slow reader. Close waits for pending lines, with a timeout.
 func (w *Writer) Sync() error { return nil }
 
-// Close writes what is pending, for so long at most. It answers whether all was written; if not, the goroutine ends once
-// the write that is under way has returned.
-func (w *Writer) Close(within time.Duration) bool {
+// Close stops the Writer and waits up to timeout until the pending lines are written. It returns false on a timeout;
+// the goroutine then ends after the current write has returned.
+func (w *Writer) Close(timeout time.Duration) bool {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
 	w.signal()
-	timeout := time.NewTimer(within)
-	defer timeout.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-w.done:
 		return true
-	case <-timeout.C:
+	case <-timer.C:
 		return false
 	}
 }
 
+// signal wakes the goroutine. A signal that is already pending covers this one.
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -74,6 +76,7 @@
 	}
 }
 
+// run writes pending lines and the report of lost lines until the Writer is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	var spare []byte
@@ -96,7 +99,7 @@
 	}
 }
 
-// swap takes the pending lines and leaves an empty buffer in their place.
+// swap returns the pending lines and the counters, and resets them. empty becomes the new buffer.
 func (w *Writer) swap(empty []byte) (batch []byte, lines, lost int, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -12,34 +12,34 @@
 	"go.uber.org/goleak"
 )
 
-// No goroutine of a writer is left behind.
+// TestMain checks that no test leaks the goroutine of a Writer.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stalledWriter is a writer that stands still until it is opened.
+// stalledWriter is an io.Writer that blocks until unblock is closed, and then fails with err if it is set.
 type stalledWriter struct {
-	mu   sync.Mutex
-	open chan struct{}
-	err  error
-	out  bytes.Buffer
+	mu      sync.Mutex
+	unblock chan struct{}
+	err     error
+	out     bytes.Buffer
 }
 
-func (g *stalledWriter) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.err != nil {
-		return 0, g.err
+func (s *stalledWriter) Write(p []byte) (int, error) {
+	<-s.unblock
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.err != nil {
+		return 0, s.err
 	}
-	return g.out.Write(p)
+	return s.out.Write(p)
 }
 
-func (g *stalledWriter) text() string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.out.String()
+func (s *stalledWriter) text() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.out.String()
 }
 
-// writeLine writes a line, which never fails.
+// writeLine writes a line and fails the test if Write reports an error or a short write.
 func writeLine(t *testing.T, w *Writer, line string) {
 	t.Helper()
 	if n, err := w.Write([]byte(line + "\n")); err != nil || n != len(line)+1 {
@@ -47,77 +47,78 @@
 	}
 }
 
-func lost(lines int) []byte { return fmt.Appendf(nil, "lost %d\n", lines) }
+func formatLost(lines int) []byte { return fmt.Appendf(nil, "lost %d\n", lines) }
 
-// With a reader that stands still no line waits, memory stays under the bound, and the loss is told when it reads again.
+// While the reader is stalled, Write does not block and the buffer stays within its limit. The number of lost lines is
+// reported when the reader continues.
 func TestStalledReader(t *testing.T) {
-	g := &stalledWriter{open: make(chan struct{})}
-	w := New(g, 1000, lost)
+	out := &stalledWriter{unblock: make(chan struct{})}
+	w := New(out, 1000, formatLost)
 	const lines = 5000
-	begin := time.Now()
+	start := time.Now()
 	for i := range lines {
 		writeLine(t, w, fmt.Sprintf("line %05d", i))
 	}
-	if took := time.Since(begin); took > 2*time.Second {
-		t.Errorf("%d lines took %v", lines, took)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Errorf("%d lines took %v", lines, elapsed)
 	}
 	w.mu.Lock()
-	held := len(w.pending)
+	pendingBytes := len(w.pending)
 	w.mu.Unlock()
-	if held > 1000 {
-		t.Errorf("%d bytes wait", held)
+	if pendingBytes > 1000 {
+		t.Errorf("%d bytes are pending", pendingBytes)
 	}
-	close(g.open)
+	close(out.unblock)
 	if !w.Close(5 * time.Second) {
-		t.Fatal("not closed")
+		t.Fatal("Close timed out")
 	}
-	kept, dropped := 0, 0
-	for _, line := range strings.Split(strings.TrimSpace(g.text()), "\n") {
+	written, lost := 0, 0
+	for _, line := range strings.Split(strings.TrimSpace(out.text()), "\n") {
 		var n int
 		if _, err := fmt.Sscanf(line, "lost %d", &n); err == nil {
-			dropped += n
+			lost += n
 		} else {
-			kept++
+			written++
 		}
 	}
-	if kept+dropped != lines || dropped == 0 || kept == 0 {
-		t.Errorf("%d lines written and %d told as lost of %d", kept, dropped, lines)
+	if written+lost != lines || lost == 0 || written == 0 {
+		t.Errorf("%d lines written and %d reported as lost of %d", written, lost, lines)
 	}
 }
 
-// Lines that fail to be written are told as lost once writing works again.
+// Lines that could not be written are reported as lost after writing works again.
 func TestFailedWritesAreCounted(t *testing.T) {
-	g := &stalledWriter{open: make(chan struct{}), err: errors.New("broken pipe")}
-	close(g.open)
-	w := New(g, 1000, lost)
+	out := &stalledWriter{unblock: make(chan struct{}), err: errors.New("broken pipe")}
+	close(out.unblock)
+	w := New(out, 1000, formatLost)
 	writeLine(t, w, "one")
-	for until := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		w.mu.Lock()
 		n := w.lostLines
 		w.mu.Unlock()
 		if n == 1 {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatal("the loss was not counted")
+		if time.Now().After(deadline) {
+			t.Fatal("the lost line was not counted")
 		}
 	}
-	g.mu.Lock()
-	g.err = nil
-	g.mu.Unlock()
+	out.mu.Lock()
+	out.err = nil
+	out.mu.Unlock()
 	writeLine(t, w, "two")
-	if !w.Close(5*time.Second) || g.text() != "two\nlost 1\n" {
-		t.Errorf("got %q", g.text())
+	if !w.Close(5*time.Second) || out.text() != "two\nlost 1\n" {
+		t.Errorf("got %q", out.text())
 	}
 }
 
-// Close gives up on a reader that stands still.
+// Close times out while the reader is stalled.
 func TestCloseIsBounded(t *testing.T) {
-	g := &stalledWriter{open: make(chan struct{})}
-	w := New(g, 1000, lost)
+	out := &stalledWriter{unblock: make(chan struct{})}
+	w := New(out, 1000, formatLost)
 	writeLine(t, w, "one")
 	if w.Close(20 * time.Millisecond) {
-		t.Error("all is said to be written")
+		t.Error("Close reported that all lines were written")
 	}
-	close(g.open)
+	close(out.unblock)
 }
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -1,5 +1,5 @@
-// Package files reads settings files that may be replaced meanwhile, half written or on a mount that fails. It must never
-// wait for a writer, as a read of a pipe would, nor read a file of unbounded size.
+// Package files reads settings files that may be replaced during the read, incompletely written, or on a failing mount.
+// It must never wait for a writer, as a read of a pipe would, nor read a file of unbounded size.
 package files
 
 import (
@@ -10,22 +10,22 @@
 	"syscall"
 )
 
-// MaxSize is how many bytes a settings file may have. That of the largest fleet has less than one megabyte.
+// MaxSize is the maximum size of a settings file in bytes. The file of the largest fleet has less than one megabyte.
 const MaxSize = 8 << 20
 
-// Errors of files that can't be settings.
+// Errors that Read returns, in an *os.PathError, for a file that can't be a settings file.
 var (
 	ErrIrregular = errors.New("not a regular file")
 	ErrTooLarge  = fmt.Errorf("larger than %d bytes", MaxSize)
 )
 
-// Read returns the bytes of a regular file of at most MaxSize. Its errors are of type *os.PathError.
+// Read returns the contents of a regular file of at most MaxSize bytes. Its errors are of type *os.PathError.
 func Read(path string) ([]byte, error) {
 	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read, so the error does not matter
 	info, err := f.Stat()
 	if err != nil {
 		return nil, err
@@ -33,9 +33,9 @@
 	if !info.Mode().IsRegular() {
 		return nil, &os.PathError{Op: "read", Path: path, Err: ErrIrregular}
 	}
-	raw, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
-	if err == nil && len(raw) > MaxSize {
+	content, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	if err == nil && len(content) > MaxSize {
 		err = &os.PathError{Op: "read", Path: path, Err: ErrTooLarge}
 	}
-	return raw, err
+	return content, err
 }
