--- a/internal/spool/disk/recovery.go
+++ b/internal/spool/disk/recovery.go
@@ -93,7 +93,7 @@
 	if err := s.cutTail(seg, end, last, recovery); err != nil {
 		return err
 	}
-	// The records just read may still be only in the page cache, and their results can be read from now on.
+	// The records may still be only in the page cache: they must be durable before their results are offered to readers.
 	if last && !s.options.ReadOnly {
 		if err := seg.file.Sync(); err != nil {
 			return &SegmentError{Segment: number, Err: err}
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -10,8 +10,8 @@
 
 // credentialsMatch compares the secret and the tenant of a result in constant time.
 func credentialsMatch(r *result, secret Secret, tenant uint64) bool {
-	same := subtle.ConstantTimeCompare(r.secret[:], secret[:])
-	return same&subtle.ConstantTimeEq(int32(r.tenant), int32(tenant))&subtle.ConstantTimeEq(int32(r.tenant>>32), int32(tenant>>32)) == 1
+	secretEqual := subtle.ConstantTimeCompare(r.secret[:], secret[:])
+	return secretEqual&subtle.ConstantTimeEq(int32(r.tenant), int32(tenant))&subtle.ConstantTimeEq(int32(r.tenant>>32), int32(tenant>>32)) == 1
 }
 
 // dummyResult is compared with if an ID is unknown, so that the response time does not reveal which IDs exist.
--- a/internal/spool/segment/segment.go
+++ b/internal/spool/segment/segment.go
@@ -1,6 +1,7 @@
 // Package segment owns the file format of the result store's segments: a header
-// followed by checksummed records. It must never do I/O or decide whether a
-// record is still needed. docs/spool.md specifies the format byte by byte.
+// followed by checksummed records. It must never do I/O, interpret the records
+// of a result, or decide whether a record is still needed. docs/spool.md
+// specifies the format byte by byte.
 //
 // A record is bound to its place: its checksums depend on the folder's salt, the
 // segment's number and the record's offset. Therefore neither bytes that a disk
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -132,7 +132,7 @@
 	ts := newTestStore(t, budget())
 	resultID := ts.reserve(1, 4, 300, true)
 	ts.deliverAllPages(resultID)
-	deny := func(what string, e Attach) {
+	expectDenied := func(what string, e Attach) {
 		ts.denied = nil
 		e.Reader = 9
 		ts.handle(e)
@@ -140,12 +140,12 @@
 			t.Errorf("%s: not denied", what)
 		}
 	}
-	deny("unknown ID", Attach{ID: id(2), Secret: secret(1), Tenant: 2})
-	deny("wrong secret", Attach{ID: resultID, Secret: secret(2), Tenant: 2})
-	deny("other tenant", Attach{ID: resultID, Secret: secret(1), Tenant: 1})
-	deny("tenant that differs above bit 32", Attach{ID: resultID, Secret: secret(1), Tenant: 2 | 1<<40})
-	deny("beyond the end", Attach{ID: resultID, Secret: secret(1), Tenant: 2, Index: 4})
-	deny("before the start", Attach{ID: resultID, Secret: secret(1), Tenant: 2, Index: -1})
+	expectDenied("unknown ID", Attach{ID: id(2), Secret: secret(1), Tenant: 2})
+	expectDenied("wrong secret", Attach{ID: resultID, Secret: secret(2), Tenant: 2})
+	expectDenied("other tenant", Attach{ID: resultID, Secret: secret(1), Tenant: 1})
+	expectDenied("tenant that differs above bit 32", Attach{ID: resultID, Secret: secret(1), Tenant: 2 | 1<<40})
+	expectDenied("beyond the end", Attach{ID: resultID, Secret: secret(1), Tenant: 2, Index: 4})
+	expectDenied("before the start", Attach{ID: resultID, Secret: secret(1), Tenant: 2, Index: -1})
 	ts.attach(1, resultID, 1, 0)
 	ts.attach(2, resultID, 1, 1) // two readers at once, each with its own start
 	ts.runDisk()
@@ -159,7 +159,7 @@
 	delete(ts.readers, 2)
 	ts.now += 100 * rules.Second
 	ts.handle(TimerFired{})
-	deny("expired", Attach{ID: resultID, Secret: secret(1), Tenant: 2})
+	expectDenied("expired", Attach{ID: resultID, Secret: secret(1), Tenant: 2})
 	if len(ts.store.results) != 0 {
 		t.Error("an expired result was not removed")
 	}
--- a/internal/spool/write.go
+++ b/internal/spool/write.go
@@ -67,7 +67,8 @@
 	r.openChunk = append(r.openChunk, data...)
 }
 
-// closeChunk completes the open chunk. It moves the result to the disk if the result or the memory in use is too large.
+// closeChunk completes the open chunk. If the result exceeds DiskThreshold or memory is full, it starts writing the
+// result to the disk.
 func (s *Store) closeChunk(r *result) {
 	r.chunks = append(r.chunks, chunk{data: r.openChunk, size: int32(len(r.openChunk))})
 	r.openChunk = nil
@@ -96,8 +97,8 @@
 	}
 }
 
-func (s *Store) writeRecord(r *result, kind segment.Kind, n int, data []byte) {
-	s.emit(WriteRecord{ID: r.id, Record: kind, Index: n, Data: data})
+func (s *Store) writeRecord(r *result, kind segment.Kind, index int, data []byte) {
+	s.emit(WriteRecord{ID: r.id, Record: kind, Index: index, Data: data})
 }
 
 // allPagesArrived releases the engine at once: the rest of the work does not need it, even if the disk or the client is
