--- a/internal/site/admission.go
+++ b/internal/site/admission.go
@@ -13,7 +13,7 @@
 	"foxlane/internal/admission"
 )
 
-// This file owns the block `fair`: the tenants of admission control, and their weights.
+// This file reads and writes the block `fair`: the tenants of admission control, and their weights.
 
 type admissionBlock struct {
 	AnyTenant *hcl.Attribute `hcl:"any_tenant,optional"`
@@ -43,7 +43,7 @@
 	Networks *hcl.Attribute `hcl:"networks,optional"`
 }
 
-// Bounds of settings. Less than 16 KB of state would hold no principal.
+// Bounds of settings. Less than 16 KB of state would not hold a single principal.
 const (
 	minWeight     = 1e-6
 	maxWeight     = 1e6
@@ -54,42 +54,42 @@
 )
 
 func (b *admissionBlock) decode(r *attributeReader) *Admission {
-	f := &Admission{Settings: admission.Defaults()}
-	s := &f.Settings
+	a := &Admission{Settings: admission.Defaults()}
+	s := &a.Settings
 	r.flag(b.AnyTenant, &s.AnyTenant)
 	r.number(b.Weight, minWeight, maxWeight, &s.UnlistedWeight)
 	r.count(b.Ahead, 1, maxAhead, &s.ModuleQueueDepth)
 	r.duration(b.Burst, &s.Burst)
 	r.duration(b.Longest, &s.MaxRetryAfter)
 	r.count(b.Ignored, 1, maxIgnored, &s.MaxEarlyReturns)
-	r.size(b.State, minStateBytes, maxStateBytes, &f.StateBytes)
-	var names []string
+	r.size(b.State, minStateBytes, maxStateBytes, &a.StateBytes)
+	var networkNames []string
 	for _, n := range b.Networks {
-		if slices.Contains(names, n.Name) {
-			r.errorf(n.Range, "network %q comes twice", n.Name)
+		if slices.Contains(networkNames, n.Name) {
+			r.errorf(n.Range, "network %q is declared twice", n.Name)
 		}
 		r.checkName(n.Name, "network", n.Range)
-		names = append(names, n.Name)
+		networkNames = append(networkNames, n.Name)
 		s.Networks = append(s.Networks, n.decode(r))
 	}
 	seen := map[string]bool{}
 	for _, t := range b.Tenants {
 		r.checkName(t.Name, "tenant", t.Range)
 		if seen[t.Name] {
-			r.errorf(t.Range, "tenant %q has no name of its own", t.Name)
+			r.errorf(t.Range, "tenant %q is declared twice", t.Name)
 		}
 		seen[t.Name] = true
-		s.Tenants = append(s.Tenants, t.decode(r, names))
+		s.Tenants = append(s.Tenants, t.decode(r, networkNames))
 	}
 	if !r.failed() {
-		if err := s.Validate(); err != nil { // not expected: the bounds above are those that it checks
+		if err := s.Validate(); err != nil { // not expected: the reader has enforced the same bounds
 			r.diags = append(r.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: "fair: " + err.Error()})
 		}
 	}
-	return f
+	return a
 }
 
-// decode decodes a tenant, which may refer to networks by name.
+// decode decodes a tenant. The networks are the names to which it may refer.
 func (b *tenantBlock) decode(r *attributeReader, networks []string) admission.Tenant {
 	t := admission.Tenant{Name: b.Name, Weight: 1}
 	r.number(b.Weight, minWeight, maxWeight, &t.Weight)
@@ -99,12 +99,12 @@
 			if closest := closestName(w.text, networks); closest != "" {
 				hint = fmt.Sprintf("; did you mean %q?", closest)
 			}
-			r.errorf(w.at, "no network %q is declared%s", w.text, hint)
+			r.errorf(w.at, "network %q is not declared%s", w.text, hint)
 		}
 		t.Networks = append(t.Networks, w.text)
 	}
 	if b.Networks != nil && len(t.Networks) == 0 && !r.failed() {
-		r.errorf(b.Networks.Range, "tenant %q may be told nowhere: name a network, or leave networks out", b.Name)
+		r.errorf(b.Networks.Range, "tenant %q allows no network: name one, or leave networks out", b.Name)
 	}
 	return t
 }
@@ -122,24 +122,24 @@
 		}
 	}
 	if len(words) == 0 && !r.failed() {
-		r.errorf(b.Range, "network %q holds no address", b.Name)
+		r.errorf(b.Range, "network %q has no addresses", b.Name)
 	}
-	all, err := set.IPSet()
+	addresses, err := set.IPSet()
 	if err != nil {
 		r.errorf(b.Range, "network %q: %v", b.Name, err)
 	}
-	n.Addresses = all
+	n.Addresses = addresses
 	return n
 }
 
-// addAddresses adds an address, a prefix or a range, or removes what follows a "!".
+// addAddresses adds an address, a prefix or a range to the set, or removes it if the text begins with "!".
 func addAddresses(set *netipx.IPSetBuilder, text string) error {
-	text, without := strings.CutPrefix(text, "!")
+	text, exclude := strings.CutPrefix(text, "!")
 	addresses, err := parseAddresses(text)
 	if err != nil {
 		return err
 	}
-	if without {
+	if exclude {
 		set.RemoveRange(addresses)
 	} else {
 		set.AddRange(addresses)
@@ -150,10 +150,10 @@
 func parseAddresses(text string) (netipx.IPRange, error) {
 	if p, err := netip.ParsePrefix(text); err == nil {
 		if p != p.Masked() {
-			return netipx.IPRange{}, fmt.Errorf("%s has bits behind its length; %s is meant?", text, p.Masked())
+			return netipx.IPRange{}, fmt.Errorf("%s has bits set after its prefix length; did you mean %s?", text, p.Masked())
 		}
 		if p.Addr().Is4In6() {
-			return netipx.IPRange{}, fmt.Errorf("%s: write IPv4 networks as such", text)
+			return netipx.IPRange{}, fmt.Errorf("%s: write an IPv4 network in IPv4 notation", text)
 		}
 		return netipx.RangeOfPrefix(p), nil
 	}
@@ -162,18 +162,18 @@
 	}
 	a, err := netip.ParseAddr(text)
 	if err != nil || a.Zone() != "" {
-		return netipx.IPRange{}, fmt.Errorf("%q is no address, no prefix and no range", text)
+		return netipx.IPRange{}, fmt.Errorf("%q is not an address, a prefix or a range", text)
 	}
 	return netipx.IPRangeFrom(a.Unmap(), a.Unmap()), nil
 }
 
-// write writes the block with all settings.
-func (f *Admission) write(b *bytes.Buffer) {
-	s := f.Settings
+// write writes the block with all settings, defaults included.
+func (a *Admission) write(b *bytes.Buffer) {
+	s := a.Settings
 	fmt.Fprintf(b, "fair {\n  any_tenant = %v\n  weight     = %v\n  ahead      = %d\n  burst      = %q\n  longest    = %q\n  ignored    = %d\n",
 		s.AnyTenant, s.UnlistedWeight, s.ModuleQueueDepth, formatTime(s.Burst), formatTime(s.MaxRetryAfter), s.MaxEarlyReturns)
-	if f.StateBytes > 0 {
-		fmt.Fprintf(b, "  state      = %q\n", formatSize(f.StateBytes))
+	if a.StateBytes > 0 {
+		fmt.Fprintf(b, "  state      = %q\n", formatSize(a.StateBytes))
 	} else {
 		fmt.Fprintf(b, "  # state follows from the machine: a 32nd of its memory\n")
 	}
--- a/internal/site/attributes.go
+++ b/internal/site/attributes.go
@@ -16,22 +16,22 @@
 	"foxlane/rules"
 )
 
-// This file owns the values that more than one block has: times and sizes
-// with units, numbers within bounds, names and lists.
+// This file reads the types of values that several blocks use: durations and
+// sizes with units, bounded numbers, names and lists.
 
-// attributeReader reads attributes of blocks and collects their errors. Its methods leave a target as it is if
-// the attribute is nil: it holds the default.
+// attributeReader reads attributes of blocks and collects their errors. If an attribute is absent (nil) or invalid, its
+// methods leave the target at its default.
 type attributeReader struct{ diags hcl.Diagnostics }
 
-// failed says whether there was an error.
+// failed reports whether any attribute had an error.
 func (r *attributeReader) failed() bool { return r.diags.HasErrors() }
 
-// errorf adds an error about a place of the file.
+// errorf adds an error at a position in the file.
 func (r *attributeReader) errorf(at hcl.Range, format string, args ...any) {
 	r.diags = append(r.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at})
 }
 
-// value evaluates an attribute, which must have the wanted type.
+// value evaluates an attribute. It adds an error if the value is not of the wanted type.
 func (r *attributeReader) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
 	if a == nil {
 		return cty.NilVal, false
@@ -48,27 +48,27 @@
 	return v, true
 }
 
-// duration reads a time such as "250ms" or "1m30s" of at least 0.
-func (r *attributeReader) duration(a *hcl.Attribute, to *rules.Time) {
+// duration reads a duration such as "250ms" or "1m30s": not negative, and a whole number of microseconds.
+func (r *attributeReader) duration(a *hcl.Attribute, target *rules.Time) {
 	v, ok := r.value(a, cty.String)
 	if !ok {
 		return
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil || d < 0 || d != d.Truncate(time.Microsecond) {
-		r.errorf(a.Expr.Range(), "%s: %q is no time; a number with a unit is: us, ms, s, m, h", a.Name, v.AsString())
+		r.errorf(a.Expr.Range(), "%s: %q is not a duration; write a number with a unit: us, ms, s, m, h", a.Name, v.AsString())
 		return
 	}
-	*to = rules.Time(d / time.Microsecond)
+	*target = rules.Time(d / time.Microsecond)
 }
 
 var sizeUnits = []struct {
-	name string
-	n    float64
+	name  string
+	bytes float64
 }{{"GB", 1 << 30}, {"MB", 1 << 20}, {"KB", 1 << 10}, {"B", 1}}
 
 // size reads a number of bytes such as "64KB" or "1.5MB", in powers of 1,024.
-func (r *attributeReader) size(a *hcl.Attribute, least, most int64, to *int64) {
+func (r *attributeReader) size(a *hcl.Attribute, lower, upper int64, target *int64) {
 	v, ok := r.value(a, cty.String)
 	if !ok {
 		return
@@ -77,10 +77,10 @@
 	switch {
 	case err != nil:
 		r.errorf(a.Expr.Range(), "%s: %v", a.Name, err)
-	case n < least || n > most:
-		r.errorf(a.Expr.Range(), "%s: %s is not within %s and %s", a.Name, v.AsString(), formatSize(least), formatSize(most))
+	case n < lower || n > upper:
+		r.errorf(a.Expr.Range(), "%s: %s is not between %s and %s", a.Name, v.AsString(), formatSize(lower), formatSize(upper))
 	default:
-		*to = n
+		*target = n
 	}
 }
 
@@ -91,17 +91,17 @@
 			continue
 		}
 		n, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
-		if err != nil || !(n >= 0) || n*u.n > math.MaxInt64/2 {
+		if err != nil || !(n >= 0) || n*u.bytes > math.MaxInt64/2 {
 			break
 		}
-		return int64(n * u.n), nil
+		return int64(n * u.bytes), nil
 	}
-	return 0, fmt.Errorf("%q is no size; a number with a unit is: B, KB, MB, GB", text)
+	return 0, fmt.Errorf("%q is not a size; write a number with a unit: B, KB, MB, GB", text)
 }
 
 func formatSize(n int64) string {
 	for _, u := range sizeUnits {
-		if f := float64(n) / u.n; f >= 1 && f == math.Trunc(f) {
+		if f := float64(n) / u.bytes; f >= 1 && f == math.Trunc(f) {
 			return strconv.FormatFloat(f, 'f', -1, 64) + u.name
 		}
 	}
@@ -110,84 +110,85 @@
 
 func formatTime(t rules.Time) string { return (time.Duration(t) * time.Microsecond).String() }
 
-// number reads a number within bounds.
-func (r *attributeReader) number(a *hcl.Attribute, least, most float64, to *float64) {
+// number reads a number from lower to upper, both included.
+func (r *attributeReader) number(a *hcl.Attribute, lower, upper float64, target *float64) {
 	v, ok := r.value(a, cty.Number)
 	if !ok {
 		return
 	}
 	f, _ := v.AsBigFloat().Float64()
-	if !(f >= least && f <= most) {
-		r.errorf(a.Expr.Range(), "%s: %v is not within %v and %v", a.Name, f, least, most)
+	if !(f >= lower && f <= upper) {
+		r.errorf(a.Expr.Range(), "%s: %v is not between %v and %v", a.Name, f, lower, upper)
 		return
 	}
-	*to = f
+	*target = f
 }
 
-// count reads a whole number within bounds.
-func (r *attributeReader) count(a *hcl.Attribute, least, most int, to *int) {
+// count reads a whole number from lower to upper, both included.
+func (r *attributeReader) count(a *hcl.Attribute, lower, upper int, target *int) {
 	v, ok := r.value(a, cty.Number)
 	if !ok {
 		return
 	}
 	n, accuracy := v.AsBigFloat().Int64()
-	if accuracy != big.Exact || n < int64(least) || n > int64(most) {
-		r.errorf(a.Expr.Range(), "%s: %s is no whole number within %d and %d", a.Name, v.AsBigFloat().Text('g', 10), least, most)
+	if accuracy != big.Exact || n < int64(lower) || n > int64(upper) {
+		r.errorf(a.Expr.Range(), "%s: %s is not a whole number between %d and %d", a.Name, v.AsBigFloat().Text('g', 10), lower, upper)
 		return
 	}
-	*to = int(n)
+	*target = int(n)
 }
 
-func (r *attributeReader) flag(a *hcl.Attribute, to *bool) {
+func (r *attributeReader) flag(a *hcl.Attribute, target *bool) {
 	if v, ok := r.value(a, cty.Bool); ok {
-		*to = v.True()
+		*target = v.True()
 	}
 }
 
-// text reads a string. Characters that HCL would expand are an error, so that what String writes can be read again.
-func (r *attributeReader) text(a *hcl.Attribute, to *string) {
+// text reads a string. It rejects characters that HCL would expand, so that Parse accepts the output of Config.String.
+func (r *attributeReader) text(a *hcl.Attribute, target *string) {
 	if v, ok := r.value(a, cty.String); ok {
-		*to = v.AsString()
-		if strings.ContainsAny(*to, "\"\\$%\n") {
-			r.errorf(a.Expr.Range(), "%s holds quotes, backslashes, $ or %%", a.Name)
+		*target = v.AsString()
+		if strings.ContainsAny(*target, "\"\\$%\n") {
+			r.errorf(a.Expr.Range(), "%s contains quotes, backslashes, $, %% or line breaks", a.Name)
 		}
 	}
 }
 
-// list returns the elements of a list, or ok false if the attribute is nil or no list; then the error says what must be
-// written instead.
-func (r *attributeReader) list(a *hcl.Attribute, must string) (elements []hcl.Expression, ok bool) {
+// list returns the elements of a list, and false if the attribute is nil or not a list. In the latter case it adds an
+// error with want, a description of the list.
+func (r *attributeReader) list(a *hcl.Attribute, want string) (elements []hcl.Expression, ok bool) {
 	if a == nil {
 		return nil, false
 	}
 	elements, diags := hcl.ExprList(a.Expr)
 	if diags.HasErrors() {
-		r.errorf(a.Expr.Range(), "%s must be %s", a.Name, must)
+		r.errorf(a.Expr.Range(), "%s must be %s", a.Name, want)
 		return nil, false
 	}
 	return elements, true
 }
 
-// stringList reads a list of strings, each with its place. It is nil if there is no attribute, else at least empty.
-func (r *attributeReader) stringList(a *hcl.Attribute) (out []stringAt) {
+// stringList reads a list of strings with their positions. The result is nil if the attribute is nil or not a list,
+// and empty but not nil for an empty list.
+func (r *attributeReader) stringList(a *hcl.Attribute) (out []positionedString) {
 	elements, ok := r.list(a, "a list of strings")
 	if !ok {
 		return nil
 	}
-	out = []stringAt{}
+	out = []positionedString{}
 	for _, e := range elements {
 		v, diags := e.Value(nil)
 		if diags.HasErrors() || v.IsNull() || v.Type() != cty.String {
-			r.errorf(e.Range(), "%s holds something that is no string", a.Name)
+			r.errorf(e.Range(), "%s contains an element that is not a string", a.Name)
 			continue
 		}
-		out = append(out, stringAt{v.AsString(), e.Range()})
+		out = append(out, positionedString{v.AsString(), e.Range()})
 	}
 	return out
 }
 
-// stringLists reads a list of lists of strings.
-func (r *attributeReader) stringLists(a *hcl.Attribute) (out [][]stringAt) {
+// stringLists reads a list of lists of strings, such as the failover tiers of a zone.
+func (r *attributeReader) stringLists(a *hcl.Attribute) (out [][]positionedString) {
 	elements, _ := r.list(a, `a list of lists, a tier each: [["near"], ["far", "farther"]]`)
 	for _, e := range elements {
 		out = append(out, r.stringList(&hcl.Attribute{Name: a.Name + ": each tier", Expr: e, Range: e.Range()}))
@@ -195,49 +196,50 @@
 	return out
 }
 
-// checkName checks a name that the file declares. Quotes and characters that HCL would expand are errors, so that what
-// String writes can be read again.
-func (r *attributeReader) checkName(name, what string, at hcl.Range) {
-	bad := func(c rune) bool { return !unicode.IsPrint(c) || strings.ContainsRune("\"\\$%", c) }
-	if name == "" || len(name) > maxNameBytes || !utf8.ValidString(name) || strings.ContainsFunc(name, bad) {
-		r.errorf(at, "%s %.40q: a name holds 1 to %d bytes of text without quotes, backslashes, $ and %%", what, name, maxNameBytes)
+// checkName checks a name that the file declares. It rejects quotes and characters that HCL would expand, so that Parse
+// accepts the output of Config.String.
+func (r *attributeReader) checkName(name, kind string, at hcl.Range) {
+	forbidden := func(c rune) bool { return !unicode.IsPrint(c) || strings.ContainsRune("\"\\$%", c) }
+	if name == "" || len(name) > maxNameBytes || !utf8.ValidString(name) || strings.ContainsFunc(name, forbidden) {
+		r.errorf(at, "%s %.40q: a name must have 1 to %d bytes of printable text without quotes, backslashes, $ and %%", kind, name, maxNameBytes)
 	}
 }
 
 const maxNameBytes = 128
 
-type stringAt struct {
+type positionedString struct {
 	text string
 	at   hcl.Range
 }
 
-// closestName returns the name that an unknown one was probably meant to be, or an empty string.
-func closestName(name string, of []string) string {
-	best, least := "", max(len(name)/3, 1)+1
-	for _, o := range of {
-		if n := editDistance(strings.ToLower(name), strings.ToLower(o)); n < least {
-			best, least = o, n
+// closestName returns the candidate with the smallest edit distance to name, or an empty string if that distance is over
+// a third of the name's length (and over 1).
+func closestName(name string, candidates []string) string {
+	closest, minDistance := "", max(len(name)/3, 1)+1
+	for _, candidate := range candidates {
+		if distance := editDistance(strings.ToLower(name), strings.ToLower(candidate)); distance < minDistance {
+			closest, minDistance = candidate, distance
 		}
 	}
-	return best
+	return closest
 }
 
-// editDistance is the number of letters to insert, drop or change (Levenshtein).
+// editDistance returns the Levenshtein distance of two strings, in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			n := last
+			distance := diagonal
 			if a[i] != b[j] {
-				n++
+				distance++
 			}
-			last = row[j+1]
-			row[j+1] = min(n, last+1, row[j]+1)
+			diagonal = row[j+1]
+			row[j+1] = min(distance, diagonal+1, row[j]+1)
 		}
 	}
 	return row[len(b)]
--- a/internal/site/directives.go
+++ b/internal/site/directives.go
@@ -10,13 +10,13 @@
 	"foxlane/rules"
 )
 
-// This file owns the block `directives`: the voters of the replicated log of operators' directives.
+// This file reads and writes the block `directives`: the voters of the replicated log of operators' directives.
 
-// Directives has the settings of the replicated log of directives.
+// Directives holds the settings of the replicated log of directives.
 type Directives struct {
-	Voters       []string // names of gateways
-	LogFolder    string   // of the log; used on voters only
-	TickInterval rules.Time
+	Voters       []string   // names of gateways
+	LogFolder    string     // folder of the log; only voters use it
+	TickInterval rules.Time // interval of the consensus clock, 10 ms to 10 s
 }
 
 type directivesBlock struct {
@@ -32,7 +32,7 @@
 	d := &Directives{TickInterval: defaultTickInterval}
 	for _, w := range r.stringList(b.Voters) {
 		if slices.Contains(d.Voters, w.text) {
-			r.errorf(w.at, "voters: %q comes twice", w.text)
+			r.errorf(w.at, "voters: %q is named twice", w.text)
 		}
 		d.Voters = append(d.Voters, w.text)
 	}
@@ -41,15 +41,15 @@
 		if b.Voters != nil {
 			at = b.Voters.Range
 		}
-		r.errorf(at, "voters: %d are named; 1, 3 or 5 are possible", n)
+		r.errorf(at, "voters: %d are named; 1, 3 or 5 are allowed", n)
 	}
 	r.text(b.Folder, &d.LogFolder)
 	r.duration(b.Tick, &d.TickInterval)
 	if !r.failed() && (d.TickInterval < 10*rules.Millisecond || d.TickInterval > 10*rules.Second) {
-		r.errorf(b.Tick.Range, "tick: within 10ms and 10s is possible")
+		r.errorf(b.Tick.Range, "tick: must be between 10ms and 10s")
 	}
 	if members == nil {
-		r.errorf(b.Range, "directives needs the block members")
+		r.errorf(b.Range, "the block directives needs the block members")
 	}
 	return d
 }
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -13,21 +13,21 @@
 	"foxlane/internal/replica"
 )
 
-// This file owns the block `members`: the other gateways, and what is exchanged with them.
+// This file reads and writes the block `members`: the other gateways, and the messages exchanged with them.
 
-// Members has the settings of the messages among gateways.
+// Members holds the settings of the messages among gateways.
 type Members struct {
 	Bind            netip.AddrPort
-	Control         netip.AddrPort // address for operators' commands; invalid: there is none
+	Control         netip.AddrPort // listens for operators' commands; the zero value: no listener
 	Seeds           []netip.AddrPort
-	AllowedPrefixes []netip.Prefix                    // of members that are accepted; nil: any
-	AddressMap      map[netip.AddrPort]netip.AddrPort // the addresses to use for members instead of those that they announce
+	AllowedPrefixes []netip.Prefix                    // source addresses from which messages are accepted; nil: any
+	AddressMap      map[netip.AddrPort]netip.AddrPort // from a member's announced address to the one to reach it at
 	FastTimers      bool
-	Replica         replica.Settings // without name, zone, incarnation and seed
+	Replica         replica.Settings // without name, zone, incarnation and seed, which the gateway adds
 	Gossip          gossip.Settings
 }
 
-// AllowedSet is the set of addresses of AllowedPrefixes, or nil if any is allowed.
+// AllowedSet returns the addresses of AllowedPrefixes as a set, or nil if any address is allowed.
 func (m *Members) AllowedSet() (*netipx.IPSet, error) {
 	if m.AllowedPrefixes == nil {
 		return nil, nil
@@ -52,7 +52,7 @@
 	Observers *hcl.Attribute `hcl:"observers,optional"`
 }
 
-// addressBlock is the address to use for a member instead of the one that it announces, the key `via`.
+// addressBlock is a block `via`: the address at which to reach a member instead of the one that the member announces.
 type addressBlock struct {
 	Addr  string         `hcl:"member,label"`
 	Range hcl.Range      `hcl:",def_range"`
@@ -68,7 +68,7 @@
 func (b *membersBlock) decode(r *attributeReader) *Members {
 	m := &Members{Replica: replica.Defaults(), Gossip: gossip.Defaults(), AddressMap: map[netip.AddrPort]netip.AddrPort{}}
 	if b.Bind == nil {
-		r.errorf(b.Range, "members needs bind, an address with a port")
+		r.errorf(b.Range, "the block members needs bind, an address with a port")
 	}
 	r.addrPort(b.Bind, &m.Bind)
 	r.addrPort(b.Control, &m.Control)
@@ -80,7 +80,7 @@
 	for _, w := range r.stringList(b.May) {
 		p, err := netip.ParsePrefix(w.text)
 		if err != nil {
-			r.errorf(w.at, "may: %q is no prefix of addresses", w.text)
+			r.errorf(w.at, "may: %q is not an address prefix", w.text)
 			continue
 		}
 		m.AllowedPrefixes = append(m.AllowedPrefixes, p.Masked())
@@ -100,27 +100,27 @@
 	r.duration(b.Fresh, &m.Gossip.MaxReportAge)
 	if !r.failed() && m.AllowedPrefixes != nil {
 		if set, err := m.AllowedSet(); err != nil || !set.Contains(m.Bind.Addr()) {
-			r.errorf(b.Range, "members: %s itself is not among the addresses that may speak", m.Bind.Addr())
+			r.errorf(b.Range, "members: may does not include the gateway's own address %s", m.Bind.Addr())
 		}
 	}
 	return m
 }
 
-// addrPort reads an address with a port.
-func (r *attributeReader) addrPort(a *hcl.Attribute, to *netip.AddrPort) {
+// addrPort reads an address with a port that other gateways can reach.
+func (r *attributeReader) addrPort(a *hcl.Attribute, target *netip.AddrPort) {
 	if a == nil {
 		return
 	}
 	var text string
 	if r.text(a, &text); text != "" {
-		*to, _ = r.parseAddrPort(text, a.Expr.Range(), a.Name)
+		*target, _ = r.parseAddrPort(text, a.Expr.Range(), a.Name)
 	}
 }
 
-func (r *attributeReader) parseAddrPort(text string, at hcl.Range, what string) (netip.AddrPort, bool) {
+func (r *attributeReader) parseAddrPort(text string, at hcl.Range, key string) (netip.AddrPort, bool) {
 	p, err := netip.ParseAddrPort(text)
 	if err != nil || p.Port() == 0 || p.Addr().IsUnspecified() {
-		r.errorf(at, "%s: %q is no address with a port that others could reach", what, text)
+		r.errorf(at, "%s: %q is not an address with a port that other gateways could reach", key, text)
 		return netip.AddrPort{}, false
 	}
 	return p, true
@@ -136,23 +136,23 @@
 			fmt.Fprintf(b, "  %s = [%s]\n", name, quoteList(texts))
 		}
 	}
-	var seeds, may []string
+	var seeds, prefixes []string
 	for _, s := range m.Seeds {
 		seeds = append(seeds, s.String())
 	}
 	for _, p := range m.AllowedPrefixes {
-		may = append(may, p.String())
+		prefixes = append(prefixes, p.String())
 	}
 	list("seeds    ", seeds)
-	list("may      ", may)
+	list("may      ", prefixes)
 	fmt.Fprintf(b, "  fast      = %v\n  budget    = %d\n  observers = %d\n  fresh     = %q\n", m.FastTimers, m.Replica.Budget, m.Gossip.MinObservers,
 		formatTime(m.Gossip.MaxReportAge))
-	froms := make([]netip.AddrPort, 0, len(m.AddressMap))
+	announced := make([]netip.AddrPort, 0, len(m.AddressMap))
 	for from := range m.AddressMap {
-		froms = append(froms, from)
+		announced = append(announced, from)
 	}
-	slices.SortFunc(froms, netip.AddrPort.Compare)
-	for _, from := range froms {
+	slices.SortFunc(announced, netip.AddrPort.Compare)
+	for _, from := range announced {
 		fmt.Fprintf(b, "\n  via %q {\n    at = %q\n  }\n", from, m.AddressMap[from])
 	}
 	b.WriteString("}\n")
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -44,18 +44,18 @@
 
 func TestInvalidMembers(t *testing.T) {
 	checkErrors(t, map[string]string{
-		"members {\n}":                                                                "1:1: members needs bind",
-		"members {\n  bind = \"somewhere\"\n}":                                        "2:10: bind: \"somewhere\" is no address",
-		"members {\n  bind = \"0.0.0.0:7946\"\n}":                                     "is no address with a port that others could reach",
-		"members {\n  bind = \"10.0.0.4:0\"\n}":                                       "is no address with a port",
-		"members {\n  bind = \"10.0.0.4:1\"\n  may = [\"10.0.1.0/24\"]\n}":            "10.0.0.4 itself is not among the addresses that may speak",
-		"members {\n  bind = \"10.0.0.4:1\"\n  may = [\"10.0.1.0\"]\n}":               "\"10.0.1.0\" is no prefix",
-		"members {\n  bind = \"10.0.0.4:1\"\n  budget = 5\n}":                         "5 is not within 1000",
-		"members {\n  bind = \"10.0.0.4:1\"\n  via \"x\" {\n    at = \"y:1\"\n  }\n}": "\"x\" is no address",
-		"directives {\n  voters = [\"a\"]\n}":                                         "directives needs the block members",
-		"members {\n  bind = \"10.0.0.4:1\"\n}\ndirectives {\n}":                      "4:1: voters: 0 are named; 1, 3 or 5",
+		"members {\n}":                                                                "1:1: the block members needs bind",
+		"members {\n  bind = \"somewhere\"\n}":                                        "2:10: bind: \"somewhere\" is not an address",
+		"members {\n  bind = \"0.0.0.0:7946\"\n}":                                     "is not an address with a port that other gateways could reach",
+		"members {\n  bind = \"10.0.0.4:0\"\n}":                                       "is not an address with a port",
+		"members {\n  bind = \"10.0.0.4:1\"\n  may = [\"10.0.1.0/24\"]\n}":            "may does not include the gateway's own address 10.0.0.4",
+		"members {\n  bind = \"10.0.0.4:1\"\n  may = [\"10.0.1.0\"]\n}":               "\"10.0.1.0\" is not an address prefix",
+		"members {\n  bind = \"10.0.0.4:1\"\n  budget = 5\n}":                         "5 is not between 1000",
+		"members {\n  bind = \"10.0.0.4:1\"\n  via \"x\" {\n    at = \"y:1\"\n  }\n}": "\"x\" is not an address",
+		"directives {\n  voters = [\"a\"]\n}":                                         "the block directives needs the block members",
+		"members {\n  bind = \"10.0.0.4:1\"\n}\ndirectives {\n}":                      "4:1: voters: 0 are named; 1, 3 or 5 are allowed",
 		"directives {\n  voters = [\"a\", \"b\"]\n}":                                  "2 are named; 1, 3 or 5",
-		"directives {\n  voters = [\"a\", \"a\", \"b\"]\n}":                           "\"a\" comes twice",
+		"directives {\n  voters = [\"a\", \"a\", \"b\"]\n}":                           "\"a\" is named twice",
 		"members {\n  bind = \"10.0.0.4:1\"\n  seed = []\n}":                          "3:3: Unsupported argument",
 	})
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,9 +1,9 @@
-// Package site owns the operator's own file: HCL, with a block for each
-// subsystem. It must never start anything or guess: what can't be used is an
-// error with file, line and column, and nothing of such a file is used.
+// Package site reads the operator's own file: HCL, with one block per
+// subsystem. It starts nothing and guesses nothing: an invalid value is an error
+// with file, line and column, and a file with an error is rejected as a whole.
 //
-// Each block has a file with its settings, decoding and writing; attributes.go
-// has the values that blocks share.
+// Each block has a Go file with its settings, decoding and writing;
+// attributes.go reads the types of values that several blocks use.
 package site
 
 import (
@@ -20,10 +20,10 @@
 	"foxlane/internal/files"
 )
 
-// maxFileBytes is more than any operator's file: a larger one is a mistake.
+// maxFileBytes bounds the size of the operator's file. Real files are far smaller: a larger one is a mistake.
 const maxFileBytes = 4 << 20
 
-// Config is what the operator has set. A subsystem without a block is nil, and off.
+// Config holds the operator's settings. A subsystem without a block is nil, and disabled.
 type Config struct {
 	Admission *Admission
 	Spool     *Spool
@@ -33,10 +33,10 @@
 	Directives *Directives
 }
 
-// Admission has the settings of admission control, from the block `fair`.
+// Admission holds the settings of admission control, the block `fair`.
 type Admission struct {
 	Settings   admission.Settings
-	StateBytes int64 // of state about principals; 0: it follows from the machine
+	StateBytes int64 // bound of the state about principals; 0: derived from the machine's memory
 }
 
 type fileBlocks struct {
@@ -48,19 +48,19 @@
 	Directives *directivesBlock `hcl:"directives,block"`
 }
 
-// LoadFile reads the operator's file.
+// LoadFile reads the operator's file at path, of at most 4 MB.
 func LoadFile(path string) (*Config, error) {
 	text, err := files.Read(path)
 	if err != nil {
 		return nil, fmt.Errorf("site: %w", err)
 	}
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("site: %s holds %d bytes, %d at most", path, len(text), maxFileBytes)
+		return nil, fmt.Errorf("site: %s has %d bytes, at most %d are allowed", path, len(text), maxFileBytes)
 	}
 	return Parse(text, path)
 }
 
-// Parse reads the text of a file. The name is that of the file, for errors.
+// Parse decodes the text of an operator's file. It uses name, the file's name, in errors.
 func Parse(text []byte, name string) (*Config, error) {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
@@ -86,8 +86,8 @@
 	return c, nil
 }
 
-// decodeBlock decodes a block, or returns nil if the file does not have it. Only the errors of the first block that has
-// any are reported, so a block is not decoded after an error in another.
+// decodeBlock decodes a block, or returns nil if the file lacks it. It decodes nothing after an error in an earlier
+// block, so only the errors of the first invalid block are reported.
 func decodeBlock[B, T any](r *attributeReader, block *B, decode func(*B, *attributeReader) *T) *T {
 	if block == nil || r.failed() {
 		return nil
@@ -95,10 +95,10 @@
 	return decode(block, r)
 }
 
-// ParseError lists all errors of a file, a line each with place and cause.
+// ParseError lists the errors of a file, one line each with position and cause.
 type ParseError struct{ Lines []string }
 
-// Error returns the lines.
+// Error returns the lines, separated by newlines.
 func (p *ParseError) Error() string { return strings.Join(p.Lines, "\n") }
 
 func newParseError(diags hcl.Diagnostics) error {
@@ -119,7 +119,7 @@
 	return p
 }
 
-// String returns the configuration in the form of a file, defaults included.
+// String returns the configuration as a file that Parse accepts, with all defaults written out.
 func (c *Config) String() string {
 	if c == nil {
 		c = &Config{}
@@ -145,7 +145,7 @@
 	return b.String()
 }
 
-// quoteList writes texts as the elements of a list.
+// quoteList formats texts as the elements of an HCL list.
 func quoteList(texts []string) string {
 	quoted := make([]string, len(texts))
 	for i, t := range texts {
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -34,7 +34,7 @@
 }
 `
 
-// parse parses a file that must be valid, and checks that what String returns is a file with the same settings.
+// parse parses a file that must be valid. It checks that Parse accepts the output of String, with the same settings.
 func parse(t *testing.T, text string) *Config {
 	t.Helper()
 	c, err := Parse([]byte(text), "site.hcl")
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWithoutBlocksAllIsOff(t *testing.T) {
+func TestSubsystemWithoutBlockIsOff(t *testing.T) {
 	s, err := Parse([]byte("# nothing\n"), "site.hcl")
 	if err != nil || s.Admission != nil || s.String() != "# fair: off\n# spool: off\n# sites: off\n# members: off\n# directives: off\n" {
 		t.Errorf("got %+v, %v", s, err)
@@ -87,31 +87,31 @@
 	}
 }
 
-func TestMistakesHaveTheirPlace(t *testing.T) {
+func TestErrorPositions(t *testing.T) {
 	checkErrors(t, map[string]string{
 		"fair {\n  ahed = 3\n}\n":                            `s.hcl:2:3: Unsupported argument: An argument named "ahed" is not expected here. Did you mean "ahead"?`,
 		"fare {\n}\n":                                        `s.hcl:1:1: Unsupported block type`,
 		"fair {\n":                                           "s.hcl:1:6: ",
 		"fair {}\nfair {}\n":                                 "s.hcl:2:1: Duplicate fair block",
-		"fair {\n  burst = \"3 parsecs\"\n}\n":               `s.hcl:2:11: burst: "3 parsecs" is no time`,
+		"fair {\n  burst = \"3 parsecs\"\n}\n":               `s.hcl:2:11: burst: "3 parsecs" is not a duration`,
 		"fair {\n  burst = \"-3s\"\n}\n":                     "s.hcl:2:11: burst",
 		"fair {\n  burst = 3\n}\n":                           "s.hcl:2:11: burst must be a string",
 		"fair {\n  state = \"3TB\"\n}\n":                     "s.hcl:2:11: state",
-		"fair {\n  state = \"1KB\"\n}\n":                     "s.hcl:2:11: state: 1KB is not within 16KB and 1GB",
-		"fair {\n  ahead = 2.5\n}\n":                         "s.hcl:2:11: ahead: 2.5 is no whole number",
+		"fair {\n  state = \"1KB\"\n}\n":                     "s.hcl:2:11: state: 1KB is not between 16KB and 1GB",
+		"fair {\n  ahead = 2.5\n}\n":                         "s.hcl:2:11: ahead: 2.5 is not a whole number",
 		"fair {\n  ahead = 0\n}\n":                           "s.hcl:2:11: ahead",
 		"fair {\n  ahead = nope\n}\n":                        "s.hcl:2:11: Variables not allowed",
 		"fair {\n  any_tenant = \"yes\"\n}\n":                "s.hcl:2:16: any_tenant must be a bool",
-		"fair {\n  tenant \"a\" {\n    weight = 0\n  }\n}\n": "s.hcl:3:14: weight: 0 is not within",
-		"fair {\n  tenant \"a$b\" {}\n}\n":                   `s.hcl:2:3: tenant "a$b": a name holds`,
-		"fair {\n  tenant \"a\" {}\n  tenant \"a\" {}\n}\n":  `s.hcl:3:3: tenant "a" has no name of its own`,
-		"fair {\n  tenant \"a\" {\n    networks = [\"offixes\"]\n  }\n  network \"offices\" {\n    addresses = [\"10.0.0.0/8\"]\n  }\n}\n": `s.hcl:3:17: no network "offixes" is declared; did you mean "offices"?`,
+		"fair {\n  tenant \"a\" {\n    weight = 0\n  }\n}\n": "s.hcl:3:14: weight: 0 is not between",
+		"fair {\n  tenant \"a$b\" {}\n}\n":                   `s.hcl:2:3: tenant "a$b": a name must have`,
+		"fair {\n  tenant \"a\" {}\n  tenant \"a\" {}\n}\n":  `s.hcl:3:3: tenant "a" is declared twice`,
+		"fair {\n  tenant \"a\" {\n    networks = [\"offixes\"]\n  }\n  network \"offices\" {\n    addresses = [\"10.0.0.0/8\"]\n  }\n}\n": `s.hcl:3:17: network "offixes" is not declared; did you mean "offices"?`,
 		"fair {\n  tenant \"a\" {\n    networks = []\n  }\n}\n":                                                                            "s.hcl:3:5: tenant",
-		"fair {\n  network \"n\" {\n  }\n}\n":                                                                                              `s.hcl:2:3: network "n" holds no address`,
-		"fair {\n  network \"n\" {\n    addresses = []\n  }\n}\n":                                                                          `s.hcl:2:3: network "n" holds no address`,
-		"fair {\n  network \"n\" {\n    addresses = [\"10.0.0.1/8\"]\n  }\n}\n":                                                            "s.hcl:3:18: 10.0.0.1/8 has bits behind its length",
-		"fair {\n  network \"n\" {\n    addresses = [\"somewhere\"]\n  }\n}\n":                                                             `s.hcl:3:18: "somewhere" is no address`,
-		"fair {\n  network \"n\" {\n    addresses = [7]\n  }\n}\n":                                                                         "s.hcl:3:18: addresses holds something that is no string",
+		"fair {\n  network \"n\" {\n  }\n}\n":                                                                                              `s.hcl:2:3: network "n" has no addresses`,
+		"fair {\n  network \"n\" {\n    addresses = []\n  }\n}\n":                                                                          `s.hcl:2:3: network "n" has no addresses`,
+		"fair {\n  network \"n\" {\n    addresses = [\"10.0.0.1/8\"]\n  }\n}\n":                                                            "s.hcl:3:18: 10.0.0.1/8 has bits set after its prefix length",
+		"fair {\n  network \"n\" {\n    addresses = [\"somewhere\"]\n  }\n}\n":                                                             `s.hcl:3:18: "somewhere" is not an address`,
+		"fair {\n  network \"n\" {\n    addresses = [7]\n  }\n}\n":                                                                         "s.hcl:3:18: addresses contains an element that is not a string",
 		"fair {\n  network \"n\" {\n    addresses = \"10.0.0.0/8\"\n  }\n}\n":                                                              "s.hcl:3:17: addresses must be a list",
 	})
 }
@@ -123,9 +123,9 @@
 		t.Errorf("got %+v", s.Spool)
 	}
 	checkErrors(t, map[string]string{
-		"spool {\n disk = \"1GB\"\n}":                     "s.hcl:2:2: disk is set, but no folder",
-		"spool {\n folder = \"a$b\"\n}":                   "s.hcl:2:11: folder holds quotes",
-		"spool {\n memory = \"1KB\"\n}":                   "s.hcl:2:11: memory: 1KB is not within",
+		"spool {\n disk = \"1GB\"\n}":                     "s.hcl:2:2: disk is set, but folder is not",
+		"spool {\n folder = \"a$b\"\n}":                   "s.hcl:2:11: folder contains quotes",
+		"spool {\n memory = \"1KB\"\n}":                   "s.hcl:2:11: memory: 1KB is not between",
 		"spool {\n lease = \"1ms\"\n}":                    "s.hcl:1:1: spool: a lease must be a second or more",
 		"spool {\n folder = \"/a\"\n result = \"4GB\"\n}": "s.hcl:1:1: spool: a result or a tenant may not have more",
 		"spool {\n result = \"1GB\"\n}":                   "s.hcl:1:1: spool: a result or a tenant may not have more",
@@ -136,13 +136,13 @@
 func TestLoadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.hcl")
 	if _, err := LoadFile(path); err == nil {
-		t.Error("a file that is not there passed")
+		t.Error("a missing file was accepted")
 	}
 	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadFile(path); err == nil || !strings.Contains(err.Error(), "at most") {
-		t.Errorf("a huge file: %v", err)
+		t.Errorf("a file over the limit: %v", err)
 	}
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/site/spool.go
+++ b/internal/site/spool.go
@@ -10,12 +10,12 @@
 	"foxlane/rules"
 )
 
-// This file owns the block `spool`: where results are stored, how many bytes and
-// for how long.
+// This file reads and writes the block `spool`: where results are stored, how many
+// bytes of them and for how long.
 
-// Spool has the settings of the result store.
+// Spool holds the settings of the result store.
 type Spool struct {
-	Folder string // empty: results are stored in memory alone
+	Folder string // empty: results are stored in memory only
 	Budget spool.Budget
 }
 
@@ -31,8 +31,8 @@
 	Lease     *hcl.Attribute `hcl:"lease,optional"`
 }
 
-// Sizes that follow from the protocols: a chunk fits a client connection's send buffer with the overhead of its rows, and
-// engines send pages of about this size.
+// Sizes that follow from the protocols. A chunk, with the overhead of its rows, fits the send buffer of a client
+// connection. Engines send pages of about enginePageBytes.
 const (
 	chunkBytes      = 32 << 10
 	enginePageBytes = 6000
@@ -43,26 +43,26 @@
 func (b *spoolBlock) decode(r *attributeReader) *Spool {
 	s := &Spool{Budget: spool.Budget{MemoryBytes: 4 << 20, MaxResults: 10_000, DiskThreshold: 256 << 10, LeaseTime: 10 * 60 * rules.Second,
 		ChunkBytes: chunkBytes, FetchWindow: fetchWindow}}
-	u := &s.Budget
+	budget := &s.Budget
 	if r.text(b.Folder, &s.Folder); s.Folder != "" {
-		u.DiskBytes = 1 << 30
+		budget.DiskBytes = 1 << 30
 	}
-	r.size(b.Memory, 4*chunkBytes, 1<<40, &u.MemoryBytes)
+	r.size(b.Memory, 4*chunkBytes, 1<<40, &budget.MemoryBytes)
 	if b.Disk != nil && s.Folder == "" {
-		r.errorf(b.Disk.Range, "disk is set, but no folder")
+		r.errorf(b.Disk.Range, "disk is set, but folder is not")
 	}
-	r.size(b.Disk, 1<<20, 1<<50, &u.DiskBytes)
-	most := max(u.DiskBytes, u.MemoryBytes)
-	u.MaxResultBytes, u.MaxTenantBytes = most/4, most/2
-	r.size(b.Result, chunkBytes, 1<<50, &u.MaxResultBytes)
-	r.size(b.Tenant, chunkBytes, 1<<50, &u.MaxTenantBytes)
-	r.size(b.Threshold, 0, 1<<40, &u.DiskThreshold)
-	r.count(b.Results, 1, 10_000_000, &u.MaxResults)
-	r.duration(b.Lease, &u.LeaseTime)
-	u.MaxUnwritten = u.MemoryBytes / 2
-	u.MaxPages = max(minPages, int(u.MaxResultBytes/enginePageBytes*4))
+	r.size(b.Disk, 1<<20, 1<<50, &budget.DiskBytes)
+	capacity := max(budget.DiskBytes, budget.MemoryBytes)
+	budget.MaxResultBytes, budget.MaxTenantBytes = capacity/4, capacity/2
+	r.size(b.Result, chunkBytes, 1<<50, &budget.MaxResultBytes)
+	r.size(b.Tenant, chunkBytes, 1<<50, &budget.MaxTenantBytes)
+	r.size(b.Threshold, 0, 1<<40, &budget.DiskThreshold)
+	r.count(b.Results, 1, 10_000_000, &budget.MaxResults)
+	r.duration(b.Lease, &budget.LeaseTime)
+	budget.MaxUnwritten = budget.MemoryBytes / 2
+	budget.MaxPages = max(minPages, int(budget.MaxResultBytes/enginePageBytes*4))
 	if !r.failed() {
-		if err := u.Validate(); err != nil {
+		if err := budget.Validate(); err != nil {
 			r.errorf(b.Range, "%v", err)
 		}
 	}
@@ -70,11 +70,11 @@
 }
 
 func (s *Spool) write(b *bytes.Buffer) {
-	u := s.Budget
+	budget := s.Budget
 	b.WriteString("spool {\n")
 	if s.Folder != "" {
-		fmt.Fprintf(b, "  folder    = %q\n  disk      = %q\n", s.Folder, formatSize(u.DiskBytes))
+		fmt.Fprintf(b, "  folder    = %q\n  disk      = %q\n", s.Folder, formatSize(budget.DiskBytes))
 	}
 	fmt.Fprintf(b, "  memory    = %q\n  result    = %q\n  tenant    = %q\n  results   = %d\n  threshold = %q\n  lease     = %q\n}\n",
-		formatSize(u.MemoryBytes), formatSize(u.MaxResultBytes), formatSize(u.MaxTenantBytes), u.MaxResults, formatSize(u.DiskThreshold), formatTime(u.LeaseTime))
+		formatSize(budget.MemoryBytes), formatSize(budget.MaxResultBytes), formatSize(budget.MaxTenantBytes), budget.MaxResults, formatSize(budget.DiskThreshold), formatTime(budget.LeaseTime))
 }
--- a/internal/site/zones.go
+++ b/internal/site/zones.go
@@ -12,27 +12,27 @@
 	"foxlane/rules"
 )
 
-// This file owns the block `sites`: where the load of a zone goes that is lost, recovers or is drained.
+// This file reads and writes the block `sites`: where the load of a zone goes when it is lost, recovers or is drained.
 
-// Zones has the settings of zone failover, by the names of zones.
+// Zones holds the settings of zone failover. It refers to zones by name.
 type Zones struct {
-	Settings zones.Settings // without its tiers, which Resolve adds
+	Settings zones.Settings // without Tiers, which Resolve fills in
 	Zones    []Zone
 	Classes  []PlanClass
 }
 
-// Zone is a zone in the file.
+// Zone holds the settings of one zone.
 type Zone struct {
 	Name          string
-	FailoverTiers [][]string // where its load goes, nearest tier first; without itself
+	FailoverTiers [][]string // other zones that take its load, preferred tier first
 	Drain         bool
 }
 
-// PlanClass describes a class for `foxlane plan`. A gateway learns both values.
+// PlanClass describes a class for `foxlane plan`. A gateway learns both values from its requests.
 type PlanClass struct {
 	Name          string
-	RequestWeight float64    // share of all requests, in any unit
-	MeanWork      rules.Time // mean of a request, summed over threads
+	RequestWeight float64    // number of requests relative to the other classes
+	MeanWork      rules.Time // mean work of a request, summed over its threads
 }
 
 type zonesBlock struct {
@@ -81,8 +81,8 @@
 	Work     *hcl.Attribute `hcl:"work,optional"`
 }
 
-// maxDampingFigure bounds the values of damping and shedding: more is a typing error.
-const maxDampingFigure = 1000
+// maxDampingValue bounds the values of damping and shedding: a larger one is a typing error.
+const maxDampingValue = 1000
 
 func (b *zonesBlock) decode(r *attributeReader) *Zones {
 	s := &Zones{Settings: zones.Defaults()}
@@ -97,18 +97,18 @@
 	r.duration(b.Ramp, &z.RecoveryRamp)
 	r.number(b.Jitter, 0, 1, &z.RampJitter)
 	r.duration(b.DrainOver, &z.DrainTime)
-	if d := b.Damping; d != nil {
-		r.number(d.Penalty, 0, maxDampingFigure, &z.Damping.Penalty)
-		r.duration(d.HalfLife, &z.Damping.HalfLife)
-		r.number(d.Suppress, 0, maxDampingFigure, &z.Damping.SuppressAbove)
-		r.number(d.Reuse, 0, maxDampingFigure, &z.Damping.ReuseBelow)
-		r.duration(d.Longest, &z.Damping.MaxSuppression)
+	if damping := b.Damping; damping != nil {
+		r.number(damping.Penalty, 0, maxDampingValue, &z.Damping.Penalty)
+		r.duration(damping.HalfLife, &z.Damping.HalfLife)
+		r.number(damping.Suppress, 0, maxDampingValue, &z.Damping.SuppressAbove)
+		r.number(damping.Reuse, 0, maxDampingValue, &z.Damping.ReuseBelow)
+		r.duration(damping.Longest, &z.Damping.MaxSuppression)
 	}
-	if l := b.Shedding; l != nil {
+	if shedding := b.Shedding; shedding != nil {
 		z.SheddingEnabled = true
-		r.number(l.Up, 0, maxDampingFigure, &z.Shedding.Threshold)
-		r.number(l.Slack, 0, maxDampingFigure, &z.Shedding.Hysteresis)
-		r.duration(l.Settle, &z.Shedding.SettlingTime)
+		r.number(shedding.Up, 0, maxDampingValue, &z.Shedding.Threshold)
+		r.number(shedding.Slack, 0, maxDampingValue, &z.Shedding.Hysteresis)
+		r.duration(shedding.Settle, &z.Shedding.SettlingTime)
 	}
 	for _, zb := range b.Zones {
 		s.Zones = append(s.Zones, zb.decode(r, s.Zones))
@@ -124,7 +124,7 @@
 	return s
 }
 
-func (b *planClassBlock) decode(r *attributeReader, before []PlanClass) PlanClass {
+func (b *planClassBlock) decode(r *attributeReader, earlier []PlanClass) PlanClass {
 	c := PlanClass{Name: b.Name}
 	r.checkName(b.Name, "class", b.Range)
 	if b.Requests == nil || b.Work == nil {
@@ -132,19 +132,19 @@
 	}
 	r.number(b.Requests, 0, 1e9, &c.RequestWeight)
 	if r.duration(b.Work, &c.MeanWork); b.Work != nil && c.MeanWork <= 0 && !r.failed() {
-		r.errorf(b.Work.Range, "class %q: work must be over 0", b.Name)
+		r.errorf(b.Work.Range, "class %q: work must be greater than 0", b.Name)
 	}
-	if slices.ContainsFunc(before, func(o PlanClass) bool { return o.Name == b.Name }) {
-		r.errorf(b.Range, "class %q comes twice", b.Name)
+	if slices.ContainsFunc(earlier, func(o PlanClass) bool { return o.Name == b.Name }) {
+		r.errorf(b.Range, "class %q is declared twice", b.Name)
 	}
 	return c
 }
 
-func (b *zoneBlock) decode(r *attributeReader, before []Zone) Zone {
+func (b *zoneBlock) decode(r *attributeReader, earlier []Zone) Zone {
 	z := Zone{Name: b.Name}
 	r.checkName(b.Name, "zone", b.Range)
-	if slices.ContainsFunc(before, func(o Zone) bool { return o.Name == b.Name }) {
-		r.errorf(b.Range, "zone %q comes twice", b.Name)
+	if slices.ContainsFunc(earlier, func(o Zone) bool { return o.Name == b.Name }) {
+		r.errorf(b.Range, "zone %q is declared twice", b.Name)
 	}
 	r.flag(b.Drain, &z.Drain)
 	seen := []string{b.Name}
@@ -152,7 +152,7 @@
 		var names []string
 		for _, w := range tier {
 			if slices.Contains(seen, w.text) {
-				r.errorf(w.at, "zone %q: %q comes twice, or is the zone itself", b.Name, w.text)
+				r.errorf(w.at, "zone %q: %q is named twice, or is the zone itself", b.Name, w.text)
 			}
 			seen = append(seen, w.text)
 			names = append(names, w.text)
@@ -162,11 +162,11 @@
 	return z
 }
 
-// Resolve returns the settings for a gateway that knows the zones by these names, and which of them are drained. Unknown
-// zones of the file are ignored: they may exist under a later configuration.
-func (s *Zones) Resolve(names []string) (set zones.Settings, drained []int) {
-	set = s.Settings
-	set.Tiers = map[int][][]int{}
+// Resolve returns the settings with zones as indexes into names, and the indexes of the drained zones. It ignores zones
+// of the file that are not in names: a later configuration may have them.
+func (s *Zones) Resolve(names []string) (settings zones.Settings, drained []int) {
+	settings = s.Settings
+	settings.Tiers = map[int][][]int{}
 	for _, z := range s.Zones {
 		from := slices.Index(names, z.Name)
 		if from < 0 {
@@ -176,18 +176,18 @@
 			drained = append(drained, from)
 		}
 		for _, tier := range z.FailoverTiers {
-			var level []int
+			var indexes []int
 			for _, name := range tier {
 				if i := slices.Index(names, name); i >= 0 {
-					level = append(level, i)
+					indexes = append(indexes, i)
 				}
 			}
-			if len(level) > 0 {
-				set.Tiers[from] = append(set.Tiers[from], level)
+			if len(indexes) > 0 {
+				settings.Tiers[from] = append(settings.Tiers[from], indexes)
 			}
 		}
 	}
-	return set, drained
+	return settings, drained
 }
 
 func (s *Zones) write(b *bytes.Buffer) {
@@ -195,11 +195,11 @@
 	fmt.Fprintf(b, "sites {\n  overprovision = %v\n  panic         = %v\n  spill         = %v\n  retries       = %v\n  lost_below    = %v\n  back_over     = %v\n"+
 		"  settle        = %q\n  ramp          = %q\n  jitter        = %v\n  drain_over    = %q\n",
 		z.Overprovision, z.PanicThreshold, z.SpilloverLimit, z.RetryBudget, z.LostBelow, z.RecoverAbove, formatTime(z.SettlingTime), formatTime(z.RecoveryRamp), z.RampJitter, formatTime(z.DrainTime))
-	d, l := z.Damping, z.Shedding
+	damping, shedding := z.Damping, z.Shedding
 	fmt.Fprintf(b, "\n  damping {\n    penalty   = %v\n    half_life = %q\n    suppress  = %v\n    reuse     = %v\n    longest   = %q\n  }\n",
-		d.Penalty, formatTime(d.HalfLife), d.SuppressAbove, d.ReuseBelow, formatTime(d.MaxSuppression))
+		damping.Penalty, formatTime(damping.HalfLife), damping.SuppressAbove, damping.ReuseBelow, formatTime(damping.MaxSuppression))
 	if z.SheddingEnabled {
-		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", l.Threshold, l.Hysteresis, formatTime(l.SettlingTime))
+		fmt.Fprintf(b, "\n  shedding {\n    up     = %v\n    slack  = %v\n    settle = %q\n  }\n", shedding.Threshold, shedding.Hysteresis, formatTime(shedding.SettlingTime))
 	}
 	for _, n := range s.Zones {
 		fmt.Fprintf(b, "\n  zone %q {\n    drain   = %v\n", n.Name, n.Drain)
--- a/internal/site/zones_test.go
+++ b/internal/site/zones_test.go
@@ -49,15 +49,15 @@
 
 func TestInvalidZones(t *testing.T) {
 	checkErrors(t, map[string]string{
-		"sites {\n  spill = 2\n}":                                               "2:11: spill: 2 is not within 0 and 1",
+		"sites {\n  spill = 2\n}":                                               "2:11: spill: 2 is not between 0 and 1",
 		"sites {\n  lost_below = 0.8\n}":                                        "lost_below is 0.8 and back_over 0.7",
 		"sites {\n  ramp = \"0s\"\n}":                                           "ramp and drain must be over 0",
 		"sites {\n  damping {\n    reuse = 9\n  }\n}":                           "reuse is 9 and suppress 2.5",
 		"sites {\n  zone \"a\" {\n    prefers = [\"b\"]\n  }\n}":                "3:16: prefers: each tier must be a list of strings",
 		"sites {\n  zone \"a\" {\n    prefers = \"b\"\n  }\n}":                  "prefers must be a list of lists",
-		"sites {\n  zone \"a\" {\n    prefers = [[\"b\"], [\"a\"]]\n  }\n}":     "\"a\" comes twice, or is the zone itself",
-		"sites {\n  zone \"a\" {}\n  zone \"a\" {}\n}":                          "3:3: zone \"a\" comes twice",
-		"sites {\n  class \"c\" {\n    requests = 1\n    work = \"0s\"\n  }\n}": "work must be over 0",
+		"sites {\n  zone \"a\" {\n    prefers = [[\"b\"], [\"a\"]]\n  }\n}":     "\"a\" is named twice, or is the zone itself",
+		"sites {\n  zone \"a\" {}\n  zone \"a\" {}\n}":                          "3:3: zone \"a\" is declared twice",
+		"sites {\n  class \"c\" {\n    requests = 1\n    work = \"0s\"\n  }\n}": "work must be greater than 0",
 		"sites {\n  class \"c\" {\n    requests = 1\n  }\n}":                    "needs both requests and work",
 		"sites {\n  shedding {\n    slack = 2\n  }\n}":                          "slack at least 0 and under up - 1",
 		"sites {\n  spil = 1\n}":                                                "2:3: Unsupported argument",
