--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config owns the configuration of a gateway: it reads the file that
-// LB_CONFIG names and derives the Limits from it. It must never start anything
-// or guess what is missing: a configuration that contradicts itself is an error.
+// Package config reads the configuration of a gateway from the file that
+// LB_CONFIG names, and derives the gateway's Limits from it. It starts nothing and
+// guesses no missing value: an inconsistent configuration is an error.
 //
-// list.go has the list of engines at the start, limits.go the limits.
+// list.go has the initial list of engines, limits.go the limits.
 package config
 
 import (
@@ -20,26 +20,27 @@
 	"foxlane/internal/site"
 )
 
-// Names of environment variables.
+// Names of the environment variables. LB_CONFIG is the path of the configuration; the other two, if set, must agree
+// with it.
 const (
 	EnvName   = "LB_NAME"
 	EnvListen = "LB_LISTEN"
 	EnvConfig = "LB_CONFIG"
 )
 
-// Config is the whole configuration of a gateway.
+// Config is the complete configuration of a gateway.
 type Config struct {
 	Name        string
 	Listen      netip.AddrPort
 	Seed        uint64
-	DNS         netip.AddrPort
+	DNS         netip.AddrPort // address of the name service
 	InitialList EngineList
 	Settings    settings.Settings
 	Limits      Limits
-	SitePath    string       // of the operator's own file; empty: none
-	Site        *site.Config // nil: none
-	Trace       bool         // log the life of each request; set by the caller, not read from a file
-	Entropy     [32]byte     // random bytes of the system, for handles; set by the caller, not read from a file
+	SitePath    string       // path of the operator's own file; empty: none
+	Site        *site.Config // settings of the operator's own file; nil: none
+	Trace       bool         // log each step of each request; set by the caller, not read from a file
+	Entropy     [32]byte     // random bytes of the operating system, for handles; set by the caller, not read from a file
 }
 
 type wireConfig struct {
@@ -59,7 +60,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration that the environment names.
+// Load reads the configuration from the file that LB_CONFIG names. It fails if LB_NAME or LB_LISTEN contradicts it.
 func Load() (Config, error) {
 	path := os.Getenv(EnvConfig)
 	if path == "" {
@@ -70,15 +71,15 @@
 		return c, err
 	}
 	if name := os.Getenv(EnvName); name != "" && name != c.Name {
-		return c, fmt.Errorf("%s is %q, but %s says %q", EnvName, name, path, c.Name)
+		return c, fmt.Errorf("%s is %q, but %s has %q", EnvName, name, path, c.Name)
 	}
 	if listen := os.Getenv(EnvListen); listen != "" && listen != c.Listen.String() {
-		return c, fmt.Errorf("%s is %q, but %s says %q", EnvListen, listen, path, c.Listen)
+		return c, fmt.Errorf("%s is %q, but %s has %q", EnvListen, listen, path, c.Listen)
 	}
 	return c, nil
 }
 
-// WithSite adds the settings of the operator's own file. An empty path is no file.
+// WithSite returns the configuration with the settings of the operator's own file. With an empty path it returns c.
 func (c Config) WithSite(path string) (Config, error) {
 	if path == "" {
 		return c, nil
@@ -91,28 +92,28 @@
 		c.Limits.AdmissionStateBytes = int(s.Admission.StateBytes)
 	}
 	if s.Admission != nil && int64(c.Limits.AdmissionStateBytes) > c.Limits.MemoryBytes/4 {
-		return c, fmt.Errorf("site %s: state is %d bytes, over a quarter of the %d that the gateway may use", path, c.Limits.AdmissionStateBytes,
+		return c, fmt.Errorf("site %s: state is %d bytes, more than a quarter of the gateway's memory limit of %d bytes", path, c.Limits.AdmissionStateBytes,
 			c.Limits.MemoryBytes)
 	}
 	return c, nil
 }
 
-// spoolFolder says whether results are stored, and in which folder.
-func (c Config) spoolFolder() (on bool, folder string) {
+// spoolFolder reports whether results are stored, and in which folder.
+func (c Config) spoolFolder() (enabled bool, folder string) {
 	if c.Site == nil || c.Site.Spool == nil {
 		return false, ""
 	}
 	return true, c.Site.Spool.Folder
 }
 
-// admissionEnabled says whether admission control is on.
+// admissionEnabled reports whether admission control is on.
 func (c Config) admissionEnabled() bool { return c.Site != nil && c.Site.Admission != nil }
 
-// Reload reads the configuration again, and the operator's own file with it,
-// while the gateway serves. The name service's address, the initial list and the
-// operator's settings may change; the seed is not used again. Any other
-// difference is an error. After an error c is returned unchanged: the file may be
-// missing, half written or that of another gateway.
+// Reload reads the configuration and the operator's own file again while the
+// gateway serves. The address of the name service, the initial list and the
+// operator's settings may change; a changed seed is ignored. Any other
+// difference is an error. With an error Reload returns c unchanged: the file may
+// be missing, partly written or that of another gateway.
 func (c Config) Reload() (Config, error) {
 	next, err := Load()
 	if err != nil {
@@ -122,11 +123,11 @@
 		return c, err
 	}
 	if c.admissionEnabled() != next.admissionEnabled() {
-		return c, errors.New("the block fair can't come or go while the gateway serves")
+		return c, errors.New("the block fair can't be added or removed while the gateway serves")
 	}
-	on, folder := c.spoolFolder()
-	if nextOn, nextFolder := next.spoolFolder(); on != nextOn || folder != nextFolder {
-		return c, errors.New("the block spool can't come or go, nor its folder change, while the gateway serves")
+	enabled, folder := c.spoolFolder()
+	if nextEnabled, nextFolder := next.spoolFolder(); enabled != nextEnabled || folder != nextFolder {
+		return c, errors.New("the block spool can't be added or removed, nor its folder change, while the gateway serves")
 	}
 	for _, fixed := range []struct {
 		name     string
@@ -145,7 +146,7 @@
 	return c, nil
 }
 
-// LoadFile reads the configuration from a file.
+// LoadFile reads the configuration from the file at path, without the environment.
 func LoadFile(path string) (Config, error) {
 	raw, err := files.Read(path)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration.
+// Parse decodes a configuration from JSON and derives its limits.
 func Parse(raw []byte) (c Config, err error) {
 	var f wireConfig
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -180,33 +181,34 @@
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return c, err
 	}
-	if err := uniqueNames(c.Settings.ClassNames); err != nil {
+	if err := checkClassNames(c.Settings.ClassNames); err != nil {
 		return c, err
 	}
-	if c.InitialList, err = replay(f.Known.Seq, f.Known.Results); err != nil {
+	if c.InitialList, err = replayEvents(f.Known.Seq, f.Known.Results); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
 	if c.Limits, err = deriveLimits(f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets, c.Settings); err != nil {
 		return c, err
 	}
-	// The decision module has to expect what a dial may take here.
+	// The decision module has to know how long a dial may take: ConnectTimeout has a default if the settings have none.
 	c.Settings.Rules.Limits.ConnectTimeout = c.Limits.ConnectTimeout
-	// Clients can't have more open requests than connections.
-	open := &c.Settings.Rules.Limits.MaxOpenRequests
-	if *open <= 0 || *open > c.Limits.ClientQuota {
-		*open = c.Limits.ClientQuota
+	// Each client connection has one request at a time, so ClientQuota bounds the open requests.
+	maxOpen := &c.Settings.Rules.Limits.MaxOpenRequests
+	if *maxOpen <= 0 || *maxOpen > c.Limits.ClientQuota {
+		*maxOpen = c.Limits.ClientQuota
 	}
 	return c, nil
 }
 
-func uniqueNames(names []string) error {
+// checkClassNames checks that names are unique, not empty, and valid as a value in a list of fields.
+func checkClassNames(names []string) error {
 	seen := map[string]bool{}
 	for i, name := range names {
 		switch {
 		case name == "" || seen[name]:
-			return fmt.Errorf("settings: class %d has no name of its own: %q", i, name)
+			return fmt.Errorf("settings: class %d has an empty or duplicate name: %q", i, name)
 		case strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c >= 0x7f || strings.ContainsRune(",=*/", c) }):
-			return fmt.Errorf("settings: class %d: its name %q can't be carried in a list of fields", i, name)
+			return fmt.Errorf("settings: class %d: the name %q can't be written in a list of fields", i, name)
 		}
 		seen[name] = true
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,14 +36,14 @@
 		t.Errorf("limits: %+v, open %d", l, c.Settings.Rules.Limits.MaxOpenRequests)
 	}
 	if sum := l.MaxClients + l.MaxConns + reservedDescriptors; sum > l.Sockets {
-		t.Errorf("%d descriptors are shared out of %d", sum, l.Sockets)
+		t.Errorf("%d descriptors are allotted, %d are available", sum, l.Sockets)
 	}
 	if sum := int64(l.MaxInputBytes+l.ResultBufferBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
-		t.Errorf("%d bytes are shared out of %d", sum, l.MemoryBytes)
+		t.Errorf("%d bytes are allotted, %d are available", sum, l.MemoryBytes)
 	}
 }
 
-func TestContradictions(t *testing.T) {
+func TestParseRejectsInvalidConfig(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"no name":           {`"name":"n3"`, `"name":""`},
 		"bad listen":        {`10.0.0.4:7001`, `somewhere`},
@@ -65,15 +65,15 @@
 	} {
 		text := strings.Replace(sample, change[0], change[1], 1)
 		if text == sample {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the replacement changed nothing", name)
 		}
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s passed", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// The environment and the file must agree.
+// Load fails if the environment contradicts the file.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Reload takes a new name service from the file, and nothing from a file that can't be used.
+// Reload takes a new address of the name service from the file, and nothing from an invalid file.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -115,10 +115,10 @@
 	write(moved)
 	next, err := first.Reload()
 	if err != nil || next.DNS.String() != "10.2.0.9:5301" || next.InitialList.Seq != 4 || next.Seed != first.Seed {
-		t.Errorf("a new name service: %v, %v, known up to %d", err, next.DNS, next.InitialList.Seq)
+		t.Errorf("a new name service: %v, %v, events up to %d", err, next.DNS, next.InitialList.Seq)
 	}
 	for name, text := range map[string]string{
-		"half written":     moved[:len(moved)/2],
+		"partly written":   moved[:len(moved)/2],
 		"empty":            "",
 		"another name":     strings.Replace(moved, `"name":"n3"`, `"name":"n4"`, 1),
 		"another address":  strings.Replace(moved, `10.0.0.4:7001`, `10.0.0.4:7002`, 1),
@@ -127,21 +127,21 @@
 	} {
 		write(text)
 		if kept, err := first.Reload(); err == nil || kept.DNS != first.DNS || kept.InitialList.Seq != 3 {
-			t.Errorf("%s: %v, name service %v, known up to %d", name, err, kept.DNS, kept.InitialList.Seq)
+			t.Errorf("%s: %v, name service %v, events up to %d", name, err, kept.DNS, kept.InitialList.Seq)
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	if kept, err := first.Reload(); err == nil || kept.DNS != first.DNS {
-		t.Errorf("a file that is gone: %v, name service %v", err, kept.DNS)
+		t.Errorf("a missing file: %v, name service %v", err, kept.DNS)
 	}
 }
 
-// Reload takes the operator's own file with the configuration, or nothing of it.
-func TestReloadOfTheSite(t *testing.T) {
+// Reload takes the operator's own file together with the configuration, or neither of them.
+func TestReloadSiteFile(t *testing.T) {
 	dir := t.TempDir()
-	path, own := filepath.Join(dir, "config.json"), filepath.Join(dir, "foxlane.hcl")
+	path, sitePath := filepath.Join(dir, "config.json"), filepath.Join(dir, "foxlane.hcl")
 	write := func(path, text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -149,16 +149,16 @@
 		}
 	}
 	write(path, sample)
-	write(own, "fair {\n state = \"2MB\"\n}\n")
+	write(sitePath, "fair {\n state = \"2MB\"\n}\n")
 	t.Setenv(EnvConfig, path)
 	first, err := Load()
 	if err == nil {
-		first, err = first.WithSite(own)
+		first, err = first.WithSite(sitePath)
 	}
 	if err != nil || first.Site.Admission == nil || first.Limits.AdmissionStateBytes != 2<<20 {
 		t.Fatalf("%v, %+v", err, first.Site)
 	}
-	write(own, "fair {\n state = \"2MB\"\n ahead = 7\n}\n")
+	write(sitePath, "fair {\n state = \"2MB\"\n ahead = 7\n}\n")
 	write(path, strings.Replace(sample, "10.2.0.1:5300", "10.2.0.9:5300", 1))
 	next, err := first.Reload()
 	if err != nil || next.Site.Admission.Settings.ModuleQueueDepth != 7 || next.DNS.String() != "10.2.0.9:5300" {
@@ -171,7 +171,7 @@
 		"other state":  "fair {\n state = \"3MB\"\n}",
 		"all memory":   "fair {\n state = \"500MB\"\n}",
 	} {
-		write(own, text)
+		write(sitePath, text)
 		write(path, sample)
 		kept, err := next.Reload()
 		if err == nil || kept.Site != next.Site || kept.DNS != next.DNS {
@@ -180,56 +180,59 @@
 	}
 }
 
-// From the smallest machine to the largest, all sizes are within those of the machine.
-func TestLimitsFollowTheMachine(t *testing.T) {
-	for _, m := range []struct{ memory, sockets string }{{"32", "256"}, {"48", "256"}, {"64", "384"}, {"192", "1024"}} {
-		text := strings.NewReplacer(`"memory_mb":192`, `"memory_mb":`+m.memory, `"sockets":1024`, `"sockets":`+m.sockets).Replace(sample)
+// On machines from small to large, the limits add up to no more than the machine's descriptors and memory.
+func TestLimitsFitTheMachine(t *testing.T) {
+	for _, machine := range []struct{ memory, sockets string }{{"32", "256"}, {"48", "256"}, {"64", "384"}, {"192", "1024"}} {
+		text := strings.NewReplacer(`"memory_mb":192`, `"memory_mb":`+machine.memory, `"sockets":1024`, `"sockets":`+machine.sockets).Replace(sample)
 		c, err := Parse([]byte(text))
 		if err != nil {
-			t.Errorf("%+v: %v", m, err)
+			t.Errorf("%+v: %v", machine, err)
 			continue
 		}
 		l := c.Limits
 		if sum := l.MaxClients + l.MaxConns + reservedDescriptors; sum > l.Sockets || l.ClientQuota > l.MaxClients {
-			t.Errorf("%+v: %d descriptors are shared out, %d of %d clients' connections are used", m, sum, l.ClientQuota, l.MaxClients)
+			t.Errorf("%+v: %d descriptors are allotted, the quota is %d of %d client connections", machine, sum, l.ClientQuota, l.MaxClients)
 		}
 		if sum := int64(l.MaxInputBytes+l.ResultBufferBytes) + l.MemoryBytes/4; sum > l.MemoryBytes {
-			t.Errorf("%+v: %d bytes are shared out of %d", m, sum, l.MemoryBytes)
+			t.Errorf("%+v: %d bytes are allotted, %d are available", machine, sum, l.MemoryBytes)
 		}
 	}
 }
 
-// For any number of descriptors, all that may be open at a time fit: clients and connections accepted over their number,
-// those in lingering close included, connections to engines, and what the process needs itself, also during a reload.
-func TestDescriptorsAddUp(t *testing.T) {
-	const own = 3 + 4 + 1 + 2 + 1 + 1 + 2 // streams, pollers and their wake-ups, listener, name service, a file, the reservation, connections being handed over
+// For every limit on descriptors, all that can be open at the same time fit it: client connections, those accepted over
+// their limit (including those in lingering close), connections to engines, reserved numbers, and the process's own
+// descriptors, also during a reload.
+func TestDescriptorLimitsFit(t *testing.T) {
+	// Standard streams, pollers and their wake-ups, listener, name service, a file, the reservation, connections being
+	// transferred.
+	const processDescriptors = 3 + 4 + 1 + 2 + 1 + 1 + 2
 	for sockets := minSockets; sockets <= 1024; sockets++ {
 		l, err := deriveLimits(0.25, minMemoryMB, sockets, settings.Settings{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := l.MaxClients + l.AcceptOverflow + l.MaxConns + l.MaxReservedDescriptors + own; n > sockets {
-			t.Fatalf("%d descriptors at a time, %d are allowed", n, sockets)
+		if n := l.MaxClients + l.AcceptOverflow + l.MaxConns + l.MaxReservedDescriptors + processDescriptors; n > sockets {
+			t.Fatalf("%d descriptors can be open at a time, %d are allowed", n, sockets)
 		}
 		if l.MaxLingering >= l.AcceptOverflow || l.ResolverTimeout >= l.MaxListDelay {
 			t.Fatalf("%d sockets: %+v", sockets, l)
 		}
 	}
-	for _, bad := range []struct {
+	for _, invalid := range []struct {
 		cores, memory float64
 		sockets       int
 		key           string
 	}{{0, 64, 256, "cores"}, {1, 0, 256, "memory_mb"}, {1, 64, 0, "sockets"}} {
-		if _, err := deriveLimits(bad.cores, bad.memory, bad.sockets, settings.Settings{}); err == nil || !strings.Contains(err.Error(), bad.key) {
-			t.Errorf("%+v: got %v", bad, err)
+		if _, err := deriveLimits(invalid.cores, invalid.memory, invalid.sockets, settings.Settings{}); err == nil || !strings.Contains(err.Error(), invalid.key) {
+			t.Errorf("%+v: got %v", invalid, err)
 		}
 	}
-	if err := uniqueNames([]string{"served", "kind", "timeout", "active", "q|#"}); err != nil {
-		t.Errorf("names that look like words of a protocol: %v", err)
+	if err := checkClassNames([]string{"served", "kind", "timeout", "active", "q|#"}); err != nil {
+		t.Errorf("names that are also words of a protocol: %v", err)
 	}
 	for _, name := range []string{"", "a b", "a,b", "a=b", "a*/b", "a\r\n", "ä"} {
-		if err := uniqueNames([]string{name}); err == nil {
-			t.Errorf("a class named %q", name)
+		if err := checkClassNames([]string{name}); err == nil {
+			t.Errorf("the class name %q was accepted", name)
 		}
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -9,68 +9,68 @@
 )
 
 // Limits are the sizes, counts and times that bound a gateway on sockets. They
-// are derived once, at the start, from the machine and the settings. Everything
-// that can grow is bounded by one of them.
+// are derived once, at the start, from the machine and the settings. One of them
+// bounds each buffer, queue and table that can grow.
 type Limits struct {
 	// The machine.
-	MemoryBytes int64 // soft limit of Go's collector
-	Sockets     int   // descriptors that the process may open
+	MemoryBytes int64 // soft memory limit of the Go runtime
+	Sockets     int   // file descriptors that the process may open
 
 	// Clients.
-	MaxClients             int        // connections
-	ClientQuota            int        // of these, connections that clients use at most, with one request each at a time
-	AcceptOverflow         int        // connections accepted over MaxClients before the reducer has closed others
-	MaxLingering           int        // of these, connections in lingering close: closed for writing, and read to their end
-	MaxReservedDescriptors int        // numbers of closed descriptors that are kept reserved for a moment
-	MaxLoginBytes          int        // of a packet before the login
-	MaxStatementBytes      int        // of a packet after it
-	ClientSendBuffer       int        // bytes that wait for a client that does not read
-	MaxInputBytes          int        // of all clients' statements: of open requests, and of incomplete packets
-	MaxRequests            int        // open
+	MaxClients             int        // client connections
+	ClientQuota            int        // of MaxClients, connections in use at a time, with one request each
+	AcceptOverflow         int        // connections accepted over MaxClients until the reducer closes others
+	MaxLingering           int        // of AcceptOverflow, in lingering close: write side closed, read to the end
+	MaxReservedDescriptors int        // closed descriptors whose numbers stay reserved for a short time
+	MaxLoginBytes          int        // size of a packet before the login
+	MaxStatementBytes      int        // size of a packet after the login
+	ClientSendBuffer       int        // bytes buffered for a client that does not read
+	MaxInputBytes          int        // statements of all open requests; the same bound holds for all incomplete packets
+	MaxRequests            int        // open requests
 	LoginTimeout           rules.Time // from connecting to the first command, and from a packet's first byte to its last
-	ClientIdleTimeout      rules.Time
-	MaxSessionErrors       int        // unusable commands of a session before it is closed
-	AdmissionStateBytes    int        // of what admission control remembers about principals
-	MaxTimeoutFactor       rules.Time // a client's timeout may be this many times that of its class; a longer one is a mistake
-	MaxNetworkMargin       rules.Time // subtracted from a client's timeout for the time on the network, at most
-	NetworkMarginDivisor   rules.Time // the margin is at most this part of the client's timeout
+	ClientIdleTimeout      rules.Time // without a request, until the connection is closed
+	MaxSessionErrors       int        // invalid commands of a session until it is closed
+	AdmissionStateBytes    int        // state of admission control about principals
+	MaxTimeoutFactor       rules.Time // a client's timeout over this multiple of its class's is a mistake
+	MaxNetworkMargin       rules.Time // upper bound of the margin subtracted from a client's timeout for network latency
+	NetworkMarginDivisor   rules.Time // the margin is at most the client's timeout divided by this
 
 	// Engines.
 	MaxEngineConns     int // connections to one engine
 	MaxConns           int // connections to all engines
 	Multiplex          int // requests on one connection
-	MaxLineBytes       int // of the first line of an answer
+	MaxLineBytes       int // size of the first line of an answer
 	MaxPageBytes       int
-	MaxPages           int // of a result
+	MaxPages           int // pages of a result
 	MaxResultBytes     int
-	EngineSendBuffer   int // bytes that wait for an engine that does not read
-	ResultBufferBytes  int // of all results whose last page has not arrived
+	EngineSendBuffer   int // bytes buffered for an engine that does not read
+	ResultBufferBytes  int // size of all results whose last page has not arrived
 	EngineIdleTimeout  rules.Time
-	AnswerStallTimeout rules.Time // without a further byte of an incomplete answer, until its connection is closed
+	AnswerStallTimeout rules.Time // without a byte of an incomplete answer, until its connection is closed
 	ConnectTimeout     rules.Time
 	ProbeTimeout       rules.Time
 
 	// The name service.
 	PollInterval     rules.Time
 	MaxDatagramBytes int
-	MaxListDelay     rules.Time // after it, all that the name service has announced counts as received
-	ResolverTimeout  rules.Time // without an answer, until the name service is asked from a new socket
+	MaxListDelay     rules.Time // after this time every announcement of the name service counts as received
+	ResolverTimeout  rules.Time // without an answer, until the name service is queried from a new socket
 
 	// The process.
-	LogBufferBytes     int        // of lines that the reader of the log has not taken
-	EventQueueBytes    int        // of events that wait for the reducer before reading stops
-	EventBufferBytes   int        // of these, memory kept for the next batch
+	LogBufferBytes     int        // log lines not yet written to standard error
+	EventQueueBytes    int        // events queued for the reducer until reading from sockets stops
+	EventBufferBytes   int        // of EventQueueBytes, memory kept for the next batch
 	StallThreshold     rules.Time // delay of the reducer's timer from which on the process counts as stalled
-	SettleTime         rules.Time // after a stall nothing is sent until clients were silent for this long
-	MaxSettleTime      rules.Time // by which clients can prolong that
-	LongStallThreshold rules.Time // from which a stall is long
+	SettleTime         rules.Time // after a stall nothing is sent until clients have been silent for this time
+	MaxSettleTime      rules.Time // upper bound by which clients can prolong SettleTime
+	LongStallThreshold rules.Time // duration from which a stall counts as long
 	LongSettleTime     rules.Time // SettleTime after a long stall
 	MinBatchInterval   rules.Time // between two batches of the reducer
 	StatsInterval      rules.Time // between log lines with counts
 	SweepInterval      rules.Time // between two checks of all connections
-	ShutdownTimeout    rules.Time // after SIGTERM, until every request is answered
-	MinDrainPeriod     rules.Time // after SIGTERM, for which connections are still accepted
-	FlushTimeout       rules.Time // for the last bytes of a connection, and for the peer to close it
+	ShutdownTimeout    rules.Time // after SIGTERM, until every request must be answered
+	MinDrainPeriod     rules.Time // after SIGTERM, while connections are still accepted
+	FlushTimeout       rules.Time // for sending the last bytes of a connection, and for the peer to close it
 }
 
 const (
@@ -84,11 +84,11 @@
 func deriveLimits(cores, memoryMB float64, sockets int, s settings.Settings) (Limits, error) {
 	switch {
 	case cores <= 0:
-		return Limits{}, errors.New("limits: cores must be over 0")
+		return Limits{}, errors.New("limits: cores must be greater than 0")
 	case memoryMB < minMemoryMB:
-		return Limits{}, fmt.Errorf("limits: memory_mb is %v, at least %d is needed", memoryMB, minMemoryMB)
+		return Limits{}, fmt.Errorf("limits: memory_mb is %v, must be at least %d", memoryMB, minMemoryMB)
 	case sockets < minSockets:
-		return Limits{}, fmt.Errorf("limits: sockets is %d, at least %d is needed", sockets, minSockets)
+		return Limits{}, fmt.Errorf("limits: sockets is %d, must be at least %d", sockets, minSockets)
 	}
 	memory := int64(memoryMB * bytesPerMB)
 	l := Limits{MemoryBytes: memory * 6 / 10, Sockets: sockets}
@@ -99,35 +99,35 @@
 	return l, nil
 }
 
-// available is how many descriptors connections may take.
-func (l *Limits) available() int { return l.Sockets - reservedDescriptors }
+// connectionDescriptors returns how many descriptors connections may use.
+func (l *Limits) connectionDescriptors() int { return l.Sockets - reservedDescriptors }
 
 func (l *Limits) setClients(memory int64, s settings.Settings) {
-	l.MaxClients = l.available() / 2
+	l.MaxClients = l.connectionDescriptors() / 2
 	l.ClientQuota = l.Sockets / 3
 	l.AcceptOverflow = reservedDescriptors / 2
 	l.MaxLingering = reservedDescriptors / 4
 	l.MaxReservedDescriptors = reservedDescriptors / 8
 	l.MaxLoginBytes = 4096
-	l.MaxStatementBytes = 64 << 10    // statements seen have a few hundred bytes
+	l.MaxStatementBytes = 64 << 10    // observed statements have a few hundred bytes
 	l.ClientSendBuffer = 128 << 10    // two results
-	l.MaxInputBytes = int(memory / 8) // and as much for incomplete packets
-	l.MaxRequests = l.available() / 2
+	l.MaxInputBytes = int(memory / 8) // and the same again for incomplete packets
+	l.MaxRequests = l.connectionDescriptors() / 2
 	l.LoginTimeout = 2200 * rules.Millisecond
-	l.ClientIdleTimeout = 4600 * rules.Millisecond // clients leave idle connections after 4 s
+	l.ClientIdleTimeout = 4600 * rules.Millisecond // clients close idle connections after 4 s
 	l.MaxSessionErrors = 16
 	l.AdmissionStateBytes = int(memory / 32)
 	l.MaxTimeoutFactor = 10
 	l.MaxNetworkMargin = 200 * rules.Millisecond
 	l.NetworkMarginDivisor = 5
-	if most := s.Rules.Limits.MaxOpenRequests; most > 0 {
-		l.MaxRequests = min(l.MaxRequests, most)
+	if limit := s.Rules.Limits.MaxOpenRequests; limit > 0 {
+		l.MaxRequests = min(l.MaxRequests, limit)
 	}
 }
 
 func (l *Limits) setEngines(memory int64, s settings.Settings) {
 	l.MaxEngineConns = 32
-	l.MaxConns = l.available() / 3
+	l.MaxConns = l.connectionDescriptors() / 3
 	l.Multiplex = max(s.Multiplex, 1)
 	l.MaxLineBytes = 1024
 	l.MaxPageBytes = 8 << 10
@@ -136,9 +136,9 @@
 	l.EngineSendBuffer = int(memory / 32)
 	l.ResultBufferBytes = int(memory / 8)
 	l.AnswerStallTimeout = 300 * rules.Millisecond
-	l.EngineIdleTimeout = max(s.EngineIdleTimeout-2*rules.Second, s.EngineIdleTimeout/2) // before the engine closes them
+	l.EngineIdleTimeout = max(s.EngineIdleTimeout-2*rules.Second, s.EngineIdleTimeout/2) // before the engine closes it
 	if s.EngineIdleTimeout <= 0 {
-		l.EngineIdleTimeout = 60 * rules.Second // the settings do not say that engines close idle connections
+		l.EngineIdleTimeout = 60 * rules.Second // the settings have no time after which engines close idle connections
 	}
 	l.ConnectTimeout = s.Rules.Limits.ConnectTimeout
 	if l.ConnectTimeout <= 0 {
@@ -156,7 +156,7 @@
 
 func (l *Limits) setProcess(memory int64, s settings.Settings) {
 	l.LogBufferBytes = int(memory / 256)
-	l.EventQueueBytes = int(min(memory/32, bytesPerMB)) // about what the reducer handles in a batch
+	l.EventQueueBytes = int(min(memory/32, bytesPerMB)) // about the size of a batch that the reducer handles
 	l.EventBufferBytes = int(memory / 256)
 	l.StallThreshold = 30 * rules.Millisecond
 	l.SettleTime = 20 * rules.Millisecond
@@ -169,12 +169,12 @@
 	l.MinDrainPeriod = 900 * rules.Millisecond
 	l.FlushTimeout = 300 * rules.Millisecond
 	l.ShutdownTimeout = 3 * rules.Second
-	longest := rules.Time(0)
+	maxClientTimeout := rules.Time(0)
 	for _, c := range s.Rules.Classes {
-		longest = max(longest, c.ClientTimeout)
+		maxClientTimeout = max(maxClientTimeout, c.ClientTimeout)
 	}
-	if longest > 0 { // else no class says how long its clients wait
-		l.ShutdownTimeout = min(l.ShutdownTimeout, longest)
+	if maxClientTimeout > 0 { // otherwise no class has a client timeout
+		l.ShutdownTimeout = min(l.ShutdownTimeout, maxClientTimeout)
 	}
 	l.ShutdownTimeout += l.FlushTimeout
 }
--- a/internal/config/list.go
+++ b/internal/config/list.go
@@ -6,9 +6,9 @@
 	"net/netip"
 )
 
-// EngineList is the list of engines that is known at the start.
+// EngineList is the list of engines as of the gateway's start.
 type EngineList struct {
-	Seq     uint32
+	Seq     uint32 // sequence number of the last event that it includes
 	Engines []Engine
 }
 
@@ -21,10 +21,10 @@
 	Cell    int
 	State   string
 	Weight  float64
-	Started int64 // Unix milliseconds; 0: long ago
+	Started int64 // Unix time in milliseconds; 0: long ago
 }
 
-// States of an Engine.
+// States of an Engine, as the configuration names them.
 const (
 	StateActive   = "active"
 	StateDraining = "leaving"
@@ -50,57 +50,58 @@
 	} `json:"fleet"`
 }
 
-// replay applies the watch events up to the start, and returns the list that they leave.
-func replay(last uint32, events []wireListEvent) (k EngineList, err error) {
-	k.Seq = last
-	at := map[string]int{}
+// replayEvents applies the events of the list up to lastSeq, and returns the engines that are listed after them.
+func replayEvents(lastSeq uint32, events []wireListEvent) (list EngineList, err error) {
+	list.Seq = lastSeq
+	indexByID := map[string]int{}
 	for _, e := range events {
-		if e.Seq > last {
-			return k, fmt.Errorf("event %d is later than seq %d", e.Seq, last)
+		if e.Seq > lastSeq {
+			return list, fmt.Errorf("event %d is later than seq %d", e.Seq, lastSeq)
 		}
 		if e.Fleet == nil {
 			continue
 		}
 		if e.Fleet.Full {
-			k.Engines = nil
-			clear(at)
+			list.Engines = nil
+			clear(indexByID)
 		}
-		for _, s := range e.Fleet.Servers {
-			entry, err := s.engine()
+		for _, server := range e.Fleet.Servers {
+			entry, err := server.decode()
 			if err != nil {
-				return k, fmt.Errorf("event %d: engine %q: %w", e.Seq, s.ID, err)
+				return list, fmt.Errorf("event %d: engine %q: %w", e.Seq, server.ID, err)
 			}
-			i, ok := at[entry.ID]
+			i, ok := indexByID[entry.ID]
 			if !ok {
-				i = len(k.Engines)
-				at[entry.ID] = i
-				k.Engines = append(k.Engines, Engine{})
+				i = len(list.Engines)
+				indexByID[entry.ID] = i
+				list.Engines = append(list.Engines, Engine{})
 			}
-			k.Engines[i] = entry
+			list.Engines[i] = entry
 		}
 	}
-	listed := k.Engines[:0]
-	for _, e := range k.Engines {
+	listed := list.Engines[:0]
+	for _, e := range list.Engines {
 		if e.State != StateRemoved {
 			listed = append(listed, e)
 		}
 	}
-	k.Engines = listed
-	return k, nil
+	list.Engines = listed
+	return list, nil
 }
 
-func (s wireEngine) engine() (Engine, error) {
-	e := Engine{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: s.Weight, Started: s.Started}
-	if s.ID == "" || s.Cell < 0 || s.Started < 0 {
-		return e, errors.New("an unusable value")
+// decode checks and converts an engine. A removed engine needs no address.
+func (server wireEngine) decode() (Engine, error) {
+	e := Engine{ID: server.ID, Zone: server.Zone, Kind: server.Kind, Cell: server.Cell, State: server.State, Weight: server.Weight, Started: server.Started}
+	if server.ID == "" || server.Cell < 0 || server.Started < 0 {
+		return e, errors.New("empty id, or negative cell or started_ms")
 	}
-	switch s.State {
+	switch server.State {
 	case StateActive, StateDraining:
-		addr, err := netip.ParseAddrPort(s.Addr)
+		addr, err := netip.ParseAddrPort(server.Addr)
 		e.Addr = addr
 		return e, err
 	case StateRemoved:
 		return e, nil
 	}
-	return e, fmt.Errorf("unknown state %q", s.State)
+	return e, fmt.Errorf("unknown state %q", server.State)
 }
--- a/internal/settings/bad_test.go
+++ b/internal/settings/bad_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Settings that no gateway can obey are rejected with one line that names the key; a 0 is accepted as it is.
+// Invalid settings are rejected with a one-line error that names the key. A value of 0 is valid.
 func TestUnusualSettings(t *testing.T) {
 	const class = `{"classes":[{"name":"served","effect":"token","group":"cell","dedupWindow":900000,"giveUp":800000}]`
-	for _, c := range []struct{ text, names string }{
+	for _, c := range []struct{ text, want string }{
 		{class + `}`, ""},
 		{class + `,"rules":{"tipAfter":0,"cold":5000000,"coldFrom":0,"overloadFactor":0,"lookBack":0,"freeResends":0}}`, ""},
 		{class + `,"limits":{"connectTimeout":0,"multiplex":0,"maxAttempts":0,"maxOpen":0,"connIdle":0},"tick":0}`, ""},
@@ -28,10 +28,10 @@
 	} {
 		_, err := Decode(json.RawMessage(c.text))
 		switch {
-		case c.names == "" && err != nil:
+		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", c.text, err)
-		case c.names != "" && (err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%s: got %v, want a line that names %s", c.text, err, c.names)
+		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
+			t.Errorf("%s: got %v, want a line that names %s", c.text, err, c.want)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings object that a gateway is started with,
-// on the simulator's wire and on sockets alike. It must never decide or default
-// anything that the object does not say: what is absent stays zero.
+// Package settings decodes the settings object with which a gateway is started,
+// in the simulator and on sockets. It makes no decisions and has no defaults: an
+// absent value stays zero.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"foxlane/rules"
 )
 
-// enumValue returns the index of a word among the possible ones; an absent word is the first.
-func enumValue[T ~int](what, word string, words ...string) (T, error) {
+// parseEnum returns the index of word in words, and 0 for an absent (empty) word.
+func parseEnum[T ~int](key, word string, words ...string) (T, error) {
 	for i, w := range words {
 		if w == word {
 			return T(i), nil
@@ -22,22 +22,22 @@
 	if word == "" {
 		return 0, nil
 	}
-	return 0, fmt.Errorf("settings: %s has unknown value %q", what, word)
+	return 0, fmt.Errorf("settings: %s has unknown value %q", key, word)
 }
 
 // Settings is the decoded settings object: the settings of the decision module,
-// and the names and values that only a gateway needs.
+// and the names and values that only the gateway around it needs.
 type Settings struct {
 	Rules             rules.Settings
 	ClassNames        []string
 	ZoneNames         []string
 	KindNames         []string
 	TenantNames       []string
-	EngineIdleTimeout rules.Time // after which engines close idle connections
-	Multiplex         int        // requests that one connection to an engine carries
+	EngineIdleTimeout rules.Time // time after which engines close idle connections
+	Multiplex         int        // concurrent requests on one connection to an engine
 }
 
-// Decode reads a settings object.
+// Decode decodes and checks a settings object. Unknown keys are ignored.
 func Decode(raw json.RawMessage) (Settings, error) {
 	var w wireSettings
 	if len(raw) == 0 || string(raw) == "null" {
@@ -54,8 +54,8 @@
 		Rules: r, ZoneNames: w.ZoneNames, KindNames: w.Kinds,
 		EngineIdleTimeout: rules.Time(w.Limits.EngineIdleTimeout), Multiplex: w.Limits.Multiplex,
 	}
-	for _, c := range w.Classes {
-		s.ClassNames = append(s.ClassNames, c.Name)
+	for _, class := range w.Classes {
+		s.ClassNames = append(s.ClassNames, class.Name)
 	}
 	for _, p := range w.Tenants {
 		s.TenantNames = append(s.TenantNames, p.Name)
@@ -68,7 +68,7 @@
 	if len(w.Classes) == 0 {
 		return rules.Settings{}, errors.New("settings: no classes")
 	}
-	if err := w.check(); err != nil {
+	if err := w.validate(); err != nil {
 		return rules.Settings{}, err
 	}
 	s := rules.Settings{
@@ -93,10 +93,10 @@
 		},
 	}
 	var err error
-	if s.LoadReport, err = enumValue[rules.LoadReportMode]("report.how", w.LoadReport.Mode, "silent", "piggyback", "pull"); err != nil {
+	if s.LoadReport, err = parseEnum[rules.LoadReportMode]("report.how", w.LoadReport.Mode, "silent", "piggyback", "pull"); err != nil {
 		return s, err
 	}
-	s.Overcommit, err = enumValue[rules.OvercommitMode]("extra.onShortage", w.Extra.Overcommit, "wait", "shrink", "page")
+	s.Overcommit, err = parseEnum[rules.OvercommitMode]("extra.onShortage", w.Extra.Overcommit, "wait", "shrink", "page")
 	if err != nil {
 		return s, err
 	}
@@ -142,19 +142,19 @@
 		KeyQuarantine:         rules.Time(w.Constraints.KeyQuarantine),
 		RetryBudgetWindow:     rules.Time(w.Constraints.RetryBudgetWindow),
 	}
-	// Either key enables the retry budget; the absent one is 0 then.
+	// Either key enables the retry budget; if the other is absent, its value is 0.
 	if ratio := w.Constraints.RetryBudgetRatio; ratio != nil {
 		c.RetryBudgetEnabled, c.RetryBudgetRatio = true, *ratio
 	}
-	if least := w.Constraints.RetryBudgetMin; least != nil {
-		c.RetryBudgetEnabled, c.RetryBudgetMin = true, *least
+	if minRetries := w.Constraints.RetryBudgetMin; minRetries != nil {
+		c.RetryBudgetEnabled, c.RetryBudgetMin = true, *minRetries
 	}
 	return c
 }
 
-// check checks the numbers of the object, without those of classes.
-func (w *wireSettings) check() error {
-	if err := notNegative([]amount{
+// validate checks the ranges of the object's numbers, except those of its classes.
+func (w *wireSettings) validate() error {
+	if err := checkNotNegative([]namedNumber{
 		{"rules.coldFrom", w.Constraints.SlowStartInitialSpeed},
 		{"rules.cold", float64(w.Constraints.SlowStartPeriod)},
 		{"rules.tipAfter", float64(w.Constraints.OverloadWindow)},
@@ -174,66 +174,66 @@
 		return err
 	}
 	if speed := w.Constraints.SlowStartInitialSpeed; speed > 1 {
-		return fmt.Errorf("settings: rules.coldFrom is %v, at most 1 is a part", speed)
+		return fmt.Errorf("settings: rules.coldFrom is %v, must be at most 1", speed)
 	}
 	return nil
 }
 
-// amount is a number under its key in the settings object.
-type amount struct {
+// namedNumber is a number of the settings object with its key, for errors.
+type namedNumber struct {
 	key   string
 	value float64
 }
 
-func notNegative(amounts []amount) error {
-	for _, a := range amounts {
-		if math.IsNaN(a.value) || a.value < 0 {
-			return fmt.Errorf("settings: %s is %v, at least 0 is needed", a.key, a.value)
+func checkNotNegative(numbers []namedNumber) error {
+	for _, number := range numbers {
+		if math.IsNaN(number.value) || number.value < 0 {
+			return fmt.Errorf("settings: %s is %v, must be at least 0", number.key, number.value)
 		}
 	}
 	return nil
 }
 
-func decodeClass(c wireClass, w *wireSettings, i int) (rules.Class, error) {
+func decodeClass(wire wireClass, settings *wireSettings, index int) (rules.Class, error) {
 	class := rules.Class{
-		LatencyObjective:  rules.Time(c.LatencyObjective),
-		ObjectiveStretch:  c.ObjectiveStretch,
-		ClientTimeout:     rules.Time(c.ClientTimeout),
-		LateValue:         c.LateValue,
-		PriorityWeight:    c.PriorityWeight,
-		DedupWindow:       rules.Time(c.DedupWindow),
-		Stream:            c.Stream,
-		Ordered:           c.Ordered,
-		AllowedZones:      c.AllowedZones,
-		AllowedKinds:      c.AllowedKinds,
-		Threads:           max(valueAt(w.Extra.ClassThreads, i), 1),
-		IsDataLoad:        valueAt(w.Extra.IsDataLoad, i),
-		BlockedByDataLoad: valueAt(w.Extra.BlockedByDataLoad, i),
+		LatencyObjective:  rules.Time(wire.LatencyObjective),
+		ObjectiveStretch:  wire.ObjectiveStretch,
+		ClientTimeout:     rules.Time(wire.ClientTimeout),
+		LateValue:         wire.LateValue,
+		PriorityWeight:    wire.PriorityWeight,
+		DedupWindow:       rules.Time(wire.DedupWindow),
+		Stream:            wire.Stream,
+		Ordered:           wire.Ordered,
+		AllowedZones:      wire.AllowedZones,
+		AllowedKinds:      wire.AllowedKinds,
+		Threads:           max(valueAt(settings.Extra.ClassThreads, index), 1),
+		IsDataLoad:        valueAt(settings.Extra.IsDataLoad, index),
+		BlockedByDataLoad: valueAt(settings.Extra.BlockedByDataLoad, index),
 	}
 	var err error
-	if c.Idempotency == "" { // a class that is not known to be idempotent must not be taken for one
-		return class, fmt.Errorf("class %d (%q): settings: effect is missing", i, c.Name)
-	}
-	if class.Idempotency, err = enumValue[rules.Idempotency]("effect", c.Idempotency, "pure", "token", "side_effect"); err != nil {
-		return class, fmt.Errorf("class %d (%q): %w", i, c.Name, err)
-	}
-	if class.DedupScope, err = enumValue[rules.DedupScope]("group", c.DedupScope, "all", "zone", "cell"); err != nil {
-		return class, fmt.Errorf("class %d: %w", i, err)
-	}
-	if err := notNegative([]amount{
-		{"worth", c.PriorityWeight},
-		{"aim", float64(c.LatencyObjective)},
-		{"aimStretch", c.ObjectiveStretch},
-		{"giveUp", float64(c.ClientTimeout)},
-		{"lateValue", c.LateValue},
-		{"dedupWindow", float64(c.DedupWindow)},
+	if wire.Idempotency == "" { // required: without it the class would count as idempotent, the value 0
+		return class, fmt.Errorf("class %d (%q): settings: effect is missing", index, wire.Name)
+	}
+	if class.Idempotency, err = parseEnum[rules.Idempotency]("effect", wire.Idempotency, "pure", "token", "side_effect"); err != nil {
+		return class, fmt.Errorf("class %d (%q): %w", index, wire.Name, err)
+	}
+	if class.DedupScope, err = parseEnum[rules.DedupScope]("group", wire.DedupScope, "all", "zone", "cell"); err != nil {
+		return class, fmt.Errorf("class %d: %w", index, err)
+	}
+	if err := checkNotNegative([]namedNumber{
+		{"worth", wire.PriorityWeight},
+		{"aim", float64(wire.LatencyObjective)},
+		{"aimStretch", wire.ObjectiveStretch},
+		{"giveUp", float64(wire.ClientTimeout)},
+		{"lateValue", wire.LateValue},
+		{"dedupWindow", float64(wire.DedupWindow)},
 	}); err != nil {
-		return class, fmt.Errorf("class %d (%q): %w", i, c.Name, err)
+		return class, fmt.Errorf("class %d (%q): %w", index, wire.Name, err)
 	}
 	return class, nil
 }
 
-// valueAt is the i-th value of a list, or zero where the list is shorter.
+// valueAt returns the value at index i, or the zero value if the list is shorter.
 func valueAt[T any](list []T, i int) T {
 	if i < len(list) {
 		return list[i]
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -1,6 +1,6 @@
 package settings
 
-// wireClass is a class of the settings object.
+// wireClass is a class in the settings object.
 type wireClass struct {
 	LatencyObjective int64   `json:"aim"`
 	ObjectiveStretch float64 `json:"aimStretch"`
@@ -17,7 +17,7 @@
 	AllowedKinds     []int   `json:"machineTypesAllowed"`
 }
 
-// wireSettings is the settings object. The tags are the keys of the wire, the fields have the names of package rules.
+// wireSettings is the settings object. The tags are its keys; the fields have the names that package rules uses.
 type wireSettings struct {
 	Classes []wireClass `json:"classes"`
 	Clients struct {
--- a/internal/site/attributes.go
+++ b/internal/site/attributes.go
@@ -212,8 +212,8 @@
 	at   hcl.Range
 }
 
-// closestName returns the candidate with the smallest edit distance to name, or an empty string if that distance is over
-// a third of the name's length (and over 1).
+// closestName returns the candidate with the smallest edit distance to name. It returns an empty string if the distance
+// is over a third of the name's length (and over 1).
 func closestName(name string, candidates []string) string {
 	closest, minDistance := "", max(len(name)/3, 1)+1
 	for _, candidate := range candidates {
