--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs the decision module on the simulator's protocol: it reads batches of events from standard input and
-// writes one reply to each to standard output.
+// Command adapter runs the decision module under the simulator: it reads batches of events from standard input and
+// writes one reply per batch to standard output.
 package main
 
 import (
--- a/cmd/foxlab/main.go
+++ b/cmd/foxlab/main.go
@@ -1,5 +1,5 @@
-// Command foxlab demonstrates, measures and tests a gateway on loopback. This file owns its command line. It must never
-// be needed to serve: what is large or only for tests is imported here and not by cmd/foxlane.
+// Command foxlab demonstrates, measures and tests a gateway on loopback. This file implements its command line. A
+// gateway must serve without it: large and test-only dependencies are imported here, and not by cmd/foxlane.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// run runs the command line; a signal ends its context.
+// run runs the command line. SIGINT or SIGTERM cancels its context.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -39,12 +39,12 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	cmd.PersistentFlags().String("gateway", "", "the gateway's program; built from this repository if not given")
+	cmd.PersistentFlags().String("gateway", "", "the gateway's executable; built from this repository if not given")
 	cmd.AddCommand(demoCommand(), measureCommand(), rigCommand(), soakCommand(), doubleCommand())
 	return cmd
 }
 
-// Limits of --seconds.
+// Upper bounds of --seconds.
 const (
 	maxDemoSeconds    = 300
 	maxMeasureSeconds = 30
@@ -54,7 +54,7 @@
 	var seconds int
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "A gateway, fake engines, a flood and quiet clients, with admission control off and on",
+		Short: "Show a gateway with fake engines, a flood and quiet clients, with admission control off and on",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			gateway, err := cmd.Flags().GetString("gateway")
@@ -62,7 +62,7 @@
 				return err
 			}
 			if seconds < 1 || seconds > maxDemoSeconds {
-				return fmt.Errorf("demo: --seconds is %d, not within 1 and %d", seconds, maxDemoSeconds)
+				return fmt.Errorf("demo: --seconds is %d, must be between 1 and %d", seconds, maxDemoSeconds)
 			}
 			return measure.Demo(cmd.Context(), gateway, seconds, cmd.OutOrStdout(), isTerminal(cmd.OutOrStdout()))
 		},
@@ -71,7 +71,7 @@
 	return cmd
 }
 
-// isTerminal reports whether a writer can rewrite its line.
+// isTerminal reports whether a writer is a character device, on which a line can be overwritten.
 func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
@@ -81,36 +81,36 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// rigCommand runs a fleet of real processes, with the faults of a script.
+// rigCommand returns the command that runs a fleet of real processes with the faults of a script.
 func rigCommand() *cobra.Command {
 	var asJSON bool
 	var logs string
 	cmd := &cobra.Command{
 		Use:   "rig FILE",
-		Short: "Several gateways in several zones, fault-injecting proxies between all parties, and faults from a script",
+		Short: "Run gateways in several zones, with fault-injecting proxies between all parties and faults from a script",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			script, err := harness.LoadScript(args[0])
 			if err != nil {
 				return err
 			}
-			named, err := cmd.Flags().GetString("gateway")
+			gatewayFlag, err := cmd.Flags().GetString("gateway")
 			if err != nil {
 				return err
 			}
-			gateway, remove, err := measure.GatewayProgram(cmd.Context(), named)
+			program, remove, err := measure.GatewayProgram(cmd.Context(), gatewayFlag)
 			if err != nil {
 				return err
 			}
 			defer remove()
-			report, err := harness.Run(cmd.Context(), gateway, *script, logs)
+			report, err := harness.Run(cmd.Context(), program, *script, logs)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				e := json.NewEncoder(cmd.OutOrStdout())
-				e.SetIndent("", "  ")
-				err = e.Encode(report)
+				encoder := json.NewEncoder(cmd.OutOrStdout())
+				encoder.SetIndent("", "  ")
+				err = encoder.Encode(report)
 			} else {
 				_, err = fmt.Fprint(cmd.OutOrStdout(), report)
 			}
@@ -121,31 +121,31 @@
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	cmd.Flags().StringVar(&logs, "logs", "", "an existing folder in which the gateways' logs are kept")
+	cmd.Flags().StringVar(&logs, "logs", "", "an existing folder in which to keep the gateways' logs")
 	return cmd
 }
 
-// measurements are what can be measured, each within three minutes.
+// measurements lists the measurements. Each takes at most three minutes.
 var measurements = []struct {
 	name, short string
-	seconds     int
+	seconds     int // default length of a scenario
 	run         func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error)
 }{
 	{"fair", "admission control: quiet clients beside a flood, shares, Retry-After, size and cost", 20, measure.Fairness},
-	{"cost", "the fast path: processor time, memory and added latency a request, without the operator's file", 12,
+	{"cost", "the fast path: CPU time, memory and added latency per request, without an operator's file", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
 			return measure.Cost(ctx, gateway, "", seconds, progress)
 		}},
-	{"spool", "stored results: how long an engine is held by a slow client over a fast one, reads after kills", 4, measure.Spool},
-	{"sites", "the loss of a zone: 300 gateways in virtual time, with and without the plan, paired by seed", 1,
+	{"spool", "stored results: how long a slow client holds an engine, compared with a fast one, and reads after kills", 4, measure.Spool},
+	{"sites", "the loss of a zone: 300 gateways in virtual time, with and without zone failover, paired by seed", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
 			return measure.Zones(ctx, gateway, progress)
 		}},
-	{"replica", "gossip among gateways: how soon entries reach all, bytes, replicas that differ, what it is worth and costs", 1,
+	{"replica", "gossip among gateways: time until entries reach all, traffic, replicas that differ, benefit and cost", 1,
 		func(ctx context.Context, gateway string, _ int, progress io.Writer) (*measure.Report, error) {
 			return measure.Replica(ctx, gateway, progress)
 		}},
-	{"cost-sites", "as cost, with the plan for zones on", 12,
+	{"cost-sites", "as cost, with zone failover on", 12,
 		func(ctx context.Context, gateway string, seconds int, progress io.Writer) (*measure.Report, error) {
 			return measure.Cost(ctx, gateway, "sites {\n}\n", seconds, progress)
 		}},
@@ -159,7 +159,7 @@
 	var asJSON bool
 	var seconds int
 	names := make([]string, len(measurements))
-	long := "Measures on loopback, within three minutes, and prints a table and a line `name: value` for each value.\n"
+	long := "Measure runs on loopback for at most three minutes, and prints a table and a line `name: value` for each value.\n"
 	for i, m := range measurements {
 		names[i] = m.name
 		long += fmt.Sprintf("\n  %-10s %s", m.name, m.short)
@@ -183,21 +183,21 @@
 					seconds = m.seconds
 				}
 				if seconds < 1 || seconds > maxMeasureSeconds {
-					return fmt.Errorf("measure %s: --seconds is %d, not within 1 and %d", m.name, seconds, maxMeasureSeconds)
+					return fmt.Errorf("measure %s: --seconds is %d, must be between 1 and %d", m.name, seconds, maxMeasureSeconds)
 				}
-				r, err := m.run(cmd.Context(), gateway, seconds, cmd.ErrOrStderr())
+				report, err := m.run(cmd.Context(), gateway, seconds, cmd.ErrOrStderr())
 				if err != nil {
 					return err
 				}
 				if asJSON {
-					return r.WriteJSON(cmd.OutOrStdout())
+					return report.WriteJSON(cmd.OutOrStdout())
 				}
-				return r.Write(cmd.OutOrStdout())
+				return report.Write(cmd.OutOrStdout())
 			}
 			return nil
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	cmd.Flags().IntVar(&seconds, "seconds", 0, "length of each scenario on sockets, 30 at most")
+	cmd.Flags().IntVar(&seconds, "seconds", 0, "length of each scenario on sockets, at most 30; 0: the measurement's default")
 	return cmd
 }
--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -12,51 +12,51 @@
 	"foxlane/internal/soak"
 )
 
-// soakCommand runs random fleets with overlapping faults.
+// soakCommand returns the command that runs random fleets with overlapping faults.
 func soakCommand() *cobra.Command {
-	o := soak.Options{}
+	options := soak.Options{}
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Random fleets of real processes with overlapping faults, judged by what clients and engines saw",
+		Short: "Run random fleets of real processes with overlapping faults, and check what clients and engines observed",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			self, err := os.Executable()
+			program, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			o.Process = harness.Process{Program: self, Args: []string{"double"}, AcceptsCommands: true}
-			o.Progress = cmd.ErrOrStderr()
-			if o.Logs == "" {
-				if o.Logs, err = os.MkdirTemp("", "foxsoak"); err != nil {
+			options.Process = harness.Process{Program: program, Args: []string{"double"}, AcceptsCommands: true}
+			options.Progress = cmd.ErrOrStderr()
+			if options.Logs == "" {
+				if options.Logs, err = os.MkdirTemp("", "foxsoak"); err != nil {
 					return err
 				}
 			}
-			r, err := soak.Run(cmd.Context(), o)
-			if r == nil {
+			report, err := soak.Run(cmd.Context(), options)
+			if report == nil {
 				return err
 			}
-			err = errors.Join(err, r.Write(cmd.OutOrStdout()))
-			if err == nil && (len(r.Failed) > 0 || len(r.NotPlayed) > 0 || r.DefectsFound() < len(r.Detections)) {
+			err = errors.Join(err, report.Write(cmd.OutOrStdout()))
+			if err == nil && (len(report.Failed) > 0 || len(report.NotPlayed) > 0 || report.DefectsFound() < len(report.Detections)) {
 				err = errors.New("soak: a rule was violated, a seed was not run, or an injected defect was not found; see the report")
 			}
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&o.Seeds, "seeds", 20, "how many seeds are run")
-	cmd.Flags().Uint64Var(&o.First, "first", 1, "the first one; a failing one is run again by its number")
-	cmd.Flags().DurationVar(&o.Length, "for", 5*time.Second, "length of each")
-	cmd.Flags().IntVar(&o.Processes, "processes", 10, "gateways of each")
-	cmd.Flags().IntVar(&o.Parallel, "parallel", 2, "seeds at once")
-	cmd.Flags().IntVar(&o.Shrink, "shrink", 6, "runs by which a failing seed is reduced to fewer faults, at most")
-	cmd.Flags().IntVar(&o.DefectSeeds, "plants", 0, "seeds with which each injected defect is looked for, at most")
-	cmd.Flags().StringSliceVar(&o.Defects, "only", nil, "defects to inject; all if none is named")
-	cmd.Flags().StringVar(&o.Logs, "logs", "", "folder for the logs of failing seeds")
+	cmd.Flags().IntVar(&options.Seeds, "seeds", 20, "number of seeds to run")
+	cmd.Flags().Uint64Var(&options.First, "first", 1, "the first seed; run a failing seed again with its number here")
+	cmd.Flags().DurationVar(&options.Length, "for", 5*time.Second, "length of each seed's run")
+	cmd.Flags().IntVar(&options.Processes, "processes", 10, "number of gateways in each run")
+	cmd.Flags().IntVar(&options.Parallel, "parallel", 2, "seeds to run at the same time")
+	cmd.Flags().IntVar(&options.Shrink, "shrink", 6, "at most this many runs to reduce a failing seed to fewer faults")
+	cmd.Flags().IntVar(&options.DefectSeeds, "plants", 0, "at most this many seeds to find each injected defect")
+	cmd.Flags().StringSliceVar(&options.Defects, "only", nil, "defects to inject; all if not given")
+	cmd.Flags().StringVar(&options.Logs, "logs", "", "folder for the logs of failing seeds")
 	return cmd
 }
 
-// doubleCommand is the process that the soak starts: a gateway whose system calls can fail.
+// doubleCommand returns the hidden command that the soak runs as its gateways: a gateway whose system calls can fail.
 func doubleCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "double", Short: "The soak's test double of a gateway's process", Hidden: true}
+	cmd := &cobra.Command{Use: "double", Short: "Run the soak's test double of a gateway process", Hidden: true}
 	serve := &cobra.Command{
 		Use:  "serve",
 		Args: cobra.NoArgs,
--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -19,8 +19,8 @@
 	"foxlane/internal/site"
 )
 
-// This file owns `foxlane directive`: operators' directives, which must be the same at all gateways. Changes are sent to a
-// voter, and are in force once it says so.
+// This file implements `foxlane directive`, which reads and changes the operators' directives that all gateways share.
+// A change is sent to a voter, and is in force once the voter confirms it.
 
 func directiveCommand() *cobra.Command {
 	var sitePath, at string
@@ -28,8 +28,8 @@
 		Use:   "directive",
 		Short: "Directives for all gateways: drains, rejected classes, the spillover limit",
 	}
-	cmd.PersistentFlags().StringVar(&at, "at", "", "where a gateway's block members has control; a voter's for set and unset")
-	cmd.PersistentFlags().StringVar(&sitePath, "site", "", "the operator's own file (HCL), whose control is asked if --at is not given")
+	cmd.PersistentFlags().StringVar(&at, "at", "", "the control address of a gateway (control in its block members); for set and unset, of a voter")
+	cmd.PersistentFlags().StringVar(&sitePath, "site", "", "the operator's own file (HCL), whose control address is used if --at is not given")
 	query := func(question string, answer any) error {
 		var args []string
 		if at != "" {
@@ -41,15 +41,15 @@
 		}
 		return queryControl(addresses[0], question, answer)
 	}
-	cmd.AddCommand(directiveChange(directives.Set, query), directiveChange(directives.Unset, query), directiveList(query), directiveHistory(query),
-		directiveInit(&sitePath))
+	cmd.AddCommand(directiveChangeCommand(directives.Set, query), directiveChangeCommand(directives.Unset, query), directiveListCommand(query), directiveHistoryCommand(query),
+		directiveInitCommand(&sitePath))
 	return cmd
 }
 
-// controlQuery asks the gateway that the flags name one question, and decodes its answer.
+// controlQuery sends a question to the gateway that the flags name, and decodes the reply into answer.
 type controlQuery func(question string, answer any) error
 
-func directiveChange(op directives.Op, query controlQuery) *cobra.Command {
+func directiveChangeCommand(op directives.Op, query controlQuery) *cobra.Command {
 	var by string
 	var value float64
 	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RejectClass), string(directives.SpilloverLimit)}, "|")
@@ -58,14 +58,14 @@
 		Short: map[directives.Op]string{directives.Set: "Set a directive", directives.Unset: "Unset a directive"}[op],
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
+			command := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
 			if len(args) > 1 {
-				c.Subject = args[1]
+				command.Subject = args[1]
 			}
-			if err := c.Validate(); err != nil {
+			if err := command.Validate(); err != nil {
 				return err
 			}
-			raw, err := json.Marshal(c)
+			raw, err := json.Marshal(command)
 			if err != nil {
 				return err
 			}
@@ -77,29 +77,29 @@
 			return err
 		},
 	}
-	who := ""
+	username := ""
 	if u, err := user.Current(); err == nil {
-		who = u.Username
+		username = u.Username
 	}
-	cmd.Flags().StringVar(&by, "by", who, "who sets it; only shown")
+	cmd.Flags().StringVar(&by, "by", username, "who makes the change; for display only")
 	if op == directives.Set {
-		cmd.Flags().Float64Var(&value, "value", 0, "of "+string(directives.SpilloverLimit)+": a part, 0 to 1")
+		cmd.Flags().Float64Var(&value, "value", 0, "for "+string(directives.SpilloverLimit)+": a fraction, 0 to 1")
 	}
 	return cmd
 }
 
-// newCommandID is the id by which a command that is sent twice is recognized.
+// newCommandID returns a random id, by which voters recognize a command that they receive more than once.
 func newCommandID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails, by its documentation
 	return hex.EncodeToString(b[:])
 }
 
-func directiveList(query controlQuery) *cobra.Command {
+func directiveListCommand(query controlQuery) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "list",
-		Short: "The directives in force at a gateway, and how old that information is",
+		Short: "List the directives in force at a gateway, and when the gateway last confirmed them with a voter",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			status, err := queryDirectives(query)
@@ -116,7 +116,7 @@
 	return cmd
 }
 
-// queryDirectives asks a gateway for its directives. The question is named book on the wire.
+// queryDirectives asks a gateway for its directives. In the control protocol this question is called book.
 func queryDirectives(query controlQuery) (status gateway.DirectiveStatus, err error) {
 	err = query("book", &status)
 	return status, err
@@ -142,13 +142,13 @@
 	})
 }
 
-// formatUnixMilli is a time of the wall clock in UTC.
+// formatUnixMilli formats a Unix time in milliseconds as UTC.
 func formatUnixMilli(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
-func directiveHistory(query controlQuery) *cobra.Command {
+func directiveHistoryCommand(query controlQuery) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "The latest commands and their results",
+		Short: "List the latest commands and their results",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			status, err := queryDirectives(query)
@@ -164,16 +164,16 @@
 	}
 }
 
-func directiveInit(sitePath *string) *cobra.Command {
+func directiveInitCommand(sitePath *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "init --site FILE",
 		Short: "Prepare the folder of a new voter on this machine, once, before its first start",
-		Long: "Init writes an empty log. A voter whose folder is empty without it assumes that it has lost its votes: it follows a leader first,\n" +
-			"so voters without init never elect one. Do not run it on a machine that has lost its disk.",
+		Long: "Init writes an empty log. A voter whose folder has no log assumes that its votes were lost, and does not vote until it has followed a leader:\n" +
+			"new voters that were never initialized can't elect one. Do not run init on a machine that has lost its disk.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if *sitePath == "" {
-				return errors.New("directive init: --site is missing: name the operator's file of the voter")
+				return errors.New("directive init: --site is missing: name the voter's operator's file")
 			}
 			s, err := site.LoadFile(*sitePath)
 			if err != nil {
--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -1,5 +1,5 @@
-// Command foxlane is a gateway that admits queries to a pool of engines, with tools for its operators. This file owns the
-// process: its limits, its log and its signals. It must never make a decision or use a socket.
+// Command foxlane is a gateway that admits queries to a pool of engines, with tools for its operators. This file sets
+// up the process: runtime limits, log and signals. It must never make a decision or use a socket.
 package main
 
 import (
@@ -24,9 +24,8 @@
 	"foxlane/internal/transport"
 )
 
-// gcPercent lets garbage grow to the size of the live heap and no more. Both are small, so that this costs hardly any
-// time. With a higher value the resident size would grow for a minute or more before the first collection, which can't
-// be told from a leak.
+// gcPercent lets garbage grow to the size of the live heap. Both are small, so collections take hardly any time. With a
+// higher value the resident size grows for a minute or more before the first collection, which looks like a leak.
 const gcPercent = 100
 
 // version is set by the linker for releases.
@@ -58,7 +57,7 @@
 		Short: "Serve clients until SIGTERM, as configured in " + config.EnvConfig + "; SIGHUP reloads it",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals := notifySignals() // first: a SIGHUP before that ends the process
+			signals := notifySignals() // first: until then a SIGHUP ends the process
 			cfg, err := loadConfig(sitePath)
 			if err != nil {
 				return err
@@ -71,43 +70,44 @@
 	return cmd
 }
 
-// While reading the configuration fails with an error that may pass, a start retries for this long.
+// At the start, reading the configuration is retried at this interval, for at most loadTimeout, if it fails with a
+// transient error.
 const (
 	loadTimeout       = 3 * time.Second
 	loadRetryInterval = 50 * time.Millisecond
 )
 
-// loadConfig reads the configuration and the operator's own file. An empty path: there is none.
+// loadConfig reads the configuration and the operator's own file. With an empty sitePath there is no such file.
 func loadConfig(sitePath string) (config.Config, error) {
-	for until := time.Now().Add(loadTimeout); ; time.Sleep(loadRetryInterval) {
+	for deadline := time.Now().Add(loadTimeout); ; time.Sleep(loadRetryInterval) {
 		cfg, err := config.Load()
 		if err == nil {
 			cfg, err = cfg.WithSite(sitePath)
 		}
-		if err == nil || !syserr.Transient(err) || time.Now().After(until) {
+		if err == nil || !syserr.Transient(err) || time.Now().After(deadline) {
 			return cfg, err
 		}
 	}
 }
 
-// setRuntime adapts the runtime to a machine with a fraction of a core and little memory.
-func setRuntime(l config.Limits) {
+// setRuntime configures the Go runtime for a machine with a fraction of a core and little memory.
+func setRuntime(limits config.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(l.MemoryBytes)
+	debug.SetMemoryLimit(limits.MemoryBytes)
 }
 
-// notifySignals receives the process's signals. Each kind has a channel of its own with a buffer of one: a second signal
-// of the same kind adds nothing to one that waits.
+// notifySignals subscribes to the process's signals. Reload and termination have separate channels, so that a burst of
+// one can't hide the other. A buffer of one is enough: a signal adds nothing to a pending one of the same kind.
 func notifySignals() transport.Signals {
-	reload, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
-	signal.Ignore(syscall.SIGPIPE) // a log collector that goes away must not end the process
-	return transport.Signals{Reload: reload, Terminate: end}
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+	signal.Ignore(syscall.SIGPIPE) // the process must survive a log collector that closes the pipe
+	return transport.Signals{Reload: reload, Terminate: terminate}
 }
 
-// runGateway runs the gateway until a signal ends it.
+// runGateway runs the gateway until a termination signal.
 func runGateway(cfg config.Config, verbose bool, signals transport.Signals) error {
 	setRuntime(cfg.Limits)
 	cfg.Trace = verbose
@@ -116,15 +116,15 @@
 	return transport.Run(cfg, newLog(lines, verbose), signals)
 }
 
-// logDrainTimeout is how long the process waits at its end until the log is written.
+// logDrainTimeout bounds how long the process waits at exit until the log is written.
 const logDrainTimeout = 200 * time.Millisecond
 
-// droppedLinesEntry is the log entry that reports that lines were lost.
+// droppedLinesEntry returns the log entry that reports the number of lost lines.
 func droppedLinesEntry(lines int) []byte {
 	return fmt.Appendf(nil, `{"level":"warn","ts":%q,"msg":"log: lines lost","lines":%d}`+"\n", time.Now().Format(timeLayout), lines)
 }
 
-// timeLayout is the format of the log's timestamps.
+// timeLayout is the layout of the log's timestamps, as zapcore.ISO8601TimeEncoder writes them.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
 // Of the lines with the same message, the first logBurst of each second are logged, then every logSampling-th.
@@ -133,8 +133,8 @@
 	logSampling = 100
 )
 
-// newLog returns a logger that writes JSON lines. Repeated ones are sampled, but not at debug level, where one request
-// must be traceable by its id.
+// newLog returns a logger that writes JSON lines. It samples repeated messages, except at debug level, where each
+// request must be traceable by its id.
 func newLog(out zapcore.WriteSyncer, verbose bool) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -178,7 +178,7 @@
 	return err
 }
 
-// checkConfig prints what a configuration, with the operator's own file if that is named, comes to.
+// checkConfig prints the settings in force with a configuration and, if sitePath is not empty, the operator's own file.
 func checkConfig(out io.Writer, path, sitePath string) error {
 	c, err := config.LoadFile(path)
 	if err != nil {
@@ -187,14 +187,14 @@
 	if c, err = c.WithSite(sitePath); err != nil {
 		return err
 	}
-	l := c.Limits
+	limits := c.Limits
 	p := &printer{w: out}
 	p.printf("%s listens on %s, name service at %s\n%d classes, %d engines known at event %d\n"+
 		"at most %d clients, %d connections to engines, %d open requests, %d MB of heap\n",
 		c.Name, c.Listen, c.DNS, len(c.Settings.ClassNames), len(c.InitialList.Engines), c.InitialList.Seq,
-		l.MaxClients, l.MaxConns, l.MaxRequests, l.MemoryBytes>>20)
+		limits.MaxClients, limits.MaxConns, limits.MaxRequests, limits.MemoryBytes>>20)
 	if c.Site != nil {
-		p.printf("the operator's own file, %d bytes for the door to remember:\n%s", l.AdmissionStateBytes, c.Site)
+		p.printf("the operator's own file, %d bytes for the state of admission control:\n%s", limits.AdmissionStateBytes, c.Site)
 	}
 	return p.err
 }
--- a/cmd/foxlane/main_test.go
+++ b/cmd/foxlane/main_test.go
@@ -21,28 +21,28 @@
 	return out.String(), err
 }
 
-// The example's configuration is valid, and check prints what is in force.
+// The example's configuration is valid, and check prints the settings in force.
 func TestCheck(t *testing.T) {
 	out, err := execute("check", "../../example/config.json")
 	if err != nil || !strings.Contains(out, "n0 listens on 127.0.0.1:7001") || !strings.Contains(out, "3 classes, 2 engines") {
 		t.Errorf("got %q, %v", out, err)
 	}
 	if _, err := execute("check", "../../go.mod"); err == nil {
-		t.Error("a file that is no configuration passed")
+		t.Error("a file that is not a configuration was accepted")
 	}
 	if _, err := execute("check"); err == nil {
-		t.Error("check without a file passed")
+		t.Error("check without a file succeeded")
 	}
 }
 
-// The operator's file that is shipped is valid; an error in another is reported with its position.
+// The operator's file in deploy is valid. An error in an operator's file is reported with its position.
 func TestCheckSite(t *testing.T) {
 	out, err := execute("check", "--site", "../../deploy/foxlane.hcl")
 	if err != nil || !strings.Contains(out, "ahead      = 4") {
 		t.Errorf("got %q, %v", out, err)
 	}
 	out, err = execute("check", "../../example/config.json", "--site", "../../deploy/foxlane.hcl")
-	if err != nil || !strings.Contains(out, "n0 listens") || !strings.Contains(out, "bytes for the door") {
+	if err != nil || !strings.Contains(out, "n0 listens") || !strings.Contains(out, "bytes for the state of admission control") {
 		t.Errorf("got %q, %v", out, err)
 	}
 	path := filepath.Join(t.TempDir(), "bad.hcl")
@@ -64,7 +64,7 @@
 	}
 }
 
-// Without a configuration, serve ends at once with an error that names the variable.
+// Without a configuration, serve fails with an error that names the environment variable.
 func TestServeNeedsConfiguration(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	if _, err := execute("serve"); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
@@ -74,8 +74,8 @@
 
 var garbage []byte
 
-// With the collector at 900 percent the resident size grew all through a long day. Now 64 MB of garbage leave it within a
-// few MB.
+// With a GC percentage of 900 the resident size grew throughout a run of a day. With setRuntime, allocating 64 MB of
+// garbage grows the heap by a few MB only.
 func TestGarbageIsCollectedEarly(t *testing.T) {
 	procs := runtime.GOMAXPROCS(0)
 	defer func() { runtime.GOMAXPROCS(procs); debug.SetGCPercent(100); debug.SetMemoryLimit(1 << 50) }()
--- a/cmd/foxlane/members.go
+++ b/cmd/foxlane/members.go
@@ -19,13 +19,14 @@
 	"foxlane/internal/site"
 )
 
-// This file owns `foxlane members` and `foxlane replica`: what gateways that gossip know of one another. It asks them on
-// the control address of their block `members`, and changes nothing.
+// This file implements `foxlane members` and `foxlane replica`, which show what gateways know of one another through
+// gossip. They query the control address of the block `members`, and change nothing.
 
-// controlTimeout leaves time for a vote.
+// controlTimeout bounds one query. It leaves time for a vote on a directive.
 const controlTimeout = 7 * time.Second
 
-// queryControl sends a gateway one question, and decodes its answer.
+// queryControl sends a question to a gateway's control address, and decodes the reply into answer. It returns the error
+// that the reply reports, if any.
 func queryControl(at netip.AddrPort, question string, answer any) error {
 	line, err := exchangeLine(at, question)
 	if err != nil {
@@ -43,31 +44,31 @@
 	return nil
 }
 
-// exchangeLine sends a line and reads one.
+// exchangeLine sends a line to an address and reads one line in reply.
 func exchangeLine(at netip.AddrPort, question string) (line []byte, err error) {
-	c, err := net.DialTimeout("tcp", at.String(), controlTimeout)
+	conn, err := net.DialTimeout("tcp", at.String(), controlTimeout)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = c.Close() }() // all is read
-	if err := c.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
+	defer func() { _ = conn.Close() }() // nothing is left to read or write
+	if err := conn.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
 		return nil, err
 	}
-	if _, err := fmt.Fprintln(c, question); err != nil {
+	if _, err := fmt.Fprintln(conn, question); err != nil {
 		return nil, err
 	}
-	if line, err = bufio.NewReader(c).ReadBytes('\n'); err != nil {
+	if line, err = bufio.NewReader(conn).ReadBytes('\n'); err != nil {
 		return nil, fmt.Errorf("no answer: %w", err)
 	}
 	return line, nil
 }
 
-// controlAddresses are the addresses that a command's arguments name or, without any, the one of the operator's file.
+// controlAddresses returns the control addresses in args or, if args is empty, the one in the operator's file.
 func controlAddresses(args []string, sitePath string) (out []netip.AddrPort, err error) {
 	for _, arg := range args {
 		at, err := netip.ParseAddrPort(arg)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no address with a port: %w", arg, err)
+			return nil, fmt.Errorf("%q is not an address with a port: %w", arg, err)
 		}
 		out = append(out, at)
 	}
@@ -75,7 +76,7 @@
 		return out, nil
 	}
 	if sitePath == "" {
-		return nil, errors.New("name an address where a gateway's block members has control, or, with --site, its file")
+		return nil, errors.New("name a gateway's control address (control in its block members) or, with --site, its operator's file")
 	}
 	s, err := site.LoadFile(sitePath)
 	if err != nil {
@@ -92,52 +93,52 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "members [ADDRESS] [--site FILE]",
-		Short: "The gateways that a gateway gossips with, since when, and the age of what it has of each",
+		Short: "List the gateways that a gateway gossips with, since when, and the age of the entries that it has of each",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			at, err := controlAddresses(args, sitePath)
 			if err != nil {
 				return err
 			}
-			var lines []gateway.MemberStatus
-			if err := queryControl(at[0], "members", &lines); err != nil {
+			var members []gateway.MemberStatus
+			if err := queryControl(at[0], "members", &members); err != nil {
 				return err
 			}
 			if asJSON {
-				return printJSON(cmd.OutOrStdout(), lines)
+				return printJSON(cmd.OutOrStdout(), members)
 			}
-			return printMembers(cmd.OutOrStdout(), lines)
+			return printMembers(cmd.OutOrStdout(), members)
 		},
 	}
-	cmd.Flags().StringVar(&sitePath, "site", "", "the operator's own file (HCL), whose control is asked")
+	cmd.Flags().StringVar(&sitePath, "site", "", "the operator's own file (HCL), whose control address is used")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-func printMembers(w io.Writer, lines []gateway.MemberStatus) error {
+func printMembers(w io.Writer, members []gateway.MemberStatus) error {
 	return printTable(w, 0, func(t *printer) {
 		t.printf("member\tzone\there for\tentries\tnewest\tlag\tsends B/s\tbegan\t\n")
-		for _, l := range lines {
-			name, lag, sends := l.Name, "", ""
-			if l.Self {
-				name, lag, sends = "* "+name, formatMillis(l.LagMS), fmt.Sprintf("%.0f", l.SentBytesPerSecond)
+		for _, member := range members {
+			name, lag, sends := member.Name, "", ""
+			if member.Self {
+				name, lag, sends = "* "+name, formatMillis(member.LagMS), fmt.Sprintf("%.0f", member.SentBytesPerSecond)
 			}
 			newest := "-"
-			if l.NewestEntryMS >= 0 {
-				newest = formatMillis(l.NewestEntryMS)
+			if member.NewestEntryMS >= 0 {
+				newest = formatMillis(member.NewestEntryMS)
 			}
-			t.printf("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, l.Zone, formatMillis(l.SinceMS), l.Entries, newest, lag, sends, l.Incarnation)
+			t.printf("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t\n", name, member.Zone, formatMillis(member.SinceMS), member.Entries, newest, lag, sends, member.Incarnation)
 		}
 	})
 }
 
-// formatMillis is a duration, rounded to a tenth of a second.
+// formatMillis formats a duration in milliseconds, rounded to a tenth of a second.
 func formatMillis(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
 func replicaCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "replica", Short: "What gateways that gossip have of what others observed"}
+	cmd := &cobra.Command{Use: "replica", Short: "Inspect the replicas of the observations that gateways exchange by gossip"}
 	cmd.AddCommand(replicaDiffCommand())
 	return cmd
 }
@@ -147,37 +148,37 @@
 	cmd := &cobra.Command{
 		Use:   "diff ADDRESS ADDRESS...",
 		Short: "Compare the replicas of gateways, and name the entries that differ and how they will be merged",
-		Long: "Diff asks each gateway, on the control address of its block members, for all its entries. An entry that one lacks and that is younger\n" +
-			"than --settle, or about to expire, is not named: it is on its way. It exits with 1 if replicas differ.",
+		Long: "Diff asks each gateway, at the control address of its block members, for all its entries. An entry that is younger than --settle\n" +
+			"at any of them, or expires within that time, is left out: it may still be in transit. The exit code is 1 if replicas differ.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			at, err := controlAddresses(args, "")
 			if err != nil {
 				return err
 			}
-			held := make([][]gateway.ReplicaEntry, len(at))
+			replicas := make([][]gateway.ReplicaEntry, len(at))
 			for i := range at {
-				if err := queryControl(at[i], "copies", &held[i]); err != nil {
+				if err := queryControl(at[i], "copies", &replicas[i]); err != nil {
 					return err
 				}
 			}
 			out := &printer{w: cmd.OutOrStdout()}
-			differ := compareCopies(args, held, settle)
-			for _, line := range differ {
+			differences := compareReplicas(args, replicas, settle)
+			for _, line := range differences {
 				out.printf("%s\n", line)
 			}
-			if len(differ) > 0 {
-				return errors.Join(fmt.Errorf("%d entries differ", len(differ)), out.err)
+			if len(differences) > 0 {
+				return errors.Join(fmt.Errorf("%d entries differ", len(differences)), out.err)
 			}
 			out.printf("%d copies agree\n", len(at))
 			return out.err
 		},
 	}
-	cmd.Flags().DurationVar(&settle, "settle", 3*time.Second, "how old an entry must be to be looked for everywhere")
+	cmd.Flags().DurationVar(&settle, "settle", 3*time.Second, "the age from which an entry must be at all gateways")
 	return cmd
 }
 
-// entryKey identifies an entry in all replicas.
+// entryKey identifies an entry across replicas.
 type entryKey struct {
 	origin, kind string
 	subject      uint64
@@ -185,16 +186,16 @@
 
 func (k entryKey) String() string { return fmt.Sprintf("%s %s %d", k.origin, k.kind, k.subject) }
 
-// compareCopies describes the entries that differ among replicas: which gateway has what, and how it will be merged.
-// Entries younger than settle, or that expire within it, are left out.
-func compareCopies(names []string, held [][]gateway.ReplicaEntry, settle time.Duration) (out []string) {
-	entries := map[entryKey][]*gateway.ReplicaEntry{} // by gateway; nil: it lacks the entry
-	for i := range held {
-		for j := range held[i] {
-			e := &held[i][j]
+// compareReplicas describes the entries that differ among the replicas of the gateways, and how they will be merged.
+// Entries that are younger than settle, or expire within it, are left out.
+func compareReplicas(gateways []string, replicas [][]gateway.ReplicaEntry, settle time.Duration) (out []string) {
+	entries := map[entryKey][]*gateway.ReplicaEntry{} // indexed by gateway; nil: the gateway lacks the entry
+	for i := range replicas {
+		for j := range replicas[i] {
+			e := &replicas[i][j]
 			k := entryKey{e.Origin, e.Kind, e.Subject}
 			if entries[k] == nil {
-				entries[k] = make([]*gateway.ReplicaEntry, len(held))
+				entries[k] = make([]*gateway.ReplicaEntry, len(replicas))
 			}
 			entries[k][i] = e
 		}
@@ -204,15 +205,15 @@
 	})
 	for _, k := range keys {
 		if settled(entries[k], settle) {
-			out = append(out, compareEntry(names, k, entries[k])...)
+			out = append(out, compareEntry(gateways, k, entries[k])...)
 		}
 	}
 	return out
 }
 
-// settled reports whether no gateway's entry is younger than a time, or expires within it.
-func settled(entries []*gateway.ReplicaEntry, settle time.Duration) bool {
-	ms := settle.Milliseconds()
+// settled reports whether all versions of an entry are at least minAge old and don't expire within minAge.
+func settled(entries []*gateway.ReplicaEntry, minAge time.Duration) bool {
+	ms := minAge.Milliseconds()
 	for _, e := range entries {
 		if e != nil && (e.AgeMS < ms || e.ExpiresInMS < ms) {
 			return false
@@ -221,8 +222,8 @@
 	return true
 }
 
-// compareEntry describes how the gateways' versions of one entry differ from the newest.
-func compareEntry(names []string, k entryKey, entries []*gateway.ReplicaEntry) (out []string) {
+// compareEntry describes how the gateways' versions of one entry differ from the newest version.
+func compareEntry(gateways []string, key entryKey, entries []*gateway.ReplicaEntry) (out []string) {
 	newestAt := 0
 	for i, e := range entries {
 		if e == nil {
@@ -232,17 +233,17 @@
 			newestAt = i
 		}
 	}
-	newest, newestName := entries[newestAt], names[newestAt]
+	newest, newestName := entries[newestAt], gateways[newestAt]
 	for i, e := range entries {
 		switch {
 		case e == nil:
-			out = append(out, fmt.Sprintf("%v: %s lacks what %s has (counter %d): it will be fetched with the next digest", k, names[i], newestName, newest.Counter))
+			out = append(out, fmt.Sprintf("%v: %s lacks what %s has (counter %d): it will be fetched with the next digest", key, gateways[i], newestName, newest.Counter))
 		case e.Incarnation != newest.Incarnation:
-			out = append(out, fmt.Sprintf("%v: %s has incarnation %d, %s the later %d: the later incarnation wins", k, names[i], e.Incarnation, newestName, newest.Incarnation))
+			out = append(out, fmt.Sprintf("%v: %s has incarnation %d, %s the later %d: the later incarnation wins", key, gateways[i], e.Incarnation, newestName, newest.Incarnation))
 		case e.Counter != newest.Counter:
-			out = append(out, fmt.Sprintf("%v: %s has counter %d, %s the higher %d: the higher counter wins", k, names[i], e.Counter, newestName, newest.Counter))
+			out = append(out, fmt.Sprintf("%v: %s has counter %d, %s the higher %d: the higher counter wins", key, gateways[i], e.Counter, newestName, newest.Counter))
 		case e.Value != newest.Value:
-			out = append(out, fmt.Sprintf("%v: %s and %s have counter %d with different values %v and %v: one is damaged, and will be fetched again", k, names[i], newestName, e.Counter, e.Value, newest.Value))
+			out = append(out, fmt.Sprintf("%v: %s and %s have counter %d with different values %v and %v: one is damaged, and will be fetched again", key, gateways[i], newestName, e.Counter, e.Value, newest.Value))
 		}
 	}
 	return out
--- a/cmd/foxlane/members_test.go
+++ b/cmd/foxlane/members_test.go
@@ -10,8 +10,8 @@
 	"foxlane/internal/replica"
 )
 
-// Two replicas are compared entry by entry: the newest version and what another gateway has instead.
-func TestCompareCopies(t *testing.T) {
+// Replicas are compared entry by entry: each version that differs from the newest one is described.
+func TestCompareReplicas(t *testing.T) {
 	entry := func(incarnation, counter uint64, value float32) gateway.ReplicaEntry {
 		return gateway.ReplicaEntry{Origin: "g1", Kind: "load", Subject: 7, Incarnation: incarnation, Counter: counter, Value: replica.Value{value},
 			AgeMS: 10_000, ExpiresInMS: 10_000}
@@ -32,7 +32,7 @@
 		{"other value", []gateway.ReplicaEntry{entry(1, 3, 1)}, []gateway.ReplicaEntry{entry(1, 3, 2)}, "b and a have counter 3 with different values"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := compareCopies([]string{"a", "b"}, [][]gateway.ReplicaEntry{c.a, c.b}, 3*time.Second)
+			got := compareReplicas([]string{"a", "b"}, [][]gateway.ReplicaEntry{c.a, c.b}, 3*time.Second)
 			if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.Contains(got[0], c.want)) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
@@ -41,14 +41,14 @@
 }
 
 // Differences are sorted by origin, kind and subject.
-func TestCompareCopiesSorts(t *testing.T) {
+func TestCompareReplicasSorts(t *testing.T) {
 	var held []gateway.ReplicaEntry
 	for _, origin := range []string{"g2", "g1"} {
 		for _, subject := range []uint64{12, 3} {
 			held = append(held, gateway.ReplicaEntry{Origin: origin, Kind: "load", Subject: subject, AgeMS: 10_000, ExpiresInMS: 10_000})
 		}
 	}
-	got := compareCopies([]string{"a", "b"}, [][]gateway.ReplicaEntry{held, nil}, time.Second)
+	got := compareReplicas([]string{"a", "b"}, [][]gateway.ReplicaEntry{held, nil}, time.Second)
 	want := []string{"g1 load 3:", "g1 load 12:", "g2 load 3:", "g2 load 12:"}
 	if len(got) != len(want) || slices.ContainsFunc(want, func(prefix string) bool { return !strings.HasPrefix(got[slices.Index(want, prefix)], prefix) }) {
 		t.Errorf("got %q, want lines with %q", got, want)
--- a/cmd/foxlane/output.go
+++ b/cmd/foxlane/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// printer writes a command's output. It keeps the first error, so that one check at the end is enough.
+// printer writes a command's output. It keeps the first error and stops writing, so one check at the end is enough.
 type printer struct {
 	w   io.Writer
 	err error
@@ -20,7 +20,7 @@
 	}
 }
 
-// printTable writes lines of cells that each end with a tab, in aligned columns.
+// printTable writes a table with aligned columns. Each cell that write prints must end with a tab.
 func printTable(w io.Writer, flags uint, write func(*printer)) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', flags)
 	p := &printer{w: t}
@@ -28,7 +28,7 @@
 	return errors.Join(p.err, t.Flush())
 }
 
-// printJSON writes a value as an indented object.
+// printJSON writes a value as indented JSON.
 func printJSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -19,10 +19,10 @@
 	"foxlane/rules"
 )
 
-// This file owns `foxlane plan`: it prints what the code that decides at run time would do when a zone is lost and
-// returns. It must never decide any of it.
+// This file implements `foxlane plan`, which prints how gateways would react to the loss and the return of zones. All
+// decisions come from package zones, the code that gateways run.
 
-// planFlags are the flags of the command.
+// planFlags are the flags of `foxlane plan`.
 type planFlags struct {
 	site      string
 	lose      []string
@@ -41,8 +41,8 @@
 	cmd := &cobra.Command{
 		Use:   "plan [FILE]",
 		Short: "Show where the load of a lost zone goes, what is rejected first, and how the zone returns",
-		Long: "Plan simulates the loss of zones, and their return, with the code that decides at run time.\n" +
-			"FILE is a gateway's configuration (" + config.EnvConfig + " if it is left out): zones, engines, classes.",
+		Long: "Plan simulates the loss of zones, and their return, with the code that gateways run.\n" +
+			"FILE is a gateway's configuration, with its zones, engines and classes; without it, the file in " + config.EnvConfig + " is used.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path := os.Getenv(config.EnvConfig)
@@ -66,37 +66,38 @@
 			return p.print(cmd.OutOrStdout())
 		},
 	}
-	fl := cmd.Flags()
-	fl.StringVar(&f.site, "site", "", "the operator's own file (HCL); without its block sites the defaults hold")
-	fl.StringSliceVar(&f.lose, "lose", nil, "a zone that is lost, engines and gateways; may be given more than once")
-	fl.StringSliceVar(&f.returning, "return", nil, "a lost zone that returns, cold")
-	fl.Float64Var(&f.load, "load", 0.6, "offered work over what all engines can do; each zone's clients in proportion to its engines")
-	fl.DurationVar(&f.at, "at", 5*time.Second, "when the zones are lost")
-	fl.DurationVar(&f.outage, "after", 20*time.Second, "how long they are away, with --return")
-	fl.DurationVar(&f.unlisted, "unlisted", 4*time.Second, "from the loss until their engines leave the list")
-	fl.DurationVar(&f.notice, "notice", 2*time.Second, "from the loss until their clients use other gateways")
-	fl.DurationVar(&f.length, "for", time.Minute, "how long to simulate")
-	fl.BoolVar(&f.asJSON, "json", false, "print JSON")
+	flags := cmd.Flags()
+	flags.StringVar(&f.site, "site", "", "the operator's own file (HCL); without a block sites in it the defaults apply")
+	flags.StringSliceVar(&f.lose, "lose", nil, "a zone that is lost with its engines and gateways; may be given more than once")
+	flags.StringSliceVar(&f.returning, "return", nil, "a lost zone that returns, with cold engines")
+	flags.Float64Var(&f.load, "load", 0.6, "ratio of offered work to the capacity of all engines; each zone's clients offer work in proportion to its engines")
+	flags.DurationVar(&f.at, "at", 5*time.Second, "when the zones are lost")
+	flags.DurationVar(&f.outage, "after", 20*time.Second, "how long the zones are lost, with --return")
+	flags.DurationVar(&f.unlisted, "unlisted", 4*time.Second, "time from the loss of zones until their engines leave the endpoint list")
+	flags.DurationVar(&f.notice, "notice", 2*time.Second, "time from the loss of zones until their clients use other gateways")
+	flags.DurationVar(&f.length, "for", time.Minute, "how long to simulate")
+	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// plan is what is printed. The names of its fields, and of those of its parts, are the keys of --json.
+// plan is the output of the command. The names of its fields, and of the fields of the types in it, are the keys of
+// --json.
 type plan struct {
 	Zones   []string
 	Cores   []float64 // by zone
 	Demand  []float64 // of the zone's clients, in cores
 	Lost    []string
-	Steady  []steady // by zone: where its load goes once it is lost and all has settled
-	Order   []string // what is rejected, first to last
+	Steady  []steadyLoss // by zone: where its load goes after its loss, in the steady state
+	Order   []string     // kinds of requests in the order in which they are rejected
 	Seconds []second
 }
 
-// steady is the fleet after the loss of one zone.
-type steady struct {
+// steadyLoss is the steady state of the fleet after the loss of one zone.
+type steadyLoss struct {
 	Zone     string
 	Held     float64            // load that the spillover limits keep from other zones, in cores
-	Unserved float64            // load that nobody serves, in cores
-	To       map[string]float64 // parts of all load, by zone
+	Unserved float64            // load that no zone serves, in cores
+	To       map[string]float64 // fraction of the whole load that each zone takes, by name
 }
 
 // second is one second of the simulation. Loads are in cores.
@@ -114,57 +115,57 @@
 	Shed                            float64
 }
 
-// compute simulates the loss that the flags describe.
+// compute simulates the losses and returns that the flags describe.
 func (f *planFlags) compute(cfg config.Config) (*plan, error) {
 	if err := f.validate(); err != nil {
 		return nil, err
 	}
-	sites := &site.Zones{Settings: zones.Defaults()}
+	zoneSettings := &site.Zones{Settings: zones.Defaults()}
 	if f.site != "" {
 		s, err := site.LoadFile(f.site)
 		if err != nil {
 			return nil, err
 		}
 		if s.Zones != nil {
-			sites = s.Zones
+			zoneSettings = s.Zones
 		}
 	}
 	names := cfg.Settings.ZoneNames
 	if len(names) == 0 {
 		return nil, errors.New("plan: the configuration names no zones")
 	}
-	settings, _ := sites.Resolve(names)
+	settings, _ := zoneSettings.Resolve(names)
 	cores := coresByZone(cfg)
 	p := &plan{Zones: names, Cores: cores}
-	sc := zones.Scenario{
-		LostAt: planTime(f.at), UnlistAfter: planTime(f.unlisted), ClientsMoveAfter: planTime(f.notice), Duration: planTime(f.length),
+	scenario := zones.Scenario{
+		LostAt: toRulesTime(f.at), UnlistAfter: toRulesTime(f.unlisted), ClientsMoveAfter: toRulesTime(f.notice), Duration: toRulesTime(f.length),
 		ColdSpeed: cfg.Settings.Rules.Constraints.SlowStartInitialSpeed, WarmupTime: cfg.Settings.Rules.Constraints.SlowStartPeriod,
-		Classes: classSpecs(cfg, sites),
+		Classes: classSpecs(cfg, zoneSettings),
 	}
 	for i, name := range names {
 		p.Demand = append(p.Demand, f.load*cores[i])
-		sc.Zones = append(sc.Zones, zones.ZoneSpec{Name: name, Cores: cores[i], Demand: f.load * cores[i]})
+		scenario.Zones = append(scenario.Zones, zones.ZoneSpec{Name: name, Cores: cores[i], Demand: f.load * cores[i]})
 	}
 	if len(f.returning) > 0 {
-		sc.ReturnAt = sc.LostAt + planTime(f.outage)
+		scenario.ReturnAt = scenario.LostAt + toRulesTime(f.outage)
 	}
 	for _, name := range slices.Concat(f.lose, f.returning) {
 		i := slices.Index(names, name)
 		if i < 0 {
 			return nil, fmt.Errorf("plan: no zone %q; there are %s", name, strings.Join(names, ", "))
 		}
-		if !slices.Contains(sc.LostZones, i) {
-			sc.LostZones = append(sc.LostZones, i)
+		if !slices.Contains(scenario.LostZones, i) {
+			scenario.LostZones = append(scenario.LostZones, i)
 			p.Lost = append(p.Lost, name)
 		}
 	}
-	p.Order = append([]string{"tenants over their share", "repeats of what failed before"}, classOrder(sc.Classes)...)
+	p.Order = append([]string{"tenants over their share", "repeats of what failed before"}, rejectionOrder(scenario.Classes)...)
 	for i := range names {
-		p.Steady = append(p.Steady, steadyState(settings, sc, i))
+		p.Steady = append(p.Steady, steadyState(settings, scenario, i))
 	}
-	for _, m := range zones.Simulate(settings, sc) {
-		s := second{At: float64(m.At/rules.Millisecond) / 1000, Asked: m.Demand, Left: m.Unserved}
-		for _, z := range m.Zones {
+	for _, moment := range zones.Simulate(settings, scenario) {
+		s := second{At: float64(moment.At/rules.Millisecond) / 1000, Asked: moment.Demand, Left: moment.Unserved}
+		for _, z := range moment.Zones {
 			s.Zones = append(s.Zones, zoneSecond{z.State.String(), z.LoadShare, z.Capacity, z.OwnLoad, z.ForeignLoad, z.BlockedLoad, z.RejectedClasses, z.ShedLoad})
 		}
 		p.Seconds = append(p.Seconds, s)
@@ -172,25 +173,25 @@
 	return p, nil
 }
 
-// maxPlanLength bounds the time that a simulation takes.
+// maxPlanLength bounds --for, and with it how long the command takes.
 const maxPlanLength = time.Hour
 
-// validate checks the flags that have a range.
+// validate checks the ranges of the flags.
 func (f *planFlags) validate() error {
 	switch {
-	case !(f.load > 0): // not a number, too
-		return fmt.Errorf("plan: --load is %v, must be over 0", f.load)
+	case !(f.load > 0): // also true of NaN
+		return fmt.Errorf("plan: --load is %v, must be greater than 0", f.load)
 	case f.at < 0:
 		return fmt.Errorf("plan: --at is %v, must be at least 0", f.at)
 	case f.outage <= 0:
-		return fmt.Errorf("plan: --after is %v, must be over 0", f.outage)
+		return fmt.Errorf("plan: --after is %v, must be greater than 0", f.outage)
 	case f.length <= 0 || f.length > maxPlanLength:
-		return fmt.Errorf("plan: --for is %v, must be over 0 and at most %v", f.length, maxPlanLength)
+		return fmt.Errorf("plan: --for is %v, must be greater than 0 and at most %v", f.length, maxPlanLength)
 	}
 	return nil
 }
 
-// coresByZone are the cores of the active engines that the configuration lists.
+// coresByZone returns, for each zone, the cores of the active engines that the configuration lists.
 func coresByZone(cfg config.Config) []float64 {
 	cores := make([]float64, len(cfg.Settings.ZoneNames))
 	for _, e := range cfg.InitialList.Engines {
@@ -202,24 +203,25 @@
 	return cores
 }
 
-// planTime is a duration in the unit of the rules.
-func planTime(d time.Duration) rules.Time { return rules.Time(d / time.Microsecond) }
+// toRulesTime converts a duration to the unit of package rules, microseconds.
+func toRulesTime(d time.Duration) rules.Time { return rules.Time(d / time.Microsecond) }
 
-// classSpecs are the classes with their part of the work and their value for it.
-func classSpecs(cfg config.Config, sites *site.Zones) []zones.ClassSpec {
+// classSpecs returns the classes with their fraction of the demand and their value per core second. A class that the
+// operator's file does not describe counts with a weight of 1, and its work is its latency objective times its threads.
+func classSpecs(cfg config.Config, zoneSettings *site.Zones) []zones.ClassSpec {
 	n := len(cfg.Settings.ClassNames)
 	out := make([]zones.ClassSpec, n)
 	total := 0.0
 	for i, name := range cfg.Settings.ClassNames {
 		c := cfg.Settings.Rules.Classes[i]
-		part, work := 1.0, float64(c.LatencyObjective)*float64(max(1, c.Threads))
-		for _, k := range sites.Classes {
-			if k.Name == name {
-				part, work = k.RequestWeight*float64(k.MeanWork), float64(k.MeanWork)
+		weight, work := 1.0, float64(c.LatencyObjective)*float64(max(1, c.Threads))
+		for _, planned := range zoneSettings.Classes {
+			if planned.Name == name {
+				weight, work = planned.RequestWeight*float64(planned.MeanWork), float64(planned.MeanWork)
 			}
 		}
-		out[i] = zones.ClassSpec{Name: name, DemandFraction: part, ValuePerCoreSecond: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
-		total += part
+		out[i] = zones.ClassSpec{Name: name, DemandFraction: weight, ValuePerCoreSecond: c.PriorityWeight * float64(rules.Second) / max(work, 1)}
+		total += weight
 	}
 	for i := range out {
 		out[i].DemandFraction /= max(total, 1e-9)
@@ -227,8 +229,9 @@
 	return out
 }
 
-// classOrder are the classes in the order in which they are rejected. The most valuable one is never rejected.
-func classOrder(classes []zones.ClassSpec) (out []string) {
+// rejectionOrder returns the names of the classes in the order in which they are rejected, lowest value first. The most
+// valuable class is never rejected.
+func rejectionOrder(classes []zones.ClassSpec) (out []string) {
 	byValue := slices.Clone(classes)
 	slices.SortStableFunc(byValue, func(a, b zones.ClassSpec) int { return cmp.Compare(a.ValuePerCoreSecond, b.ValuePerCoreSecond) })
 	for _, c := range byValue[:max(len(byValue)-1, 0)] {
@@ -237,23 +240,23 @@
 	return out
 }
 
-// steadyState simulates the loss of one zone until nothing changes any more.
-func steadyState(settings zones.Settings, sc zones.Scenario, lose int) steady {
-	sc.LostZones, sc.LostAt, sc.ReturnAt, sc.Duration = []int{lose}, rules.Second, 0, rules.Second+sc.UnlistAfter+sc.ClientsMoveAfter+20*rules.Second
-	moments := zones.Simulate(settings, sc)
+// steadyState simulates the loss of one zone until the fleet has settled.
+func steadyState(settings zones.Settings, scenario zones.Scenario, lostZone int) steadyLoss {
+	scenario.LostZones, scenario.LostAt, scenario.ReturnAt, scenario.Duration = []int{lostZone}, rules.Second, 0, rules.Second+scenario.UnlistAfter+scenario.ClientsMoveAfter+20*rules.Second
+	moments := zones.Simulate(settings, scenario)
 	last := moments[len(moments)-1]
-	s := steady{Zone: sc.Zones[lose].Name, Unserved: last.Unserved, To: map[string]float64{}}
+	s := steadyLoss{Zone: scenario.Zones[lostZone].Name, Unserved: last.Unserved, To: map[string]float64{}}
 	for i, z := range last.Zones {
 		s.Held += z.BlockedLoad
 		if last.Demand > 0 {
-			s.To[sc.Zones[i].Name] = (z.OwnLoad + z.ForeignLoad) / last.Demand
+			s.To[scenario.Zones[i].Name] = (z.OwnLoad + z.ForeignLoad) / last.Demand
 		}
 	}
 	return s
 }
 
-// minShownPart is the part of the load from which a zone is named: less is 0.00 when rounded.
-const minShownPart = 0.0005
+// minShownFraction is the smallest fraction of the load with which a zone is named: less would be printed as 0.00.
+const minShownFraction = 0.0005
 
 func (p *plan) print(w io.Writer) error {
 	err := printTable(w, tabwriter.AlignRight, func(t *printer) {
@@ -261,8 +264,8 @@
 		for i, name := range p.Zones {
 			var to []string
 			for _, other := range p.Zones {
-				if part := p.Steady[i].To[other]; part > minShownPart {
-					to = append(to, fmt.Sprintf("%s %.2f", other, part))
+				if fraction := p.Steady[i].To[other]; fraction > minShownFraction {
+					to = append(to, fmt.Sprintf("%s %.2f", other, fraction))
 				}
 			}
 			t.printf("%s\t%.0f\t%.1f\t%.1f\t%.1f\t%s\t\n", name, p.Cores[i], p.Demand[i], p.Steady[i].Unserved, p.Steady[i].Held, strings.Join(to, ", "))
--- a/cmd/foxlane/plan_test.go
+++ b/cmd/foxlane/plan_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The plan of the example's two zones: a table, and the same as JSON.
+// The plan of the example's two zones is printed as a table, and as JSON with --json.
 func TestPlanCommand(t *testing.T) {
 	out, err := execute("plan", "../../example/config.json", "--lose", "hall-a", "--return", "hall-a")
 	if err != nil {
@@ -28,11 +28,11 @@
 	}
 	last := p.Seconds[len(p.Seconds)-1]
 	if last.Zones[0].Own != 0 || math.Abs(last.Zones[1].Own-12.8) > 1e-6 || last.Left > 1e-9 {
-		t.Errorf("hall-a is lost and hall-b, which its clients use then, has capacity for them: %+v", last)
+		t.Errorf("hall-a is lost, and hall-b must serve the clients of both: %+v", last)
 	}
 }
 
-func TestPlanSaysWhatIsWrong(t *testing.T) {
+func TestPlanErrors(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	for _, c := range []struct {
 		args []string
--- a/cmd/foxlane/signals_test.go
+++ b/cmd/foxlane/signals_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SIGHUPs that nobody reads don't keep a SIGTERM from being received, and one of them is received, too.
-func TestBurstHidesNoEnd(t *testing.T) {
+// A burst of unread SIGHUPs must not hide a SIGTERM. One SIGHUP stays pending as well.
+func TestReloadBurstDoesNotHideTermination(t *testing.T) {
 	signals := notifySignals()
 	for range 32 {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
@@ -23,11 +23,11 @@
 	select {
 	case <-signals.Terminate:
 	case <-time.After(5 * time.Second):
-		t.Error("the SIGTERM is lost behind the SIGHUPs")
+		t.Error("the SIGTERM was lost in the burst of SIGHUPs")
 	}
 	select {
 	case <-signals.Reload:
 	case <-time.After(5 * time.Second):
-		t.Error("no SIGHUP is left")
+		t.Error("no SIGHUP is pending")
 	}
 }
--- a/cmd/foxlane/spool.go
+++ b/cmd/foxlane/spool.go
@@ -15,8 +15,8 @@
 	"foxlane/internal/spool/disk"
 )
 
-// This file owns `foxlane spool`: commands for the folder of a result store that no gateway uses. They change nothing,
-// except gc with --yes.
+// This file implements `foxlane spool`: commands for the folder of a result store while no gateway uses it. Only gc
+// with --yes changes the folder.
 
 // segmentBytes is the size of the segments that gc writes.
 const segmentBytes = 64 << 20
@@ -24,12 +24,12 @@
 func spoolCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "spool",
-		Short: "Inspect the folder of a result store that no gateway uses",
+		Short: "Inspect the folder of a result store while no gateway uses it",
 	}
 	var yes bool
 	gc := &cobra.Command{
 		Use:   "gc FOLDER",
-		Short: "Count the results that are over; with --yes drop them and free their space",
+		Short: "Count the results whose lease is over; with --yes, drop them and free their space",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], !yes, func(s *disk.Store, rec *disk.Recovery) error {
@@ -42,16 +42,16 @@
 		inspectCommand("ls FOLDER", "List the results that are complete", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, _ []string) error {
 			return spoolList(out, rec, time.Now())
 		}),
-		inspectCommand("show FOLDER ID", "Show where the chunks of a result are; its rows are not shown", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, args []string) error {
+		inspectCommand("show FOLDER ID", "Show where the chunks of a result are stored, without its rows", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, args []string) error {
 			return spoolShow(out, rec, args[1])
 		}),
-		inspectCommand("verify FOLDER", "Read every chunk and compare its checksums; fails if anything is damaged", func(out io.Writer, s *disk.Store, rec *disk.Recovery, _ []string) error {
+		inspectCommand("verify FOLDER", "Read every chunk and check its checksums; fails if anything is damaged", func(out io.Writer, s *disk.Store, rec *disk.Recovery, _ []string) error {
 			return spoolVerify(out, s, rec)
 		}))
 	return cmd
 }
 
-// inspectCommand is a command that only reads a folder. Its arguments are those that use names.
+// inspectCommand returns a command that only reads a folder. It takes as many arguments as use names, the folder first.
 func inspectCommand(use, short string, inspect func(out io.Writer, s *disk.Store, rec *disk.Recovery, args []string) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -65,8 +65,8 @@
 	}
 }
 
-// withStore opens the store in a folder, and closes it when do has returned.
-func withStore(path string, readOnly bool, do func(*disk.Store, *disk.Recovery) error) (err error) {
+// withStore calls use with the store in a folder, and closes the store afterwards.
+func withStore(path string, readOnly bool, use func(*disk.Store, *disk.Recovery) error) (err error) {
 	folder, err := disk.OpenExisting(path)
 	if err != nil {
 		return err
@@ -76,10 +76,10 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(do(store, rec), store.Close())
+	return errors.Join(use(store, rec), store.Close())
 }
 
-// totalSize is the size of a result, in bytes.
+// totalSize returns the size of a result's chunks in bytes.
 func totalSize(chunks []spool.Location) (n int64) {
 	for _, c := range chunks {
 		n += int64(c.Size)
@@ -87,56 +87,58 @@
 	return n
 }
 
-// formatTime is a time of the wall clock in UTC.
-func formatTime(unixMicro int64) string { return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339) }
+// formatUnixMicro formats a Unix time in microseconds as UTC.
+func formatUnixMicro(unixMicro int64) string {
+	return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339)
+}
 
-func spoolList(out io.Writer, rec *disk.Recovery, now time.Time) error {
+func spoolList(out io.Writer, recovery *disk.Recovery, now time.Time) error {
 	err := printTable(out, 0, func(t *printer) {
 		t.printf("id\ttenant\tclass\tchunks\tbytes\tcreated\tlease\t\n")
-		for _, r := range rec.Results {
+		for _, r := range recovery.Results {
 			state := ""
 			if r.Meta.LeaseEnd < now.UnixMicro() {
 				state = "over"
 			}
 			t.printf("%x\t%016x\t%d\t%d\t%d\t%s\t%s\t%s\n", r.ID[:], r.Meta.Tenant, r.Meta.Class, len(r.Locations), totalSize(r.Locations),
-				formatTime(r.Meta.Created), formatTime(r.Meta.LeaseEnd), state)
+				formatUnixMicro(r.Meta.Created), formatUnixMicro(r.Meta.LeaseEnd), state)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
-		rec.Unfinished, rec.TornBytes)
+	_, err = fmt.Fprintf(out, "%d whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(recovery.Results), len(recovery.Lost),
+		recovery.Unfinished, recovery.TornBytes)
 	return err
 }
 
-// spoolShow shows one result; name is its id in hexadecimal.
-func spoolShow(out io.Writer, rec *disk.Recovery, name string) error {
-	raw, err := hex.DecodeString(name)
+// spoolShow prints where the chunks of one result are stored.
+func spoolShow(out io.Writer, recovery *disk.Recovery, hexID string) error {
+	raw, err := hex.DecodeString(hexID)
 	if err != nil || len(raw) != len(spool.ID{}) {
-		return fmt.Errorf("spool: %.40q is no id; it has 32 hex digits, as ls prints them", name)
+		return fmt.Errorf("spool: %.40q is not an id; ids have 32 hex digits, as ls prints them", hexID)
 	}
 	id := spool.ID(raw)
-	for _, r := range rec.Results {
+	for _, r := range recovery.Results {
 		if r.ID != id {
 			continue
 		}
 		p := &printer{w: out}
-		p.printf("created %s, lease until %s\n", formatTime(r.Meta.Created), formatTime(r.Meta.LeaseEnd))
+		p.printf("created %s, lease until %s\n", formatUnixMicro(r.Meta.Created), formatUnixMicro(r.Meta.LeaseEnd))
 		for n, c := range r.Locations {
 			p.printf("chunk %d: segment %d at %d, %d bytes\n", n, c.Segment, c.Offset, c.Size)
 		}
 		return p.err
 	}
-	if slices.Contains(rec.Lost, id) {
-		return fmt.Errorf("spool: result %s is damaged", name)
+	if slices.Contains(recovery.Lost, id) {
+		return fmt.Errorf("spool: result %s is damaged", hexID)
 	}
-	return fmt.Errorf("spool: no result %s", name)
+	return fmt.Errorf("spool: no result %s", hexID)
 }
 
-func spoolVerify(out io.Writer, s *disk.Store, rec *disk.Recovery) error {
+func spoolVerify(out io.Writer, store *disk.Store, recovery *disk.Recovery) error {
 	p := &printer{w: out}
-	for _, d := range rec.Damage {
+	for _, d := range recovery.Damage {
 		owner := "of no known result"
 		if d.Known {
 			owner = fmt.Sprintf("of result %x", d.ID[:])
@@ -144,51 +146,51 @@
 		p.printf("segment %d: %d bytes at %d are damaged, %s\n", d.Segment, d.Size, d.Offset, owner)
 	}
 	unreadable := 0
-	for _, r := range rec.Results {
+	for _, r := range recovery.Results {
 		for n, c := range r.Locations {
-			if _, err := s.Read(r.ID, n, c); err != nil {
+			if _, err := store.Read(r.ID, n, c); err != nil {
 				unreadable++
 				p.printf("result %x, chunk %d: %v\n", r.ID[:], n, err)
 			}
 		}
 	}
-	p.printf("%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(rec.Results), len(rec.Lost),
-		rec.Unfinished, rec.TornBytes)
-	if len(rec.Damage) > 0 || unreadable > 0 {
-		return errors.Join(fmt.Errorf("spool: %d stretches are damaged, %d chunks can't be read", len(rec.Damage), unreadable), p.err)
+	p.printf("%d results are whole, %d damaged, %d never finished, %d bytes of a torn write\n", len(recovery.Results), len(recovery.Lost),
+		recovery.Unfinished, recovery.TornBytes)
+	if len(recovery.Damage) > 0 || unreadable > 0 {
+		return errors.Join(fmt.Errorf("spool: %d byte ranges are damaged, %d chunks can't be read", len(recovery.Damage), unreadable), p.err)
 	}
 	return p.err
 }
 
-// spoolGC drops the results whose lease is over and compacts the store, or without yes only counts them.
-func spoolGC(out io.Writer, s *disk.Store, rec *disk.Recovery, now time.Time, yes bool) error {
-	var over []spool.ID
-	bytes := int64(0)
-	for _, r := range rec.Results {
+// spoolGC drops the results whose lease is over and compacts the store. Without write it only counts them.
+func spoolGC(out io.Writer, store *disk.Store, recovery *disk.Recovery, now time.Time, write bool) error {
+	var expired []spool.ID
+	expiredBytes := int64(0)
+	for _, r := range recovery.Results {
 		if r.Meta.LeaseEnd < now.UnixMicro() {
-			over = append(over, r.ID)
-			bytes += totalSize(r.Locations)
+			expired = append(expired, r.ID)
+			expiredBytes += totalSize(r.Locations)
 		}
 	}
-	if !yes {
-		_, err := fmt.Fprintf(out, "%d of %d results are over, %d bytes; --yes drops them\n", len(over), len(rec.Results), bytes)
+	if !write {
+		_, err := fmt.Fprintf(out, "%d of %d results are over, %d bytes; --yes drops them\n", len(expired), len(recovery.Results), expiredBytes)
 		return err
 	}
-	before := s.Bytes()
-	for _, d := range s.Commit(disk.DropEffects(over)) {
+	bytesBefore := store.Bytes()
+	for _, d := range store.Commit(disk.DropEffects(expired)) {
 		if d.Err != nil {
 			return d.Err
 		}
 	}
-	for last := int64(-1); s.Bytes() != last; { // until compaction frees nothing more
-		last = s.Bytes()
-		if _, err := s.Compact(); err != nil {
+	for previousBytes := int64(-1); store.Bytes() != previousBytes; { // until compaction frees no more space
+		previousBytes = store.Bytes()
+		if _, err := store.Compact(); err != nil {
 			return err
 		}
-		if s.WastedBytes() < last/10 {
+		if store.WastedBytes() < previousBytes/10 {
 			break
 		}
 	}
-	_, err := fmt.Fprintf(out, "%d results dropped, %d bytes freed\n", len(over), before-s.Bytes())
+	_, err := fmt.Fprintf(out, "%d results dropped, %d bytes freed\n", len(expired), bytesBefore-store.Bytes())
 	return err
 }
--- a/cmd/foxlane/spool_test.go
+++ b/cmd/foxlane/spool_test.go
@@ -13,8 +13,8 @@
 	"foxlane/internal/spool/segment"
 )
 
-// spoolFolder is a folder with results whose leases end at these times.
-func spoolFolder(t *testing.T, leases ...time.Time) string {
+// newSpoolFolder returns a folder with one result for each lease end.
+func newSpoolFolder(t *testing.T, leaseEnds ...time.Time) string {
 	dir := t.TempDir()
 	folder, err := disk.OpenFolder(dir)
 	if err != nil {
@@ -24,11 +24,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k, lease := range leases {
-		id := spool.ID{byte(k + 1)}
+	for i, leaseEnd := range leaseEnds {
+		id := spool.ID{byte(i + 1)}
 		rows := strings.Repeat("a\tb\tc\n", 100)
 		for _, d := range s.Commit([]spool.WriteRecord{
-			{ID: id, Record: segment.Open, Data: segment.AppendMeta(nil, segment.Meta{Tenant: 7, Created: 1, LeaseEnd: lease.UnixMicro()})},
+			{ID: id, Record: segment.Open, Data: segment.AppendMeta(nil, segment.Meta{Tenant: 7, Created: 1, LeaseEnd: leaseEnd.UnixMicro()})},
 			{ID: id, Record: segment.Chunk, Data: []byte(rows)},
 			{ID: id, Record: segment.Seal, Index: 1, Data: segment.AppendSummary(nil, segment.Summary{Chunks: 1, Bytes: uint64(len(rows))})},
 		}) {
@@ -63,7 +63,7 @@
 
 func TestSpoolCommands(t *testing.T) {
 	now := time.Now()
-	dir := spoolFolder(t, now.Add(-time.Hour), now.Add(time.Hour), now.Add(-time.Minute))
+	dir := newSpoolFolder(t, now.Add(-time.Hour), now.Add(time.Hour), now.Add(-time.Minute))
 	before := folderContents(t, dir)
 	out, err := execute("spool", "ls", dir)
 	if err != nil || !strings.Contains(out, "3 whole, 0 damaged") || strings.Count(out, "over") != 2 {
@@ -74,7 +74,7 @@
 	}
 	for _, id := range []string{"02", "zz000000000000000000000000000000", "09000000000000000000000000000000"} {
 		if _, err := execute("spool", "show", dir, id); err == nil {
-			t.Errorf("show %s passed", id)
+			t.Errorf("show %s succeeded", id)
 		}
 	}
 	if out, err := execute("spool", "verify", dir); err != nil || !strings.Contains(out, "3 results are whole") {
@@ -94,10 +94,10 @@
 	}
 }
 
-// A torn tail and damage are reported and left as they are.
-func TestSpoolVerifyTellsDamage(t *testing.T) {
+// Verify reports a torn tail and damaged rows, and leaves the folder unchanged.
+func TestSpoolVerifyReportsDamage(t *testing.T) {
 	now := time.Now()
-	dir := spoolFolder(t, now.Add(time.Hour), now.Add(time.Hour))
+	dir := newSpoolFolder(t, now.Add(time.Hour), now.Add(time.Hour))
 	path := filepath.Join(dir, "00000001.seg")
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,9 +117,9 @@
 		t.Error("verify has changed the folder")
 	}
 	if _, err := execute("spool", "ls", filepath.Join(dir, "nowhere")); err == nil {
-		t.Error("a folder that is not there passed")
+		t.Error("a missing folder was accepted")
 	}
 	if _, err := os.Stat(filepath.Join(dir, "nowhere")); err == nil {
-		t.Error("ls made a folder")
+		t.Error("ls created a folder")
 	}
 }
--- a/example/client/main.go
+++ b/example/client/main.go
@@ -1,4 +1,4 @@
-// Command client sends a gateway one query of each class, with an ordinary MySQL client library, and prints the rows.
+// Command client sends a gateway one query of each class, using an ordinary MySQL client library, and prints the rows.
 package main
 
 import (
@@ -29,15 +29,15 @@
 	}
 	defer func() { err = errors.Join(err, db.Close()) }()
 	for _, class := range []string{"point", "report", "load"} {
-		fields := fmt.Sprintf("/* kind=%s,req=%016x,timeout=10000 */ ", class, rand.Uint64())
-		if err := printRows(db, fields+"SELECT day, count(*), max(note) FROM sales_17.orders GROUP BY day"); err != nil {
+		comment := fmt.Sprintf("/* kind=%s,req=%016x,timeout=10000 */ ", class, rand.Uint64())
+		if err := printRows(db, comment+"SELECT day, count(*), max(note) FROM sales_17.orders GROUP BY day"); err != nil {
 			return fmt.Errorf("%s: %w", class, err)
 		}
 	}
 	return nil
 }
 
-// printRows runs a query and prints its rows of three columns.
+// printRows runs a query with three columns and prints its rows.
 func printRows(db *sql.DB, query string) (err error) {
 	rows, err := db.Query(query)
 	if err != nil {
@@ -45,11 +45,11 @@
 	}
 	defer func() { err = errors.Join(err, rows.Close()) }()
 	for rows.Next() {
-		var a, b, c string
-		if err := rows.Scan(&a, &b, &c); err != nil {
+		var day, count, note string
+		if err := rows.Scan(&day, &count, &note); err != nil {
 			return err
 		}
-		fmt.Printf("%s | %s | %s\n", a, b, c)
+		fmt.Printf("%s | %s | %s\n", day, count, note)
 	}
 	return rows.Err()
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -30,7 +30,7 @@
 	LoginTimeout           rules.Time // from connecting to the first command, and from a packet's first byte to its last
 	ClientIdleTimeout      rules.Time // without a request, until the connection is closed
 	MaxSessionErrors       int        // invalid commands of a session until it is closed
-	AdmissionStateBytes    int        // state of admission control about principals
+	AdmissionStateBytes    int        // size of admission control's state about principals
 	MaxTimeoutFactor       rules.Time // a client's timeout over this multiple of its class's is a mistake
 	MaxNetworkMargin       rules.Time // upper bound of the margin subtracted from a client's timeout for network latency
 	NetworkMarginDivisor   rules.Time // the margin is at most the client's timeout divided by this
@@ -46,7 +46,7 @@
 	EngineSendBuffer   int // bytes buffered for an engine that does not read
 	ResultBufferBytes  int // size of all results whose last page has not arrived
 	EngineIdleTimeout  rules.Time
-	AnswerStallTimeout rules.Time // without a byte of an incomplete answer, until its connection is closed
+	AnswerStallTimeout rules.Time // without a further byte of an incomplete answer, until its connection is closed
 	ConnectTimeout     rules.Time
 	ProbeTimeout       rules.Time
 
@@ -114,7 +114,7 @@
 	l.MaxInputBytes = int(memory / 8) // and the same again for incomplete packets
 	l.MaxRequests = l.connectionDescriptors() / 2
 	l.LoginTimeout = 2200 * rules.Millisecond
-	l.ClientIdleTimeout = 4600 * rules.Millisecond // clients close idle connections after 4 s
+	l.ClientIdleTimeout = 4600 * rules.Millisecond // clients keep idle connections for 4 s
 	l.MaxSessionErrors = 16
 	l.AdmissionStateBytes = int(memory / 32)
 	l.MaxTimeoutFactor = 10
