--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -100,17 +100,19 @@
 	To       map[string]float64 // fraction of the whole load that each zone takes, by name
 }
 
-// second is one second of the simulation. Loads are in cores.
+// second is the state at one second of the simulation. Loads are in cores.
 type second struct {
-	At    float64
+	At    float64 // seconds since the start
 	Asked float64 // demand
 	Left  float64 // unserved
 	Zones []zoneSecond
 }
 
+// zoneSecond is the state of one zone in a second: the fraction of its usual load that it takes (Share), its capacity
+// (Room), the load from its own and from other gateways, the load over the spillover limit (Held), and the load shed.
 type zoneSecond struct {
 	State                           string
-	Share, Room, Own, Foreign, Held float64  // Room: its capacity
+	Share, Room, Own, Foreign, Held float64
 	Refused                         []string `json:",omitempty"` // classes that are rejected
 	Shed                            float64
 }
--- a/cmd/foxlane/spool.go
+++ b/cmd/foxlane/spool.go
@@ -32,34 +32,34 @@
 		Short: "Count the results whose lease is over; with --yes, drop them and free their space",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withStore(args[0], !yes, func(s *disk.Store, rec *disk.Recovery) error {
-				return spoolGC(cmd.OutOrStdout(), s, rec, time.Now(), yes)
+			return withStore(args[0], !yes, func(s *disk.Store, recovery *disk.Recovery) error {
+				return spoolGC(cmd.OutOrStdout(), s, recovery, time.Now(), yes)
 			})
 		},
 	}
 	gc.Flags().BoolVar(&yes, "yes", false, "write to the folder")
 	cmd.AddCommand(gc,
-		inspectCommand("ls FOLDER", "List the results that are complete", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, _ []string) error {
-			return spoolList(out, rec, time.Now())
+		inspectCommand("ls FOLDER", "List the results that are complete", func(out io.Writer, _ *disk.Store, recovery *disk.Recovery, _ []string) error {
+			return spoolList(out, recovery, time.Now())
 		}),
-		inspectCommand("show FOLDER ID", "Show where the chunks of a result are stored, without its rows", func(out io.Writer, _ *disk.Store, rec *disk.Recovery, args []string) error {
-			return spoolShow(out, rec, args[1])
+		inspectCommand("show FOLDER ID", "Show where the chunks of a result are stored, without its rows", func(out io.Writer, _ *disk.Store, recovery *disk.Recovery, args []string) error {
+			return spoolShow(out, recovery, args[1])
 		}),
-		inspectCommand("verify FOLDER", "Read every chunk and check its checksums; fails if anything is damaged", func(out io.Writer, s *disk.Store, rec *disk.Recovery, _ []string) error {
-			return spoolVerify(out, s, rec)
+		inspectCommand("verify FOLDER", "Read every chunk and check its checksums; fails if anything is damaged", func(out io.Writer, s *disk.Store, recovery *disk.Recovery, _ []string) error {
+			return spoolVerify(out, s, recovery)
 		}))
 	return cmd
 }
 
 // inspectCommand returns a command that only reads a folder. It takes as many arguments as use names, the folder first.
-func inspectCommand(use, short string, inspect func(out io.Writer, s *disk.Store, rec *disk.Recovery, args []string) error) *cobra.Command {
+func inspectCommand(use, short string, inspect func(out io.Writer, s *disk.Store, recovery *disk.Recovery, args []string) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  cobra.ExactArgs(len(strings.Fields(use)) - 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return withStore(args[0], true, func(s *disk.Store, rec *disk.Recovery) error {
-				return inspect(cmd.OutOrStdout(), s, rec, args)
+			return withStore(args[0], true, func(s *disk.Store, recovery *disk.Recovery) error {
+				return inspect(cmd.OutOrStdout(), s, recovery, args)
 			})
 		},
 	}
@@ -72,11 +72,11 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, folder.Close()) }()
-	store, rec, err := disk.Open(folder, disk.Options{SegmentBytes: segmentBytes, ReadOnly: readOnly})
+	store, recovery, err := disk.Open(folder, disk.Options{SegmentBytes: segmentBytes, ReadOnly: readOnly})
 	if err != nil {
 		return err
 	}
-	return errors.Join(use(store, rec), store.Close())
+	return errors.Join(use(store, recovery), store.Close())
 }
 
 // totalSize returns the size of a result's chunks in bytes.
@@ -88,9 +88,7 @@
 }
 
 // formatUnixMicro formats a Unix time in microseconds as UTC.
-func formatUnixMicro(unixMicro int64) string {
-	return time.UnixMicro(unixMicro).UTC().Format(time.RFC3339)
-}
+func formatUnixMicro(us int64) string { return time.UnixMicro(us).UTC().Format(time.RFC3339) }
 
 func spoolList(out io.Writer, recovery *disk.Recovery, now time.Time) error {
 	err := printTable(out, 0, func(t *printer) {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -38,7 +38,7 @@
 	// Engines.
 	MaxEngineConns     int // connections to one engine
 	MaxConns           int // connections to all engines
-	Multiplex          int // requests on one connection
+	Multiplex          int // concurrent requests on one connection
 	MaxLineBytes       int // size of the first line of an answer
 	MaxPageBytes       int
 	MaxPages           int // pages of a result
--- a/internal/site/attributes.go
+++ b/internal/site/attributes.go
@@ -19,8 +19,8 @@
 // This file reads the types of values that several blocks use: durations and
 // sizes with units, bounded numbers, names and lists.
 
-// attributeReader reads attributes of blocks and collects their errors. If an attribute is absent (nil) or invalid, its
-// methods leave the target at its default.
+// attributeReader reads attributes of blocks and collects their errors. Its methods leave a target as it is, at its
+// default, if the attribute is absent (nil).
 type attributeReader struct{ diags hcl.Diagnostics }
 
 // failed reports whether any attribute had an error.
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -20,7 +20,7 @@
 	Bind            netip.AddrPort
 	Control         netip.AddrPort // listens for operators' commands; the zero value: no listener
 	Seeds           []netip.AddrPort
-	AllowedPrefixes []netip.Prefix                    // source addresses from which messages are accepted; nil: any
+	AllowedPrefixes []netip.Prefix                    // addresses of the members that are accepted; nil: any
 	AddressMap      map[netip.AddrPort]netip.AddrPort // from a member's announced address to the one to reach it at
 	FastTimers      bool
 	Replica         replica.Settings // without name, zone, incarnation and seed, which the gateway adds
