--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -45,7 +45,8 @@
 		return false
 	}
 	return m.withinSlowStartQuota(req, eng) ||
-		spent+work <= slowStartSafety/2*budget && spent+m.quasiRandom(eng)*work <= m.sampledQuota(eng, quota, work)
+		spent+work <= slowStartSafety/2*budget &&
+			spent+m.quasiRandom(eng)*work <= m.sampledQuota(eng, quota, work)
 }
 
 // requiredSlowStartBudget returns the work for which the budget must have room before a request is sent:
