--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -12,18 +12,18 @@
 )
 
 // withAdmission configures admission control, and limits that a flood reaches.
-func withAdmission(t testing.TB, text string, conns, asks int) func(*config.Config) {
+func withAdmission(t testing.TB, text string, maxConns, maxRequests int) func(*config.Config) {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return func(cfg *config.Config) {
 		cfg.Site = s
-		cfg.Limits.MaxClients, cfg.Limits.MaxRequests, cfg.Limits.ClientQuota = conns, asks, conns
+		cfg.Limits.MaxClients, cfg.Limits.MaxRequests, cfg.Limits.ClientQuota = maxConns, maxRequests, maxConns
 	}
 }
 
-const admissionText = `fair {
+const admissionSiteFormat = `fair {
   any_tenant = true
   network "flood" {
     addresses = ["10.0.0.1"]
@@ -62,7 +62,7 @@
 
 func playWithAdmissionControl(t *testing.T, seed uint64, faultRate float64) {
 	t.Helper()
-	sim := newSimulationWith(t, seed, faultRate, withAdmission(t, fmt.Sprintf(admissionText, 1), 70, 60))
+	sim := newSimulationWith(t, seed, faultRate, withAdmission(t, fmt.Sprintf(admissionSiteFormat, 1), 70, 60))
 	sim.nextClientAddr = func() netip.Addr {
 		switch n := sim.rng.IntN(10); {
 		case n < 6:
@@ -75,7 +75,7 @@
 	n := 1
 	sim.reloadChange = func(cfg *config.Config) {
 		n++
-		cfg.Site = parseSite(t, strings.Replace(fmt.Sprintf(admissionText, n), "10.0.1.0/24", fmt.Sprintf("10.0.%d.0/24", 1+n%2), 1))
+		cfg.Site = parseSite(t, strings.Replace(fmt.Sprintf(admissionSiteFormat, n), "10.0.1.0/24", fmt.Sprintf("10.0.%d.0/24", 1+n%2), 1))
 	}
 	for at := rules.Time(0); at < 6*rules.Second; at += 3 * rules.Millisecond { // three times the load
 		sim.schedule(at, sim.sendRequest)
@@ -103,11 +103,11 @@
 }
 
 // newAdmissionGateway has admission control on, and an engine that answers nothing by itself.
-func newAdmissionGateway(t *testing.T, text string, conns, asks int) *testGateway {
-	return newTestGatewayWith(t, withAdmission(t, text, conns, asks), oneHost)
+func newAdmissionGateway(t *testing.T, text string, maxConns, maxRequests int) *testGateway {
+	return newTestGatewayWith(t, withAdmission(t, text, maxConns, maxRequests), oneHost)
 }
 
-func (gw *testGateway) clientFrom(id ConnID, from string) {
+func (gw *testGateway) loginClientFrom(id ConnID, from string) {
 	gw.g.Step(gw.now, ConnectionAccepted{Conn: id, From: netip.MustParseAddr(from)})
 	gw.flush()
 	if !gw.closed[id] {
@@ -115,8 +115,8 @@
 	}
 }
 
-func askTextWith(class, id, more string) string {
-	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, more)))
+func requestPacketWith(class, id, extraFields string) string {
+	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, extraFields)))
 }
 
 // A queued request has one final answer: none after a KILL or a close by its client, a rejection after SIGTERM or before its
@@ -124,25 +124,25 @@
 func TestQueuedRequestEndsOnce(t *testing.T) {
 	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
 	for i := range ConnID(50) {
-		gw.clientFrom(1+i, "10.0.0.1")
+		gw.loginClientFrom(1+i, "10.0.0.1")
 		gw.takeOutput(1 + i)
-		gw.receive(1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+		gw.receive(1+i, requestPacketWith("point", fmt.Sprintf("%016x", i+1), ""))
 	}
-	held := gw.g.admission.controller.Stats().Queued
-	if held < 10 {
-		t.Fatalf("only %d are held", held)
+	queued := gw.g.admission.controller.Stats().Queued
+	if queued < 10 {
+		t.Fatalf("only %d are held", queued)
 	}
 	victim := gw.g.clients[50]
 	if victim.request == nil || victim.request.submitted {
 		t.Fatal("the last one is not held")
 	}
-	gw.clientFrom(51, "10.0.0.2")
+	gw.loginClientFrom(51, "10.0.0.2")
 	gw.receive(51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
-	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != held-1 {
+	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != queued-1 {
 		t.Error("a killed query is still held, or was answered")
 	}
 	gw.closeConn(49)
-	if gw.g.admission.controller.Stats().Queued != held-2 {
+	if gw.g.admission.controller.Stats().Queued != queued-2 {
 		t.Error("the query of a client that left is still held")
 	}
 	gw.advance(690 * rules.Millisecond)
@@ -174,9 +174,9 @@
 		}, oneHost)
 		rejected := 0
 		for i := range ConnID(40) {
-			gw.clientFrom(1+i, "10.0.0.1")
+			gw.loginClientFrom(1+i, "10.0.0.1")
 			gw.takeOutput(1 + i)
-			gw.receive(1+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+			gw.receive(1+i, requestPacketWith("point", fmt.Sprintf("%016x", i+1), ""))
 		}
 		for i := range ConnID(40) {
 			if out := gw.takeOutput(1 + i); strings.Contains(out, "refused") {
@@ -207,11 +207,11 @@
 		{"fair {\n any_tenant = true\n}", long, true},
 	} {
 		gw := newAdmissionGateway(t, c.text, 20, 20)
-		gw.clientFrom(1, "10.0.0.1")
+		gw.loginClientFrom(1, "10.0.0.1")
 		gw.takeOutput(1)
-		gw.receive(1, askTextWith("point", idA, ",owner="+c.tenant))
-		if taken := gw.g.requests[idA] != nil; taken != c.ok {
-			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, taken)
+		gw.receive(1, requestPacketWith("point", idA, ",owner="+c.tenant))
+		if accepted := gw.g.requests[idA] != nil; accepted != c.ok {
+			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, accepted)
 		}
 		if gw.g.admission.controller.StateBytes() > gw.g.admission.controller.StateBound() {
 			t.Error("over its bound")
@@ -223,19 +223,19 @@
 func TestFloodOfConnectionsLeavesRoom(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		gw := newAdmissionGateway(t, "fair {\n}", 60, 60)
-		gw.clientFrom(1, "10.0.0.2")
+		gw.loginClientFrom(1, "10.0.0.2")
 		gw.receive(1, string(queryPacket("SET x = 1")))
 		for i := range ConnID(1000) {
-			gw.clientFrom(100+i, "10.0.0.1")
+			gw.loginClientFrom(100+i, "10.0.0.1")
 			if asks && !gw.closed[100+i] {
-				gw.receive(100+i, askTextWith("point", fmt.Sprintf("%016x", i+1), ""))
+				gw.receive(100+i, requestPacketWith("point", fmt.Sprintf("%016x", i+1), ""))
 			}
 		}
 		if gw.closed[1] {
 			t.Errorf("asks %v: a quiet client was closed", asks)
 		}
 		for i := range ConnID(10) {
-			gw.clientFrom(2+i, "10.0.0.2")
+			gw.loginClientFrom(2+i, "10.0.0.2")
 			gw.takeOutput(2 + i)
 			gw.receive(2+i, string(queryPacket("SET x = 1")))
 			if out := gw.takeOutput(2 + i); gw.closed[2+i] || strings.Contains(out, "\xff") {
--- a/internal/gateway/determinism_test.go
+++ b/internal/gateway/determinism_test.go
@@ -11,21 +11,21 @@
 // A seed that fails has to fail again, or no failure can be traced: the reducer is a function of its configuration, its
 // seed and the events with their times, and so is the simulation around it. Each play happens in maps with other hash seeds.
 func TestOneSeedGivesTheSameEffects(t *testing.T) {
-	for _, scene := range []struct {
+	for _, scenario := range []struct {
 		name   string
 		change func(*config.Config)
 		flood  bool
 	}{
 		{name: "plain"},
-		{name: "admission control", change: withAdmission(t, fmt.Sprintf(admissionText, 1), 70, 60), flood: true},
-		{name: "results in memory", change: withSpool(t, memorySpool)},
-		{name: "results on a disk", change: withSpool(t, diskSpool)},
+		{name: "admission control", change: withAdmission(t, fmt.Sprintf(admissionSiteFormat, 1), 70, 60), flood: true},
+		{name: "results in memory", change: withSpool(t, memorySpoolSite)},
+		{name: "results on a disk", change: withSpool(t, diskSpoolSite)},
 	} {
 		for seed := range seeds(4) {
-			t.Run(fmt.Sprintf("%s seed %d", scene.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s seed %d", scenario.name, seed), func(t *testing.T) {
 				var plays [2][]string
 				for i := range plays {
-					plays[i] = recordEffects(t, seed, scene.change, scene.flood)
+					plays[i] = recordEffects(t, seed, scenario.change, scenario.flood)
 				}
 				for i, effect := range plays[0] {
 					if i >= len(plays[1]) || plays[1][i] != effect {
@@ -45,8 +45,8 @@
 }
 
 // recordEffects plays a seed with all faults and returns the effects with their times, in order.
-func recordEffects(t *testing.T, seed uint64, change func(*config.Config), flood bool) (effects []string) {
-	sim := newSimulationWith(t, seed, 1, change)
+func recordEffects(t *testing.T, seed uint64, modify func(*config.Config), flood bool) (effects []string) {
+	sim := newSimulationWith(t, seed, 1, modify)
 	sim.onEffect = func(effect Effect) {
 		effects = append(effects, fmt.Sprintf("%d us %T %v", sim.now-sim.start, effect, effect))
 	}
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -10,11 +10,11 @@
 	"foxlane/rules"
 )
 
-const membersText = "members {\n  bind = \"127.0.0.1:7946\"\n}\n"
+const membersSite = "members {\n  bind = \"127.0.0.1:7946\"\n}\n"
 
 // A gateway that is the only voter applies directives, keeps the rules meanwhile, and returns to normal once a directive is withdrawn.
 func TestDirectivesAreApplied(t *testing.T) {
-	text := membersText + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
+	text := membersSite + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	sim := newSimulationWith(t, 4, 0, withSite(t, text))
 	sim.step(VoterLogOpened{State: &directives.PersistedState{Initialized: true}})
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
@@ -47,7 +47,7 @@
 		engine("s-00000001", 6100*rules.Millisecond, 9*rules.Second); before == 0 || during > 0 || after == 0 {
 		t.Errorf("the drained engine got %d, %d and %d attempts before, during and after", before, during, after)
 	}
-	if during, after := sim.sentTo("hall-a", 11*rules.Second, 14*rules.Second), sim.sentTo("hall-a", 16*rules.Second, 18*rules.Second); during > 3 || after < 20 {
+	if during, after := sim.countAttempts("hall-a", 11*rules.Second, 14*rules.Second), sim.countAttempts("hall-a", 16*rules.Second, 18*rules.Second); during > 3 || after < 20 {
 		t.Errorf("the drained zone got %d and %d attempts during and after", during, after)
 	}
 	served := 0
@@ -59,33 +59,33 @@
 	if served > 0 || sim.rejected < 50 {
 		t.Errorf("%d requests of the rejected class were forwarded, %d were rejected", served, sim.rejected)
 	}
-	holds, unknown, lists := 0, 0, 0
+	accepted, unknown, lists := 0, 0, 0
 	for _, s := range sim.commandAnswers {
 		switch {
 		case strings.HasPrefix(s, `{"index":`) && !strings.Contains(s, "held"):
-			holds++
+			accepted++
 		case strings.Contains(s, "unknown kind"):
 			unknown++
 		case strings.Contains(s, `"held":[{"kind":"refuse-class"`):
 			lists++
 		}
 	}
-	if holds != 5 || unknown != 1 || lists != 1 {
+	if accepted != 5 || unknown != 1 || lists != 1 {
 		t.Errorf("answers: %v", sim.commandAnswers)
 	}
 	sim.reportViolations()
 }
 
 // A gateway serves on while its block `members` comes and goes; without the block a question is answered with an error.
-func TestMembersBlockComesAndGoes(t *testing.T) {
-	sim := newSimulationWith(t, 5, 0.4, withSite(t, membersText))
+func TestMembersBlockToggles(t *testing.T) {
+	sim := newSimulationWith(t, 5, 0.4, withSite(t, membersSite))
 	n := 0
 	sim.reloadChange = func(cfg *config.Config) {
 		if n++; n%2 == 1 {
 			cfg.Site = parseSite(t, "fair {}\n")
 			cfg.Site.Admission = nil
 		} else {
-			cfg.Site = parseSite(t, membersText)
+			cfg.Site = parseSite(t, membersSite)
 		}
 		sim.step(ControlRequest{Conn: 8, Data: []byte("members")})
 		sim.step(PeerEvent{Kind: PeerJoined, Name: "n1", Zone: "hall-a"})
@@ -108,10 +108,10 @@
 
 // A reload that takes the block `directives` away, with or without the block `members`, leaves the directives in force, and a question
 // about them is still answered. It crashed the gateway at its next tick.
-func TestDirectivesOutlastTheirBlock(t *testing.T) {
-	for name, text := range map[string]string{"without directives": membersText, "without members": "sites {\n}\n", "no blocks": ""} {
+func TestDirectivesStayInForceWithoutBlock(t *testing.T) {
+	for name, text := range map[string]string{"without directives": membersSite, "without members": "sites {\n}\n", "no blocks": ""} {
 		t.Run(name, func(t *testing.T) {
-			gw := newTestGatewayWith(t, withSite(t, membersText+"directives {\n  voters = [\"n0\"]\n}\n"), oneHost)
+			gw := newTestGatewayWith(t, withSite(t, membersSite+"directives {\n  voters = [\"n0\"]\n}\n"), oneHost)
 			gw.step(VoterLogOpened{State: &directives.PersistedState{Initialized: true}})
 			cfg := gw.g.cfg
 			if cfg.Site = nil; text != "" {
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -12,7 +12,7 @@
 
 // What the module must never ask for, and what the reducer must never do, is counted by name where it is carried out, and logged once
 // with the request's id.
-func TestGuardsCountWhatMustNotBe(t *testing.T) {
+func TestGuardsCountViolations(t *testing.T) {
 	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
 	sendAgain := func(gw *testGateway, class string) { // one attempt is in flight, and the module asks for another
 		gw.sendToEngine(class)
@@ -27,19 +27,19 @@
 		"an unsafe class sent again": {func(gw *testGateway) { sendAgain(gw, "load") }, guard.RetryUnsafe},
 		"two attempts in flight":     {func(gw *testGateway) { sendAgain(gw, "point") }, guard.SendParallel},
 		"an engine that drains": {func(gw *testGateway) {
-			gw.client(1)
+			gw.loginClient(1)
 			gw.answerList(2, draining(oneHost))
 			gw.advance(1100 * rules.Millisecond)
-			gw.client(2)
-			gw.receive(2, askText("load", idB))
+			gw.loginClient(2)
+			gw.receive(2, requestPacket("load", idB))
 			gw.g.runAction(rules.Send{ID: idB, Engine: engineID(gw)})
 			attempt := gw.g.requests[idB].attempts[0]
 			gw.g.writeAttempt(attempt)
 		}, guard.SendToDraining},
 		"a zone that the class must not use": {func(gw *testGateway) {
-			gw.client(1)
+			gw.loginClient(1)
 			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
-			gw.receive(1, askText("report", idA))
+			gw.receive(1, requestPacket("report", idA))
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
 			gw.step(DialSucceeded{Conn: gw.dials[0]})
@@ -112,7 +112,7 @@
 	gw := newTestGateway(t)
 	gw.g.cfg.Trace = true
 	var lines []string
-	take := func() {
+	collect := func() {
 		for _, effect := range gw.g.effects.list {
 			if effect, ok := effect.(Log); ok && effect.Level == Debug {
 				lines = append(lines, fmt.Sprint(effect.Text, effect.Attrs))
@@ -122,11 +122,11 @@
 	}
 	step := func(event Event) {
 		gw.g.Step(gw.now, event)
-		take()
+		collect()
 	}
 	step(ConnectionAccepted{Conn: 1})
 	step(&DataReceived{Conn: 1, Data: loginPacket()})
-	step(&DataReceived{Conn: 1, Data: []byte(askText("point", idA))})
+	step(&DataReceived{Conn: 1, Data: []byte(requestPacket("point", idA))})
 	step(DialSucceeded{Conn: gw.dials[0]})
 	gw.now += 10 * rules.Millisecond
 	step(&DataReceived{Conn: gw.dials[0], Data: []byte(idA + " overload - 0\r\n\r\n")})
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -32,14 +32,14 @@
 func newInterleaving(t *testing.T, class string) *interleaving {
 	gw := newTestGatewayWith(t, nil, oneHost, otherHost)
 	x := &interleaving{testGateway: gw, class: class, readUpTo: map[ConnID]int{}, resolvedDials: map[ConnID]bool{}}
-	gw.client(1)
-	gw.client(killerConn)
+	gw.loginClient(1)
+	gw.loginClient(killerConn)
 	gw.takeOutput(1)
 	return x
 }
 
-// observe reads what was written since it was last called.
-func (x *interleaving) observe() {
+// readOutput reads what was written since it was last called.
+func (x *interleaving) readOutput() {
 	x.t.Helper()
 	for id, out := range x.output {
 		text := string(out[x.readUpTo[id]:])
@@ -64,10 +64,10 @@
 	return x.dials[len(x.dials)-1]
 }
 
-func (x *interleaving) list(serial uint32, change func(hosts []standin.Host)) {
-	two := []standin.Host{oneHost, otherHost}
-	change(two)
-	x.step(DNSResponse{Data: standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, two)})
+func (x *interleaving) sendList(serial uint32, change func(hosts []standin.Host)) {
+	hosts := []standin.Host{oneHost, otherHost}
+	change(hosts)
+	x.step(DNSResponse{Data: standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, hosts)})
 }
 
 // interleavedEvents are the events that may come, by name.
@@ -77,17 +77,17 @@
 }{
 	{"request", func(x *interleaving) {
 		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.receive(1, askText(x.class, idA))
+			x.receive(1, requestPacket(x.class, idA))
 		}
 	}},
 	{"first byte", func(x *interleaving) {
 		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
-			x.receive(1, askText(x.class, idA)[:9])
+			x.receive(1, requestPacket(x.class, idA)[:9])
 		}
 	}},
 	{"last byte", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil && client.partialBytes > 0 && !x.left {
-			x.receive(1, askText(x.class, idA)[9:])
+			x.receive(1, requestPacket(x.class, idA)[9:])
 		}
 	}},
 	{"close", func(x *interleaving) {
@@ -145,10 +145,10 @@
 		}
 	}},
 	{"drain listed", func(x *interleaving) {
-		x.list(7, func(hosts []standin.Host) { hosts[0].Draining, hosts[1].Draining = true, true })
+		x.sendList(7, func(hosts []standin.Host) { hosts[0].Draining, hosts[1].Draining = true, true })
 	}},
 	{"another address", func(x *interleaving) {
-		x.list(8, func(hosts []standin.Host) { hosts[0].Addr, hosts[1].Addr = hosts[1].Addr, hosts[0].Addr })
+		x.sendList(8, func(hosts []standin.Host) { hosts[0].Addr, hosts[1].Addr = hosts[1].Addr, hosts[0].Addr })
 	}},
 	{"reload", func(x *interleaving) {
 		cfg := x.g.cfg
@@ -176,12 +176,12 @@
 			for _, i := range order {
 				names += " | " + interleavedEvents[i].name
 				interleavedEvents[i].do(x)
-				x.observe()
+				x.readOutput()
 			}
 			asked := x.g.requests[idA] != nil || x.answers > 0 || x.left
 			x.step(ShutdownRequested{})
 			x.advance(5 * rules.Second)
-			x.observe()
+			x.readOutput()
 			fault := ""
 			switch {
 			case x.answers > 1:
@@ -221,17 +221,17 @@
 
 // Hundreds of clients go in one batch, as the connection comes up for which their requests have waited: nothing of theirs is sent, and no
 // state of them is left.
-func TestHundredsLeaveInOneBatch(t *testing.T) {
+func TestManyClientsCloseInOneBatch(t *testing.T) {
 	const leaving = 200
 	for _, upFirst := range []bool{true, false} {
 		gw := newTestGateway(t)
 		for id := ConnID(1); id <= leaving+1; id++ {
-			gw.client(id)
-			gw.receive(id, askText("point", fmt.Sprintf("%016x", id)))
+			gw.loginClient(id)
+			gw.receive(id, requestPacket("point", fmt.Sprintf("%016x", id)))
 		}
-		links := map[ConnID]bool{}
+		engineConns := map[ConnID]bool{}
 		for _, id := range gw.dials {
-			links[id] = true
+			engineConns[id] = true
 		}
 		up := func() {
 			for _, id := range gw.dials {
@@ -248,7 +248,7 @@
 			up()
 		}
 		gw.flush()
-		for connID := range links {
+		for connID := range engineConns {
 			got := gw.takeOutput(connID)
 			for id := 1; id <= leaving; id++ {
 				name := fmt.Sprintf("%016x", id)
@@ -265,7 +265,7 @@
 
 // A connection that breaks before the system has accepted all that was written proves that the last request never ran: a load is sent
 // again, where one of which every byte was accepted may have run and is not.
-func TestUnwrittenNeverRan(t *testing.T) {
+func TestUnwrittenRequestIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		missing int64
 		again   bool
@@ -282,14 +282,14 @@
 }
 
 // An engine's connection ends in the same batch in which a load is put on it: the load was never written.
-func TestConnectionEndsInTheBatchOfASend(t *testing.T) {
+func TestConnectionClosesInBatchOfSend(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
 	gw.receive(connID, idA+" served total=1 0\r\n\r\n")
 	gw.advance(10 * rules.Millisecond)
-	taken := gw.written[connID]
-	gw.g.Step(gw.now, &DataReceived{Conn: 1, Data: []byte(askText("load", idB))})
-	gw.g.Step(gw.now, ConnectionClosed{Conn: connID, AcceptedBytes: taken})
+	accepted := gw.written[connID]
+	gw.g.Step(gw.now, &DataReceived{Conn: 1, Data: []byte(requestPacket("load", idB))})
+	gw.g.Step(gw.now, ConnectionClosed{Conn: connID, AcceptedBytes: accepted})
 	gw.flush()
 	if req := gw.g.requests[idB]; req == nil || len(gw.dials) != 2 {
 		t.Errorf("a load that was never written was abandoned: %q", gw.takeOutput(1))
@@ -297,10 +297,10 @@
 }
 
 // An engine gets another address while a dial to the old one is under way: nothing is written there, and the request is retried at once.
-func TestDialToAnOldAddressIsGivenUp(t *testing.T) {
+func TestDialToOldAddressIsCancelled(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("load", idA))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("load", idA))
 	old := gw.dials[0]
 	moved := oneHost
 	moved.Addr = netip.MustParseAddrPort("127.8.1.9:7001")
@@ -321,8 +321,8 @@
 // A connection that comes up later than a dial may take carries nothing that waited for it: the process was stopped.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("note", idA))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("note", idA))
 	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // stopped: no timer fired
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
@@ -334,7 +334,7 @@
 func TestConnectionLimitBlamesNoEngine(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxConns = 0
-	gw.client(1)
+	gw.loginClient(1)
 	for i := range 12 {
 		gw.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=300 */ SELECT 1 FROM sales_1.x", i))))
 		gw.advance(400 * rules.Millisecond)
@@ -346,23 +346,23 @@
 
 // A KILL on a connection that was opened while the session's last query was in flight, and comes after the answer to that, leaves the
 // next query alone. On a connection that was opened later it means the next query.
-func TestKillBehindTheAnswer(t *testing.T) {
+func TestKillAfterAnswer(t *testing.T) {
 	for _, openedLate := range []bool{false, true} {
 		gw := newTestGateway(t)
-		gw.client(1)
+		gw.loginClient(1)
 		session := gw.g.clients[1].session
-		gw.receive(1, askText("point", idA))
+		gw.receive(1, requestPacket("point", idA))
 		connID := gw.dials[0]
 		gw.step(DialSucceeded{Conn: connID})
 		if !openedLate {
-			gw.client(2)
+			gw.loginClient(2)
 		}
 		gw.now += rules.Millisecond
 		gw.receive(connID, idA+" served total=1 0\r\n\r\n")
 		gw.now += rules.Millisecond
-		gw.receive(1, askText("point", idB))
+		gw.receive(1, requestPacket("point", idB))
 		if openedLate {
-			gw.client(2)
+			gw.loginClient(2)
 		}
 		gw.takeOutput(connID)
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
@@ -376,22 +376,22 @@
 // batch: the KILL means the query that is in flight. The times of the answer and of the new connection were compared, and where
 // they were the same the KILL was taken to be late: OK was its answer, and the query ran on and was answered 27 ms later (seed 35378 of
 // TestRulesWithAdmissionControl at fault rate 1: "the query was refused" to a killed query).
-func TestKillInTheMomentOfAnAnswer(t *testing.T) {
+func TestKillAtTheTimeOfAnAnswer(t *testing.T) {
 	for _, openedFirst := range []bool{false, true} {
 		gw := newTestGateway(t)
-		gw.client(1)
+		gw.loginClient(1)
 		session := gw.g.clients[1].session
-		gw.receive(1, askText("point", idA))
+		gw.receive(1, requestPacket("point", idA))
 		connID := gw.dials[0]
 		gw.step(DialSucceeded{Conn: connID})
 		gw.now += rules.Millisecond
 		if openedFirst { // in the same moment, and meant for the query that is answered next
-			gw.client(2)
+			gw.loginClient(2)
 		}
 		gw.receive(connID, idA+" served total=1 0\r\n\r\n")
-		gw.receive(1, askText("point", idB))
+		gw.receive(1, requestPacket("point", idB))
 		if !openedFirst {
-			gw.client(2)
+			gw.loginClient(2)
 		}
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := gw.g.requests[idB] == nil; hit == openedFirst {
@@ -402,13 +402,13 @@
 
 // During a shutdown clients that have sent no command get an error, new ones too; idle ones stay until the last close; and a request that
 // is read while the process exits is answered first.
-func TestEndAnswersWhatComesMeanwhile(t *testing.T) {
+func TestShutdownAnswersLateInput(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, string(packet(0, []byte{14}))) // a ping: it is idle
 	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.MinDrainPeriod - 10*rules.Millisecond)
-	gw.client(2) // asks for nothing
+	gw.loginClient(2) // asks for nothing
 	gw.step(ConnectionAccepted{Conn: 3})
 	gw.takeOutput(2)
 	gw.takeOutput(3)
@@ -430,7 +430,7 @@
 	}
 	gw.takeOutput(1)
 	gw.exited = false
-	gw.receive(1, askText("point", idA))
+	gw.receive(1, requestPacket("point", idA))
 	if gw.exited {
 		t.Fatal("ended with a request in flight")
 	}
@@ -442,19 +442,19 @@
 }
 
 // A client that sends many commands and reads no answers is closed before these fill the memory.
-func TestAnswersUnread(t *testing.T) {
+func TestClientThatReadsNoAnswers(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
 	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientSendBuffer {
 		t.Errorf("closed %v, %d bytes were written to it", gw.closed[1], got)
 	}
 }
 
-// socketRenewals is when the gateway asks for a new socket while time goes by.
-func socketRenewals(gw *testGateway, d rules.Time, each func()) (at []rules.Time) {
+// recordSocketRenewals is when the gateway asks for a new socket while time goes by.
+func recordSocketRenewals(gw *testGateway, duration rules.Time, afterEach func()) (at []rules.Time) {
 	from := gw.now
-	for end := gw.now + d; gw.now < end; {
+	for end := gw.now + duration; gw.now < end; {
 		next, _ := gw.g.timers.next()
 		gw.now = max(gw.now, next)
 		gw.g.Step(gw.now, TimerFired{})
@@ -463,8 +463,8 @@
 				at = append(at, (gw.now-from)/rules.Millisecond)
 			}
 		}
-		if each != nil {
-			each()
+		if afterEach != nil {
+			afterEach()
 		}
 	}
 	return at
@@ -474,25 +474,25 @@
 // is not, however late its answers come.
 func TestSilentNameServiceGetsANewSocket(t *testing.T) {
 	gw := newTestGateway(t)
-	at := socketRenewals(gw, 20*rules.Second, nil)
+	at := recordSocketRenewals(gw, 20*rules.Second, nil)
 	if len(at) < 3 || at[0] < 900 || at[0] > 1300 || at[1]-at[0] < 1900 || at[2]-at[1] < 3900 || len(at) > 5 {
 		t.Errorf("asked from a new socket at %v ms", at)
 	}
 	gw = newTestGateway(t)
-	type late struct {
+	type lateAnswer struct {
 		id uint16
 		at rules.Time
 	}
-	var line []late
+	var pending []lateAnswer
 	n := 0
-	at = socketRenewals(gw, 20*rules.Second, func() {
+	at = recordSocketRenewals(gw, 20*rules.Second, func() {
 		if gw.g.queryCount > n {
 			n = gw.g.queryCount
-			line = append(line, late{gw.g.queryIDs[(n-1)%len(gw.g.queryIDs)], gw.now + 6*rules.Second})
+			pending = append(pending, lateAnswer{gw.g.queryIDs[(n-1)%len(gw.g.queryIDs)], gw.now + 6*rules.Second})
 		}
-		for len(line) > 0 && line[0].at <= gw.now {
-			gw.g.Step(gw.now, DNSResponse{Data: standin.EncodeAnswer(line[0].id, listName, 1, nil)})
-			line = line[1:]
+		for len(pending) > 0 && pending[0].at <= gw.now {
+			gw.g.Step(gw.now, DNSResponse{Data: standin.EncodeAnswer(pending[0].id, listName, 1, nil)})
+			pending = pending[1:]
 		}
 	})
 	for _, ms := range at {
@@ -511,16 +511,16 @@
 }
 
 // checkDrainNoticed has the name service answer a query late, with a list in which the engine drains.
-func (gw *testGateway) checkDrainNoticed(id uint16, late string) {
+func (gw *testGateway) checkDrainNoticed(id uint16, delay string) {
 	gw.t.Helper()
 	gw.answerQuery(id, 2, draining(oneHost))
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
-		gw.t.Errorf("a drain in an answer that is %s late was not noticed", late)
+		gw.t.Errorf("a drain in an answer that is %s late was not noticed", delay)
 	}
 }
 
 // After many reloads, each of which sends a query as well, an answer that is seconds late still counts.
-func TestLateListBehindManyReloads(t *testing.T) {
+func TestLateListAfterManyReloads(t *testing.T) {
 	gw := newTestGateway(t)
 	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); queryHistorySize < 2*polls {
 		t.Errorf("%d queries are remembered, %d are sent while an answer may come", queryHistorySize, polls)
@@ -550,23 +550,23 @@
 		cfg := gw.g.cfg
 		cfg.DNS, cfg.InitialList = c.dns, config.EngineList{Seq: c.seq}
 		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
-		moved := 0
+		renewals := 0
 		for _, effect := range gw.g.Flush() {
 			if effect == Effect(SetNameServer{Addr: c.dns}) {
-				moved++
+				renewals++
 			}
 		}
-		if serving := len(gw.g.engineOrder); moved != 1 || serving != c.engines {
-			t.Errorf("step %d: moved %d times, %d engines, want %d", i, moved, serving, c.engines)
+		if serving := len(gw.g.engineOrder); renewals != 1 || serving != c.engines {
+			t.Errorf("step %d: moved %d times, %d engines, want %d", i, renewals, serving, c.engines)
 		}
 	}
 }
 
 // Some deployments use idempotency keys and progress reports. A key is forwarded as it came, with every attempt; one that would break the
 // list of fields is an error; a progress report ends nothing.
-func TestRepeatKeyAndNotes(t *testing.T) {
+func TestIdempotencyKeyAndProgressReports(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, string(queryPacket("/* kind=note,req="+idA+",timeout=1900,opkey=d3523c54572be3e1 */ SELECT 1 FROM sales_1.x")))
 	connID := gw.dials[0]
 	gw.step(DialSucceeded{Conn: connID})
@@ -584,7 +584,7 @@
 	if got := gw.takeOutput(gw.dials[len(gw.dials)-1]); len(gw.dials) < 2 || !strings.Contains(got, ",dedupe=d3523c54572be3e1 ") {
 		t.Errorf("the retry: %d dials, the engine got %q", len(gw.dials), got)
 	}
-	gw.client(2)
+	gw.loginClient(2)
 	for _, key := range []string{"", "a b", "a=b", strings.Repeat("k", 200), "k\x01"} {
 		gw.takeOutput(2)
 		gw.receive(2, string(queryPacket("/* kind=note,req="+idB+",timeout=1900,opkey="+key+" */ SELECT 1 FROM sales_1.x")))
@@ -597,7 +597,7 @@
 // Where no two attempts of a request may be in flight at once, an engine that may run one has been told of its end before another engine is
 // asked, however the attempt ended: over a network delay of up to 40 ms, as its connection took to come up. A proof that nothing ran
 // needs no wait, and neither do settings that allow hedged requests.
-func TestNoAttemptOvertakesAnEnd(t *testing.T) {
+func TestNextAttemptWaitsForTermination(t *testing.T) {
 	const delay = 40 * rules.Millisecond
 	for name, c := range map[string]struct {
 		end  func(x *interleaving)
@@ -619,11 +619,11 @@
 		for _, hedging := range []bool{false, true} {
 			x := newInterleaving(t, "point")
 			x.g.cfg.Settings.Rules.Limits.HedgedRequests = hedging
-			x.receive(1, askText("point", idA))
+			x.receive(1, requestPacket("point", idA))
 			first := x.lastDial()
 			x.now += delay
 			x.step(DialSucceeded{Conn: first})
-			x.observe()
+			x.readOutput()
 			if x.asks != 1 {
 				t.Fatalf("%s: asked %d times at first", name, x.asks)
 			}
@@ -631,7 +631,7 @@
 			x.step(TimerFired{})
 			c.end(x)
 			again := func() bool { // another attempt has begun, whether its connection is up or not
-				x.observe()
+				x.readOutput()
 				return x.asks > 1 || len(x.dials) > 1
 			}
 			if waits := c.wait && !hedging; waits {
@@ -652,11 +652,11 @@
 // ends as usual, its engine is told once, and no state is left. A connection that took long to come up makes no request wait for long.
 func TestTerminatingAttemptEndsWithItsRequest(t *testing.T) {
 	const delay = 40 * rules.Millisecond
-	start := func(timeout int, took rules.Time) *interleaving {
+	start := func(timeout int, dialTime rules.Time) *interleaving {
 		x := newInterleaving(t, "point")
 		x.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
-		x.g.armedFor = x.now + took // the process is not stopped: no timer is late
-		x.now += took
+		x.g.armedFor = x.now + dialTime // the process is not stopped: no timer is late
+		x.now += dialTime
 		x.step(DialSucceeded{Conn: x.lastDial()})
 		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
 		x.flush()
@@ -679,12 +679,12 @@
 		x := start(c.timeout, delay)
 		first := x.lastDial()
 		c.end(x)
-		x.observe()
+		x.readOutput()
 		if len(x.g.requests) != 0 || x.answers != c.answers {
 			t.Errorf("%s: %d requests stay, %d answers, want %d", name, len(x.g.requests), x.answers, c.answers)
 		}
 		x.advance(2 * delay)
-		x.observe()
+		x.readOutput()
 		if got := string(x.output[first]); strings.Count(got, "QUIT") != 1 || len(x.dials) > 1 || x.answers != c.answers {
 			t.Errorf("%s: the engine got %q, %d dials, %d answers", name, got, len(x.dials), x.answers)
 		}
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -14,19 +14,19 @@
 // listChange is a gateway that knows one engine, which is about to drain or to be removed while a second one is added.
 type listChange struct {
 	*testGateway
-	serial     uint32
-	addrs      map[ConnID]netip.AddrPort
-	readUpTo   map[ConnID]int
-	asksByAddr map[netip.AddrPort]int // by address
-	lastClient ConnID                 // of a client
+	serial         uint32
+	addrs          map[ConnID]netip.AddrPort
+	readUpTo       map[ConnID]int
+	asksByAddr     map[netip.AddrPort]int // by address
+	lastClientConn ConnID                 // of a client
 }
 
 func newListChange(t *testing.T) *listChange {
 	return &listChange{testGateway: newTestGateway(t), serial: 1, addrs: map[ConnID]netip.AddrPort{}, readUpTo: map[ConnID]int{}, asksByAddr: map[netip.AddrPort]int{}}
 }
 
-// observe counts the requests that were written to each address since the last look.
-func (c *listChange) observe() {
+// readOutput counts the requests that were written to each address since the last look.
+func (c *listChange) readOutput() {
 	for _, eng := range c.g.engineOrder {
 		for _, conn := range eng.conns {
 			if _, ok := c.addrs[conn.id]; !ok {
@@ -42,31 +42,31 @@
 	}
 }
 
-// list has the name service answer with a newer list.
-func (c *listChange) list(hosts ...standin.Host) {
-	c.observe()
+// sendList has the name service answer with a newer list.
+func (c *listChange) sendList(hosts ...standin.Host) {
+	c.readOutput()
 	c.serial++
 	c.step(DNSResponse{Data: standin.EncodeAnswer(c.g.queryIDs[(c.g.queryCount-1)%len(c.g.queryIDs)], listName, c.serial, hosts)})
-	c.observe()
+	c.readOutput()
 }
 
 // completeDials has every dial come up that has not.
 func (c *listChange) completeDials() {
-	c.observe()
+	c.readOutput()
 	for _, id := range c.dials {
 		if conn := c.g.engineConns[id]; conn != nil && !conn.up {
 			c.step(DialSucceeded{Conn: id})
 		}
 	}
-	c.observe()
+	c.readOutput()
 }
 
 // sendRequest has a new client ask.
 func (c *listChange) sendRequest(id string) {
-	c.lastClient++
-	c.client(c.lastClient)
-	c.receive(c.lastClient, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
-	c.observe()
+	c.lastClientConn++
+	c.loginClient(c.lastClientConn)
+	c.receive(c.lastClientConn, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=8000 */ SELECT 1 FROM sales_1.x", id))))
+	c.readOutput()
 }
 
 // serveOne has the engine serve a request, so that a connection to it is up, and forgets it.
@@ -74,7 +74,7 @@
 	c.sendRequest(idB)
 	c.completeDials()
 	c.receive(c.dials[0], idB+" served total=1 0\r\n\r\n")
-	c.observe()
+	c.readOutput()
 	c.asksByAddr = map[netip.AddrPort]int{}
 }
 
@@ -96,15 +96,15 @@
 
 // A request crosses the list that its engine has left, in each of the places where it may be: nothing of it goes to where that
 // engine was, but to one that serves, and it is answered.
-func TestNoSendCrossesTheList(t *testing.T) {
+func TestNoSendToRemovedEngine(t *testing.T) {
 	for name, leaving := range listChanges {
 		t.Run(name, func(t *testing.T) {
-			for place, cross := range map[string]func(change *listChange, apply func()){
+			for state, play := range map[string]func(change *listChange, apply func()){
 				"queued": func(change *listChange, apply func()) {
 					change.serveOne() // a connection is up
 					drained := oneHost
 					drained.Draining = true
-					change.list(drained) // nothing serves: it is held
+					change.sendList(drained) // nothing serves: it is held
 					for i := range 8 {
 						change.sendRequest(fmt.Sprintf("%016x", 0xc0+i))
 					}
@@ -120,7 +120,7 @@
 				"to be retried": func(change *listChange, apply func()) {
 					change.sendRequest(idA)
 					change.completeDials()
-					change.observe()
+					change.readOutput()
 					change.asksByAddr = map[netip.AddrPort]int{}
 					apply()
 					change.receive(change.dials[0], idA+" overload - 0\r\n\r\n")
@@ -136,28 +136,28 @@
 						}
 						cfg.InitialList.Engines = append(cfg.InitialList.Engines, entry)
 					}
-					change.observe()
+					change.readOutput()
 					change.g.Step(change.now, ConfigReloaded{Config: &cfg})
 					change.flush()
 				},
 			} {
 				change := newListChange(t)
-				cross(change, func() { change.list(leaving()...) })
+				play(change, func() { change.sendList(leaving()...) })
 				for range 40 {
 					change.completeDials()
 					change.advance(50 * rules.Millisecond)
 				}
-				change.observe()
+				change.readOutput()
 				served := 0
 				for addr, n := range change.asksByAddr {
 					if addr == oneHost.Addr && n > 0 && name != "replaced by another at its address" {
-						t.Errorf("%s: %d requests went to where the engine was", place, n)
+						t.Errorf("%s: %d requests went to where the engine was", state, n)
 					} else {
 						served += n
 					}
 				}
 				if served == 0 {
-					t.Errorf("%s: nothing went to an engine that serves", place)
+					t.Errorf("%s: nothing went to an engine that serves", state)
 				}
 			}
 		})
@@ -165,10 +165,10 @@
 }
 
 // A connection that was being made to an engine that has gone is not used for another one at its address.
-func TestDialToOneThatHasGoneServesNoOther(t *testing.T) {
+func TestDialToRemovedEngineIsNotReused(t *testing.T) {
 	change := newListChange(t)
 	change.sendRequest(idA)
-	change.list(listChanges["replaced by another at its address"]()...)
+	change.sendList(listChanges["replaced by another at its address"]()...)
 	if len(change.dials) < 2 || !change.closed[change.dials[0]] {
 		t.Fatalf("%d dials, the first one cancelled: %v", len(change.dials), change.closed[change.dials[0]])
 	}
--- a/internal/gateway/localexhaustion_test.go
+++ b/internal/gateway/localexhaustion_test.go
@@ -35,8 +35,8 @@
 		sim.executeEffects()
 		sim.run(sim.now + 100*rules.Millisecond)
 	}
-	for _, belief := range sim.g.module.EngineViews() {
-		if belief.Engine == eng.id && belief.Ejected {
+	for _, view := range sim.g.module.EngineViews() {
+		if view.Engine == eng.id && view.Ejected {
 			t.Error("an engine that was never reached is ejected")
 		}
 	}
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -25,20 +25,20 @@
 		"wrong sequence number":     {string(packet(3, []byte{14})), true, "wrong sequence"},
 		"an empty command":          {string(packet(0, nil)), true, "empty command"},
 		"an unknown command":        {string(packet(0, []byte{0x16})), false, "unknown command"},
-		"an unknown class":          {askText("other", idB), false, "unknown class"},
-		"an id that is open":        {askText("point", idA), false, "id is open"},
+		"an unknown class":          {requestPacket("other", idB), false, "unknown class"},
+		"an id that is open":        {requestPacket("point", idA), false, "id is open"},
 		"no fields":                 {string(queryPacket("SELECT 1")), false, "no comment"},
 		"a comment that never ends": {string(queryPacket("/* kind=point,req=" + idB)), false, "never ends"},
 		"a field twice":             {string(queryPacket("/* kind=point,kind=point,req=" + idB + ",timeout=5 */ SELECT 1")), false, "twice"},
 		"KILL of nobody":            {string(queryPacket("KILL QUERY 1")), false, "unknown session"},
 		"another database":          {string(packet(0, []byte("\x02other"))), false, "unknown database"},
-		"a query while one is open": {askText("point", idB) + askText("point", "00000000000000cc"), true, ""},
+		"a query while one is open": {requestPacket("point", idB) + requestPacket("point", "00000000000000cc"), true, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gw := newTestGateway(t)
-			gw.client(1)
-			gw.receive(1, askText("point", idA))
-			gw.client(2)
+			gw.loginClient(1)
+			gw.receive(1, requestPacket("point", idA))
+			gw.loginClient(2)
 			gw.takeOutput(1)
 			gw.takeOutput(2)
 			gw.receive(2, c.data)
@@ -75,12 +75,12 @@
 }
 
 // Random bytes from clients, engines and the name service leave no state behind.
-func TestNoise(t *testing.T) {
+func TestRandomInput(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		gw := newTestGateway(t)
 		gw.sendToEngine("point")
-		pieces := []string{askText("load", idB), string(loginPacket()), idA + " served total=3 2\r\n\r\n\r\n", idA + " rows index=1 0\r\n\r\n",
+		pieces := []string{requestPacket("load", idB), string(loginPacket()), idA + " served total=3 2\r\n\r\n\r\n", idA + " rows index=1 0\r\n\r\n",
 			"\x00\x01\x02", "p1 green - 0\r\n\r\n", string(standin.EncodeAnswer(uint16(gw.g.queryIDs[0]), listName, 2, []standin.Host{oneHost}))}
 		for range 10 {
 			p := []byte(pieces[rng.IntN(len(pieces))])
@@ -186,10 +186,10 @@
 }
 
 // A request that waits for its connection is checked against the list once that comes up: an engine that drains meanwhile gets nothing.
-func TestListIsCheckedWhenWritten(t *testing.T) {
+func TestEngineStateIsCheckedOnWrite(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("load", idA))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("load", idA))
 	host := oneHost
 	host.Draining = true
 	gw.step(DNSResponse{Data: standin.EncodeAnswer(gw.g.queryIDs[0], listName, 2, []standin.Host{host})})
@@ -203,7 +203,7 @@
 }
 
 // A lost, late, forged or broken answer of the name service keeps the last list.
-func TestListStays(t *testing.T) {
+func TestInvalidAnswerKeepsList(t *testing.T) {
 	gw := newTestGateway(t)
 	other := oneHost
 	other.ID = "s-00000002"
@@ -228,9 +228,9 @@
 
 // A machine that vanishes closes nothing. Once an attempt was abandoned on a silent connection, the next one dials anew: that fails soon
 // where the machine is gone, and proves that nothing ran.
-func TestSilentConnectionIsLeft(t *testing.T) {
+func TestSilentConnectionIsNotReused(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, string(queryPacket("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.advance(900 * rules.Millisecond) // less than what makes a connection idle
@@ -238,16 +238,16 @@
 		t.Fatal("the load should have failed, with no further attempt")
 	}
 	gw.takeOutput(gw.dials[0])
-	gw.receive(1, askText("load", idB))
+	gw.receive(1, requestPacket("load", idB))
 	if got := gw.takeOutput(gw.dials[0]); got != "" || len(gw.dials) != 2 {
 		t.Errorf("the silent connection got %q; %d dials, want 2", got, len(gw.dials))
 	}
 }
 
 // SIGTERM brings the answers forward of clients that would wait for long, and the process exits after them.
-func TestTerminateAnswersAll(t *testing.T) {
+func TestShutdownAnswersAll(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, string(queryPacket("/* kind=load,req="+idA+",timeout=30000 */ SELECT 1 FROM sales_1.x")))
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.takeOutput(1)
@@ -263,13 +263,13 @@
 }
 
 // A request does not go to a connection that its engine may be about to close as idle.
-func TestIdleConnectionIsLeft(t *testing.T) {
+func TestIdleConnectionIsNotReused(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.sendToEngine("point")
 	gw.receive(gw.dials[0], idA+" served total=1 0\r\n\r\n")
 	gw.now += gw.g.limits.EngineIdleTimeout // before the sweep has seen it
 	gw.g.armedFor = gw.now                  // and no timer is late: the process did not stand still
-	gw.receive(1, askText("load", idB))
+	gw.receive(1, requestPacket("load", idB))
 	if len(gw.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(gw.dials))
 	}
@@ -278,15 +278,15 @@
 // KILL ends the query of the session that it names and no other, and that session gets no answer.
 func TestKill(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("point", idA))
-	gw.client(2)
-	gw.receive(2, askText("point", idB))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("point", idA))
+	gw.loginClient(2)
+	gw.receive(2, requestPacket("point", idB))
 	connID := gw.dials[0]
 	gw.step(DialSucceeded{Conn: connID})
 	gw.takeOutput(connID)
 	gw.takeOutput(1)
-	gw.client(3)
+	gw.loginClient(3)
 	gw.receive(3, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
 	if got := gw.takeOutput(connID); got != "QUIT "+idA+"\r\n" {
 		t.Errorf("the engine got %q", got)
@@ -304,35 +304,35 @@
 func TestUnfinishedInputIsBounded(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxInputBytes = 20 * gw.g.limits.MaxStatementBytes
-	gw.client(99)
-	gw.receive(99, string(queryPacket(askText("point", idA)))[:40])
+	gw.loginClient(99)
+	gw.receive(99, string(queryPacket(requestPacket("point", idA)))[:40])
 	piece := "\xff\xff\x00\x00" + strings.Repeat("x", 0xff00)
 	for id := ConnID(1); id <= 40; id++ {
-		gw.client(id)
+		gw.loginClient(id)
 		gw.receive(id, piece)
 		if gw.g.partialBytes > gw.g.limits.MaxInputBytes {
 			t.Fatalf("%d bytes are held, %d at most", gw.g.partialBytes, gw.g.limits.MaxInputBytes)
 		}
 	}
-	out := 0
+	evicted := 0
 	for id := ConnID(1); id <= 40; id++ {
 		if gw.closed[id] {
-			out++
+			evicted++
 			if got := gw.takeOutput(id); !strings.Contains(got, "unfinished") {
 				t.Errorf("got %.100q", got)
 			}
 		}
 	}
-	if out < 20 || out > 21 || gw.closed[99] {
-		t.Errorf("%d of those that hold most were closed, and one with half a query: %v", out, gw.closed[99])
+	if evicted < 20 || evicted > 21 || gw.closed[99] {
+		t.Errorf("%d of those that hold most were closed, and one with half a query: %v", evicted, gw.closed[99])
 	}
 }
 
 // An answer that left at the client's deadline by our clock would come too late, by the delay of both directions: it leaves earlier.
-func TestAnswerLeavesAhead(t *testing.T) {
+func TestFailureIsSentBeforeDeadline(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("load", idA)) // waits 2 s
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("load", idA)) // waits 2 s
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.takeOutput(1)
 	gw.advance(1799 * rules.Millisecond)
@@ -348,7 +348,7 @@
 // What client libraries send of their own accord is answered, and nothing of it reaches an engine.
 func TestClientLibraryCommands(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.takeOutput(1)
 	for text, want := range map[string]string{
 		"SELECT @@max_allowed_packet": "65536", "select @@version_comment limit 1": "foxlane", "SET NAMES utf8mb4": "\x00\x00\x00",
@@ -394,8 +394,8 @@
 // counts only if it is newer than the valid one.
 func TestReload(t *testing.T) {
 	gw := newTestGateway(t)
-	two := []standin.Host{oneHost, otherHost}
-	cfg := simConfig(t, two)
+	hosts := []standin.Host{oneHost, otherHost}
+	cfg := simConfig(t, hosts)
 	cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
 	reload := func() (moved, asked bool) {
 		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
@@ -417,8 +417,8 @@
 	if reload(); len(gw.g.engines) != 2 || gw.g.endpointList.Serial() != cfg.InitialList.Seq {
 		t.Errorf("a newer list in the file: %d engines, serial %d", len(gw.g.engines), gw.g.endpointList.Serial())
 	}
-	gw.client(1)
-	gw.receive(1, askText("point", idA))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("point", idA))
 	if reload(); gw.closed[1] || gw.g.requests[idA] == nil {
 		t.Error("a client was affected")
 	}
@@ -428,20 +428,20 @@
 // first, which gets an error.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
-	gw.receive(1, askText("point", idA))
-	gw.client(2)
+	gw.loginClient(1)
+	gw.receive(1, requestPacket("point", idA))
+	gw.loginClient(2)
 	gw.receive(2, string(packet(0, []byte{14}))) // idle after a ping
-	most := ConnID(gw.g.limits.MaxClients)
-	for id := ConnID(100); id < 100+2*most; id++ {
+	maxClients := ConnID(gw.g.limits.MaxClients)
+	for id := ConnID(100); id < 100+2*maxClients; id++ {
 		gw.step(ConnectionAccepted{Conn: id})
 	}
 	if len(gw.g.clients) > gw.g.limits.MaxClients {
 		t.Fatalf("%d connections are held, %d at most", len(gw.g.clients), gw.g.limits.MaxClients)
 	}
 	gw.takeOutput(3)
-	gw.client(3)
-	gw.receive(3, askText("point", idB))
+	gw.loginClient(3)
+	gw.receive(3, requestPacket("point", idB))
 	if gw.closed[3] || gw.g.requests[idB] == nil {
 		t.Fatal("a client that asks at once was rejected in favour of silent ones")
 	}
@@ -458,19 +458,19 @@
 }
 
 // A client that stops within a packet, or sends one command and no other, is closed in time; one that returns after 4 s is not.
-func TestSessionsThatOutstay(t *testing.T) {
+func TestSessionTimeouts(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.client(1)
+	gw.loginClient(1)
 	gw.receive(1, string(packet(0, []byte{14})))
-	gw.client(2)
-	gw.receive(2, askText("point", idA)[:30])
-	gw.client(3) // logs in and asks for nothing
+	gw.loginClient(2)
+	gw.receive(2, requestPacket("point", idA)[:30])
+	gw.loginClient(3) // logs in and asks for nothing
 	gw.advance(2900 * rules.Millisecond)
 	if gw.closed[1] || !gw.closed[2] || !gw.closed[3] {
 		t.Errorf("after 2.9 s: idle closed %v, half a query %v, login alone %v", gw.closed[1], gw.closed[2], gw.closed[3])
 	}
 	gw.advance(1200 * rules.Millisecond)
-	gw.receive(1, askText("point", idB))
+	gw.receive(1, requestPacket("point", idB))
 	if gw.closed[1] || gw.g.requests[idB] == nil {
 		t.Fatal("a client that was idle for 4 s was closed")
 	}
@@ -483,11 +483,11 @@
 }
 
 // Fields that are out of range never reach an engine, and a client that goes on sending them is closed.
-func TestFiguresOutOfRange(t *testing.T) {
+func TestFieldsOutOfRange(t *testing.T) {
 	for _, fields := range []string{"timeout=0", "timeout=-5", "timeout=99999999", "timeout=1e3", "timeout=2000,ms=-1", "timeout=2000,ms=NaN",
 		"timeout=2000,ms=1e12", "timeout=2000,need_mb=Inf", "timeout=2000,need_mb=1e300", "timeout=2000,need_mb=x"} {
 		gw := newTestGateway(t)
-		gw.client(1)
+		gw.loginClient(1)
 		for i := range gw.g.limits.MaxSessionErrors + 1 {
 			gw.takeOutput(1)
 			gw.receive(1, string(queryPacket("/* kind=point,req="+idA+","+fields+" */ SELECT 1 FROM sales_1.x")))
@@ -512,8 +512,8 @@
 	} {
 		gw := newTestGateway(t)
 		for id, req := range map[ConnID]string{1: idA, 2: idB} {
-			gw.client(id)
-			gw.receive(id, askText("point", req))
+			gw.loginClient(id)
+			gw.receive(id, requestPacket("point", req))
 		}
 		connID := gw.dials[0]
 		gw.step(DialSucceeded{Conn: connID})
@@ -554,7 +554,7 @@
 func TestClassesUseSeparateConnections(t *testing.T) {
 	gw := newTestGateway(t)
 	for i, class := range []string{"load", "load", "point", "point", "report"} {
-		gw.client(ConnID(i + 1))
+		gw.loginClient(ConnID(i + 1))
 		gw.receive(ConnID(i+1), string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x", class, i, i))))
 	}
 	got := map[string]int{}
@@ -585,7 +585,7 @@
 	gw := newTestGateway(t)
 	ask := func(client int, class string) string {
 		id := fmt.Sprintf("%016x", client)
-		gw.client(ConnID(client))
+		gw.loginClient(ConnID(client))
 		gw.receive(ConnID(client), string(queryPacket("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
 		return id
 	}
@@ -608,7 +608,7 @@
 	gw.g.limits.MaxConns = 1
 	for i := range 6 {
 		id := ConnID(i + 1)
-		gw.client(id)
+		gw.loginClient(id)
 		gw.receive(id, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%016x,timeout=2000 */ SELECT 1 FROM sales_%d.x",
 			[]string{"load", "point"}[i%2], i, i))))
 	}
@@ -626,7 +626,7 @@
 		for round := range 6 {
 			id := ConnID(10 * (round + 1))
 			for i := range ConnID(3) {
-				gw.client(id + i)
+				gw.loginClient(id + i)
 				gw.receive(id+i, string(queryPacket(fmt.Sprintf("/* kind=point,req=%016x,timeout=800 */ SELECT 1 FROM sales_1.x", 16*round+int(i)))))
 			}
 			connID := gw.dials[len(gw.dials)-1]
@@ -671,12 +671,12 @@
 func TestErrorsOfAnEngineThatServes(t *testing.T) {
 	for _, serves := range []bool{true, false} {
 		gw := newTestGateway(t)
-		gw.client(1)
-		gw.client(2)
+		gw.loginClient(1)
+		gw.loginClient(2)
 		for i := range 12 {
 			bad, good := fmt.Sprintf("%016x", 2*i), fmt.Sprintf("%016x", 2*i+1)
-			gw.receive(1, askText("load", bad))
-			gw.receive(2, askText("point", good))
+			gw.receive(1, requestPacket("load", bad))
+			gw.receive(2, requestPacket("point", good))
 			for _, d := range gw.dials {
 				if conn := gw.g.engineConns[d]; conn != nil && !conn.up {
 					gw.step(DialSucceeded{Conn: d})
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -22,13 +22,13 @@
 }
 
 const (
-	memorySpool = "spool {\n memory = \"4MB\"\n}\n"
-	diskSpool   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
+	memorySpoolSite = "spool {\n memory = \"4MB\"\n}\n"
+	diskSpoolSite   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
 )
 
 // The seven rules hold with results stored, in memory and on a disk that fails at times, with and without admission control.
-func TestRulesWithResultsKept(t *testing.T) {
-	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool, "disk and admission control": diskSpool + "fair {\n}\n"} {
+func TestRulesWithSpool(t *testing.T) {
+	for name, text := range map[string]string{"memory": memorySpoolSite, "disk": diskSpoolSite, "disk and admission control": diskSpoolSite + "fair {\n}\n"} {
 		for _, faultRate := range []float64{0, 0.4, 1} {
 			for seed := range seeds(5) {
 				t.Run(fmt.Sprintf("%s fault rate %v seed %d", name, faultRate, seed), func(t *testing.T) {
@@ -51,20 +51,20 @@
 // spoolGateway is a testGateway whose spool has a disk, which works at once unless it is paused.
 type spoolGateway struct {
 	*testGateway
-	records     [][]byte
-	pendingDisk []spool.DiskEffect
-	diskPaused  bool
-	diskFails   bool
-	watched     map[ConnID]bool
+	records       [][]byte
+	pendingDisk   []spool.DiskEffect
+	diskPaused    bool
+	diskFails     bool
+	awaitingDrain map[ConnID]bool
 }
 
 func newSpoolGateway(t *testing.T, text string) *spoolGateway {
-	gw := &spoolGateway{testGateway: startTestGateway(t, withSpool(t, text), oneHost), watched: map[ConnID]bool{}}
-	gw.run(nil)
+	gw := &spoolGateway{testGateway: startTestGateway(t, withSpool(t, text), oneHost), awaitingDrain: map[ConnID]bool{}}
+	gw.stepWithDisk(nil)
 	return gw
 }
 
-func (gw *spoolGateway) run(event Event) {
+func (gw *spoolGateway) stepWithDisk(event Event) {
 	if event != nil {
 		gw.g.Step(gw.now, event)
 	}
@@ -79,7 +79,7 @@
 			case Dial:
 				gw.dials = append(gw.dials, effect.Conn)
 			case NotifyDrained:
-				gw.watched[effect.Conn] = true
+				gw.awaitingDrain[effect.Conn] = true
 			case Exit:
 				gw.exited = true
 			case SubmitSpool:
@@ -95,15 +95,15 @@
 
 // runDisk lets the disk do what waits.
 func (gw *spoolGateway) runDisk() {
-	held := gw.pendingDisk
+	pending := gw.pendingDisk
 	gw.pendingDisk = nil
-	for _, effect := range held {
+	for _, effect := range pending {
 		var events []spool.Event
 		switch effect := effect.(type) {
 		case spool.WriteRecord:
-			place := spool.Location{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.RecordSize(len(effect.Data)))}
+			location := spool.Location{Segment: 1, Offset: int64(len(gw.records)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			gw.records = append(gw.records, bytes.Clone(effect.Data))
-			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: gw.diskFails})
+			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: location, Failed: gw.diskFails})
 			if effect.Record == segment.Seal && !gw.diskFails {
 				events = append(events, spool.ResultSynced{ID: effect.ID})
 			}
@@ -116,13 +116,13 @@
 	}
 }
 
-func (gw *spoolGateway) send(id ConnID, text string) {
-	gw.run(&DataReceived{Conn: id, Data: []byte(text)})
+func (gw *spoolGateway) receiveData(id ConnID, text string) {
+	gw.stepWithDisk(&DataReceived{Conn: id, Data: []byte(text)})
 }
 
-func (gw *spoolGateway) connect(id ConnID) {
-	gw.run(ConnectionAccepted{Conn: id})
-	gw.send(id, string(loginPacket()))
+func (gw *spoolGateway) login(id ConnID) {
+	gw.stepWithDisk(ConnectionAccepted{Conn: id})
+	gw.receiveData(id, string(loginPacket()))
 	gw.takeOutput(id)
 }
 
@@ -131,8 +131,8 @@
 	return strings.Repeat(fmt.Sprintf("%d\tfield\t%s\n", n, strings.Repeat("x", 180)), 25)
 }
 
-// number reads a decimal number.
-func number(t *testing.T, text string) int {
+// parseInt reads a decimal number.
+func parseInt(t *testing.T, text string) int {
 	t.Helper()
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -142,34 +142,34 @@
 }
 
 // startResult asks for a result of so many pages and lets the engine give the first.
-func (gw *spoolGateway) startResult(client ConnID, class, id, more string, pages int) (connID ConnID) {
-	gw.send(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, more))))
+func (gw *spoolGateway) startResult(client ConnID, class, id, extraFields string, pages int) (connID ConnID) {
+	gw.receiveData(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, extraFields))))
 	if len(gw.dials) == 0 {
 		return 0
 	}
 	connID = gw.dials[len(gw.dials)-1]
-	gw.run(DialSucceeded{Conn: connID})
+	gw.stepWithDisk(DialSucceeded{Conn: connID})
 	gw.takeOutput(connID)
 	p := bigPage(0)
-	gw.send(connID, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
+	gw.receiveData(connID, fmt.Sprintf("%s served total=%d %d\r\n%s\r\n", id, pages, len(p), p))
 	return connID
 }
 
 var nextCommand = regexp.MustCompile(`NEXT ([0-9a-f]{16}) (\d+)\r\n`)
 
 // serveEngine answers all that the engine is asked for, until it is freed. It returns the commands that it saw.
-func (gw *spoolGateway) serveEngine(connID ConnID) (saw string) {
+func (gw *spoolGateway) serveEngine(connID ConnID) (received string) {
 	for {
 		got := gw.takeOutput(connID)
-		saw += got
+		received += got
 		asks := nextCommand.FindAllStringSubmatch(got, -1)
 		if len(asks) == 0 {
-			return saw
+			return received
 		}
 		for _, m := range asks {
-			n := number(gw.t, m[2])
+			n := parseInt(gw.t, m[2])
 			p := bigPage(n)
-			gw.send(connID, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
+			gw.receiveData(connID, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
 		}
 	}
 }
@@ -179,30 +179,30 @@
 	var all []byte
 	for range chunks {
 		all = append(all, gw.takeOutput(id)...)
-		if !gw.watched[id] {
+		if !gw.awaitingDrain[id] {
 			break
 		}
-		delete(gw.watched, id)
-		gw.run(WriteDrained{Conn: id})
+		delete(gw.awaitingDrain, id)
+		gw.stepWithDisk(WriteDrained{Conn: id})
 	}
 	all = append(all, gw.takeOutput(id)...)
-	ends, n := 0, 0
+	eofs, packets := 0, 0
 	for len(all) >= 4 {
 		size := int(all[0]) | int(all[1])<<8 | int(all[2])<<16
-		if int(all[3]) != (n+1)%256 {
-			gw.t.Fatalf("packet %d has sequence number %d", n+1, all[3])
+		if int(all[3]) != (packets+1)%256 {
+			gw.t.Fatalf("packet %d has sequence number %d", packets+1, all[3])
 		}
 		p := all[4 : 4+size]
 		all = all[4+size:]
-		n++
+		packets++
 		switch {
 		case p[0] == 0xff:
 			return rows, string(p[9:])
 		case p[0] == 0xfe && size < 9:
-			if ends++; ends == 2 {
+			if eofs++; eofs == 2 {
 				return rows, "end"
 			}
-		case ends == 1:
+		case eofs == 1:
 			var cells []string
 			for len(p) > 0 {
 				k := int(p[0])
@@ -222,27 +222,27 @@
 	return rows
 }
 
-// plain returns the rows of the result, and the handle and the chunk numbers from the rows that the spool adds.
-func plain(t *testing.T, rows []string) (out []string, handle string, pages []int) {
+// splitRows returns the rows of the result, and the handle and the chunk numbers from the rows that the spool adds.
+func splitRows(t *testing.T, rows []string) (data []string, handle string, pages []int) {
 	for _, r := range rows {
 		switch f := strings.Split(r, "\t"); f[0] {
 		case "#handle":
 			handle = f[1]
 		case "#page":
-			pages = append(pages, number(t, f[1]))
+			pages = append(pages, parseInt(t, f[1]))
 		default:
-			out = append(out, r)
+			data = append(data, r)
 		}
 	}
-	return out, handle, pages
+	return data, handle, pages
 }
 
 // The engine is free as soon as it has given all pages, while the client has not read a byte; and the client gets every row, far more
 // than a gateway holds in memory.
-func TestEngineIsFreeWhateverTheClientDoes(t *testing.T) {
-	for name, text := range map[string]string{"memory": memorySpool, "disk": diskSpool} {
+func TestEngineIsFreedBeforeClientReads(t *testing.T) {
+	for name, text := range map[string]string{"memory": memorySpoolSite, "disk": diskSpoolSite} {
 		gw := newSpoolGateway(t, text)
-		gw.connect(1)
+		gw.login(1)
 		connID := gw.startResult(1, "point", idA, "", 150) // 700 KB
 		saw := gw.serveEngine(connID)
 		if !strings.HasSuffix(saw, "FREE "+idA+"\r\n") {
@@ -262,7 +262,7 @@
 		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.MemoryBytes != 0 {
 			t.Errorf("%s: left %+v", name, stats)
 		}
-		gw.send(1, string(queryPacket("SET x = 1"))) // and the session goes on
+		gw.receiveData(1, string(queryPacket("SET x = 1"))) // and the session goes on
 		if gw.closed[1] || gw.takeOutput(1) == "" {
 			t.Errorf("%s: the session can't go on", name)
 		}
@@ -270,19 +270,19 @@
 }
 
 // A client that goes half way reads on from where it was, on another connection, without the query running again.
-func TestResumeReadsOnWithoutRunningAgain(t *testing.T) {
-	gw := newSpoolGateway(t, diskSpool)
-	gw.connect(1)
+func TestResumeDoesNotRunAgain(t *testing.T) {
+	gw := newSpoolGateway(t, diskSpoolSite)
+	gw.login(1)
 	connID := gw.startResult(1, "point", idA, ",spool=1", 60)
 	gw.serveEngine(connID)
 	rows, _ := gw.readRows(1, 3)
-	_, handle, pages := plain(t, rows)
+	_, handle, pages := splitRows(t, rows)
 	if len(handle) != spool.HandleSize || len(pages) < 2 {
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
-	gw.run(ConnectionClosed{Conn: 1})
+	gw.stepWithDisk(ConnectionClosed{Conn: 1})
 	asks := gw.takeOutput(connID)
-	gw.connect(2)
+	gw.login(2)
 	last := pages[len(pages)-1]
 	// The rows after the last complete chunk are read again.
 	complete := 0
@@ -291,10 +291,10 @@
 			complete = i + 1
 		}
 	}
-	got, _, _ := plain(t, rows[:complete])
-	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s,page=%d,timeout=2000 */ FETCH", handle, last+1))))
+	got, _, _ := splitRows(t, rows[:complete])
+	gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* resume=%s,page=%d,timeout=2000 */ FETCH", handle, last+1))))
 	rest, end := gw.readRows(2, 1000)
-	more, again, _ := plain(t, rest)
+	more, again, _ := splitRows(t, rest)
 	if end != "end" || again != handle || !slices.Equal(append(got, more...), wantRows(0, 60)) {
 		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
 	}
@@ -302,12 +302,12 @@
 		t.Error("the query ran again")
 	}
 	// It is kept until it is acknowledged: a second read of all, then not any more.
-	gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", handle))))
+	gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", handle))))
 	rest, end = gw.readRows(2, 1000)
-	if all, _, _ := plain(t, rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
+	if all, _, _ := splitRows(t, rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
 		t.Errorf("read twice: %s, %d rows", end, len(all))
 	}
-	gw.send(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", handle))))
+	gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", handle))))
 	if out := gw.takeOutput(2); len(out) < 5 || out[4] != 0 {
 		t.Errorf("release: %q", out)
 	}
@@ -317,35 +317,35 @@
 }
 
 // Whatever is wrong with a handle, the words are the same.
-func TestHandlesThatAreNone(t *testing.T) {
-	gw := newSpoolGateway(t, memorySpool)
-	gw.connect(1)
+func TestInvalidHandles(t *testing.T) {
+	gw := newSpoolGateway(t, memorySpoolSite)
+	gw.login(1)
 	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
 	rows, _ := gw.readRows(1, 10)
-	_, handle, _ := plain(t, rows)
-	gw.connect(2)
-	words := map[string]bool{}
+	_, handle, _ := splitRows(t, rows)
+	gw.login(2)
+	messages := map[string]bool{}
 	for _, h := range []string{"", "0", strings.Repeat("0", 64), handle[:32] + strings.Repeat("0", 32), handle + ",owner=other",
 		handle + ",page=99", strings.ToUpper(handle)} {
-		gw.send(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", h))))
+		gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", h))))
 		out := gw.takeOutput(2)
 		if len(out) < 13 || out[4] != 0xff {
 			t.Fatalf("%q: %q", h, out)
 		}
-		words[out[13:]] = true
+		messages[out[13:]] = true
 		if !strings.Contains(h, "page") {
-			gw.send(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", h))))
+			gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", h))))
 			gw.takeOutput(2)
 		}
 	}
-	if len(words) != 1 {
-		t.Errorf("denials differ: %v", words)
+	if len(messages) != 1 {
+		t.Errorf("denials differ: %v", messages)
 	}
 	if stats := gw.g.results.spool.Stats(); stats.Results != 1 {
 		t.Errorf("a denied release took effect: %+v", stats)
 	}
 	for _, bad := range []string{"/* resume=" + handle + ",page=-1 */ x", "/* resume=" + handle + ",page=x */ x", "/* resume=" + handle + ",resume=" + handle + " */ x"} {
-		gw.send(2, string(queryPacket(bad)))
+		gw.receiveData(2, string(queryPacket(bad)))
 		if out := gw.takeOutput(2); len(out) < 9 || out[4] != 0xff {
 			t.Errorf("%s: %q", bad, out)
 		}
@@ -355,11 +355,11 @@
 // A full spool rejects before anything runs, and the rejection names a Retry-After.
 func TestFullSpoolRejects(t *testing.T) {
 	gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"128KB\"\n tenant = \"128KB\"\n}\n")
-	gw.connect(1)
+	gw.login(1)
 	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 20)) // 93 KB, and it is not read
 	gw.readRows(1, 100)
-	gw.connect(2)
-	gw.send(2, askTextWith("point", idB, ",spool=1"))
+	gw.login(2)
+	gw.receiveData(2, requestPacketWith("point", idB, ",spool=1"))
 	out := gw.takeOutput(2)
 	if !strings.Contains(out, "refused; holdoff=") {
 		t.Errorf("got %q", out)
@@ -371,13 +371,13 @@
 
 // A result that can't be stored ends with an error: failed where the query must not run again or the result never fits, else rejected.
 // The engine is released.
-func TestResultThatCanNotBeKept(t *testing.T) {
+func TestResultThatCannotBeStored(t *testing.T) {
 	for _, c := range []struct {
 		class, want string
 		pages       int
 	}{{"point", "could not be kept: size", 40}, {"load", "could not be kept: size", 40}} {
 		gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"64KB\"\n tenant = \"128KB\"\n}\n")
-		gw.connect(1)
+		gw.login(1)
 		connID := gw.startResult(1, c.class, idA, "", c.pages)
 		saw := gw.serveEngine(connID)
 		out := gw.takeOutput(1)
@@ -391,10 +391,10 @@
 }
 
 // A disk that fails while a lasting result is sealed: the client hears of it, by what its class allows.
-func TestDiskFailsUnderAResult(t *testing.T) {
+func TestDiskFailure(t *testing.T) {
 	for class, want := range map[string]string{"point": "the query was refused", "load": "could not be kept: disk"} {
-		gw := newSpoolGateway(t, diskSpool)
-		gw.connect(1)
+		gw := newSpoolGateway(t, diskSpoolSite)
+		gw.login(1)
 		gw.diskFails = true
 		gw.serveEngine(gw.startResult(1, class, idA, ",spool=1", 5))
 		if out := gw.takeOutput(1); !strings.Contains(out, want) || strings.Contains(out, "#handle") {
@@ -405,21 +405,21 @@
 		}
 	}
 	// It hangs: the client has its answer in time.
-	gw := newSpoolGateway(t, diskSpool)
-	gw.connect(1)
+	gw := newSpoolGateway(t, diskSpoolSite)
+	gw.login(1)
 	gw.diskPaused = true
 	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
 	if out := gw.takeOutput(1); out != "" {
 		t.Fatalf("answered before it is safe: %q", out)
 	}
 	for end := gw.now + 2*rules.Second; gw.now < end; gw.now += 10 * rules.Millisecond {
-		gw.run(TimerFired{})
+		gw.stepWithDisk(TimerFired{})
 	}
 	if out := gw.takeOutput(1); !strings.Contains(out, "failed") || len(gw.g.requests) != 0 {
 		t.Errorf("a disk that hangs: %q", out)
 	}
 	gw.diskPaused = false
-	gw.run(TimerFired{})
+	gw.stepWithDisk(TimerFired{})
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 {
 		t.Errorf("left %+v", stats)
 	}
@@ -427,8 +427,8 @@
 
 // A result that is lost while it is read ends with an error, not with an end.
 func TestResultLostWhileRead(t *testing.T) {
-	gw := newSpoolGateway(t, diskSpool)
-	gw.connect(1)
+	gw := newSpoolGateway(t, diskSpoolSite)
+	gw.login(1)
 	gw.serveEngine(gw.startResult(1, "point", idA, "", 60))
 	gw.diskFails = true
 	rows, end := gw.readRows(1, 1000)
@@ -438,25 +438,25 @@
 }
 
 // The engine dies half way: another attempt gives all, and nothing of the first is in it.
-func TestEngineDiesHalfWay(t *testing.T) {
-	gw := newSpoolGateway(t, memorySpool)
-	gw.connect(1)
+func TestRetryAfterPartialResult(t *testing.T) {
+	gw := newSpoolGateway(t, memorySpoolSite)
+	gw.login(1)
 	connID := gw.startResult(1, "point", idA, "", 30)
 	gw.takeOutput(connID)
-	gw.run(ConnectionClosed{Conn: connID, AcceptedBytes: math.MaxInt64})
-	gw.run(TimerFired{})
+	gw.stepWithDisk(ConnectionClosed{Conn: connID, AcceptedBytes: math.MaxInt64})
+	gw.stepWithDisk(TimerFired{})
 	if out := gw.takeOutput(1); out != "" {
 		t.Fatalf("the client has %q", out)
 	}
-	link2 := gw.dials[len(gw.dials)-1]
-	if link2 == connID {
+	secondConn := gw.dials[len(gw.dials)-1]
+	if secondConn == connID {
 		t.Fatal("no further attempt")
 	}
-	gw.run(DialSucceeded{Conn: link2})
-	gw.takeOutput(link2)
+	gw.stepWithDisk(DialSucceeded{Conn: secondConn})
+	gw.takeOutput(secondConn)
 	p := bigPage(0)
-	gw.send(link2, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
-	gw.serveEngine(link2)
+	gw.receiveData(secondConn, fmt.Sprintf("%s served total=30 %d\r\n%s\r\n", idA, len(p), p))
+	gw.serveEngine(secondConn)
 	if rows, end := gw.readRows(1, 100); end != "end" || !slices.Equal(rows, wantRows(0, 30)) {
 		t.Errorf("%s, %d rows", end, len(rows))
 	}
@@ -464,23 +464,23 @@
 
 // KILL ends an answer that is being read, and a command meanwhile is out of order.
 func TestKillWhileReading(t *testing.T) {
-	gw := newSpoolGateway(t, memorySpool)
-	gw.connect(1)
+	gw := newSpoolGateway(t, memorySpoolSite)
+	gw.login(1)
 	gw.serveEngine(gw.startResult(1, "point", idA, "", 60))
 	gw.takeOutput(1)
-	gw.connect(2)
-	gw.send(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
-	gw.run(WriteDrained{Conn: 1})
+	gw.login(2)
+	gw.receiveData(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
+	gw.stepWithDisk(WriteDrained{Conn: 1})
 	if out := gw.takeOutput(1); out != "" || !gw.closed[1] {
 		t.Errorf("after KILL the client got %d bytes", len(out))
 	}
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Readers != 0 {
 		t.Errorf("left %+v", stats)
 	}
-	gw.connect(3)
+	gw.login(3)
 	gw.serveEngine(gw.startResult(3, "point", idB, "", 60))
 	gw.takeOutput(3)
-	gw.send(3, string(queryPacket("SET x = 1")))
+	gw.receiveData(3, string(queryPacket("SET x = 1")))
 	if !gw.closed[3] {
 		t.Error("a command while an answer is read was taken")
 	}
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -15,13 +15,13 @@
 )
 
 // connect opens a client's connection, with what it writes ahead.
-func (sim *simulation) connect(ahead []byte) *simConn {
-	sim.next++
-	conn := &simConn{id: sim.next, client: true}
+func (sim *simulation) connect(pipelined []byte) *simConn {
+	sim.lastConn++
+	conn := &simConn{id: sim.lastConn, client: true}
 	sim.conns[conn.id] = conn
 	sim.step(ConnectionAccepted{Conn: conn.id})
 	if !conn.closed {
-		sim.step(&DataReceived{Conn: conn.id, Data: append(loginPacket(), ahead...)})
+		sim.step(&DataReceived{Conn: conn.id, Data: append(loginPacket(), pipelined...)})
 	}
 	return conn
 }
@@ -32,14 +32,14 @@
 	if sim.rng.IntN(3) > 0 {
 		class = 0
 	}
-	k := simClasses[class]
+	params := simClasses[class]
 	req := &simRequest{id: fmt.Sprintf("%016x", sim.rng.Uint64()), class: class, at: sim.now,
-		work: rules.Time(float64(k.work) * (0.3 + 1.4*sim.rng.Float64()))}
-	patience := rules.Time(float64(k.giveUp) * (0.3 + 0.7*sim.rng.Float64()))
-	patience -= patience % rules.Millisecond
-	req.due = sim.now + patience
-	fields := fmt.Sprintf("kind=%s,req=%s,timeout=%d", k.name, req.id, patience/rules.Millisecond)
-	if k.name == "line" {
+		work: rules.Time(float64(params.work) * (0.3 + 1.4*sim.rng.Float64()))}
+	timeout := rules.Time(float64(params.giveUp) * (0.3 + 0.7*sim.rng.Float64()))
+	timeout -= timeout % rules.Millisecond
+	req.due = sim.now + timeout
+	fields := fmt.Sprintf("kind=%s,req=%s,timeout=%d", params.name, req.id, timeout/rules.Millisecond)
+	if params.name == "line" {
 		req.key = fmt.Sprint("k", sim.rng.IntN(3))
 		fields += ",subject=" + req.key
 	}
@@ -48,8 +48,8 @@
 	q := queryPacket(fmt.Sprintf("/* %s */ SELECT day FROM sales_%d.orders WHERE tag = '%s'", fields, sim.rng.IntN(3), req.id))
 	sim.idleClients = slices.DeleteFunc(sim.idleClients, func(conn *simConn) bool { return conn.closed })
 	if len(sim.idleClients) == 0 || sim.chance(0.1) {
-		sim.next++
-		conn := &simConn{id: sim.next, client: true, request: req}
+		sim.lastConn++
+		conn := &simConn{id: sim.lastConn, client: true, request: req}
 		req.client = conn
 		sim.conns[conn.id] = conn
 		sim.step(ConnectionAccepted{Conn: conn.id})
@@ -60,65 +60,65 @@
 		conn.request, req.client = req, conn
 		sim.send(conn, q)
 	}
-	sim.schedule(patience+slack, func() {
+	sim.schedule(timeout+timingSlack, func() {
 		if !req.finished {
-			sim.violation(1, "%s %s has no answer after %d ms", k.name, req.id, (sim.now-req.at)/rules.Millisecond)
+			sim.violation(1, "%s %s has no answer after %d ms", params.name, req.id, (sim.now-req.at)/rules.Millisecond)
 		}
 	})
 	if sim.chance(0.1) {
-		sim.schedule(rules.Time(sim.rng.Int64N(int64(patience))), func() { sim.abandonRequest(req) })
+		sim.schedule(rules.Time(sim.rng.Int64N(int64(timeout))), func() { sim.abandonRequest(req) })
 	}
 }
 
 // startBadClient sends what no client would, in one piece or in two, and reads what it is sent. It is owed
 // an error or a close within 3 s.
 func (sim *simulation) startBadClient() {
-	sim.next++
-	conn := &simConn{id: sim.next, client: true, bad: true, replyDue: true}
+	sim.lastConn++
+	conn := &simConn{id: sim.lastConn, client: true, bad: true, replyDue: true}
 	sim.conns[conn.id] = conn
-	open := "open"
+	openID := "open"
 	for _, req := range sim.requests {
 		if !req.finished {
-			open = req.id
+			openID = req.id
 		}
 	}
-	const ask = "/* kind=point,req=%s,timeout=%s */ SELECT 1 FROM sales_1.x"
-	in := loginPacket()
+	const format = "/* kind=point,req=%s,timeout=%s */ SELECT 1 FROM sales_1.x"
+	input := loginPacket()
 	switch sim.rng.IntN(10) {
 	case 0:
-		in = nil // says nothing
+		input = nil // says nothing
 	case 1:
-		in = in[:sim.rng.IntN(len(in))]
+		input = input[:sim.rng.IntN(len(input))]
 	case 2: // asks for nothing
 	case 3:
-		q := queryPacket(fmt.Sprintf(ask, "00000000000000ab", "900"))
-		in = append(in, q[:sim.rng.IntN(len(q))]...)
+		q := queryPacket(fmt.Sprintf(format, "00000000000000ab", "900"))
+		input = append(input, q[:sim.rng.IntN(len(q))]...)
 	case 4: // 16 MB, of which little comes
-		in = append(append(in, 0xff, 0xff, 0xff, 0), bytes.Repeat([]byte{3}, 9000)...)
+		input = append(append(input, 0xff, 0xff, 0xff, 0), bytes.Repeat([]byte{3}, 9000)...)
 	case 5:
-		in = append(in, queryPacket(fmt.Sprintf(ask, "00000000000000ab", []string{"-1", "0", "1e9", "NaN", "99999999999", ""}[sim.rng.IntN(6)]))...)
+		input = append(input, queryPacket(fmt.Sprintf(format, "00000000000000ab", []string{"-1", "0", "1e9", "NaN", "99999999999", ""}[sim.rng.IntN(6)]))...)
 	case 6:
-		in = append(in, queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=900,need_mb=%s */ SELECT 1", []string{"other", "point"}[sim.rng.IntN(2)],
+		input = append(input, queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=900,need_mb=%s */ SELECT 1", []string{"other", "point"}[sim.rng.IntN(2)],
 			"00000000000000ab", "-4"))...)
 	case 7:
-		in = append(in, queryPacket(fmt.Sprintf(ask, open, "900"))...)
+		input = append(input, queryPacket(fmt.Sprintf(format, openID, "900"))...)
 	case 8:
-		in = append(in, queryPacket("SELECT 1")...)
+		input = append(input, queryPacket("SELECT 1")...)
 	case 9:
-		in = make([]byte, 4+sim.rng.IntN(300))
-		for i := range in {
-			in[i] = byte(sim.rng.Uint32())
+		input = make([]byte, 4+sim.rng.IntN(300))
+		for i := range input {
+			input[i] = byte(sim.rng.Uint32())
 		}
-		in[2] |= 1 // a packet larger than any login
+		input[2] |= 1 // a packet larger than any login
 	}
 	sim.step(ConnectionAccepted{Conn: conn.id})
-	if req := sim.requestsByID[open]; req != nil && req.finished { // it was evicted for this connection: its id is free again
-		in = append(loginPacket(), queryPacket("SELECT 1")...)
+	if req := sim.requestsByID[openID]; req != nil && req.finished { // it was evicted for this connection: its id is free again
+		input = append(loginPacket(), queryPacket("SELECT 1")...)
 	}
-	sim.send(conn, in)
+	sim.send(conn, input)
 	sim.schedule(3*rules.Second, func() {
 		if conn.replyDue && !sim.exited {
-			sim.violation(1, "a bad client has no error and no close after 3 s: %.60q", in)
+			sim.violation(1, "a bad client has no error and no close after 3 s: %.60q", input)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	if sim.rng.IntN(2) == 0 || conn.session == 0 { // it has no number to kill by
-		sim.connEnded(conn, true)
+		sim.endConn(conn, true)
 		return
 	}
 	if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither was evicted for the other
@@ -155,13 +155,13 @@
 	}
 	sim.schedule(500*rules.Millisecond, func() {
 		if !conn.closed && (req.killed || conn.request == req) {
-			sim.connEnded(conn, true)
+			sim.endConn(conn, true)
 		}
 	})
 }
 
-// clientReads judges what a client gets: greeting, login, then answers.
-func (sim *simulation) clientReads(conn *simConn) {
+// readClientInput judges what a client gets: greeting, login, then answers.
+func (sim *simulation) readClientInput(conn *simConn) {
 	for len(conn.input) >= 4 {
 		n := int(conn.input[0]) | int(conn.input[1])<<8 | int(conn.input[2])<<16
 		if len(conn.input) < 4+n {
@@ -215,25 +215,25 @@
 // readResult reads a complete result set and checks it against the pages.
 func (sim *simulation) readResult(conn *simConn, req *simRequest) bool {
 	var packets [][]byte
-	b, ends := conn.input, 0
-	for ends < 2 {
-		if len(b) < 4 {
+	input, eofs := conn.input, 0
+	for eofs < 2 {
+		if len(input) < 4 {
 			return false
 		}
-		n := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
-		if len(b) < 4+n {
+		n := int(input[0]) | int(input[1])<<8 | int(input[2])<<16
+		if len(input) < 4+n {
 			return false
 		}
-		if int(b[3]) != (len(packets)+1)%256 {
-			sim.t.Fatalf("packet %d of a result has sequence number %d", len(packets)+1, b[3])
+		if int(input[3]) != (len(packets)+1)%256 {
+			sim.t.Fatalf("packet %d of a result has sequence number %d", len(packets)+1, input[3])
 		}
-		packets = append(packets, b[4:4+n])
-		if b[4] == 0xfe && n < 9 {
-			ends++
+		packets = append(packets, input[4:4+n])
+		if input[4] == 0xfe && n < 9 {
+			eofs++
 		}
-		b = b[4+n:]
+		input = input[4+n:]
 	}
-	conn.input = b
+	conn.input = input
 	var got strings.Builder
 	for _, p := range packets[5 : len(packets)-1] {
 		for i := range 3 {
@@ -243,30 +243,30 @@
 			got.WriteByte("\t\t\n"[i])
 		}
 	}
-	made := false
+	found := false
 	for _, attempt := range req.attempts {
-		made = made || attempt.pages != nil && strings.Join(attempt.pages, "") == got.String()
+		found = found || attempt.pages != nil && strings.Join(attempt.pages, "") == got.String()
 	}
-	if !made {
+	if !found {
 		sim.violation(1, "%s was served with what no engine made: %q", req.id, got.String())
 	}
 	sim.recordAnswer(conn, "served", 0)
 	return true
 }
 
-func (sim *simulation) recordAnswer(conn *simConn, how string, code uint16) {
+func (sim *simulation) recordAnswer(conn *simConn, outcome string, code uint16) {
 	req := conn.request
 	if req == nil {
 		return
 	}
 	if req.answers++; req.answers > 1 || req.finished {
-		sim.violation(1, "%s is answered again (%s %d)", req.id, how, code)
+		sim.violation(1, "%s is answered again (%s %d)", req.id, outcome, code)
 	}
-	if sim.now > req.due+slack {
+	if sim.now > req.due+timingSlack {
 		sim.violation(1, "%s is answered %d ms late", req.id, (sim.now-req.due)/rules.Millisecond)
 	}
 	switch {
-	case how == "served":
+	case outcome == "served":
 		sim.served++
 	case code == 1040 || code == 1203 || code == 1226:
 		sim.rejected++
@@ -305,7 +305,7 @@
 			sim.violation(1, "%s is sent after its end", req.id)
 		}
 		if req != nil {
-			sim.traceWarmup(engine, fmt.Sprintf("%s %s of %.0f ms is written", simClasses[req.class].name, req.id, float64(req.work)/float64(rules.Millisecond)))
+			sim.traceSlowStart(engine, fmt.Sprintf("%s %s of %.0f ms is written", simClasses[req.class].name, req.id, float64(req.work)/float64(rules.Millisecond)))
 		}
 	}
 }
@@ -323,7 +323,7 @@
 			sim.violation(2, "%s is sent again outside of its group or window", req.id)
 		}
 	}
-	if engine.notifiedAt != 0 && sim.now > engine.notifiedAt+rules.Second+slack {
+	if engine.notifiedAt != 0 && sim.now > engine.notifiedAt+rules.Second+timingSlack {
 		sim.violation(3, "%s is sent to %s, which drains or is gone", req.id, engine.host.ID)
 	}
 	sim.checkSlowStart(req, engine)
@@ -333,7 +333,7 @@
 				break
 			}
 			out := slices.ContainsFunc(other.attempts, func(attempt *simAttempt) bool { return !attempt.ended })
-			if other.key == req.key && (out || sim.now+slack < other.quarantinedUntil) {
+			if other.key == req.key && (out || sim.now+timingSlack < other.quarantinedUntil) {
 				sim.violation(5, "%s is sent out of order, after %s", req.id, other.id)
 			}
 			if other.key == req.key && !other.finished {
@@ -351,56 +351,56 @@
 	if len(req.attempts) > 0 {
 		const window = 2 * rules.Second
 		sim.retryTimes = append(sim.retryTimes, sim.now)
-		n, taken := 0, 0
+		retries, requests := 0, 0
 		for _, at := range sim.retryTimes {
-			if at > sim.now-window+slack {
-				n++
+			if at > sim.now-window+timingSlack {
+				retries++
 			}
 		}
 		for _, other := range sim.requests {
-			if other.at >= sim.now-window-slack {
-				taken++
+			if other.at >= sim.now-window-timingSlack {
+				requests++
 			}
 		}
-		if float64(n) > 3+0.2*float64(taken) {
-			sim.violation(7, "%d retries, %d requests", n, taken)
+		if float64(retries) > 3+0.2*float64(requests) {
+			sim.violation(7, "%d retries, %d requests", retries, requests)
 		}
 	}
 }
 
-// warmupPeriod is that of the settings.
-const warmupPeriod = 4 * rules.Second
+// slowStartPeriod is that of the settings.
+const slowStartPeriod = 4 * rules.Second
 
 // checkSlowStart: a cold engine gets at most its budget within any span (rule 4). What was sent before the gateway was told
 // of its start counts, and breaks the rule only if two thirds of it all were sent after that.
 func (sim *simulation) checkSlowStart(req *simRequest, engine *simEngine) {
-	const coldFor, span, cores, from, factor = warmupPeriod, rules.Second, 16, 0.3, 2
-	if engine.warmupSince == 0 || sim.now > engine.warmupSince+coldFor {
+	const period, window, cores, initialFraction, factor = slowStartPeriod, rules.Second, 16, 0.3, 2
+	if engine.slowStartSince == 0 || sim.now > engine.slowStartSince+period {
 		return
 	}
-	engine.warmupSends = append(engine.warmupSends, timedWork{sim.now, float64(req.work)})
-	sum, informed := 0.0, 0.0
-	for _, send := range engine.warmupSends {
-		if send.at > sim.now-span {
-			sum += send.work
+	engine.slowStartSends = append(engine.slowStartSends, timedWork{sim.now, float64(req.work)})
+	total, afterNotification := 0.0, 0.0
+	for _, send := range engine.slowStartSends {
+		if send.at > sim.now-window {
+			total += send.work
 			if engine.startNotifiedAt != 0 && send.at >= engine.startNotifiedAt {
-				informed += send.work
+				afterNotification += send.work
 			}
 		}
 	}
-	warm := from + (1-from)*float64(sim.now-engine.warmupSince)/float64(coldFor)
-	if budget := factor * warm * cores * float64(span); sum > budget && informed >= sum*2/3 {
-		sim.violation(4, "%s got %.0f of %.0f", engine.host.ID, sum, budget)
-		if engine.warmupTrace != nil {
-			sim.violation(4, "%s until then:\n%s", engine.host.ID, strings.Join(engine.warmupTrace, "\n"))
-			engine.warmupTrace = nil
+	fraction := initialFraction + (1-initialFraction)*float64(sim.now-engine.slowStartSince)/float64(period)
+	if budget := factor * fraction * cores * float64(window); total > budget && afterNotification >= total*2/3 {
+		sim.violation(4, "%s got %.0f of %.0f", engine.host.ID, total, budget)
+		if engine.slowStartTrace != nil {
+			sim.violation(4, "%s until then:\n%s", engine.host.ID, strings.Join(engine.slowStartTrace, "\n"))
+			engine.slowStartTrace = nil
 		}
 	}
 }
 
-// traceWarmup notes what happens to an engine that warms up, beside the gateway's own account of its budget.
-func (sim *simulation) traceWarmup(engine *simEngine, what string) {
-	if engine.warmupSince == 0 || sim.now > engine.warmupSince+warmupPeriod {
+// traceSlowStart notes what happens to an engine that warms up, beside the gateway's own account of its budget.
+func (sim *simulation) traceSlowStart(engine *simEngine, what string) {
+	if engine.slowStartSince == 0 || sim.now > engine.slowStartSince+slowStartPeriod {
 		return
 	}
 	counted := "counts nothing"
@@ -409,8 +409,8 @@
 			counted = fmt.Sprintf("counts %.0f of %.0f ms", usage.Work/float64(rules.Millisecond), usage.Quota/float64(rules.Millisecond))
 		}
 	}
-	engine.warmupTrace = append(engine.warmupTrace, fmt.Sprintf("%7.1f ms, %6.1f ms after its start: %s; the gateway %s",
-		float64(sim.now-sim.start)/float64(rules.Millisecond), float64(sim.now-engine.warmupSince)/float64(rules.Millisecond), what, counted))
+	engine.slowStartTrace = append(engine.slowStartTrace, fmt.Sprintf("%7.1f ms, %6.1f ms after its start: %s; the gateway %s",
+		float64(sim.now-sim.start)/float64(rules.Millisecond), float64(sim.now-engine.slowStartSince)/float64(rules.Millisecond), what, counted))
 }
 
 // injectFaults has engines and the list fail now and then.
@@ -424,8 +424,8 @@
 				engine.refusing, engine.silent = true, false
 				sim.schedule(600*rules.Millisecond, func() {
 					engine.refusing, engine.delisted, engine.notifiedAt, engine.host.Draining = false, false, 0, false
-					engine.warmupSince, engine.warmupSends, engine.startNotifiedAt = sim.now, nil, 0
-					engine.warmupTrace = nil
+					engine.slowStartSince, engine.slowStartSends, engine.startNotifiedAt = sim.now, nil, 0
+					engine.slowStartTrace = nil
 					engine.host.Started = int64(sim.now / rules.Millisecond)
 					sim.serial++
 				})
@@ -461,7 +461,7 @@
 func (sim *simulation) resetConns(engine *simEngine) {
 	for _, id := range slices.Sorted(maps.Keys(sim.conns)) { // each takes a latency from the generator
 		if conn := sim.conns[id]; conn.engine == engine && !conn.closed {
-			sim.connEnded(conn, true)
+			sim.endConn(conn, true)
 		}
 	}
 }
@@ -540,7 +540,7 @@
 }
 
 // Without SIGTERM, nothing is left of requests whose time is over.
-func TestNothingIsLeft(t *testing.T) {
+func TestNoStateLeftWithoutShutdown(t *testing.T) {
 	sim := newSimulation(t, 99, 1)
 	for at := rules.Time(0); at < 4*rules.Second; at += 10 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
@@ -563,7 +563,7 @@
 
 // Over ten minutes of engines that come and go under new names, at used addresses too, and of clients
 // that are always new, some of which ask once and stay, nothing is kept of what has gone.
-func TestLongDayLeavesNothing(t *testing.T) {
+func TestNoStateLeftAfterChurn(t *testing.T) {
 	sim := newSimulation(t, 5, 0.2)
 	const length = 10 * 60 * rules.Second
 	n := len(sim.engines)
@@ -577,7 +577,7 @@
 				old.refusing = true
 				addr := old.host.Addr
 				old.host.Addr = netip.AddrPort{}
-				engine := &simEngine{host: old.host, warmupSince: sim.now}
+				engine := &simEngine{host: old.host, slowStartSince: sim.now}
 				engine.host.ID, engine.host.Addr, engine.host.Started = fmt.Sprintf("s-%08x", n), addr, int64(sim.now/rules.Millisecond)
 				sim.engines[engine.host.ID] = engine
 				n++
@@ -595,12 +595,12 @@
 	for i := range sizes { // both times a while after a change, in the middle and at the end
 		sim.run(sim.start + length/2*rules.Time(i+1) - 100*rules.Millisecond)
 		g := sim.g
-		links := 0
+		conns := 0
 		for _, eng := range g.engineOrder {
-			links += len(eng.conns)
+			conns += len(eng.conns)
 		}
 		sizes[i] = [...]int{len(g.engines), len(g.engineOrder), len(g.engineConns), len(g.clients), len(g.sessions), len(g.requests), g.timers.len(), len(g.module.EngineViews())}
-		if links != len(g.engineConns) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || g.timers.len() > 1500 {
+		if conns != len(g.engineConns) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || g.timers.len() > 1500 {
 			t.Errorf("at %d s: engines, listed, connections to them, clients, sessions, requests, timers, engines in the module: %v",
 				(sim.now-sim.start)/rules.Second, sizes[i])
 		}
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -31,10 +31,10 @@
 	start             rules.Time
 	queue             minheap.Heap[simEvent, *simEvent]
 	eventSeq          int
-	wake              rules.Time
+	wakeAt            rules.Time
 	faultRate         float64 // how often things fail
 	conns             map[ConnID]*simConn
-	next              ConnID
+	lastConn          ConnID
 	idleClients       []*simConn // clients without a request
 	engines           map[string]*simEngine
 	serial            uint32
@@ -114,10 +114,10 @@
 	refusing        bool // refuses connections
 	silent          bool // says nothing any more
 	notifiedAt      rules.Time
-	warmupSince     rules.Time
-	warmupSends     []timedWork
+	slowStartSince  rules.Time
+	slowStartSends  []timedWork
 	startNotifiedAt rules.Time // when the gateway was notified of its start
-	warmupTrace     []string   // what the gateway wrote to it since its start and what it counted, for a violation of rule 4
+	slowStartTrace  []string   // what the gateway wrote to it since its start and what it counted, for a violation of rule 4
 }
 
 type timedWork struct {
@@ -180,9 +180,9 @@
 }
 
 const (
-	classLoad = 2
-	classNote = 3
-	slack     = 5*rules.Millisecond + 50*rules.Millisecond // of the settings, and that of sockets
+	classLoad   = 2
+	classNote   = 3
+	timingSlack = 5*rules.Millisecond + 50*rules.Millisecond // of the settings, and that of sockets
 )
 
 // simConfig is a configuration as a file holds it.
@@ -207,7 +207,7 @@
 }
 
 // newSimulationWith starts a gateway on a configuration that was changed.
-func newSimulationWith(t *testing.T, seed uint64, faultRate float64, change func(*config.Config)) *simulation {
+func newSimulationWith(t *testing.T, seed uint64, faultRate float64, modify func(*config.Config)) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1_700_000_000 * rules.Second, faultRate: faultRate, serial: 1,
 		conns: map[ConnID]*simConn{}, engines: map[string]*simEngine{}, requestsByID: map[string]*simRequest{}}
 	sim.start = sim.now
@@ -219,8 +219,8 @@
 		sim.engines[host.ID] = &simEngine{host: host}
 	}
 	cfg := simConfig(t, hosts)
-	if change != nil {
-		change(&cfg)
+	if modify != nil {
+		modify(&cfg)
 	}
 	sim.g = New(cfg, sim.now)
 	sim.executeEffects()
@@ -303,11 +303,11 @@
 		if len(sim.queue) > 0 {
 			at = min(at, sim.queue[0].at)
 		}
-		if sim.wake != 0 {
-			sim.wake = max(sim.wake, sim.pausedUntil)
+		if sim.wakeAt != 0 {
+			sim.wakeAt = max(sim.wakeAt, sim.pausedUntil)
 		}
-		if sim.wake != 0 && sim.wake <= at {
-			sim.now, sim.wake = max(sim.now, sim.wake), 0
+		if sim.wakeAt != 0 && sim.wakeAt <= at {
+			sim.now, sim.wakeAt = max(sim.now, sim.wakeAt), 0
 			sim.step(TimerFired{})
 			continue
 		}
@@ -333,7 +333,7 @@
 			conn.written += int64(len(effect.Data))
 			if conn.client {
 				conn.input = append(conn.input, effect.Data...)
-				sim.clientReads(conn)
+				sim.readClientInput(conn)
 				continue
 			}
 			sim.checkWritten(conn.engine, effect.Data)
@@ -341,7 +341,7 @@
 			sim.schedule(conn.delay, func() {
 				if !conn.closed {
 					conn.input = append(conn.input, data...)
-					sim.engineReads(conn)
+					sim.readEngineInput(conn)
 				}
 			})
 		case CloseConnection:
@@ -350,12 +350,12 @@
 				continue
 			}
 			if conn.client {
-				sim.connEnded(conn, false)
+				sim.endConn(conn, false)
 				continue
 			}
 			sim.schedule(conn.delay, func() { // after what was written
 				if !conn.closed {
-					sim.connEnded(conn, false)
+					sim.endConn(conn, false)
 				}
 			})
 		case Dial:
@@ -363,9 +363,9 @@
 		case QueryDNS:
 			sim.answerNameQuery(effect.Data)
 		case *SetTimer:
-			sim.wake = effect.At
+			sim.wakeAt = effect.At
 		case SubmitSpool:
-			sim.disk(effect.Effect)
+			sim.submitDisk(effect.Effect)
 		case NotifyDrained:
 			sim.schedule(sim.latency(), func() { sim.step(WriteDrained(effect)) })
 		case PersistVoterLog:
@@ -378,16 +378,16 @@
 	}
 }
 
-// disk does what the spool asks for, after a while, and at times fails.
-func (sim *simulation) disk(effect spool.DiskEffect) {
+// submitDisk does what the spool asks for, after a while, and at times fails.
+func (sim *simulation) submitDisk(effect spool.DiskEffect) {
 	fails := sim.chance(0.02)
 	sim.schedule(sim.latency(), func() {
 		var events []spool.Event
 		switch effect := effect.(type) {
 		case spool.WriteRecord:
-			place := spool.Location{Segment: 1, Offset: int64(len(sim.diskRecords)), Size: int32(segment.RecordSize(len(effect.Data)))}
+			location := spool.Location{Segment: 1, Offset: int64(len(sim.diskRecords)), Size: int32(segment.RecordSize(len(effect.Data)))}
 			sim.diskRecords = append(sim.diskRecords, bytes.Clone(effect.Data))
-			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: place, Failed: fails})
+			events = append(events, spool.RecordWritten{ID: effect.ID, Record: effect.Record, Index: effect.Index, Location: location, Failed: fails})
 			if effect.Record == segment.Seal && !fails {
 				events = append(events, spool.ResultSynced{ID: effect.ID})
 			}
@@ -430,9 +430,9 @@
 	sim.schedule(delay, func() {
 		if serial == sim.serial { // the gateway is notified of what it says
 			for _, host := range hosts {
-				if engine := sim.engines[host.ID]; engine.startNotifiedAt == 0 && engine.warmupSince != 0 && host.Started == engine.host.Started {
+				if engine := sim.engines[host.ID]; engine.startNotifiedAt == 0 && engine.slowStartSince != 0 && host.Started == engine.host.Started {
 					engine.startNotifiedAt = sim.now
-					sim.traceWarmup(engine, "the list with its start reaches the gateway")
+					sim.traceSlowStart(engine, "the list with its start reaches the gateway")
 				}
 			}
 			for _, engine := range sim.engines {
@@ -474,7 +474,7 @@
 	}
 }
 
-func (sim *simulation) engineReads(conn *simConn) {
+func (sim *simulation) readEngineInput(conn *simConn) {
 	for {
 		line, rest, ok := bytes.Cut(conn.input, []byte("\r\n"))
 		if !ok {
@@ -497,7 +497,7 @@
 			rest = rest[n+2:]
 		case "QUIT", "FREE":
 			if attempt := conn.inFlight[words[1]]; attempt != nil {
-				sim.cutAttempt(attempt)
+				sim.interruptAttempt(attempt)
 				delete(conn.inFlight, words[1])
 			}
 		case "INFO":
@@ -517,27 +517,27 @@
 }
 
 // endAttempt ends an attempt from outside: it is not out any more.
-func (sim *simulation) endAttempt(attempt *simAttempt, never bool) {
+func (sim *simulation) endAttempt(attempt *simAttempt, neverRan bool) {
 	if attempt.ended {
 		return
 	}
-	attempt.ended, attempt.neverRan = true, never
+	attempt.ended, attempt.neverRan = true, neverRan
 }
 
-// cutAttempt ends an attempt that may still run: its key rests.
-func (sim *simulation) cutAttempt(attempt *simAttempt) {
+// interruptAttempt ends an attempt that may still run: its key rests.
+func (sim *simulation) interruptAttempt(attempt *simAttempt) {
 	if !attempt.ended {
 		attempt.ended, attempt.request.quarantinedUntil = true, sim.now+300*rules.Millisecond
 	}
 }
 
-func (sim *simulation) respond(conn *simConn, text string, answered func()) {
+func (sim *simulation) respond(conn *simConn, text string, onSend func()) {
 	sim.schedule(sim.latency(), func() {
 		if conn.closed || conn.engine.silent {
 			return
 		}
-		if answered != nil {
-			answered()
+		if onSend != nil {
+			onSend()
 		}
 		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // in two pieces
 			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text[:cut])})
@@ -549,8 +549,8 @@
 	})
 }
 
-// ttlOf is for how long an engine may run what it is asked for.
-func ttlOf(fields string) rules.Time {
+// parseTTL is for how long an engine may run what it is asked for.
+func parseTTL(fields string) rules.Time {
 	for _, f := range strings.Split(fields, ",") {
 		if text, ok := strings.CutPrefix(f, "ttl="); ok {
 			ms, _ := strconv.Atoi(text)
@@ -560,8 +560,8 @@
 	return 0
 }
 
-// startAfterLeave is how long an attempt may begin after its client has gone, with the way to the engine.
-const startAfterLeave = 100*rules.Millisecond + 5*rules.Millisecond
+// maxStartAfterLeave is how long an attempt may begin after its client has gone, with the way to the engine.
+const maxStartAfterLeave = 100*rules.Millisecond + 5*rules.Millisecond
 
 func (sim *simulation) receiveAsk(conn *simConn, id, fields, statement string) {
 	req, engine := sim.requestsByID[id], conn.engine
@@ -572,14 +572,14 @@
 		sim.t.Fatalf("request %s reached the engine as %s %q", id, fields, statement)
 	}
 	sim.checkSend(req, engine)
-	if req.goneAt != 0 && sim.now > req.goneAt+startAfterLeave {
+	if req.goneAt != 0 && sim.now > req.goneAt+maxStartAfterLeave {
 		sim.violation(1, "%s came to an engine %d ms after its client had gone", req.id, (sim.now-req.goneAt)/rules.Millisecond)
 	}
 	if req.client == nil || req.client.bad {
 		sim.t.Fatalf("engine was asked for %s of a bad client", id)
 	}
-	if left := req.due - sim.now; ttlOf(fields) > left+150*rules.Millisecond+slack {
-		sim.violation(1, "%s came to an engine with %d ms to run, and its client waits for %d ms", req.id, ttlOf(fields)/rules.Millisecond, left/rules.Millisecond)
+	if remaining := req.due - sim.now; parseTTL(fields) > remaining+150*rules.Millisecond+timingSlack {
+		sim.violation(1, "%s came to an engine with %d ms to run, and its client waits for %d ms", req.id, parseTTL(fields)/rules.Millisecond, remaining/rules.Millisecond)
 	}
 	attempt := &simAttempt{request: req, engine: engine, conn: conn, at: sim.now}
 	req.attempts = append(req.attempts, attempt)
@@ -588,36 +588,36 @@
 	if engine.silent || sim.chance(0.02) {
 		return // it is never answered
 	}
-	spend := rules.Time(float64(req.work/simClasses[req.class].threads) * (0.9 + 0.4*sim.rng.Float64()))
+	runTime := rules.Time(float64(req.work/simClasses[req.class].threads) * (0.9 + 0.4*sim.rng.Float64()))
 	if sim.chance(0.05) {
-		spend *= 20
+		runTime *= 20
 	}
-	sim.schedule(spend, func() {
+	sim.schedule(runTime, func() {
 		if attempt.ended || conn.closed {
 			return
 		}
-		word, bad := "served", sim.rng.Float64()
+		status, draw := "served", sim.rng.Float64()
 		switch {
-		case sim.faultRate == 0 || bad > 0.16:
-		case bad < 0.04:
-			word = "overload"
-		case bad < 0.08:
-			word = "crashed"
-		case bad < 0.09:
-			word = "nobody"
-		case bad < 0.14:
+		case sim.faultRate == 0 || draw > 0.16:
+		case draw < 0.04:
+			status = "overload"
+		case draw < 0.08:
+			status = "crashed"
+		case draw < 0.09:
+			status = "nobody"
+		case draw < 0.14:
 			sim.malformedAnswers++
 			sim.respond(conn, sim.malformedAnswer(id), nil)
 			return
-		case bad < 0.15:
+		case draw < 0.15:
 			sim.respond(conn, id+" rows index=3 0\r\n\r\n", func() { sim.endAttempt(attempt, false) })
 			return
 		default:
-			sim.connEnded(conn, true)
+			sim.endConn(conn, true)
 			return
 		}
-		if word != "served" {
-			sim.respond(conn, id+" "+word+" - 0\r\n\r\n", func() { sim.endAttempt(attempt, word != "crashed") })
+		if status != "served" {
+			sim.respond(conn, id+" "+status+" - 0\r\n\r\n", func() { sim.endAttempt(attempt, status != "crashed") })
 			return
 		}
 		for range 1 + sim.rng.IntN(3) {
@@ -651,15 +651,15 @@
 	}[sim.rng.IntN(9)]
 }
 
-// connEnded ends a connection by its peer, or notes that the gateway closed it.
-func (sim *simulation) connEnded(conn *simConn, byPeer bool) {
+// endConn ends a connection by its peer, or notes that the gateway closed it.
+func (sim *simulation) endConn(conn *simConn, byPeer bool) {
 	conn.closed = true
 	if conn.replyDue {
 		conn.replyDue = false
 		sim.badClientsEnded++
 	}
 	for _, attempt := range conn.inFlight {
-		sim.cutAttempt(attempt)
+		sim.interruptAttempt(attempt)
 	}
 	if req := conn.request; conn.client && req != nil && !req.finished {
 		if byPeer {
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request that is read after a stall may have waited for as long: its engine may run it for no longer than its client waits.
-func TestDeadlinesBehindAStall(t *testing.T) {
+func TestDeadlinesAfterStall(t *testing.T) {
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			sim := newSimulation(t, seed, 0)
@@ -17,9 +17,9 @@
 				sim.schedule(at, func() { sim.pauseProcess(900 * rules.Millisecond) })
 			}
 			sim.play(6 * rules.Second)
-			for _, b := range sim.violations {
-				if strings.Contains(b, "to run, and its client waits") {
-					t.Error(b)
+			for _, violation := range sim.violations {
+				if strings.Contains(violation, "to run, and its client waits") {
+					t.Error(violation)
 				}
 			}
 		})
@@ -28,7 +28,7 @@
 
 // A process that is stopped for a while, or starved, finds its timers due before it has read what came meanwhile: clients
 // that have gone, queries that were killed. Nothing of these is sent to an engine after that.
-func TestNothingIsSentForWhoLeftDuringAStall(t *testing.T) {
+func TestNothingIsSentForClientsGoneDuringStall(t *testing.T) {
 	gone := 0
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -45,9 +45,9 @@
 				})
 			}
 			sim.play(6 * rules.Second)
-			for _, b := range sim.violations {
-				if strings.Contains(b, "had gone") || strings.HasPrefix(b, "rule 2") {
-					t.Error(b)
+			for _, violation := range sim.violations {
+				if strings.Contains(violation, "had gone") || strings.HasPrefix(violation, "rule 2") {
+					t.Error(violation)
 				}
 			}
 		})
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -32,17 +32,17 @@
 func newTestGateway(t *testing.T) *testGateway { return newTestGatewayWith(t, nil, oneHost) }
 
 // newTestGatewayWith has other engines, and a configuration that was changed unless change is nil.
-func newTestGatewayWith(t *testing.T, change func(*config.Config), hosts ...standin.Host) *testGateway {
-	gw := startTestGateway(t, change, hosts...)
+func newTestGatewayWith(t *testing.T, modify func(*config.Config), hosts ...standin.Host) *testGateway {
+	gw := startTestGateway(t, modify, hosts...)
 	gw.flush()
 	return gw
 }
 
 // startTestGateway leaves the effects of the start to the caller.
-func startTestGateway(t *testing.T, change func(*config.Config), hosts ...standin.Host) *testGateway {
+func startTestGateway(t *testing.T, modify func(*config.Config), hosts ...standin.Host) *testGateway {
 	cfg := simConfig(t, hosts)
-	if change != nil {
-		change(&cfg)
+	if modify != nil {
+		modify(&cfg)
 	}
 	now := 1_700_000_000 * rules.Second
 	return &testGateway{t: t, now: now, g: New(cfg, now), output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}}
@@ -93,16 +93,16 @@
 	}
 }
 
-// client has a client connect and log in.
-func (gw *testGateway) client(id ConnID) {
+// loginClient has a client connect and log in.
+func (gw *testGateway) loginClient(id ConnID) {
 	gw.step(ConnectionAccepted{Conn: id})
 	gw.receive(id, string(loginPacket()))
 }
 
 // sendToEngine has client 1 send a request with idA, and the connection come up on which the engine gets it.
 func (gw *testGateway) sendToEngine(class string) (engineID ConnID) {
-	gw.client(1)
-	gw.receive(1, askText(class, idA))
+	gw.loginClient(1)
+	gw.receive(1, requestPacket(class, idA))
 	engineID = gw.dials[0]
 	gw.step(DialSucceeded{Conn: engineID})
 	return engineID
@@ -124,8 +124,8 @@
 	return host
 }
 
-// askText is a query packet of a class.
-func askText(class, id string) string {
+// requestPacket is a query packet of a class.
+func requestPacket(class, id string) string {
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000 */ SELECT 1 FROM sales_1.x", class, id)))
 }
 
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -42,7 +42,7 @@
 func (sim *simulation) injectZoneFaults(until rules.Time) {
 	for at := 400 * rules.Millisecond; at < until; at += rules.Time(300+sim.rng.IntN(1200)) * rules.Millisecond {
 		zone, kind := []string{"hall-a", "hall-b"}[sim.rng.IntN(2)], sim.rng.IntN(3)
-		away := rules.Time(200+sim.rng.IntN(1500)) * rules.Millisecond
+		outage := rules.Time(200+sim.rng.IntN(1500)) * rules.Millisecond
 		sim.schedule(at, func() {
 			for i := range len(sim.engines) {
 				engine := sim.engines[fmt.Sprintf("s-%08x", i)]
@@ -52,20 +52,20 @@
 				switch kind {
 				case 0:
 					engine.silent = true
-					sim.schedule(away, func() { engine.silent = false })
+					sim.schedule(outage, func() { engine.silent = false })
 				case 1:
 					sim.resetConns(engine)
 					engine.refusing, engine.silent = true, false
-					sim.schedule(away, func() {
+					sim.schedule(outage, func() {
 						engine.refusing, engine.delisted, engine.notifiedAt, engine.host.Draining = false, false, 0, false
-						engine.warmupSince, engine.warmupSends, engine.startNotifiedAt = sim.now, nil, 0
+						engine.slowStartSince, engine.slowStartSends, engine.startNotifiedAt = sim.now, nil, 0
 						engine.host.Started = int64(sim.now / rules.Millisecond)
 						sim.serial++
 					})
 				case 2:
 					engine.host.Draining = true
 					sim.serial++
-					sim.schedule(away, func() {
+					sim.schedule(outage, func() {
 						engine.host.Draining, engine.notifiedAt = false, 0
 						sim.serial++
 					})
@@ -77,7 +77,7 @@
 
 // The seven rules hold while whole zones fall silent, die and restart cold, and are drained, with all limits of the zone plan on: no unsafe
 // query runs twice, no warming engine gets more than its budget from us, nothing new goes to drained zones.
-func TestRulesUnderLossesOfZones(t *testing.T) {
+func TestRulesUnderZoneLoss(t *testing.T) {
 	const text = "sites {\n  settle = \"100ms\"\n  ramp = \"800ms\"\n  spill = 0.3\n  retries = 0.2\n  damping {\n    half_life = \"500ms\"\n  }\n" +
 		"  shedding {\n    settle = \"100ms\"\n    up = 1.05\n    slack = 0.02\n  }\n}"
 	lost, spilled, sent, served := 0, 0, 0, 0
@@ -108,8 +108,8 @@
 	}
 }
 
-// sentTo counts attempts by zone since a time.
-func (sim *simulation) sentTo(zone string, from, to rules.Time) (n int) {
+// countAttempts counts attempts by zone since a time.
+func (sim *simulation) countAttempts(zone string, from, to rules.Time) (n int) {
 	for _, req := range sim.requests {
 		for _, attempt := range req.attempts {
 			if attempt.engine.host.Zone == zone && attempt.at >= sim.start+from && attempt.at < sim.start+to {
@@ -124,7 +124,7 @@
 // comes back on the ramp.
 func TestZoneIsLostAndComesBack(t *testing.T) {
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  ramp = \"3s\"\n  jitter = 0\n}"))
-	hall := func(set func(engine *simEngine)) {
+	forZone := func(set func(engine *simEngine)) {
 		for _, engine := range sim.engines {
 			if engine.host.Zone == "hall-a" {
 				set(engine)
@@ -135,27 +135,27 @@
 		sim.schedule(at, sim.sendRequest)
 	}
 	state := func() zones.State { return sim.g.zones.router.Status(sim.now)[0].State }
-	sim.schedule(3*rules.Second, func() { hall(func(engine *simEngine) { sim.resetConns(engine); engine.refusing = true }) })
+	sim.schedule(3*rules.Second, func() { forZone(func(engine *simEngine) { sim.resetConns(engine); engine.refusing = true }) })
 	sim.run(sim.start + 6*rules.Second)
 	if s := state(); s != zones.Lost {
 		t.Fatalf("3 s after its loss the zone is %v", s)
 	}
-	sim.schedule(3*rules.Second, func() { hall(func(engine *simEngine) { engine.refusing = false }) })
+	sim.schedule(3*rules.Second, func() { forZone(func(engine *simEngine) { engine.refusing = false }) })
 	sim.run(sim.start + 24*rules.Second)
 	if s := state(); s != zones.Present {
 		t.Errorf("15 s after its return the zone is %v", s)
 	}
-	if n := sim.sentTo("hall-a", 6*rules.Second, 9*rules.Second); n > 3 {
+	if n := sim.countAttempts("hall-a", 6*rules.Second, 9*rules.Second); n > 3 {
 		t.Errorf("%d attempts to the lost zone", n)
 	}
-	if before, after := sim.sentTo("hall-a", rules.Second, 3*rules.Second), sim.sentTo("hall-a", 21*rules.Second, 23*rules.Second); before < 50 || after < before/2 {
+	if before, after := sim.countAttempts("hall-a", rules.Second, 3*rules.Second), sim.countAttempts("hall-a", 21*rules.Second, 23*rules.Second); before < 50 || after < before/2 {
 		t.Errorf("%d attempts in 2 s before the loss, %d after the return", before, after)
 	}
 	sim.reportViolations()
 }
 
 // A zone that the file drains gets less and less, then nothing, and returns on the ramp when the file says so.
-func TestZoneIsDrainedByTheFile(t *testing.T) {
+func TestZoneIsDrainedByConfig(t *testing.T) {
 	off := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n}"
 	on := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n  zone \"hall-a\" {\n    drain = true\n  }\n}"
 	sim := newSimulationWith(t, 4, 0, withSite(t, off))
@@ -172,8 +172,8 @@
 	sim.schedule(3*rules.Second, reload(on))
 	sim.schedule(9*rules.Second, reload(off))
 	sim.run(sim.start + 16*rules.Second)
-	before, drained := sim.sentTo("hall-a", rules.Second, 3*rules.Second), sim.sentTo("hall-a", 6*rules.Second, 9*rules.Second)
-	after := sim.sentTo("hall-a", 13*rules.Second, 15*rules.Second)
+	before, drained := sim.countAttempts("hall-a", rules.Second, 3*rules.Second), sim.countAttempts("hall-a", 6*rules.Second, 9*rules.Second)
+	after := sim.countAttempts("hall-a", 13*rules.Second, 15*rules.Second)
 	if before < 50 || drained > 3 || after < before/2 {
 		t.Errorf("%d attempts in 2 s before the drain, %d in 3 s of it, %d in 2 s after it", before, drained, after)
 	}
@@ -182,7 +182,7 @@
 
 // What an engine's former process left unanswered says nothing of the zone of the new one: a zone that returns with new processes was taken
 // for failing again, and suspected, when the attempts from before its loss ended.
-func TestFormerProcessSaysNothingOfItsZone(t *testing.T) {
+func TestFormerProcessDoesNotAffectZone(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.advance(1100 * rules.Millisecond) // a gateway that has just started sends nothing to an engine that warms up
 	former := gw.sendToEngine("load")    // not cancelled and sent elsewhere meanwhile
@@ -202,8 +202,8 @@
 	if eng.lastFailure != 0 {
 		t.Error("an attempt at the former process counts as a failure of the new one")
 	}
-	gw.client(2)
-	gw.receive(2, askText("load", idB))
+	gw.loginClient(2)
+	gw.receive(2, requestPacket("load", idB))
 	present := gw.dials[len(gw.dials)-1]
 	gw.step(DialSucceeded{Conn: present})
 	sentAt := gw.now
