--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,7 +11,8 @@
 	"foxlane/rules"
 )
 
-// withAdmission configures admission control, and limits that a flood reaches.
+// withAdmission returns a change of the configuration that sets the site file to text, and limits that a flood of
+// requests reaches.
 func withAdmission(t testing.TB, text string, maxConns, maxRequests int) func(*config.Config) {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
@@ -35,15 +36,16 @@
   }
 }`
 
-// The seven rules hold with admission control on and a flood of requests, under failures, with reloads that change the
-// weights and networks while requests are queued, up to the end by SIGTERM.
+// The seven rules hold with admission control and a flood of requests, under failures, while reloads change weights and
+// networks, and during the shutdown.
 //
-// At fault rate 1 it broke rule 4 in 11 of 31,000 seeds. An engine's process dies and another takes its address, cold. The list
-// says so 67 to 401 ms later; until then the gateway sends the new process 1.6 to 4.9 s of work, which it did not count against the
-// budget, and after it as much as if it had sent nothing. The trace of seed 3916: "list with its start reaches the gateway; the
-// gateway counts nothing", after 4.7 s of work in 15 requests; then 9.7 s in 17 more, where the engine bears 12.3 s in a second.
-// Part of those 9.7 s is that clients name no estimates here and reports of 600 ms counted as 500 ms for ever.
-// docs/incidents/slow-start-after-restart.md has all seeds.
+// At fault rate 1, rule 4 used to be broken in 11 of 31,000 seeds. An engine's process dies and another one starts cold
+// at its address. The list reports this 67 to 401 ms later. Until then the gateway sent the new process 1.6 to 4.9 s of
+// work without counting it against the slow-start budget, and then as much as if it had sent nothing. In seed 3916,
+// the gateway had sent 4.7 s of work in 15 requests and counted none of it when the list arrived; then it sent 9.7 s
+// in 17 more, although the engine's budget is 12.3 s within a second. One cause of the 9.7 s is that clients give no
+// estimates here, and reports of 600 ms always counted as 500 ms. docs/incidents/slow-start-after-restart.md lists all
+// seeds.
 func TestRulesWithAdmissionControl(t *testing.T) {
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range seeds(6) {
@@ -52,14 +54,15 @@
 	}
 }
 
-// Seeds in which the test above broke rule 4 before gateways counted what they had sent a new process ahead of the notification, and
-// one in which it broke rule 1 (TestKillInTheMomentOfAnAnswer).
+// Seeds in which TestRulesWithAdmissionControl broke rule 4 before gateways counted the work sent to a new process ahead
+// of the notification, and one in which it broke rule 1 (TestKillInTheMomentOfAnAnswer).
 func TestSeedsThatBrokeRules(t *testing.T) {
 	for _, seed := range []uint64{3916, 10290, 13333, 16120, 16433, 17329, 24914, 26500, 31388, 33804, 37056, 35378} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { playWithAdmissionControl(t, seed, 1) })
 	}
 }
 
+// playWithAdmissionControl plays a seed with admission control and three times the usual load.
 func playWithAdmissionControl(t *testing.T, seed uint64, faultRate float64) {
 	t.Helper()
 	sim := newSimulationWith(t, seed, faultRate, withAdmission(t, fmt.Sprintf(admissionSiteFormat, 1), 70, 60))
@@ -77,23 +80,24 @@
 		n++
 		cfg.Site = parseSite(t, strings.Replace(fmt.Sprintf(admissionSiteFormat, n), "10.0.1.0/24", fmt.Sprintf("10.0.%d.0/24", 1+n%2), 1))
 	}
-	for at := rules.Time(0); at < 6*rules.Second; at += 3 * rules.Millisecond { // three times the load
+	for at := rules.Time(0); at < 6*rules.Second; at += 3 * rules.Millisecond { // with the requests of play, three times the load
 		sim.schedule(at, sim.sendRequest)
 	}
 	sim.play(6 * rules.Second)
 	sim.reportViolations()
 	if sim.served < 100 || sim.rejected < 20 {
-		t.Errorf("only %d served and %d rejected: the test has lost its subject", sim.served, sim.rejected)
+		t.Errorf("only %d served and %d rejected: the test covers too little", sim.served, sim.rejected)
 	}
 	stats := sim.g.admission.controller.Stats()
 	if stats.Delayed < 20 {
-		t.Errorf("only %d were delayed: the test has lost its subject", stats.Delayed)
+		t.Errorf("only %d delayed: the test covers too little", stats.Delayed)
 	}
 	if stats.Queued != 0 || len(sim.g.admission.requests.free) != len(sim.g.admission.requests.entries)-len(sim.g.requests) {
 		t.Errorf("left in admission control: %+v, %d slots of %d free, %d requests", stats, len(sim.g.admission.requests.free), len(sim.g.admission.requests.entries), len(sim.g.requests))
 	}
 }
 
+// parseSite parses the text of a site file.
 func parseSite(t testing.TB, text string) *site.Config {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
@@ -102,11 +106,12 @@
 	return s
 }
 
-// newAdmissionGateway has admission control on, and an engine that answers nothing by itself.
+// newAdmissionGateway returns a testGateway with admission control and one engine, which answers nothing by itself.
 func newAdmissionGateway(t *testing.T, text string, maxConns, maxRequests int) *testGateway {
 	return newTestGatewayWith(t, withAdmission(t, text, maxConns, maxRequests), oneHost)
 }
 
+// loginClientFrom connects a client from the given address, and logs it in unless the gateway closes the connection.
 func (gw *testGateway) loginClientFrom(id ConnID, from string) {
 	gw.g.Step(gw.now, ConnectionAccepted{Conn: id, From: netip.MustParseAddr(from)})
 	gw.flush()
@@ -115,12 +120,13 @@
 	}
 }
 
+// requestPacketWith is like requestPacket with a timeout of 700 ms and further fields, each after a comma.
 func requestPacketWith(class, id, extraFields string) string {
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, extraFields)))
 }
 
-// A queued request has one final answer: none after a KILL or a close by its client, a rejection after SIGTERM or before its
-// deadline.
+// A queued request gets at most one final answer: none after a KILL or if its client disconnects, a rejection before its
+// deadline or after a shutdown request.
 func TestQueuedRequestEndsOnce(t *testing.T) {
 	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
 	for i := range ConnID(50) {
@@ -130,20 +136,20 @@
 	}
 	queued := gw.g.admission.controller.Stats().Queued
 	if queued < 10 {
-		t.Fatalf("only %d are held", queued)
+		t.Fatalf("only %d requests are queued", queued)
 	}
 	victim := gw.g.clients[50]
 	if victim.request == nil || victim.request.submitted {
-		t.Fatal("the last one is not held")
+		t.Fatal("the last request is not queued")
 	}
 	gw.loginClientFrom(51, "10.0.0.2")
 	gw.receive(51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
 	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != queued-1 {
-		t.Error("a killed query is still held, or was answered")
+		t.Error("a killed query is still queued, or was answered")
 	}
 	gw.closeConn(49)
 	if gw.g.admission.controller.Stats().Queued != queued-2 {
-		t.Error("the query of a client that left is still held")
+		t.Error("the query of a client that left is still queued")
 	}
 	gw.advance(690 * rules.Millisecond)
 	answers := 0
@@ -156,16 +162,16 @@
 		}
 	}
 	if answers < 40 || gw.g.admission.controller.Stats().Queued != 0 {
-		t.Errorf("%d of 48 are answered, %d are held", answers, gw.g.admission.controller.Stats().Queued)
+		t.Errorf("%d of 48 requests are answered, %d are queued", answers, gw.g.admission.controller.Stats().Queued)
 	}
 	gw.step(ShutdownRequested{})
 	gw.advance(4 * rules.Second)
 	if !gw.exited {
-		t.Error("not ended")
+		t.Error("the gateway has not exited")
 	}
 }
 
-// A rejection names a Retry-After where the settings allow it, and none where they don't.
+// A rejection has a Retry-After if and only if the settings allow it.
 func TestRejectionsNameARetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		gw := newTestGatewayWith(t, func(cfg *config.Config) {
@@ -192,8 +198,8 @@
 	}
 }
 
-// A tenant that nobody declared is an error to its client unless the operator accepts any; a name
-// of any length and of any bytes is then no more than a name.
+// A request of an undeclared tenant is an error unless the operator accepts any tenant. In that case names of any
+// length and with any bytes are accepted, and the state of admission control stays within its bound.
 func TestAdmissionByTenant(t *testing.T) {
 	long := strings.Repeat("x", 50<<10)
 	for _, c := range []struct {
@@ -211,15 +217,16 @@
 		gw.takeOutput(1)
 		gw.receive(1, requestPacketWith("point", idA, ",owner="+c.tenant))
 		if accepted := gw.g.requests[idA] != nil; accepted != c.ok {
-			t.Errorf("%s with tenant %.20q: taken %v", c.text, c.tenant, accepted)
+			t.Errorf("%s with tenant %.20q: accepted %v", c.text, c.tenant, accepted)
 		}
 		if gw.g.admission.controller.StateBytes() > gw.g.admission.controller.StateBound() {
-			t.Error("over its bound")
+			t.Error("the state of admission control exceeds its bound")
 		}
 	}
 }
 
-// Hundreds of connections of one client do not shut others out, whether they ask or only log in.
+// A thousand connections from one address do not shut out clients from another, whether they send requests or only log
+// in.
 func TestFloodOfConnectionsLeavesRoom(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		gw := newAdmissionGateway(t, "fair {\n}", 60, 60)
@@ -243,7 +250,7 @@
 			}
 		}
 		if n := len(gw.g.clients); n > 60 {
-			t.Errorf("%d connections are open", n)
+			t.Errorf("%d connections are open, limit 60", n)
 		}
 	}
 }
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -6,8 +6,9 @@
 	"foxlane/rules"
 )
 
-// An engine that starts after the wall clock was stepped warms up for as long as any other, though its start time and our clock are
-// an hour apart; so does one whose start time was taken before the step and is listed after it.
+// An engine that starts after a step of the wall clock has a slow start of the usual length, although its start time
+// and the gateway's clock differ by an hour. The same holds for an engine whose start time was taken before the step
+// and is listed after it.
 func TestSlowStartAcrossClockStep(t *testing.T) {
 	const hour = 3600 * rules.Second
 	for name, c := range map[string]struct{ skew, stamped rules.Time }{
@@ -26,27 +27,27 @@
 			sim.serial++
 			sim.run(sim.now + 300*rules.Millisecond)
 			if fraction := sim.speedFraction(t, "s-00000002"); fraction > 0.6 {
-				t.Errorf("0.3 s after its start it counts as warm as %.2f", fraction)
+				t.Errorf("speed fraction 0.3 s after the start: %.2f, want at most 0.6", fraction)
 			}
 			sim.run(sim.now + 5*rules.Second)
 			if fraction := sim.speedFraction(t, "s-00000002"); fraction < 1 {
-				t.Errorf("5 s after its start it counts as warm as %.2f only", fraction)
+				t.Errorf("speed fraction 5 s after the start: %.2f, want 1", fraction)
 			}
 		})
 	}
 }
 
-// speedFraction is what the module holds of an engine's.
+// speedFraction returns the module's current speed fraction of an engine.
 func (sim *simulation) speedFraction(t *testing.T, name string) float64 {
 	t.Helper()
 	sim.g.Step(sim.now, TimerFired{})
-	sim.g.notifyModule(rules.TimerFired{Token: "a look"}) // the module knows the time of its last event only
+	sim.g.notifyModule(rules.TimerFired{Token: "refresh"}) // the module only knows the time of its last event
 	sim.executeEffects()
 	for _, view := range sim.g.module.EngineViews() {
 		if eng := sim.g.engines[view.Engine]; eng != nil && eng.entry.ID == name {
 			return view.SpeedFraction
 		}
 	}
-	t.Fatalf("nothing is held of %s", name)
+	t.Fatalf("the module does not know engine %s", name)
 	return 0
 }
--- a/internal/gateway/determinism_test.go
+++ b/internal/gateway/determinism_test.go
@@ -8,8 +8,8 @@
 	"foxlane/rules"
 )
 
-// A seed that fails has to fail again, or no failure can be traced: the reducer is a function of its configuration, its
-// seed and the events with their times, and so is the simulation around it. Each play happens in maps with other hash seeds.
+// A failing seed has to fail again, or the failure cannot be traced. So the reducer and the simulation are functions of
+// the configuration, the seed and the timed events only. Map iteration orders differ between the two plays.
 func TestOneSeedGivesTheSameEffects(t *testing.T) {
 	for _, scenario := range []struct {
 		name   string
@@ -37,14 +37,14 @@
 					}
 				}
 				if len(plays[1]) != len(plays[0]) || len(plays[0]) < 2000 {
-					t.Errorf("%d effects, then %d", len(plays[0]), len(plays[1]))
+					t.Errorf("%d effects in the first play, %d in the second", len(plays[0]), len(plays[1]))
 				}
 			})
 		}
 	}
 }
 
-// recordEffects plays a seed with all faults and returns the effects with their times, in order.
+// recordEffects plays a seed at fault rate 1 and returns the effects with their times, in order.
 func recordEffects(t *testing.T, seed uint64, modify func(*config.Config), flood bool) (effects []string) {
 	sim := newSimulationWith(t, seed, 1, modify)
 	sim.onEffect = func(effect Effect) {
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -12,7 +12,8 @@
 
 const membersSite = "members {\n  bind = \"127.0.0.1:7946\"\n}\n"
 
-// A gateway that is the only voter applies directives, keeps the rules meanwhile, and returns to normal once a directive is withdrawn.
+// A gateway that is the only voter applies directives, and returns to normal once they are withdrawn. The seven rules
+// hold throughout.
 func TestDirectivesAreApplied(t *testing.T) {
 	text := membersSite + "directives {\n  voters = [\"n0\"]\n}\nsites {\n  ramp = \"1s\"\n  drain_over = \"1s\"\n}\n"
 	sim := newSimulationWith(t, 4, 0, withSite(t, text))
@@ -76,7 +77,8 @@
 	sim.reportViolations()
 }
 
-// A gateway serves on while its block `members` comes and goes; without the block a question is answered with an error.
+// A gateway keeps serving while reloads remove and restore the block `members`. Without the block, the members command
+// is answered with an error.
 func TestMembersBlockToggles(t *testing.T) {
 	sim := newSimulationWith(t, 5, 0.4, withSite(t, membersSite))
 	n := 0
@@ -106,8 +108,8 @@
 	sim.reportViolations()
 }
 
-// A reload that takes the block `directives` away, with or without the block `members`, leaves the directives in force, and a question
-// about them is still answered. It crashed the gateway at its next tick.
+// A reload that removes the block `directives`, with or without the block `members`, leaves the directives in force,
+// and the command that lists them is still answered. Such a reload used to crash the gateway at its next tick.
 func TestDirectivesStayInForceWithoutBlock(t *testing.T) {
 	for name, text := range map[string]string{"without directives": membersSite, "without members": "sites {\n}\n", "no blocks": ""} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -10,11 +10,11 @@
 	"foxlane/rules"
 )
 
-// What the module must never ask for, and what the reducer must never do, is counted by name where it is carried out, and logged once
-// with the request's id.
+// Violations of invariants by the module or the reducer are counted by invariant, and the first of each is logged with
+// the request ID. Each case provokes one violation.
 func TestGuardsCountViolations(t *testing.T) {
 	engineID := func(gw *testGateway) rules.EngineID { return gw.g.engineOrder[0].id }
-	sendAgain := func(gw *testGateway, class string) { // one attempt is in flight, and the module asks for another
+	sendAgain := func(gw *testGateway, class string) { // the module requests a second attempt while the first is in flight
 		gw.sendToEngine(class)
 		gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 		gw.flush()
@@ -26,7 +26,7 @@
 	}{
 		"an unsafe class sent again": {func(gw *testGateway) { sendAgain(gw, "load") }, guard.RetryUnsafe},
 		"two attempts in flight":     {func(gw *testGateway) { sendAgain(gw, "point") }, guard.SendParallel},
-		"an engine that drains": {func(gw *testGateway) {
+		"a draining engine": {func(gw *testGateway) {
 			gw.loginClient(1)
 			gw.answerList(2, draining(oneHost))
 			gw.advance(1100 * rules.Millisecond)
@@ -36,9 +36,9 @@
 			attempt := gw.g.requests[idB].attempts[0]
 			gw.g.writeAttempt(attempt)
 		}, guard.SendToDraining},
-		"a zone that the class must not use": {func(gw *testGateway) {
+		"a zone the class must not use": {func(gw *testGateway) {
 			gw.loginClient(1)
-			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other one
+			gw.g.cfg.Settings.Rules.Classes[1].AllowedZones = []int{0} // the engine is in the other zone
 			gw.receive(1, requestPacket("report", idA))
 			gw.g.runAction(rules.Send{ID: idA, Engine: engineID(gw)})
 			gw.flush()
@@ -51,7 +51,7 @@
 			gw.closeConn(1)
 			gw.g.writeAttempt(attempt)
 		}, guard.SendAfterEnd},
-		"a rejection of what may have run": {func(gw *testGateway) {
+		"a rejection of a request that may have run": {func(gw *testGateway) {
 			gw.sendToEngine("load")
 			gw.g.reject(gw.g.requests[idA], 0, EndOverCapacity)
 		}, guard.RejectedMayHaveRun},
@@ -69,7 +69,7 @@
 			gw.sendToEngine("point")
 			gw.g.closeEngineConn(gw.g.engineConns[gw.dials[0]], CloseEngineIdle)
 		}, guard.CloseInFlight},
-		"an id that is open": {func(gw *testGateway) {
+		"a request ID in use": {func(gw *testGateway) {
 			gw.sendToEngine("point")
 			gw.g.checkStart(&queryRequest{id: idA, client: &clientConn{}})
 		}, guard.StartTwice},
@@ -77,17 +77,17 @@
 		gw := newTestGateway(t)
 		c.do(gw)
 		if gw.g.violations[c.want] == 0 {
-			t.Errorf("%s: %v is not counted; got %v", name, c.want, gw.g.violations)
+			t.Errorf("%s: %v was not counted; counts are %v", name, c.want, gw.g.violations)
 		}
 	}
 }
 
-// An engine restarts at its address, and the list says so a while later. What was sent to the new process before counts against its
-// budget, as the operators count it: unless it is over a third of all. The check counted nothing of it, so it was blind to an engine
-// that got 14.5 s of work where it bore 12.3 s.
+// An engine restarts at its address, and the list reports it a while later. Work sent to the new process in between
+// counts against its slow-start budget unless it is more than a third of all work, as in the operators' definition. The
+// guard used to ignore this work, and missed an engine that got 14.5 s of work with a budget of 12.3 s.
 func TestGuardCountsSendsBeforeTheNotification(t *testing.T) {
 	for _, c := range []struct {
-		before, after float64 // in budgets
+		before, after float64 // work as a fraction of the budget
 		over          bool
 	}{{0.3, 0.75, true}, {0.3, 0.65, false}, {0.6, 0.9, false}, {0.6, 1.1, true}, {0, 1.1, true}} {
 		gw := newTestGateway(t)
@@ -95,19 +95,19 @@
 		send := func(work float64) (sent, budget float64) {
 			return gw.g.recordSlowStartSend(&queryRequest{work: rules.Time(work)}, eng)
 		}
-		budget := 2 * 0.3 * 16 * float64(rules.Second) // of simSettings, at the start
+		budget := 2 * 0.3 * 16 * float64(rules.Second) // with simSettings, right after the start
 		if sent, of := send(c.before * budget); sent != 0 || of != 0 {
-			t.Errorf("%v: %.0f of %.0f while it is not known to warm up", c, sent, of)
+			t.Errorf("%v: sent %.0f, budget %.0f, while the restart is not known", c, sent, of)
 		}
 		eng.startedAt = gw.g.now
 		sent, of := send(c.after * budget)
 		if math.Abs(of-budget) > 1 || sent > of != c.over {
-			t.Errorf("%v: %.0f of %.0f, where it bears %.0f", c, sent, of, budget)
+			t.Errorf("%v: sent %.0f, budget %.0f, want a budget of %.0f", c, sent, of, budget)
 		}
 	}
 }
 
-// One request can be followed by its id through the log, and the end of each connection has a reason.
+// The log traces a request by its ID, and has a reason for the end of each connection.
 func TestTraceFollowsARequest(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.cfg.Trace = true
@@ -138,7 +138,7 @@
 		"attempt: ended[{request " + idA + "} {attempt 0} {engine s-00000001} {status rejected} {sent true}", "request: ended[{request " + idA + "} {outcome abandoned} {reason client_left}",
 		"client: closed[{session", "{reason peer_closed}", "engine: connection closed[{connection", "{reason engine_lost}"} {
 		if !strings.Contains(strings.Join(lines, "\n"), want) {
-			t.Errorf("no line has %q:\n%s", want, strings.Join(lines, "\n"))
+			t.Errorf("no log line has %q:\n%s", want, strings.Join(lines, "\n"))
 		}
 	}
 }
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -13,21 +13,21 @@
 	"foxlane/rules"
 )
 
-// interleaving is a gateway with two engines, one client's request in flight, and events that come in any order. It judges by what was
-// written alone.
+// interleaving is a gateway with two engines that handles one client's request and other events in any order. It
+// checks only what the gateway writes.
 type interleaving struct {
 	*testGateway
 	class          string
-	asks           int  // times that the request came complete to an engine
-	mayHaveRun     int  // of these, times that it may have run
-	sentAfterLeave bool // it came there after its client had left
-	answers        int  // final ones
-	left           bool // its client has gone or has killed it
-	readUpTo       map[ConnID]int
-	resolvedDials  map[ConnID]bool // connections that have come up, or never will
+	asks           int             // how often a complete request was written to an engine
+	mayHaveRun     int             // how many of these attempts may have run
+	sentAfterLeave bool            // it was written to an engine after its client had left
+	answers        int             // final answers to the client
+	left           bool            // the client has disconnected or was killed
+	readUpTo       map[ConnID]int  // how much of each connection's output was read
+	resolvedDials  map[ConnID]bool // dials that have succeeded or failed
 }
 
-const killerConn = 3 // the connection that kills
+const killerConn = 3 // the client connection that sends KILL
 
 func newInterleaving(t *testing.T, class string) *interleaving {
 	gw := newTestGatewayWith(t, nil, oneHost, otherHost)
@@ -38,7 +38,7 @@
 	return x
 }
 
-// readOutput reads what was written since it was last called.
+// readOutput evaluates the output since its last call.
 func (x *interleaving) readOutput() {
 	x.t.Helper()
 	for id, out := range x.output {
@@ -64,13 +64,14 @@
 	return x.dials[len(x.dials)-1]
 }
 
+// sendList answers the latest name service query with both engines, changed by change.
 func (x *interleaving) sendList(serial uint32, change func(hosts []standin.Host)) {
 	hosts := []standin.Host{oneHost, otherHost}
 	change(hosts)
 	x.step(DNSResponse{Data: standin.EncodeAnswer(x.g.queryIDs[(x.g.queryCount-1)%len(x.g.queryIDs)], listName, serial, hosts)})
 }
 
-// interleavedEvents are the events that may come, by name.
+// interleavedEvents are the events that TestAllInterleavings combines.
 var interleavedEvents = []struct {
 	name string
 	do   func(x *interleaving)
@@ -135,7 +136,7 @@
 			return
 		}
 		if req := x.g.requests[idA]; req != nil && len(req.attempts) > 0 && req.attempts[0].sent && !req.attempts[0].done {
-			x.mayHaveRun++ // it said so on a connection that carried nothing of it
+			x.mayHaveRun++ // the answer came on another connection than the attempt
 		}
 	}},
 	{"reset", func(x *interleaving) {
@@ -147,7 +148,7 @@
 	{"drain listed", func(x *interleaving) {
 		x.sendList(7, func(hosts []standin.Host) { hosts[0].Draining, hosts[1].Draining = true, true })
 	}},
-	{"another address", func(x *interleaving) {
+	{"addresses swapped", func(x *interleaving) {
 		x.sendList(8, func(hosts []standin.Host) { hosts[0].Addr, hosts[1].Addr = hosts[1].Addr, hosts[0].Addr })
 	}},
 	{"reload", func(x *interleaving) {
@@ -156,13 +157,14 @@
 		x.g.Step(x.now, ConfigReloaded{Config: &cfg})
 		x.flush()
 	}},
-	{"terminate", func(x *interleaving) { x.step(ShutdownRequested{}) }},
+	{"shutdown", func(x *interleaving) { x.step(ShutdownRequested{}) }},
 	{"deadline", func(x *interleaving) { x.advance(2 * rules.Second) }},
-	{"a while", func(x *interleaving) { x.advance(260 * rules.Millisecond) }},
+	{"260 ms pass", func(x *interleaving) { x.advance(260 * rules.Millisecond) }},
 }
 
-// Every order of two and three events: there is one final answer at most, and one unless the client has gone; what must not run twice
-// doesn't; nothing goes to an engine once the client has gone; no state is left, and the process exits.
+// Plays every order of two and three events. The request gets at most one final answer, and exactly one unless its
+// client has gone. An unsafe request never runs twice, no request is sent after its client has gone, no state is left
+// and the process exits.
 func TestAllInterleavings(t *testing.T) {
 	cases := 0
 	for _, class := range []string{"point", "note", "load"} {
@@ -170,7 +172,7 @@
 			cases++
 			x := newInterleaving(t, class)
 			names := ""
-			if order[0] != 0 && order[0] != 1 { // otherwise the request itself is one of the events
+			if order[0] != 0 && order[0] != 1 { // otherwise the request itself is the first event
 				interleavedEvents[0].do(x)
 			}
 			for _, i := range order {
@@ -189,14 +191,14 @@
 			case asked && x.answers == 0 && !x.left && !x.closed[1]:
 				fault = "no answer"
 			case class != "point" && x.mayHaveRun > 1:
-				fault = fmt.Sprintf("it came to engines %d times", x.asks)
+				fault = fmt.Sprintf("it was sent to engines %d times", x.asks)
 			case x.sentAfterLeave:
-				fault = "it came to an engine after its client had left"
+				fault = "it was sent to an engine after its client had left"
 			case len(x.g.requests) != 0 || x.g.unanswered != 0 || x.g.statementBytes != 0 || x.g.resultBytes != 0 || x.g.partialBytes != 0:
-				fault = fmt.Sprintf("left: %d requests, %d unanswered, %d, %d and %d bytes", len(x.g.requests), x.g.unanswered, x.g.statementBytes,
+				fault = fmt.Sprintf("left: %d requests, %d unanswered, %d bytes of statements, %d of results and %d of packets", len(x.g.requests), x.g.unanswered, x.g.statementBytes,
 					x.g.resultBytes, x.g.partialBytes)
 			case !x.exited:
-				fault = "the process has not ended"
+				fault = "the process has not exited"
 			}
 			if fault != "" {
 				t.Errorf("%s%s: %s", class, names, fault)
@@ -219,8 +221,8 @@
 	t.Logf("%d interleavings", cases)
 }
 
-// Hundreds of clients go in one batch, as the connection comes up for which their requests have waited: nothing of theirs is sent, and no
-// state of them is left.
+// Hundreds of clients disconnect in the same batch in which the connection is established that their requests wait
+// for. Their requests are not sent, or are cancelled, and no state of them is left.
 func TestManyClientsCloseInOneBatch(t *testing.T) {
 	const leaving = 200
 	for _, upFirst := range []bool{true, false} {
@@ -253,18 +255,18 @@
 			for id := 1; id <= leaving; id++ {
 				name := fmt.Sprintf("%016x", id)
 				if strings.Contains(got, "ASK "+name) && !strings.Contains(got, "QUIT "+name) {
-					t.Fatalf("up first %v: client %d has gone, and its request was sent and not cancelled", upFirst, id)
+					t.Fatalf("up first %v: client %d has gone, but its request was sent and not cancelled", upFirst, id)
 				}
 			}
 		}
 		if n := len(gw.g.requests); n != 1 {
-			t.Errorf("up first %v: %d requests are open, one client is left", upFirst, n)
+			t.Errorf("up first %v: %d requests are open, want 1", upFirst, n)
 		}
 	}
 }
 
-// A connection that breaks before the system has accepted all that was written proves that the last request never ran: a load is sent
-// again, where one of which every byte was accepted may have run and is not.
+// If a connection breaks before the operating system has accepted all written bytes, the last request never ran, so a
+// load is retried. A load whose bytes were all accepted may have run and is not retried.
 func TestUnwrittenRequestIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		missing int64
@@ -276,12 +278,13 @@
 		gw.written[connID] = max(gw.written[connID]-c.missing, 0)
 		gw.closeConn(connID)
 		if again := gw.g.requests[idA] != nil && len(gw.dials) == 2; again != c.again {
-			t.Errorf("%s: sent again %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
+			t.Errorf("%s: retried %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
 		}
 	}
 }
 
-// An engine's connection ends in the same batch in which a load is put on it: the load was never written.
+// An engine's connection closes in the same batch in which a load is assigned to it. The load was never written, so it
+// is retried.
 func TestConnectionClosesInBatchOfSend(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
@@ -292,11 +295,12 @@
 	gw.g.Step(gw.now, ConnectionClosed{Conn: connID, AcceptedBytes: accepted})
 	gw.flush()
 	if req := gw.g.requests[idB]; req == nil || len(gw.dials) != 2 {
-		t.Errorf("a load that was never written was abandoned: %q", gw.takeOutput(1))
+		t.Errorf("a load that was never written was not retried: %q", gw.takeOutput(1))
 	}
 }
 
-// An engine gets another address while a dial to the old one is under way: nothing is written there, and the request is retried at once.
+// An engine's address changes while a dial to the old one is in progress. Nothing is written to the old address, and
+// the request is retried at once.
 func TestDialToOldAddressIsCancelled(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -308,7 +312,7 @@
 	if len(gw.dials) != 2 || !gw.closed[old] {
 		t.Fatalf("%d dials, the old one cancelled: %v", len(gw.dials), gw.closed[old])
 	}
-	gw.step(DialSucceeded{Conn: old}) // it crossed
+	gw.step(DialSucceeded{Conn: old}) // it succeeded before it could be cancelled
 	gw.step(DialSucceeded{Conn: gw.dials[1]})
 	if got := gw.takeOutput(old); got != "" {
 		t.Errorf("the old address got %q", got)
@@ -318,19 +322,20 @@
 	}
 }
 
-// A connection that comes up later than a dial may take carries nothing that waited for it: the process was stopped.
+// A connection established after the dial timeout, because the process was paused, carries no request that waited for
+// it.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
 	gw.receive(1, requestPacket("note", idA))
-	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // stopped: no timer fired
+	gw.now += gw.g.limits.ConnectTimeout + rules.Millisecond // paused: no timer fired
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if req := gw.g.requests[idA]; req == nil || !req.attempts[0].done || req.attempts[0].sent {
-		t.Errorf("sent on %d ms after it was decided: %q", (gw.g.limits.ConnectTimeout+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
+		t.Errorf("sent %d ms after the attempt started: %q", (gw.g.limits.ConnectTimeout+rules.Millisecond)/rules.Millisecond, gw.takeOutput(gw.dials[0]))
 	}
 }
 
-// That the limit of connections is reached says nothing of an engine.
+// Reaching the gateway's own connection limit does not count as a failure of an engine.
 func TestConnectionLimitBlamesNoEngine(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxConns = 0
@@ -340,12 +345,12 @@
 		gw.advance(400 * rules.Millisecond)
 	}
 	if gw.g.module.EngineViews()[0].Ejected {
-		t.Error("the engine is ejected because our limit of connections was reached")
+		t.Error("the engine was ejected because the gateway's connection limit was reached")
 	}
 }
 
-// A KILL on a connection that was opened while the session's last query was in flight, and comes after the answer to that, leaves the
-// next query alone. On a connection that was opened later it means the next query.
+// A KILL that arrives after the answer to the session's last query leaves the next query alone if its connection was
+// opened while the last query was in flight. If the connection was opened later, it kills the next query.
 func TestKillAfterAnswer(t *testing.T) {
 	for _, openedLate := range []bool{false, true} {
 		gw := newTestGateway(t)
@@ -367,15 +372,15 @@
 		gw.takeOutput(connID)
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := gw.g.requests[idB] == nil; hit != openedLate {
-			t.Errorf("opened after the answer %v: the next query was killed %v", openedLate, hit)
+			t.Errorf("opened after the answer %v: the next query was killed: %v", openedLate, hit)
 		}
 	}
 }
 
-// A session is answered, sends its next query and is told to end it by a new connection, all in one moment, as when they are read in one
-// batch: the KILL means the query that is in flight. The times of the answer and of the new connection were compared, and where
-// they were the same the KILL was taken to be late: OK was its answer, and the query ran on and was answered 27 ms later (seed 35378 of
-// TestRulesWithAdmissionControl at fault rate 1: "the query was refused" to a killed query).
+// A session gets its answer, sends its next query, and a new connection kills that query, all read in one batch and so
+// at the same time. The KILL means the query in flight. The gateway used to compare the times of the answer and of the
+// new connection, and took the KILL as late if they were equal: it answered OK, and the killed query was answered
+// 27 ms later with "the query was refused" (seed 35378 of TestRulesWithAdmissionControl at fault rate 1).
 func TestKillAtTheTimeOfAnAnswer(t *testing.T) {
 	for _, openedFirst := range []bool{false, true} {
 		gw := newTestGateway(t)
@@ -385,7 +390,7 @@
 		connID := gw.dials[0]
 		gw.step(DialSucceeded{Conn: connID})
 		gw.now += rules.Millisecond
-		if openedFirst { // in the same moment, and meant for the query that is answered next
+		if openedFirst { // opened at the same time, but meant for the query that is answered next
 			gw.loginClient(2)
 		}
 		gw.receive(connID, idA+" served total=1 0\r\n\r\n")
@@ -395,26 +400,26 @@
 		}
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
 		if hit := gw.g.requests[idB] == nil; hit == openedFirst {
-			t.Errorf("opened ahead of the answer %v: the next query was killed %v", openedFirst, hit)
+			t.Errorf("opened before the answer %v: the next query was killed: %v", openedFirst, hit)
 		}
 	}
 }
 
-// During a shutdown clients that have sent no command get an error, new ones too; idle ones stay until the last close; and a request that
-// is read while the process exits is answered first.
+// During a shutdown, clients that have sent no command get an error, as do new clients. Idle clients stay connected
+// until the process exits. A request that is read while the process is about to exit is answered first.
 func TestShutdownAnswersLateInput(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
-	gw.receive(1, string(packet(0, []byte{14}))) // a ping: it is idle
+	gw.receive(1, string(packet(0, []byte{14}))) // a ping, so the client counts as idle
 	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.MinDrainPeriod - 10*rules.Millisecond)
-	gw.loginClient(2) // asks for nothing
+	gw.loginClient(2) // sends no command
 	gw.step(ConnectionAccepted{Conn: 3})
 	gw.takeOutput(2)
 	gw.takeOutput(3)
 	gw.advance(20 * rules.Millisecond)
 	if !gw.exited {
-		t.Fatal("not ended")
+		t.Fatal("the gateway has not exited")
 	}
 	for _, id := range []ConnID{2, 3} {
 		if got := gw.takeOutput(id); !strings.Contains(got, "this gateway ends") || !gw.closed[id] {
@@ -426,32 +431,33 @@
 		t.Errorf("a new client got %q, closed %v", got, gw.closed[4])
 	}
 	if gw.closed[1] {
-		t.Error("the idle one was closed by the reducer, while it may be sending")
+		t.Error("the reducer closed the idle client, which may be sending a request")
 	}
 	gw.takeOutput(1)
 	gw.exited = false
 	gw.receive(1, requestPacket("point", idA))
 	if gw.exited {
-		t.Fatal("ended with a request in flight")
+		t.Fatal("the gateway exited with a request in flight")
 	}
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.receive(gw.dials[0], idA+" served total=1 6\r\n1\ta\tb\n\r\n")
 	if got := gw.takeOutput(1); !strings.Contains(got, "\x011\x01a") || !gw.exited {
-		t.Errorf("the request got %q, ended %v", got, gw.exited)
+		t.Errorf("the request got %q, exited %v", got, gw.exited)
 	}
 }
 
-// A client that sends many commands and reads no answers is closed before these fill the memory.
+// A client that sends many commands and reads no answers is closed once ClientSendBuffer is exceeded.
 func TestClientThatReadsNoAnswers(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
 	gw.receive(1, strings.Repeat(string(packet(0, []byte{14})), 200_000))
 	if got := len(gw.output[1]); !gw.closed[1] || got > gw.g.limits.ClientSendBuffer {
-		t.Errorf("closed %v, %d bytes were written to it", gw.closed[1], got)
+		t.Errorf("closed %v, %d bytes were written to the client", gw.closed[1], got)
 	}
 }
 
-// recordSocketRenewals is when the gateway asks for a new socket while time goes by.
+// recordSocketRenewals advances the clock by duration and returns the times in milliseconds at which the gateway
+// renewed its name service socket. Unless afterEach is nil, it is called after each timer.
 func recordSocketRenewals(gw *testGateway, duration rules.Time, afterEach func()) (at []rules.Time) {
 	from := gw.now
 	for end := gw.now + duration; gw.now < end; {
@@ -470,13 +476,13 @@
 	return at
 }
 
-// A name service that falls silent is asked from a new socket after a second, and then after twice as long each time; one that answers
-// is not, however late its answers come.
+// If the name service is silent, the gateway renews its socket after one second, and then after twice the time each.
+// It keeps the socket while answers arrive, however late.
 func TestSilentNameServiceGetsANewSocket(t *testing.T) {
 	gw := newTestGateway(t)
 	at := recordSocketRenewals(gw, 20*rules.Second, nil)
 	if len(at) < 3 || at[0] < 900 || at[0] > 1300 || at[1]-at[0] < 1900 || at[2]-at[1] < 3900 || len(at) > 5 {
-		t.Errorf("asked from a new socket at %v ms", at)
+		t.Errorf("socket renewed at %v ms", at)
 	}
 	gw = newTestGateway(t)
 	type lateAnswer struct {
@@ -497,12 +503,12 @@
 	})
 	for _, ms := range at {
 		if ms > 7000 {
-			t.Errorf("answers come, 6 s late, and it is asked from a new socket at %d ms", ms)
+			t.Errorf("answers arrive 6 s late, but the socket was renewed at %d ms", ms)
 		}
 	}
 }
 
-// An answer that is seconds late still counts.
+// A name service answer that is seconds late is still used.
 func TestLateList(t *testing.T) {
 	gw := newTestGateway(t)
 	id := gw.g.queryIDs[0]
@@ -510,20 +516,21 @@
 	gw.checkDrainNoticed(id, "6.5 s")
 }
 
-// checkDrainNoticed has the name service answer a query late, with a list in which the engine drains.
+// checkDrainNoticed answers a name service query with a list in which the engine drains, and checks that it takes
+// effect. The answer is late by delay.
 func (gw *testGateway) checkDrainNoticed(id uint16, delay string) {
 	gw.t.Helper()
 	gw.answerQuery(id, 2, draining(oneHost))
 	if gw.g.engineOrder[0].state != rules.EngineDraining {
-		gw.t.Errorf("a drain in an answer that is %s late was not noticed", delay)
+		gw.t.Errorf("an answer that is %s late and lists the engine as draining had no effect", delay)
 	}
 }
 
-// After many reloads, each of which sends a query as well, an answer that is seconds late still counts.
+// An answer that is seconds late is still used after many reloads, each of which sends a query too.
 func TestLateListAfterManyReloads(t *testing.T) {
 	gw := newTestGateway(t)
 	if polls := int(gw.g.limits.MaxListDelay / gw.g.limits.PollInterval); queryHistorySize < 2*polls {
-		t.Errorf("%d queries are remembered, %d are sent while an answer may come", queryHistorySize, polls)
+		t.Errorf("%d queries are remembered, %d are sent while an answer may still arrive", queryHistorySize, polls)
 	}
 	id := gw.g.queryIDs[0]
 	for range 80 {
@@ -535,8 +542,8 @@
 	gw.checkDrainNoticed(id, "3 s")
 }
 
-// A reload that moves the name service: an older list in the file changes nothing, a newer one counts, and a return to the first address
-// asks there again, from a new socket each time.
+// Reloads change the address of the name service and back. Each one opens a new socket. An older list in the file has
+// no effect, a newer one is applied.
 func TestReloadBackAndForth(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.endpointList = discovery.New(9, gw.g.cfg.InitialList.Engines)
@@ -557,13 +564,13 @@
 			}
 		}
 		if serving := len(gw.g.engineOrder); renewals != 1 || serving != c.engines {
-			t.Errorf("step %d: moved %d times, %d engines, want %d", i, renewals, serving, c.engines)
+			t.Errorf("reload %d: %d new sockets, %d engines, want %d", i, renewals, serving, c.engines)
 		}
 	}
 }
 
-// Some deployments use idempotency keys and progress reports. A key is forwarded as it came, with every attempt; one that would break the
-// list of fields is an error; a progress report ends nothing.
+// Some deployments use idempotency keys and progress reports. A key is forwarded unchanged with every attempt; a key
+// that would corrupt the list of fields is rejected. A progress report does not end an attempt.
 func TestIdempotencyKeyAndProgressReports(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -575,7 +582,7 @@
 	}
 	gw.receive(connID, idA+" update why=share,datum=0.25 0\r\n\r\n"+idA+" update - 3\r\nabc\r\n"+idB+" update - 0\r\n\r\n")
 	if gw.closed[connID] || gw.g.requests[idA] == nil || gw.g.requests[idA].inFlight != 1 {
-		t.Fatal("a progress report ended the attempt, or its connection")
+		t.Fatal("a progress report ended the attempt or its connection")
 	}
 	gw.advance(20 * rules.Millisecond)
 	gw.closeConn(connID)
@@ -594,9 +601,9 @@
 	}
 }
 
-// Where no two attempts of a request may be in flight at once, an engine that may run one has been told of its end before another engine is
-// asked, however the attempt ended: over a network delay of up to 40 ms, as its connection took to come up. A proof that nothing ran
-// needs no wait, and neither do settings that allow hedged requests.
+// If two attempts of a request must not be in flight at once, the next attempt waits until the engine of the last one
+// has been notified of its end, however it ended. The wait is the network delay, here 40 ms, estimated from the time
+// that the dial took. There is no wait if the last attempt is known not to have run, or if hedged requests are allowed.
 func TestNextAttemptWaitsForTermination(t *testing.T) {
 	const delay = 40 * rules.Millisecond
 	for name, c := range map[string]struct {
@@ -607,10 +614,10 @@
 			x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
 			x.flush()
 		}, true},
-		"an answer that makes no sense":   {func(x *interleaving) { x.receive(x.lastDial(), idA+" green - 0\r\n\r\n") }, true},
-		"a connection that can't be read": {func(x *interleaving) { x.receive(x.lastDial(), "\x00\x01\x02") }, true},
-		"reset":                           {func(x *interleaving) { x.closeConn(x.lastDial()) }, true},
-		"full":                            {func(x *interleaving) { x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
+		"an unexpected answer": {func(x *interleaving) { x.receive(x.lastDial(), idA+" green - 0\r\n\r\n") }, true},
+		"malformed input":      {func(x *interleaving) { x.receive(x.lastDial(), "\x00\x01\x02") }, true},
+		"reset":                {func(x *interleaving) { x.closeConn(x.lastDial()) }, true},
+		"full":                 {func(x *interleaving) { x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n") }, false},
 		"never accepted": {func(x *interleaving) {
 			x.written[x.lastDial()] = 0
 			x.closeConn(x.lastDial())
@@ -625,37 +632,38 @@
 			x.step(DialSucceeded{Conn: first})
 			x.readOutput()
 			if x.asks != 1 {
-				t.Fatalf("%s: asked %d times at first", name, x.asks)
+				t.Fatalf("%s: %d requests were written at first", name, x.asks)
 			}
 			x.now += 5 * rules.Millisecond
 			x.step(TimerFired{})
 			c.end(x)
-			again := func() bool { // another attempt has begun, whether its connection is up or not
+			again := func() bool { // whether another attempt has started, with or without a connection
 				x.readOutput()
 				return x.asks > 1 || len(x.dials) > 1
 			}
 			if waits := c.wait && !hedging; waits {
 				x.advance(delay - rules.Millisecond)
 				if again() {
-					t.Errorf("%s: another attempt began while the end of the first was on its way", name)
+					t.Errorf("%s: another attempt started before the engine was notified of the end of the first", name)
 				}
 			}
 			x.advance(2 * rules.Millisecond)
 			if !again() {
-				t.Errorf("%s, hedging %v: no further attempt began", name, hedging)
+				t.Errorf("%s, hedging %v: no further attempt started", name, hedging)
 			}
 		}
 	}
 }
 
-// While the end of an attempt is on its way, its client goes or kills the query, its deadline comes, or the process shuts down: the request
-// ends as usual, its engine is told once, and no state is left. A connection that took long to come up makes no request wait for long.
+// While the engine is being notified of an attempt's end, the client disconnects or kills the query, the deadline is
+// reached, or the process shuts down. The request ends as usual, the engine is notified once, and no state is left.
+// After a dial that took long, the wait is limited to MaxNetworkMargin.
 func TestTerminatingAttemptEndsWithItsRequest(t *testing.T) {
 	const delay = 40 * rules.Millisecond
 	start := func(timeout int, dialTime rules.Time) *interleaving {
 		x := newInterleaving(t, "point")
 		x.receive(1, string(queryPacket(fmt.Sprintf("/* kind=point,req=%s,timeout=%d,ms=5 */ SELECT 1 FROM sales_1.x", idA, timeout))))
-		x.g.armedFor = x.now + dialTime // the process is not stopped: no timer is late
+		x.g.armedFor = x.now + dialTime // no timer is late, so this is not a stall
 		x.now += dialTime
 		x.step(DialSucceeded{Conn: x.lastDial()})
 		x.g.runAction(rules.Cancel{ID: idA, Attempt: 0})
@@ -666,12 +674,12 @@
 		timeout, answers int
 		end              func(x *interleaving)
 	}{
-		"client goes": {2000, 0, func(x *interleaving) { x.closeConn(1) }},
+		"client disconnects": {2000, 0, func(x *interleaving) { x.closeConn(1) }},
 		"killed": {2000, 0, func(x *interleaving) {
 			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", x.g.clients[1].session))))
 		}},
 		"deadline": {80, 1, func(x *interleaving) { x.advance(30 * rules.Millisecond) }},
-		"terminate": {80, 1, func(x *interleaving) {
+		"shutdown": {80, 1, func(x *interleaving) {
 			x.step(ShutdownRequested{})
 			x.advance(30 * rules.Millisecond)
 		}},
@@ -681,7 +689,7 @@
 		c.end(x)
 		x.readOutput()
 		if len(x.g.requests) != 0 || x.answers != c.answers {
-			t.Errorf("%s: %d requests stay, %d answers, want %d", name, len(x.g.requests), x.answers, c.answers)
+			t.Errorf("%s: %d requests left, %d answers, want %d", name, len(x.g.requests), x.answers, c.answers)
 		}
 		x.advance(2 * delay)
 		x.readOutput()
@@ -689,19 +697,19 @@
 			t.Errorf("%s: the engine got %q, %d dials, %d answers", name, got, len(x.dials), x.answers)
 		}
 		if n := x.g.stats.classes[0].attemptsInFlight; n != 0 {
-			t.Errorf("%s: %d attempts still count as running", name, n)
+			t.Errorf("%s: %d attempts still count as in flight", name, n)
 		}
 	}
 	x := start(2000, 240*rules.Millisecond)
 	if x.advance(x.g.limits.MaxNetworkMargin - rules.Millisecond); len(x.dials) > 1 {
-		t.Error("another attempt began while the end of the first was on its way")
+		t.Error("another attempt started before the engine was notified of the end of the first")
 	}
 	if x.advance(2 * rules.Millisecond); len(x.dials) < 2 {
-		t.Error("an attempt on a connection that came up late keeps its request waiting")
+		t.Error("a slow dial delays the next attempt for longer than MaxNetworkMargin")
 	}
 }
 
-// Answers that can't be read end their connection; the requests on it are cancelled there first, by name.
+// Malformed answers close their connection. Each request on it is first cancelled by its ID.
 func TestMalformedConnectionCancelsByName(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -11,21 +11,21 @@
 	"foxlane/rules"
 )
 
-// listChange is a gateway that knows one engine, which is about to drain or to be removed while a second one is added.
+// listChange is a gateway with one engine. A change of the list drains, removes or replaces that engine.
 type listChange struct {
 	*testGateway
 	serial         uint32
 	addrs          map[ConnID]netip.AddrPort
 	readUpTo       map[ConnID]int
-	asksByAddr     map[netip.AddrPort]int // by address
-	lastClientConn ConnID                 // of a client
+	asksByAddr     map[netip.AddrPort]int // number of requests written to each address
+	lastClientConn ConnID                 // last client connection
 }
 
 func newListChange(t *testing.T) *listChange {
 	return &listChange{testGateway: newTestGateway(t), serial: 1, addrs: map[ConnID]netip.AddrPort{}, readUpTo: map[ConnID]int{}, asksByAddr: map[netip.AddrPort]int{}}
 }
 
-// readOutput counts the requests that were written to each address since the last look.
+// readOutput counts the requests that were written to each address since its last call.
 func (c *listChange) readOutput() {
 	for _, eng := range c.g.engineOrder {
 		for _, conn := range eng.conns {
@@ -42,7 +42,7 @@
 	}
 }
 
-// sendList has the name service answer with a newer list.
+// sendList answers the latest name service query with a newer list.
 func (c *listChange) sendList(hosts ...standin.Host) {
 	c.readOutput()
 	c.serial++
@@ -50,7 +50,7 @@
 	c.readOutput()
 }
 
-// completeDials has every dial come up that has not.
+// completeDials completes all pending dials.
 func (c *listChange) completeDials() {
 	c.readOutput()
 	for _, id := range c.dials {
@@ -61,7 +61,7 @@
 	c.readOutput()
 }
 
-// sendRequest has a new client ask.
+// sendRequest sends a request from a new client.
 func (c *listChange) sendRequest(id string) {
 	c.lastClientConn++
 	c.loginClient(c.lastClientConn)
@@ -69,7 +69,7 @@
 	c.readOutput()
 }
 
-// serveOne has the engine serve a request, so that a connection to it is up, and forgets it.
+// serveOne lets the engine serve a request, so that a connection to it is up, and resets the counts.
 func (c *listChange) serveOne() {
 	c.sendRequest(idB)
 	c.completeDials()
@@ -78,11 +78,11 @@
 	c.asksByAddr = map[netip.AddrPort]int{}
 }
 
-// listChanges are what may become of the engine, by name, and the list that says so.
+// listChanges are the changes of the engine by name, with the list after each.
 var listChanges = map[string]func() []standin.Host{
 	"draining": func() []standin.Host { host := oneHost; host.Draining = true; return []standin.Host{host, otherHost} },
 	"gone":     func() []standin.Host { return []standin.Host{otherHost} },
-	"replaced": func() []standin.Host { // under the same id, by a process elsewhere
+	"replaced": func() []standin.Host { // under the same ID, by a process at another address
 		host := oneHost
 		host.Addr, host.Started = netip.MustParseAddrPort("127.8.1.9:7001"), 1_700_000_000_500
 		return []standin.Host{host, otherHost}
@@ -94,8 +94,8 @@
 	},
 }
 
-// A request crosses the list that its engine has left, in each of the places where it may be: nothing of it goes to where that
-// engine was, but to one that serves, and it is answered.
+// The list changes while a request is in each of the states before it is written. The request is not written to the
+// engine's old address, but to an engine that serves.
 func TestNoSendToRemovedEngine(t *testing.T) {
 	for name, leaving := range listChanges {
 		t.Run(name, func(t *testing.T) {
@@ -104,16 +104,16 @@
 					change.serveOne() // a connection is up
 					drained := oneHost
 					drained.Draining = true
-					change.sendList(drained) // nothing serves: it is held
+					change.sendList(drained) // no engine serves: requests are queued
 					for i := range 8 {
 						change.sendRequest(fmt.Sprintf("%016x", 0xc0+i))
 					}
 					apply()
 				},
 				"waits for a dial": func(change *listChange, apply func()) { change.sendRequest(idA); apply() },
-				"waits behind a stall": func(change *listChange, apply func()) {
+				"waits after a stall": func(change *listChange, apply func()) {
 					change.serveOne()
-					change.now += 400 * rules.Millisecond // its timers are late
+					change.now += 400 * rules.Millisecond // its timers are late, so this is a stall
 					change.sendRequest(idA)
 					apply()
 				},
@@ -151,20 +151,20 @@
 				served := 0
 				for addr, n := range change.asksByAddr {
 					if addr == oneHost.Addr && n > 0 && name != "replaced by another at its address" {
-						t.Errorf("%s: %d requests went to where the engine was", state, n)
+						t.Errorf("%s: %d requests were sent to the engine's old address", state, n)
 					} else {
 						served += n
 					}
 				}
 				if served == 0 {
-					t.Errorf("%s: nothing went to an engine that serves", state)
+					t.Errorf("%s: no request was sent to an engine that serves", state)
 				}
 			}
 		})
 	}
 }
 
-// A connection that was being made to an engine that has gone is not used for another one at its address.
+// A pending dial to a removed engine is not used for another engine at its address.
 func TestDialToRemovedEngineIsNotReused(t *testing.T) {
 	change := newListChange(t)
 	change.sendRequest(idA)
--- a/internal/gateway/localexhaustion_test.go
+++ b/internal/gateway/localexhaustion_test.go
@@ -9,8 +9,8 @@
 	"foxlane/rules"
 )
 
-// A gateway whose dials all fail for seconds because a local resource is exhausted takes no zone for lost and no engine for failing: it
-// serves at once when the resource is back.
+// If all dials fail for seconds because a local resource is exhausted, the gateway considers no zone lost and no engine
+// failed, so that it can serve as soon as the resource is available again.
 func TestLocalExhaustionLosesNoZone(t *testing.T) {
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  settle = \"100ms\"\n}"))
 	sim.localExhaustion = true
@@ -21,11 +21,12 @@
 		}
 	}
 	if sim.localDialFailures == 0 {
-		t.Error("no dial failed: the test has lost its subject")
+		t.Error("no dial failed: the test covers too little")
 	}
 }
 
-// A probe that failed because a local resource is exhausted says nothing of the engine, even where other gateways suspect it.
+// A probe that fails because a local resource is exhausted does not count against the engine, even if other gateways
+// suspect it.
 func TestLocalExhaustionIsNoProbeResult(t *testing.T) {
 	sim := newSimulationWith(t, 4, 0, func(cfg *config.Config) {})
 	eng := sim.g.engineOrder[0]
@@ -37,7 +38,7 @@
 	}
 	for _, view := range sim.g.module.EngineViews() {
 		if view.Engine == eng.id && view.Ejected {
-			t.Error("an engine that was never reached is ejected")
+			t.Error("an engine was ejected because of local exhaustion")
 		}
 	}
 }
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -12,7 +12,7 @@
 	"foxlane/rules"
 )
 
-// Whatever a client sends, no other client is affected.
+// Invalid input of a client affects no other client.
 func TestBadClients(t *testing.T) {
 	long := strings.Repeat("x", 1<<20)
 	for name, c := range map[string]struct {
@@ -20,19 +20,19 @@
 		shut   bool
 		answer string
 	}{
-		"a packet too large":        {"\xff\xff\xff\x00", true, "packet of"},
-		"a packet just too large":   {"\x01\x00\x10\x00" + long, true, "packet of"},
-		"wrong sequence number":     {string(packet(3, []byte{14})), true, "wrong sequence"},
-		"an empty command":          {string(packet(0, nil)), true, "empty command"},
-		"an unknown command":        {string(packet(0, []byte{0x16})), false, "unknown command"},
-		"an unknown class":          {requestPacket("other", idB), false, "unknown class"},
-		"an id that is open":        {requestPacket("point", idA), false, "id is open"},
-		"no fields":                 {string(queryPacket("SELECT 1")), false, "no comment"},
-		"a comment that never ends": {string(queryPacket("/* kind=point,req=" + idB)), false, "never ends"},
-		"a field twice":             {string(queryPacket("/* kind=point,kind=point,req=" + idB + ",timeout=5 */ SELECT 1")), false, "twice"},
-		"KILL of nobody":            {string(queryPacket("KILL QUERY 1")), false, "unknown session"},
-		"another database":          {string(packet(0, []byte("\x02other"))), false, "unknown database"},
-		"a query while one is open": {requestPacket("point", idB) + requestPacket("point", "00000000000000cc"), true, ""},
+		"a packet too large":      {"\xff\xff\xff\x00", true, "packet of"},
+		"a packet just too large": {"\x01\x00\x10\x00" + long, true, "packet of"},
+		"wrong sequence number":   {string(packet(3, []byte{14})), true, "wrong sequence"},
+		"an empty command":        {string(packet(0, nil)), true, "empty command"},
+		"an unknown command":      {string(packet(0, []byte{0x16})), false, "unknown command"},
+		"an unknown class":        {requestPacket("other", idB), false, "unknown class"},
+		"an id in use":            {requestPacket("point", idA), false, "id is open"},
+		"no fields":               {string(queryPacket("SELECT 1")), false, "no comment"},
+		"an unterminated comment": {string(queryPacket("/* kind=point,req=" + idB)), false, "never ends"},
+		"a duplicate field":       {string(queryPacket("/* kind=point,kind=point,req=" + idB + ",timeout=5 */ SELECT 1")), false, "twice"},
+		"KILL of unknown session": {string(queryPacket("KILL QUERY 1")), false, "unknown session"},
+		"another database":        {string(packet(0, []byte("\x02other"))), false, "unknown database"},
+		"a query during another":  {requestPacket("point", idB) + requestPacket("point", "00000000000000cc"), true, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gw := newTestGateway(t)
@@ -52,6 +52,7 @@
 	}
 }
 
+// An incomplete or invalid login leaves no session behind.
 func TestBadLogins(t *testing.T) {
 	for name, data := range map[string]string{
 		"half":              string(loginPacket()[:20]),
@@ -69,12 +70,12 @@
 		gw.receive(1, data)
 		gw.advance(2900 * rules.Millisecond)
 		if !gw.closed[1] || len(gw.g.clients) != 0 || len(gw.g.sessions) != 0 {
-			t.Errorf("%s: the session goes on", name)
+			t.Errorf("%s: the session was not closed", name)
 		}
 	}
 }
 
-// Random bytes from clients, engines and the name service leave no state behind.
+// Randomly corrupted input from clients, engines and the name service leaves no state behind.
 func TestRandomInput(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -103,31 +104,31 @@
 	}
 }
 
-// A malformed answer of an engine ends that attempt, or the connection, and claims no more than is known: a load that may have run is
-// never rejected and never sent again.
+// A malformed answer of an engine ends the attempt, and the connection if needed. An idempotent query is retried. A
+// load may have run, so it fails: it is neither retried nor rejected.
 func TestBadEngines(t *testing.T) {
 	for name, c := range map[string]struct {
 		data  string
-		shut  bool // the connection
-		again bool // an idempotent query is retried
+		shut  bool // the connection is closed
+		again bool // an idempotent query is retried, a load fails
 	}{
-		"a line too long":     {strings.Repeat("x", 5000), true, true},
-		"an unknown word":     {idA + " dance - 0\r\n\r\n", true, true},
-		"a bad length":        {idA + " served - x\r\n", true, true},
-		"too many pages":      {idA + " served total=999 0\r\n\r\n", false, true},
-		"a page not asked":    {idA + " rows index=1 0\r\n\r\n", false, true},
-		"served with others":  {idA + " served total=2 0\r\n\r\n" + idA + " served total=3 0\r\n\r\n", false, true},
-		"another first page":  {idA + " served total=2 0\r\n\r\n" + idA + " served total=2 6\r\n1\ta\tb\n\r\n", false, true},
-		"another page":        {idA + " served total=3 0\r\n\r\n" + idA + " rows index=1 0\r\n\r\n" + idA + " rows index=1 6\r\n1\ta\tb\n\r\n", false, true},
-		"noise with no end":   {idA + " serv\x00\x9f\x13", true, true},
-		"a body of 3 GB":      {idA + " served total=1 3221225472\r\n1\ta\tb\n", true, true},
-		"figures beyond all":  {idA + " served total=1,elapsed=1e12 0\r\n\r\n", true, true},
-		"a page half a row":   {idA + " served total=1 3\r\na\tb\r\n", false, true},
-		"a row of two":        {idA + " served total=1 4\r\na\tb\n\r\n", false, true},
-		"health":              {idA + " green - 0\r\n\r\n", false, true},
-		"a page lost":         {idA + " served total=2 0\r\n\r\n" + idA + " crashed - 0\r\n\r\n", false, true},
-		"an unknown id":       {idB + " served total=1 0\r\n\r\n", false, false},
-		"an id without words": {idA + "\r\n", true, true},
+		"a line too long":      {strings.Repeat("x", 5000), true, true},
+		"an unknown status":    {idA + " dance - 0\r\n\r\n", true, true},
+		"a bad length":         {idA + " served - x\r\n", true, true},
+		"too many pages":       {idA + " served total=999 0\r\n\r\n", false, true},
+		"an unrequested page":  {idA + " rows index=1 0\r\n\r\n", false, true},
+		"another page count":   {idA + " served total=2 0\r\n\r\n" + idA + " served total=3 0\r\n\r\n", false, true},
+		"another first page":   {idA + " served total=2 0\r\n\r\n" + idA + " served total=2 6\r\n1\ta\tb\n\r\n", false, true},
+		"another page":         {idA + " served total=3 0\r\n\r\n" + idA + " rows index=1 0\r\n\r\n" + idA + " rows index=1 6\r\n1\ta\tb\n\r\n", false, true},
+		"an incomplete line":   {idA + " serv\x00\x9f\x13", true, true},
+		"a body of 3 GB":       {idA + " served total=1 3221225472\r\n1\ta\tb\n", true, true},
+		"an excessive figure":  {idA + " served total=1,elapsed=1e12 0\r\n\r\n", true, true},
+		"an unterminated row":  {idA + " served total=1 3\r\na\tb\r\n", false, true},
+		"a row of 2 columns":   {idA + " served total=1 4\r\na\tb\n\r\n", false, true},
+		"health":               {idA + " green - 0\r\n\r\n", false, true},
+		"a crash after page 0": {idA + " served total=2 0\r\n\r\n" + idA + " crashed - 0\r\n\r\n", false, true},
+		"an unknown id":        {idB + " served total=1 0\r\n\r\n", false, false},
+		"an id alone":          {idA + "\r\n", true, true},
 	} {
 		for _, class := range []string{"point", "load"} {
 			gw := newTestGateway(t)
@@ -147,32 +148,32 @@
 			switch {
 			case !c.again:
 				if req == nil || req.inFlight != 1 {
-					t.Errorf("%s, %s: the attempt is over", name, class)
+					t.Errorf("%s, %s: the attempt has ended", name, class)
 				}
 			case class == "load":
 				if got := gw.takeOutput(1); req != nil || !strings.Contains(got, "the query failed") {
-					t.Errorf("%s: a load that may have run: %q", name, got)
+					t.Errorf("%s: the answer to a load that may have run is %q", name, got)
 				}
 			case req == nil || req.answered:
-				t.Errorf("%s: an idempotent query was abandoned", name)
+				t.Errorf("%s: an idempotent query was not retried", name)
 			}
 		}
 	}
 }
 
-// Pages may come in any order, and reach the client in the order of their numbers.
+// Pages may arrive in any order. The client receives them in the order of their numbers.
 func TestPagesInAnyOrder(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
 	gw.takeOutput(connID)
 	gw.receive(connID, idA+" served total=3 6\r\n1\ta\tb\n\r\n")
 	if got := gw.takeOutput(connID); got != "NEXT "+idA+" 1\r\nNEXT "+idA+" 2\r\n" {
-		t.Fatalf("asked for %q", got)
+		t.Fatalf("the engine got %q", got)
 	}
 	gw.takeOutput(1)
 	gw.receive(connID, idA+" rows index=2 6\r\n3\ta\tb\n\r\n")
 	if gw.takeOutput(1) != "" {
-		t.Fatal("the client has rows of a result that is not complete")
+		t.Fatal("the client got rows of an incomplete result")
 	}
 	gw.receive(connID, idA+" rows index=1 6\r\n2\ta\tb\n\r\n")
 	got := gw.takeOutput(1)
@@ -185,7 +186,8 @@
 	}
 }
 
-// A request that waits for its connection is checked against the list once that comes up: an engine that drains meanwhile gets nothing.
+// The state of the engine is checked again when the connection that a request waits for is established. An engine that
+// drains by then gets nothing, and the request stays open.
 func TestEngineStateIsCheckedOnWrite(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -198,11 +200,11 @@
 		t.Errorf("a draining engine got %q", got)
 	}
 	if req := gw.g.requests[idA]; req == nil || req.answered {
-		t.Error("a load that never ran was abandoned")
+		t.Error("a load that never ran was answered")
 	}
 }
 
-// A lost, late, forged or broken answer of the name service keeps the last list.
+// Stale, forged and corrupt answers of the name service leave the endpoint list unchanged.
 func TestInvalidAnswerKeepsList(t *testing.T) {
 	gw := newTestGateway(t)
 	other := oneHost
@@ -217,25 +219,25 @@
 	} {
 		gw.step(DNSResponse{Data: msg})
 		if len(gw.g.engineOrder) != 1 || gw.g.engineOrder[0].entry.ID != oneHost.ID || gw.g.engineOrder[0].state != rules.EngineServing {
-			t.Errorf("%s: the list has changed", name)
+			t.Errorf("%s: the answer changed the list", name)
 		}
 	}
 	gw.step(DNSResponse{Data: good})
 	if len(gw.g.engineOrder) != 1 || gw.g.engineOrder[0].entry.ID != other.ID {
-		t.Error("a good answer has not changed the list")
+		t.Error("a valid answer did not change the list")
 	}
 }
 
-// A machine that vanishes closes nothing. Once an attempt was abandoned on a silent connection, the next one dials anew: that fails soon
-// where the machine is gone, and proves that nothing ran.
+// A machine that vanishes does not close its connections. Once an attempt timed out on a silent connection, the next
+// attempt dials a new one: if the machine is gone, the dial fails soon and proves that nothing ran.
 func TestSilentConnectionIsNotReused(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
 	gw.receive(1, string(queryPacket("/* kind=load,req="+idA+",timeout=900 */ SELECT 1 FROM sales_1.x")))
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
-	gw.advance(900 * rules.Millisecond) // less than what makes a connection idle
+	gw.advance(900 * rules.Millisecond) // less than the idle timeout of a connection
 	if gw.g.requests[idA] != nil || len(gw.dials) != 1 {
-		t.Fatal("the load should have failed, with no further attempt")
+		t.Fatal("the load has not failed, or was retried")
 	}
 	gw.takeOutput(gw.dials[0])
 	gw.receive(1, requestPacket("load", idB))
@@ -244,7 +246,7 @@
 	}
 }
 
-// SIGTERM brings the answers forward of clients that would wait for long, and the process exits after them.
+// A shutdown fails requests with later deadlines at ShutdownTimeout. The process exits after these answers.
 func TestShutdownAnswersAll(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -254,28 +256,28 @@
 	gw.step(ShutdownRequested{})
 	gw.advance(gw.g.limits.ShutdownTimeout - rules.Millisecond)
 	if gw.exited || gw.takeOutput(1) != "" {
-		t.Fatal("ended before its time")
+		t.Fatal("the request was answered or the gateway exited before the shutdown timeout")
 	}
 	gw.advance(2 * rules.Millisecond)
 	if got := gw.takeOutput(1); !strings.Contains(got, "the query failed") || !gw.exited {
-		t.Errorf("answered %q, ended %v", got, gw.exited)
+		t.Errorf("answered %q, exited %v", got, gw.exited)
 	}
 }
 
-// A request does not go to a connection that its engine may be about to close as idle.
+// A connection that its engine may be about to close as idle is not used for a request.
 func TestIdleConnectionIsNotReused(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.sendToEngine("point")
 	gw.receive(gw.dials[0], idA+" served total=1 0\r\n\r\n")
-	gw.now += gw.g.limits.EngineIdleTimeout // before the sweep has seen it
-	gw.g.armedFor = gw.now                  // and no timer is late: the process did not stand still
+	gw.now += gw.g.limits.EngineIdleTimeout // the sweep has not closed the connection yet
+	gw.g.armedFor = gw.now                  // no timer is late, so this is not a stall
 	gw.receive(1, requestPacket("load", idB))
 	if len(gw.dials) != 2 {
 		t.Errorf("%d dials, want 2", len(gw.dials))
 	}
 }
 
-// KILL ends the query of the session that it names and no other, and that session gets no answer.
+// KILL QUERY ends the query of the given session and no other. That session gets no answer.
 func TestKill(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -300,7 +302,7 @@
 	}
 }
 
-// Unfinished packets of all clients together stay within bounds.
+// The total size of incomplete packets of all clients is limited. The clients that hold most are closed.
 func TestUnfinishedInputIsBounded(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxInputBytes = 20 * gw.g.limits.MaxStatementBytes
@@ -311,7 +313,7 @@
 		gw.loginClient(id)
 		gw.receive(id, piece)
 		if gw.g.partialBytes > gw.g.limits.MaxInputBytes {
-			t.Fatalf("%d bytes are held, %d at most", gw.g.partialBytes, gw.g.limits.MaxInputBytes)
+			t.Fatalf("%d bytes are held, limit %d", gw.g.partialBytes, gw.g.limits.MaxInputBytes)
 		}
 	}
 	evicted := 0
@@ -319,20 +321,21 @@
 		if gw.closed[id] {
 			evicted++
 			if got := gw.takeOutput(id); !strings.Contains(got, "unfinished") {
-				t.Errorf("got %.100q", got)
+				t.Errorf("an evicted client got %.100q", got)
 			}
 		}
 	}
 	if evicted < 20 || evicted > 21 || gw.closed[99] {
-		t.Errorf("%d of those that hold most were closed, and one with half a query: %v", evicted, gw.closed[99])
+		t.Errorf("%d large clients were closed, want 20 or 21; the client with half a query was closed: %v", evicted, gw.closed[99])
 	}
 }
 
-// An answer that left at the client's deadline by our clock would come too late, by the delay of both directions: it leaves earlier.
+// A failure that was sent at the client's deadline would arrive too late, by the network delay of both directions. So
+// it is sent 200 ms earlier.
 func TestFailureIsSentBeforeDeadline(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
-	gw.receive(1, requestPacket("load", idA)) // waits 2 s
+	gw.receive(1, requestPacket("load", idA)) // with a timeout of 2 s
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.takeOutput(1)
 	gw.advance(1799 * rules.Millisecond)
@@ -341,11 +344,11 @@
 	}
 	gw.advance(2 * rules.Millisecond)
 	if got := gw.takeOutput(1); !strings.Contains(got, "the query failed") {
-		t.Errorf("got %q, want the failure 200 ms before the client's time-out", got)
+		t.Errorf("got %q, want the failure 200 ms before the client's timeout", got)
 	}
 }
 
-// What client libraries send of their own accord is answered, and nothing of it reaches an engine.
+// Commands that client libraries send on their own are answered without an engine.
 func TestClientLibraryCommands(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -359,11 +362,11 @@
 		}
 	}
 	if len(gw.dials) != 0 || len(gw.g.requests) != 0 {
-		t.Error("an engine was asked")
+		t.Error("a command was forwarded to an engine")
 	}
 }
 
-// A probe reaches its engine as INFO; its answer, its timeout or the loss of its connection ends it.
+// A probe is sent to its engine as INFO. It ends with its answer, its timeout or the loss of its connection.
 func TestProbe(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(gw *testGateway, connID ConnID)
@@ -390,8 +393,8 @@
 	}
 }
 
-// A reloaded configuration moves the gateway to another name service, which is asked at once. Its serials continue: a list in the file
-// counts only if it is newer than the valid one.
+// A reloaded configuration changes the address of the name service, which is queried at once. The serials continue: a
+// list in the file is only applied if it is newer than the current one.
 func TestReload(t *testing.T) {
 	gw := newTestGateway(t)
 	hosts := []standin.Host{oneHost, otherHost}
@@ -411,7 +414,7 @@
 	}
 	cfg.InitialList.Seq = gw.g.endpointList.Serial()
 	if moved, asked := reload(); !moved || !asked || len(gw.g.engines) != 1 {
-		t.Errorf("moved %v, asked there %v, %d engines", moved, asked, len(gw.g.engines))
+		t.Errorf("address changed %v, queried there %v, %d engines", moved, asked, len(gw.g.engines))
 	}
 	cfg.InitialList.Seq++
 	if reload(); len(gw.g.engines) != 2 || gw.g.endpointList.Serial() != cfg.InitialList.Seq {
@@ -424,8 +427,8 @@
 	}
 }
 
-// Hundreds of connections that send nothing must not keep other clients out: a new connection evicts a silent one, the longest silent
-// first, which gets an error.
+// Hundreds of silent connections must not keep other clients out. A new connection evicts the connection that has been
+// silent for longest, which gets an error.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
@@ -437,37 +440,38 @@
 		gw.step(ConnectionAccepted{Conn: id})
 	}
 	if len(gw.g.clients) > gw.g.limits.MaxClients {
-		t.Fatalf("%d connections are held, %d at most", len(gw.g.clients), gw.g.limits.MaxClients)
+		t.Fatalf("%d connections are open, limit %d", len(gw.g.clients), gw.g.limits.MaxClients)
 	}
 	gw.takeOutput(3)
 	gw.loginClient(3)
 	gw.receive(3, requestPacket("point", idB))
 	if gw.closed[3] || gw.g.requests[idB] == nil {
-		t.Fatal("a client that asks at once was rejected in favour of silent ones")
+		t.Fatal("an active client was rejected in favour of silent ones")
 	}
 	if got := gw.takeOutput(100); !gw.closed[100] || !strings.Contains(got, "no room") {
-		t.Errorf("the longest silent one: closed %v, got %q", gw.closed[100], got)
+		t.Errorf("the connection silent for longest: closed %v, got %q", gw.closed[100], got)
 	}
 	if gw.closed[1] || gw.closed[2] || gw.g.requests[idA] == nil {
-		t.Error("others were closed while there were silent ones")
+		t.Error("active clients were closed although there were silent ones")
 	}
 	gw.advance(2900 * rules.Millisecond)
 	if n := len(gw.g.clients); n != 3 {
-		t.Errorf("%d connections are left after 2.9 s, 3 of them in use", n)
+		t.Errorf("%d connections are left after 2.9 s, want 3", n)
 	}
 }
 
-// A client that stops within a packet, or sends one command and no other, is closed in time; one that returns after 4 s is not.
+// A client that stops within a packet, or sends no command after its login, is closed within 2.9 s. An idle client
+// can still send a request after 4 s, and is closed later.
 func TestSessionTimeouts(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.loginClient(1)
 	gw.receive(1, string(packet(0, []byte{14})))
 	gw.loginClient(2)
 	gw.receive(2, requestPacket("point", idA)[:30])
-	gw.loginClient(3) // logs in and asks for nothing
+	gw.loginClient(3) // sends no command after the login
 	gw.advance(2900 * rules.Millisecond)
 	if gw.closed[1] || !gw.closed[2] || !gw.closed[3] {
-		t.Errorf("after 2.9 s: idle closed %v, half a query %v, login alone %v", gw.closed[1], gw.closed[2], gw.closed[3])
+		t.Errorf("after 2.9 s: idle client closed %v, half a query %v, login alone %v", gw.closed[1], gw.closed[2], gw.closed[3])
 	}
 	gw.advance(1200 * rules.Millisecond)
 	gw.receive(1, requestPacket("point", idB))
@@ -478,11 +482,11 @@
 	gw.receive(gw.dials[0], idB+" served total=1 0\r\n\r\n")
 	gw.advance(5 * rules.Second)
 	if !gw.closed[1] || len(gw.g.clients) != 0 || gw.g.idleClients.Len()+gw.g.newClients.Len() != 0 {
-		t.Error("a connection that is idle for good stays open")
+		t.Error("a connection stays open although it is idle")
 	}
 }
 
-// Fields that are out of range never reach an engine, and a client that goes on sending them is closed.
+// Requests with fields out of range never reach an engine, and a client that repeatedly sends them is closed.
 func TestFieldsOutOfRange(t *testing.T) {
 	for _, fields := range []string{"timeout=0", "timeout=-5", "timeout=99999999", "timeout=1e3", "timeout=2000,ms=-1", "timeout=2000,ms=NaN",
 		"timeout=2000,ms=1e12", "timeout=2000,need_mb=Inf", "timeout=2000,need_mb=1e300", "timeout=2000,need_mb=x"} {
@@ -495,20 +499,20 @@
 				t.Fatalf("%s: got %q", fields, got)
 			}
 			if gw.closed[1] != (i == gw.g.limits.MaxSessionErrors) {
-				t.Fatalf("%s: closed %v after %d times", fields, gw.closed[1], i+1)
+				t.Fatalf("%s: closed %v after %d errors", fields, gw.closed[1], i+1)
 			}
 		}
 		if len(gw.dials) > 0 || len(gw.g.requests) > 0 {
-			t.Errorf("%s: it was accepted", fields)
+			t.Errorf("%s: the request was accepted", fields)
 		}
 	}
 }
 
-// An answer that stops short must not keep all requests on its connection waiting until they time out: the connection is ended soon, and
-// none of them counts against the engine.
+// An incomplete answer must not block all requests on its connection until they time out. The connection is closed
+// after AnswerStallTimeout, and its requests are retried without counting against the engine.
 func TestAnswerThatStopsShort(t *testing.T) {
 	for name, piece := range map[string]string{
-		"in its line": idA + " served tot", "in its body": idA + " served total=1 600\r\n1\ta", "behind it": idA + " served total=1 0\r\n",
+		"in its line": idA + " served tot", "in its body": idA + " served total=1 600\r\n1\ta", "before the final line break": idA + " served total=1 0\r\n",
 	} {
 		gw := newTestGateway(t)
 		for id, req := range map[ConnID]string{1: idA, 2: idB} {
@@ -520,11 +524,11 @@
 		gw.receive(connID, piece)
 		gw.advance(gw.g.limits.AnswerStallTimeout - rules.Millisecond)
 		if gw.closed[connID] {
-			t.Errorf("%s: ended too early", name)
+			t.Errorf("%s: the connection was closed too early", name)
 		}
 		gw.advance(2 * rules.Millisecond)
 		if !gw.closed[connID] || len(gw.dials) != 2 {
-			t.Fatalf("%s: closed %v, %d dials: both queries should be under way again", name, gw.closed[connID], len(gw.dials))
+			t.Fatalf("%s: closed %v, %d dials, want a second one to retry both queries", name, gw.closed[connID], len(gw.dials))
 		}
 		gw.step(DialSucceeded{Conn: gw.dials[1]})
 		if got := gw.takeOutput(gw.dials[1]); strings.Count(got, "ASK ") != 2 {
@@ -533,7 +537,7 @@
 	}
 }
 
-// Duplicates of answers and pages, and answers to nothing that was asked, are ignored.
+// Duplicate answers and pages, and answers to unknown requests, are ignored.
 func TestAnswersThatComeTwice(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
@@ -549,8 +553,8 @@
 	}
 }
 
-// Each class has connections of its own: a load that shares a connection with queries would fail with the first malformed answer to one
-// of them, though it runs on and must not be sent again.
+// Each class uses separate connections. A load on a connection shared with queries would fail with the first malformed
+// answer to one of them, although it still runs and must not be retried.
 func TestClassesUseSeparateConnections(t *testing.T) {
 	gw := newTestGateway(t)
 	for i, class := range []string{"load", "load", "point", "point", "report"} {
@@ -575,12 +579,12 @@
 	}
 	gw.receive(gw.dials[1], "\x00\r\n")
 	if !gw.closed[gw.dials[1]] || gw.closed[gw.dials[0]] || gw.closed[gw.dials[2]] || gw.g.requests["0000000000000000"].inFlight != 1 {
-		t.Error("more than the queries of one class were affected")
+		t.Error("requests of another class were affected")
 	}
 }
 
-// Where few requests are in flight, a connection for each class and engine costs more handshakes than it saves (30,000 for 60,000 requests
-// of 300 gateways). So a connection that carries nothing may change its class, and one that does may not.
+// If few requests are in flight, a connection for each class and engine costs more handshakes than it saves (30,000 for
+// 60,000 requests of 300 gateways). So a connection may change its class while it carries no request.
 func TestIdleConnectionChangesItsClass(t *testing.T) {
 	gw := newTestGateway(t)
 	ask := func(client int, class string) string {
@@ -594,15 +598,15 @@
 	gw.receive(gw.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
 	ask(2, "report")
 	if len(gw.dials) != 1 || !strings.Contains(gw.takeOutput(gw.dials[0]), "lane=report") {
-		t.Fatalf("%d connections for two requests one after the other", len(gw.dials))
+		t.Fatalf("%d connections for two consecutive requests", len(gw.dials))
 	}
 	ask(3, "point")
 	if len(gw.dials) != 2 {
-		t.Fatalf("%d connections for requests of two classes at a time", len(gw.dials))
+		t.Fatalf("%d connections for concurrent requests of two classes", len(gw.dials))
 	}
 }
 
-// Where no more connections may be made, requests share the ones that are there.
+// At the connection limit, requests of all classes share the existing connections.
 func TestConnectionsAreShared(t *testing.T) {
 	gw := newTestGateway(t)
 	gw.g.limits.MaxConns = 1
@@ -614,12 +618,12 @@
 	}
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	if asked := strings.Count(gw.takeOutput(gw.dials[0]), "ASK "); len(gw.dials) != 1 || asked != gw.g.limits.Multiplex {
-		t.Errorf("%d requests went out on %d connections", asked, len(gw.dials))
+		t.Errorf("%d requests were sent on %d connections", asked, len(gw.dials))
 	}
 }
 
-// Connections are reset though their engine is healthy. A reset counts against the engine once, not for each request on the connection,
-// and only if the engine has answered nothing since the last one.
+// Connections of a healthy engine can be reset. A reset counts against the engine once, not for each request on the
+// connection, and only if the engine has answered nothing since the last reset.
 func TestResetsOfAnEngineThatAnswers(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		gw := newTestGateway(t)
@@ -644,7 +648,8 @@
 	}
 }
 
-// Work and memory that no engine of the kind can have spent are not learned from, though the answer is used.
+// Reported work and memory that exceed what an engine of the kind can have used are not learned from. The answer is
+// still used.
 func TestImplausibleUsage(t *testing.T) {
 	for _, c := range []struct {
 		work, memory float64
@@ -662,12 +667,13 @@
 		attempt.engine = &engineState{}
 		gw.g.setEntry(attempt.engine, config.Engine{})
 		if !gw.g.plausibleUsage(attempt) {
-			t.Errorf("%+v: nothing is known of that kind", c)
+			t.Errorf("%+v: rejected although the engine's kind is unknown", c)
 		}
 	}
 }
 
-// Engines answer errors to faulty queries. An error counts against the engine only if it has served nothing since its last error.
+// Engines answer faulty queries with errors. An error counts against the engine only if it has served nothing since its
+// last error.
 func TestErrorsOfAnEngineThatServes(t *testing.T) {
 	for _, serves := range []bool{true, false} {
 		gw := newTestGateway(t)
@@ -694,7 +700,7 @@
 			gw.advance(50 * rules.Millisecond)
 		}
 		if left := gw.g.module.EngineViews()[0].Ejected; left == serves {
-			t.Errorf("serves beside: %v, ejected: %v", serves, left)
+			t.Errorf("serves other queries: %v, ejected: %v", serves, left)
 		}
 	}
 }
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -16,6 +16,7 @@
 	"foxlane/rules"
 )
 
+// withSpool returns a change of the configuration that sets the site file to text.
 func withSpool(t testing.TB, text string) func(*config.Config) {
 	s := parseSite(t, text)
 	return func(cfg *config.Config) { cfg.Site = s }
@@ -26,7 +27,7 @@
 	diskSpoolSite   = "spool {\n folder = \"/nowhere\"\n threshold = \"0B\"\n}\n"
 )
 
-// The seven rules hold with results stored, in memory and on a disk that fails at times, with and without admission control.
+// The seven rules hold with results stored in memory or on a disk that fails at times, and with admission control.
 func TestRulesWithSpool(t *testing.T) {
 	for name, text := range map[string]string{"memory": memorySpoolSite, "disk": diskSpoolSite, "disk and admission control": diskSpoolSite + "fair {\n}\n"} {
 		for _, faultRate := range []float64{0, 0.4, 1} {
@@ -36,11 +37,11 @@
 					sim.play(6 * rules.Second)
 					sim.reportViolations()
 					if sim.sent < 250 || sim.served < 100 {
-						t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
+						t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
 					}
 					stats := sim.g.results.spool.Stats()
 					if stats.Completed < 100 || stats.Results != 0 || stats.Readers != 0 || stats.MemoryBytes != 0 || stats.DiskBytes != 0 || len(sim.g.results.filling) != 0 {
-						t.Errorf("left in the result store: %+v, %d being filled", stats, len(sim.g.results.filling))
+						t.Errorf("left in the result store: %+v, %d results being filled", stats, len(sim.g.results.filling))
 					}
 				})
 			}
@@ -48,7 +49,7 @@
 	}
 }
 
-// spoolGateway is a testGateway whose spool has a disk, which works at once unless it is paused.
+// spoolGateway is a testGateway with a spool. Its disk completes operations at once unless it is paused.
 type spoolGateway struct {
 	*testGateway
 	records       [][]byte
@@ -64,6 +65,7 @@
 	return gw
 }
 
+// stepWithDisk passes event, which may be nil, to the gateway, and executes the effects and the disk operations.
 func (gw *spoolGateway) stepWithDisk(event Event) {
 	if event != nil {
 		gw.g.Step(gw.now, event)
@@ -93,7 +95,7 @@
 	}
 }
 
-// runDisk lets the disk do what waits.
+// runDisk executes the pending disk operations.
 func (gw *spoolGateway) runDisk() {
 	pending := gw.pendingDisk
 	gw.pendingDisk = nil
@@ -126,12 +128,12 @@
 	gw.takeOutput(id)
 }
 
-// bigPage is page n of a result that the engine gives in many.
+// bigPage returns page n of a large result.
 func bigPage(n int) string {
 	return strings.Repeat(fmt.Sprintf("%d\tfield\t%s\n", n, strings.Repeat("x", 180)), 25)
 }
 
-// parseInt reads a decimal number.
+// parseInt parses a decimal number.
 func parseInt(t *testing.T, text string) int {
 	t.Helper()
 	n, err := strconv.Atoi(text)
@@ -141,7 +143,7 @@
 	return n
 }
 
-// startResult asks for a result of so many pages and lets the engine give the first.
+// startResult sends a request for a result of the given number of pages and answers with the first page.
 func (gw *spoolGateway) startResult(client ConnID, class, id, extraFields string, pages int) (connID ConnID) {
 	gw.receiveData(client, string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000%s */ SELECT 1 FROM sales_1.x", class, id, extraFields))))
 	if len(gw.dials) == 0 {
@@ -157,7 +159,7 @@
 
 var nextCommand = regexp.MustCompile(`NEXT ([0-9a-f]{16}) (\d+)\r\n`)
 
-// serveEngine answers all that the engine is asked for, until it is freed. It returns the commands that it saw.
+// serveEngine answers all requests for pages until there are none, and returns the commands that the engine received.
 func (gw *spoolGateway) serveEngine(connID ConnID) (received string) {
 	for {
 		got := gw.takeOutput(connID)
@@ -174,7 +176,8 @@
 	}
 }
 
-// readRows lets a client take what is written to it, to the end, and returns the rows: columns joined by tabs.
+// readRows reads up to the given number of chunks of a result. It returns the rows, with columns joined by tabs, and
+// how the result ended: "end", "cut short" or an error message.
 func (gw *spoolGateway) readRows(id ConnID, chunks int) (rows []string, end string) {
 	var all []byte
 	for range chunks {
@@ -215,6 +218,7 @@
 	return rows, "cut short"
 }
 
+// wantRows returns the rows of the pages from from to to, exclusive.
 func wantRows(from, to int) (rows []string) {
 	for n := from; n < to; n++ {
 		rows = append(rows, strings.Split(strings.TrimSuffix(bigPage(n), "\n"), "\n")...)
@@ -222,7 +226,7 @@
 	return rows
 }
 
-// splitRows returns the rows of the result, and the handle and the chunk numbers from the rows that the spool adds.
+// splitRows separates the rows of the result from the handle and the page numbers in the rows that the spool adds.
 func splitRows(t *testing.T, rows []string) (data []string, handle string, pages []int) {
 	for _, r := range rows {
 		switch f := strings.Split(r, "\t"); f[0] {
@@ -237,8 +241,8 @@
 	return data, handle, pages
 }
 
-// The engine is free as soon as it has given all pages, while the client has not read a byte; and the client gets every row, far more
-// than a gateway holds in memory.
+// The engine is freed as soon as it has sent all pages, even if the client has not read anything. The client gets every
+// row of a result that is much larger than the data written ahead to it.
 func TestEngineIsFreedBeforeClientReads(t *testing.T) {
 	for name, text := range map[string]string{"memory": memorySpoolSite, "disk": diskSpoolSite} {
 		gw := newSpoolGateway(t, text)
@@ -246,30 +250,30 @@
 		connID := gw.startResult(1, "point", idA, "", 150) // 700 KB
 		saw := gw.serveEngine(connID)
 		if !strings.HasSuffix(saw, "FREE "+idA+"\r\n") {
-			t.Fatalf("%s: the engine saw %.80q ... %.60q", name, saw, saw[max(0, len(saw)-60):])
+			t.Fatalf("%s: the engine got %.80q ... %.60q", name, saw, saw[max(0, len(saw)-60):])
 		}
 		if req := gw.g.requests[idA]; req != nil {
 			t.Errorf("%s: the request is still in flight", name)
 		}
 		first := len(gw.output[1])
 		if first > 128<<10 {
-			t.Errorf("%s: %d bytes are written to a client that has read none", name, first)
+			t.Errorf("%s: %d bytes were written to a client that has read none", name, first)
 		}
 		rows, end := gw.readRows(1, 1000)
 		if end != "end" || !slices.Equal(rows, wantRows(0, 150)) {
-			t.Errorf("%s: %d rows of %d, %s", name, len(rows), len(wantRows(0, 150)), end)
+			t.Errorf("%s: %d rows of %d, ended with %q", name, len(rows), len(wantRows(0, 150)), end)
 		}
 		if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.MemoryBytes != 0 {
 			t.Errorf("%s: left %+v", name, stats)
 		}
-		gw.receiveData(1, string(queryPacket("SET x = 1"))) // and the session goes on
+		gw.receiveData(1, string(queryPacket("SET x = 1"))) // the session can be used again
 		if gw.closed[1] || gw.takeOutput(1) == "" {
-			t.Errorf("%s: the session can't go on", name)
+			t.Errorf("%s: the session can't be used again", name)
 		}
 	}
 }
 
-// A client that goes half way reads on from where it was, on another connection, without the query running again.
+// A client that disconnects halfway resumes its result on another connection. The query does not run again.
 func TestResumeDoesNotRunAgain(t *testing.T) {
 	gw := newSpoolGateway(t, diskSpoolSite)
 	gw.login(1)
@@ -284,7 +288,7 @@
 	asks := gw.takeOutput(connID)
 	gw.login(2)
 	last := pages[len(pages)-1]
-	// The rows after the last complete chunk are read again.
+	// Rows after the last complete page are read again.
 	complete := 0
 	for i, r := range rows {
 		if strings.HasPrefix(r, fmt.Sprintf("#page\t%d\t", last)) {
@@ -299,24 +303,24 @@
 		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
 	}
 	if asks += gw.takeOutput(connID); strings.Contains(asks, "ASK") {
-		t.Error("the query ran again")
+		t.Error("the query was run again")
 	}
-	// It is kept until it is acknowledged: a second read of all, then not any more.
+	// The result is kept until it is released: it can be read again before that.
 	gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* resume=%s */ FETCH", handle))))
 	rest, end = gw.readRows(2, 1000)
 	if all, _, _ := splitRows(t, rest); end != "end" || !slices.Equal(all, wantRows(0, 60)) {
-		t.Errorf("read twice: %s, %d rows", end, len(all))
+		t.Errorf("second read: %s, %d rows", end, len(all))
 	}
 	gw.receiveData(2, string(queryPacket(fmt.Sprintf("/* release=%s */ FETCH", handle))))
 	if out := gw.takeOutput(2); len(out) < 5 || out[4] != 0 {
-		t.Errorf("release: %q", out)
+		t.Errorf("release was answered with %q", out)
 	}
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.DiskBytes != 0 {
 		t.Errorf("left %+v", stats)
 	}
 }
 
-// Whatever is wrong with a handle, the words are the same.
+// All invalid handles get the same error message.
 func TestInvalidHandles(t *testing.T) {
 	gw := newSpoolGateway(t, memorySpoolSite)
 	gw.login(1)
@@ -339,10 +343,10 @@
 		}
 	}
 	if len(messages) != 1 {
-		t.Errorf("denials differ: %v", messages)
+		t.Errorf("error messages differ: %v", messages)
 	}
 	if stats := gw.g.results.spool.Stats(); stats.Results != 1 {
-		t.Errorf("a denied release took effect: %+v", stats)
+		t.Errorf("a rejected release took effect: %+v", stats)
 	}
 	for _, bad := range []string{"/* resume=" + handle + ",page=-1 */ x", "/* resume=" + handle + ",page=x */ x", "/* resume=" + handle + ",resume=" + handle + " */ x"} {
 		gw.receiveData(2, string(queryPacket(bad)))
@@ -352,11 +356,11 @@
 	}
 }
 
-// A full spool rejects before anything runs, and the rejection names a Retry-After.
+// A full spool rejects requests before they run. The rejection has a Retry-After.
 func TestFullSpoolRejects(t *testing.T) {
 	gw := newSpoolGateway(t, "spool {\n memory = \"128KB\"\n result = \"128KB\"\n tenant = \"128KB\"\n}\n")
 	gw.login(1)
-	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 20)) // 93 KB, and it is not read
+	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 20)) // 93 KB, kept until released
 	gw.readRows(1, 100)
 	gw.login(2)
 	gw.receiveData(2, requestPacketWith("point", idB, ",spool=1"))
@@ -369,8 +373,8 @@
 	}
 }
 
-// A result that can't be stored ends with an error: failed where the query must not run again or the result never fits, else rejected.
-// The engine is released.
+// A request whose result can't be stored fails if the query must not run again or the result would never fit, and is
+// rejected otherwise. Here the result exceeds the size limit. The engine is freed.
 func TestResultThatCannotBeStored(t *testing.T) {
 	for _, c := range []struct {
 		class, want string
@@ -385,12 +389,13 @@
 			t.Errorf("%s: %q", c.class, out)
 		}
 		if !strings.Contains(saw, "FREE "+idA) || strings.Count(saw, "ASK") > 0 || len(gw.g.requests) != 0 {
-			t.Errorf("%s: the engine saw %q, %d requests are open", c.class, saw[max(0, len(saw)-80):], len(gw.g.requests))
+			t.Errorf("%s: the engine got %q, %d requests are open", c.class, saw[max(0, len(saw)-80):], len(gw.g.requests))
 		}
 	}
 }
 
-// A disk that fails while a lasting result is sealed: the client hears of it, by what its class allows.
+// The disk fails while a result with a handle is stored. A request that may be retried is rejected, a load fails. If
+// the disk hangs, the client gets a failure in time.
 func TestDiskFailure(t *testing.T) {
 	for class, want := range map[string]string{"point": "the query was refused", "load": "could not be kept: disk"} {
 		gw := newSpoolGateway(t, diskSpoolSite)
@@ -404,19 +409,19 @@
 			t.Errorf("%s: left %+v", class, stats)
 		}
 	}
-	// It hangs: the client has its answer in time.
+	// The disk hangs.
 	gw := newSpoolGateway(t, diskSpoolSite)
 	gw.login(1)
 	gw.diskPaused = true
 	gw.serveEngine(gw.startResult(1, "point", idA, ",spool=1", 3))
 	if out := gw.takeOutput(1); out != "" {
-		t.Fatalf("answered before it is safe: %q", out)
+		t.Fatalf("answered before the result is on disk: %q", out)
 	}
 	for end := gw.now + 2*rules.Second; gw.now < end; gw.now += 10 * rules.Millisecond {
 		gw.stepWithDisk(TimerFired{})
 	}
 	if out := gw.takeOutput(1); !strings.Contains(out, "failed") || len(gw.g.requests) != 0 {
-		t.Errorf("a disk that hangs: %q", out)
+		t.Errorf("the disk hangs: answered with %q", out)
 	}
 	gw.diskPaused = false
 	gw.stepWithDisk(TimerFired{})
@@ -425,7 +430,7 @@
 	}
 }
 
-// A result that is lost while it is read ends with an error, not with an end.
+// A result that is lost while it is read ends with an error instead of an EOF.
 func TestResultLostWhileRead(t *testing.T) {
 	gw := newSpoolGateway(t, diskSpoolSite)
 	gw.login(1)
@@ -437,7 +442,7 @@
 	}
 }
 
-// The engine dies half way: another attempt gives all, and nothing of the first is in it.
+// The engine dies after part of the result. The retry returns a complete result, without data of the first attempt.
 func TestRetryAfterPartialResult(t *testing.T) {
 	gw := newSpoolGateway(t, memorySpoolSite)
 	gw.login(1)
@@ -446,11 +451,11 @@
 	gw.stepWithDisk(ConnectionClosed{Conn: connID, AcceptedBytes: math.MaxInt64})
 	gw.stepWithDisk(TimerFired{})
 	if out := gw.takeOutput(1); out != "" {
-		t.Fatalf("the client has %q", out)
+		t.Fatalf("the client got %q", out)
 	}
 	secondConn := gw.dials[len(gw.dials)-1]
 	if secondConn == connID {
-		t.Fatal("no further attempt")
+		t.Fatal("the request was not retried")
 	}
 	gw.stepWithDisk(DialSucceeded{Conn: secondConn})
 	gw.takeOutput(secondConn)
@@ -462,7 +467,7 @@
 	}
 }
 
-// KILL ends an answer that is being read, and a command meanwhile is out of order.
+// KILL ends a result that is being read. A command sent while a result is being read closes the session.
 func TestKillWhileReading(t *testing.T) {
 	gw := newSpoolGateway(t, memorySpoolSite)
 	gw.login(1)
@@ -472,7 +477,7 @@
 	gw.receiveData(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", gw.g.clients[1].session))))
 	gw.stepWithDisk(WriteDrained{Conn: 1})
 	if out := gw.takeOutput(1); out != "" || !gw.closed[1] {
-		t.Errorf("after KILL the client got %d bytes", len(out))
+		t.Errorf("after KILL the client got %d bytes, or was not closed", len(out))
 	}
 	if stats := gw.g.results.spool.Stats(); stats.Results != 0 || stats.Readers != 0 {
 		t.Errorf("left %+v", stats)
@@ -482,6 +487,6 @@
 	gw.takeOutput(3)
 	gw.receiveData(3, string(queryPacket("SET x = 1")))
 	if !gw.closed[3] {
-		t.Error("a command while an answer is read was taken")
+		t.Error("a command was accepted while a result was being read")
 	}
 }
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -14,7 +14,7 @@
 	"foxlane/rules"
 )
 
-// connect opens a client's connection, with what it writes ahead.
+// connect opens a client connection. The pipelined bytes are sent along with the login.
 func (sim *simulation) connect(pipelined []byte) *simConn {
 	sim.lastConn++
 	conn := &simConn{id: sim.lastConn, client: true}
@@ -26,7 +26,8 @@
 	return conn
 }
 
-// sendRequest is sent by a client, at times in pieces or with the login ahead.
+// sendRequest sends a random request from an idle client, or from a new one together with its login. Some requests
+// are split into two reads.
 func (sim *simulation) sendRequest() {
 	class := sim.rng.IntN(len(simClasses))
 	if sim.rng.IntN(3) > 0 {
@@ -70,8 +71,8 @@
 	}
 }
 
-// startBadClient sends what no client would, in one piece or in two, and reads what it is sent. It is owed
-// an error or a close within 3 s.
+// startBadClient connects a client that sends invalid input, in one or two pieces. It must get an error or be closed
+// within 3 s.
 func (sim *simulation) startBadClient() {
 	sim.lastConn++
 	conn := &simConn{id: sim.lastConn, client: true, bad: true, replyDue: true}
@@ -86,14 +87,14 @@
 	input := loginPacket()
 	switch sim.rng.IntN(10) {
 	case 0:
-		input = nil // says nothing
+		input = nil // sends nothing
 	case 1:
 		input = input[:sim.rng.IntN(len(input))]
-	case 2: // asks for nothing
+	case 2: // logs in and sends no command
 	case 3:
 		q := queryPacket(fmt.Sprintf(format, "00000000000000ab", "900"))
 		input = append(input, q[:sim.rng.IntN(len(q))]...)
-	case 4: // 16 MB, of which little comes
+	case 4: // a packet of 16 MB, of which little is sent
 		input = append(append(input, 0xff, 0xff, 0xff, 0), bytes.Repeat([]byte{3}, 9000)...)
 	case 5:
 		input = append(input, queryPacket(fmt.Sprintf(format, "00000000000000ab", []string{"-1", "0", "1e9", "NaN", "99999999999", ""}[sim.rng.IntN(6)]))...)
@@ -112,17 +113,18 @@
 		input[2] |= 1 // a packet larger than any login
 	}
 	sim.step(ConnectionAccepted{Conn: conn.id})
-	if req := sim.requestsByID[openID]; req != nil && req.finished { // it was evicted for this connection: its id is free again
+	if req := sim.requestsByID[openID]; req != nil && req.finished { // its client was evicted for this connection, so its ID is free again
 		input = append(loginPacket(), queryPacket("SELECT 1")...)
 	}
 	sim.send(conn, input)
 	sim.schedule(3*rules.Second, func() {
 		if conn.replyDue && !sim.exited {
-			sim.violation(1, "a bad client has no error and no close after 3 s: %.60q", input)
+			sim.violation(1, "a bad client got no error and was not closed after 3 s: %.60q", input)
 		}
 	})
 }
 
+// send passes a client's bytes to the gateway, at times in two pieces.
 func (sim *simulation) send(conn *simConn, b []byte) {
 	cut := len(b)
 	if len(b) > 0 && sim.chance(0.3) {
@@ -136,7 +138,7 @@
 	}
 }
 
-// abandonRequest kills the query from another session, or just closes the connection.
+// abandonRequest kills a query from another session, or closes its client's connection.
 func (sim *simulation) abandonRequest(req *simRequest) {
 	if req.finished {
 		return
@@ -145,11 +147,11 @@
 	if conn == nil || conn.request != req || conn.closed {
 		return
 	}
-	if sim.rng.IntN(2) == 0 || conn.session == 0 { // it has no number to kill by
+	if sim.rng.IntN(2) == 0 || conn.session == 0 { // KILL needs its session ID
 		sim.endConn(conn, true)
 		return
 	}
-	if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither was evicted for the other
+	if killer := sim.connect(nil); !killer.closed && !req.finished && conn.request == req { // neither client was evicted to make room for the other
 		req.killed, req.finished, req.goneAt = true, true, sim.now
 		sim.step(&DataReceived{Conn: killer.id, Data: queryPacket(fmt.Sprintf("KILL QUERY %d", conn.session))})
 	}
@@ -160,7 +162,7 @@
 	})
 }
 
-// readClientInput judges what a client gets: greeting, login, then answers.
+// readClientInput checks what a client receives: the greeting, the answer to its login, then results and errors.
 func (sim *simulation) readClientInput(conn *simConn) {
 	for len(conn.input) >= 4 {
 		n := int(conn.input[0]) | int(conn.input[1])<<8 | int(conn.input[2])<<16
@@ -171,7 +173,7 @@
 		req := conn.request
 		if conn.bad {
 			switch {
-			case conn.session == 0 || p[0] == 0: // the greeting, the OK of a login
+			case conn.session == 0 || p[0] == 0: // the greeting, or the OK of a login
 				conn.session = 1
 			case p[0] == 0xff:
 				if conn.replyDue {
@@ -195,11 +197,11 @@
 		case !conn.loggedIn:
 			conn.loggedIn = p[0] == 0
 			if !conn.loggedIn {
-				sim.t.Errorf("login answered with %q", p)
+				sim.t.Errorf("the login was answered with %q", p)
 			}
-		case req == nil: // of KILL
+		case req == nil: // the answer to a KILL
 		case req.killed:
-			sim.violation(1, "an answer to %s, which was killed", req.id)
+			sim.violation(1, "%s was killed, and got an answer", req.id)
 		case p[0] == 0xff:
 			sim.recordAnswer(conn, "error", binary.LittleEndian.Uint16(p[1:]))
 		default:
@@ -212,7 +214,8 @@
 	}
 }
 
-// readResult reads a complete result set and checks it against the pages.
+// readResult reads a result set and compares it with the pages of the engines. It returns false while the result set
+// is incomplete.
 func (sim *simulation) readResult(conn *simConn, req *simRequest) bool {
 	var packets [][]byte
 	input, eofs := conn.input, 0
@@ -248,22 +251,23 @@
 		found = found || attempt.pages != nil && strings.Join(attempt.pages, "") == got.String()
 	}
 	if !found {
-		sim.violation(1, "%s was served with what no engine made: %q", req.id, got.String())
+		sim.violation(1, "%s got a result that no engine returned: %q", req.id, got.String())
 	}
 	sim.recordAnswer(conn, "served", 0)
 	return true
 }
 
+// recordAnswer checks and counts the final answer to a client's request.
 func (sim *simulation) recordAnswer(conn *simConn, outcome string, code uint16) {
 	req := conn.request
 	if req == nil {
 		return
 	}
 	if req.answers++; req.answers > 1 || req.finished {
-		sim.violation(1, "%s is answered again (%s %d)", req.id, outcome, code)
+		sim.violation(1, "%s was answered again (%s %d)", req.id, outcome, code)
 	}
 	if sim.now > req.due+timingSlack {
-		sim.violation(1, "%s is answered %d ms late", req.id, (sim.now-req.due)/rules.Millisecond)
+		sim.violation(1, "%s was answered %d ms late", req.id, (sim.now-req.due)/rules.Millisecond)
 	}
 	switch {
 	case outcome == "served":
@@ -281,19 +285,19 @@
 	}
 }
 
-// checkRejection checks that a retry is harmless, as a rejection says (rule 2).
+// checkRejection checks that a rejected request can be retried safely, as the rejection implies (rule 2).
 func (sim *simulation) checkRejection(req *simRequest) {
 	if req.class != classLoad && req.class != classNote {
 		return
 	}
 	for _, attempt := range req.attempts {
 		if !attempt.neverRan {
-			sim.violation(2, "%s is rejected and may have run", req.id)
+			sim.violation(2, "%s was rejected and may have run", req.id)
 		}
 	}
 }
 
-// checkWritten judges attempts as they are written.
+// checkWritten checks the requests that the gateway writes to an engine.
 func (sim *simulation) checkWritten(engine *simEngine, out []byte) {
 	for line := range bytes.Lines(out) {
 		words := strings.Fields(string(line))
@@ -301,30 +305,30 @@
 			continue
 		}
 		req := sim.requestsByID[words[1]]
-		if req != nil && req.finished && !req.clientLeft { // that a client left takes a while to be known
-			sim.violation(1, "%s is sent after its end", req.id)
+		if req != nil && req.finished && !req.clientLeft { // the gateway learns of a disconnect after a delay
+			sim.violation(1, "%s was sent after its end", req.id)
 		}
 		if req != nil {
-			sim.traceSlowStart(engine, fmt.Sprintf("%s %s of %.0f ms is written", simClasses[req.class].name, req.id, float64(req.work)/float64(rules.Millisecond)))
+			sim.traceSlowStart(engine, fmt.Sprintf("%s %s of %.0f ms was written", simClasses[req.class].name, req.id, float64(req.work)/float64(rules.Millisecond)))
 		}
 	}
 }
 
-// checkSend judges an attempt that has come to an engine.
+// checkSend checks an attempt that has reached an engine.
 func (sim *simulation) checkSend(req *simRequest, engine *simEngine) {
 	for _, attempt := range req.attempts {
 		switch {
 		case !attempt.ended:
-			sim.violation(2, "%s has two attempts out", req.id)
+			sim.violation(2, "%s has two attempts in flight", req.id)
 		case attempt.neverRan:
 		case req.class == classLoad:
-			sim.violation(2, "%s is sent again and may have run", req.id)
+			sim.violation(2, "%s was sent again and may have run", req.id)
 		case req.class == classNote && (attempt.engine.host.Zone != engine.host.Zone || sim.now > attempt.at+1500*rules.Millisecond):
-			sim.violation(2, "%s is sent again outside of its group or window", req.id)
+			sim.violation(2, "%s was sent again outside its group or deduplication window", req.id)
 		}
 	}
 	if engine.notifiedAt != 0 && sim.now > engine.notifiedAt+rules.Second+timingSlack {
-		sim.violation(3, "%s is sent to %s, which drains or is gone", req.id, engine.host.ID)
+		sim.violation(3, "%s was sent to %s, which drains or was removed", req.id, engine.host.ID)
 	}
 	sim.checkSlowStart(req, engine)
 	if req.key != "" {
@@ -334,19 +338,19 @@
 			}
 			out := slices.ContainsFunc(other.attempts, func(attempt *simAttempt) bool { return !attempt.ended })
 			if other.key == req.key && (out || sim.now+timingSlack < other.quarantinedUntil) {
-				sim.violation(5, "%s is sent out of order, after %s", req.id, other.id)
+				sim.violation(5, "%s was sent out of order, after %s", req.id, other.id)
 			}
 			if other.key == req.key && !other.finished {
-				sim.schedule(0, func() { // what was written at once may come in another order
+				sim.schedule(0, func() { // requests that were written at once may arrive in another order
 					if !other.finished {
-						sim.violation(5, "%s is sent out of order, while %s is in flight", req.id, other.id)
+						sim.violation(5, "%s was sent out of order, while %s was in flight", req.id, other.id)
 					}
 				})
 			}
 		}
 	}
 	if req.class == 1 && engine.host.Zone != "hall-b" {
-		sim.violation(6, "%s is sent to %s", req.id, engine.host.Zone)
+		sim.violation(6, "%s was sent to %s", req.id, engine.host.Zone)
 	}
 	if len(req.attempts) > 0 {
 		const window = 2 * rules.Second
@@ -368,11 +372,12 @@
 	}
 }
 
-// slowStartPeriod is that of the settings.
+// slowStartPeriod is the slow-start period of simSettings.
 const slowStartPeriod = 4 * rules.Second
 
-// checkSlowStart: a cold engine gets at most its budget within any span (rule 4). What was sent before the gateway was told
-// of its start counts, and breaks the rule only if two thirds of it all were sent after that.
+// checkSlowStart checks that an engine in slow start gets at most its budget of work within any window (rule 4). Work
+// sent before the gateway was notified of the restart counts as well, but excess work breaks the rule only if at
+// least two thirds of it all were sent after the notification.
 func (sim *simulation) checkSlowStart(req *simRequest, engine *simEngine) {
 	const period, window, cores, initialFraction, factor = slowStartPeriod, rules.Second, 16, 0.3, 2
 	if engine.slowStartSince == 0 || sim.now > engine.slowStartSince+period {
@@ -390,7 +395,7 @@
 	}
 	fraction := initialFraction + (1-initialFraction)*float64(sim.now-engine.slowStartSince)/float64(period)
 	if budget := factor * fraction * cores * float64(window); total > budget && afterNotification >= total*2/3 {
-		sim.violation(4, "%s got %.0f of %.0f", engine.host.ID, total, budget)
+		sim.violation(4, "%s got %.0f us of work, its budget is %.0f us", engine.host.ID, total, budget)
 		if engine.slowStartTrace != nil {
 			sim.violation(4, "%s until then:\n%s", engine.host.ID, strings.Join(engine.slowStartTrace, "\n"))
 			engine.slowStartTrace = nil
@@ -398,7 +403,7 @@
 	}
 }
 
-// traceSlowStart notes what happens to an engine that warms up, beside the gateway's own account of its budget.
+// traceSlowStart records an event of an engine in slow start, with the gateway's own accounting of its budget.
 func (sim *simulation) traceSlowStart(engine *simEngine, what string) {
 	if engine.slowStartSince == 0 || sim.now > engine.slowStartSince+slowStartPeriod {
 		return
@@ -413,13 +418,13 @@
 		float64(sim.now-sim.start)/float64(rules.Millisecond), float64(sim.now-engine.slowStartSince)/float64(rules.Millisecond), what, counted))
 }
 
-// injectFaults has engines and the list fail now and then.
+// injectFaults schedules random failures of engines, changes of the endpoint list and bursts of requests.
 func (sim *simulation) injectFaults(until rules.Time) {
 	for at := 500 * rules.Millisecond; at < until; at += rules.Time(200+sim.rng.IntN(600)) * rules.Millisecond {
 		sim.schedule(at, func() {
 			engine := sim.engines[fmt.Sprintf("s-%08x", sim.rng.IntN(len(sim.engines)))]
 			switch sim.rng.IntN(6) {
-			case 0: // the process dies and comes back cold, at the same address
+			case 0: // its process dies and restarts cold at the same address
 				sim.resetConns(engine)
 				engine.refusing, engine.silent = true, false
 				sim.schedule(600*rules.Millisecond, func() {
@@ -429,17 +434,17 @@
 					engine.host.Started = int64(sim.now / rules.Millisecond)
 					sim.serial++
 				})
-			case 1: // the machine falls silent for a while
+			case 1: // its machine is silent for a while
 				engine.silent = true
 				sim.schedule(900*rules.Millisecond, func() { engine.silent = false })
-			case 2: // it is drained, and taken back
+			case 2: // it is drained and put back into service
 				engine.host.Draining = true
 				sim.serial++
 				sim.schedule(1500*rules.Millisecond, func() {
 					engine.host.Draining, engine.notifiedAt = false, 0
 					sim.serial++
 				})
-			case 3: // it leaves the list and dies later
+			case 3: // it is removed from the list, then dies
 				engine.delisted = true
 				sim.serial++
 				sim.schedule(1200*rules.Millisecond, func() { sim.resetConns(engine) })
@@ -447,9 +452,9 @@
 					engine.delisted, engine.notifiedAt = false, 0
 					sim.serial++
 				})
-			case 4: // its connections break
+			case 4: // its connections are reset
 				sim.resetConns(engine)
-			case 5: // a burst
+			case 5: // a burst of requests
 				for range 40 {
 					sim.sendRequest()
 				}
@@ -459,14 +464,14 @@
 }
 
 func (sim *simulation) resetConns(engine *simEngine) {
-	for _, id := range slices.Sorted(maps.Keys(sim.conns)) { // each takes a latency from the generator
+	for _, id := range slices.Sorted(maps.Keys(sim.conns)) { // in a fixed order, since each draws a latency from the generator
 		if conn := sim.conns[id]; conn.engine == engine && !conn.closed {
 			sim.endConn(conn, true)
 		}
 	}
 }
 
-// The seven rules hold on the bytes that clients and engines see, whatever fails.
+// The seven rules hold with and without injected faults.
 func TestRulesUnderFailures(t *testing.T) {
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range seeds(12) {
@@ -475,10 +480,10 @@
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
 				if sim.sent < 300 || sim.served < 100 {
-					t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
 				}
 				if faultRate > 0 && (sim.badClientsEnded < 50 || sim.malformedAnswers < 2) {
-					t.Errorf("only %d bad clients and %d malformed answers: the test has lost its subject", sim.badClientsEnded, sim.malformedAnswers)
+					t.Errorf("only %d bad clients and %d malformed answers: the test covers too little", sim.badClientsEnded, sim.malformedAnswers)
 				}
 				if faultRate == 0 && sim.failed > 0 {
 					t.Errorf("%d failures without faults", sim.failed)
@@ -488,7 +493,7 @@
 	}
 }
 
-// play lets requests come for a time, then shuts the gateway down by SIGTERM and checks that no state is left.
+// play sends requests for the given duration, then shuts the gateway down and checks that no state is left.
 func (sim *simulation) play(length rules.Time) {
 	for at := rules.Time(0); at < length; at += rules.Time(sim.rng.IntN(20)) * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
@@ -498,7 +503,7 @@
 		for at := rules.Time(0); at < length; at += rules.Time(sim.rng.IntN(60)) * rules.Millisecond {
 			sim.schedule(at, sim.startBadClient)
 		}
-		for at := rules.Second; at < length; at += rules.Second { // the file is read again, as it was
+		for at := rules.Second; at < length; at += rules.Second { // the configuration is reloaded, changed by reloadChange if set
 			sim.schedule(at, func() {
 				cfg := sim.g.cfg
 				if sim.reloadChange != nil {
@@ -516,7 +521,7 @@
 	sim.checkShutdown()
 }
 
-// checkShutdown checks that a gateway that got SIGTERM has answered all requests and exited in time.
+// checkShutdown checks that the gateway has answered all requests and exited in time after the shutdown request.
 func (sim *simulation) checkShutdown() {
 	for i, n := range sim.g.violations {
 		if n > 0 {
@@ -524,10 +529,10 @@
 		}
 	}
 	if !sim.exited {
-		sim.t.Errorf("not ended %d ms after SIGTERM, %d requests in flight", (sim.now-sim.terminatedAt)/rules.Millisecond, sim.g.unanswered)
+		sim.t.Errorf("the gateway has not exited %d ms after the shutdown request, %d requests in flight", (sim.now-sim.terminatedAt)/rules.Millisecond, sim.g.unanswered)
 	}
 	if late := sim.now - sim.terminatedAt; late > 3700*rules.Millisecond {
-		sim.t.Errorf("ended %d ms after SIGTERM", late/rules.Millisecond)
+		sim.t.Errorf("the gateway exited %d ms after the shutdown request", late/rules.Millisecond)
 	}
 	for _, req := range sim.requests {
 		if !req.finished {
@@ -539,7 +544,7 @@
 	}
 }
 
-// Without SIGTERM, nothing is left of requests whose time is over.
+// Without a shutdown too, no state is left of requests after their deadlines.
 func TestNoStateLeftWithoutShutdown(t *testing.T) {
 	sim := newSimulation(t, 99, 1)
 	for at := rules.Time(0); at < 4*rules.Second; at += 10 * rules.Millisecond {
@@ -548,12 +553,12 @@
 	sim.injectFaults(4 * rules.Second)
 	sim.run(sim.start + 12*rules.Second)
 	if n := len(sim.g.requests); n != 0 || sim.g.statementBytes != 0 || sim.g.resultBytes != 0 || len(sim.g.pageQueue) != 0 {
-		t.Errorf("left: %d requests, %d bytes of statements, %d of results, %d in line for pages",
+		t.Errorf("left: %d requests, %d bytes of statements, %d bytes of results, %d attempts queued for pages",
 			n, sim.g.statementBytes, sim.g.resultBytes, len(sim.g.pageQueue))
 	}
 	for _, conn := range sim.g.engineConns {
 		if conn.load() != 0 {
-			t.Errorf("a connection to %s still carries %d", conn.engine.entry.ID, conn.load())
+			t.Errorf("a connection to %s still carries %d requests", conn.engine.entry.ID, conn.load())
 		}
 	}
 	if n := sim.g.timers.len(); n > 100 {
@@ -561,14 +566,14 @@
 	}
 }
 
-// Over ten minutes of engines that come and go under new names, at used addresses too, and of clients
-// that are always new, some of which ask once and stay, nothing is kept of what has gone.
+// Over ten simulated minutes engines are replaced under new IDs at reused addresses, and each request comes from a new
+// client. The gateway keeps no state of engines, clients and requests that are gone.
 func TestNoStateLeftAfterChurn(t *testing.T) {
 	sim := newSimulation(t, 5, 0.2)
 	const length = 10 * 60 * rules.Second
 	n := len(sim.engines)
 	for at := rules.Second; at < length; at += 3 * rules.Second {
-		sim.schedule(at, func() { // the oldest leaves, and a new one comes where it was
+		sim.schedule(at, func() { // a new engine takes the address of the oldest one
 			old := sim.engines[fmt.Sprintf("s-%08x", n-4)]
 			old.delisted = true
 			sim.serial++
@@ -587,12 +592,12 @@
 	}
 	for at := rules.Time(0); at < length; at += 30 * rules.Millisecond {
 		sim.schedule(at, func() {
-			sim.idleClients = nil // the next client is new
+			sim.idleClients = nil // the request comes from a new client
 			sim.sendRequest()
 		})
 	}
 	var sizes [2][8]int
-	for i := range sizes { // both times a while after a change, in the middle and at the end
+	for i := range sizes { // in the middle and at the end, both a while after a change of the list
 		sim.run(sim.start + length/2*rules.Time(i+1) - 100*rules.Millisecond)
 		g := sim.g
 		conns := 0
@@ -601,12 +606,12 @@
 		}
 		sizes[i] = [...]int{len(g.engines), len(g.engineOrder), len(g.engineConns), len(g.clients), len(g.sessions), len(g.requests), g.timers.len(), len(g.module.EngineViews())}
 		if conns != len(g.engineConns) || len(g.engines) > 8 || len(g.module.EngineViews()) > 12 || len(g.clients) > 200 || g.timers.len() > 1500 {
-			t.Errorf("at %d s: engines, listed, connections to them, clients, sessions, requests, timers, engines in the module: %v",
+			t.Errorf("at %d s: engines, listed engines, engine connections, clients, sessions, requests, timers, engines in the module: %v",
 				(sim.now-sim.start)/rules.Second, sizes[i])
 		}
 	}
 	if sim.served < 5000 {
-		t.Errorf("only %d served: the test has lost its subject", sim.served)
+		t.Errorf("only %d served: the test covers too little", sim.served)
 	}
 	sim.reportViolations()
 }
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -21,8 +21,18 @@
 	"foxlane/rules"
 )
 
-// simulation is clients, engines and a name service on a fake clock around one reducer. It keeps its own record of requests, and judges the
-// seven rules by the bytes that it sees alone.
+// simulation runs one reducer with simulated clients, engines and a name service on a fake clock. It keeps its own
+// record of the requests and checks the seven rules only by the bytes that clients and engines see:
+//
+//  1. Each request gets one answer by its deadline, or none if its client has gone or killed it. A request whose
+//     client has gone reaches no engine.
+//  2. Attempts of one request never run in parallel. A request that may have run is retried or rejected only if
+//     running it again is safe.
+//  3. An engine that drains or was removed gets no requests from 1 s after the notification.
+//  4. An engine in slow start gets at most its budget of work.
+//  5. Requests with the same key are sent in order.
+//  6. Requests are sent only to the zones that their class allows.
+//  7. Retries stay within the retry budget.
 type simulation struct {
 	t                 *testing.T
 	g                 *Gateway
@@ -32,7 +42,7 @@
 	queue             minheap.Heap[simEvent, *simEvent]
 	eventSeq          int
 	wakeAt            rules.Time
-	faultRate         float64 // how often things fail
+	faultRate         float64 // scales the probability of each fault; 0: no faults
 	conns             map[ConnID]*simConn
 	lastConn          ConnID
 	idleClients       []*simConn // clients without a request
@@ -47,27 +57,27 @@
 	rejected          int
 	failed            int
 	exited            bool
-	terminatedAt      rules.Time           // when SIGTERM came; 0: not yet
-	badClientsEnded   int                  // bad clients that have had their error or their close
-	malformedAnswers  int                  // answers that were
-	nextClientAddr    func() netip.Addr    // of the next client; nil: unknown
-	reloadChange      func(*config.Config) // what changes at a reload; nil: nothing
-	diskRecords       [][]byte             // on the spool's disk
-	commandAnswers    []string             // to operators' commands
-	localExhaustion   bool                 // dials fail because a local resource is exhausted
-	localDialFailures int                  // that did
-	lastReadAt        rules.Time           // when the last of what came while it was stopped is read
-	pausedUntil       rules.Time           // the gateway's process is stopped until then
-	clockSkew         rules.Time           // by how much the wall clock was stepped
-	onEffect          func(Effect)         // sees each effect ahead of its execution; nil: nobody does
+	terminatedAt      rules.Time           // when the shutdown was requested; 0: not yet
+	badClientsEnded   int                  // bad clients that got an error or were closed
+	malformedAnswers  int                  // malformed answers sent by engines
+	nextClientAddr    func() netip.Addr    // returns the next client's address; nil: addresses are unknown
+	reloadChange      func(*config.Config) // changes the configuration at a reload; nil: no change
+	diskRecords       [][]byte             // records on the spool's disk
+	commandAnswers    []string             // answers to operator commands
+	localExhaustion   bool                 // all dials fail because a local resource is exhausted
+	localDialFailures int                  // dials that failed because of localExhaustion
+	lastReadAt        rules.Time           // when the last event that arrived during a pause is read
+	pausedUntil       rules.Time           // the gateway's process is paused until this time
+	clockSkew         rules.Time           // how far the wall clock was stepped ahead
+	onEffect          func(Effect)         // called with each effect before its execution; may be nil
 }
 
 var (
-	firstSeed = flag.Uint64("seed", 0, "the first seed of a randomized test")
-	seedCount = flag.Uint64("seeds", 0, "how many seeds a randomized test plays; 0: as many as it names")
+	firstSeed = flag.Uint64("seed", 0, "first seed of the randomized tests")
+	seedCount = flag.Uint64("seeds", 0, "number of seeds of the randomized tests; 0: each test's default")
 )
 
-// seeds are those of a randomized test that names how many it plays, or what the flags say.
+// seeds yields the seeds of a randomized test. The flag -seeds overrides the default count.
 func seeds(named uint64) iter.Seq[uint64] {
 	count := cmp.Or(*seedCount, named)
 	return func(yield func(uint64) bool) {
@@ -79,45 +89,45 @@
 	}
 }
 
-// simEvent is something that is to happen in the simulation.
+// simEvent is a scheduled action of the simulation.
 type simEvent struct {
 	at  rules.Time
-	seq int // events of one time happen in the order in which they were scheduled
+	seq int // orders events of the same time as they were scheduled
 	do  func()
 }
 
-// Before orders events by time, then by when they were scheduled.
+// Before orders events by time, then in the order in which they were scheduled.
 func (e *simEvent) Before(other *simEvent) bool {
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-// simConn is a client's or an engine's end of a connection.
+// simConn is the client's or engine's end of a connection.
 type simConn struct {
 	id       ConnID
 	session  uint32
 	client   bool
 	input    []byte
 	loggedIn bool
-	bad      bool // sends what no client would
-	replyDue bool // an error or a close
+	bad      bool // the client sends invalid input
+	replyDue bool // the bad client must still get an error or be closed
 	request  *simRequest
 	engine   *simEngine
 	inFlight map[string]*simAttempt
 	closed   bool
-	written  int64      // bytes that the system took for it
-	delay    rules.Time // to its engine; 0: of a client, which is notified at once
+	written  int64      // bytes that the operating system accepted from the gateway
+	delay    rules.Time // network delay to the engine; 0 for clients
 }
 
 type simEngine struct {
 	host            standin.Host
-	delisted        bool // from the list
-	refusing        bool // refuses connections
-	silent          bool // says nothing any more
-	notifiedAt      rules.Time
-	slowStartSince  rules.Time
+	delisted        bool       // removed from the endpoint list
+	refusing        bool       // refuses new connections
+	silent          bool       // accepts and sends nothing
+	notifiedAt      rules.Time // when the gateway was notified that it drains or was removed
+	slowStartSince  rules.Time // when its process restarted; 0: it has not
 	slowStartSends  []timedWork
-	startNotifiedAt rules.Time // when the gateway was notified of its start
-	slowStartTrace  []string   // what the gateway wrote to it since its start and what it counted, for a violation of rule 4
+	startNotifiedAt rules.Time // when the gateway was notified of the restart
+	slowStartTrace  []string   // requests written to it since its restart and the gateway's accounting, reported with a violation of rule 4
 }
 
 type timedWork struct {
@@ -137,9 +147,9 @@
 	answers          int
 	killed           bool
 	clientLeft       bool       // the client closed its connection
-	goneAt           rules.Time // when it did, or killed its query; 0: it has not
+	goneAt           rules.Time // when the client disconnected or killed its query; 0: it has not
 	finished         bool
-	quarantinedUntil rules.Time // its key rests until then
+	quarantinedUntil rules.Time // end of the quarantine of its key
 }
 
 type simAttempt struct {
@@ -148,7 +158,7 @@
 	conn     *simConn
 	at       rules.Time
 	ended    bool
-	neverRan bool // proven never to have run
+	neverRan bool // it is known that the attempt never ran
 	pages    []string
 }
 
@@ -182,10 +192,10 @@
 const (
 	classLoad   = 2
 	classNote   = 3
-	timingSlack = 5*rules.Millisecond + 50*rules.Millisecond // of the settings, and that of sockets
+	timingSlack = 5*rules.Millisecond + 50*rules.Millisecond // answerSlack of the settings, plus a margin for sockets
 )
 
-// simConfig is a configuration as a file holds it.
+// simConfig parses a configuration file with simSettings and the given engines.
 func simConfig(t testing.TB, engines []standin.Host) config.Config {
 	var servers []string
 	for _, host := range engines {
@@ -206,7 +216,8 @@
 	return newSimulationWith(t, seed, faultRate, nil)
 }
 
-// newSimulationWith starts a gateway on a configuration that was changed.
+// newSimulationWith returns a simulation with four engines in two zones. Unless modify is nil, it may change the
+// configuration.
 func newSimulationWith(t *testing.T, seed uint64, faultRate float64, modify func(*config.Config)) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1_700_000_000 * rules.Second, faultRate: faultRate, serial: 1,
 		conns: map[ConnID]*simConn{}, engines: map[string]*simEngine{}, requestsByID: map[string]*simRequest{}}
@@ -232,7 +243,7 @@
 	sim.queue.Push(simEvent{sim.now + d, sim.eventSeq, do})
 }
 
-// reportViolations fails the test by the first violations of the rules, if there are any.
+// reportViolations fails the test with the first five violations of the rules, if there are any.
 func (sim *simulation) reportViolations() {
 	sim.t.Helper()
 	for _, text := range sim.violations[:min(len(sim.violations), 5)] {
@@ -248,7 +259,7 @@
 	if sim.exited {
 		return
 	}
-	if sim.now < sim.pausedUntil { // it waits in the system, and is read a moment after the process goes on
+	if sim.now < sim.pausedUntil { // the event waits in the operating system and is read after the process resumes
 		event = cloneData(event)
 		sim.lastReadAt = max(sim.lastReadAt, sim.pausedUntil) + readAfterPause
 		sim.schedule(sim.lastReadAt-sim.now, func() { sim.step(event) })
@@ -271,7 +282,7 @@
 	sim.executeEffects()
 }
 
-// cloneData copies the bytes of an event that is kept until later.
+// cloneData returns an event whose data stays valid after the caller reuses its buffer.
 func cloneData(event Event) Event {
 	switch e := event.(type) {
 	case *DataReceived:
@@ -289,14 +300,14 @@
 	return event
 }
 
-// readAfterPause is how long the process takes to read each of the things that came while it was stopped: its timers are first,
-// and where many have come, or other processes want the processor too, the last is read late.
+// readAfterPause is the time in microseconds that the process takes to read each event that arrived during a pause.
+// Timers fire first; the last event is read late if many have arrived or other processes compete for the processor.
 const readAfterPause = 300
 
-// pauseProcess stops the gateway's process for a while.
+// pauseProcess stops the gateway's process for the duration d.
 func (sim *simulation) pauseProcess(d rules.Time) { sim.pausedUntil = sim.now + d }
 
-// run plays until then.
+// run plays scheduled events and the gateway's timers up to the time until.
 func (sim *simulation) run(until rules.Time) {
 	for !sim.exited {
 		at := until
@@ -353,7 +364,7 @@
 				sim.endConn(conn, false)
 				continue
 			}
-			sim.schedule(conn.delay, func() { // after what was written
+			sim.schedule(conn.delay, func() { // after the pending writes
 				if !conn.closed {
 					sim.endConn(conn, false)
 				}
@@ -378,7 +389,7 @@
 	}
 }
 
-// submitDisk does what the spool asks for, after a while, and at times fails.
+// submitDisk executes a disk operation of the spool after a delay. A fraction of the operations fails.
 func (sim *simulation) submitDisk(effect spool.DiskEffect) {
 	fails := sim.chance(0.02)
 	sim.schedule(sim.latency(), func() {
@@ -418,7 +429,7 @@
 	}
 	msg := standin.EncodeAnswer(binary.BigEndian.Uint16(query), "_data._tcp.farm.lan", sim.serial, hosts)
 	serial := sim.serial
-	if sim.chance(0.1) { // forged, broken or cut short
+	if sim.chance(0.1) { // forged, corrupt or truncated
 		msg[sim.rng.IntN(12)] ^= 1 << sim.rng.IntN(8)
 		msg = msg[:1+sim.rng.IntN(len(msg))]
 		serial = 0
@@ -428,11 +439,11 @@
 		delay += 400 * rules.Millisecond
 	}
 	sim.schedule(delay, func() {
-		if serial == sim.serial { // the gateway is notified of what it says
+		if serial == sim.serial { // the answer notifies the gateway of the current list
 			for _, host := range hosts {
 				if engine := sim.engines[host.ID]; engine.startNotifiedAt == 0 && engine.slowStartSince != 0 && host.Started == engine.host.Started {
 					engine.startNotifiedAt = sim.now
-					sim.traceSlowStart(engine, "the list with its start reaches the gateway")
+					sim.traceSlowStart(engine, "the list with its start time reaches the gateway")
 				}
 			}
 			for _, engine := range sim.engines {
@@ -482,13 +493,13 @@
 		}
 		words := strings.Fields(string(line))
 		if len(words) < 2 {
-			sim.t.Fatalf("engine got %q", line)
+			sim.t.Fatalf("engine received malformed line %q", line)
 		}
 		switch words[0] {
 		case "ASK":
 			n, err := strconv.Atoi(words[3])
 			if err != nil {
-				sim.t.Fatalf("engine got %q", line)
+				sim.t.Fatalf("engine received malformed line %q", line)
 			}
 			if len(rest) < n+2 {
 				return
@@ -516,7 +527,7 @@
 	}
 }
 
-// endAttempt ends an attempt from outside: it is not out any more.
+// endAttempt ends an attempt that its engine has answered. neverRan is set if the answer proves that it never ran.
 func (sim *simulation) endAttempt(attempt *simAttempt, neverRan bool) {
 	if attempt.ended {
 		return
@@ -524,13 +535,14 @@
 	attempt.ended, attempt.neverRan = true, neverRan
 }
 
-// interruptAttempt ends an attempt that may still run: its key rests.
+// interruptAttempt ends an attempt that may still run on its engine, so its key is quarantined.
 func (sim *simulation) interruptAttempt(attempt *simAttempt) {
 	if !attempt.ended {
 		attempt.ended, attempt.request.quarantinedUntil = true, sim.now+300*rules.Millisecond
 	}
 }
 
+// respond sends an engine's answer after a delay. It calls onSend, which may be nil, before the gateway receives it.
 func (sim *simulation) respond(conn *simConn, text string, onSend func()) {
 	sim.schedule(sim.latency(), func() {
 		if conn.closed || conn.engine.silent {
@@ -539,7 +551,7 @@
 		if onSend != nil {
 			onSend()
 		}
-		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // in two pieces
+		if cut := sim.rng.IntN(len(text)); sim.chance(0.5) { // split into two reads
 			sim.step(&DataReceived{Conn: conn.id, Data: []byte(text[:cut])})
 			text = text[cut:]
 		}
@@ -549,7 +561,7 @@
 	})
 }
 
-// parseTTL is for how long an engine may run what it is asked for.
+// parseTTL returns how long an engine may run a request, from the fields of its ASK line.
 func parseTTL(fields string) rules.Time {
 	for _, f := range strings.Split(fields, ",") {
 		if text, ok := strings.CutPrefix(f, "ttl="); ok {
@@ -560,33 +572,34 @@
 	return 0
 }
 
-// maxStartAfterLeave is how long an attempt may begin after its client has gone, with the way to the engine.
+// maxStartAfterLeave is the maximum time between a client's departure and the arrival of its request at an engine,
+// including the network delay.
 const maxStartAfterLeave = 100*rules.Millisecond + 5*rules.Millisecond
 
 func (sim *simulation) receiveAsk(conn *simConn, id, fields, statement string) {
 	req, engine := sim.requestsByID[id], conn.engine
 	if req == nil {
-		sim.t.Fatalf("engine was asked for %s, which no client sent", id)
+		sim.t.Fatalf("engine received request %s, which no client sent", id)
 	}
 	if !strings.Contains(statement, "WHERE tag = '"+id+"'") || !strings.Contains(fields, "lane="+simClasses[req.class].name) {
 		sim.t.Fatalf("request %s reached the engine as %s %q", id, fields, statement)
 	}
 	sim.checkSend(req, engine)
 	if req.goneAt != 0 && sim.now > req.goneAt+maxStartAfterLeave {
-		sim.violation(1, "%s came to an engine %d ms after its client had gone", req.id, (sim.now-req.goneAt)/rules.Millisecond)
+		sim.violation(1, "%s reached an engine %d ms after its client had gone", req.id, (sim.now-req.goneAt)/rules.Millisecond)
 	}
 	if req.client == nil || req.client.bad {
-		sim.t.Fatalf("engine was asked for %s of a bad client", id)
+		sim.t.Fatalf("engine received request %s of a bad client", id)
 	}
 	if remaining := req.due - sim.now; parseTTL(fields) > remaining+150*rules.Millisecond+timingSlack {
-		sim.violation(1, "%s came to an engine with %d ms to run, and its client waits for %d ms", req.id, parseTTL(fields)/rules.Millisecond, remaining/rules.Millisecond)
+		sim.violation(1, "%s reached an engine with %d ms to run, and its client waits for %d ms", req.id, parseTTL(fields)/rules.Millisecond, remaining/rules.Millisecond)
 	}
 	attempt := &simAttempt{request: req, engine: engine, conn: conn, at: sim.now}
 	req.attempts = append(req.attempts, attempt)
 	sim.sent++
 	conn.inFlight[id] = attempt
 	if engine.silent || sim.chance(0.02) {
-		return // it is never answered
+		return // the attempt is never answered
 	}
 	runTime := rules.Time(float64(req.work/simClasses[req.class].threads) * (0.9 + 0.4*sim.rng.Float64()))
 	if sim.chance(0.05) {
@@ -625,7 +638,7 @@
 		}
 		text := fmt.Sprintf("%s served total=%d,elapsed=%d,rss=64,rep=queue:0 %d\r\n%s\r\n", id, len(attempt.pages),
 			req.work/rules.Millisecond, len(attempt.pages[0]), attempt.pages[0])
-		if sim.chance(0.05) { // more than belongs to it
+		if sim.chance(0.05) { // with an answer to an unknown request, and a duplicate
 			text = "ffffffffffffffff served total=1 6\r\n9\t9\t9\n\r\n" + text + text
 		}
 		sim.respond(conn, text, func() {
@@ -636,7 +649,7 @@
 	})
 }
 
-// malformedAnswer is an answer that can't be read, does not fit, or stops short.
+// malformedAnswer returns an answer that is malformed, inconsistent or incomplete.
 func (sim *simulation) malformedAnswer(id string) string {
 	return []string{
 		id + " served total=2,elapsed=x 0\r\n\r\n",
@@ -651,7 +664,7 @@
 	}[sim.rng.IntN(9)]
 }
 
-// endConn ends a connection by its peer, or notes that the gateway closed it.
+// endConn ends a connection that was closed by the client or engine (byPeer), or by the gateway.
 func (sim *simulation) endConn(conn *simConn, byPeer bool) {
 	conn.closed = true
 	if conn.replyDue {
@@ -665,7 +678,7 @@
 		if byPeer {
 			req.clientLeft, req.finished, req.goneAt = true, true, sim.now
 		} else if !req.killed {
-			sim.violation(1, "the connection of %s ended with no answer", req.id)
+			sim.violation(1, "the connection of %s ended without an answer", req.id)
 		}
 	}
 	sim.schedule(sim.latency(), func() { sim.step(ConnectionClosed{Conn: conn.id, AcceptedBytes: conn.written}) })
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -8,7 +8,8 @@
 	"foxlane/rules"
 )
 
-// A request that is read after a stall may have waited for as long: its engine may run it for no longer than its client waits.
+// A request that is read after a stall may have waited in its socket for as long. Its engine still gets no more time
+// than the client waits.
 func TestDeadlinesAfterStall(t *testing.T) {
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// A process that is stopped for a while, or starved, finds its timers due before it has read what came meanwhile: clients
-// that have gone, queries that were killed. Nothing of these is sent to an engine after that.
+// After a stall, timers are due before the process has read the input that arrived meanwhile. Requests whose clients
+// disconnected or killed them during the stall must not be sent to an engine.
 func TestNothingIsSentForClientsGoneDuringStall(t *testing.T) {
 	gone := 0
 	for seed := range seeds(12) {
@@ -53,6 +54,6 @@
 		})
 	}
 	if gone < 100 {
-		t.Errorf("only %d clients have gone: the test has lost its subject", gone)
+		t.Errorf("only %d requests were abandoned: the test covers too little", gone)
 	}
 }
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -11,34 +11,35 @@
 	"foxlane/rules"
 )
 
-// This file has the gateway that most tests step by hand, and what clients send to it.
+// This file defines testGateway, which most tests step event by event, and the packets that clients send.
 
-// testGateway is a gateway on a clock that the test sets, with what it has asked for.
+// testGateway is a Gateway with a clock set by the test. It records the effects that the Gateway returns.
 type testGateway struct {
 	t       *testing.T
 	g       *Gateway
 	now     rules.Time
-	output  map[ConnID][]byte // written on each connection and not taken by takeOutput
-	closed  map[ConnID]bool   // by the gateway
-	written map[ConnID]int64  // bytes that were written on each connection
-	dials   []ConnID          // in their order
+	output  map[ConnID][]byte // data written to each connection since the last takeOutput
+	closed  map[ConnID]bool   // connections closed by the gateway
+	written map[ConnID]int64  // number of bytes written to each connection
+	dials   []ConnID          // dialled connections, in order
 	exited  bool
 }
 
 var oneHost = standin.Host{ID: "s-00000001", Zone: "hall-b", Kind: "std-16", Weight: 4,
 	Addr: netip.MustParseAddrPort("127.8.1.1:7001")}
 
-// newTestGateway has one engine, oneHost.
+// newTestGateway returns a testGateway with one engine, oneHost.
 func newTestGateway(t *testing.T) *testGateway { return newTestGatewayWith(t, nil, oneHost) }
 
-// newTestGatewayWith has other engines, and a configuration that was changed unless change is nil.
+// newTestGatewayWith returns a testGateway with the given engines. Unless modify is nil, it may change the
+// configuration.
 func newTestGatewayWith(t *testing.T, modify func(*config.Config), hosts ...standin.Host) *testGateway {
 	gw := startTestGateway(t, modify, hosts...)
 	gw.flush()
 	return gw
 }
 
-// startTestGateway leaves the effects of the start to the caller.
+// startTestGateway is like newTestGatewayWith, but leaves the effects of the start to the caller.
 func startTestGateway(t *testing.T, modify func(*config.Config), hosts ...standin.Host) *testGateway {
 	cfg := simConfig(t, hosts)
 	if modify != nil {
@@ -48,7 +49,7 @@
 	return &testGateway{t: t, now: now, g: New(cfg, now), output: map[ConnID][]byte{}, closed: map[ConnID]bool{}, written: map[ConnID]int64{}}
 }
 
-// flush notes what the gateway asks for.
+// flush records the gateway's pending effects.
 func (gw *testGateway) flush() {
 	for _, effect := range gw.g.Flush() {
 		switch effect := effect.(type) {
@@ -70,17 +71,17 @@
 	gw.flush()
 }
 
-// receive passes bytes that have come on a connection.
+// receive passes data received on a connection to the gateway.
 func (gw *testGateway) receive(conn ConnID, data string) {
 	gw.step(&DataReceived{Conn: conn, Data: []byte(data)})
 }
 
-// closeConn ends a connection that has accepted all that was written on it.
+// closeConn reports the end of a connection that accepted all bytes written to it.
 func (gw *testGateway) closeConn(conn ConnID) {
 	gw.step(ConnectionClosed{Conn: conn, AcceptedBytes: gw.written[conn]})
 }
 
-// advance lets time go by, with all timers.
+// advance moves the clock forward by d and fires all timers that become due.
 func (gw *testGateway) advance(d rules.Time) {
 	for end := gw.now + d; ; {
 		at, ok := gw.g.timers.next()
@@ -93,13 +94,13 @@
 	}
 }
 
-// loginClient has a client connect and log in.
+// loginClient connects a client and logs it in.
 func (gw *testGateway) loginClient(id ConnID) {
 	gw.step(ConnectionAccepted{Conn: id})
 	gw.receive(id, string(loginPacket()))
 }
 
-// sendToEngine has client 1 send a request with idA, and the connection come up on which the engine gets it.
+// sendToEngine sends request idA from client 1 and completes the dial to the engine, which then receives the request.
 func (gw *testGateway) sendToEngine(class string) (engineID ConnID) {
 	gw.loginClient(1)
 	gw.receive(1, requestPacket(class, idA))
@@ -108,23 +109,23 @@
 	return engineID
 }
 
-// answerList has the name service answer the latest query.
+// answerList answers the latest name service query.
 func (gw *testGateway) answerList(serial uint32, hosts ...standin.Host) {
 	gw.answerQuery(gw.g.queryIDs[(gw.g.queryCount-1)%queryHistorySize], serial, hosts...)
 }
 
-// answerQuery has the name service answer a query.
+// answerQuery answers the name service query id.
 func (gw *testGateway) answerQuery(id uint16, serial uint32, hosts ...standin.Host) {
 	gw.step(DNSResponse{Data: standin.EncodeAnswer(id, listName, serial, hosts)})
 }
 
-// draining is a host that the list says drains.
+// draining returns a copy of host that is listed as draining.
 func draining(host standin.Host) standin.Host {
 	host.Draining = true
 	return host
 }
 
-// requestPacket is a query packet of a class.
+// requestPacket returns a query packet for a request of the given class.
 func requestPacket(class, id string) string {
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=2000 */ SELECT 1 FROM sales_1.x", class, id)))
 }
@@ -134,14 +135,14 @@
 	idB = "00000000000000bb"
 )
 
-// takeOutput is what was written on a connection since the last call.
+// takeOutput returns what was written to a connection since the last call.
 func (gw *testGateway) takeOutput(id ConnID) string {
 	out := string(gw.output[id])
 	delete(gw.output, id)
 	return out
 }
 
-// loginPacket is a client's HandshakeResponse41 for user app and database main.
+// loginPacket returns a client's HandshakeResponse41 for user app and database main.
 func loginPacket() []byte {
 	p := binary.LittleEndian.AppendUint32(nil, 1<<9|1<<15|1<<3|1<<19)
 	p = binary.LittleEndian.AppendUint32(p, 1<<24)
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -9,12 +9,13 @@
 	"foxlane/rules"
 )
 
+// withSite returns a change of the configuration that sets the site file to text.
 func withSite(t testing.TB, text string) func(*config.Config) {
 	return func(cfg *config.Config) { cfg.Site = parseSite(t, text) }
 }
 
-// The seven rules hold with a plan for the loss of a zone, whatever fails and while the plan is read again, drained,
-// taken away and put back.
+// The seven rules hold with zone routing, with and without injected faults, while reloads change the zone plan, drain a
+// zone, and remove and restore the plan.
 func TestRulesWithZoneRouting(t *testing.T) {
 	texts := []string{"sites {\n  ramp = \"1s\"\n}", "sites {\n  zone \"hall-a\" {\n    drain = true\n  }\n}", "",
 		"sites {\n  settle = \"0s\"\n  damping {\n    half_life = \"200ms\"\n  }\n}"}
@@ -30,15 +31,15 @@
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
 				if sim.sent < 300 || sim.served < 100 {
-					t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
 				}
 			})
 		}
 	}
 }
 
-// injectZoneFaults has whole zones fail now and then: they fall silent, their processes die together and restart cold, the list drains
-// them.
+// injectZoneFaults schedules random failures of whole zones: all engines of a zone are silent, die and restart cold, or
+// are listed as draining.
 func (sim *simulation) injectZoneFaults(until rules.Time) {
 	for at := 400 * rules.Millisecond; at < until; at += rules.Time(300+sim.rng.IntN(1200)) * rules.Millisecond {
 		zone, kind := []string{"hall-a", "hall-b"}[sim.rng.IntN(2)], sim.rng.IntN(3)
@@ -75,8 +76,8 @@
 	}
 }
 
-// The seven rules hold while whole zones fall silent, die and restart cold, and are drained, with all limits of the zone plan on: no unsafe
-// query runs twice, no warming engine gets more than its budget from us, nothing new goes to drained zones.
+// The seven rules hold while whole zones are silent, die and restart cold, or are drained, with all limits of the zone
+// plan on.
 func TestRulesUnderZoneLoss(t *testing.T) {
 	const text = "sites {\n  settle = \"100ms\"\n  ramp = \"800ms\"\n  spill = 0.3\n  retries = 0.2\n  damping {\n    half_life = \"500ms\"\n  }\n" +
 		"  shedding {\n    settle = \"100ms\"\n    up = 1.05\n    slack = 0.02\n  }\n}"
@@ -89,7 +90,7 @@
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
 				if sim.sent < 60 || sim.served < 40 {
-					t.Errorf("only %d attempts and %d served: the test has lost its subject", sim.sent, sim.served)
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
 				}
 				sent, served = sent+sim.sent, served+sim.served
 				for _, s := range sim.g.zones.router.Status(sim.now) {
@@ -100,15 +101,15 @@
 			})
 		}
 	}
-	if sent < 4000 || served < 3200 { // one seed alone may lie far below: zones that are lost in turn stay out for most of it
-		t.Errorf("only %d attempts and %d served in all: the test has lost its subject", sent, served)
+	if sent < 4000 || served < 3200 { // a single seed may be far below, if zones are lost in turn for most of it
+		t.Errorf("only %d attempts and %d served in all: the test covers too little", sent, served)
 	}
 	if lost < 10 || spilled < 100 {
-		t.Errorf("zones were lost %d times, %d queries went to another zone: the test has lost its subject", lost, spilled)
+		t.Errorf("zones were lost %d times, %d queries went to another zone: the test covers too little", lost, spilled)
 	}
 }
 
-// countAttempts counts attempts by zone since a time.
+// countAttempts returns the number of attempts that reached a zone between two times since the start.
 func (sim *simulation) countAttempts(zone string, from, to rules.Time) (n int) {
 	for _, req := range sim.requests {
 		for _, attempt := range req.attempts {
@@ -120,8 +121,8 @@
 	return n
 }
 
-// A zone whose machines vanish without a word is lost as one, gets nothing while it is, is found again by probes, and
-// comes back on the ramp.
+// A zone whose engines all become unreachable is lost as a whole and gets no requests. Probes detect its return, and
+// its traffic recovers on the recovery ramp.
 func TestZoneIsLostAndComesBack(t *testing.T) {
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  ramp = \"3s\"\n  jitter = 0\n}"))
 	forZone := func(set func(engine *simEngine)) {
@@ -154,7 +155,8 @@
 	sim.reportViolations()
 }
 
-// A zone that the file drains gets less and less, then nothing, and returns on the ramp when the file says so.
+// A zone that the site file drains gets fewer and fewer requests, then none. Once the drain is withdrawn, its traffic
+// recovers on the recovery ramp.
 func TestZoneIsDrainedByConfig(t *testing.T) {
 	off := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n}"
 	on := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n  zone \"hall-a\" {\n    drain = true\n  }\n}"
@@ -180,27 +182,27 @@
 	sim.reportViolations()
 }
 
-// What an engine's former process left unanswered says nothing of the zone of the new one: a zone that returns with new processes was taken
-// for failing again, and suspected, when the attempts from before its loss ended.
+// Attempts that an engine's former process left unanswered do not count against the new process. A zone that returned
+// with new processes used to be suspected again when the attempts from before its loss ended.
 func TestFormerProcessDoesNotAffectZone(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.advance(1100 * rules.Millisecond) // a gateway that has just started sends nothing to an engine that warms up
-	former := gw.sendToEngine("load")    // not cancelled and sent elsewhere meanwhile
+	gw.advance(1100 * rules.Millisecond) // a gateway that has just started sends nothing to an engine in slow start
+	former := gw.sendToEngine("load")    // a load is not cancelled and retried elsewhere meanwhile
 	eng := gw.g.engineOrder[0]
 	gw.advance(300 * rules.Millisecond)
 	restarted := oneHost
 	restarted.Started = int64((gw.now - 100*rules.Millisecond) / rules.Millisecond)
 	gw.answerList(2, restarted)
 	if eng.startedAt == 0 {
-		t.Fatal("the new start is not known: the test has lost its subject")
+		t.Fatal("the new start is not known: the test covers too little")
 	}
 	if eng.lastRequest > eng.lastRead {
-		t.Error("the new process owes an answer to a request that it never got")
+		t.Error("a request to the former process counts as unanswered by the new one")
 	}
 	gw.closeConn(former)
 	gw.advance(300 * rules.Millisecond)
 	if eng.lastFailure != 0 {
-		t.Error("an attempt at the former process counts as a failure of the new one")
+		t.Error("a failed attempt on the former process counts as a failure of the new one")
 	}
 	gw.loginClient(2)
 	gw.receive(2, requestPacket("load", idB))
@@ -211,6 +213,6 @@
 	gw.closeConn(present)
 	gw.advance(300 * rules.Millisecond)
 	if eng.lastRequest != sentAt || eng.lastFailure < sentAt {
-		t.Errorf("an attempt at the new process at %d that is reset counts as a request at %d, a failure at %d", sentAt, eng.lastRequest, eng.lastFailure)
+		t.Errorf("an attempt on the new process at %d that was reset counts as a request at %d and a failure at %d", sentAt, eng.lastRequest, eng.lastFailure)
 	}
 }
