--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,8 +11,8 @@
 	"foxlane/rules"
 )
 
-// withAdmission returns a change of the configuration that sets the site file to text, and limits that a flood of
-// requests reaches.
+// withAdmission returns a change of the configuration that sets the site file to text, and limits low enough for a
+// flood of requests to reach them.
 func withAdmission(t testing.TB, text string, maxConns, maxRequests int) func(*config.Config) {
 	s, err := site.Parse([]byte(text), "site.hcl")
 	if err != nil {
@@ -41,11 +41,11 @@
 //
 // At fault rate 1, rule 4 used to be broken in 11 of 31,000 seeds. An engine's process dies and another one starts cold
 // at its address. The list reports this 67 to 401 ms later. Until then the gateway sent the new process 1.6 to 4.9 s of
-// work without counting it against the slow-start budget, and then as much as if it had sent nothing. In seed 3916,
-// the gateway had sent 4.7 s of work in 15 requests and counted none of it when the list arrived; then it sent 9.7 s
-// in 17 more, although the engine's budget is 12.3 s within a second. One cause of the 9.7 s is that clients give no
-// estimates here, and reports of 600 ms always counted as 500 ms. docs/incidents/slow-start-after-restart.md lists all
-// seeds.
+// work without counting it against the slow-start budget, and after that as much work as if it had sent none. In seed
+// 3916, the gateway had sent 4.7 s of work in 15 requests and counted none of it when the list arrived. It then sent
+// 9.7 s in 17 more requests, although the engine's budget within one second is 12.3 s. One cause of the 9.7 s is that
+// clients give no estimates here, and reports of 600 ms always counted as 500 ms.
+// docs/incidents/slow-start-after-restart.md lists all seeds.
 func TestRulesWithAdmissionControl(t *testing.T) {
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range seeds(6) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Seeds in which TestRulesWithAdmissionControl broke rule 4 before gateways counted the work sent to a new process ahead
-// of the notification, and one in which it broke rule 1 (TestKillInTheMomentOfAnAnswer).
+// Seeds in which TestRulesWithAdmissionControl broke rule 4 before gateways counted the work sent to a new process
+// ahead of the notification, and one in which it broke rule 1 (TestKillAtTheTimeOfAnAnswer).
 func TestSeedsThatBrokeRules(t *testing.T) {
 	for _, seed := range []uint64{3916, 10290, 13333, 16120, 16433, 17329, 24914, 26500, 31388, 33804, 37056, 35378} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { playWithAdmissionControl(t, seed, 1) })
@@ -111,7 +111,7 @@
 	return newTestGatewayWith(t, withAdmission(t, text, maxConns, maxRequests), oneHost)
 }
 
-// loginClientFrom connects a client from the given address, and logs it in unless the gateway closes the connection.
+// loginClientFrom connects a client from the given address and logs it in, unless the gateway closes the connection.
 func (gw *testGateway) loginClientFrom(id ConnID, from string) {
 	gw.g.Step(gw.now, ConnectionAccepted{Conn: id, From: netip.MustParseAddr(from)})
 	gw.flush()
@@ -125,8 +125,8 @@
 	return string(queryPacket(fmt.Sprintf("/* kind=%s,req=%s,timeout=700%s */ SELECT 1 FROM sales_1.x", class, id, extraFields)))
 }
 
-// A queued request gets at most one final answer: none after a KILL or if its client disconnects, a rejection before its
-// deadline or after a shutdown request.
+// A queued request gets at most one final answer: none after a KILL or if its client disconnects, a rejection before
+// its deadline or after a shutdown request.
 func TestQueuedRequestEndsOnce(t *testing.T) {
 	gw := newAdmissionGateway(t, "fair {\n ahead = 1\n}", 60, 60)
 	for i := range ConnID(50) {
@@ -138,13 +138,13 @@
 	if queued < 10 {
 		t.Fatalf("only %d requests are queued", queued)
 	}
-	victim := gw.g.clients[50]
-	if victim.request == nil || victim.request.submitted {
+	lastClient := gw.g.clients[50]
+	if lastClient.request == nil || lastClient.request.submitted {
 		t.Fatal("the last request is not queued")
 	}
 	gw.loginClientFrom(51, "10.0.0.2")
-	gw.receive(51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", victim.session))))
-	if victim.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != queued-1 {
+	gw.receive(51, string(queryPacket(fmt.Sprintf("KILL QUERY %d", lastClient.session))))
+	if lastClient.request != nil || gw.takeOutput(50) != "" || gw.g.admission.controller.Stats().Queued != queued-1 {
 		t.Error("a killed query is still queued, or was answered")
 	}
 	gw.closeConn(49)
@@ -228,25 +228,25 @@
 // A thousand connections from one address do not shut out clients from another, whether they send requests or only log
 // in.
 func TestFloodOfConnectionsLeavesRoom(t *testing.T) {
-	for _, asks := range []bool{false, true} {
+	for _, sendsRequests := range []bool{false, true} {
 		gw := newAdmissionGateway(t, "fair {\n}", 60, 60)
 		gw.loginClientFrom(1, "10.0.0.2")
 		gw.receive(1, string(queryPacket("SET x = 1")))
 		for i := range ConnID(1000) {
 			gw.loginClientFrom(100+i, "10.0.0.1")
-			if asks && !gw.closed[100+i] {
+			if sendsRequests && !gw.closed[100+i] {
 				gw.receive(100+i, requestPacketWith("point", fmt.Sprintf("%016x", i+1), ""))
 			}
 		}
 		if gw.closed[1] {
-			t.Errorf("asks %v: a quiet client was closed", asks)
+			t.Errorf("sends requests %v: a quiet client was closed", sendsRequests)
 		}
 		for i := range ConnID(10) {
 			gw.loginClientFrom(2+i, "10.0.0.2")
 			gw.takeOutput(2 + i)
 			gw.receive(2+i, string(queryPacket("SET x = 1")))
 			if out := gw.takeOutput(2 + i); gw.closed[2+i] || strings.Contains(out, "\xff") {
-				t.Errorf("asks %v: new client %d was rejected: %q", asks, i, out)
+				t.Errorf("sends requests %v: new client %d was rejected: %q", sendsRequests, i, out)
 			}
 		}
 		if n := len(gw.g.clients); n > 60 {
--- a/internal/gateway/clockstep_test.go
+++ b/internal/gateway/clockstep_test.go
@@ -11,7 +11,7 @@
 // and is listed after it.
 func TestSlowStartAcrossClockStep(t *testing.T) {
 	const hour = 3600 * rules.Second
-	for name, c := range map[string]struct{ skew, stamped rules.Time }{
+	for name, c := range map[string]struct{ skew, stampOffset rules.Time }{
 		"forward":             {hour, hour},
 		"back":                {-hour, -hour},
 		"stamped before":      {hour, 0},
@@ -23,7 +23,7 @@
 			sim.clockSkew = c.skew
 			sim.run(sim.now + rules.Second)
 			engine := sim.engines["s-00000002"]
-			engine.host.Started = int64((sim.now + c.stamped) / rules.Millisecond)
+			engine.host.Started = int64((sim.now + c.stampOffset) / rules.Millisecond)
 			sim.serial++
 			sim.run(sim.now + 300*rules.Millisecond)
 			if fraction := sim.speedFraction(t, "s-00000002"); fraction > 0.6 {
--- a/internal/gateway/determinism_test.go
+++ b/internal/gateway/determinism_test.go
@@ -13,19 +13,19 @@
 func TestOneSeedGivesTheSameEffects(t *testing.T) {
 	for _, scenario := range []struct {
 		name   string
-		change func(*config.Config)
+		modify func(*config.Config)
 		flood  bool
 	}{
 		{name: "plain"},
-		{name: "admission control", change: withAdmission(t, fmt.Sprintf(admissionSiteFormat, 1), 70, 60), flood: true},
-		{name: "results in memory", change: withSpool(t, memorySpoolSite)},
-		{name: "results on a disk", change: withSpool(t, diskSpoolSite)},
+		{name: "admission control", modify: withAdmission(t, fmt.Sprintf(admissionSiteFormat, 1), 70, 60), flood: true},
+		{name: "results in memory", modify: withSpool(t, memorySpoolSite)},
+		{name: "results on a disk", modify: withSpool(t, diskSpoolSite)},
 	} {
 		for seed := range seeds(4) {
 			t.Run(fmt.Sprintf("%s seed %d", scenario.name, seed), func(t *testing.T) {
 				var plays [2][]string
 				for i := range plays {
-					plays[i] = recordEffects(t, seed, scenario.change, scenario.flood)
+					plays[i] = recordEffects(t, seed, scenario.modify, scenario.flood)
 				}
 				for i, effect := range plays[0] {
 					if i >= len(plays[1]) || plays[1][i] != effect {
--- a/internal/gateway/directives_test.go
+++ b/internal/gateway/directives_test.go
@@ -21,31 +21,31 @@
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
-	command := func(at rules.Time, op, kind, subject string) {
+	scheduleCommand := func(at rules.Time, op, kind, subject string) {
 		sim.schedule(at, func() {
 			sim.step(ControlRequest{Conn: 7, Data: fmt.Appendf(nil, `{"id":"%s-%s-%s","op":%q,"kind":%q,"subject":%q}`, op, kind, subject, op, kind, subject)})
 		})
 	}
-	command(3*rules.Second, "set", "drain-engine", "s-00000001")
-	command(6*rules.Second, "unset", "drain-engine", "s-00000001")
-	command(9*rules.Second, "set", "drain-zone", "hall-a")
-	command(14*rules.Second, "unset", "drain-zone", "hall-a")
-	command(18*rules.Second, "set", "refuse-class", "point")
-	command(21*rules.Second, "set", "dance", "all")
+	scheduleCommand(3*rules.Second, "set", "drain-engine", "s-00000001")
+	scheduleCommand(6*rules.Second, "unset", "drain-engine", "s-00000001")
+	scheduleCommand(9*rules.Second, "set", "drain-zone", "hall-a")
+	scheduleCommand(14*rules.Second, "unset", "drain-zone", "hall-a")
+	scheduleCommand(18*rules.Second, "set", "refuse-class", "point")
+	scheduleCommand(21*rules.Second, "set", "dance", "all")
 	sim.schedule(22*rules.Second, func() { sim.step(ControlRequest{Conn: 8, Data: []byte("book")}) })
 	sim.run(sim.start + 24*rules.Second)
-	engine := func(id string, from, to rules.Time) (n int) {
+	countAttempts := func(id string, from, to rules.Time) (n int) {
 		for _, req := range sim.requests {
 			for _, attempt := range req.attempts {
-				if attempt.engine.host.ID == id && attempt.at >= sim.start+from && attempt.at < sim.start+to {
+				if attempt.engine.host.ID == id && attempt.receivedAt >= sim.start+from && attempt.receivedAt < sim.start+to {
 					n++
 				}
 			}
 		}
 		return n
 	}
-	if before, during, after := engine("s-00000001", rules.Second, 3*rules.Second), engine("s-00000001", 3100*rules.Millisecond, 6*rules.Second),
-		engine("s-00000001", 6100*rules.Millisecond, 9*rules.Second); before == 0 || during > 0 || after == 0 {
+	if before, during, after := countAttempts("s-00000001", rules.Second, 3*rules.Second), countAttempts("s-00000001", 3100*rules.Millisecond, 6*rules.Second),
+		countAttempts("s-00000001", 6100*rules.Millisecond, 9*rules.Second); before == 0 || during > 0 || after == 0 {
 		t.Errorf("the drained engine got %d, %d and %d attempts before, during and after", before, during, after)
 	}
 	if during, after := sim.countAttempts("hall-a", 11*rules.Second, 14*rules.Second), sim.countAttempts("hall-a", 16*rules.Second, 18*rules.Second); during > 3 || after < 20 {
@@ -53,7 +53,7 @@
 	}
 	served := 0
 	for _, req := range sim.requests {
-		if req.class == 0 && req.at > sim.start+18200*rules.Millisecond && len(req.attempts) > 0 {
+		if req.class == 0 && req.sentAt > sim.start+18200*rules.Millisecond && len(req.attempts) > 0 {
 			served++
 		}
 	}
--- a/internal/gateway/guards_test.go
+++ b/internal/gateway/guards_test.go
@@ -96,13 +96,13 @@
 			return gw.g.recordSlowStartSend(&queryRequest{work: rules.Time(work)}, eng)
 		}
 		budget := 2 * 0.3 * 16 * float64(rules.Second) // with simSettings, right after the start
-		if sent, of := send(c.before * budget); sent != 0 || of != 0 {
-			t.Errorf("%v: sent %.0f, budget %.0f, while the restart is not known", c, sent, of)
+		if sent, gotBudget := send(c.before * budget); sent != 0 || gotBudget != 0 {
+			t.Errorf("%v: sent %.0f, budget %.0f, while the restart is not known", c, sent, gotBudget)
 		}
 		eng.startedAt = gw.g.now
-		sent, of := send(c.after * budget)
-		if math.Abs(of-budget) > 1 || sent > of != c.over {
-			t.Errorf("%v: sent %.0f, budget %.0f, want a budget of %.0f", c, sent, of, budget)
+		sent, gotBudget := send(c.after * budget)
+		if math.Abs(gotBudget-budget) > 1 || sent > gotBudget != c.over {
+			t.Errorf("%v: sent %.0f, budget %.0f, want a budget of %.0f", c, sent, gotBudget, budget)
 		}
 	}
 }
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -180,28 +180,28 @@
 				interleavedEvents[i].do(x)
 				x.readOutput()
 			}
-			asked := x.g.requests[idA] != nil || x.answers > 0 || x.left
+			requested := x.g.requests[idA] != nil || x.answers > 0 || x.left
 			x.step(ShutdownRequested{})
 			x.advance(5 * rules.Second)
 			x.readOutput()
-			fault := ""
+			problem := ""
 			switch {
 			case x.answers > 1:
-				fault = fmt.Sprintf("%d final answers", x.answers)
-			case asked && x.answers == 0 && !x.left && !x.closed[1]:
-				fault = "no answer"
+				problem = fmt.Sprintf("%d final answers", x.answers)
+			case requested && x.answers == 0 && !x.left && !x.closed[1]:
+				problem = "no answer"
 			case class != "point" && x.mayHaveRun > 1:
-				fault = fmt.Sprintf("it was sent to engines %d times", x.asks)
+				problem = fmt.Sprintf("it was sent to engines %d times", x.asks)
 			case x.sentAfterLeave:
-				fault = "it was sent to an engine after its client had left"
+				problem = "it was sent to an engine after its client had left"
 			case len(x.g.requests) != 0 || x.g.unanswered != 0 || x.g.statementBytes != 0 || x.g.resultBytes != 0 || x.g.partialBytes != 0:
-				fault = fmt.Sprintf("left: %d requests, %d unanswered, %d bytes of statements, %d of results and %d of packets", len(x.g.requests), x.g.unanswered, x.g.statementBytes,
+				problem = fmt.Sprintf("left: %d requests, %d unanswered, %d bytes of statements, %d of results and %d of packets", len(x.g.requests), x.g.unanswered, x.g.statementBytes,
 					x.g.resultBytes, x.g.partialBytes)
 			case !x.exited:
-				fault = "the process has not exited"
+				problem = "the process has not exited"
 			}
-			if fault != "" {
-				t.Errorf("%s%s: %s", class, names, fault)
+			if problem != "" {
+				t.Errorf("%s%s: %s", class, names, problem)
 			}
 		}
 		for i := range interleavedEvents {
@@ -235,19 +235,19 @@
 		for _, id := range gw.dials {
 			engineConns[id] = true
 		}
-		up := func() {
+		completeDials := func() {
 			for _, id := range gw.dials {
 				gw.g.Step(gw.now, DialSucceeded{Conn: id})
 			}
 		}
 		if upFirst {
-			up()
+			completeDials()
 		}
 		for id := ConnID(1); id <= leaving; id++ {
 			gw.g.Step(gw.now, ConnectionClosed{Conn: id})
 		}
 		if !upFirst {
-			up()
+			completeDials()
 		}
 		gw.flush()
 		for connID := range engineConns {
@@ -270,15 +270,15 @@
 func TestUnwrittenRequestIsRetried(t *testing.T) {
 	for name, c := range map[string]struct {
 		missing int64
-		again   bool
+		retried bool
 	}{"all was accepted": {0, false}, "all but a byte": {1, true}, "nothing": {1 << 20, true}} {
 		gw := newTestGateway(t)
 		connID := gw.sendToEngine("load")
 		gw.takeOutput(1)
 		gw.written[connID] = max(gw.written[connID]-c.missing, 0)
 		gw.closeConn(connID)
-		if again := gw.g.requests[idA] != nil && len(gw.dials) == 2; again != c.again {
-			t.Errorf("%s: retried %v, want %v; the client got %q", name, again, c.again, gw.takeOutput(1))
+		if retried := gw.g.requests[idA] != nil && len(gw.dials) == 2; retried != c.retried {
+			t.Errorf("%s: retried %v, want %v; the client got %q", name, retried, c.retried, gw.takeOutput(1))
 		}
 	}
 }
@@ -371,15 +371,15 @@
 		}
 		gw.takeOutput(connID)
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
-		if hit := gw.g.requests[idB] == nil; hit != openedLate {
-			t.Errorf("opened after the answer %v: the next query was killed: %v", openedLate, hit)
+		if killed := gw.g.requests[idB] == nil; killed != openedLate {
+			t.Errorf("opened after the answer %v: the next query was killed: %v", openedLate, killed)
 		}
 	}
 }
 
 // A session gets its answer, sends its next query, and a new connection kills that query, all read in one batch and so
-// at the same time. The KILL means the query in flight. The gateway used to compare the times of the answer and of the
-// new connection, and took the KILL as late if they were equal: it answered OK, and the killed query was answered
+// at the same time. The KILL applies to the query in flight. The gateway used to compare the times of the answer and of
+// the new connection, and took the KILL as late if they were equal: it answered OK, and the killed query was answered
 // 27 ms later with "the query was refused" (seed 35378 of TestRulesWithAdmissionControl at fault rate 1).
 func TestKillAtTheTimeOfAnAnswer(t *testing.T) {
 	for _, openedFirst := range []bool{false, true} {
@@ -399,8 +399,8 @@
 			gw.loginClient(2)
 		}
 		gw.receive(2, string(queryPacket(fmt.Sprintf("KILL QUERY %d", session))))
-		if hit := gw.g.requests[idB] == nil; hit == openedFirst {
-			t.Errorf("opened before the answer %v: the next query was killed: %v", openedFirst, hit)
+		if killed := gw.g.requests[idB] == nil; killed == openedFirst {
+			t.Errorf("opened before the answer %v: the next query was killed: %v", openedFirst, killed)
 		}
 	}
 }
@@ -637,18 +637,18 @@
 			x.now += 5 * rules.Millisecond
 			x.step(TimerFired{})
 			c.end(x)
-			again := func() bool { // whether another attempt has started, with or without a connection
+			retried := func() bool { // whether another attempt has started, with or without a connection
 				x.readOutput()
 				return x.asks > 1 || len(x.dials) > 1
 			}
 			if waits := c.wait && !hedging; waits {
 				x.advance(delay - rules.Millisecond)
-				if again() {
+				if retried() {
 					t.Errorf("%s: another attempt started before the engine was notified of the end of the first", name)
 				}
 			}
 			x.advance(2 * rules.Millisecond)
-			if !again() {
+			if !retried() {
 				t.Errorf("%s, hedging %v: no further attempt started", name, hedging)
 			}
 		}
@@ -710,7 +710,7 @@
 }
 
 // Malformed answers close their connection. Each request on it is first cancelled by its ID.
-func TestMalformedConnectionCancelsByName(t *testing.T) {
+func TestMalformedConnectionCancelsByID(t *testing.T) {
 	gw := newTestGateway(t)
 	connID := gw.sendToEngine("point")
 	gw.takeOutput(connID)
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -15,10 +15,10 @@
 type listChange struct {
 	*testGateway
 	serial         uint32
-	addrs          map[ConnID]netip.AddrPort
-	readUpTo       map[ConnID]int
-	asksByAddr     map[netip.AddrPort]int // number of requests written to each address
-	lastClientConn ConnID                 // last client connection
+	addrs          map[ConnID]netip.AddrPort // addresses of the engine connections
+	readUpTo       map[ConnID]int            // how much of each connection's output was read
+	asksByAddr     map[netip.AddrPort]int    // number of requests written to each address
+	lastClientConn ConnID                    // ID of the last client connection
 }
 
 func newListChange(t *testing.T) *listChange {
@@ -97,7 +97,7 @@
 // The list changes while a request is in each of the states before it is written. The request is not written to the
 // engine's old address, but to an engine that serves.
 func TestNoSendToRemovedEngine(t *testing.T) {
-	for name, leaving := range listChanges {
+	for name, listAfterChange := range listChanges {
 		t.Run(name, func(t *testing.T) {
 			for state, play := range map[string]func(change *listChange, apply func()){
 				"queued": func(change *listChange, apply func()) {
@@ -129,7 +129,7 @@
 					change.sendRequest(idA)
 					cfg := change.g.cfg
 					cfg.InitialList.Seq, cfg.InitialList.Engines = 9, nil
-					for _, host := range leaving() {
+					for _, host := range listAfterChange() {
 						entry := config.Engine{ID: host.ID, Addr: host.Addr, Zone: host.Zone, Kind: host.Kind, State: config.StateActive, Weight: 4, Started: host.Started}
 						if host.Draining {
 							entry.State = config.StateDraining
@@ -142,7 +142,7 @@
 				},
 			} {
 				change := newListChange(t)
-				play(change, func() { change.sendList(leaving()...) })
+				play(change, func() { change.sendList(listAfterChange()...) })
 				for range 40 {
 					change.completeDials()
 					change.advance(50 * rules.Millisecond)
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -17,7 +17,7 @@
 	long := strings.Repeat("x", 1<<20)
 	for name, c := range map[string]struct {
 		data   string
-		shut   bool
+		closed bool
 		answer string
 	}{
 		"a packet too large":      {"\xff\xff\xff\x00", true, "packet of"},
@@ -42,7 +42,7 @@
 			gw.takeOutput(1)
 			gw.takeOutput(2)
 			gw.receive(2, c.data)
-			if got := gw.takeOutput(2); !strings.Contains(got, c.answer) || gw.closed[2] != c.shut {
+			if got := gw.takeOutput(2); !strings.Contains(got, c.answer) || gw.closed[2] != c.closed {
 				t.Errorf("answered %q, closed %v", got, gw.closed[2])
 			}
 			if gw.closed[1] || gw.takeOutput(1) != "" || gw.g.requests[idA] == nil {
@@ -57,8 +57,8 @@
 	for name, data := range map[string]string{
 		"half":              string(loginPacket()[:20]),
 		"another user":      strings.Replace(string(loginPacket()), "app\x00", "apa\x00", 1),
-		"another base":      strings.Replace(string(loginPacket()), "main\x00", "mane\x00", 1),
-		"wrong number":      "\x05" + string(loginPacket()[1:3]) + "\x02" + string(loginPacket()[4:]),
+		"another database":  strings.Replace(string(loginPacket()), "main\x00", "mane\x00", 1),
+		"wrong sequence":    "\x05" + string(loginPacket()[1:3]) + "\x02" + string(loginPacket()[4:]),
 		"a password":        string(packet(1, append(loginPacket()[4:36], "app\x00\x02xymain\x00"...))),
 		"nothing":           "",
 		"a packet too long": "\x00\x20\x00\x01",
@@ -108,9 +108,9 @@
 // load may have run, so it fails: it is neither retried nor rejected.
 func TestBadEngines(t *testing.T) {
 	for name, c := range map[string]struct {
-		data  string
-		shut  bool // the connection is closed
-		again bool // an idempotent query is retried, a load fails
+		data    string
+		closed  bool // the connection is closed
+		retried bool // an idempotent query is retried, a load fails
 	}{
 		"a line too long":      {strings.Repeat("x", 5000), true, true},
 		"an unknown status":    {idA + " dance - 0\r\n\r\n", true, true},
@@ -125,7 +125,7 @@
 		"an excessive figure":  {idA + " served total=1,elapsed=1e12 0\r\n\r\n", true, true},
 		"an unterminated row":  {idA + " served total=1 3\r\na\tb\r\n", false, true},
 		"a row of 2 columns":   {idA + " served total=1 4\r\na\tb\n\r\n", false, true},
-		"health":               {idA + " green - 0\r\n\r\n", false, true},
+		"a health answer":      {idA + " green - 0\r\n\r\n", false, true},
 		"a crash after page 0": {idA + " served total=2 0\r\n\r\n" + idA + " crashed - 0\r\n\r\n", false, true},
 		"an unknown id":        {idB + " served total=1 0\r\n\r\n", false, false},
 		"an id alone":          {idA + "\r\n", true, true},
@@ -138,7 +138,7 @@
 			}
 			gw.takeOutput(1)
 			gw.receive(connID, c.data)
-			if gw.closed[connID] != c.shut {
+			if gw.closed[connID] != c.closed {
 				t.Errorf("%s: connection closed: %v", name, gw.closed[connID])
 			}
 			if gw.closed[1] {
@@ -146,7 +146,7 @@
 			}
 			req := gw.g.requests[idA]
 			switch {
-			case !c.again:
+			case !c.retried:
 				if req == nil || req.inFlight != 1 {
 					t.Errorf("%s, %s: the attempt has ended", name, class)
 				}
@@ -213,7 +213,7 @@
 	for name, msg := range map[string][]byte{
 		"forged":       standin.EncodeAnswer(gw.g.queryIDs[0]+1, listName, 9, nil),
 		"older":        standin.EncodeAnswer(gw.g.queryIDs[0], listName, 1, nil),
-		"cut":          good[:len(good)-1],
+		"truncated":    good[:len(good)-1],
 		"another name": standin.EncodeAnswer(gw.g.queryIDs[0], "_data._tcp.other.lan", 9, nil),
 		"empty":        {},
 	} {
@@ -369,8 +369,8 @@
 // A probe is sent to its engine as INFO. It ends with its answer, its timeout or the loss of its connection.
 func TestProbe(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(gw *testGateway, connID ConnID)
-		left int
+		do      func(gw *testGateway, connID ConnID)
+		pending int
 	}{
 		"green":   {func(gw *testGateway, connID ConnID) { gw.receive(connID, "p1 green rep=queue:1 0\r\n\r\n") }, 0},
 		"silence": {func(gw *testGateway, connID ConnID) { gw.advance(300 * rules.Millisecond) }, 0},
@@ -387,8 +387,8 @@
 		}
 		conn := gw.g.engineConns[connID]
 		c.do(gw, connID)
-		if n := len(conn.probes); n != c.left {
-			t.Errorf("%s: %d probes are in flight, want %d", name, n, c.left)
+		if n := len(conn.probes); n != c.pending {
+			t.Errorf("%s: %d probes are in flight, want %d", name, n, c.pending)
 		}
 	}
 }
@@ -400,17 +400,17 @@
 	hosts := []standin.Host{oneHost, otherHost}
 	cfg := simConfig(t, hosts)
 	cfg.DNS = netip.MustParseAddrPort("127.0.0.9:5301")
-	reload := func() (moved, asked bool) {
+	reload := func() (moved, queried bool) {
 		gw.g.Step(gw.now, ConfigReloaded{Config: &cfg})
 		for _, effect := range gw.g.Flush() {
 			switch effect := effect.(type) {
 			case SetNameServer:
 				moved = moved || effect.Addr == cfg.DNS
 			case QueryDNS:
-				asked = asked || moved
+				queried = queried || moved
 			}
 		}
-		return moved, asked
+		return moved, queried
 	}
 	cfg.InitialList.Seq = gw.g.endpointList.Serial()
 	if moved, asked := reload(); !moved || !asked || len(gw.g.engines) != 1 {
@@ -587,20 +587,20 @@
 // 60,000 requests of 300 gateways). So a connection may change its class while it carries no request.
 func TestIdleConnectionChangesItsClass(t *testing.T) {
 	gw := newTestGateway(t)
-	ask := func(client int, class string) string {
+	sendRequest := func(client int, class string) string {
 		id := fmt.Sprintf("%016x", client)
 		gw.loginClient(ConnID(client))
 		gw.receive(ConnID(client), string(queryPacket("/* kind="+class+",req="+id+",timeout=2000 */ SELECT 1 FROM sales_1.x")))
 		return id
 	}
-	first := ask(1, "point")
+	first := sendRequest(1, "point")
 	gw.step(DialSucceeded{Conn: gw.dials[0]})
 	gw.receive(gw.dials[0], first+" served elapsed=1,rss=1,total=1 6\r\na\tb\tc\n\r\n")
-	ask(2, "report")
+	sendRequest(2, "report")
 	if len(gw.dials) != 1 || !strings.Contains(gw.takeOutput(gw.dials[0]), "lane=report") {
 		t.Fatalf("%d connections for two consecutive requests", len(gw.dials))
 	}
-	ask(3, "point")
+	sendRequest(3, "point")
 	if len(gw.dials) != 2 {
 		t.Fatalf("%d connections for concurrent requests of two classes", len(gw.dials))
 	}
@@ -642,8 +642,8 @@
 			gw.closeConn(connID)
 			gw.advance(rules.Millisecond)
 		}
-		if left := gw.g.module.EngineViews()[0].Ejected; left == answers {
-			t.Errorf("answers between resets %v: ejected %v", answers, left)
+		if ejected := gw.g.module.EngineViews()[0].Ejected; ejected == answers {
+			t.Errorf("answers between resets %v: ejected %v", answers, ejected)
 		}
 	}
 }
@@ -653,14 +653,14 @@
 func TestImplausibleUsage(t *testing.T) {
 	for _, c := range []struct {
 		work, memory float64
-		took         rules.Time
+		latency      rules.Time
 		want         bool
 	}{
 		{100, 64, 50 * rules.Millisecond, true}, {1e8, 64, 50 * rules.Millisecond, false}, {100, 1e8, 50 * rules.Millisecond, false},
 		{16, 0, 0, true}, {17, 0, 0, false},
 	} {
 		gw := newTestGateway(t)
-		attempt := &engineAttempt{engine: gw.g.engineOrder[0], workMS: c.work, memoryMB: c.memory, latency: c.took}
+		attempt := &engineAttempt{engine: gw.g.engineOrder[0], workMS: c.work, memoryMB: c.memory, latency: c.latency}
 		if got := gw.g.plausibleUsage(attempt); got != c.want {
 			t.Errorf("%+v: got %v", c, got)
 		}
@@ -699,8 +699,8 @@
 			}
 			gw.advance(50 * rules.Millisecond)
 		}
-		if left := gw.g.module.EngineViews()[0].Ejected; left == serves {
-			t.Errorf("serves other queries: %v, ejected: %v", serves, left)
+		if ejected := gw.g.module.EngineViews()[0].Ejected; ejected == serves {
+			t.Errorf("serves other queries: %v, ejected: %v", serves, ejected)
 		}
 	}
 }
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -36,8 +36,8 @@
 					sim := newSimulationWith(t, seed, faultRate, withSpool(t, text))
 					sim.play(6 * rules.Second)
 					sim.reportViolations()
-					if sim.sent < 250 || sim.served < 100 {
-						t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
+					if sim.attemptsReceived < 250 || sim.served < 100 {
+						t.Errorf("only %d attempts and %d served: the test covers too little", sim.attemptsReceived, sim.served)
 					}
 					stats := sim.g.results.spool.Stats()
 					if stats.Completed < 100 || stats.Results != 0 || stats.Readers != 0 || stats.MemoryBytes != 0 || stats.DiskBytes != 0 || len(sim.g.results.filling) != 0 {
@@ -118,10 +118,12 @@
 	}
 }
 
+// receiveData passes data received on a connection to the gateway.
 func (gw *spoolGateway) receiveData(id ConnID, text string) {
 	gw.stepWithDisk(&DataReceived{Conn: id, Data: []byte(text)})
 }
 
+// login connects a client and logs it in.
 func (gw *spoolGateway) login(id ConnID) {
 	gw.stepWithDisk(ConnectionAccepted{Conn: id})
 	gw.receiveData(id, string(loginPacket()))
@@ -218,7 +220,7 @@
 	return rows, "cut short"
 }
 
-// wantRows returns the rows of the pages from from to to, exclusive.
+// wantRows returns the rows of the pages in the range [from, to).
 func wantRows(from, to int) (rows []string) {
 	for n := from; n < to; n++ {
 		rows = append(rows, strings.Split(strings.TrimSuffix(bigPage(n), "\n"), "\n")...)
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -34,11 +34,11 @@
 		class = 0
 	}
 	params := simClasses[class]
-	req := &simRequest{id: fmt.Sprintf("%016x", sim.rng.Uint64()), class: class, at: sim.now,
+	req := &simRequest{id: fmt.Sprintf("%016x", sim.rng.Uint64()), class: class, sentAt: sim.now,
 		work: rules.Time(float64(params.work) * (0.3 + 1.4*sim.rng.Float64()))}
-	timeout := rules.Time(float64(params.giveUp) * (0.3 + 0.7*sim.rng.Float64()))
+	timeout := rules.Time(float64(params.maxTimeout) * (0.3 + 0.7*sim.rng.Float64()))
 	timeout -= timeout % rules.Millisecond
-	req.due = sim.now + timeout
+	req.deadline = sim.now + timeout
 	fields := fmt.Sprintf("kind=%s,req=%s,timeout=%d", params.name, req.id, timeout/rules.Millisecond)
 	if params.name == "line" {
 		req.key = fmt.Sprint("k", sim.rng.IntN(3))
@@ -63,7 +63,7 @@
 	}
 	sim.schedule(timeout+timingSlack, func() {
 		if !req.finished {
-			sim.violation(1, "%s %s has no answer after %d ms", params.name, req.id, (sim.now-req.at)/rules.Millisecond)
+			sim.addViolation(1, "%s %s has no answer after %d ms", params.name, req.id, (sim.now-req.sentAt)/rules.Millisecond)
 		}
 	})
 	if sim.chance(0.1) {
@@ -119,22 +119,22 @@
 	sim.send(conn, input)
 	sim.schedule(3*rules.Second, func() {
 		if conn.replyDue && !sim.exited {
-			sim.violation(1, "a bad client got no error and was not closed after 3 s: %.60q", input)
+			sim.addViolation(1, "a bad client got no error and was not closed after 3 s: %.60q", input)
 		}
 	})
 }
 
 // send passes a client's bytes to the gateway, at times in two pieces.
-func (sim *simulation) send(conn *simConn, b []byte) {
-	cut := len(b)
-	if len(b) > 0 && sim.chance(0.3) {
-		cut = sim.rng.IntN(len(b))
+func (sim *simulation) send(conn *simConn, data []byte) {
+	cut := len(data)
+	if len(data) > 0 && sim.chance(0.3) {
+		cut = sim.rng.IntN(len(data))
 	}
 	if cut > 0 && !conn.closed {
-		sim.step(&DataReceived{Conn: conn.id, Data: b[:cut]})
+		sim.step(&DataReceived{Conn: conn.id, Data: data[:cut]})
 	}
-	if cut < len(b) && !conn.closed {
-		sim.step(&DataReceived{Conn: conn.id, Data: b[cut:]})
+	if cut < len(data) && !conn.closed {
+		sim.step(&DataReceived{Conn: conn.id, Data: data[cut:]})
 	}
 }
 
@@ -165,52 +165,52 @@
 // readClientInput checks what a client receives: the greeting, the answer to its login, then results and errors.
 func (sim *simulation) readClientInput(conn *simConn) {
 	for len(conn.input) >= 4 {
-		n := int(conn.input[0]) | int(conn.input[1])<<8 | int(conn.input[2])<<16
-		if len(conn.input) < 4+n {
+		size := int(conn.input[0]) | int(conn.input[1])<<8 | int(conn.input[2])<<16
+		if len(conn.input) < 4+size {
 			return
 		}
-		p := conn.input[4 : 4+n]
+		payload := conn.input[4 : 4+size]
 		req := conn.request
 		if conn.bad {
 			switch {
-			case conn.session == 0 || p[0] == 0: // the greeting, or the OK of a login
+			case conn.session == 0 || payload[0] == 0: // the greeting, or the OK of a login
 				conn.session = 1
-			case p[0] == 0xff:
+			case payload[0] == 0xff:
 				if conn.replyDue {
 					conn.replyDue = false
 					sim.badClientsEnded++
 				}
 			default:
-				sim.violation(1, "a bad client got %q", p)
+				sim.addViolation(1, "a bad client got %q", payload)
 			}
-			conn.input = conn.input[4+n:]
+			conn.input = conn.input[4+size:]
 			continue
 		}
 		switch {
 		case conn.session == 0:
-			if p[0] == 0xff {
-				sim.recordAnswer(conn, "error", binary.LittleEndian.Uint16(p[1:]))
+			if payload[0] == 0xff {
+				sim.recordAnswer(conn, "error", binary.LittleEndian.Uint16(payload[1:]))
 			} else {
-				version := 1 + slices.Index(p[1:], 0)
-				conn.session = binary.LittleEndian.Uint32(p[version+1:])
+				version := 1 + slices.Index(payload[1:], 0)
+				conn.session = binary.LittleEndian.Uint32(payload[version+1:])
 			}
 		case !conn.loggedIn:
-			conn.loggedIn = p[0] == 0
+			conn.loggedIn = payload[0] == 0
 			if !conn.loggedIn {
-				sim.t.Errorf("the login was answered with %q", p)
+				sim.t.Errorf("the login was answered with %q", payload)
 			}
 		case req == nil: // the answer to a KILL
 		case req.killed:
-			sim.violation(1, "%s was killed, and got an answer", req.id)
-		case p[0] == 0xff:
-			sim.recordAnswer(conn, "error", binary.LittleEndian.Uint16(p[1:]))
+			sim.addViolation(1, "%s was killed, and got an answer", req.id)
+		case payload[0] == 0xff:
+			sim.recordAnswer(conn, "error", binary.LittleEndian.Uint16(payload[1:]))
 		default:
 			if !sim.readResult(conn, req) {
 				return
 			}
 			continue
 		}
-		conn.input = conn.input[4+n:]
+		conn.input = conn.input[4+size:]
 	}
 }
 
@@ -251,7 +251,7 @@
 		found = found || attempt.pages != nil && strings.Join(attempt.pages, "") == got.String()
 	}
 	if !found {
-		sim.violation(1, "%s got a result that no engine returned: %q", req.id, got.String())
+		sim.addViolation(1, "%s got a result that no engine returned: %q", req.id, got.String())
 	}
 	sim.recordAnswer(conn, "served", 0)
 	return true
@@ -264,10 +264,10 @@
 		return
 	}
 	if req.answers++; req.answers > 1 || req.finished {
-		sim.violation(1, "%s was answered again (%s %d)", req.id, outcome, code)
+		sim.addViolation(1, "%s was answered again (%s %d)", req.id, outcome, code)
 	}
-	if sim.now > req.due+timingSlack {
-		sim.violation(1, "%s was answered %d ms late", req.id, (sim.now-req.due)/rules.Millisecond)
+	if sim.now > req.deadline+timingSlack {
+		sim.addViolation(1, "%s was answered %d ms late", req.id, (sim.now-req.deadline)/rules.Millisecond)
 	}
 	switch {
 	case outcome == "served":
@@ -292,7 +292,7 @@
 	}
 	for _, attempt := range req.attempts {
 		if !attempt.neverRan {
-			sim.violation(2, "%s was rejected and may have run", req.id)
+			sim.addViolation(2, "%s was rejected and may have run", req.id)
 		}
 	}
 }
@@ -306,7 +306,7 @@
 		}
 		req := sim.requestsByID[words[1]]
 		if req != nil && req.finished && !req.clientLeft { // the gateway learns of a disconnect after a delay
-			sim.violation(1, "%s was sent after its end", req.id)
+			sim.addViolation(1, "%s was sent after its end", req.id)
 		}
 		if req != nil {
 			sim.traceSlowStart(engine, fmt.Sprintf("%s %s of %.0f ms was written", simClasses[req.class].name, req.id, float64(req.work)/float64(rules.Millisecond)))
@@ -319,16 +319,16 @@
 	for _, attempt := range req.attempts {
 		switch {
 		case !attempt.ended:
-			sim.violation(2, "%s has two attempts in flight", req.id)
+			sim.addViolation(2, "%s has two attempts in flight", req.id)
 		case attempt.neverRan:
 		case req.class == classLoad:
-			sim.violation(2, "%s was sent again and may have run", req.id)
-		case req.class == classNote && (attempt.engine.host.Zone != engine.host.Zone || sim.now > attempt.at+1500*rules.Millisecond):
-			sim.violation(2, "%s was sent again outside its group or deduplication window", req.id)
+			sim.addViolation(2, "%s was sent again and may have run", req.id)
+		case req.class == classNote && (attempt.engine.host.Zone != engine.host.Zone || sim.now > attempt.receivedAt+1500*rules.Millisecond):
+			sim.addViolation(2, "%s was sent again outside its group or deduplication window", req.id)
 		}
 	}
 	if engine.notifiedAt != 0 && sim.now > engine.notifiedAt+rules.Second+timingSlack {
-		sim.violation(3, "%s was sent to %s, which drains or was removed", req.id, engine.host.ID)
+		sim.addViolation(3, "%s was sent to %s, which drains or was removed", req.id, engine.host.ID)
 	}
 	sim.checkSlowStart(req, engine)
 	if req.key != "" {
@@ -336,21 +336,21 @@
 			if other == req {
 				break
 			}
-			out := slices.ContainsFunc(other.attempts, func(attempt *simAttempt) bool { return !attempt.ended })
-			if other.key == req.key && (out || sim.now+timingSlack < other.quarantinedUntil) {
-				sim.violation(5, "%s was sent out of order, after %s", req.id, other.id)
+			inFlight := slices.ContainsFunc(other.attempts, func(attempt *simAttempt) bool { return !attempt.ended })
+			if other.key == req.key && (inFlight || sim.now+timingSlack < other.quarantinedUntil) {
+				sim.addViolation(5, "%s was sent out of order, after %s", req.id, other.id)
 			}
 			if other.key == req.key && !other.finished {
 				sim.schedule(0, func() { // requests that were written at once may arrive in another order
 					if !other.finished {
-						sim.violation(5, "%s was sent out of order, while %s was in flight", req.id, other.id)
+						sim.addViolation(5, "%s was sent out of order, while %s was in flight", req.id, other.id)
 					}
 				})
 			}
 		}
 	}
 	if req.class == 1 && engine.host.Zone != "hall-b" {
-		sim.violation(6, "%s was sent to %s", req.id, engine.host.Zone)
+		sim.addViolation(6, "%s was sent to %s", req.id, engine.host.Zone)
 	}
 	if len(req.attempts) > 0 {
 		const window = 2 * rules.Second
@@ -362,12 +362,12 @@
 			}
 		}
 		for _, other := range sim.requests {
-			if other.at >= sim.now-window-timingSlack {
+			if other.sentAt >= sim.now-window-timingSlack {
 				requests++
 			}
 		}
 		if float64(retries) > 3+0.2*float64(requests) {
-			sim.violation(7, "%d retries, %d requests", retries, requests)
+			sim.addViolation(7, "%d retries, %d requests", retries, requests)
 		}
 	}
 }
@@ -395,16 +395,16 @@
 	}
 	fraction := initialFraction + (1-initialFraction)*float64(sim.now-engine.slowStartSince)/float64(period)
 	if budget := factor * fraction * cores * float64(window); total > budget && afterNotification >= total*2/3 {
-		sim.violation(4, "%s got %.0f us of work, its budget is %.0f us", engine.host.ID, total, budget)
+		sim.addViolation(4, "%s got %.0f us of work, its budget is %.0f us", engine.host.ID, total, budget)
 		if engine.slowStartTrace != nil {
-			sim.violation(4, "%s until then:\n%s", engine.host.ID, strings.Join(engine.slowStartTrace, "\n"))
+			sim.addViolation(4, "%s until then:\n%s", engine.host.ID, strings.Join(engine.slowStartTrace, "\n"))
 			engine.slowStartTrace = nil
 		}
 	}
 }
 
 // traceSlowStart records an event of an engine in slow start, with the gateway's own accounting of its budget.
-func (sim *simulation) traceSlowStart(engine *simEngine, what string) {
+func (sim *simulation) traceSlowStart(engine *simEngine, event string) {
 	if engine.slowStartSince == 0 || sim.now > engine.slowStartSince+slowStartPeriod {
 		return
 	}
@@ -415,7 +415,7 @@
 		}
 	}
 	engine.slowStartTrace = append(engine.slowStartTrace, fmt.Sprintf("%7.1f ms, %6.1f ms after its start: %s; the gateway %s",
-		float64(sim.now-sim.start)/float64(rules.Millisecond), float64(sim.now-engine.slowStartSince)/float64(rules.Millisecond), what, counted))
+		float64(sim.now-sim.start)/float64(rules.Millisecond), float64(sim.now-engine.slowStartSince)/float64(rules.Millisecond), event, counted))
 }
 
 // injectFaults schedules random failures of engines, changes of the endpoint list and bursts of requests.
@@ -479,8 +479,8 @@
 				sim := newSimulation(t, seed, faultRate)
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
-				if sim.sent < 300 || sim.served < 100 {
-					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
+				if sim.attemptsReceived < 300 || sim.served < 100 {
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.attemptsReceived, sim.served)
 				}
 				if faultRate > 0 && (sim.badClientsEnded < 50 || sim.malformedAnswers < 2) {
 					t.Errorf("only %d bad clients and %d malformed answers: the test covers too little", sim.badClientsEnded, sim.malformedAnswers)
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -41,19 +41,19 @@
 	start             rules.Time
 	queue             minheap.Heap[simEvent, *simEvent]
 	eventSeq          int
-	wakeAt            rules.Time
-	faultRate         float64 // scales the probability of each fault; 0: no faults
+	wakeAt            rules.Time // when the latest SetTimer fires; 0: not set
+	faultRate         float64    // scales the probability of each fault; 0: no faults
 	conns             map[ConnID]*simConn
-	lastConn          ConnID
+	lastConn          ConnID     // ID of the last client connection
 	idleClients       []*simConn // clients without a request
 	engines           map[string]*simEngine
-	serial            uint32
+	serial            uint32 // of the endpoint list
 	requestsByID      map[string]*simRequest
 	requests          []*simRequest
 	retryTimes        []rules.Time
-	violations        []string
-	sent              int
-	served            int
+	violations        []string // violations of the seven rules
+	attemptsReceived  int      // attempts that reached an engine
+	served            int      // results received by clients
 	rejected          int
 	failed            int
 	exited            bool
@@ -78,8 +78,8 @@
 )
 
 // seeds yields the seeds of a randomized test. The flag -seeds overrides the default count.
-func seeds(named uint64) iter.Seq[uint64] {
-	count := cmp.Or(*seedCount, named)
+func seeds(defaultCount uint64) iter.Seq[uint64] {
+	count := cmp.Or(*seedCount, defaultCount)
 	return func(yield func(uint64) bool) {
 		for i := range count {
 			if !yield(*firstSeed + i) {
@@ -104,47 +104,50 @@
 // simConn is the client's or engine's end of a connection.
 type simConn struct {
 	id       ConnID
-	session  uint32
+	session  uint32 // session ID, known after the greeting
 	client   bool
-	input    []byte
+	input    []byte // received and not read yet
 	loggedIn bool
 	bad      bool // the client sends invalid input
 	replyDue bool // the bad client must still get an error or be closed
 	request  *simRequest
 	engine   *simEngine
-	inFlight map[string]*simAttempt
+	inFlight map[string]*simAttempt // of an engine connection, by request ID
 	closed   bool
 	written  int64      // bytes that the operating system accepted from the gateway
 	delay    rules.Time // network delay to the engine; 0 for clients
 }
 
+// simEngine is a simulated engine.
 type simEngine struct {
 	host            standin.Host
-	delisted        bool       // removed from the endpoint list
-	refusing        bool       // refuses new connections
-	silent          bool       // accepts and sends nothing
-	notifiedAt      rules.Time // when the gateway was notified that it drains or was removed
-	slowStartSince  rules.Time // when its process restarted; 0: it has not
-	slowStartSends  []timedWork
-	startNotifiedAt rules.Time // when the gateway was notified of the restart
-	slowStartTrace  []string   // requests written to it since its restart and the gateway's accounting, reported with a violation of rule 4
+	delisted        bool        // removed from the endpoint list
+	refusing        bool        // refuses new connections
+	silent          bool        // accepts and sends nothing
+	notifiedAt      rules.Time  // when the gateway was notified that it drains or was removed
+	slowStartSince  rules.Time  // when its process restarted; 0: it has not
+	slowStartSends  []timedWork // attempts that reached it since the restart
+	startNotifiedAt rules.Time  // when the gateway was notified of the restart
+	slowStartTrace  []string    // its events since the restart, reported with a violation of rule 4
 }
 
+// timedWork is work that reached an engine at a time.
 type timedWork struct {
 	at   rules.Time
 	work float64
 }
 
+// simRequest is a request as its client sees it.
 type simRequest struct {
 	id               string
 	client           *simConn
 	class            int
 	key              string
-	at               rules.Time
-	due              rules.Time
+	sentAt           rules.Time
+	deadline         rules.Time
 	work             rules.Time
 	attempts         []*simAttempt
-	answers          int
+	answers          int // final answers
 	killed           bool
 	clientLeft       bool       // the client closed its connection
 	goneAt           rules.Time // when the client disconnected or killed its query; 0: it has not
@@ -152,14 +155,15 @@
 	quarantinedUntil rules.Time // end of the quarantine of its key
 }
 
+// simAttempt is an attempt that has reached an engine.
 type simAttempt struct {
-	request  *simRequest
-	engine   *simEngine
-	conn     *simConn
-	at       rules.Time
-	ended    bool
-	neverRan bool // it is known that the attempt never ran
-	pages    []string
+	request    *simRequest
+	engine     *simEngine
+	conn       *simConn
+	receivedAt rules.Time
+	ended      bool
+	neverRan   bool // it is known that the attempt never ran
+	pages      []string
 }
 
 const simSettings = `{"classes":[
@@ -177,10 +181,10 @@
 "siblings":1,"tick":1000,"zones":["hall-a","hall-b"]}`
 
 var simClasses = []struct {
-	name    string
-	giveUp  rules.Time
-	work    rules.Time
-	threads rules.Time
+	name       string
+	maxTimeout rules.Time
+	work       rules.Time
+	threads    rules.Time
 }{
 	{"point", 800 * rules.Millisecond, 20 * rules.Millisecond, 1},
 	{"report", 3 * rules.Second, 600 * rules.Millisecond, 4},
@@ -216,8 +220,8 @@
 	return newSimulationWith(t, seed, faultRate, nil)
 }
 
-// newSimulationWith returns a simulation with four engines in two zones. Unless modify is nil, it may change the
-// configuration.
+// newSimulationWith returns a simulation with four engines in two zones. If modify is not nil, it changes the
+// configuration first.
 func newSimulationWith(t *testing.T, seed uint64, faultRate float64, modify func(*config.Config)) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1_700_000_000 * rules.Second, faultRate: faultRate, serial: 1,
 		conns: map[ConnID]*simConn{}, engines: map[string]*simEngine{}, requestsByID: map[string]*simRequest{}}
@@ -238,9 +242,10 @@
 	return sim
 }
 
-func (sim *simulation) schedule(d rules.Time, do func()) {
+// schedule runs do after delay.
+func (sim *simulation) schedule(delay rules.Time, do func()) {
 	sim.eventSeq++
-	sim.queue.Push(simEvent{sim.now + d, sim.eventSeq, do})
+	sim.queue.Push(simEvent{sim.now + delay, sim.eventSeq, do})
 }
 
 // reportViolations fails the test with the first five violations of the rules, if there are any.
@@ -251,10 +256,12 @@
 	}
 }
 
-func (sim *simulation) violation(rule int, format string, args ...any) {
+// addViolation records a violation of one of the seven rules.
+func (sim *simulation) addViolation(rule int, format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf("rule %d at %d ms: %s", rule, (sim.now-sim.start)/rules.Millisecond, fmt.Sprintf(format, args...)))
 }
 
+// step passes an event to the gateway, after the pause if its process is paused.
 func (sim *simulation) step(event Event) {
 	if sim.exited {
 		return
@@ -305,7 +312,7 @@
 const readAfterPause = 300
 
 // pauseProcess stops the gateway's process for the duration d.
-func (sim *simulation) pauseProcess(d rules.Time) { sim.pausedUntil = sim.now + d }
+func (sim *simulation) pauseProcess(duration rules.Time) { sim.pausedUntil = sim.now + duration }
 
 // run plays scheduled events and the gateway's timers up to the time until.
 func (sim *simulation) run(until rules.Time) {
@@ -330,6 +337,7 @@
 	}
 }
 
+// executeEffects executes the gateway's pending effects.
 func (sim *simulation) executeEffects() {
 	for _, effect := range sim.g.Flush() {
 		if sim.onEffect != nil {
@@ -378,9 +386,9 @@
 		case SubmitSpool:
 			sim.submitDisk(effect.Effect)
 		case NotifyDrained:
-			sim.schedule(sim.latency(), func() { sim.step(WriteDrained(effect)) })
+			sim.schedule(sim.randomLatency(), func() { sim.step(WriteDrained(effect)) })
 		case PersistVoterLog:
-			sim.schedule(sim.latency(), func() { sim.step(VoterLogPersisted{}) })
+			sim.schedule(sim.randomLatency(), func() { sim.step(VoterLogPersisted{}) })
 		case ControlResponse:
 			sim.commandAnswers = append(sim.commandAnswers, string(effect.Data))
 		case Exit:
@@ -392,7 +400,7 @@
 // submitDisk executes a disk operation of the spool after a delay. A fraction of the operations fails.
 func (sim *simulation) submitDisk(effect spool.DiskEffect) {
 	fails := sim.chance(0.02)
-	sim.schedule(sim.latency(), func() {
+	sim.schedule(sim.randomLatency(), func() {
 		var events []spool.Event
 		switch effect := effect.(type) {
 		case spool.WriteRecord:
@@ -411,12 +419,12 @@
 	})
 }
 
+// chance returns true with probability p, scaled by the fault rate.
 func (sim *simulation) chance(p float64) bool { return sim.rng.Float64() < p*sim.faultRate }
 
-func (sim *simulation) latency() rules.Time { return rules.Time(100 + sim.rng.IntN(1500)) }
-
-// ---- the name service
+func (sim *simulation) randomLatency() rules.Time { return rules.Time(100 + sim.rng.IntN(1500)) }
 
+// answerNameQuery answers a name service query with the current list. At times the answer is lost, corrupt or late.
 func (sim *simulation) answerNameQuery(query []byte) {
 	if sim.chance(0.3) {
 		return // lost
@@ -434,7 +442,7 @@
 		msg = msg[:1+sim.rng.IntN(len(msg))]
 		serial = 0
 	}
-	delay := sim.latency()
+	delay := sim.randomLatency()
 	if sim.chance(0.1) {
 		delay += 400 * rules.Millisecond
 	}
@@ -456,8 +464,7 @@
 	})
 }
 
-// ---- engines
-
+// dial connects to the engine at the address, unless it refuses connections or is silent.
 func (sim *simulation) dial(effect Dial) {
 	var engine *simEngine
 	for _, other := range sim.engines {
@@ -469,13 +476,13 @@
 	switch {
 	case sim.localExhaustion:
 		sim.localDialFailures++
-		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: errLocalExhaustion, Local: true}) })
+		sim.schedule(sim.randomLatency(), func() { sim.step(DialFailed{Conn: id, Err: errLocalExhaustion, Local: true}) })
 	case engine == nil || engine.refusing:
-		sim.schedule(sim.latency(), func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("refused")}) })
+		sim.schedule(sim.randomLatency(), func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("refused")}) })
 	case engine.silent:
 		sim.schedule(effect.Timeout, func() { sim.step(DialFailed{Conn: id, Err: fmt.Errorf("timeout")}) })
 	default:
-		conn := &simConn{id: id, engine: engine, inFlight: map[string]*simAttempt{}, delay: sim.latency()}
+		conn := &simConn{id: id, engine: engine, inFlight: map[string]*simAttempt{}, delay: sim.randomLatency()}
 		sim.conns[id] = conn
 		sim.schedule(2*conn.delay, func() {
 			if !sim.conns[id].closed {
@@ -485,6 +492,7 @@
 	}
 }
 
+// readEngineInput handles the complete lines that an engine has received on a connection.
 func (sim *simulation) readEngineInput(conn *simConn) {
 	for {
 		line, rest, ok := bytes.Cut(conn.input, []byte("\r\n"))
@@ -544,7 +552,7 @@
 
 // respond sends an engine's answer after a delay. It calls onSend, which may be nil, before the gateway receives it.
 func (sim *simulation) respond(conn *simConn, text string, onSend func()) {
-	sim.schedule(sim.latency(), func() {
+	sim.schedule(sim.randomLatency(), func() {
 		if conn.closed || conn.engine.silent {
 			return
 		}
@@ -576,6 +584,7 @@
 // including the network delay.
 const maxStartAfterLeave = 100*rules.Millisecond + 5*rules.Millisecond
 
+// receiveAsk handles a request that has reached an engine: it checks the attempt, and answers or fails it later.
 func (sim *simulation) receiveAsk(conn *simConn, id, fields, statement string) {
 	req, engine := sim.requestsByID[id], conn.engine
 	if req == nil {
@@ -586,17 +595,17 @@
 	}
 	sim.checkSend(req, engine)
 	if req.goneAt != 0 && sim.now > req.goneAt+maxStartAfterLeave {
-		sim.violation(1, "%s reached an engine %d ms after its client had gone", req.id, (sim.now-req.goneAt)/rules.Millisecond)
+		sim.addViolation(1, "%s reached an engine %d ms after its client had gone", req.id, (sim.now-req.goneAt)/rules.Millisecond)
 	}
 	if req.client == nil || req.client.bad {
 		sim.t.Fatalf("engine received request %s of a bad client", id)
 	}
-	if remaining := req.due - sim.now; parseTTL(fields) > remaining+150*rules.Millisecond+timingSlack {
-		sim.violation(1, "%s reached an engine with %d ms to run, and its client waits for %d ms", req.id, parseTTL(fields)/rules.Millisecond, remaining/rules.Millisecond)
+	if remaining := req.deadline - sim.now; parseTTL(fields) > remaining+150*rules.Millisecond+timingSlack {
+		sim.addViolation(1, "%s reached an engine with %d ms to run, and its client waits for %d ms", req.id, parseTTL(fields)/rules.Millisecond, remaining/rules.Millisecond)
 	}
-	attempt := &simAttempt{request: req, engine: engine, conn: conn, at: sim.now}
+	attempt := &simAttempt{request: req, engine: engine, conn: conn, receivedAt: sim.now}
 	req.attempts = append(req.attempts, attempt)
-	sim.sent++
+	sim.attemptsReceived++
 	conn.inFlight[id] = attempt
 	if engine.silent || sim.chance(0.02) {
 		return // the attempt is never answered
@@ -678,8 +687,8 @@
 		if byPeer {
 			req.clientLeft, req.finished, req.goneAt = true, true, sim.now
 		} else if !req.killed {
-			sim.violation(1, "the connection of %s ended without an answer", req.id)
+			sim.addViolation(1, "the connection of %s ended without an answer", req.id)
 		}
 	}
-	sim.schedule(sim.latency(), func() { sim.step(ConnectionClosed{Conn: conn.id, AcceptedBytes: conn.written}) })
+	sim.schedule(sim.randomLatency(), func() { sim.step(ConnectionClosed{Conn: conn.id, AcceptedBytes: conn.written}) })
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -30,7 +30,7 @@
 // After a stall, timers are due before the process has read the input that arrived meanwhile. Requests whose clients
 // disconnected or killed them during the stall must not be sent to an engine.
 func TestNothingIsSentForClientsGoneDuringStall(t *testing.T) {
-	gone := 0
+	abandoned := 0
 	for seed := range seeds(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			sim := newSimulation(t, seed, 0)
@@ -40,7 +40,7 @@
 					for _, req := range sim.requests {
 						if !req.finished {
 							sim.abandonRequest(req)
-							gone++
+							abandoned++
 						}
 					}
 				})
@@ -53,7 +53,7 @@
 			}
 		})
 	}
-	if gone < 100 {
-		t.Errorf("only %d requests were abandoned: the test covers too little", gone)
+	if abandoned < 100 {
+		t.Errorf("only %d requests were abandoned: the test covers too little", abandoned)
 	}
 }
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -31,8 +31,8 @@
 // newTestGateway returns a testGateway with one engine, oneHost.
 func newTestGateway(t *testing.T) *testGateway { return newTestGatewayWith(t, nil, oneHost) }
 
-// newTestGatewayWith returns a testGateway with the given engines. Unless modify is nil, it may change the
-// configuration.
+// newTestGatewayWith returns a testGateway with the given engines. If modify is not nil, it changes the
+// configuration first.
 func newTestGatewayWith(t *testing.T, modify func(*config.Config), hosts ...standin.Host) *testGateway {
 	gw := startTestGateway(t, modify, hosts...)
 	gw.flush()
@@ -66,6 +66,7 @@
 	}
 }
 
+// step passes an event to the gateway and records the effects.
 func (gw *testGateway) step(event Event) {
 	gw.g.Step(gw.now, event)
 	gw.flush()
@@ -82,8 +83,8 @@
 }
 
 // advance moves the clock forward by d and fires all timers that become due.
-func (gw *testGateway) advance(d rules.Time) {
-	for end := gw.now + d; ; {
+func (gw *testGateway) advance(duration rules.Time) {
+	for end := gw.now + duration; ; {
 		at, ok := gw.g.timers.next()
 		if !ok || at > end {
 			gw.now = end
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -17,21 +17,21 @@
 // The seven rules hold with zone routing, with and without injected faults, while reloads change the zone plan, drain a
 // zone, and remove and restore the plan.
 func TestRulesWithZoneRouting(t *testing.T) {
-	texts := []string{"sites {\n  ramp = \"1s\"\n}", "sites {\n  zone \"hall-a\" {\n    drain = true\n  }\n}", "",
+	sites := []string{"sites {\n  ramp = \"1s\"\n}", "sites {\n  zone \"hall-a\" {\n    drain = true\n  }\n}", "",
 		"sites {\n  settle = \"0s\"\n  damping {\n    half_life = \"200ms\"\n  }\n}"}
 	for _, faultRate := range []float64{0, 0.4, 1} {
 		for seed := range seeds(6) {
 			t.Run(fmt.Sprintf("fault rate %v seed %d", faultRate, seed), func(t *testing.T) {
-				sim := newSimulationWith(t, seed, faultRate, withSite(t, texts[0]))
+				sim := newSimulationWith(t, seed, faultRate, withSite(t, sites[0]))
 				n := 0
 				sim.reloadChange = func(cfg *config.Config) {
 					n++
-					cfg.Site = parseSite(t, texts[n%len(texts)])
+					cfg.Site = parseSite(t, sites[n%len(sites)])
 				}
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
-				if sim.sent < 300 || sim.served < 100 {
-					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
+				if sim.attemptsReceived < 300 || sim.served < 100 {
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.attemptsReceived, sim.served)
 				}
 			})
 		}
@@ -89,10 +89,10 @@
 				sim.injectZoneFaults(6 * rules.Second)
 				sim.play(6 * rules.Second)
 				sim.reportViolations()
-				if sim.sent < 60 || sim.served < 40 {
-					t.Errorf("only %d attempts and %d served: the test covers too little", sim.sent, sim.served)
+				if sim.attemptsReceived < 60 || sim.served < 40 {
+					t.Errorf("only %d attempts and %d served: the test covers too little", sim.attemptsReceived, sim.served)
 				}
-				sent, served = sent+sim.sent, served+sim.served
+				sent, served = sent+sim.attemptsReceived, served+sim.served
 				for _, s := range sim.g.zones.router.Status(sim.now) {
 					lost += s.Losses
 				}
@@ -101,7 +101,7 @@
 			})
 		}
 	}
-	if sent < 4000 || served < 3200 { // a single seed may be far below, if zones are lost in turn for most of it
+	if sent < 4000 || served < 3200 { // a single seed may be far below: zones that are lost in turn are out most of the time
 		t.Errorf("only %d attempts and %d served in all: the test covers too little", sent, served)
 	}
 	if lost < 10 || spilled < 100 {
@@ -113,7 +113,7 @@
 func (sim *simulation) countAttempts(zone string, from, to rules.Time) (n int) {
 	for _, req := range sim.requests {
 		for _, attempt := range req.attempts {
-			if attempt.engine.host.Zone == zone && attempt.at >= sim.start+from && attempt.at < sim.start+to {
+			if attempt.engine.host.Zone == zone && attempt.receivedAt >= sim.start+from && attempt.receivedAt < sim.start+to {
 				n++
 			}
 		}
@@ -125,7 +125,7 @@
 // its traffic recovers on the recovery ramp.
 func TestZoneIsLostAndComesBack(t *testing.T) {
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  ramp = \"3s\"\n  jitter = 0\n}"))
-	forZone := func(set func(engine *simEngine)) {
+	eachInZone := func(set func(engine *simEngine)) {
 		for _, engine := range sim.engines {
 			if engine.host.Zone == "hall-a" {
 				set(engine)
@@ -136,12 +136,12 @@
 		sim.schedule(at, sim.sendRequest)
 	}
 	state := func() zones.State { return sim.g.zones.router.Status(sim.now)[0].State }
-	sim.schedule(3*rules.Second, func() { forZone(func(engine *simEngine) { sim.resetConns(engine); engine.refusing = true }) })
+	sim.schedule(3*rules.Second, func() { eachInZone(func(engine *simEngine) { sim.resetConns(engine); engine.refusing = true }) })
 	sim.run(sim.start + 6*rules.Second)
 	if s := state(); s != zones.Lost {
 		t.Fatalf("3 s after its loss the zone is %v", s)
 	}
-	sim.schedule(3*rules.Second, func() { forZone(func(engine *simEngine) { engine.refusing = false }) })
+	sim.schedule(3*rules.Second, func() { eachInZone(func(engine *simEngine) { engine.refusing = false }) })
 	sim.run(sim.start + 24*rules.Second)
 	if s := state(); s != zones.Present {
 		t.Errorf("15 s after its return the zone is %v", s)
@@ -158,9 +158,9 @@
 // A zone that the site file drains gets fewer and fewer requests, then none. Once the drain is withdrawn, its traffic
 // recovers on the recovery ramp.
 func TestZoneIsDrainedByConfig(t *testing.T) {
-	off := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n}"
-	on := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n  zone \"hall-a\" {\n    drain = true\n  }\n}"
-	sim := newSimulationWith(t, 4, 0, withSite(t, off))
+	normalSite := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n}"
+	drainSite := "sites {\n  ramp = \"2s\"\n  drain_over = \"2s\"\n  zone \"hall-a\" {\n    drain = true\n  }\n}"
+	sim := newSimulationWith(t, 4, 0, withSite(t, normalSite))
 	for at := rules.Time(0); at < 16*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
@@ -171,8 +171,8 @@
 			sim.step(ConfigReloaded{Config: &cfg})
 		}
 	}
-	sim.schedule(3*rules.Second, reload(on))
-	sim.schedule(9*rules.Second, reload(off))
+	sim.schedule(3*rules.Second, reload(drainSite))
+	sim.schedule(9*rules.Second, reload(normalSite))
 	sim.run(sim.start + 16*rules.Second)
 	before, drained := sim.countAttempts("hall-a", rules.Second, 3*rules.Second), sim.countAttempts("hall-a", 6*rules.Second, 9*rules.Second)
 	after := sim.countAttempts("hall-a", 13*rules.Second, 15*rules.Second)
@@ -186,8 +186,8 @@
 // with new processes used to be suspected again when the attempts from before its loss ended.
 func TestFormerProcessDoesNotAffectZone(t *testing.T) {
 	gw := newTestGateway(t)
-	gw.advance(1100 * rules.Millisecond) // a gateway that has just started sends nothing to an engine in slow start
-	former := gw.sendToEngine("load")    // a load is not cancelled and retried elsewhere meanwhile
+	gw.advance(1100 * rules.Millisecond)  // a gateway that has just started sends nothing to an engine in slow start
+	formerConn := gw.sendToEngine("load") // a load is not cancelled and retried elsewhere meanwhile
 	eng := gw.g.engineOrder[0]
 	gw.advance(300 * rules.Millisecond)
 	restarted := oneHost
@@ -199,18 +199,18 @@
 	if eng.lastRequest > eng.lastRead {
 		t.Error("a request to the former process counts as unanswered by the new one")
 	}
-	gw.closeConn(former)
+	gw.closeConn(formerConn)
 	gw.advance(300 * rules.Millisecond)
 	if eng.lastFailure != 0 {
 		t.Error("a failed attempt on the former process counts as a failure of the new one")
 	}
 	gw.loginClient(2)
 	gw.receive(2, requestPacket("load", idB))
-	present := gw.dials[len(gw.dials)-1]
-	gw.step(DialSucceeded{Conn: present})
+	newConn := gw.dials[len(gw.dials)-1]
+	gw.step(DialSucceeded{Conn: newConn})
 	sentAt := gw.now
 	gw.now += 10 * rules.Millisecond
-	gw.closeConn(present)
+	gw.closeConn(newConn)
 	gw.advance(300 * rules.Millisecond)
 	if eng.lastRequest != sentAt || eng.lastFailure < sentAt {
 		t.Errorf("an attempt on the new process at %d that was reset counts as a request at %d and a failure at %d", sentAt, eng.lastRequest, eng.lastFailure)
