--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -2,24 +2,24 @@
 
 import "foxlane/rules"
 
-// This file models attempts: how they reach an engine, and how their outcome reaches the module.
+// This file models attempts: delivery to an engine, and delivery of the outcome to the decision module.
 
-// attempt is one attempt of a request at an engine.
+// attempt is one execution attempt of a request on an engine.
 type attempt struct {
 	request  *request
 	index    int
 	engine   *engine
 	sentAt   rules.Time
 	job      *job // nil until the engine has accepted it
-	notified bool // the gateway had been notified of the start of the engine's process
-	done     bool // the gateway has its outcome
-	answered bool // the engine has answered
+	notified bool // when sending it, the gateway had been notified of the engine's current incarnation
+	done     bool // the gateway has reported its outcome to the module
+	answered bool // the engine has sent a response, received or not
 }
 
-// connectionIdleTimeout is how long a connection to an engine stays open without a request.
+// connectionIdleTimeout is how long an idle connection to an engine stays open.
 const connectionIdleTimeout = 13 * rules.Second
 
-// forward sends an attempt of a request to an engine.
+// forward sends a new attempt of a request to an engine, and opens a connection if none is open.
 func (g *gateway) forward(r *request, id rules.EngineID) {
 	f := g.fleet
 	a := &attempt{request: r, index: len(r.attempts), engine: f.engineByID(id), sentAt: f.now}
@@ -37,7 +37,7 @@
 		delete(g.lastUsed, id)
 		g.after(f.scenario.Settings.Limits.ConnectTimeout, func() { g.finishAttempt(a, rules.StatusConnectFailed) })
 	} else {
-		f.after(f.delay(g, a.engine), func() { // the engine gets it even if the gateway has crashed meanwhile
+		f.after(f.delay(g, a.engine), func() { // not g.after: the engine receives it even if the gateway crashes first
 			if !a.done && !f.isCut(g.zone, a.engine.zone) {
 				a.engine.receive(a)
 			}
@@ -46,7 +46,7 @@
 	g.after(r.deadline-f.now, func() { g.finishAttempt(a, rules.StatusTimeout) })
 }
 
-// answerGateway sends an engine's answer to its gateway.
+// answerGateway sends an engine's response to the gateway of the attempt. A silent engine or a cut link loses it.
 func (f *Fleet) answerGateway(a *attempt, status rules.Status) {
 	a.answered = true
 	g := a.request.gateway
@@ -56,7 +56,7 @@
 	g.afterIn(a.request.incarnation, f.delay(g, a.engine), func() { g.finishAttempt(a, status) })
 }
 
-// cancel gives up an attempt whose outcome the module no longer needs.
+// cancel cancels an attempt whose outcome the module no longer needs.
 func (g *gateway) cancel(a *attempt) {
 	if a.done {
 		return
@@ -67,7 +67,8 @@
 	g.finishAttempt(a, rules.StatusCancelled)
 }
 
-// finishAttempt reports to the module how an attempt ended, once; the first good answer is the client's.
+// finishAttempt reports the outcome of an attempt to the module, once. The first successful response serves the
+// client's request.
 func (g *gateway) finishAttempt(a *attempt, status rules.Status) {
 	if a.done {
 		return
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -6,9 +6,9 @@
 	"foxlane/rules"
 )
 
-// This file models the clients: when they send requests, to which gateway, and when they retry.
+// This file models the clients: their arrival process, their choice of a gateway and their retries.
 
-// clientRequest is what a client wants, over all of its tries.
+// clientRequest is a client's request, over all of its tries.
 type clientRequest struct {
 	class        int
 	startedAt    rules.Time
@@ -17,18 +17,18 @@
 	declaredWork float64
 	dataSet      int
 	tries        int
-	done         bool // it has its result
+	done         bool // the client has received its result
 }
 
-// dataSets is the number of data sets that requests are spread over.
+// dataSets is the number of data sets, of which each request uses one.
 const dataSets = 40
 
-// interarrival draws the time until the next new request.
+// interarrival draws the exponentially distributed time until the next new request.
 func (f *Fleet) interarrival() rules.Time {
 	return max(1, rules.Time(f.rng.ExpFloat64()/f.requestRate))
 }
 
-// newClientRequest has a client send a new request, and schedules the next one.
+// newClientRequest draws and sends a new client request, and schedules the next one.
 func (f *Fleet) newClientRequest() {
 	f.after(f.interarrival(), f.newClientRequest)
 	class := f.drawClass()
@@ -44,7 +44,7 @@
 	f.send(r)
 }
 
-// drawClass draws a class by its share of the requests.
+// drawClass draws a class index, weighted by the classes' shares of the requests.
 func (f *Fleet) drawClass() (class int) {
 	total := 0.0
 	for _, c := range f.scenario.Classes {
@@ -60,7 +60,8 @@
 	return class
 }
 
-// pickGateway draws the gateway that a client connects to, nil if none takes requests.
+// pickGateway draws the gateway that a client connects to, weighted by load. It returns nil if no gateway accepts
+// requests.
 func (f *Fleet) pickGateway() *gateway {
 	total := 0.0
 	for i, g := range f.gateways {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// send sends one try of a request.
+// send sends one try of a request to a gateway. Without an available gateway it schedules a retry.
 func (f *Fleet) send(r *clientRequest) {
 	g := f.pickGateway()
 	if g == nil {
@@ -92,8 +93,8 @@
 	f.after(f.scenario.Network.Client, func() { g.receive(r) })
 }
 
-// retry has a client try again after a backoff, if it has tries and time left. Some clients wait for retryAfter
-// instead, if the gateway named one; 0: it did not.
+// retry schedules a client's next try after a random backoff, if it has tries and time left. With probability
+// HonorRetryAfter the client waits for retryAfter instead; 0 means that the gateway named none.
 func (f *Fleet) retry(r *clientRequest, retryAfter rules.Time) {
 	c := f.scenario.Clients
 	if r.done || r.tries >= c.MaxTries {
--- a/internal/emulator/datagram.go
+++ b/internal/emulator/datagram.go
@@ -8,10 +8,10 @@
 	"foxlane/rules"
 )
 
-// This file models the datagrams that members send one another: they are delayed, lost, duplicated and reordered, links
-// are cut by pair and direction, and members pause or end. It has no clock and no sockets, as the members have none.
+// This file models a datagram network between members: it delays, loses, duplicates and reorders datagrams, cuts links
+// by pair and direction, and pauses or removes members. It runs in virtual time, without sockets.
 
-// DatagramModel is what happens to datagrams on their way.
+// DatagramModel holds the loss, duplication and delay of datagrams. Delays are uniform between the bounds.
 type DatagramModel struct {
 	Loss, Duplicate    float64 // probabilities
 	MinDelay, MaxDelay rules.Time
@@ -23,19 +23,20 @@
 
 // Member is a member of a DatagramNetwork.
 type Member interface {
-	// Receive takes a datagram, and calls send for each that the member sends. The data is valid during the call.
+	// Receive handles a datagram, and calls send for each datagram that the member sends. Data is valid only during
+	// the call.
 	Receive(now rules.Time, from string, data []byte, send func(to string, data []byte))
-	// Tick is called at intervals, and calls send for each datagram that the member sends.
+	// Tick is called periodically, and calls send for each datagram that the member sends.
 	Tick(now rules.Time, send func(to string, data []byte))
 }
 
-// DatagramNetwork is a network of members in virtual time.
+// DatagramNetwork simulates a network of members in virtual time.
 type DatagramNetwork struct {
 	Model              DatagramModel
-	TickInterval       rules.Time // of each member
+	TickInterval       rules.Time // between two calls of a member's Tick
 	Now                rules.Time
-	SentBytes          map[string]int // by member
-	PeakBytesPerSecond map[string]int // by member, the most that it sent within a second
+	SentBytes          map[string]int // total, by member
+	PeakBytesPerSecond map[string]int // by member: the maximum sent within one second
 
 	rng   *rand.Rand
 	queue eventqueue.Queue
@@ -44,31 +45,32 @@
 	cuts  map[[2]string]bool
 }
 
-// node is a member's process.
+// node is the process of a member.
 type node struct {
 	name         string
 	member       Member
-	paused       bool // its process is stopped: what arrives waits
-	incarnation  int
+	paused       bool // what arrives is added to backlog
+	incarnation  int  // incremented when the process is replaced or removed
 	backlog      []func()
-	second       rules.Time
+	second       rules.Time // of virtual time, in seconds, that sentInSecond counts
 	sentInSecond int
 }
 
-// NewDatagramNetwork returns a network without members.
+// NewDatagramNetwork returns a network without members, whose virtual time begins at start.
 func NewDatagramNetwork(model DatagramModel, tickInterval, start rules.Time, seed uint64) *DatagramNetwork {
 	return &DatagramNetwork{Model: model, TickInterval: tickInterval, Now: start, SentBytes: map[string]int{}, PeakBytesPerSecond: map[string]int{},
 		rng: rand.New(rand.NewPCG(seed, 0xa0761d6478bd642f)), nodes: map[string]*node{}, cuts: map[[2]string]bool{}}
 }
 
-// Add adds a member, or replaces the process of the member with that name.
-func (t *DatagramNetwork) Add(name string, member Member) {
-	n := t.nodes[name]
+// Add adds a member, or replaces the process of the member with that name. Its first tick comes at a random time within
+// TickInterval.
+func (d *DatagramNetwork) Add(name string, member Member) {
+	n := d.nodes[name]
 	if n == nil {
 		n = &node{name: name}
-		t.nodes[name] = n
-		i, _ := slices.BinarySearch(t.names, name)
-		t.names = slices.Insert(t.names, i, name)
+		d.nodes[name] = n
+		i, _ := slices.BinarySearch(d.names, name)
+		d.names = slices.Insert(d.names, i, name)
 	}
 	n.incarnation++
 	n.member, n.paused, n.backlog = member, false, nil
@@ -78,33 +80,33 @@
 		if n.incarnation != incarnation {
 			return
 		}
-		n.deliver(func() { n.member.Tick(t.Now, t.sender(n)) })
-		t.After(t.TickInterval, tick)
+		n.deliver(func() { n.member.Tick(d.Now, d.sender(n)) })
+		d.After(d.TickInterval, tick)
 	}
-	t.After(rules.Time(t.rng.Int64N(int64(t.TickInterval))), tick)
+	d.After(rules.Time(d.rng.Int64N(int64(d.TickInterval))), tick)
 }
 
 // Remove ends a member's process.
-func (t *DatagramNetwork) Remove(name string) {
-	if n := t.nodes[name]; n != nil {
+func (d *DatagramNetwork) Remove(name string) {
+	if n := d.nodes[name]; n != nil {
 		n.incarnation++
 		n.member = nil
-		delete(t.nodes, name)
-		t.names = slices.DeleteFunc(t.names, func(s string) bool { return s == name })
+		delete(d.nodes, name)
+		d.names = slices.DeleteFunc(d.names, func(s string) bool { return s == name })
 	}
 }
 
-// Names are the members, sorted.
-func (t *DatagramNetwork) Names() []string { return t.names }
+// Names returns the sorted names of the members.
+func (d *DatagramNetwork) Names() []string { return d.names }
 
-// SetPaused pauses a member or has it go on: then it handles at once what has arrived meanwhile.
-func (t *DatagramNetwork) SetPaused(name string, on bool) {
-	n := t.nodes[name]
+// SetPaused pauses or resumes a member. A member that resumes handles its backlog at once.
+func (d *DatagramNetwork) SetPaused(name string, paused bool) {
+	n := d.nodes[name]
 	if n == nil {
 		return
 	}
-	n.paused = on
-	if backlog := n.backlog; !on {
+	n.paused = paused
+	if backlog := n.backlog; !paused {
 		n.backlog = nil
 		for _, handle := range backlog {
 			handle()
@@ -112,36 +114,38 @@
 	}
 }
 
-// Cut cuts the link from one member to another in that direction, or restores it.
-func (t *DatagramNetwork) Cut(from, to string, on bool) {
-	if on {
-		t.cuts[[2]string{from, to}] = true
+// Cut cuts or restores the link from one member to another, in that direction only.
+func (d *DatagramNetwork) Cut(from, to string, cut bool) {
+	if cut {
+		d.cuts[[2]string{from, to}] = true
 	} else {
-		delete(t.cuts, [2]string{from, to})
+		delete(d.cuts, [2]string{from, to})
 	}
 }
 
-// Partition cuts all links between members on different sides, and restores all others.
-func (t *DatagramNetwork) Partition(side func(name string) int) {
-	clear(t.cuts)
-	for _, a := range t.names {
-		for _, b := range t.names {
+// Partition cuts all links between members for which side differs, and restores all others.
+func (d *DatagramNetwork) Partition(side func(name string) int) {
+	clear(d.cuts)
+	for _, a := range d.names {
+		for _, b := range d.names {
 			if side(a) != side(b) {
-				t.cuts[[2]string{a, b}] = true
+				d.cuts[[2]string{a, b}] = true
 			}
 		}
 	}
 }
 
-// After schedules a function.
-func (t *DatagramNetwork) After(d rules.Time, run func()) { t.queue.Schedule(t.Now+d, run) }
+// After schedules a function call after a delay.
+func (d *DatagramNetwork) After(delay rules.Time, run func()) { d.queue.Schedule(d.Now+delay, run) }
 
-// Run runs the network until a time.
-func (t *DatagramNetwork) Run(until rules.Time) { t.queue.RunUntil(until, &t.Now) }
+// Run processes events until the given virtual time.
+func (d *DatagramNetwork) Run(until rules.Time) { d.queue.RunUntil(until, &d.Now) }
 
-// maxBacklog is the number of datagrams that wait for a paused process. Further ones are lost, as in a socket's buffer.
+// maxBacklog is the maximum number of events that wait for a paused process. Further ones are lost, as with a full
+// socket buffer.
 const maxBacklog = 256
 
+// deliver handles an event now, or adds it to the backlog of a paused process.
 func (n *node) deliver(handle func()) {
 	if !n.paused {
 		handle()
@@ -150,43 +154,44 @@
 	}
 }
 
-// sender returns the function by which a member sends.
-func (t *DatagramNetwork) sender(n *node) func(to string, data []byte) {
+// sender returns the send function that is passed to a member.
+func (d *DatagramNetwork) sender(n *node) func(to string, data []byte) {
 	return func(to string, data []byte) {
-		t.countSent(n, len(data))
-		if t.cuts[[2]string{n.name, to}] || t.rng.Float64() < t.Model.Loss {
+		d.countSent(n, len(data))
+		if d.cuts[[2]string{n.name, to}] || d.rng.Float64() < d.Model.Loss {
 			return
 		}
 		copies := 1
-		if t.rng.Float64() < t.Model.Duplicate {
+		if d.rng.Float64() < d.Model.Duplicate {
 			copies = 2
 		}
-		held := slices.Clone(data) // the sender reuses its buffer
+		payload := slices.Clone(data) // the sender reuses its buffer
 		for range copies {
-			t.After(t.Model.drawDelay(t.rng), func() { t.arrive(n.name, to, held) })
+			d.After(d.Model.drawDelay(d.rng), func() { d.arrive(n.name, to, payload) })
 		}
 	}
 }
 
-func (t *DatagramNetwork) countSent(n *node, bytes int) {
-	t.SentBytes[n.name] += bytes
-	if s := t.Now / rules.Second; s != n.second {
-		n.second, n.sentInSecond = s, 0
+func (d *DatagramNetwork) countSent(n *node, bytes int) {
+	d.SentBytes[n.name] += bytes
+	if second := d.Now / rules.Second; second != n.second {
+		n.second, n.sentInSecond = second, 0
 	}
 	n.sentInSecond += bytes
-	t.PeakBytesPerSecond[n.name] = max(t.PeakBytesPerSecond[n.name], n.sentInSecond)
+	d.PeakBytesPerSecond[n.name] = max(d.PeakBytesPerSecond[n.name], n.sentInSecond)
 }
 
-// arrive has a datagram arrive at the process that has the name now. It is lost if that process ends before handling it.
-func (t *DatagramNetwork) arrive(from, to string, data []byte) {
-	n := t.nodes[to]
+// arrive delivers a datagram to the current process of a member. The datagram is lost if that process ends before it
+// handles it.
+func (d *DatagramNetwork) arrive(from, to string, data []byte) {
+	n := d.nodes[to]
 	if n == nil {
 		return
 	}
 	incarnation := n.incarnation
 	n.deliver(func() {
 		if n.incarnation == incarnation {
-			n.member.Receive(t.Now, from, data, t.sender(n))
+			n.member.Receive(d.Now, from, data, d.sender(n))
 		}
 	})
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -8,18 +8,18 @@
 	"foxlane/rules"
 )
 
-// This file models an engine: its cores, its queue, its warm-up and its collapse under too much work while cold.
+// This file models an engine: cores, queue, slow start, and the collapse under too much work while cold.
 
-// EngineModel is a kind of engine. Queries share its cores evenly by thread, those of a high priority before the rest.
-// Beyond KneeThreads threads a core the whole engine slows down, and a cold one does all of its work slower. Memory and
+// EngineModel holds the parameters of the modelled engines. Threads share the cores evenly, but queries of high
+// priority come first. The whole engine slows down above KneeThreads threads per core, and while it is cold. Memory and
 // data sets are not modelled.
 type EngineModel struct {
 	Cores        float64
-	Slots        int     // queries that run at once
-	QueueLimit   int     // queries that wait for a slot; more are rejected
-	KneeThreads  float64 // threads a core beyond which speed is lost
-	OverloadLoss float64 // part of its speed that is lost at twice as many and beyond
-	WorkNoise    float64 // standard deviation of the logarithm of a query's work, from one attempt to another
+	Slots        int     // maximum number of concurrent queries
+	QueueLimit   int     // maximum number of queries that wait for a slot; more are rejected
+	KneeThreads  float64 // threads per core above which the engine slows down
+	OverloadLoss float64 // fraction of the speed lost at twice KneeThreads and above; linear between
+	WorkNoise    float64 // standard deviation of the logarithm of a query's work between attempts
 }
 
 // engine is one of the modelled engines.
@@ -27,39 +27,39 @@
 	fleet     *Fleet
 	id        rules.EngineID
 	zone      int
-	state     rules.EngineState // in the list
-	startedAt rules.Time        // 0: long ago
+	state     rules.EngineState // as published in the endpoint list
+	startedAt rules.Time        // of its process; 0: long ago
 	stopped   bool              // its process has ended: connections are refused
-	silent    bool              // nothing of it reaches a gateway
-	collapsed bool              // it got more work than it bears while cold
-	slowdown  float64           // multiplies the time that all its work takes
-	errorRate float64           // part of the attempts that it answers with an error at once
-
-	bands       [2]band // by priority, the low one first
-	queue       []*job  // jobs that wait for a slot
-	settledAt   rules.Time
-	timerSerial uint64 // of the timer that counts; earlier ones are void
-
-	coldSends      []coldSend // the work of the last OverloadWindow, while cold
-	coldWork       float64    // their sum
-	notifiedWork   float64    // of it, what came from gateways that had been notified of the start
-	peakColdBudget float64    // largest part of the slow-start budget that was used
-	sinceStart     float64    // work that it got since its start, until it carries its share
+	silent    bool              // unresponsive: it answers neither connections nor requests
+	collapsed bool              // it exceeded its slow-start budget
+	slowdown  float64           // multiplies the duration of all its work
+	errorRate float64           // fraction of the attempts that fail with an error at once
+
+	bands           [2]priorityBand // low priority, high priority
+	queue           []*job          // jobs that wait for a slot
+	advancedAt      rules.Time      // up to which the bands' progress is computed
+	timerGeneration uint64          // of the current timer; earlier timers are ignored
+
+	coldWorkSamples     []coldWorkSample // within the last OverloadWindow, while cold
+	coldWork            float64          // sum of the samples
+	notifiedWork        float64          // the part of coldWork from gateways that had been notified of the start
+	peakSlowStartBudget float64          // maximum used fraction of the slow-start budget
+	workSinceStart      float64          // work received since its start, counted until recordRampUp has recorded it
 }
 
-// band is what runs at one priority.
-type band struct {
+// priorityBand holds the running jobs of one priority. They share the band's rate.
+type priorityBand struct {
 	running  jobHeap
 	threads  float64
-	progress float64 // time that each of its threads has run since the start, in microseconds
-	rate     float64 // by which progress grows
+	progress float64 // work done by each thread since the start, in microseconds
+	rate     float64 // growth of progress per microsecond
 }
 
-// coldSend is work that a cold engine got.
-type coldSend struct {
+// coldWorkSample is the work of one attempt at a cold engine.
+type coldWorkSample struct {
 	at       rules.Time
 	work     float64
-	notified bool // its gateway had been notified of the start
+	notified bool // the gateway had been notified of the engine's start
 }
 
 // job is an attempt that an engine runs or queues.
@@ -67,37 +67,37 @@
 	attempt   *attempt
 	threads   float64
 	work      float64
-	endsAt    float64 // in its band's progress
-	band      *band
+	endsAt    float64 // the band's progress at which it ends
+	band      *priorityBand
 	heapIndex int // in the band's heap; -1: not running
 	finished  bool
 }
 
-// jobHeap orders the jobs of a band by their end. It implements heap.Interface.
+// jobHeap is a min-heap of a band's jobs by endsAt. It implements heap.Interface.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
 func (h jobHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 
-// Push is for container/heap only.
+// Push appends a job; only container/heap calls it.
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
 	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 
-// Pop is for container/heap only.
+// Pop removes and returns the last job; only container/heap calls it.
 func (h *jobHeap) Pop() any {
-	last := len(*h) - 1
-	j := (*h)[last]
-	(*h)[last] = nil
-	*h = (*h)[:last]
+	lastIndex := len(*h) - 1
+	j := (*h)[lastIndex]
+	(*h)[lastIndex] = nil
+	*h = (*h)[:lastIndex]
 	j.heapIndex = -1
 	return j
 }
 
-// warmUpSpeed is the fraction of its full speed that an engine has; it rises linearly over the warm-up.
+// warmUpSpeed returns the current fraction of the engine's full speed, which rises linearly over SlowStartPeriod.
 func (e *engine) warmUpSpeed() float64 {
 	c := e.fleet.scenario.Settings.Constraints
 	if e.startedAt == 0 || c.SlowStartPeriod == 0 || e.fleet.now >= e.startedAt+c.SlowStartPeriod {
@@ -106,41 +106,42 @@
 	return c.SlowStartInitialSpeed + (1-c.SlowStartInitialSpeed)*float64(e.fleet.now-e.startedAt)/float64(c.SlowStartPeriod)
 }
 
-// minLowPriorityShare is the part of the cores that the low band gets in any case.
+// minLowPriorityShare is the fraction of the cores that the low band always gets.
 const minLowPriorityShare = 0.05
 
-// updateRates recomputes the bands' rates from their threads.
+// updateRates recomputes the bands' rates from their thread counts.
 func (e *engine) updateRates() {
 	m := e.fleet.scenario.Engine
 	speed := e.warmUpSpeed() / e.slowdown
 	low, high := &e.bands[0], &e.bands[1]
-	if over := (low.threads+high.threads)/(m.KneeThreads*m.Cores) - 1; over > 0 {
-		speed *= 1 - m.OverloadLoss*min(over, 1)
+	if overload := (low.threads+high.threads)/(m.KneeThreads*m.Cores) - 1; overload > 0 {
+		speed *= 1 - m.OverloadLoss*min(overload, 1)
 	}
 	high.rate, low.rate = speed, speed
 	if high.threads > m.Cores {
 		high.rate *= m.Cores / high.threads
 	}
-	if left := max(m.Cores-high.threads, minLowPriorityShare*m.Cores); low.threads > left {
-		low.rate *= left / low.threads
+	if remaining := max(m.Cores-high.threads, minLowPriorityShare*m.Cores); low.threads > remaining {
+		low.rate *= remaining / low.threads
 	}
 }
 
-// advance brings the bands' progress up to now. It must be called before anything that their rates depend on changes.
+// advance updates the bands' progress to the current time. It must be called before any change of what the rates depend
+// on.
 func (e *engine) advance() {
 	for i := range e.bands {
 		b := &e.bands[i]
-		b.progress += b.rate * float64(e.fleet.now-e.settledAt)
+		b.progress += b.rate * float64(e.fleet.now-e.advancedAt)
 	}
-	e.settledAt = e.fleet.now
+	e.advancedAt = e.fleet.now
 }
 
-// warmUpInterval is how often the speed of a warming engine is recomputed.
+// warmUpInterval is the maximum interval between updates of the speed of a busy engine that warms up.
 const warmUpInterval = 100 * rules.Millisecond
 
-// armTimer recomputes the rates and schedules the end of the job that ends next.
+// armTimer recomputes the rates and schedules the next job completion.
 func (e *engine) armTimer() {
-	e.timerSerial++
+	e.timerGeneration++
 	e.updateRates()
 	wait := rules.Time(math.MaxInt64)
 	for i := range e.bands {
@@ -154,9 +155,9 @@
 	if e.warmUpSpeed() < 1 {
 		wait = min(wait, warmUpInterval)
 	}
-	serial := e.timerSerial
+	generation := e.timerGeneration
 	e.fleet.after(wait, func() {
-		if e.timerSerial == serial {
+		if e.timerGeneration == generation {
 			e.completeAndStart()
 		}
 	})
@@ -164,10 +165,10 @@
 
 func (e *engine) runningJobs() int { return len(e.bands[0].running) + len(e.bands[1].running) }
 
-// progressTolerance absorbs the rounding of timers to whole microseconds.
+// progressTolerance covers the rounding of timers to whole microseconds, in units of progress.
 const progressTolerance = 0.5
 
-// completeAndStart completes the jobs that have ended, and starts queued ones.
+// completeAndStart completes the jobs that have ended, and starts queued jobs in the free slots.
 func (e *engine) completeAndStart() {
 	e.advance()
 	for i := range e.bands {
@@ -197,7 +198,7 @@
 	heap.Push(&j.band.running, j)
 }
 
-// receive takes an attempt: it is lost, answered at once, started or queued.
+// receive handles an attempt that arrives: it drops, answers, starts or queues it.
 func (e *engine) receive(a *attempt) {
 	f := e.fleet
 	switch {
@@ -212,7 +213,7 @@
 	}
 	e.advance()
 	work := a.request.work * math.Exp(f.rng.NormFloat64()*f.scenario.Engine.WorkNoise)
-	if e.chargeColdBudget(work, a.notified); e.collapsed {
+	if e.chargeSlowStartBudget(work, a.notified); e.collapsed {
 		f.answerGateway(a, rules.StatusReset)
 		return
 	}
@@ -230,82 +231,83 @@
 	e.armTimer()
 }
 
-// notifiedPart is the part of a cold engine's work from which a collapse counts against the gateways, as the operators have it: what
-// came from gateways that had been notified of the start.
-const notifiedPart = 2.0 / 3
+// notifiedFraction is the operators' threshold for blaming a collapse on the gateways: at least this fraction of the
+// cold engine's work came from gateways that had been notified of its start.
+const notifiedFraction = 2.0 / 3
 
-// chargeColdBudget charges work to the slow-start budget of a cold engine, which collapses if it is exceeded. Work that
-// is rejected afterwards counts, too.
-func (e *engine) chargeColdBudget(work float64, notified bool) {
+// chargeSlowStartBudget charges work to the slow-start budget of a cold engine, which collapses if the budget is
+// exceeded. Work that the engine then rejects for lack of a slot counts as well.
+func (e *engine) chargeSlowStartBudget(work float64, notified bool) {
 	c := e.fleet.scenario.Settings.Constraints
 	if e.warmUpSpeed() >= 1 || c.OverloadWindow == 0 {
-		e.coldSends, e.coldWork, e.notifiedWork = nil, 0, 0
+		e.coldWorkSamples, e.coldWork, e.notifiedWork = nil, 0, 0
 		return
 	}
-	e.recordShare(work)
-	e.addColdSend(coldSend{e.fleet.now, work, notified}, 1)
-	e.coldSends = append(e.coldSends, coldSend{e.fleet.now, work, notified})
-	for e.coldSends[0].at <= e.fleet.now-c.OverloadWindow {
-		e.addColdSend(e.coldSends[0], -1)
-		e.coldSends = e.coldSends[1:]
+	e.recordRampUp(work)
+	e.adjustColdWork(coldWorkSample{e.fleet.now, work, notified}, 1)
+	e.coldWorkSamples = append(e.coldWorkSamples, coldWorkSample{e.fleet.now, work, notified})
+	for e.coldWorkSamples[0].at <= e.fleet.now-c.OverloadWindow {
+		e.adjustColdWork(e.coldWorkSamples[0], -1)
+		e.coldWorkSamples = e.coldWorkSamples[1:]
 	}
 	used := e.coldWork / (c.OverloadFactor * e.warmUpSpeed() * e.fleet.scenario.Engine.Cores * float64(c.OverloadWindow))
-	e.peakColdBudget = max(e.peakColdBudget, used)
+	e.peakSlowStartBudget = max(e.peakSlowStartBudget, used)
 	if used <= 1 {
 		return
 	}
 	e.collapsed = true
 	e.fleet.Metrics.OverloadCollapses++
-	if e.notifiedWork >= notifiedPart*e.coldWork {
+	if e.notifiedWork >= notifiedFraction*e.coldWork {
 		e.fleet.Metrics.NotifiedCollapses++
 	}
-	e.endAll(rules.StatusReset)
+	e.endAllJobs(rules.StatusReset)
 }
 
-// addColdSend adds work to the sums of a cold engine, or takes it off by a sign of -1.
-func (e *engine) addColdSend(send coldSend, sign float64) {
-	e.coldWork += sign * send.work
-	if send.notified {
-		e.notifiedWork += sign * send.work
+// adjustColdWork adds a sample to the sums of a cold engine (sign 1), or subtracts it (sign -1).
+func (e *engine) adjustColdWork(sample coldWorkSample, sign float64) {
+	e.coldWork += sign * sample.work
+	if sample.notified {
+		e.notifiedWork += sign * sample.work
 	}
 }
 
-// recordShare records the time until an engine that has started has got as much work as all of its cores do in a second.
-func (e *engine) recordShare(work float64) {
-	share := e.fleet.scenario.Engine.Cores * float64(rules.Second)
-	if e.sinceStart < share && e.sinceStart+work >= share {
-		e.fleet.Metrics.TimesToShare = append(e.fleet.Metrics.TimesToShare, e.fleet.now-e.startedAt)
+// recordRampUp records the time from an engine's start until it has received the work that all of its cores do in one
+// second.
+func (e *engine) recordRampUp(work float64) {
+	oneSecondOfWork := e.fleet.scenario.Engine.Cores * float64(rules.Second)
+	if e.workSinceStart < oneSecondOfWork && e.workSinceStart+work >= oneSecondOfWork {
+		e.fleet.Metrics.RampUpTimes = append(e.fleet.Metrics.RampUpTimes, e.fleet.now-e.startedAt)
 	}
-	e.sinceStart += work
+	e.workSinceStart += work
 }
 
-// restart has another process take an engine's place at once, cold.
+// restart replaces an engine's process at once by a cold one.
 func (e *engine) restart() {
-	e.endAll(rules.StatusReset)
+	e.endAllJobs(rules.StatusReset)
 	e.startedAt, e.collapsed = e.fleet.now, false
-	e.coldSends, e.coldWork, e.notifiedWork, e.sinceStart = nil, 0, 0, 0
+	e.coldWorkSamples, e.coldWork, e.notifiedWork, e.workSinceStart = nil, 0, 0, 0
 }
 
-// endAll ends all jobs, queued or running, with one status.
-func (e *engine) endAll(status rules.Status) {
+// endAllJobs ends all running and queued jobs with the given status.
+func (e *engine) endAllJobs(status rules.Status) {
 	e.advance()
-	all := e.queue
+	jobs := e.queue
 	for i := range e.bands {
 		b := &e.bands[i]
 		for len(b.running) > 0 {
-			all = append(all, heap.Pop(&b.running).(*job))
+			jobs = append(jobs, heap.Pop(&b.running).(*job))
 		}
 		b.threads = 0
 	}
 	e.queue = nil
-	for _, j := range all {
+	for _, j := range jobs {
 		j.finished = true
 		e.fleet.answerGateway(j.attempt, status)
 	}
 	e.armTimer()
 }
 
-// cancel gives up one job without an answer.
+// cancel removes a running or queued job without a response.
 func (e *engine) cancel(j *job) {
 	if j.finished {
 		return
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,30 +2,30 @@
 
 import "foxlane/rules"
 
-// This file owns the faults of a scenario. Each constructor returns a fault that begins at a time since the start.
+// This file owns the faults of a scenario. The parameter at of each constructor is the time since the start of the run.
 
-// Fault is a fault that is injected into a fleet.
+// Fault is a fault and the time of its injection into a fleet.
 type Fault struct {
 	At     rules.Time // since the start
 	Inject func(f *Fleet)
 }
 
-// ReplaceEngines drains a part of the engines one after another over a span, and adds a cold one for each, in its zone.
-// A drained engine stops after grace.
-func ReplaceEngines(at rules.Time, part float64, over, grace rules.Time) Fault {
+// ReplaceEngines drains a random fraction of the engines one after another over span, and adds a cold engine in the
+// same zone for each. A drained engine stops after grace.
+func ReplaceEngines(at rules.Time, fraction float64, span, grace rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		old := f.servingEngines()
-		n := int(part * float64(len(old)))
+		n := int(fraction * float64(len(old)))
 		for i, p := range f.rng.Perm(len(old))[:n] {
 			e := old[p]
-			f.after(over*rules.Time(i)/rules.Time(max(1, n)), func() {
+			f.after(span*rules.Time(i)/rules.Time(max(1, n)), func() {
 				added := f.addEngine(f.now)
 				added.zone = e.zone
 				e.state = rules.EngineDraining
 				f.announce(e, added)
 				f.after(grace, func() {
 					e.state, e.stopped = rules.EngineGone, true
-					e.endAll(rules.StatusReset)
+					e.endAllJobs(rules.StatusReset)
 					f.announce(e)
 				})
 			})
@@ -33,15 +33,15 @@
 	}}
 }
 
-// RestartEngines has another process take the place of a part of the engines, one after another over a span: cold, at once, and at
-// the same address. The gateways are notified when the list reaches them.
-func RestartEngines(at rules.Time, part float64, over rules.Time) Fault {
+// RestartEngines restarts a random fraction of the engines one after another over span: each is replaced at once by a
+// cold process at the same address. Gateways are notified by an update of the endpoint list.
+func RestartEngines(at rules.Time, fraction float64, span rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		serving := f.servingEngines()
-		n := int(part * float64(len(serving)))
+		n := int(fraction * float64(len(serving)))
 		for i, p := range f.rng.Perm(len(serving))[:n] {
 			e := serving[p]
-			f.after(over*rules.Time(i)/rules.Time(max(1, n)), func() {
+			f.after(span*rules.Time(i)/rules.Time(max(1, n)), func() {
 				e.restart()
 				f.announce(e)
 			})
@@ -49,9 +49,9 @@
 	}}
 }
 
-// LoseZone takes a zone away, engines and gateways: connections to it stay silent. Its engines leave the list after
-// unlisted, and all come back, cold, after away; 0 is never.
-func LoseZone(at rules.Time, zone int, unlisted, away rules.Time) Fault {
+// LoseZone takes down a zone: its engines become unresponsive and its gateways crash. The engines are removed from the
+// endpoint list after unlistDelay. Engines (cold) and gateways come back after downtime; 0: never.
+func LoseZone(at rules.Time, zone int, unlistDelay, downtime rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		lost := f.silenceZone(zone)
 		var crashed []*gateway
@@ -61,16 +61,16 @@
 				g.crash()
 			}
 		}
-		f.after(unlisted, func() {
+		f.after(unlistDelay, func() {
 			for _, e := range lost {
 				e.state = rules.EngineGone
 			}
 			f.announce(lost...)
 		})
-		if away == 0 {
+		if downtime == 0 {
 			return
 		}
-		f.after(away, func() {
+		f.after(downtime, func() {
 			for _, e := range lost {
 				e.silent, e.state, e.startedAt = false, rules.EngineServing, f.now
 			}
@@ -82,17 +82,17 @@
 	}}
 }
 
-// ReplaceZone takes the engines of a zone away as LoseZone does, and adds as many new ones, cold, after away.
-func ReplaceZone(at rules.Time, zone int, unlisted, away rules.Time) Fault {
+// ReplaceZone takes down the engines of a zone as LoseZone does, and adds as many cold ones after replacementDelay.
+func ReplaceZone(at rules.Time, zone int, unlistDelay, replacementDelay rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		lost := f.silenceZone(zone)
-		f.after(unlisted, func() {
+		f.after(unlistDelay, func() {
 			for _, e := range lost {
 				e.state, e.stopped = rules.EngineGone, true
 			}
 			f.announce(lost...)
 		})
-		f.after(away, func() {
+		f.after(replacementDelay, func() {
 			var added []*engine
 			for range lost {
 				e := f.addEngine(f.now)
@@ -104,70 +104,70 @@
 	}}
 }
 
-// silenceZone silences the engines of a zone that serve, and ends all that they run. No gateway hears of it.
+// silenceZone makes the serving engines of a zone unresponsive, and ends all of their jobs. Gateways are not notified.
 func (f *Fleet) silenceZone(zone int) []*engine {
 	lost := f.servingInZone(zone)
 	for _, e := range lost {
 		e.silent = true
-		e.endAll(rules.StatusReset)
+		e.endAllJobs(rules.StatusReset)
 	}
 	return lost
 }
 
-// jitter spreads the starts of gateways over a second.
+// jitter draws a delay of up to one second, which spreads the starts of gateways.
 func (f *Fleet) jitter() rules.Time { return rules.Time(f.rng.Int64N(int64(rules.Second))) }
 
-// CutLink cuts the network from one zone to another for a while, in that direction only.
-func CutLink(at, length rules.Time, from, to int) Fault {
+// CutLink cuts the network from one zone to another for a duration, in that direction only.
+func CutLink(at, duration rules.Time, from, to int) Fault {
 	return Fault{at, func(f *Fleet) {
 		f.cutLinks[[2]int{from, to}] = true
-		f.after(length, func() { delete(f.cutLinks, [2]int{from, to}) })
+		f.after(duration, func() { delete(f.cutLinks, [2]int{from, to}) })
 	}}
 }
 
-// SilenceZone silences a part of a zone's engines, the first of them, for a while.
-func SilenceZone(at, length rules.Time, zone int, part float64) Fault {
+// SilenceZone makes a fraction of a zone's serving engines, the first ones, unresponsive for a duration.
+func SilenceZone(at, duration rules.Time, zone int, fraction float64) Fault {
 	return Fault{at, func(f *Fleet) {
 		serving := f.servingInZone(zone)
-		for _, e := range serving[:int(part*float64(len(serving)))] {
+		for _, e := range serving[:int(fraction*float64(len(serving)))] {
 			e.silent = true
-			f.after(length, func() { e.silent = false })
+			f.after(duration, func() { e.silent = false })
 		}
 	}}
 }
 
-// DrainZone has all gateways drain a zone by order for a while.
-func DrainZone(at, length rules.Time, zone int) Fault {
-	set := func(f *Fleet, on bool) {
+// DrainZone drains a zone at all gateways, as an operator's directive does, for a duration.
+func DrainZone(at, duration rules.Time, zone int) Fault {
+	setDraining := func(f *Fleet, draining bool) {
 		for _, g := range f.gateways {
 			if g.up && g.zones != nil {
-				g.zones.SetDraining(f.now, zone, on)
+				g.zones.SetDraining(f.now, zone, draining)
 			}
 		}
 	}
 	return Fault{at, func(f *Fleet) {
-		set(f, true)
-		f.after(length, func() { set(f, false) })
+		setDraining(f, true)
+		f.after(duration, func() { setDraining(f, false) })
 	}}
 }
 
-// DelayList multiplies the delay of updates of the list for a while.
-func DelayList(at, length rules.Time, factor float64) Fault {
+// DelayList multiplies the delay of endpoint list updates by factor for a duration.
+func DelayList(at, duration rules.Time, factor float64) Fault {
 	return Fault{at, func(f *Fleet) {
 		f.listDelayFactor = factor
-		f.after(length, func() { f.listDelayFactor = 1 })
+		f.after(duration, func() { f.listDelayFactor = 1 })
 	}}
 }
 
-// FlapZone silences a zone's engines several times, each time for an interval, and has them serve, warm, for as long
-// between.
+// FlapZone makes a zone's engines unresponsive several times, each time for an interval. In between they serve, warm,
+// for the same interval.
 func FlapZone(at rules.Time, zone, times int, interval rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		setSilent := func(on bool) func() {
+		setSilent := func(silent bool) func() {
 			return func() {
 				for _, e := range f.engines {
 					if e.zone == zone {
-						e.silent = on
+						e.silent = silent
 					}
 				}
 			}
@@ -179,21 +179,23 @@
 	}}
 }
 
-// KillGateways crashes a part of the gateways at once; each starts again after away.
-func KillGateways(at rules.Time, part float64, away rules.Time) Fault {
+// KillGateways crashes a random fraction of the gateways at the same time; each starts again after downtime plus
+// jitter.
+func KillGateways(at rules.Time, fraction float64, downtime rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		for _, i := range f.rng.Perm(len(f.gateways))[:int(part*float64(len(f.gateways)))] {
+		for _, i := range f.rng.Perm(len(f.gateways))[:int(fraction*float64(len(f.gateways)))] {
 			g := f.gateways[i]
 			g.crash()
-			f.after(away+f.jitter(), g.start)
+			f.after(downtime+f.jitter(), g.start)
 		}
 	}}
 }
 
-// RestartGateways restarts all gateways, a part at a time: each shuts down gracefully, and starts again after away.
-func RestartGateways(at rules.Time, part float64, interval, away rules.Time) Fault {
+// RestartGateways restarts all gateways in random order, a fraction of them per interval. Each shuts down gracefully
+// for downtime, and then starts again.
+func RestartGateways(at rules.Time, fraction float64, interval, downtime rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
-		n := max(1, int(part*float64(len(f.gateways))))
+		n := max(1, int(fraction*float64(len(f.gateways))))
 		for i, p := range f.rng.Perm(len(f.gateways)) {
 			g := f.gateways[p]
 			f.after(interval*rules.Time(i/n), func() {
@@ -201,8 +203,8 @@
 					return
 				}
 				g.stopping = true
-				g.handle(rules.ShutdownStarted{Deadline: f.now + away})
-				g.after(away, func() {
+				g.handle(rules.ShutdownStarted{Deadline: f.now + downtime})
+				g.after(downtime, func() {
 					g.crash()
 					g.start()
 				})
@@ -211,58 +213,60 @@
 	}}
 }
 
-// ListOutage keeps all updates of the list from the gateways for a while.
-func ListOutage(at, length rules.Time) Fault {
+// ListOutage withholds all endpoint list updates from the gateways for a duration, after which they get the whole list.
+func ListOutage(at, duration rules.Time) Fault {
 	return Fault{at, func(f *Fleet) {
 		f.listOutage = true
-		f.after(length, func() {
+		f.after(duration, func() {
 			f.listOutage = false
 			f.announce(f.engines...)
 		})
 	}}
 }
 
-// SilenceEngines silences a part of the engines for a while.
-func SilenceEngines(at, length rules.Time, part float64) Fault {
-	return onSomeEngines(at, length, part, func(e *engine, on bool) { e.silent = on })
+// SilenceEngines makes a random fraction of the engines unresponsive for a duration.
+func SilenceEngines(at, duration rules.Time, fraction float64) Fault {
+	return onRandomEngines(at, duration, fraction, func(e *engine, active bool) { e.silent = active })
 }
 
-// SlowEngines multiplies the time that the work of a part of the engines takes, for a while.
-func SlowEngines(at, length rules.Time, part, slowdown float64) Fault {
-	return onSomeEngines(at, length, part, func(e *engine, on bool) {
+// SlowEngines multiplies the execution time at a random fraction of the engines by slowdown for a duration.
+func SlowEngines(at, duration rules.Time, fraction, slowdown float64) Fault {
+	return onRandomEngines(at, duration, fraction, func(e *engine, active bool) {
 		e.advance()
-		if e.slowdown = 1; on {
+		if e.slowdown = 1; active {
 			e.slowdown = slowdown
 		}
 		e.armTimer()
 	})
 }
 
-// EngineErrors has a part of the engines answer a part of their attempts with an error at once, for a while.
-func EngineErrors(at, length rules.Time, part, errorRate float64) Fault {
-	return onSomeEngines(at, length, part, func(e *engine, on bool) {
-		if e.errorRate = 0; on {
+// EngineErrors makes a random fraction of the engines fail attempts immediately, with probability errorRate, for a
+// duration.
+func EngineErrors(at, duration rules.Time, fraction, errorRate float64) Fault {
+	return onRandomEngines(at, duration, fraction, func(e *engine, active bool) {
+		if e.errorRate = 0; active {
 			e.errorRate = errorRate
 		}
 	})
 }
 
-// onSomeEngines sets a state of a part of the engines that serve, and resets it after a while.
-func onSomeEngines(at, length rules.Time, part float64, set func(e *engine, on bool)) Fault {
+// onRandomEngines calls set(e, true) for a random fraction of the serving engines, and set(e, false) after the
+// duration.
+func onRandomEngines(at, duration rules.Time, fraction float64, set func(e *engine, active bool)) Fault {
 	return Fault{at, func(f *Fleet) {
 		serving := f.servingEngines()
-		for _, i := range f.rng.Perm(len(serving))[:int(part*float64(len(serving)))] {
+		for _, i := range f.rng.Perm(len(serving))[:int(fraction*float64(len(serving)))] {
 			e := serving[i]
 			set(e, true)
-			f.after(length, func() { set(e, false) })
+			f.after(duration, func() { set(e, false) })
 		}
 	}}
 }
 
-// LoadBurst multiplies the rate of new requests for a while.
-func LoadBurst(at, length rules.Time, factor float64) Fault {
+// LoadBurst multiplies the rate of new requests by factor for a duration.
+func LoadBurst(at, duration rules.Time, factor float64) Fault {
 	return Fault{at, func(f *Fleet) {
 		f.requestRate *= factor
-		f.after(length, func() { f.requestRate /= factor })
+		f.after(duration, func() { f.requestRate /= factor })
 	}}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,6 +1,6 @@
-// Package emulator runs a whole fleet in virtual time: the decision modules of many gateways, unchanged, against models
-// of clients, engines, the network and the list of engines. It owns the models and the metrics of a run. It must never
-// look at a clock, draw from anything but its seed, or show a module more than a gateway would see.
+// Package emulator runs a whole fleet in virtual time: the unmodified decision modules of many gateways against models
+// of clients, engines, the network and the endpoint list. It owns the models and the metrics of a run. It must never
+// read a clock, use randomness other than from its seed, or show a module more than a real gateway would see.
 package emulator
 
 import (
@@ -11,8 +11,8 @@
 	"foxlane/rules"
 )
 
-// Fleet is one run. The same scenario gives the same run: all that is random is drawn from its seed, in the order of
-// the events.
+// Fleet is one run of a scenario. Runs are deterministic: all random values are drawn from the scenario's seed, in the
+// order of the events.
 type Fleet struct {
 	Metrics Metrics // of the run so far
 
@@ -21,17 +21,17 @@
 	now             rules.Time
 	queue           eventqueue.Queue
 	gateways        []*gateway
-	engines         []*engine // all that ever were
+	engines         []*engine // including those that have stopped
 	nextID          rules.EngineID
 	nextRequest     int
-	cutLinks        map[[2]int]bool // from zone to zone; nothing gets through on these
-	listOutage      bool            // gateways receive no updates of the list
-	listDelayFactor float64         // multiplies the delay of updates of the list
-	requestRate     float64         // requests a microsecond, all gateways together
-	gatewayWeights  []float64       // each gateway's part of the load, not normalized
+	cutLinks        map[[2]int]bool // pairs of zones, from and to, between which all messages are lost
+	listOutage      bool            // gateways receive no endpoint list updates
+	listDelayFactor float64         // multiplies the delay of endpoint list updates
+	requestRate     float64         // new requests per microsecond, over all gateways
+	gatewayWeights  []float64       // relative load of each gateway, not normalized
 }
 
-// New returns a run that has not begun.
+// New returns a run that is ready to start.
 func New(s Scenario) *Fleet {
 	f := &Fleet{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 0x5bd1e995)), now: s.Start, listDelayFactor: 1, cutLinks: map[[2]int]bool{}}
 	f.Metrics.start, f.Metrics.zones = s.Start, max(1, s.Zones)
@@ -59,11 +59,11 @@
 	return f
 }
 
-// Run runs the whole scenario.
+// Run runs the whole scenario and returns its metrics.
 func (f *Fleet) Run() *Metrics {
 	f.queue.RunUntil(f.scenario.Start+f.scenario.Duration, &f.now)
 	for _, e := range f.engines {
-		f.Metrics.PeakColdBudget = max(f.Metrics.PeakColdBudget, e.peakColdBudget)
+		f.Metrics.PeakSlowStartBudget = max(f.Metrics.PeakSlowStartBudget, e.peakSlowStartBudget)
 	}
 	return &f.Metrics
 }
@@ -73,7 +73,7 @@
 // capacityInterval is how often the capacity of the engines is sampled.
 const capacityInterval = 100 * rules.Millisecond
 
-// recordCapacity samples what each zone's engines can do.
+// recordCapacity adds the capacity of each zone's engines over one interval to the current second.
 func (f *Fleet) recordCapacity() {
 	s := f.Metrics.second(f.now)
 	for _, e := range f.engines {
@@ -84,7 +84,7 @@
 	f.after(capacityInterval, f.recordCapacity)
 }
 
-// delay is the network's delay between a gateway and an engine, one way.
+// delay returns the one-way network delay between a gateway and an engine.
 func (f *Fleet) delay(g *gateway, e *engine) rules.Time {
 	if g.zone == e.zone {
 		return f.scenario.Network.SameZone
@@ -92,5 +92,5 @@
 	return f.scenario.Network.CrossZone
 }
 
-// isCut reports whether nothing gets through from one zone to another.
+// isCut reports whether the link from one zone to another is cut.
 func (f *Fleet) isCut(from, to int) bool { return f.cutLinks[[2]int{from, to}] }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -10,14 +10,15 @@
 
 const second = rules.Second
 
-// scenarios are faults of a fleet of 60 gateways and 12 engines. least is the share of the offered value that must be
-// served from second from to second to; the comment behind a scenario has what was served before its causes were fixed.
+// scenarios are faults in a fleet of 60 gateways and 12 engines. minShare is the minimum share of the offered value
+// that must be served between the seconds from and to. A comment after a scenario is the share served before the faults
+// found with it were fixed.
 var scenarios = []struct {
 	name     string
 	load     float64
 	faults   []Fault
 	from, to int
-	least    float64
+	minShare float64
 }{
 	{"calm", 0.8, nil, 4, 25, 0.95},
 	{"release of six in ten engines within 7 s", 0.75,
@@ -33,7 +34,7 @@
 		[]Fault{SlowEngines(8*second, 10*second, 0.25, 3), EngineErrors(8*second, 10*second, 0.25, 0.9)}, 8, 25, 0.95},
 }
 
-// In each scenario no cold engine collapses, no request stays without an answer, and enough is served.
+// Checks for each scenario that no cold engine collapses, that every request is answered, and that enough is served.
 func TestFleetSurvivesFaults(t *testing.T) {
 	for _, sc := range scenarios {
 		t.Run(sc.name, func(t *testing.T) {
@@ -43,8 +44,8 @@
 				s.Faults = sc.faults
 				m := New(s).Run()
 				t.Logf("seed %d: share %.3f\n%v", seed+1, m.ServedShare(sc.from, sc.to), m)
-				if got := m.ServedShare(sc.from, sc.to); got < sc.least {
-					t.Errorf("seed %d: share %.3f from second %d to %d, want %.2f", seed+1, got, sc.from, sc.to, sc.least)
+				if got := m.ServedShare(sc.from, sc.to); got < sc.minShare {
+					t.Errorf("seed %d: share %.3f from second %d to %d, want %.2f", seed+1, got, sc.from, sc.to, sc.minShare)
 				}
 				if m.OverloadCollapses > 0 || m.Unanswered > 0 {
 					t.Errorf("seed %d: %d cold engines collapsed, %d requests without an answer", seed+1, m.OverloadCollapses, m.Unanswered)
@@ -54,16 +55,17 @@
 	}
 }
 
-// A zone is lost for 8 s, engines and gateways, and comes back cold; another flaps. With a plan gateways serve more, send
-// few attempts across zones, change a zone's state a few times only, and no cold engine collapses.
+// A zone is lost for 8 s with its engines and gateways and comes back cold, or its engines flap. With zone failover the
+// fleet must serve more than without, with few cross-zone attempts and few state changes, and no cold engine may
+// collapse.
 func TestFleetLosesAZone(t *testing.T) {
 	for _, sc := range []struct {
 		name           string
 		fault          Fault
 		from           int
-		least          float64
+		minShare       float64
 		maxCrossZone   float64
-		maxTransitions int // a gateway
+		maxTransitions int // per gateway
 	}{
 		{"lost and back", LoseZone(8*second, 0, 3*second, 8*second), 8, 0.975, 0.15, 4},
 		{"flaps every 2 s", FlapZone(8*second, 0, 4, 2*second), 8, 0.975, 0.35, 2},
@@ -87,14 +89,14 @@
 					t.Errorf("%.2f of the attempts across zones, %d transitions at %d gateways", crossZone, m.ZoneTransitions, s.Gateways)
 				}
 			}
-			if served[1] < sc.least || served[1] <= served[0] {
-				t.Errorf("share %.3f with a plan, %.3f without; %.3f wanted", served[1], served[0], sc.least)
+			if served[1] < sc.minShare || served[1] <= served[0] {
+				t.Errorf("share %.3f with a plan, %.3f without; %.3f wanted", served[1], served[0], sc.minShare)
 			}
 		})
 	}
 }
 
-// The same seed gives the same run.
+// Two runs with the same seed must be identical, and a run with another seed must differ.
 func TestSameSeedSameRun(t *testing.T) {
 	s := Warehouse(20, 6, 0.8, 5)
 	s.Faults = []Fault{ReplaceEngines(5*second, 0.5, 5*second, 2*second), KillGateways(8*second, 0.5, second)}
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -9,26 +9,26 @@
 	"foxlane/rules"
 )
 
-// This file models a gateway's process: it hands events to the decision module and executes the module's actions.
+// This file models a gateway's process: it passes events to the decision module and executes the module's actions.
 
-// gateway is one of the gateways, over all of its incarnations.
+// gateway is a modelled gateway, over all of its incarnations.
 type gateway struct {
 	fleet        *Fleet
 	index        int
 	zone         int
-	incarnation  int // changes when it starts and when it crashes
+	incarnation  int // incremented when it starts and when it crashes
 	up           bool
-	stopping     bool // it shuts down gracefully: no new requests
+	stopping     bool // it shuts down gracefully and gets no new requests
 	module       *rules.Module
-	pending      []rules.Event // events for the module, in order
-	handling     bool          // the module is being called
+	pending      []rules.Event // events for the module, in order of arrival
+	handling     bool          // handle is processing pending
 	requests     map[rules.RequestID]*request
-	byArrival    []*request                    // in the order of arrival, some of them finished
-	lastUsed     map[rules.EngineID]rules.Time // when the connection to an engine was last used
+	byArrival    []*request                    // in order of arrival, including some that have finished
+	lastUsed     map[rules.EngineID]rules.Time // last use of the connection to an engine; no entry: none is open
 	observations map[rules.EngineID]*observation
-	serving      map[rules.EngineID]bool       // by the list as this gateway has it
+	serving      map[rules.EngineID]bool       // according to this gateway's copy of the endpoint list
 	startedAt    map[rules.EngineID]rules.Time // likewise
-	zones        *zones.Controller             // nil: no plan for the loss of a zone
+	zones        *zones.Controller             // nil: no zone failover
 	shedOrder    shedOrder
 	replica      *replica.Store // nil: no gossip
 	gossip       *gossip.Observations
@@ -46,16 +46,16 @@
 	arrivedAt   rules.Time
 	deadline    rules.Time
 	attempts    []*attempt
-	finished    bool // the client has its answer, or the gateway has crashed
+	finished    bool // it has been answered, or the gateway has crashed
 }
 
-// dropAfter is the number of requests from which the finished ones are dropped from the list of arrivals.
-const dropAfter = 64
+// compactionThreshold is the length of byArrival above which finished requests are removed from it.
+const compactionThreshold = 64
 
-// after runs something later, unless the gateway crashes or restarts before.
+// after calls run after a delay, unless the gateway crashes or restarts first.
 func (g *gateway) after(d rules.Time, run func()) { g.afterIn(g.incarnation, d, run) }
 
-// afterIn runs something later if the gateway is up in that incarnation then.
+// afterIn calls run after a delay if the gateway is then up in the given incarnation.
 func (g *gateway) afterIn(incarnation int, d rules.Time, run func()) {
 	g.fleet.after(d, func() {
 		if g.up && g.incarnation == incarnation {
@@ -64,7 +64,7 @@
 	})
 }
 
-// every runs something at an interval from a random time within the first on, until the gateway crashes or restarts.
+// every calls run periodically, first at a random time within interval, until the gateway crashes or restarts.
 func (g *gateway) every(interval rules.Time, run func()) {
 	var tick func()
 	tick = func() {
@@ -74,14 +74,14 @@
 	g.after(rules.Time(g.fleet.rng.Int64N(int64(interval))), tick)
 }
 
-// start starts a gateway that knows nothing but the list.
+// start starts a new incarnation of the gateway, whose only knowledge is the current endpoint list.
 func (g *gateway) start() {
 	scenario := &g.fleet.scenario
 	s := scenario.Settings
 	s.GatewayIndex, s.Zone, s.Gateways = g.index, g.zone, scenario.Gateways
 	g.incarnation++
 	g.up, g.stopping = true, false
-	if factor := scenario.ColdBudgetFactor; factor > 0 {
+	if factor := scenario.SlowStartBudgetFactor; factor > 0 {
 		s.Constraints.OverloadFactor *= factor
 	}
 	g.module = rules.New(s, g.fleet.rng.Uint64())
@@ -93,7 +93,7 @@
 	g.applyList(rules.UpdateCached, g.fleet.listEntries())
 }
 
-// applyList takes an update of the list.
+// applyList applies an update of the endpoint list.
 func (g *gateway) applyList(mode rules.UpdateMode, list []rules.Engine) {
 	for _, e := range list {
 		g.serving[e.ID], g.startedAt[e.ID] = e.State == rules.EngineServing, e.StartedAt
@@ -101,11 +101,11 @@
 	g.handle(rules.FleetUpdate{Mode: mode, Engines: list})
 }
 
-// crash ends a gateway at once: engines give up its attempts, and its clients fail over to other gateways.
+// crash ends the gateway's process at once: engines cancel its attempts, and its clients fail over to other gateways.
 func (g *gateway) crash() {
 	g.up = false
 	g.incarnation++
-	g.stopGossip()
+	g.scheduleCrashDetection()
 	for _, r := range g.byArrival {
 		if r.finished {
 			continue
@@ -121,12 +121,12 @@
 	g.byArrival = nil
 }
 
-// failOver has a client whose gateway is down try another.
+// failOver schedules a client's retry at another gateway after FailoverDelay.
 func (g *gateway) failOver(r *clientRequest) {
 	g.fleet.after(g.fleet.scenario.Clients.FailoverDelay, func() { g.fleet.retry(r, 0) })
 }
 
-// receive takes one try of a client's request.
+// receive handles one try of a client's request.
 func (g *gateway) receive(origin *clientRequest) {
 	f := g.fleet
 	if !g.up {
@@ -138,8 +138,8 @@
 		class: &f.scenario.Settings.Classes[origin.class], work: origin.work, arrivedAt: f.now, deadline: origin.deadline - f.scenario.Network.Client}
 	g.requests[r.id] = r
 	g.byArrival = append(g.byArrival, r)
-	if len(g.byArrival) > dropAfter && g.byArrival[0].finished {
-		g.dropFinished()
+	if len(g.byArrival) > compactionThreshold && g.byArrival[0].finished {
+		g.compactArrivals()
 	}
 	f.Metrics.recordFirstTry(r, firstTries)
 	if !g.admits(r) {
@@ -154,26 +154,27 @@
 	})
 }
 
-func (g *gateway) dropFinished() {
-	open := g.byArrival[:0]
+// compactArrivals removes finished requests from byArrival.
+func (g *gateway) compactArrivals() {
+	unfinished := g.byArrival[:0]
 	for _, r := range g.byArrival {
 		if !r.finished {
-			open = append(open, r)
+			unfinished = append(unfinished, r)
 		}
 	}
-	clear(g.byArrival[len(open):])
-	g.byArrival = open
+	clear(g.byArrival[len(unfinished):])
+	g.byArrival = unfinished
 }
 
-// handle hands an event to the module and executes its actions. Events that the actions cause wait until the module
-// has returned: it is never called from within its own actions.
+// handle passes an event to the module and executes the resulting actions. Events caused by these actions are queued,
+// so that the module is never called recursively.
 func (g *gateway) handle(e rules.Event) {
 	g.pending = append(g.pending, e)
 	if g.handling {
 		return
 	}
 	g.handling = true
-	for next := 0; next < len(g.pending); next++ { // grows meanwhile
+	for next := 0; next < len(g.pending); next++ { // pending can grow during the loop
 		actions := g.module.Handle(g.fleet.now, g.pending[next])
 		for _, action := range actions {
 			g.execute(action)
@@ -182,7 +183,7 @@
 	g.pending, g.handling = g.pending[:0], false
 }
 
-// execute executes one action of the module. Actions for requests that have finished meanwhile are ignored.
+// execute executes one action of the module. Actions for requests that have finished are ignored.
 func (g *gateway) execute(action rules.Action) {
 	f := g.fleet
 	switch a := action.(type) {
@@ -198,11 +199,11 @@
 		}
 	case rules.Reject:
 		if r := g.requests[a.ID]; r != nil && !r.finished {
-			after := a.RetryAfter
+			retryAfter := a.RetryAfter
 			if g.zones != nil && !g.stopping {
-				after = max(after, min(g.zones.RetryAfter(f.now), f.scenario.Settings.Limits.MaxRetryAfter))
+				retryAfter = max(retryAfter, min(g.zones.RetryAfter(f.now), f.scenario.Settings.Limits.MaxRetryAfter))
 			}
-			g.reject(r, after)
+			g.reject(r, retryAfter)
 		}
 	case rules.Fail:
 		if r := g.requests[a.ID]; r != nil && !r.finished {
@@ -217,7 +218,7 @@
 	}
 }
 
-// reject answers a request with a time to come back.
+// reject answers a request with a rejection that names retryAfter, at most MaxRetryAfter.
 func (g *gateway) reject(r *request, retryAfter rules.Time) {
 	f := g.fleet
 	f.Metrics.Rejected++
@@ -226,7 +227,7 @@
 	f.after(f.scenario.Network.Client, func() { f.retry(r.origin, min(retryAfter, f.scenario.Settings.Limits.MaxRetryAfter)) })
 }
 
-// finish marks a request as answered, and forgets it once its last attempt has ended.
+// finish marks a request as answered, and removes it if its last attempt has ended.
 func (g *gateway) finish(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -10,16 +10,16 @@
 	"foxlane/rules"
 )
 
-// This file connects modelled gateways by gossip, as internal/gateway/peers.go connects real ones: the same code decides.
-// Membership itself is not modelled: a gateway that starts is known to all at once, one that crashed after a delay.
+// This file connects modelled gateways by gossip, with the same decision code as internal/gateway/peers.go uses.
+// Membership itself is not modelled: all gateways learn of a start at once, and of a crash after a fixed delay.
 
-// GossipModel is how gateways gossip.
+// GossipModel holds the parameters of gossip between gateways.
 type GossipModel struct {
 	Network           DatagramModel
-	DetectionDelay    rules.Time // from a gateway's crash until the others take it for dead
+	DetectionDelay    rules.Time // from a gateway's crash until the others detect it
 	Settings          gossip.Settings
-	ByzantineGateways int        // the first gateways, which report that all engines fail and all zones are lost
-	SilentFrom        rules.Time // since the start: from then on all datagrams are lost; 0: never
+	ByzantineGateways int        // the first gateways, which report all engines as failing and all zones as lost
+	SilentFrom        rules.Time // time since the start from which all datagrams are lost; 0: never
 }
 
 func memberName(gateway int) string { return fmt.Sprintf("g%03d", gateway) }
@@ -28,10 +28,10 @@
 	return replica.Member{Name: memberName(g.index), Zone: fmt.Sprint("zone-", g.zone)}
 }
 
-// gossips reports whether the gateway is up and takes part in gossip.
-func (g *gateway) gossips() bool { return g.up && g.replica != nil }
+// isGossiping reports whether the gateway is up and has a replica.
+func (g *gateway) isGossiping() bool { return g.up && g.replica != nil }
 
-// startGossip introduces a gateway that has just started to the others.
+// startGossip creates the replica of a gateway that has just started, and joins it with all others.
 func (g *gateway) startGossip() {
 	f := g.fleet
 	m := f.scenario.Gossip
@@ -43,7 +43,7 @@
 	g.replica = replica.New(s, f.now)
 	g.gossip = gossip.New(m.Settings, g.replica, f.now)
 	for _, other := range f.gateways {
-		if other == g || !other.gossips() {
+		if other == g || !other.isGossiping() {
 			continue
 		}
 		g.handleReplica(replica.Joined{Member: other.member()})
@@ -52,25 +52,26 @@
 	g.every(s.GossipInterval, g.gossipTick)
 }
 
-// stopGossip has the others find out, after a delay, that a gateway has crashed.
-func (g *gateway) stopGossip() {
+// scheduleCrashDetection notifies the others after DetectionDelay that the gateway has crashed.
+func (g *gateway) scheduleCrashDetection() {
 	f := g.fleet
 	if f.scenario.Gossip == nil {
 		return
 	}
 	incarnation := g.incarnation
 	f.after(f.scenario.Gossip.DetectionDelay, func() {
-		if g.up && g.incarnation != incarnation { // it is back, and has joined as a new incarnation
+		if g.up && g.incarnation != incarnation { // it has already joined again as a new incarnation
 			return
 		}
 		for _, other := range f.gateways {
-			if other != g && other.gossips() {
+			if other != g && other.isGossiping() {
 				other.handleReplica(replica.Left{Member: replica.Member{Name: memberName(g.index)}})
 			}
 		}
 	})
 }
 
+// gossipView returns what the gateway observes and publishes.
 func (g *gateway) gossipView() gossip.View {
 	v := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
@@ -79,7 +80,7 @@
 	return v
 }
 
-// byzantineView is what a byzantine gateway reports in place of what it sees.
+// byzantineView returns what a byzantine gateway publishes in place of its own view.
 func byzantineView(v gossip.View) gossip.View {
 	v.Engines, v.Zones = slices.Clone(v.Engines), slices.Clone(v.Zones)
 	for i := range v.Engines {
@@ -88,13 +89,13 @@
 	for i := range v.Zones {
 		v.Zones[i].State = zones.Lost
 	}
-	for i := range v.Learned { // not cloned: the gateway believes this of its own learning, too
+	for i := range v.Learned { // not cloned: the gateway also uses these estimates itself
 		v.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
 	}
 	return v
 }
 
-// gossipTick publishes what the gateway sees, and acts on what others have published.
+// gossipTick publishes the gateway's view, and acts on what others have published.
 func (g *gateway) gossipTick() {
 	f := g.fleet
 	view := g.gossipView()
@@ -116,7 +117,7 @@
 	}
 }
 
-// handleReplica hands an event to the gateway's replica, and sends the datagrams that it asks for.
+// handleReplica passes an event to the gateway's replica, and sends the resulting datagrams.
 func (g *gateway) handleReplica(e replica.Event) {
 	f, m := g.fleet, g.fleet.scenario.Gossip
 	for _, effect := range g.replica.Handle(f.now, e) {
@@ -132,7 +133,7 @@
 		if _, err := fmt.Sscanf(send.To, "g%d", &index); err != nil || index >= len(f.gateways) {
 			continue
 		}
-		// The data is the replica's buffer, valid until its next call.
+		// Cloned because the data is valid only until the next call of the replica.
 		to, data, from := f.gateways[index], slices.Clone(send.Data), memberName(g.index)
 		if f.isCut(g.zone, to.zone) {
 			continue
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -2,19 +2,19 @@
 
 import "foxlane/rules"
 
-// This file models the list of engines and the delivery of its updates to the gateways.
+// This file models the endpoint list and the delivery of its updates to the gateways.
 
-// addEngine adds an engine to the fleet; startedAt 0 is long ago, so that it is warm.
+// addEngine adds an engine to the fleet. With startedAt 0 it started long ago, and is warm.
 func (f *Fleet) addEngine(startedAt rules.Time) *engine {
 	f.nextID++
-	// The multiplier spreads the ids over their range, as those of a real list are.
+	// The multiplier spreads the ids over their range, like the ids of a real endpoint list.
 	e := &engine{fleet: f, id: f.nextID * 2654435761, zone: f.scenario.zoneOf(len(f.engines)), startedAt: startedAt,
-		slowdown: 1, settledAt: f.now}
+		slowdown: 1, advancedAt: f.now}
 	f.engines = append(f.engines, e)
 	return e
 }
 
-// engineByID returns the engine with an id, nil if there was never one.
+// engineByID returns the engine with the id, or nil if there has never been one.
 func (f *Fleet) engineByID(id rules.EngineID) *engine {
 	for _, e := range f.engines {
 		if e.id == id {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// servingEngines are the engines that serve, by the list as it is now.
+// servingEngines returns the engines whose state in the current endpoint list is serving.
 func (f *Fleet) servingEngines() (serving []*engine) {
 	for _, e := range f.engines {
 		if e.state == rules.EngineServing {
@@ -34,7 +34,7 @@
 	return serving
 }
 
-// servingInZone are those of one zone.
+// servingInZone returns the serving engines of one zone.
 func (f *Fleet) servingInZone(zone int) (serving []*engine) {
 	for _, e := range f.servingEngines() {
 		if e.zone == zone {
@@ -48,7 +48,7 @@
 	return rules.Engine{ID: e.id, Zone: e.zone, StartedAt: e.startedAt, State: e.state, Scale: 1}
 }
 
-// listEntries is the list as it is now.
+// listEntries returns the current endpoint list.
 func (f *Fleet) listEntries() (list []rules.Engine) {
 	for _, e := range f.engines {
 		if e.state != rules.EngineGone {
@@ -58,7 +58,7 @@
 	return list
 }
 
-// announce sends an update of the list to all gateways, which receive it each with a delay of its own.
+// announce sends the changed entries of the endpoint list to all gateways, to each with its own random delay.
 func (f *Fleet) announce(changed ...*engine) {
 	list := make([]rules.Engine, 0, len(changed))
 	for _, e := range changed {
--- a/internal/emulator/metrics.go
+++ b/internal/emulator/metrics.go
@@ -8,63 +8,66 @@
 	"foxlane/rules"
 )
 
-// Metrics are the results of a run. Values are in priority weight, and count in the second in which a client first
-// sent its request.
+// Metrics are the results of a run. Offered and served values are sums of priority weights, and count in the second in
+// which a client first sent its request.
 type Metrics struct {
-	Rejected          int     // requests answered with an error that promises that a retry is safe
-	Failed            int     // requests answered with another error
-	Unanswered        int     // requests without a final answer by their deadline
-	OverloadCollapses int     // cold engines that got more work than they bear
-	NotifiedCollapses int     // of these, those that got two thirds of it from gateways that had been notified of their start
-	PeakColdBudget    float64 // largest part of its slow-start budget that a cold engine got
-	Attempts          int
-	Retries           int // of the attempts, those after a request's first
-	CrossZone         int // of the attempts, those to another zone
-	Dials             int // connections that were opened for attempts
-	Probes            int
-	SheddingSeconds   int // seconds of a gateway in which it shed some requests and admitted some
-	MisorderedSeconds int // of these, seconds in which it shed requests of a higher value than some that it admitted
-	GossipBytes       int // sent among gateways
-	ZoneTransitions   int // states that zones have entered, over all gateways
-	Transitions       []Transition
-	Shed              int          // of the rejected requests, those shed in favour of requests of a higher value
-	TimesToShare      []rules.Time // from an engine's start until it had got as much work as its cores do in a second
-	LostAttempts      [rules.StatusSuperseded + 1]int
-	Seconds           []Second
+	Rejected            int     // requests answered with an error after which a retry is safe
+	Failed              int     // requests answered with another error
+	Unanswered          int     // requests without a final answer by their deadline
+	OverloadCollapses   int     // cold engines that collapsed because they exceeded their slow-start budget
+	NotifiedCollapses   int     // of these, with at least notifiedFraction of the work from gateways notified of the start
+	PeakSlowStartBudget float64 // maximum fraction of its slow-start budget that a cold engine received
+	Attempts            int
+	Retries             int // attempts after the first of a request
+	CrossZone           int // attempts at engines of another zone
+	Dials               int // connections opened for attempts
+	Probes              int
+	SheddingSeconds     int // seconds in which a gateway shed some requests and admitted others, summed over the gateways
+	MisorderedSeconds   int // of these, seconds in which it shed a higher value tier than one that it admitted
+	GossipBytes         int // sent between gateways
+	ZoneTransitions     int // state changes of zones, summed over the gateways
+	Transitions         []Transition
+	Shed                int // rejected requests, shed in favour of a higher value
+	// RampUpTimes are the times from an engine's start until it had received the work that its cores do in one second.
+	RampUpTimes  []rules.Time
+	LostAttempts [rules.StatusSuperseded + 1]int // attempts without a successful response, by status
+	Seconds      []Second
 
 	start   rules.Time
 	zones   int
 	classes []ClassMetrics
 }
 
-// Second is what clients requested in one second, and the results.
+// Second holds the requests of one second and their results.
 type Second struct {
 	Offered, Served, ServedLate float64 // ServedLate is part of Served
 
-	FirstTries, Rejected, Shed []int     // first tries by their value for the declared work (zones.ValueTier); Shed is part of Rejected
-	CrossZoneWork              []float64 // work that began in a zone for gateways of other zones, by zone, in core seconds
-	Capacity                   []float64 // work that a zone's engines could do, by zone, in core seconds
+	// FirstTries, Rejected and Shed count first tries by the value tier of the declared work (zones.ValueTier). Rejected
+	// includes Shed.
+	FirstTries, Rejected, Shed []int
+	CrossZoneWork              []float64 // work sent to a zone by gateways of other zones, by zone, in core seconds
+	Capacity                   []float64 // work that the engines of a zone could do, by zone, in core seconds
 }
 
-// Transition is a state that a zone has entered at a gateway.
+// Transition is a change of a zone's state at a gateway.
 type Transition struct {
-	At rules.Time // since the start
+	At rules.Time // since the start of the run
 	zones.Change
 }
 
-// ClassMetrics are the results of one class.
+// ClassMetrics counts the client requests of one class: all, served within the latency objective, and served late.
 type ClassMetrics struct {
 	Requested, InTime, Late int
 }
 
-// valueTiers is more than the number of tiers that zones.ValueTier returns.
-const valueTiers = 64
+// maxValueTiers exceeds the number of tiers that zones.ValueTier returns.
+const maxValueTiers = 64
 
-// second returns the second that a time is in.
+// second returns the metrics of the second that contains t.
 func (m *Metrics) second(t rules.Time) *Second {
 	i := int((t - m.start) / rules.Second)
 	for len(m.Seconds) <= i {
-		m.Seconds = append(m.Seconds, Second{FirstTries: make([]int, valueTiers), Rejected: make([]int, valueTiers), Shed: make([]int, valueTiers),
+		m.Seconds = append(m.Seconds, Second{FirstTries: make([]int, maxValueTiers), Rejected: make([]int, maxValueTiers), Shed: make([]int, maxValueTiers),
 			CrossZoneWork: make([]float64, m.zones), Capacity: make([]float64, m.zones)})
 	}
 	return &m.Seconds[i]
@@ -86,7 +89,7 @@
 	}
 }
 
-// recordFirstTry counts a request in one of its second's counters by value, if it is its client's first try.
+// recordFirstTry counts a request by value tier in a counter of its second, if it is its client's first try.
 func (m *Metrics) recordFirstTry(r *request, counter func(*Second) []int) {
 	if r.origin.tries == 1 {
 		counter(m.second(r.arrivedAt))[zones.ValueTier(r.class.PriorityWeight, r.origin.declaredWork)]++
@@ -102,8 +105,8 @@
 	m.Transitions = append(m.Transitions, Transition{now - m.start, c})
 }
 
-// recordServed counts the value of a request that was served: the class's weight if it is within the latency
-// objective, a part of it if it is late. A client's request counts once, whichever of its tries is served first.
+// recordServed counts the value of a served request: the priority weight of its class if the latency objective is met,
+// LateValue times that weight if it is late. A client's request counts once, with the try that is served first.
 func (m *Metrics) recordServed(r *request) {
 	origin := r.origin
 	if origin.done {
@@ -124,8 +127,8 @@
 	s.ServedLate += c.PriorityWeight * c.LateValue
 }
 
-// ServedShare is the part of the value offered in the seconds from from to before to, counted from the start, that was
-// served. It is 1 if nothing was offered.
+// ServedShare returns the served fraction of the value offered in the seconds [from, to) since the start, or 1 if
+// nothing was offered.
 func (m *Metrics) ServedShare(from, to int) float64 {
 	offered, served := 0.0, 0.0
 	for i := from; i < to && i < len(m.Seconds); i++ {
@@ -138,16 +141,16 @@
 	return served / offered
 }
 
-// Class returns the results of one class.
+// Class returns the results of the class with index i.
 func (m *Metrics) Class(i int) ClassMetrics { return m.classes[i] }
 
-// String returns the totals on a few lines, then the served share by pairs of seconds.
+// String returns the totals on a few lines, followed by the served share of each two seconds.
 func (m *Metrics) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "share %.3f; %d attempts, %d of them retries, %d across zones, %d dials\n",
 		m.ServedShare(0, len(m.Seconds)), m.Attempts, m.Retries, m.CrossZone, m.Dials)
 	fmt.Fprintf(&s, "%d rejected, %d failed, %d unanswered; %d cold engines collapsed, at most %.2f of a budget used\n",
-		m.Rejected, m.Failed, m.Unanswered, m.OverloadCollapses, m.PeakColdBudget)
+		m.Rejected, m.Failed, m.Unanswered, m.OverloadCollapses, m.PeakSlowStartBudget)
 	fmt.Fprintf(&s, "lost attempts: %d error, %d full, %d timeout, %d connect, %d reset, %d cancelled\n",
 		m.LostAttempts[rules.StatusError], m.LostAttempts[rules.StatusRejected], m.LostAttempts[rules.StatusTimeout],
 		m.LostAttempts[rules.StatusConnectFailed], m.LostAttempts[rules.StatusReset], m.LostAttempts[rules.StatusCancelled])
--- a/internal/emulator/replicamember.go
+++ b/internal/emulator/replicamember.go
@@ -8,26 +8,26 @@
 // ReplicaMember is a member of a DatagramNetwork that holds a replica.
 type ReplicaMember struct {
 	Replica  *replica.Store
-	OnEntry  func(now rules.Time, origin string, e replica.Entry) // called for each entry that is new to the replica; may be nil
-	Rejected []error                                              // why datagrams were rejected
+	OnEntry  func(now rules.Time, origin string, e replica.Entry) // called for each new entry; may be nil
+	Rejected []error                                              // reasons of rejected datagrams
 }
 
-// Receive takes a datagram.
+// Receive passes a datagram to the replica.
 func (m *ReplicaMember) Receive(now rules.Time, from string, data []byte, send func(string, []byte)) {
 	m.handle(now, replica.Received{From: replica.Member{Name: from}, Data: data}, send)
 }
 
-// Tick has the replica do what is due.
+// Tick runs the periodic work of the replica.
 func (m *ReplicaMember) Tick(now rules.Time, send func(string, []byte)) {
 	m.handle(now, replica.Tick{}, send)
 }
 
-// MemberJoined tells the replica of another member.
+// MemberJoined notifies the replica that another member has joined.
 func (m *ReplicaMember) MemberJoined(now rules.Time, member replica.Member) {
 	m.handle(now, replica.Joined{Member: member}, nil)
 }
 
-// MemberLeft tells the replica that another member has gone.
+// MemberLeft notifies the replica that another member has left.
 func (m *ReplicaMember) MemberLeft(now rules.Time, name string) {
 	m.handle(now, replica.Left{Member: replica.Member{Name: name}}, nil)
 }
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -8,12 +8,12 @@
 	"foxlane/rules"
 )
 
-// runRestarts runs a fleet, under load, of which half of the engines restart at their addresses. The list says so a while
-// later, at the same time at all gateways.
-func runRestarts(gateways int, late rules.Time, seed uint64, change func(s *Scenario)) *Metrics {
+// runRestarts runs a loaded fleet in which half of the engines restart at the same address. All gateways are notified
+// listDelay later, at the same time.
+func runRestarts(gateways int, listDelay rules.Time, seed uint64, change func(s *Scenario)) *Metrics {
 	s := Warehouse(gateways, min(max(4, gateways/2), 16), 0.85, seed)
 	s.Duration = 20 * second
-	s.Network.MinListDelay, s.Network.MaxListDelay = late, late
+	s.Network.MinListDelay, s.Network.MaxListDelay = listDelay, listDelay
 	s.Faults = []Fault{RestartEngines(4*second, 0.5, 5*second)}
 	change(&s)
 	return New(s).Run()
@@ -27,44 +27,44 @@
 	{"queries with long deadlines, and a small budget", longDeadlines},
 }
 
-// An engine restarts at its address, and for a while no gateway knows that it is cold. What they send until the list says so
-// is out of their hands; what they add after that is not: no engine may collapse under work of which two thirds came from
-// gateways that had been notified, and it must get its share all the same. (Before the gateways counted what they had sent
-// ahead of the notification, that happened: docs/incidents/slow-start-after-restart.md has the table.)
+// An engine restarts at the same address, and the gateways send it work as to a warm one until the endpoint list
+// notifies them. From then on they must not overload it: no engine may collapse with two thirds of its work from
+// notified gateways, and engines must still receive their share. This failed while gateways did not count the work sent
+// before the notification; docs/incidents/slow-start-after-restart.md has the figures.
 func TestRestartedEnginesStayWithinTheirBudget(t *testing.T) {
 	for _, gateways := range []int{1, 2, 20, 30, 300} {
-		for _, late := range []rules.Time{50 * rules.Millisecond, 200 * rules.Millisecond, second, 7 * second} {
-			for _, r := range restartScenarios {
-				if *slowStartSeeds == 1 && (gateways > 20 || late > second) { // they take long
+		for _, listDelay := range []rules.Time{50 * rules.Millisecond, 200 * rules.Millisecond, second, 7 * second} {
+			for _, scenario := range restartScenarios {
+				if *slowStartSeeds == 1 && (gateways > 20 || listDelay > second) { // these take long
 					continue
 				}
-				t.Run(fmt.Sprintf("%d gateways, %d ms late, %s", gateways, late/rules.Millisecond, r.name), func(t *testing.T) {
-					checkRestarts(t, gateways, late, r.change)
+				t.Run(fmt.Sprintf("%d gateways, %d ms late, %s", gateways, listDelay/rules.Millisecond, scenario.name), func(t *testing.T) {
+					checkRestarts(t, gateways, listDelay, scenario.change)
 				})
 			}
 		}
 	}
 }
 
-func checkRestarts(t *testing.T, gateways int, late rules.Time, change func(s *Scenario)) {
+func checkRestarts(t *testing.T, gateways int, listDelay rules.Time, change func(s *Scenario)) {
 	peak, collapses, notified := 0.0, 0, 0
 	var times []rules.Time
 	served := 0.0
 	for seed := range *slowStartSeeds {
-		m := runRestarts(gateways, late, seed+1, change)
-		peak = max(peak, m.PeakColdBudget)
+		m := runRestarts(gateways, listDelay, seed+1, change)
+		peak = max(peak, m.PeakSlowStartBudget)
 		collapses, notified = collapses+m.OverloadCollapses, notified+m.NotifiedCollapses
-		times = append(times, m.TimesToShare...)
+		times = append(times, m.RampUpTimes...)
 		served += m.ServedShare(0, 20) / float64(*slowStartSeeds)
 		if m.NotifiedCollapses > 0 {
-			t.Errorf("seed %d: %d engines collapsed under the work of gateways that knew of their start", seed+1, m.NotifiedCollapses)
+			t.Errorf("seed %d: %d engines collapsed with at least two thirds of the work from notified gateways", seed+1, m.NotifiedCollapses)
 		}
 	}
 	slices.Sort(times)
 	if len(times) == 0 && collapses == 0 {
-		t.Fatal("no engine got its share")
+		t.Fatal("no engine collapsed, and none received one second of work")
 	}
-	times = append(times, 0) // where all have collapsed
-	t.Logf("at most %.2f of a budget, %d collapsed, %d of them under notified gateways; time to a share %d ms in the median, %d ms at most; %.3f served",
+	times = append(times, 0) // if all have collapsed
+	t.Logf("at most %.2f of a budget, %d collapsed, %d of them by notified gateways; time until one second of work was received: %d ms median, %d ms maximum; %.3f served",
 		peak, collapses, notified, times[(len(times)-1)/2]/rules.Millisecond, times[max(len(times)-2, 0)]/rules.Millisecond, served)
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -5,57 +5,59 @@
 	"foxlane/rules"
 )
 
-// This file owns what a run is given: the models and their parameters.
+// This file owns the input of a run: the models and their parameters.
 
-// ClassModel is what clients request of one class.
+// ClassModel holds the distribution of the requests of one class.
 type ClassModel struct {
 	Share         float64    // of all requests, relative to the other classes'
-	Work          rules.Time // mean, all threads together
+	Work          rules.Time // mean, summed over all threads
 	CV            float64    // coefficient of variation of the work, which is lognormal
-	DeclaredNoise float64    // standard deviation of the logarithm of declared over true work
-	DeclaredRatio float64    // declared over true work, on the whole; 0: 1
+	DeclaredNoise float64    // standard deviation of the logarithm of the ratio of declared to true work
+	DeclaredRatio float64    // systematic ratio of declared to true work; 0: 1
 }
 
-// ClientModel is how clients behave.
+// ClientModel holds the behaviour of clients.
 type ClientModel struct {
-	MaxTries        int        // for one request, the first included
+	MaxTries        int        // per request, including the first
 	Backoff         rules.Time // mean wait before a retry
-	HonorRetryAfter float64    // fraction of clients that wait for as long as a rejection says
-	LoadSkew        float64    // standard deviation of the logarithm of a gateway's part of the load
-	FailoverDelay   rules.Time // from a gateway's end until its clients try another
+	HonorRetryAfter float64    // fraction of retries that wait for the delay that the rejection names
+	LoadSkew        float64    // standard deviation of the logarithm of a gateway's share of the load
+	FailoverDelay   rules.Time // after a gateway's crash, before its clients try another
 }
 
-// NetworkModel is the network's delays, one way.
+// NetworkModel holds the one-way network delays.
 type NetworkModel struct {
 	SameZone, CrossZone rules.Time // between a gateway and an engine
 	Client              rules.Time // between a client and a gateway
-	MinListDelay        rules.Time // of an update of the list, to a gateway
+	MinListDelay        rules.Time // of an endpoint list update to a gateway; uniform up to MaxListDelay
 	MaxListDelay        rules.Time
 }
 
-// Scenario is all that one run is given.
+// Scenario is the whole input of one run.
 type Scenario struct {
-	Settings         rules.Settings // the fields that name a gateway are set for each gateway
-	Gateways         int
-	Engines          int
-	Zones            int
-	Engine           EngineModel
-	Classes          []ClassModel // by the index of Settings.Classes
-	Clients          ClientModel
-	Network          NetworkModel
-	Load             float64 // offered work over the work that all engines can do at the start
-	Start            rules.Time
-	Duration         rules.Time
-	Seed             uint64
-	Faults           []Fault
-	Placement        []int           // zones of engines and gateways, repeated; nil: round robin over Zones
-	ZoneFailover     *zones.Settings // the plan for the loss of a zone; nil: none
-	Gossip           *GossipModel    // nil: gateways don't gossip
-	ColdBudgetFactor float64         // the slow-start budget that gateways assume over the true one; 0: 1
-	StaticHomeShare  *float64        // a baseline instead of a plan: the part of a gateway's load that stays in its zone, whatever happens
+	Settings              rules.Settings // GatewayIndex, Zone and Gateways are set for each gateway
+	Gateways              int
+	Engines               int
+	Zones                 int
+	Engine                EngineModel
+	Classes               []ClassModel // parallel to Settings.Classes
+	Clients               ClientModel
+	Network               NetworkModel
+	Load                  float64 // ratio of the offered work to the capacity of all engines at the start
+	Start                 rules.Time
+	Duration              rules.Time
+	Seed                  uint64
+	Faults                []Fault
+	Placement             []int           // zones of engines and of gateways, cyclic; empty: round robin over Zones
+	ZoneFailover          *zones.Settings // nil: no zone failover
+	Gossip                *GossipModel    // nil: gateways don't gossip
+	SlowStartBudgetFactor float64         // ratio of the slow-start budget that gateways assume to the true one; 0: 1
+	// StaticHomeShare is the constant fraction of a gateway's load that stays in its zone. It replaces ZoneFailover in the
+	// baseline of a comparison; nil: not used.
+	StaticHomeShare *float64
 }
 
-// zoneOf is the zone of the i-th engine or gateway.
+// zoneOf returns the zone of the engine or gateway with index i.
 func (s *Scenario) zoneOf(i int) int {
 	if len(s.Placement) > 0 {
 		return s.Placement[i%len(s.Placement)]
@@ -63,10 +65,11 @@
 	return i % max(1, s.Zones)
 }
 
-// Warehouse is a site with three classes, as the design assumes: short look-ups, reports that are most of the work, and
-// data loads that are not idempotent. It has five zones, and engines of 32 cores that start cold and warm up linearly.
-// The load is relative to what all engines can do when warm. Every figure is a round one of the sites that the design
-// was made for; work and latency objectives are at six tenths, as on sites with hundreds of gateways.
+// Warehouse returns a scenario of a site with three classes, as the design assumes: short look-ups, reports that are
+// most of the work, and data loads that are not idempotent. It has five zones, and engines of 32 cores that start cold
+// and warm up linearly. Load is relative to the capacity of all engines when warm. The figures are rounded from the
+// sites that the design was made for; work and latency objectives are at 0.6 of them, as on sites with hundreds of
+// gateways.
 func Warehouse(gateways, engines int, load float64, seed uint64) Scenario {
 	const ms = rules.Millisecond
 	return Scenario{
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -7,17 +7,17 @@
 	"foxlane/rules"
 )
 
-// This file connects the plan for the loss of a zone to modelled gateways, as internal/gateway connects it to real ones:
-// the same code decides.
+// This file connects the zone controller to modelled gateways, with the same decision code as internal/gateway uses.
 
-// observation is what a gateway remembers of an engine besides what its module does.
+// observation holds what a gateway records about an engine outside of its module.
 type observation struct {
 	lastAttempt, lastAnswer, lastFault rules.Time
 }
 
-// zoneInterval is how often a gateway evaluates the zones.
-const zoneInterval = 200 * rules.Millisecond
+// zoneEvaluationInterval is the interval at which a gateway evaluates the states of the zones.
+const zoneEvaluationInterval = 200 * rules.Millisecond
 
+// observationOf returns the observation of an engine, which it creates if there is none.
 func (g *gateway) observationOf(id rules.EngineID) *observation {
 	o := g.observations[id]
 	if o == nil {
@@ -27,7 +27,7 @@
 	return o
 }
 
-// startZones gives a gateway that has just started its plan: that of the scenario, a static split, or none.
+// startZones sets the zone plan of a gateway that has just started: a static split, a zone controller, or none.
 func (g *gateway) startZones() {
 	s := &g.fleet.scenario
 	switch {
@@ -40,10 +40,10 @@
 	g.zones = zones.New(*s.ZoneFailover, zones.Fleet{Zones: max(1, s.Zones), OwnZone: g.zone, Gateways: s.Gateways, Jitter: g.fleet.rng.Float64(),
 		Classes: s.Settings.Classes}, g.fleet.now)
 	g.handle(rules.ZonePlanChanged{Plan: g.zones})
-	g.every(zoneInterval, g.updateZones)
+	g.every(zoneEvaluationInterval, g.updateZones)
 }
 
-// engineObservations is what the gateway knows of each engine that serves.
+// engineObservations returns what the gateway knows of each serving engine.
 func (g *gateway) engineObservations() (list []zones.EngineObservation) {
 	f := g.fleet
 	for _, view := range g.module.EngineViews() {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// updateZones shows the plan what the gateway knows of its engines, and probes those that the plan names.
+// updateZones passes the engine observations to the zone controller, and probes the engines that it names.
 func (g *gateway) updateZones() {
 	f := g.fleet
 	observed := g.zones.Observe(f.now, g.engineObservations(), g.module.LoadSummary(), f.scenario.Settings.Limits.Probes)
@@ -73,7 +73,7 @@
 	}
 }
 
-// admits asks the plan whether to admit a request, and rejects it if not.
+// admits reports whether the zone controller admits a request. If not, it rejects the request.
 func (g *gateway) admits(r *request) bool {
 	if g.zones == nil {
 		return true
@@ -81,7 +81,7 @@
 	origin := r.origin
 	shed, retryAfter := g.zones.RequestArrived(g.fleet.now, zones.Request{Class: origin.class, DeclaredWork: origin.declaredWork, Retry: origin.tries > 1})
 	if origin.tries == 1 {
-		g.recordShed(zones.ValueTier(r.class.PriorityWeight, origin.declaredWork), shed)
+		g.recordSheddingDecision(zones.ValueTier(r.class.PriorityWeight, origin.declaredWork), shed)
 	}
 	if shed {
 		g.fleet.Metrics.Shed++
@@ -91,17 +91,17 @@
 	return !shed
 }
 
-// shedOrder is what a gateway admitted and shed within one second, of first tries, by their value for the declared work.
+// shedOrder holds the extreme value tiers of the first tries that a gateway admitted and shed within one second.
 type shedOrder struct {
 	second                      rules.Time
 	lowestAdmitted, highestShed int
 	anyAdmitted, anyShed        bool
 }
 
-// recordShed notes whether a first try of a value tier was shed. When a second has passed it is counted, and as
-// misordered if a higher tier was shed than one that was admitted. Neighbouring tiers don't count: one of them may be
-// shed in part.
-func (g *gateway) recordShed(tier int, shed bool) {
+// recordSheddingDecision records whether a first try of a value tier was shed. At the end of a second it counts that
+// second if it has both admitted and shed tries, and as misordered if a tier higher than an admitted one was shed.
+// Neighbouring tiers are not misordered, because one of them may be shed in part.
+func (g *gateway) recordSheddingDecision(tier int, shed bool) {
 	o := &g.shedOrder
 	if s := g.fleet.now / rules.Second; s != o.second {
 		if o.anyAdmitted && o.anyShed {
@@ -121,7 +121,7 @@
 	o.anyShed, o.anyAdmitted = o.anyShed || shed, o.anyAdmitted || !shed
 }
 
-// sendProbe sends a health check to an engine; suspected: because other gateways suspect it.
+// sendProbe sends a health check to an engine. Suspected marks a probe caused by a suspicion of other gateways.
 func (g *gateway) sendProbe(e *engine, suspected bool) {
 	f := g.fleet
 	f.Metrics.Probes++
@@ -143,16 +143,16 @@
 	})
 }
 
-// staticSplit is a zone plan that never changes: a share stays at home, the rest is spread evenly. It is the baseline
-// that plans are compared with.
+// staticSplit is a constant zone plan: a fixed share of the requests stays in the gateway's own zone, and the rest is
+// spread evenly over the others. It is the baseline for comparisons of zone failover.
 type staticSplit struct {
 	shares []float64 // by zone
 }
 
-func newStaticSplit(own, zoneCount int, homeShare float64) *staticSplit {
+func newStaticSplit(ownZone, zoneCount int, homeShare float64) *staticSplit {
 	s := &staticSplit{shares: make([]float64, max(1, zoneCount))}
 	for i := range s.shares {
-		if s.shares[i] = 1; i == own && zoneCount > 1 {
+		if s.shares[i] = 1; i == ownZone && zoneCount > 1 {
 			s.shares[i] = homeShare
 		} else if zoneCount > 1 {
 			s.shares[i] = (1 - homeShare) / float64(zoneCount-1)
@@ -161,18 +161,18 @@
 	return s
 }
 
-// PickZone draws a zone by its share, of those that have not been tried.
+// PickZone draws one of the zones that have not been tried, weighted by share. It returns -1 if none is left.
 func (s *staticSplit) PickZone(_ rules.Time, drawn, _ float64, tried []int) (int, bool) {
-	left := slices.Clone(s.shares)
+	remaining := slices.Clone(s.shares)
 	total := 0.0
 	for _, z := range tried {
-		left[z] = 0
+		remaining[z] = 0
 	}
-	for _, share := range left {
+	for _, share := range remaining {
 		total += share
 	}
 	drawn *= total
-	for i, share := range left {
+	for i, share := range remaining {
 		if drawn -= share; share > 0 && drawn < 0 {
 			return i, true
 		}
@@ -180,8 +180,8 @@
 	return -1, true
 }
 
-// Admits admits every request: the split has no limits.
+// Admits returns true: the split has no limits.
 func (s *staticSplit) Admits(rules.Time, int, float64, bool) bool { return true }
 
-// RecordSend does nothing: the split doesn't depend on what was sent.
+// RecordSend does nothing: the split does not depend on the requests sent.
 func (s *staticSplit) RecordSend(rules.Time, int, float64, bool) {}
