--- a/internal/faultgateway/callfaults.go
+++ b/internal/faultgateway/callfaults.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// errnos are the errors that commands may name.
+// errnos maps the names that commands accept to error numbers.
 var errnos = map[string]syscall.Errno{
 	"ECONNABORTED": syscall.ECONNABORTED, "ENFILE": syscall.ENFILE, "EMFILE": syscall.EMFILE, "ENOBUFS": syscall.ENOBUFS,
 	"ENOMEM": syscall.ENOMEM, "EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "EADDRINUSE": syscall.EADDRINUSE, "ENETUNREACH": syscall.ENETUNREACH,
@@ -19,10 +19,10 @@
 	"ENOSPC": syscall.ENOSPC, "EIO": syscall.EIO, "EAGAIN": syscall.EAGAIN,
 }
 
-// ErrUnknownErrno is the error of a name that is not in the list of errors a command may name.
-var ErrUnknownErrno = errors.New("faultgateway: unknown error")
+// ErrUnknownErrno is returned for an error name that commands do not accept.
+var ErrUnknownErrno = errors.New("faultgateway: unknown error name")
 
-// ParseErrno returns the error of a name, such as ENOSPC.
+// ParseErrno returns the error number of a name such as ENOSPC, or ErrUnknownErrno.
 func ParseErrno(name string) (syscall.Errno, error) {
 	errno, ok := errnos[name]
 	if !ok {
@@ -31,15 +31,15 @@
 	return errno, nil
 }
 
-// faults are the calls that fail now, and the delay of dials. Each is drawn anew for each call.
+// faults holds the injected call failures and dial delays. Each call draws at random whether it is affected.
 type faults struct {
-	mu        sync.Mutex
-	rng       *rand.Rand
-	failing   map[string]fault // by call
-	lateDials dialDelays
+	mu         sync.Mutex
+	rng        *rand.Rand
+	failing    map[string]fault // by the name of the call, as in Command.Calls
+	dialDelays dialDelayFault
 }
 
-// fault has a fraction of calls fail with an error, until a time.
+// fault makes a fraction of the calls fail with errno until a time.
 type fault struct {
 	errno    syscall.Errno
 	fraction float64
@@ -50,19 +50,19 @@
 	return &faults{rng: rand.New(rand.NewPCG(uint64(os.Getpid()), 3)), failing: map[string]fault{}}
 }
 
-// inject returns the error by which a call is to fail now, or nil.
+// inject returns the error with which a call must fail now, or nil.
 func (f *faults) inject(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	failing, ok := f.failing[call]
-	if !ok || time.Now().After(failing.until) || f.rng.Float64() >= failing.fraction {
+	injected, ok := f.failing[call]
+	if !ok || time.Now().After(injected.until) || f.rng.Float64() >= injected.fraction {
 		return nil
 	}
-	return os.NewSyscallError(call, failing.errno)
+	return os.NewSyscallError(call, injected.errno)
 }
 
-// setErrors has the calls that a command names fail.
-func (f *faults) setErrors(c Command) error {
+// setCallErrors makes the calls that a command names fail.
+func (f *faults) setCallErrors(c Command) error {
 	errno, err := ParseErrno(c.Errno)
 	if err != nil {
 		return err
@@ -75,26 +75,26 @@
 	return nil
 }
 
-// dialDelays delays a fraction of dials by up to max, until a time.
-type dialDelays struct {
+// dialDelayFault delays a fraction of the dials by up to max until a time.
+type dialDelayFault struct {
 	max      time.Duration
 	fraction float64
 	until    time.Time
 }
 
-// setLateDials has dials be delayed as a command says.
-func (f *faults) setLateDials(c Command) {
+// setDialDelays sets the dial delays of a command.
+func (f *faults) setDialDelays(c Command) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lateDials = dialDelays{time.Duration(c.MS) * time.Millisecond, c.Fraction, time.Now().Add(time.Duration(c.ForMS) * time.Millisecond)}
+	f.dialDelays = dialDelayFault{time.Duration(c.MS) * time.Millisecond, c.Fraction, time.Now().Add(time.Duration(c.ForMS) * time.Millisecond)}
 }
 
-// dialDelay is the delay of a dial that begins now.
+// dialDelay draws the delay of a dial that begins now; 0: none.
 func (f *faults) dialDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lateDials.max <= 0 || time.Now().After(f.lateDials.until) || f.rng.Float64() >= f.lateDials.fraction {
+	if f.dialDelays.max <= 0 || time.Now().After(f.dialDelays.until) || f.rng.Float64() >= f.dialDelays.fraction {
 		return 0
 	}
-	return time.Duration(f.rng.Int64N(int64(f.lateDials.max)))
+	return time.Duration(f.rng.Int64N(int64(f.dialDelays.max)))
 }
--- a/internal/faultgateway/defects.go
+++ b/internal/faultgateway/defects.go
@@ -17,101 +17,101 @@
 	"foxlane/rules"
 )
 
-// Defects are the names of the defects that can be planted, to see whether the soak detects them.
+// Defects lists the defects that can be planted to test whether the soak detects them.
 var Defects = []string{
 	DefectDrainIgnored, DefectNonIdempotentTwice, DefectSentAfterDisconnect, DefectSlowStartOverload, DefectResponseLate, DefectClosedWithoutResponse, DefectWallClockDeadline,
 	DefectSyncErrorIgnored, DefectSerialOnly, DefectListIgnoredAtStart, DefectBytesLeftInBuffer, DefectOlderList, DefectOrderKeyIgnored,
 }
 
-// Defects that can be planted.
+// Names of the defects that can be planted.
 const (
-	DefectDrainIgnored          = "drain_ignored"         // draining engines look active
+	DefectDrainIgnored          = "drain_ignored"         // draining engines are treated as active
 	DefectNonIdempotentTwice    = "unsafe_twice"          // a request that is not idempotent is sent to a second engine
 	DefectSentAfterDisconnect   = "sent_after_gone"       // a request is sent after its client has disconnected
 	DefectSlowStartOverload     = "cold_overload"         // engines that have just started receive all requests
 	DefectResponseLate          = "answer_late"           // some responses are delayed beyond their deadline
 	DefectClosedWithoutResponse = "close_unanswered"      // some connections are closed in place of a response
 	DefectWallClockDeadline     = "wall_deadline"         // deadlines follow the wall clock
-	DefectSyncErrorIgnored      = "sync_ignored"          // a sync that failed is taken as done
-	DefectSerialOnly            = "number_only"           // lists are told apart by their serial number alone
-	DefectListIgnoredAtStart    = "list_ignored_at_start" // for the first seconds of the process
-	DefectBytesLeftInBuffer     = "bytes_left"            // in a write buffer to an engine that drains
-	DefectOlderList             = "older_list"            // the list before the last one is taken
-	DefectOrderKeyIgnored       = "key_twice"             // the key of ordered requests is not read
+	DefectSyncErrorIgnored      = "sync_ignored"          // a failed sync is treated as successful
+	DefectSerialOnly            = "number_only"           // endpoint lists are ordered by serial number alone
+	DefectListIgnoredAtStart    = "list_ignored_at_start" // endpoint lists are ignored for the first seconds
+	DefectBytesLeftInBuffer     = "bytes_left"            // bytes stay in the buffer to a draining engine
+	DefectOlderList             = "older_list"            // the endpoint list before the latest one is used
+	DefectOrderKeyIgnored       = "key_twice"             // the order key of requests is ignored
 )
 
-// ErrUnknownDefect is the error of a name that is not in Defects.
+// ErrUnknownDefect is returned for a name that is not in Defects.
 var ErrUnknownDefect = errors.New("faultgateway: unknown defect")
 
-// withDefect puts a defect between sockets and reducer, or into the folder of results.
-func withDefect(name string, p transport.Platform, clock *steppedClock) (transport.Platform, error) {
+// withDefect plants a defect around the platform's reducer, or in the spool's folder. An empty name plants none.
+func withDefect(name string, platform transport.Platform, clock *steppedClock) (transport.Platform, error) {
 	if name == "" {
-		return p, nil
+		return platform, nil
 	}
 	if !slices.Contains(Defects, name) {
-		return p, fmt.Errorf("%w %q", ErrUnknownDefect, name)
+		return platform, fmt.Errorf("%w %q", ErrUnknownDefect, name)
 	}
 	if name == DefectSyncErrorIgnored {
-		open := p.OpenFolder
-		p.OpenFolder = func(path string) (transport.Folder, error) {
+		open := platform.OpenFolder
+		platform.OpenFolder = func(path string) (transport.Folder, error) {
 			folder, err := open(path)
 			if d, ok := folder.(*faultyFolder); ok {
 				d.hideSyncErrors = true
 			}
 			return folder, err
 		}
-		return p, nil
+		return platform, nil
 	}
-	newReducer := p.Reducer
-	p.Reducer = func(cfg config.Config, now rules.Time) transport.Reducer {
+	newReducer := platform.Reducer
+	platform.Reducer = func(cfg config.Config, now rules.Time) transport.Reducer {
 		return &defectiveReducer{Reducer: newReducer(cfg, now), name: name, clock: clock, engines: map[gateway.ConnID]bool{}, clients: map[gateway.ConnID]string{},
 			requests: map[string]engineRequest{}, dials: map[gateway.ConnID]netip.AddrPort{}, coldUntil: map[netip.AddrPort]rules.Time{},
 			highestSerial: cfg.InitialList.Seq, startedAt: now, draining: map[netip.AddrPort]bool{}}
 	}
-	return p, nil
+	return platform, nil
 }
 
-// defectiveReducer is a reducer with a planted defect: it changes the events that reach the reducer, and its effects.
+// defectiveReducer wraps a reducer and changes its events and effects according to a planted defect.
 type defectiveReducer struct {
 	transport.Reducer
 	name      string
 	clock     *steppedClock
 	now       rules.Time
-	engines   map[gateway.ConnID]bool   // connections to engines
-	clients   map[gateway.ConnID]string // the id of the last request of each client's connection
-	requests  map[string]engineRequest  // by id
+	engines   map[gateway.ConnID]bool   // open connections to engines
+	clients   map[gateway.ConnID]string // id of the last request on each client connection
+	requests  map[string]engineRequest  // requests sent to engines, by id
 	dials     map[gateway.ConnID]netip.AddrPort
-	coldUntil map[netip.AddrPort]rules.Time // engines that have just started, and until when they count as cold
+	coldUntil map[netip.AddrPort]rules.Time // engines that started recently, and the end of their overload
 	delayed   []delayedEffect
 	responses int
 	effects   []gateway.Effect
 
-	highestSerial uint32     // of a list so far
+	highestSerial uint32     // of the endpoint lists so far
 	startedAt     rules.Time // of the process
 	lastList      *dns.Msg
-	previousList  *dns.Msg // of an earlier serial number
+	previousList  *dns.Msg // the list before lastList, with another serial number
 	draining      map[netip.AddrPort]bool
 }
 
-// engineRequest is a request as it was written to an engine.
+// engineRequest is the text of a request and the engine connection that it was written to.
 type engineRequest struct {
 	conn gateway.ConnID
 	text []byte
 }
 
-// delayedEffect is a write that is held back until a time.
+// delayedEffect is a write that is delayed until a time.
 type delayedEffect struct {
 	at     rules.Time
 	effect *gateway.Write
 }
 
-// dialledBit is set in the ids of connections that the gateway dialled, to engines.
+// dialledBit is set in the ids of connections that the gateway has dialled, which are those to engines.
 const dialledBit gateway.ConnID = 1 << 63
 
-// faultyResponseInterval is how many responses there are for one that is delayed or replaced by a close.
+// faultyResponseInterval is the number of responses of which one is delayed or replaced by a close.
 const faultyResponseInterval = 10
 
-// Step passes an event to the reducer, changed or dropped as the defect has it.
+// Step passes an event to the reducer, after the defect has changed or dropped it.
 func (d *defectiveReducer) Step(now rules.Time, event gateway.Event) {
 	d.now = now
 	if d.name == DefectWallClockDeadline {
@@ -149,7 +149,7 @@
 	d.Reducer.Step(now, event)
 }
 
-// overloadCold sends a request to all engines that have just started as well.
+// overloadCold also sends a request to all engines that have started recently.
 func (d *defectiveReducer) overloadCold(text []byte) {
 	for conn := range d.engines {
 		if until, ok := d.coldUntil[d.dials[conn]]; ok && d.now < until {
@@ -158,45 +158,45 @@
 	}
 }
 
-// Flush returns the reducer's effects, changed as the defect has it, and those whose delay is over.
+// Flush returns the reducer's effects as changed by the defect, and the delayed effects that are due.
 func (d *defectiveReducer) Flush() []gateway.Effect {
 	d.effects = d.effects[:0]
 	for _, effect := range d.Reducer.Flush() {
-		d.applyTo(effect)
+		d.applyToEffect(effect)
 	}
 	pending := d.delayed[:0]
-	for _, held := range d.delayed {
-		if held.at <= d.now {
-			d.effects = append(d.effects, held.effect)
+	for _, write := range d.delayed {
+		if write.at <= d.now {
+			d.effects = append(d.effects, write.effect)
 		} else {
-			pending = append(pending, held)
+			pending = append(pending, write)
 		}
 	}
 	d.delayed = pending
 	return d.effects
 }
 
-// applyTo applies the defect to one effect.
-func (d *defectiveReducer) applyTo(effect gateway.Effect) {
-	switch f := effect.(type) {
+// applyToEffect applies the defect to an effect, and adds the result to the effects of this Flush.
+func (d *defectiveReducer) applyToEffect(effect gateway.Effect) {
+	switch e := effect.(type) {
 	case *gateway.Write:
-		d.applyToWrite(f)
+		d.applyToWrite(e)
 		return
 	case *gateway.SetTimer:
 		if d.name == DefectWallClockDeadline {
-			effect = &gateway.SetTimer{At: f.At - rules.Time(d.clock.offset()/time.Microsecond)}
+			effect = &gateway.SetTimer{At: e.At - rules.Time(d.clock.offset()/time.Microsecond)}
 		}
 	case gateway.Dial:
-		d.dials[f.Conn] = f.Addr
+		d.dials[e.Conn] = e.Addr
 	}
 	d.effects = append(d.effects, effect)
 }
 
-// applyToWrite applies the defect to a write, to a client or to an engine.
+// applyToWrite applies the defect to a write to a client or to an engine.
 func (d *defectiveReducer) applyToWrite(effect *gateway.Write) {
 	toEngine := effect.Conn&dialledBit != 0
 	if toEngine && d.name == DefectBytesLeftInBuffer {
-		d.delayed = append(d.delayed, delayedEffect{d.now + writeBufferFor, cloneWrite(effect)})
+		d.delayed = append(d.delayed, delayedEffect{d.now + writeDelay, cloneWrite(effect)})
 		return
 	}
 	if toEngine {
@@ -221,15 +221,15 @@
 	}
 }
 
-// cloneWrite copies a write that is kept beyond the next Step.
+// cloneWrite copies a write, so that it remains valid after the next Step.
 func cloneWrite(w *gateway.Write) *gateway.Write {
 	return &gateway.Write{Conn: w.Conn, Data: bytes.Clone(w.Data)}
 }
 
-// isResponse reports whether bytes for a client begin a result set or an error, not a greeting or an OK.
+// isResponse reports whether a write to a client begins with a result set or an error, not a greeting or an OK.
 func isResponse(data []byte) bool { return len(data) > 4 && data[3] == 1 && data[4] != 0 }
 
-// recordRequests records the requests in what is written to an engine, and sends them to others as well where the defect says so.
+// recordRequests records the requests in a write to an engine. Some defects also send them to other engines.
 func (d *defectiveReducer) recordRequests(effect *gateway.Write) {
 	for _, line := range bytes.SplitAfter(effect.Data, []byte("\r\n")) {
 		words := strings.Fields(string(line))
@@ -260,7 +260,7 @@
 
 var errIncompleteRequest = errors.New("faultgateway: incomplete request")
 
-// cutRequest returns the request at the start of what is written, whose body has a length.
+// cutRequest returns the request at the start of data, whose body has the given length in decimal.
 func cutRequest(data []byte, length string) ([]byte, error) {
 	var n int
 	if _, err := fmt.Sscan(length, &n); err != nil {
--- a/internal/faultgateway/faultgateway.go
+++ b/internal/faultgateway/faultgateway.go
@@ -1,6 +1,6 @@
-// Package faultgateway is the gateway's process for fault injection: the same server, on a clock, sockets and files that fail by
-// commands on standard input, and with a planted defect in its reducer if one is named. Only the lab starts it; the released
-// program has no way to any of this. It must never reach any address but this machine's.
+// Package faultgateway owns the gateway process for fault injection. It runs the same server as the released program,
+// but with a clock, sockets and files that fail by commands on standard input, and optionally with a planted defect.
+// Only foxlab starts it; the released program can't do any of this. It must never communicate with other machines.
 package faultgateway
 
 import (
@@ -23,28 +23,31 @@
 	"foxlane/internal/transport"
 )
 
-// EnvDefect is the environment variable that names the planted defect; empty: none.
+// EnvDefect is the environment variable with the name of the defect to plant; empty: none.
 const EnvDefect = "FOXLANE_PLANT"
 
-// Command is what the process reads on standard input, a JSON object a line.
+// Command is a command on standard input, one JSON object per line.
 type Command struct {
-	Kind     string  `json:"kind"`             // one of the constants below
-	MS       int64   `json:"ms,omitempty"`     // step: of the wall clock; late: by which dials are delayed, at most
-	Calls    string  `json:"calls,omitempty"`  // calls, disk: which fail: dial, accept, udp, send, receive; open, read, write, truncate, sync, remove
-	Errno    string  `json:"errno,omitempty"`  // as Linux names it
-	Fraction float64 `json:"part,omitempty"`   // of the calls that fail
-	ForMS    int64   `json:"for_ms,omitempty"` // calls, disk, late: how long it holds
+	Kind string `json:"kind"`         // one of the constants below
+	MS   int64  `json:"ms,omitempty"` // step: by how much the wall clock steps; late: maximum delay of dials
+	// Calls is a comma-separated list of the calls that fail. Kind calls: dial, accept, udp, send, receive; kind disk:
+	// open, read, write, truncate, sync, remove.
+	Calls    string  `json:"calls,omitempty"`
+	Errno    string  `json:"errno,omitempty"`  // name on Linux, such as ENOSPC
+	Fraction float64 `json:"part,omitempty"`   // of the calls that fail, or of the dials that are delayed
+	ForMS    int64   `json:"for_ms,omitempty"` // calls, disk, late: duration of the fault
 }
 
 // Kinds of commands.
 const (
 	CommandStep      = "step"  // step the wall clock
-	CommandCalls     = "calls" // have calls on sockets fail
-	CommandDisk      = "disk"  // have calls on the folder of results fail
+	CommandCalls     = "calls" // make calls on sockets fail
+	CommandDisk      = "disk"  // make calls on the spool's folder fail
 	CommandLateDials = "late"  // delay dials
 )
 
-// executeCommands executes the commands that come on standard input. When that ends the lab has exited, and so does the process.
+// executeCommands executes the commands from standard input. It exits the process at the end of the input, because then
+// foxlab has exited.
 func executeCommands(in io.Reader, f *faults, clock *steppedClock, onError func(error)) {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -55,31 +58,31 @@
 	os.Exit(exitOrphaned)
 }
 
-// exitOrphaned is the exit code after the end of standard input.
+// exitOrphaned is the exit code at the end of standard input.
 const exitOrphaned = 3
 
-// ErrUnknownCommand is the error of a command whose kind is none of the constants.
+// ErrUnknownCommand is returned for a command of an unknown kind.
 var ErrUnknownCommand = errors.New("faultgateway: unknown command")
 
 func executeCommand(line []byte, f *faults, clock *steppedClock) error {
 	var c Command
 	if err := json.Unmarshal(line, &c); err != nil {
-		return fmt.Errorf("faultgateway: command: %w", err)
+		return fmt.Errorf("faultgateway: decode command: %w", err)
 	}
 	switch c.Kind {
 	case CommandStep:
 		clock.step(time.Duration(c.MS) * time.Millisecond)
 	case CommandCalls, CommandDisk:
-		return f.setErrors(c)
+		return f.setCallErrors(c)
 	case CommandLateDials:
-		f.setLateDials(c)
+		f.setDialDelays(c)
 	default:
 		return fmt.Errorf("%w %q", ErrUnknownCommand, c.Kind)
 	}
 	return nil
 }
 
-// Serve serves as `foxlane serve --verbose` does, until SIGTERM. Site is the path of the operator's file; empty: none.
+// Serve runs the gateway like `foxlane serve --verbose` until SIGTERM. Site is the path of the site file; empty: none.
 func Serve(site string) error {
 	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/internal/faultgateway/files.go
+++ b/internal/faultgateway/files.go
@@ -8,15 +8,16 @@
 	"foxlane/internal/spool/disk"
 )
 
-// faultyFolder is a folder of a machine that loses power when the process is killed: what was not synced is lost, but for the
-// first half of each write, which reaches the disk. After a sync that failed the data before it is never written.
+// faultyFolder simulates a folder on a machine that loses power when the process is killed: unsynced data is lost,
+// except for the first half of each write, which reaches the disk. After a failed sync the unsynced data before it is
+// never written.
 type faultyFolder struct {
 	*disk.Folder
 	faults         *faults
-	hideSyncErrors bool // a planted defect: a sync that failed is reported as done
+	hideSyncErrors bool // planted defect: a failed sync is reported as successful
 }
 
-// Open opens a file, with its content as it would be after a loss of power. Creating one may fail.
+// Open opens a file with the content that has outlasted the previous process. Creating a file can fail.
 func (f *faultyFolder) Open(name string, create bool) (disk.File, error) {
 	if create {
 		if err := f.faults.inject("open"); err != nil {
@@ -40,7 +41,7 @@
 	return &faultyFile{real: file, folder: f, data: data, unsyncedFrom: size}, nil
 }
 
-// Remove removes a file, or fails.
+// Remove removes a file, or fails with an injected error.
 func (f *faultyFolder) Remove(name string) error {
 	if err := f.faults.inject("remove"); err != nil {
 		return err
@@ -48,7 +49,7 @@
 	return f.Folder.Remove(name)
 }
 
-// Sync fails, or does nothing: the system's folder lasts longer than the process.
+// Sync fails with an injected error, or does nothing: the real folder outlasts the process without a sync.
 func (f *faultyFolder) Sync() error {
 	if err := f.faults.inject("sync"); err != nil && !f.hideSyncErrors {
 		return err
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// faultyFile holds a file as the process sees it; the real one holds what would outlast a loss of power.
+// faultyFile holds the content of a file as the process sees it. The real file holds what would outlast a power loss.
 type faultyFile struct {
 	mu           sync.Mutex
 	real         disk.File
@@ -65,7 +66,7 @@
 	unsyncedFrom int64 // offset from which data may not be in the real file
 }
 
-// ReadAt reads what the process has written, synced or not, or fails.
+// ReadAt reads what the process has written, synced or not, or fails with an injected error.
 func (f *faultyFile) ReadAt(p []byte, off int64) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +83,7 @@
 	return n, nil
 }
 
-// WriteAt writes all of p, or half of it and fails. Half of what is written reaches the real file at once.
+// WriteAt writes p, or only half of it on an injected error. Half of what it writes reaches the real file at once.
 func (f *faultyFile) WriteAt(p []byte, off int64) (n int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,23 +91,23 @@
 	if err = f.folder.faults.inject("write"); err != nil {
 		n /= 2
 	}
-	if need := off + int64(n); need > int64(len(f.data)) {
-		f.data = append(f.data, make([]byte, need-int64(len(f.data)))...)
+	if end := off + int64(n); end > int64(len(f.data)) {
+		f.data = append(f.data, make([]byte, end-int64(len(f.data)))...)
 	}
 	copy(f.data[off:], p[:n])
 	f.unsyncedFrom = min(f.unsyncedFrom, off)
-	if _, torn := f.real.WriteAt(p[:n/2], off); err == nil {
-		err = torn
+	if _, writeErr := f.real.WriteAt(p[:n/2], off); err == nil {
+		err = writeErr
 	}
 	return n, err
 }
 
-// Sync writes to the real file what it lacks, or fails and loses that.
+// Sync writes the unsynced data to the real file, or fails with an injected error and loses that data.
 func (f *faultyFile) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.folder.faults.inject("sync"); err != nil {
-		f.unsyncedFrom = int64(len(f.data)) // as on Linux: the pages count as clean, and are not written later
+		f.unsyncedFrom = int64(len(f.data)) // as on Linux, which marks the pages clean and does not write them later
 		if f.folder.hideSyncErrors {
 			return nil
 		}
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// Truncate cuts the file, or fails.
+// Truncate truncates the file, or fails with an injected error.
 func (f *faultyFile) Truncate(size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +136,7 @@
 	return f.real.Truncate(size)
 }
 
-// Size is the size as the process sees it.
+// Size returns the size of the file as the process sees it.
 func (f *faultyFile) Size() (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/faultgateway/listdefects.go
+++ b/internal/faultgateway/listdefects.go
@@ -10,10 +10,10 @@
 	"foxlane/rules"
 )
 
-// This file owns the defects that change or misread the name service's answers.
+// This file owns the defects that change or misinterpret answers of the name service.
 
-// rewriteList returns an answer of the name service as the defect has it; errDropped: it does not reach the reducer. With any other
-// error it is not a list.
+// rewriteList applies the defect to an answer of the name service and returns the result. The error is errDropped if
+// the answer must not reach the reducer; with any other error the answer is not an endpoint list.
 func (d *defectiveReducer) rewriteList(data []byte) ([]byte, error) {
 	if !slices.Contains([]string{DefectDrainIgnored, DefectSlowStartOverload, DefectSerialOnly, DefectListIgnoredAtStart, DefectBytesLeftInBuffer, DefectOlderList}, d.name) {
 		return data, nil
@@ -26,7 +26,7 @@
 	case DefectSerialOnly:
 		return data, d.dropLowerSerial(&m)
 	case DefectListIgnoredAtStart:
-		if d.now-d.startedAt < ignoreListsFor {
+		if d.now-d.startedAt < listIgnorePeriod {
 			return nil, errDropped
 		}
 		return data, nil
@@ -50,34 +50,34 @@
 			started[r.Hdr.Name] = !slices.Contains(r.Txt, "started=0")
 		}
 	}
-	for name, late := range started {
-		at := netip.AddrPortFrom(addrs[name], ports[name])
-		if _, known := d.coldUntil[at]; late && !known {
-			d.coldUntil[at] = d.now + coldDuration
+	for name, justStarted := range started {
+		addr := netip.AddrPortFrom(addrs[name], ports[name])
+		if _, known := d.coldUntil[addr]; justStarted && !known {
+			d.coldUntil[addr] = d.now + coldOverloadPeriod
 		}
 	}
 	return m.Pack()
 }
 
 var (
-	errDropped  = errors.New("faultgateway: an answer is dropped")
-	errNoSerial = errors.New("faultgateway: an answer without a serial number")
+	errDropped  = errors.New("faultgateway: name service answer dropped")
+	errNoSerial = errors.New("faultgateway: name service answer has no serial number")
 )
 
-// ignoreListsFor is for how long lists are ignored after the start of the process.
-const ignoreListsFor = 3 * rules.Second
+// listIgnorePeriod is the time after the start of the process during which endpoint lists are ignored.
+const listIgnorePeriod = 3 * rules.Second
 
-// serialOf is the serial number of a list.
+// serialOf returns the serial number of an endpoint list, if it has one.
 func serialOf(m *dns.Msg) (serial uint32, ok bool) {
 	for _, r := range m.Ns {
-		if soa, is := r.(*dns.SOA); is {
+		if soa, isSOA := r.(*dns.SOA); isSOA {
 			return soa.Serial, true
 		}
 	}
 	return 0, false
 }
 
-// dropLowerSerial drops lists whose serial number is lower than one that came before.
+// dropLowerSerial returns errDropped for a list whose serial number is lower than that of an earlier list.
 func (d *defectiveReducer) dropLowerSerial(m *dns.Msg) error {
 	serial, ok := serialOf(m)
 	if ok && serial < d.highestSerial {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// replaceWithOlder puts the records of the list before the last one into an answer.
+// replaceWithOlder replaces the records of an answer by those of the list before the latest one.
 func (d *defectiveReducer) replaceWithOlder(m *dns.Msg) ([]byte, error) {
 	serial, ok := serialOf(m)
 	if !ok {
@@ -96,23 +96,23 @@
 	if d.lastList == nil {
 		d.lastList = m
 	}
-	if was, _ := serialOf(d.lastList); was != serial {
+	if lastSerial, _ := serialOf(d.lastList); lastSerial != serial {
 		d.previousList, d.lastList = d.lastList, m
 	}
 	if d.previousList == nil {
 		return m.Pack()
 	}
-	out := *m
-	out.Answer, out.Extra = d.previousList.Answer, d.previousList.Extra
-	return out.Pack()
+	rewritten := *m
+	rewritten.Answer, rewritten.Extra = d.previousList.Answer, d.previousList.Extra
+	return rewritten.Pack()
 }
 
 const (
-	writeBufferFor    = 60 * rules.Millisecond   // for which each write to an engine is delayed
-	drainingBufferFor = 1500 * rules.Millisecond // more, if the engine begins to drain meanwhile
+	writeDelay         = 60 * rules.Millisecond   // delay of each write to an engine
+	drainingExtraDelay = 1500 * rules.Millisecond // further delay if the engine starts draining before the write
 )
 
-// holdForDraining delays the pending writes to engines that begin to drain with this list.
+// holdForDraining delays the pending writes to engines that start draining with this list.
 func (d *defectiveReducer) holdForDraining(m *dns.Msg) {
 	addrs := map[string]netip.Addr{}
 	for _, r := range m.Extra {
@@ -125,16 +125,16 @@
 		if !ok {
 			continue
 		}
-		at := netip.AddrPortFrom(addrs[srv.Target], srv.Port)
-		began := srv.Priority > 0 && !d.draining[at]
-		d.draining[at] = srv.Priority > 0
+		addr := netip.AddrPortFrom(addrs[srv.Target], srv.Port)
+		startsDraining := srv.Priority > 0 && !d.draining[addr]
+		d.draining[addr] = srv.Priority > 0
 		for i := range d.delayed {
-			if began && d.dials[d.delayed[i].effect.Conn] == at {
-				d.delayed[i].at += drainingBufferFor
+			if startsDraining && d.dials[d.delayed[i].effect.Conn] == addr {
+				d.delayed[i].at += drainingExtraDelay
 			}
 		}
 	}
 }
 
-// coldDuration is for how long an engine that has just started is overloaded.
-const coldDuration = 3 * rules.Second
+// coldOverloadPeriod is the time for which an engine that has just started is overloaded.
+const coldOverloadPeriod = 3 * rules.Second
--- a/internal/faultgateway/main_test.go
+++ b/internal/faultgateway/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package's tests where one leaves a goroutine behind.
+// TestMain fails the package's tests if a goroutine is leaked.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/faultgateway/platform.go
+++ b/internal/faultgateway/platform.go
@@ -12,7 +12,7 @@
 	"foxlane/internal/transport"
 )
 
-// steppedClock is a clock whose wall time is stepped by commands; its monotonic time is the system's.
+// steppedClock is a clock whose wall time can be stepped. Its monotonic time is that of the system.
 type steppedClock struct {
 	origin      time.Time
 	offsetNanos atomic.Int64
@@ -20,19 +20,19 @@
 
 func newSteppedClock() *steppedClock { return &steppedClock{origin: time.Now()} }
 
-// Wall is the wall time, with all steps so far.
+// Wall returns the wall time, including all steps so far.
 func (c *steppedClock) Wall() time.Time { return time.Now().Add(time.Duration(c.offsetNanos.Load())) }
 
-// Elapsed is the monotonic time since the clock was made.
+// Elapsed returns the monotonic time since the creation of the clock.
 func (c *steppedClock) Elapsed() time.Duration { return time.Since(c.origin) }
 
-// step steps the wall time.
+// step steps the wall time forward, or backward by a negative duration.
 func (c *steppedClock) step(by time.Duration) { c.offsetNanos.Add(int64(by)) }
 
-// offset is the sum of all steps.
+// offset returns the sum of all steps.
 func (c *steppedClock) offset() time.Duration { return time.Duration(c.offsetNanos.Load()) }
 
-// newPlatform is the system's platform with the given clock, and with calls that fail or are delayed.
+// newPlatform returns the system's platform with the given clock, and with faults injected into its calls.
 func newPlatform(f *faults, clock *steppedClock) transport.Platform {
 	p := transport.System()
 	system := p
@@ -48,11 +48,11 @@
 		if err := f.inject("dial"); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
 		}
-		if late := f.dialDelay(); late > 0 {
+		if delay := f.dialDelay(); delay > 0 {
 			select {
 			case <-ctx.Done():
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
-			case <-time.After(late):
+			case <-time.After(delay):
 			}
 		}
 		return system.Dial(ctx, addr)
@@ -77,13 +77,13 @@
 	return p
 }
 
-// faultyListener is a listener whose Accept may fail.
+// faultyListener is a listener whose Accept can fail.
 type faultyListener struct {
 	net.Listener
 	faults *faults
 }
 
-// Accept accepts a connection, or fails.
+// Accept accepts a connection, or fails with an injected error.
 func (l *faultyListener) Accept() (net.Conn, error) {
 	if err := l.faults.inject("accept"); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: err}
@@ -91,13 +91,13 @@
 	return l.Listener.Accept()
 }
 
-// faultyDatagramConn is a UDP socket whose reads and writes may fail.
+// faultyDatagramConn is a UDP socket whose reads and writes can fail.
 type faultyDatagramConn struct {
 	net.Conn
 	faults *faults
 }
 
-// Write sends a datagram, or fails.
+// Write sends a datagram, or fails with an injected error.
 func (d *faultyDatagramConn) Write(p []byte) (int, error) {
 	if err := d.faults.inject("send"); err != nil {
 		return 0, &net.OpError{Op: "write", Net: "udp", Err: err}
@@ -105,7 +105,7 @@
 	return d.Conn.Write(p)
 }
 
-// Read receives a datagram, or loses it and fails.
+// Read receives a datagram, or drops it and fails with an injected error.
 func (d *faultyDatagramConn) Read(p []byte) (int, error) {
 	n, err := d.Conn.Read(p)
 	if err == nil {
