--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,9 +1,9 @@
-// Package faultproxy forwards TCP connections and UDP datagrams on loopback, and injects faults: it delays, drops, duplicates,
-// throttles, cuts or resets them, each direction by its own conditions. It must never look into what it forwards, nor reach any
-// address but this machine's.
+// Package faultproxy owns proxies that forward TCP connections and UDP datagrams on loopback and inject faults: they
+// delay, drop, duplicate, throttle, cut or reset traffic, with separate conditions for each direction. A proxy must never
+// inspect what it forwards, nor connect to another machine.
 //
-// Simplified: a TCP connection through a cut link is accepted and stays silent, as behind a proxy, where a network would let it
-// time out; lost TCP segments arrive late, as after a retransmission.
+// Two simplifications: a TCP connection through a cut link is accepted and then stays silent, where a real network would
+// let the dial time out; lost TCP segments arrive late, as after a retransmission.
 package faultproxy
 
 import (
@@ -11,15 +11,15 @@
 	"net/netip"
 )
 
-// TCPAndUDP is a proxy for connections and datagrams, on one address.
+// TCPAndUDP is a proxy for both TCP connections and UDP datagrams on one address.
 type TCPAndUDP struct {
 	tcp *TCP
 	udp *UDP
 }
 
-const maxPortAttempts = 20 // one port must be free for both
+const maxPortAttempts = 20 // until a port is found that is free for both TCP and UDP
 
-// NewTCPAndUDP starts a proxy to a target, on a free port of an address of this machine.
+// NewTCPAndUDP starts a proxy to a target on a free port of host, an address of this machine.
 func NewTCPAndUDP(host, target string, forward, reverse *Link) (*TCPAndUDP, error) {
 	var err error
 	for range maxPortAttempts {
@@ -36,10 +36,10 @@
 	return nil, fmt.Errorf("faultproxy: no port of %s is free for TCP and UDP: %w", host, err)
 }
 
-// Addr is the address the proxy listens on.
+// Addr returns the address that the proxy listens on.
 func (p *TCPAndUDP) Addr() netip.AddrPort { return p.tcp.Addr() }
 
-// Close stops the proxy with all of its connections.
+// Close stops the proxy and closes its connections.
 func (p *TCPAndUDP) Close() {
 	p.tcp.Close()
 	p.udp.Close()
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -11,37 +11,37 @@
 type Conditions struct {
 	Delay     time.Duration
 	Jitter    time.Duration // added to Delay, uniform from 0
-	Loss      float64       // part of datagrams that are lost, and of TCP segments that arrive a retransmission later
-	Duplicate float64       // part of datagrams that arrive twice
-	Cut       bool          // nothing passes: datagrams are lost, TCP waits
-	Rate      int           // bytes a second; 0: unlimited
+	Loss      float64       // fraction of datagrams lost, and of TCP segments delayed by a retransmission
+	Duplicate float64       // fraction of datagrams that arrive twice
+	Cut       bool          // nothing passes: datagrams are lost, TCP data waits
+	Rate      int           // bytes per second; 0: unlimited
 }
 
 const (
 	retransmissionDelay = 200 * time.Millisecond
 	chunkSize           = 16 << 10
-	maxQueuedChunks     = 64 // in transit, by connection and direction
+	maxQueuedChunks     = 64 // in transit per connection and direction
 	cutPollInterval     = 5 * time.Millisecond
 )
 
-// Link is one direction between two parties. Any number of proxies may share it.
+// Link is one direction of the traffic between two parties. Any number of proxies may share it.
 type Link struct {
 	mu            sync.Mutex
 	conditions    Conditions
-	changedAt     time.Time // of the conditions; zero: never
+	changedAt     time.Time // when the conditions last changed; zero: never
 	rng           *rand.Rand
-	rateBusyUntil time.Time // when the rate lets the next byte through
+	rateBusyUntil time.Time // when the rate limit lets the next byte pass
 
 	bytes    atomic.Int64
-	lost     atomic.Int64 // datagrams, and segments that arrive late for it
+	lost     atomic.Int64 // datagrams dropped and TCP segments delayed by a retransmission
 	resets   atomic.Int64
 	accepted atomic.Int64
 }
 
-// NewLink returns a link without faults. The seed determines its random draws.
+// NewLink returns a link without faults, whose random draws follow from the seed.
 func NewLink(seed uint64) *Link { return &Link{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))} }
 
-// SetConditions sets the conditions from now on.
+// SetConditions replaces the conditions of the link.
 func (l *Link) SetConditions(c Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,21 +51,21 @@
 	l.conditions = c
 }
 
-// ChangedWithin reports whether the conditions changed within the last d: what was in transit then may still arrive late.
+// ChangedWithin reports whether the conditions changed within the last d. Data in transit at a change may still arrive late.
 func (l *Link) ChangedWithin(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.changedAt.IsZero() && time.Since(l.changedAt) < d
 }
 
-// Conditions returns the present conditions.
+// Conditions returns the current conditions.
 func (l *Link) Conditions() Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conditions
 }
 
-// Counts are what went over a way: bytes, datagrams and segments lost, connections taken and reset.
+// Counts are totals of a link: bytes forwarded, datagrams and segments lost, connections accepted and reset.
 type Counts struct {
 	Bytes    int64
 	Lost     int64
@@ -73,12 +73,13 @@
 	Resets   int64
 }
 
-// Counts returns the counts so far.
+// Counts returns the totals so far.
 func (l *Link) Counts() Counts {
 	return Counts{l.bytes.Load(), l.lost.Load(), l.accepted.Load(), l.resets.Load()}
 }
 
-// delivery returns the delay after which n bytes that are sent now arrive, and how many times.
+// delivery draws the delay after which n bytes sent now arrive, and in how many copies. No copies means lost, which only
+// happens to datagrams.
 func (l *Link) delivery(n int, tcp bool) (delay time.Duration, copies int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// dialTimeout is that of connections to the target.
+// dialTimeout bounds a connection attempt to the target.
 const dialTimeout = time.Second
 
-// TCP is a proxy for connections to one address.
+// TCP is a proxy for TCP connections to one target at a time.
 type TCP struct {
 	listener net.Listener
 	forward  *Link
 	reverse  *Link
 
 	mu     sync.Mutex
-	target string                    // of new connections
-	conns  map[*net.TCPConn]struct{} // open ones, both to clients and to the target
+	target string                    // for new connections
+	conns  map[*net.TCPConn]struct{} // open connections, both to clients and to the target
 	closed bool
 
-	wg sync.WaitGroup // accept, and a goroutine for each connection
+	wg sync.WaitGroup // accept, and a serveConn for each connection
 }
 
-// NewTCP starts a proxy to a target, on an address of this machine. Forward is the link to the target, reverse the one from it.
+// NewTCP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads to the
+// target, the reverse link back from it.
 func NewTCP(listen, target string, forward, reverse *Link) (*TCP, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -37,23 +38,23 @@
 	return p, nil
 }
 
-// Forward is the link to the target.
+// Forward returns the link to the target.
 func (p *TCP) Forward() *Link { return p.forward }
 
-// Reverse is the link from the target.
+// Reverse returns the link from the target.
 func (p *TCP) Reverse() *Link { return p.reverse }
 
-// Addr is the address the proxy listens on.
+// Addr returns the address that the proxy listens on.
 func (p *TCP) Addr() netip.AddrPort { return netip.MustParseAddrPort(p.listener.Addr().String()) }
 
-// SetTarget has new connections go to another target.
+// SetTarget changes the target of new connections.
 func (p *TCP) SetTarget(target string) {
 	p.mu.Lock()
 	p.target = target
 	p.mu.Unlock()
 }
 
-// Reset resets all connections, as a machine that has restarted does.
+// Reset resets all open connections, as a restart of the target's machine does.
 func (p *TCP) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,13 +64,13 @@
 	p.forward.resets.Add(int64(len(p.conns)) / 2)
 }
 
-// reset closes a connection by a reset instead of an end of file.
+// reset closes a connection with RST instead of FIN.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// Close stops the proxy with all of its connections, and waits for their goroutines.
+// Close stops the proxy, resets its connections and waits for its goroutines.
 func (p *TCP) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -90,7 +91,7 @@
 	}
 }
 
-// track adds a connection to those that Reset resets, or closes it and returns false if the proxy is closed.
+// track adds a connection to those that Reset resets. If the proxy is closed it closes the connection and returns false.
 func (p *TCP) track(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +103,7 @@
 	return true
 }
 
-// untrack closes a connection and removes it.
+// untrack closes a connection and removes it from those that Reset resets.
 func (p *TCP) untrack(c *net.TCPConn) {
 	_ = c.Close() // it may have been reset
 	p.mu.Lock()
@@ -116,16 +117,16 @@
 	return p.closed
 }
 
-// serveConn forwards one accepted connection to the target, until both directions have ended. A target that can't be reached
-// resets it.
-func (p *TCP) serveConn(in *net.TCPConn) {
-	if !p.track(in) {
+// serveConn forwards one accepted connection to the target until both directions have ended. It resets the connection if
+// the target can't be reached.
+func (p *TCP) serveConn(client *net.TCPConn) {
+	if !p.track(client) {
 		return
 	}
-	defer p.untrack(in)
+	defer p.untrack(client)
 	p.forward.accepted.Add(1)
 	time.Sleep(p.forward.Conditions().Delay + p.reverse.Conditions().Delay)
-	if !p.waitWhileCut(in, p.forward) || !p.waitWhileCut(in, p.reverse) {
+	if !p.waitWhileCut(client, p.forward) || !p.waitWhileCut(client, p.reverse) {
 		return
 	}
 	p.mu.Lock()
@@ -133,21 +134,21 @@
 	p.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		_ = in.SetLinger(0) // untrack then resets it
+		_ = client.SetLinger(0) // the Close in untrack then sends a reset
 		return
 	}
-	out := conn.(*net.TCPConn)
-	if !p.track(out) {
+	upstream := conn.(*net.TCPConn)
+	if !p.track(upstream) {
 		return
 	}
-	defer p.untrack(out)
+	defer p.untrack(upstream)
 	var both sync.WaitGroup
-	both.Go(func() { p.copyDelayed(out, in, p.forward) })
-	both.Go(func() { p.copyDelayed(in, out, p.reverse) })
+	both.Go(func() { p.copyDelayed(upstream, client, p.forward) })
+	both.Go(func() { p.copyDelayed(client, upstream, p.reverse) })
 	both.Wait()
 }
 
-// waitWhileCut waits until a link is not cut. It returns false if the connection or the proxy is closed before that.
+// waitWhileCut waits while a link is cut. It returns false if the connection or the proxy is closed meanwhile.
 func (p *TCP) waitWhileCut(c *net.TCPConn, link *Link) bool {
 	for link.Conditions().Cut {
 		if p.isClosed() {
@@ -164,14 +165,15 @@
 	return true
 }
 
-// delayedChunk is data in transit, which arrives when it is due.
+// delayedChunk is data in transit and the time at which it arrives.
 type delayedChunk struct {
 	data []byte
 	due  time.Time
 }
 
-// copyDelayed copies one direction of a connection, in order, with the conditions of its link. Backpressure is that of
-// maxQueuedChunks in transit. The end of src closes dst for writing, a reset of src resets dst, a failed dst closes src.
+// copyDelayed copies one direction of a connection in order, under the conditions of its link. It stops reading while
+// maxQueuedChunks are in transit. The end of src closes dst for writing, a reset of src resets dst, and a failed write to
+// dst closes src.
 func (p *TCP) copyDelayed(dst, src *net.TCPConn, link *Link) {
 	inTransit := make(chan delayedChunk, maxQueuedChunks)
 	var writer sync.WaitGroup
@@ -187,7 +189,7 @@
 				failed = err != nil
 			}
 			if failed {
-				_ = src.Close() // the reader below ends
+				_ = src.Close() // ends the read loop below
 			}
 		}
 		_ = dst.CloseWrite()
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// UDP is a proxy for datagrams to one address. For each source it has a socket of its own to the target, by which answers find
-// their way back.
+// UDP is a proxy for datagrams to one target. It opens a separate socket to the target for each source, so that it knows
+// to which source an answer belongs.
 type UDP struct {
 	conn    *net.UDPConn
 	target  *net.UDPAddr
@@ -18,51 +18,52 @@
 	reverse *Link
 
 	mu        sync.Mutex
-	upstreams map[netip.AddrPort]*net.UDPConn // by source
+	upstreams map[netip.AddrPort]*net.UDPConn // sockets to the target, by source
 	closed    bool
 
-	wg sync.WaitGroup // serve, and a goroutine for each upstream
+	wg sync.WaitGroup // serve, and a reader for each upstream
 }
 
 const (
-	maxSources  = 64               // of one proxy; datagrams of others are dropped
+	maxSources  = 64               // per proxy; datagrams of further sources are dropped
 	maxDatagram = 64 << 10         // bytes
-	retryPause  = time.Millisecond // after an error of an upstream: the target may be down for now
+	retryPause  = time.Millisecond // after a failed read from an upstream, as the target may be down for now
 )
 
-var errNoUpstream = errors.New("faultproxy: no upstream for another source")
+var errNoUpstream = errors.New("faultproxy: proxy is closed or has too many sources")
 
-// NewUDP starts a proxy to a target, on an address of this machine. Forward is the link to the target, reverse the one from it.
+// NewUDP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads to the
+// target, the reverse link back from it.
 func NewUDP(listen, target string, forward, reverse *Link) (*UDP, error) {
-	to, err := net.ResolveUDPAddr("udp", target)
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, err
 	}
-	at, err := net.ResolveUDPAddr("udp", listen)
+	listenAddr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	p := &UDP{conn: conn, target: to, forward: forward, reverse: reverse, upstreams: map[netip.AddrPort]*net.UDPConn{}}
+	p := &UDP{conn: conn, target: targetAddr, forward: forward, reverse: reverse, upstreams: map[netip.AddrPort]*net.UDPConn{}}
 	p.wg.Go(p.serve)
 	return p, nil
 }
 
-// Reverse is the link from the target.
+// Reverse returns the link from the target.
 func (p *UDP) Reverse() *Link { return p.reverse }
 
-// Addr is the address the proxy listens on.
+// Addr returns the address that the proxy listens on.
 func (p *UDP) Addr() netip.AddrPort { return netip.MustParseAddrPort(p.conn.LocalAddr().String()) }
 
 // Close stops the proxy and waits for its goroutines. Datagrams in transit are dropped.
 func (p *UDP) Close() {
 	p.mu.Lock()
 	p.closed = true
-	for _, up := range p.upstreams {
-		_ = up.Close()
+	for _, upstream := range p.upstreams {
+		_ = upstream.Close()
 	}
 	p.mu.Unlock()
 	_ = p.conn.Close()
@@ -77,33 +78,34 @@
 		if err != nil {
 			return
 		}
-		up, err := p.upstream(from)
+		upstream, err := p.upstreamFor(from)
 		if err != nil {
 			continue
 		}
-		p.deliver(append([]byte(nil), buf[:n]...), p.forward, func(data []byte) { _, _ = up.Write(data) })
+		p.deliver(append([]byte(nil), buf[:n]...), p.forward, func(data []byte) { _, _ = upstream.Write(data) })
 	}
 }
 
-// upstream returns the socket to the target for a source, and starts forwarding its answers if it is new.
-func (p *UDP) upstream(from netip.AddrPort) (*net.UDPConn, error) {
+// upstreamFor returns the socket to the target for a source. It opens a new socket for a new source and forwards the
+// answers that arrive there. It returns errNoUpstream if the proxy is closed or has maxSources sources.
+func (p *UDP) upstreamFor(from netip.AddrPort) (*net.UDPConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if up := p.upstreams[from]; up != nil {
-		return up, nil
+	if existing := p.upstreams[from]; existing != nil {
+		return existing, nil
 	}
 	if p.closed || len(p.upstreams) >= maxSources {
 		return nil, fmt.Errorf("%w: %s", errNoUpstream, from)
 	}
-	up, err := net.DialUDP("udp", nil, p.target)
+	upstream, err := net.DialUDP("udp", nil, p.target)
 	if err != nil {
 		return nil, err
 	}
-	p.upstreams[from] = up
+	p.upstreams[from] = upstream
 	p.wg.Go(func() {
 		buf := make([]byte, maxDatagram)
 		for {
-			n, err := up.Read(buf)
+			n, err := upstream.Read(buf)
 			if err != nil {
 				if p.isClosed() {
 					return
@@ -114,7 +116,7 @@
 			p.deliver(append([]byte(nil), buf[:n]...), p.reverse, func(data []byte) { _, _ = p.conn.WriteToUDPAddrPort(data, from) })
 		}
 	})
-	return up, nil
+	return upstream, nil
 }
 
 func (p *UDP) isClosed() bool {
@@ -123,7 +125,7 @@
 	return p.closed
 }
 
-// deliver sends a datagram as often and as late as the link has it; later ones may overtake it.
+// deliver sends a datagram with the delay and in the copies that the link draws. A datagram sent later may overtake it.
 func (p *UDP) deliver(data []byte, link *Link, send func([]byte)) {
 	delay, copies := link.delivery(len(data), false)
 	for range copies {
