--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,9 +1,9 @@
 // Package faultproxy owns proxies that forward TCP connections and UDP datagrams on loopback and inject faults: they
-// delay, drop, duplicate, throttle, cut or reset traffic, with separate conditions for each direction. A proxy must never
-// inspect what it forwards, nor connect to another machine.
+// delay, drop, duplicate, throttle, cut or reset traffic, with separate conditions for each direction. A proxy must
+// never inspect what it forwards, nor connect to another machine.
 //
-// Two simplifications: a TCP connection through a cut link is accepted and then stays silent, where a real network would
-// let the dial time out; lost TCP segments arrive late, as after a retransmission.
+// Two simplifications: a TCP connection through a cut link is accepted and then stays silent, where a real network
+// would let the dial time out; lost TCP segments arrive late, as after a retransmission.
 package faultproxy
 
 import (
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -51,7 +51,8 @@
 	l.conditions = c
 }
 
-// ChangedWithin reports whether the conditions changed within the last d. Data in transit at a change may still arrive late.
+// ChangedWithin reports whether the conditions changed within the last d. Data in transit at a change may still
+// arrive late.
 func (l *Link) ChangedWithin(d time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,8 +79,8 @@
 	return Counts{l.bytes.Load(), l.lost.Load(), l.accepted.Load(), l.resets.Load()}
 }
 
-// delivery draws the delay after which n bytes sent now arrive, and in how many copies. No copies means lost, which only
-// happens to datagrams.
+// delivery draws the delay after which n bytes sent now arrive, and in how many copies. No copies means lost, which
+// only happens to datagrams.
 func (l *Link) delivery(n int, tcp bool) (delay time.Duration, copies int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -26,8 +26,8 @@
 	wg sync.WaitGroup // accept, and a serveConn for each connection
 }
 
-// NewTCP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads to the
-// target, the reverse link back from it.
+// NewTCP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads
+// to the target, the reverse link back from it.
 func NewTCP(listen, target string, forward, reverse *Link) (*TCP, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -91,7 +91,8 @@
 	}
 }
 
-// track adds a connection to those that Reset resets. If the proxy is closed it closes the connection and returns false.
+// track adds a connection to those that Reset resets. If the proxy is closed it closes the connection and returns
+// false.
 func (p *TCP) track(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,8 +118,8 @@
 	return p.closed
 }
 
-// serveConn forwards one accepted connection to the target until both directions have ended. It resets the connection if
-// the target can't be reached.
+// serveConn forwards one accepted connection to the target until both directions have ended. It resets the connection
+// if the target can't be reached.
 func (p *TCP) serveConn(client *net.TCPConn) {
 	if !p.track(client) {
 		return
@@ -172,8 +173,8 @@
 }
 
 // copyDelayed copies one direction of a connection in order, under the conditions of its link. It stops reading while
-// maxQueuedChunks are in transit. The end of src closes dst for writing, a reset of src resets dst, and a failed write to
-// dst closes src.
+// maxQueuedChunks are in transit. The end of src closes dst for writing, a reset of src resets dst, and a failed
+// write to dst closes src.
 func (p *TCP) copyDelayed(dst, src *net.TCPConn, link *Link) {
 	inTransit := make(chan delayedChunk, maxQueuedChunks)
 	var writer sync.WaitGroup
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// UDP is a proxy for datagrams to one target. It opens a separate socket to the target for each source, so that it knows
-// to which source an answer belongs.
+// UDP is a proxy for datagrams to one target. It opens a separate socket to the target for each source, so that it
+// knows to which source an answer belongs.
 type UDP struct {
 	conn    *net.UDPConn
 	target  *net.UDPAddr
@@ -32,8 +32,8 @@
 
 var errNoUpstream = errors.New("faultproxy: proxy is closed or has too many sources")
 
-// NewUDP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads to the
-// target, the reverse link back from it.
+// NewUDP starts a proxy that listens on an address of this machine and forwards to a target. The forward link leads
+// to the target, the reverse link back from it.
 func NewUDP(listen, target string, forward, reverse *Link) (*UDP, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
--- a/internal/harness/abandon.go
+++ b/internal/harness/abandon.go
@@ -10,12 +10,13 @@
 	"foxlane/internal/standin"
 )
 
-// closeAfterKill is how long after KILL QUERY a client closes its connection.
+// closeAfterKill is the time from a client's KILL QUERY until it closes its connection.
 const closeAfterKill = 500 * time.Millisecond
 
-// maybeAbandon has a share of clients abandon their request at a random time: they close the connection, or kill the query and
-// close the connection after that. The function it returns cancels this, and reports whether the client has already gone.
-func (f *fleet) maybeAbandon(conn *standin.Client, g *gateway, id string, left time.Duration) (stop func() bool) {
+// scheduleAbandon makes a share of clients abandon their request at a random time: they close the connection, or send
+// KILL QUERY and close the connection later. The returned function cancels this, and reports whether the client had
+// already abandoned the request.
+func (f *fleet) scheduleAbandon(conn *standin.Client, g *gateway, id string, left time.Duration) (stop func() bool) {
 	rng := rand.New(rand.NewPCG(f.Seed, uint64(time.Now().UnixNano())))
 	if rng.Int64N(1000) >= f.abandonPermille.Load() {
 		return func() bool { return false }
--- a/internal/harness/classchecks.go
+++ b/internal/harness/classchecks.go
@@ -4,25 +4,26 @@
 	"time"
 )
 
-// This file checks the rules that span several requests: duplicates, order by key, placement, and the retry budget.
+// This file checks the rules of request classes and of gateways over several requests: no duplicates, order by key,
+// zones that a class may use, and the retry budget.
 
-// orderKey identifies requests that must run one after another: one key, at one incarnation of one gateway.
+// orderKey identifies requests that must run one after another: those with one key at one incarnation of one gateway.
 type orderKey struct {
 	gateway     *gateway
 	incarnation int64
 	key         string
 }
 
-// gatewayEvent is an attempt counted for a gateway, with the incarnation it belongs to.
-type gatewayEvent struct {
+// countedAttempt is an attempt that counts in a gateway's retry budget, with the incarnation of the gateway.
+type countedAttempt struct {
 	at          time.Time
 	incarnation int64
 }
 
-// countWithin counts the events of an incarnation that lie less than span before now.
-func countWithin(events []gatewayEvent, incarnation int64, now time.Time, span time.Duration) (n int) {
+// countWithin counts the attempts of an incarnation in the given window before now.
+func countWithin(events []countedAttempt, incarnation int64, now time.Time, window time.Duration) (n int) {
 	for _, event := range events {
-		if event.incarnation == incarnation && now.Sub(event.at) < span {
+		if event.incarnation == incarnation && now.Sub(event.at) < window {
 			n++
 		}
 	}
@@ -30,28 +31,29 @@
 }
 
 const (
-	freeRetries        = 3
-	retryWindow        = 2 * time.Second
-	retryBudgetSlack   = 300 * time.Millisecond // longest time from client to gateway, and from there to an engine
-	maxOrderedAttempts = 64                     // remembered by key
+	freeRetries        = 3                      // retries per window that are allowed without any requests
+	retryWindow        = 2 * time.Second        // over which the retry budget counts
+	retryBudgetSlack   = 300 * time.Millisecond // longest transit from a client to a gateway, and on to an engine
+	maxOrderedAttempts = 64                     // kept per key
 )
 
-// checkClassRules checks a request at an engine against its class. r.mu is held.
+// checkClassRules checks a request that reached an engine against the rules of its class and, if it is a retry,
+// against the retry budget. The caller holds r.mu.
 func (r *recorder) checkClassRules(attempt *clientAttempt, e *engine, now time.Time) {
 	class := &r.fleet.classes[attempt.request.class]
 	if class.firstZoneOnly && e.zone != r.fleet.Zones[0].Name {
-		r.addViolationLocked(WrongZone, "%s of class %s came to %s", attempt.id, class.name, e.name)
+		r.addViolationLocked(WrongZone, "%s of class %s reached %s, outside the first zone", attempt.id, class.name, e.name)
 	}
 	if class.ordered {
 		r.checkOrder(attempt, now)
 	}
 	if r.fleet.RetryBudget > 0 && attempt.engineRequests > 1 {
-		r.checkRetryBudget(attempt, now, r.fleet.slowest(attempt.gateway.party, e.party))
+		r.checkRetryBudget(attempt, now, r.fleet.maxAddedTransit(attempt.gateway.party, e.party))
 	}
 }
 
-// checkOrder checks a request of an ordered class at an engine: no other with its key may run, and none may begin while its key
-// is in quarantine behind an attempt whose client has disconnected.
+// checkOrder checks a request of an ordered class that reached an engine: no other request with its key may run, and
+// its key may not be in quarantine after an attempt that a client abandoned.
 func (r *recorder) checkOrder(attempt *clientAttempt, now time.Time) {
 	key := orderKey{attempt.gateway, attempt.incarnation, attempt.request.key}
 	for _, other := range r.orderedAttempts[key] {
@@ -60,7 +62,7 @@
 		case other.abandonedAt.IsZero() && other.answeredAt.IsZero() && other.runEnd.After(now.Add(slack)):
 			r.overlaps = append(r.overlaps, overlap{attempt, other, now}) // its response may be in transit
 		case !other.abandonedAt.IsZero() && other.runEnd.After(other.abandonedAt.Add(slack)) && now.After(other.abandonedAt) && now.Before(other.abandonedAt.Add(keyQuarantine-slack)):
-			r.addViolationLocked(OrderViolated, "%s came to an engine %v after the client of %s with the same key had gone", attempt.id, now.Sub(other.abandonedAt).Round(time.Millisecond), other.id)
+			r.addViolationLocked(OrderViolated, "%s reached an engine %v after the client of %s, a request with the same key, abandoned it", attempt.id, now.Sub(other.abandonedAt).Round(time.Millisecond), other.id)
 		}
 	}
 	if attempt.engineRequests == 1 {
@@ -69,45 +71,46 @@
 	}
 }
 
-// overlap is a request of an ordered class that reached an engine while another with its key seemed to run.
+// overlap is a request of an ordered class that reached an engine while another one with its key seemed to be running.
 type overlap struct {
 	second, first *clientAttempt
 	at            time.Time
 }
 
-// checkOverlaps decides, when all responses are known, which overlaps were real: those whose first request had no response by
-// then.
+// checkOverlaps adds a violation for each overlap whose first request had no response yet when the second reached an
+// engine. It runs once all responses are known.
 func (r *recorder) checkOverlaps() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.overlaps {
-		by := p.at.Add(socketSlack + harnessSlack + r.fleet.pauses.totalSince(p.at.Add(-time.Second)))
-		if first := p.first; (first.answeredAt.IsZero() || first.answeredAt.After(by)) && (first.abandonedAt.IsZero() || first.abandonedAt.After(by)) {
-			r.addViolationLocked(OrderViolated, "%s came to an engine while %s with the same key ran there or at another", p.second.id, first.id)
+	for _, o := range r.overlaps {
+		latestAnswer := o.at.Add(socketSlack + harnessSlack + r.fleet.pauses.totalSince(o.at.Add(-time.Second)))
+		if first := o.first; (first.answeredAt.IsZero() || first.answeredAt.After(latestAnswer)) && (first.abandonedAt.IsZero() || first.abandonedAt.After(latestAnswer)) {
+			r.addViolationLocked(OrderViolated, "%s reached an engine while %s with the same key was running there or at another engine", o.second.id, first.id)
 		}
 	}
 }
 
-// checkRetryBudget checks a retry against the number that its gateway sent within the window. Over a link that is slow, or was cut lately,
-// it was sent up to transit before it came, and may even be a first attempt that was overtaken by the second: it counts as
-// sent at the earliest, and the windows are that much narrower and wider.
+// checkRetryBudget checks a retry against its gateway's retry budget. Over a slow link, or one that was cut lately,
+// an attempt may arrive up to transit after it was sent, and may even be a first attempt that the second one
+// overtook. Therefore the attempt counts at the earliest time at which it may have been sent, and the window for
+// retries is shorter by transit, the window for accepted requests longer by transit.
 func (r *recorder) checkRetryBudget(attempt *clientAttempt, now time.Time, transit time.Duration) {
 	g := attempt.gateway
-	r.retries[g] = append(r.retries[g], gatewayEvent{now.Add(-transit), attempt.incarnation})
+	r.retries[g] = append(r.retries[g], countedAttempt{now.Add(-transit), attempt.incarnation})
 	retries := countWithin(r.retries[g], attempt.incarnation, now, retryWindow-retryBudgetSlack-transit)
 	accepted := countWithin(r.sends[g], attempt.incarnation, now, retryWindow+retryBudgetSlack+transit)
 	if float64(retries) > freeRetries+r.fleet.RetryBudget*float64(accepted) {
-		r.addViolationLocked(RetryBudgetExceeded, "%s made %d further attempts, with %d requests taken", g.name, retries, accepted)
+		r.addViolationLocked(RetryBudgetExceeded, "%s made %d retries, with %d requests accepted", g.name, retries, accepted)
 	}
 }
 
-// checkDuplicate checks that a request that is not idempotent reaches engines once, and one with an idempotency key only
-// within its window.
+// checkDuplicate checks that a non-idempotent request reaches engines only once, and that one with an idempotency key
+// reaches them again only within its window.
 func (r *recorder) checkDuplicate(attempt *clientAttempt, e *engine, now time.Time) {
 	class := &r.fleet.classes[attempt.request.class]
 	sinceFirst := now.Sub(attempt.firstEngineAt)
-	outsideWindow := class.idempotencyWindow > 0 && sinceFirst > class.idempotencyWindow+socketSlack+harnessSlack+r.fleet.slowest(attempt.gateway.party, e.party)
+	outsideWindow := class.idempotencyWindow > 0 && sinceFirst > class.idempotencyWindow+socketSlack+harnessSlack+r.fleet.maxAddedTransit(attempt.gateway.party, e.party)
 	if attempt.engineRequests > 1 && (class.nonIdempotent || outsideWindow) {
-		r.addViolationLocked(DuplicateExecution, "%s of class %s came to an engine %d times, %v apart", attempt.id, class.name, attempt.engineRequests, sinceFirst.Round(time.Millisecond))
+		r.addViolationLocked(DuplicateExecution, "%s of class %s reached engines %d times, the last time %v after the first", attempt.id, class.name, attempt.engineRequests, sinceFirst.Round(time.Millisecond))
 	}
 }
--- a/internal/harness/classes.go
+++ b/internal/harness/classes.go
@@ -8,18 +8,18 @@
 // requestClass is a kind of request that clients send.
 type requestClass struct {
 	name              string
-	share             float64 // of all requests
+	share             float64 // fraction of all requests
 	work              time.Duration
 	latencyObjective  time.Duration
 	timeout           time.Duration
 	weight            float64
 	nonIdempotent     bool
-	idempotencyWindow time.Duration // in which repeats of a key are dropped; 0: its requests have no idempotency key
+	idempotencyWindow time.Duration // in which repeats of an idempotency key are dropped; 0: requests have no key
 	ordered           bool          // requests with the same key run one after another, in order of arrival
-	firstZoneOnly     bool          // it may run in the first zone only
+	firstZoneOnly     bool          // requests may run in the first zone only
 }
 
-// Indices of the classes in defaultClasses whose shares scripts set, and of the one that stored results belong to.
+// Indices in defaultClasses: the class of stored results, and the classes whose shares scripts set.
 const (
 	reportClass    = 1
 	keyedClass     = 3
@@ -27,8 +27,9 @@
 	firstZoneClass = 5
 )
 
-// defaultClasses are the classes of each run: many short look-ups, reports that are most of the work, loads that are not
-// idempotent, and a keyed, an ordered and a first-zone class, whose shares scripts set.
+// defaultClasses are the classes of each run: many short lookups, reports that make up most of the work, data loads
+// that are not idempotent, and three classes whose shares scripts set: one with idempotency keys, an ordered one, and
+// one that may run in the first zone only.
 var defaultClasses = []requestClass{
 	{name: "point", share: 0.7, work: 20 * time.Millisecond, latencyObjective: 400 * time.Millisecond, timeout: 1500 * time.Millisecond, weight: 1},
 	{name: "report", share: 0.25, work: 250 * time.Millisecond, latencyObjective: 1200 * time.Millisecond, timeout: 4 * time.Second, weight: 6},
@@ -38,7 +39,8 @@
 	{name: "local", work: 30 * time.Millisecond, latencyObjective: 400 * time.Millisecond, timeout: 2 * time.Second, weight: 2, firstZoneOnly: true},
 }
 
-// classesOf returns the default classes with their deadlines and windows scaled as the script says.
+// classesOf returns the default classes with their timeouts and idempotency windows scaled by the factors of the
+// script.
 func classesOf(s *Script) []requestClass {
 	out := slices.Clone(defaultClasses)
 	for i := range out {
@@ -53,7 +55,7 @@
 	return out
 }
 
-// longestTimeout is the longest timeout of all classes.
+// longestTimeout returns the longest timeout of all classes.
 func (f *fleet) longestTimeout() (d time.Duration) {
 	for _, c := range f.classes {
 		d = max(d, c.timeout)
@@ -61,7 +63,7 @@
 	return d
 }
 
-// meanWork is the mean work of a request, in nanoseconds.
+// meanWork returns the mean work of a request, in nanoseconds.
 func (f *fleet) meanWork() (sum float64) {
 	for _, c := range f.classes {
 		sum += c.share * float64(c.work)
--- a/internal/harness/clientfaults.go
+++ b/internal/harness/clientfaults.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// This file owns the faults of clients.
+// This file injects the faults of clients.
 
-// abandonMore has a fault's part of clients abandon their request, instead of the script's.
+// abandonMore replaces the script's share of clients that abandon their request by the fault's factor.
 func (f *fleet) abandonMore(fault *Fault) (revertFunc, error) {
 	set := func(share float64) { f.abandonPermille.Store(int64(share * 1000)) }
 	set(fault.Factor)
 	return func() error { set(f.AbandonShare); return nil }, nil
 }
 
-// startRogueClients starts a rogue client for each gateway of the target; reverting stops them and waits for them.
+// startRogueClients starts a rogue client for each gateway of the target. Reverting stops the clients and waits for
+// them.
 func (f *fleet) startRogueClients(fault *Fault) (revertFunc, error) {
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
@@ -30,7 +31,8 @@
 	return func() error { close(stop); clients.Wait(); return nil }, nil
 }
 
-// runRogueClient opens connections one after another and breaks the protocol on each, until it is stopped.
+// runRogueClient opens up to maxConns connections one after another, until it is stopped. On each it breaks the
+// protocol or closes before it has read an answer.
 func (f *fleet) runRogueClient(g *gateway, rng *rand.Rand, stop <-chan struct{}) {
 	const maxConns = 400
 	addr := g.clientProxy.Addr().String()
@@ -46,13 +48,13 @@
 		}
 		_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
 		switch rng.IntN(5) {
-		case 0: // half a login
+		case 0: // a truncated login
 			_, _ = c.Write([]byte{60, 0, 0, 1, 3})
-		case 1: // not a packet
+		case 1: // bytes that are no valid packet
 			_, _ = c.Write([]byte(strings.Repeat("\xff\x00junk", rng.IntN(4000))))
-		case 2: // a large query, whose answer is not read
+		case 2: // a large query whose answer is never read
 			_, _ = c.Write(loginWithQuery(strings.Repeat("x", 60000)))
-		case 3: // a query, closed before its answer
+		case 3: // a valid query on a connection that closes before its answer
 			id := fmt.Sprintf("%016x", rogueIDBits|rng.Uint64()>>8)
 			f.recorder.startRogueQuery(id, g)
 			_, _ = c.Write(loginWithQuery(fmt.Sprintf("/* kind=point,req=%s,timeout=900,ms=5.0 */ SELECT 1 FROM sales_1.x", id)))
@@ -64,13 +66,14 @@
 	}
 }
 
-// Ids of rogue clients' requests begin with these bits, which are these digits: no response is owed for them.
+// Request ids of rogue clients begin with rogueIDBits, which are the hexadecimal digits rogueIDPrefix. Gateways owe no
+// response to these requests.
 const (
 	rogueIDBits   = 0xff00000000000000
 	rogueIDPrefix = "ff"
 )
 
-// loginWithQuery is the bytes of a login followed by one query, sent without waiting for the greeting.
+// loginWithQuery returns the bytes of a login followed by one query. They are sent without waiting for the greeting.
 func loginWithQuery(query string) []byte {
 	p := binary.LittleEndian.AppendUint32(nil, 1<<9|1<<15|1<<3|1<<19)
 	p = binary.LittleEndian.AppendUint32(p, 1<<24)
@@ -79,7 +82,7 @@
 	return append(packet(1, p), packet(0, append([]byte{3}, query...))...)
 }
 
-// packet is a MySQL packet.
+// packet returns a MySQL packet: the header and the payload.
 func packet(seq byte, payload []byte) []byte {
 	n := len(payload)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
--- a/internal/harness/clientpool.go
+++ b/internal/harness/clientpool.go
@@ -10,44 +10,45 @@
 	"foxlane/internal/standin"
 )
 
-// clientPool is what all clients share: idle connections by gateway, and the gateways they avoid after a failure.
+// clientPool holds what all clients share: idle connections by gateway, and the gateways to avoid after a failure.
 type clientPool struct {
-	mu      sync.Mutex
-	avoided []time.Time // by gateway: until when; guarded by mu
-	idle    []chan idleConn
+	mu           sync.Mutex
+	avoidedUntil []time.Time // by gateway; guarded by mu
+	idle         []chan idleConn
 }
 
-// idleConn is an open connection without a request.
+// idleConn is an open connection without a request in flight.
 type idleConn struct {
 	client *standin.Client
 	since  time.Time
 }
 
 const (
-	maxIdleTime    = 4 * time.Second        // after which clients close an idle connection
-	maxIdleConns   = 64                     // for each gateway
-	avoidDuration  = time.Second            // for which clients avoid a gateway after a failure
-	connectTimeout = 300 * time.Millisecond // of clients
+	maxIdleTime    = 4 * time.Second        // clients close a connection that was idle for longer
+	maxIdleConns   = 64                     // per gateway
+	avoidDuration  = time.Second            // how long clients avoid a gateway after a failure
+	connectTimeout = 300 * time.Millisecond // for connections of clients to gateways
 )
 
 func newClientPool(n int) *clientPool {
-	p := &clientPool{avoided: make([]time.Time, n)}
+	p := &clientPool{avoidedUntil: make([]time.Time, n)}
 	for range n {
 		p.idle = append(p.idle, make(chan idleConn, maxIdleConns))
 	}
 	return p
 }
 
-// close closes all idle connections, when no client runs any more.
+// close closes all idle connections. No client may use the pool any more.
 func (p *clientPool) close() {
 	for _, conns := range p.idle {
-		for len(conns) > 0 { // nobody else takes from it any more
+		for len(conns) > 0 { // nothing else receives from the channel any more
 			(<-conns).client.Close()
 		}
 	}
 }
 
-// chooseGateway draws a gateway that is not avoided, from the client's zone if there is one; if all are avoided, any.
+// chooseGateway draws a gateway among those that are not avoided, preferably in the client's zone. If all are avoided
+// it draws among all gateways.
 func (f *fleet) chooseGateway(zone int, rng *rand.Rand) int {
 	pool := f.clients
 	pool.mu.Lock()
@@ -55,7 +56,7 @@
 	now := time.Now()
 	var inZone, usable []int
 	for i, g := range f.gateways {
-		if now.Before(pool.avoided[i]) {
+		if now.Before(pool.avoidedUntil[i]) {
 			continue
 		}
 		if usable = append(usable, i); g.zoneIndex == zone {
@@ -71,17 +72,18 @@
 	return rng.IntN(len(f.gateways))
 }
 
-// avoid has clients avoid a gateway for a while.
+// avoid makes clients avoid a gateway for avoidDuration.
 func (p *clientPool) avoid(i int) {
 	p.mu.Lock()
-	p.avoided[i] = time.Now().Add(avoidDuration)
+	p.avoidedUntil[i] = time.Now().Add(avoidDuration)
 	p.mu.Unlock()
 }
 
-var errNoNewConnections = errors.New("harness: no new connections to a gateway that is stopping")
+var errNoNewConnections = errors.New("harness: gateway is stopping and gets no new connections")
 
-// get returns an idle connection to a gateway, or a new one if none is left and mayConnect.
-func (p *clientPool) get(i int, addr string, mayConnect bool) (c *standin.Client, fresh bool, err error) {
+// get returns an idle connection to a gateway or, if none is left, a new one. Without mayConnect it returns
+// errNoNewConnections instead of opening one.
+func (p *clientPool) get(i int, addr string, mayConnect bool) (client *standin.Client, isNew bool, err error) {
 	for {
 		select {
 		case conn := <-p.idle[i]:
@@ -93,17 +95,17 @@
 			if !mayConnect {
 				return nil, true, errNoNewConnections
 			}
-			c, err = standin.Connect(addr, netip.Addr{}, connectTimeout)
-			return c, true, err
+			client, err = standin.Connect(addr, netip.Addr{}, connectTimeout)
+			return client, true, err
 		}
 	}
 }
 
-// put keeps a connection without a request for the next one, or closes it where enough are kept.
-func (p *clientPool) put(i int, c *standin.Client) {
+// put returns an idle connection to the pool, or closes it if the pool has maxIdleConns connections to the gateway.
+func (p *clientPool) put(i int, client *standin.Client) {
 	select {
-	case p.idle[i] <- idleConn{c, time.Now()}:
+	case p.idle[i] <- idleConn{client, time.Now()}:
 	default:
-		c.Close()
+		client.Close()
 	}
 }
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	orderKeyCount    = 2                                  // keys of the ordered class
-	keyQuarantine    = 300 * time.Millisecond             // of a key behind an attempt that may still run
-	objectiveStretch = 2.5                                // added to a latency objective, in times the request's work
+	orderKeyCount    = 2                                  // different keys in the ordered class
+	keyQuarantine    = 300 * time.Millisecond             // for a key after an attempt that may still run
+	objectiveStretch = 2.5                                // multiples of a request's work added to its latency objective
 	workSigma        = 0.5                                // standard deviation of the logarithm of work
-	lateValue        = 0.2                                // part of its weight that a response after its objective still earns
-	responseGrace    = maxLateness + 250*time.Millisecond // after the deadline, until a response is lost: the rest is for timers and both links
-	minTimeLeft      = 50 * time.Millisecond              // with less than this before its deadline a client does not retry
+	lateValue        = 0.2                                // fraction of its weight that a response after the objective earns
+	responseGrace    = maxLateness + 250*time.Millisecond // wait for a response after the deadline; 250 ms are for timers and both links
+	minTimeLeft      = 50 * time.Millisecond              // a client does not retry with less than this before its deadline
 	maxAttempts      = 3
 )
 
-// request is what a client wants, over all of its attempts.
+// request is a client's request, which may take several attempts.
 type request struct {
-	class  int
-	zone   int    // of its client
-	key    string // of an ordered class; empty: none
+	class  int    // index of the class
+	zone   int    // index of the client's zone
+	key    string // order key of a request in the ordered class; otherwise empty
 	work   time.Duration
 	at     time.Time
 	served bool
 }
 
-// generateLoad starts requests of a zone's clients as a Poisson process until the context ends. Each runs in a goroutine of wg.
+// generateLoad starts requests of a zone's clients as a Poisson process until the context ends. The rate is in
+// requests per second. Each request runs in a goroutine of wg.
 func (f *fleet) generateLoad(ctx context.Context, zone int, rate float64, wg *sync.WaitGroup) {
 	rng := rand.New(rand.NewPCG(f.Seed, uint64(zone)+1))
 	next := time.Now()
@@ -65,7 +66,7 @@
 	}
 }
 
-// runRequest runs one client's request: attempts until one is served, the client gives up, or its deadline is near.
+// runRequest sends attempts of a client's request until one is served, the client gives up, or its deadline is near.
 func (f *fleet) runRequest(ctx context.Context, req *request, rng *rand.Rand) {
 	class := f.classes[req.class]
 	f.recorder.recordRequest(req)
@@ -76,8 +77,8 @@
 			return
 		}
 		i := f.chooseGateway(req.zone, rng)
-		wait, again := f.attempt(req, i, left, try > 0)
-		if !again || time.Until(deadline) < wait {
+		wait, retry := f.attempt(req, i, left, try > 0)
+		if !retry || time.Until(deadline) < wait {
 			return
 		}
 		select {
@@ -88,7 +89,7 @@
 	}
 }
 
-// queryText is the query of an attempt, with the fields that the gateway reads in its leading comment.
+// queryText returns the query of an attempt, with the fields that the gateway reads in a leading comment.
 func (r *request) queryText(class *requestClass, id string, left time.Duration, resent bool) string {
 	text := fmt.Sprintf("/* kind=%s,req=%s,timeout=%d,ms=%d", class.name, id, left.Milliseconds(), max(1, r.work.Milliseconds()))
 	if resent {
@@ -100,11 +101,12 @@
 	return text + " */ SELECT day FROM sales_1.orders"
 }
 
-// attempt sends a request to one gateway and records the outcome. It reports whether the client retries, and after how long.
-func (f *fleet) attempt(req *request, i int, left time.Duration, resent bool) (wait time.Duration, again bool) {
+// attempt sends a request to one gateway and records the outcome. It reports whether the client may retry, and after
+// which wait.
+func (f *fleet) attempt(req *request, i int, left time.Duration, resent bool) (wait time.Duration, retry bool) {
 	class, g := f.classes[req.class], f.gateways[i]
-	conn, fresh, err := f.clients.get(i, g.clientProxy.Addr().String(), g.acceptsNewConnections())
-	if err != nil { // nothing was sent
+	conn, newConnection, err := f.clients.get(i, g.clientProxy.Addr().String(), g.acceptsNewConnections())
+	if err != nil { // no connection, so nothing was sent
 		f.clients.avoid(i)
 		f.recorder.updateSecond(func(s *Second) { s.NoGateway++ })
 		return 10 * time.Millisecond, true
@@ -114,7 +116,7 @@
 	began := time.Now()
 	rows := 0
 	wrong := false
-	stop := f.maybeAbandon(conn, g, id, left)
+	stop := f.scheduleAbandon(conn, g, id, left)
 	err = conn.QueryRows(text, left+responseGrace, func(row []byte) {
 		rows++
 		wrong = wrong || len(row) < 17 || string(row[1:17]) != id
@@ -133,7 +135,7 @@
 	case err == nil:
 		f.clients.put(i, conn)
 		if rows != 1 || wrong {
-			f.recorder.addViolation(WrongResponse, "request %s of class %s got %d rows, or another's", id, class.name, rows)
+			f.recorder.addViolation(WrongResponse, "request %s of class %s got %d rows, or rows of another request", id, class.name, rows)
 		}
 		f.recorder.recordServed(req, time.Since(req.at))
 		return 0, false
@@ -147,6 +149,6 @@
 	}
 	conn.Close()
 	f.clients.avoid(i)
-	f.checkLost(lostAttempt{id: id, class: class.name, gateway: g, began: began, took: took, left: left, fresh: fresh, err: err})
+	f.checkLost(lostAttempt{id: id, class: class.name, gateway: g, began: began, took: took, left: left, newConnection: newConnection, err: err})
 	return 10 * time.Millisecond, !class.nonIdempotent
 }
--- a/internal/harness/directives.go
+++ b/internal/harness/directives.go
@@ -11,14 +11,16 @@
 	"time"
 )
 
-// This file requests directives as operators do, and checks at the end that those a gateway confirmed are in effect everywhere.
+// This file sets directives as operators do, and checks at the end that all directives that a gateway confirmed are in
+// effect at every gateway.
 
 const (
-	controlTimeout  = 7 * time.Second
-	convergeTimeout = 6 * time.Second // until all gateways report what any of them has confirmed
+	controlTimeout  = 7 * time.Second // for the answer to a control request
+	convergeTimeout = 6 * time.Second // until every gateway reports the confirmed directives
 )
 
-// controlRequest sends a line to the gateway's control address and decodes the answer.
+// controlRequest sends a line to the gateway's control address and decodes the answer. An error in the answer is
+// returned.
 func (g *gateway) controlRequest(text string, answer any) error {
 	c, err := net.DialTimeout("tcp", g.controlAddr.String(), time.Second)
 	if err != nil {
@@ -40,7 +42,8 @@
 	return json.Unmarshal(line, answer)
 }
 
-// setDirective requests a directive at a gateway, in a goroutine of pendingDirectives.
+// setDirective asks a gateway to set a directive and records the outcome, in a goroutine of pendingDirectives. The
+// text is the directive's kind and subject.
 func (f *fleet) setDirective(g *gateway, text string) {
 	kind, subject, _ := strings.Cut(text, " ")
 	f.mu.Lock()
@@ -52,7 +55,7 @@
 		err := g.controlRequest(fmt.Sprintf(`{"id":%q,"op":"set","kind":%q,"subject":%q}`, id, kind, subject), &answer)
 		f.recorder.mu.Lock()
 		defer f.recorder.mu.Unlock()
-		outcome := fmt.Sprintf("holds as of %d", answer.Index)
+		outcome := fmt.Sprintf("in effect as of index %d", answer.Index)
 		if err != nil {
 			outcome = err.Error()
 			f.recorder.FailedDirectives++
@@ -63,7 +66,8 @@
 	})
 }
 
-// checkDirectives waits until all gateways report each directive that was confirmed, and adds a violation if they don't.
+// checkDirectives waits until all gateways report every confirmed directive, and adds a violation if they don't within
+// convergeTimeout.
 func (f *fleet) checkDirectives() {
 	if f.Voters == 0 {
 		return
@@ -78,15 +82,15 @@
 	f.recorder.addUnclassified("%s", missing)
 }
 
-// missingDirective is what a gateway lacks of the confirmed directives, as a text; empty if they are in effect everywhere.
+// missingDirective describes a confirmed directive that is not in effect at some gateway; empty if there is none.
 func (f *fleet) missingDirective() (missing string) {
 	for _, g := range f.gateways {
 		var state struct {
 			Index uint64
 			Held  []struct{ Kind, Subject string }
 		}
-		if err := g.controlRequest("book", &state); err != nil { // the control protocol's word for the directives in effect
-			return fmt.Sprintf("%s does not report its directives: %v", g.name, err)
+		if err := g.controlRequest("book", &state); err != nil { // the command that reports the directives in effect
+			return fmt.Sprintf("reading the directives of %s failed: %v", g.name, err)
 		}
 		var inEffect []string
 		for _, d := range state.Held {
@@ -94,7 +98,7 @@
 		}
 		for _, accepted := range f.recorder.AcceptedDirectives {
 			if !slices.Contains(inEffect, accepted) {
-				missing = fmt.Sprintf("%s was said to hold, and %s holds %v as of %d", accepted, g.name, inEffect, state.Index)
+				missing = fmt.Sprintf("directive %s was confirmed, but %s has %v in effect as of index %d", accepted, g.name, inEffect, state.Index)
 			}
 		}
 	}
--- a/internal/harness/endpointlist.go
+++ b/internal/harness/endpointlist.go
@@ -11,41 +11,42 @@
 	"foxlane/internal/standin"
 )
 
-// This file owns the engine list that name servers publish: its versions, its serial numbers, which by the operators' protocol
-// begin anew with each start of a gateway, faults of answers, and when a gateway counts as notified of a change.
+// This file owns the engine list that name servers publish: its versions, its serial numbers, faults of the answers,
+// and the time at which a gateway counts as notified of a change. By the operators' protocol the serial numbers
+// restart with each start of a gateway.
 
-// endpointList is the list as the name server of one gateway publishes it.
+// endpointList is the engine list as the name server of one gateway publishes it.
 type endpointList struct {
 	mu            sync.Mutex
-	version       uint32 // published now
-	serialBase    uint32 // a version less this is its serial number in the present incarnation
-	incarnation   int    // of the serial numbers
+	version       uint32 // the published version
+	serialBase    uint32 // the serial number of a version is the version minus this, in the current incarnation
+	incarnation   int    // grows with each restart of the serial numbers
 	hosts         []standin.Host
-	past          []pastList     // the last maxPastLists
-	notifications []notification // of the present incarnation, in order of versions; never empty
+	past          []pastList     // the last maxPastLists lists
+	notifications []notification // of the current incarnation, ordered by version; never empty
 	rng           *rand.Rand
 }
 
-// pastList is a list that was published before, under the serial number it had then.
+// pastList is a list that was published earlier, with the serial number that it had then.
 type pastList struct {
 	incarnation int
 	serial      uint32
 	hosts       []standin.Host
 }
 
-// notification is when a gateway was first notified of a version.
+// notification records when a gateway was first notified of a version.
 type notification struct {
 	version uint32
-	at      time.Time // zero: not yet, as far as is known
-	sends   int       // answers sent with it
+	at      time.Time // zero: not known to be notified yet
+	sends   int       // answers sent with this version
 }
 
 const (
-	maxPastLists   = 32              // of one gateway
-	maxNotifyDelay = 7 * time.Second // a gateway counts as notified this long after a change, whether or not an answer arrived
+	maxPastLists   = 32              // per gateway
+	maxNotifyDelay = 7 * time.Second // a gateway counts as notified this long after a change, even if no answer arrived
 )
 
-// publishList publishes the present list to all gateways as a new version, after a delay.
+// publishList publishes the current list to all gateways as a new version, after a delay.
 func (f *fleet) publishList(after time.Duration) {
 	f.mu.Lock()
 	f.listVersion++
@@ -72,7 +73,7 @@
 	time.AfterFunc(after, publish)
 }
 
-// hosts is the present list for a gateway, with the addresses of its proxies. f.mu is held.
+// hosts returns the current list for a gateway, with the addresses of its proxies. The caller holds f.mu.
 func (f *fleet) hosts(gateway int) (out []standin.Host) {
 	for _, e := range f.engines {
 		draining, unlisted := e.listStatus(f.listVersion)
@@ -83,7 +84,7 @@
 	return out
 }
 
-// publish has the gateway's name server answer with a version from now on, unless a later one is published.
+// publish makes the gateway's name server answer with a version, unless a later one is already published.
 func (g *gateway) publish(version uint32, hosts []standin.Host) {
 	l := &g.list
 	l.mu.Lock()
@@ -95,7 +96,7 @@
 	l.publishLocked(g)
 }
 
-// publishLocked has the name server answer with the present version. l.mu is held.
+// publishLocked makes the name server answer with the current version. The caller holds l.mu.
 func (l *endpointList) publishLocked(g *gateway) {
 	serial := l.version - l.serialBase
 	l.past = append(l.past, pastList{l.incarnation, serial, l.hosts})
@@ -105,9 +106,9 @@
 	g.nameServer.SetHosts(serial, l.hosts)
 }
 
-// startList prepares the list for a start of the gateway: serial numbers begin anew, and the gateway learns the present list from
-// its configuration.
-func (g *gateway) startList() {
+// restartList prepares the list for a start of the gateway: the serial numbers restart, and the gateway counts as
+// notified of the current list, which it reads from its configuration.
+func (g *gateway) restartList() {
 	f, l := g.fleet, &g.list
 	f.mu.Lock()
 	version, hosts := f.listVersion, f.hosts(g.index)
@@ -123,7 +124,7 @@
 	l.publishLocked(g)
 }
 
-// restartSerials has serial numbers begin anew while the gateway runs.
+// restartSerials restarts the serial numbers while the gateway runs.
 func (g *gateway) restartSerials() {
 	l := &g.list
 	l.mu.Lock()
@@ -133,7 +134,7 @@
 	l.publishLocked(g)
 }
 
-// knownList is the list for the gateway's configuration, with its serial number.
+// knownList returns the list for the gateway's configuration, with its serial number.
 func (g *gateway) knownList() (serial uint32, hosts []standin.Host) {
 	l := &g.list
 	l.mu.Lock()
@@ -141,7 +142,7 @@
 	return l.version - l.serialBase, l.hosts
 }
 
-// recordListSent records a good answer that the name server has sent to the gateway.
+// recordListSent records a valid answer that the name server has sent to the gateway.
 func (g *gateway) recordListSent(reply standin.ListReply) {
 	c := g.dnsProxy.Reverse().Conditions()
 	if c.Cut {
@@ -156,7 +157,7 @@
 	}
 	i := slices.IndexFunc(l.notifications, func(n notification) bool { return n.version == version })
 	if i < 0 {
-		return // an old answer: a later version was notified meanwhile
+		return // an old version: the gateway was notified of a later one meanwhile
 	}
 	n := &l.notifications[i]
 	if n.sends++; n.at.IsZero() && (c.Loss == 0 || n.sends >= sendsDespiteLoss) {
@@ -164,8 +165,8 @@
 	}
 }
 
-// versionOf is the version that a reply holds; 0 if it was delayed from an earlier incarnation, whose serial numbers say nothing
-// now. l.mu is held.
+// versionOf returns the version that a reply holds. It returns 0 for a reply that was delayed since an earlier
+// incarnation, as its serial number has no meaning in the current one. The caller holds l.mu.
 func (l *endpointList) versionOf(reply standin.ListReply) uint32 {
 	if version := l.serialBase + reply.Serial; version <= l.version {
 		return version
@@ -173,10 +174,11 @@
 	return 0
 }
 
-// sendsDespiteLoss is the number of answers over a link with loss after which one counts as received.
+// sendsDespiteLoss is how many answers must be sent over a link with loss until one of them counts as received.
 const sendsDespiteLoss = 8
 
-// notifiedAt is when the gateway was notified of a version or a later one, as the operators' protocol counts; zero: not yet.
+// notifiedAt returns when the gateway was notified of a version or a later one, by the rules of the operators'
+// protocol. It returns the zero time if it was not notified yet.
 func (g *gateway) notifiedAt(version uint32) time.Time {
 	g.fleet.mu.Lock()
 	first := time.Time{}
@@ -198,30 +200,30 @@
 	return first
 }
 
-// Faults of the name service's answers, by the text of the fault.
+// Faults of the name service's answers, as the text of a lists fault names them.
 const (
-	listStale          = "stale"   // a past list, under the serial number it had then
-	listEarlier        = "earlier" // the last list of the previous incarnation
-	listLost           = "lost"
-	listFailed         = "failed"
-	listTruncated      = "short"
-	listOtherID        = "other-id"
-	listTwice          = "twice"
-	listLate           = "late"
-	listMixed          = "mixed" // any of the faults before it in listFaults
-	listSerialsRestart = "anew"  // the serial numbers begin anew, once
+	listStale               = "stale"   // a past list, with the serial number it had then
+	listPreviousIncarnation = "earlier" // the last list of the previous incarnation
+	listLost                = "lost"
+	listFailed              = "failed"
+	listTruncated           = "short"
+	listWrongID             = "other-id"
+	listDuplicated          = "twice"
+	listDelayed             = "late"
+	listMixed               = "mixed" // a random one of the faults before it in listFaults
+	listSerialsRestart      = "anew"  // the serial numbers restart, once
 )
 
-// listFaults are all of them. Those before listMixed are the ones it draws from.
-var listFaults = []string{listStale, listLost, listFailed, listTruncated, listOtherID, listTwice, listLate, listMixed, listEarlier, listSerialsRestart}
+// listFaults are all faults of the name service's answers. listMixed draws from those before it.
+var listFaults = []string{listStale, listLost, listFailed, listTruncated, listWrongID, listDuplicated, listDelayed, listMixed, listPreviousIncarnation, listSerialsRestart}
 
-// validateListFault checks a fault of lists, which stands at a place in the script.
-func validateListFault(fault *Fault, at string) error {
+// validateListFault checks the text and the factor of a lists fault. An error names the fault's place in the script.
+func validateListFault(fault *Fault, place string) error {
 	if !slices.Contains(listFaults, fault.Text) {
-		return fmt.Errorf("%s: lists needs a text out of %s", at, strings.Join(listFaults, ", "))
+		return fmt.Errorf("%s: lists needs one of these texts: %s", place, strings.Join(listFaults, ", "))
 	}
 	if fault.Text != listSerialsRestart && !(fault.Factor > 0 && fault.Factor <= 1) {
-		return fmt.Errorf("%s: lists needs a factor, the part of answers, over 0 and at most 1", at)
+		return fmt.Errorf("%s: lists needs a factor, the fraction of answers, over 0 and at most 1", place)
 	}
 	return nil
 }
@@ -241,7 +243,7 @@
 	}
 }
 
-// applyFault applies a fault to an answer, with the fault's probability.
+// applyFault applies a fault to an answer with the fault's probability, its factor.
 func (l *endpointList) applyFault(fault *Fault, reply *standin.ListReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,7 +257,7 @@
 	switch kind {
 	case listStale:
 		l.replaceWithPast(reply, l.past)
-	case listEarlier:
+	case listPreviousIncarnation:
 		var previous []pastList
 		for _, past := range l.past {
 			if past.incarnation == l.incarnation-1 {
@@ -271,16 +273,16 @@
 		reply.ServerFailure = true
 	case listTruncated:
 		reply.Truncated = true
-	case listOtherID:
+	case listWrongID:
 		reply.WrongID = true
-	case listTwice:
+	case listDuplicated:
 		reply.Duplicated = true
-	case listLate:
+	case listDelayed:
 		reply.Delay = time.Duration(l.rng.Int64N(int64(max(fault.Delay, time.Millisecond))))
 	}
 }
 
-// replaceWithPast replaces an answer's list by one of some past lists. l.mu is held.
+// replaceWithPast replaces an answer's list by a random one of the given past lists. The caller holds l.mu.
 func (l *endpointList) replaceWithPast(reply *standin.ListReply, from []pastList) {
 	past := from[l.rng.IntN(len(from))]
 	reply.Stale = past.incarnation != l.incarnation || past.serial != l.version-l.serialBase
--- a/internal/harness/endpointlist_test.go
+++ b/internal/harness/endpointlist_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// A gateway is notified of drains whatever serial number the list has: serial numbers begin anew with each start of a gateway, and
-// an answer may bring a list from before that, under the number it had then.
-func TestDrainsAreNotifiedWhateverTheSerials(t *testing.T) {
+// The harness must count a gateway as notified of a drain whichever serial number the list has: the serial numbers
+// restart with each start of a gateway, and a late answer may carry a list from before that with its old number.
+func TestDrainNotificationAfterSerialRestart(t *testing.T) {
 	fleet := `
 zone "hall-a" {
   gateways = 2
@@ -24,14 +24,14 @@
 			fault("retire", `of = "hall-a/e2"`, `at = "3300ms"`, `for = "3s"`),
 		"a drain, then a list of the previous incarnation": restarted + fault("retire", `of = "hall-a/e2"`, `at = "3s"`, `for = "3s"`) +
 			fault("lists", `of = "gateways"`, `text = "earlier"`, `factor = 1`, `at = "3500ms"`, `for = "150ms"`),
-		"serial numbers that begin anew while the gateway runs": fault("lists", `of = "gateways"`, `text = "anew"`, `at = "2s"`) +
+		"serial numbers that restart while the gateway runs": fault("lists", `of = "gateways"`, `text = "anew"`, `at = "2s"`) +
 			fault("retire", `of = "hall-a/e2"`, `at = "2600ms"`, `for = "3s"`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			report := playScript(t, fleet+faults)
 			if report.Attempts < 100 {
-				t.Errorf("%d attempts at engines: the test does not test what it should", report.Attempts)
+				t.Errorf("%d attempts at engines, want at least 100: too few for the test to be meaningful", report.Attempts)
 			}
 		})
 	}
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -10,41 +10,43 @@
 	"foxlane/internal/standin"
 )
 
-// engine is a fake engine with cores, a queue for them, and a slow start, which checks what it is sent while it is cold.
+// engine is a fake engine with cores, a queue for them and a slow start. It checks the load that it receives while it
+// is cold.
 type engine struct {
 	party
 	fleet   *fleet
 	index   int               // in fleet.engines
-	proxies []*faultproxy.TCP // from each gateway, by its index
+	proxies []*faultproxy.TCP // from each gateway, by the gateway's index
 
 	mu           sync.Mutex
 	server       *standin.Engine // nil: stopped
 	id           string
-	started      time.Time // zero: so long ago that it is warm
+	started      time.Time // zero: so long ago that the engine is warm
 	coreFreeAt   []time.Time
-	slowdown     float64    // times that its work takes as long
+	slowdown     float64    // factor by which requests take longer
 	coldSends    []coldSend // within overloadWindow
 	overloads    int
 	overloadedAt time.Time
-	faultMode    string  // empty: none
-	faultShare   float64 // part of the requests that it affects
+	faultMode    string  // one of the modes in enginefaults.go; empty: none
+	faultShare   float64 // fraction of the requests that faultMode affects
 	rng          *rand.Rand
 
 	listMu       sync.Mutex
-	draining     bool   // in the list
+	draining     bool   // listed as draining
 	unlisted     bool   // dropped from the list
-	drainVersion uint32 // of the list that first said either; 0: none has
-	startVersion uint32 // of the list that first has its latest start
+	drainVersion uint32 // first version of the list that has it as draining or not at all; 0: none
+	startVersion uint32 // first version of the list with the engine's latest start
 }
 
 // coldSend is a request that reached a cold engine.
 type coldSend struct {
 	at       time.Time
 	work     time.Duration
-	informed bool // its gateway was notified of the start
+	notified bool // the gateway that sent it was notified of the engine's start
 }
 
-// listStatus is how the engine stands in the list of a version, which is remembered if it is the first to say so.
+// listStatus returns whether the engine is draining or dropped in a version of the list. It keeps the first version
+// in which the engine is either.
 func (e *engine) listStatus(version uint32) (draining, unlisted bool) {
 	e.listMu.Lock()
 	defer e.listMu.Unlock()
@@ -57,7 +59,8 @@
 	return e.draining, e.unlisted
 }
 
-// drainNotifiedAt is when a gateway was notified that the engine is draining or removed; zero: it was not, or the engine is not.
+// drainNotifiedAt returns when a gateway was notified that the engine is draining or removed. It returns the zero
+// time if the gateway was not notified yet, or if the engine is neither.
 func (e *engine) drainNotifiedAt(gateway int) time.Time {
 	e.listMu.Lock()
 	version := e.drainVersion
@@ -76,7 +79,7 @@
 	return !e.fleet.gateways[gateway].notifiedAt(version).IsZero()
 }
 
-// start starts the engine as a new process, without any state of the one before.
+// start starts the engine without any state of its previous run, as a new process would.
 func (e *engine) start(cold bool) error {
 	server, err := standin.NewEngine("127.0.0.1:0", e.respond)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// stop stops the engine. Its connections are reset.
+// stop stops the engine and resets its connections.
 func (e *engine) stop() {
 	e.mu.Lock()
 	server := e.server
@@ -111,74 +114,75 @@
 	}
 }
 
-// addr is the address of the engine itself, behind its proxies. It runs.
+// addr returns the address of the engine itself, behind its proxies. The engine must be running.
 func (e *engine) addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.server.Addr()
 }
 
-// warmth is the part of its full speed that the engine has, which grows evenly from its start. e.mu is held.
-func (e *engine) warmth(now time.Time) float64 {
+// speedFraction returns the engine's current speed as a fraction of its full speed. It grows linearly from ColdFrom
+// at the start to 1 after Cold. The caller holds e.mu.
+func (e *engine) speedFraction(now time.Time) float64 {
 	if e.started.IsZero() || e.fleet.Cold <= 0 || now.Sub(e.started) >= e.fleet.Cold {
 		return 1
 	}
 	return e.fleet.ColdFrom + (1-e.fleet.ColdFrom)*float64(now.Sub(e.started))/float64(e.fleet.Cold)
 }
 
-// recordColdSend counts a request at a cold engine against what it can bear. It returns the text of a violation, if there is one.
-// e.mu is held.
-func (e *engine) recordColdSend(now time.Time, work time.Duration, informed bool) (broken string) {
-	warm := e.warmth(now)
-	if warm >= 1 {
+// recordColdSend adds a request to the recent load of a cold engine and counts an overload if that exceeds what the
+// engine can bear. It returns the text of a violation, if there is one. The caller holds e.mu.
+func (e *engine) recordColdSend(now time.Time, work time.Duration, notified bool) (violation string) {
+	speed := e.speedFraction(now)
+	if speed >= 1 {
 		e.coldSends = nil
 		return ""
 	}
-	e.coldSends = append(e.coldSends, coldSend{now, work, informed})
+	e.coldSends = append(e.coldSends, coldSend{now, work, notified})
 	sum := time.Duration(0)
 	recent := e.coldSends[:0]
-	for _, s := range e.coldSends {
-		if now.Sub(s.at) <= overloadWindow {
-			recent = append(recent, s)
-			sum += s.work
+	for _, send := range e.coldSends {
+		if now.Sub(send.at) <= overloadWindow {
+			recent = append(recent, send)
+			sum += send.work
 		}
 	}
 	e.coldSends = recent
-	broken = e.checkSlowStart(now)
-	if float64(sum) > e.fleet.overloadFactor()*warm*float64(e.fleet.Cores)*float64(overloadWindow) && now.Sub(e.overloadedAt) > overloadWindow {
+	violation = e.checkSlowStart(now)
+	if float64(sum) > e.fleet.overloadFactor()*speed*float64(e.fleet.Cores)*float64(overloadWindow) && now.Sub(e.overloadedAt) > overloadWindow {
 		e.overloads++
 		e.overloadedAt = now
 	}
-	return broken
+	return violation
 }
 
-// respond records a request and returns the reply to it.
+// respond records a request that reached the engine and returns the reply to it.
 func (e *engine) respond(query standin.Request) standin.Reply {
 	now := time.Now()
 	attempt := e.fleet.recorder.recordEngineRequest(query, e, now)
-	informed := attempt.gateway != nil && e.startNotified(attempt.gateway.index)
-	reply, broken := e.execute(query, attempt, now, informed)
+	notified := attempt.gateway != nil && e.startNotified(attempt.gateway.index)
+	reply, violation := e.execute(query, attempt, now, notified)
 	if reply.Status == "served" && !reply.Reset {
-		e.fleet.recorder.recordRun(attempt, now.Add(reply.Delay))
+		e.fleet.recorder.recordRunEnd(attempt, now.Add(reply.Delay))
 	}
-	if broken != "" {
-		e.fleet.recorder.addViolation(SlowStartExceeded, "%s", broken)
+	if violation != "" {
+		e.fleet.recorder.addViolation(SlowStartExceeded, "%s", violation)
 	}
 	return reply
 }
 
-// execute queues a request for a core and runs it, or applies the engine's fault. It returns the text of a violation, if there is
-// one.
-func (e *engine) execute(query standin.Request, attempt *clientAttempt, now time.Time, informed bool) (reply standin.Reply, broken string) {
+// execute queues a request for a core and computes the reply, or applies the engine's fault. It also returns the text
+// of a violation, if there is one.
+func (e *engine) execute(query standin.Request, attempt *clientAttempt, now time.Time, notified bool) (reply standin.Reply, violation string) {
 	work := attempt.work
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.server == nil {
 		return standin.Reply{}, ""
 	}
-	broken = e.recordColdSend(now, work, informed)
+	violation = e.recordColdSend(now, work, notified)
 	if e.faultMode != "" && e.rng.Float64() < e.faultShare {
-		return e.faultResponse(query, work), broken
+		return e.faultResponse(query, work), violation
 	}
 	core := 0
 	for i := range e.coreFreeAt {
@@ -192,13 +196,13 @@
 	}
 	if start.Sub(now) > maxQueueTime {
 		e.fleet.recorder.recordEngineRejection(attempt)
-		return standin.Reply{Delay: time.Millisecond, Status: "overload"}, broken
+		return standin.Reply{Delay: time.Millisecond, Status: "overload"}, violation
 	}
-	e.coreFreeAt[core] = start.Add(time.Duration(float64(work) / e.warmth(now) * e.slowdown))
-	return standin.Reply{Delay: e.coreFreeAt[core].Sub(now), ReportedWork: work, Status: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", query.ID)}}, broken
+	e.coreFreeAt[core] = start.Add(time.Duration(float64(work) / e.speedFraction(now) * e.slowdown))
+	return standin.Reply{Delay: e.coreFreeAt[core].Sub(now), ReportedWork: work, Status: "served", Pages: []string{fmt.Sprintf("%s\tb\tc\n", query.ID)}}, violation
 }
 
-// faultResponse is the reply to a request that the engine's fault affects. e.mu is held.
+// faultResponse returns the reply to a request that the engine's fault affects. The caller holds e.mu.
 func (e *engine) faultResponse(query standin.Request, work time.Duration) standin.Reply {
 	switch e.faultMode {
 	case modeError:
@@ -213,17 +217,17 @@
 }
 
 const (
-	overloadWindow = 2 * time.Second // over which the load of a cold engine is summed
+	overloadWindow = 2 * time.Second // the load of a cold engine is summed over this
 	maxQueueTime   = 2 * time.Second // a request that would wait longer for a core is rejected
 )
 
-// listEntry is the engine in the list of a gateway, with the address of the proxy for that gateway.
+// listEntry returns the engine's entry in the list of a gateway, with the address of the proxy for that gateway.
 func (e *engine) listEntry(gateway int, draining bool) standin.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := standin.Host{ID: e.id, Zone: e.zone, Kind: "std", Weight: 4, Draining: draining, Addr: e.proxies[gateway].Addr()}
+	host := standin.Host{ID: e.id, Zone: e.zone, Kind: "std", Weight: 4, Draining: draining, Addr: e.proxies[gateway].Addr()}
 	if !e.started.IsZero() {
-		h.Started = e.started.UnixMilli()
+		host.Started = e.started.UnixMilli()
 	}
-	return h
+	return host
 }
--- a/internal/harness/enginefaults.go
+++ b/internal/harness/enginefaults.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// This file owns the faults of engines.
+// This file injects the faults of engines.
 
-// Modes in which engines answer a part of the requests that reach them.
+// Modes in which engines mishandle a fraction of the requests that reach them.
 const (
 	modeHang      = "hang"  // no answer
 	modeError     = "error" // an error
-	modeMalformed = "spoil" // bytes that can't be parsed, or an answer that stops short
-	modeReset     = "break" // the connection is reset
+	modeMalformed = "spoil" // bytes that can't be parsed, or a truncated answer
+	modeReset     = "break" // a reset of the connection
 )
 
-// breakEngines has engines answer a part of their requests in a fault's mode.
+// breakEngines makes engines mishandle a fraction of their requests, by the mode in the fault's text.
 func (f *fleet) breakEngines(fault *Fault) (revertFunc, error) {
 	set := func(mode string, share float64) {
 		f.eachEngine(fault.Target, func(e *engine) {
@@ -27,7 +27,7 @@
 	return func() error { set("", 0); return nil }, nil
 }
 
-// slowEngines has engines take a fault's factor times as long.
+// slowEngines makes requests at engines take longer by the fault's factor.
 func (f *fleet) slowEngines(fault *Fault) (revertFunc, error) {
 	set := func(factor float64) {
 		f.eachEngine(fault.Target, func(e *engine) {
@@ -40,20 +40,20 @@
 	return func() error { set(1); return nil }, nil
 }
 
-// How engines leave the list, by the text of the fault.
+// Ways in which engines leave the list, by the text of the fault.
 const (
 	retireDrain = ""      // they drain
-	retireGone  = "gone"  // they are dropped from the list, and still run for a while
-	retireBoth  = "both"  // one list drops the first of them and drains the others
-	retireFlap  = "flap"  // they drain, are active again, and drain again within half a second
-	retireNewID = "newid" // as retireDrain, and come back under new ids at the addresses of the old ones
+	retireGone  = "gone"  // they are dropped from the list without a drain, and run on for a while
+	retireBoth  = "both"  // one version of the list drops the first of them and drains the others
+	retireFlap  = "flap"  // they drain, become active, and drain again within half a second
+	retireNewID = "newid" // they drain, and return with new ids at the old addresses
 )
 
-// flapPause lies between two changes of a flapping engine.
+// flapPause is the time between two changes of a flapping engine.
 const flapPause = 200 * time.Millisecond
 
-// retire has engines leave the list. Once reverted they stop, and come back as new processes, cold.
-func (f *fleet) retire(fault *Fault) (revertFunc, error) {
+// retireEngines makes engines leave the list. Reverting it stops them, and starts them again cold, as new processes.
+func (f *fleet) retireEngines(fault *Fault) (revertFunc, error) {
 	first := true
 	leave := func(e *engine) {
 		e.draining = fault.Text != retireGone && (fault.Text != retireBoth || !first)
@@ -61,15 +61,15 @@
 		first = false
 	}
 	stay := func(e *engine) { e.draining = false }
-	f.relist(fault.Target, leave)
+	f.changeListStatus(fault.Target, leave)
 	if fault.Text == retireFlap {
 		time.Sleep(flapPause)
-		f.relist(fault.Target, stay)
+		f.changeListStatus(fault.Target, stay)
 		time.Sleep(flapPause)
-		f.relist(fault.Target, leave)
+		f.changeListStatus(fault.Target, leave)
 	}
 	return func() error {
-		f.relist(fault.Target, func(e *engine) { e.draining, e.unlisted = false, true })
+		f.changeListStatus(fault.Target, func(e *engine) { e.draining, e.unlisted = false, true })
 		time.Sleep(2 * publishDelay)
 		for _, e := range f.engines {
 			if !e.matches(fault.Target) {
@@ -82,12 +82,13 @@
 				f.assignNewID(e)
 			}
 		}
-		f.relist(fault.Target, func(e *engine) { e.unlisted = false })
+		f.changeListStatus(fault.Target, func(e *engine) { e.unlisted = false })
 		return nil
 	}, nil
 }
 
-// restartCold replaces the engine's process by a new one, cold, at the same address for gateways.
+// restartCold stops the engine and starts it again cold, as a new process. Gateways reach it at the same addresses as
+// before.
 func (e *engine) restartCold() error {
 	e.stop()
 	if err := e.start(true); err != nil {
@@ -110,8 +111,8 @@
 	e.mu.Unlock()
 }
 
-// relist changes the list status of engines and publishes the list.
-func (f *fleet) relist(selector string, change func(*engine)) {
+// changeListStatus changes whether engines are listed and draining, and publishes the list.
+func (f *fleet) changeListStatus(selector string, change func(*engine)) {
 	f.eachEngine(selector, func(e *engine) {
 		e.listMu.Lock()
 		change(e)
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -1,7 +1,7 @@
-// Package harness runs fleets of several processes on this machine: real gateways in one or more zones, fake engines and name
-// servers, clients, and fault-injecting proxies between all of them, with faults from one script. It records what clients and
-// engines see and checks the rules by that, and by what gateways log. It must never look into a gateway in another way, be part
-// of one, or reach any address but this machine's.
+// Package harness owns tests of whole fleets on one machine: it runs real gateway processes in one or more zones,
+// fake engines and name servers, clients, and fault-injecting proxies between all of them, and injects the faults of
+// a script. It checks the rules by what clients and engines see and by what gateways log. It must never inspect a
+// gateway in another way, be linked into one, or connect to another machine.
 package harness
 
 import (
@@ -24,13 +24,13 @@
 )
 
 const (
-	serviceName           = "_data._tcp.farm.lan"  // that the name servers answer for
-	maxLogBytes           = 16 << 20               // kept of a gateway's log
-	publishDelay          = 150 * time.Millisecond // from a loss of engines until the list says so
+	serviceName           = "_data._tcp.farm.lan"  // the name that the name servers resolve
+	maxLogBytes           = 16 << 20               // kept of the log of each gateway
+	publishDelay          = 150 * time.Millisecond // from the loss or return of a zone until the list shows it
 	defaultOverloadFactor = 3
 )
 
-// fleet is the gateways, engines and clients of one run of a script, and the proxies between them.
+// fleet holds the gateways, engines and clients of one run of a script, and the proxies between them.
 type fleet struct {
 	Script
 	recorder      *recorder
@@ -38,47 +38,48 @@
 	clients       *clientPool
 	gateways      []*gateway
 	engines       []*engine
-	dir           string // temporary, removed by close
+	dir           string // temporary folder, removed by close
 	process       Process
-	logFolder     string // empty: logs are not kept
+	logFolder     string // where logs are kept; empty: they are not
 	resultClients []*resultClient
 	pauses        pauses
 	startedAt     time.Time
 
 	mu              sync.Mutex
-	links           map[[2]string]*link // by the names of their ends
+	links           map[[2]string]*link // by the names of the sender and the receiver
 	activeFaults    []*Fault
-	listVersion     uint32          // of the engine list, for all gateways alike
-	publishedAt     []time.Time     // by version of the list
-	unlisted        map[int]bool    // engines of lost zones that the list has dropped
-	drainedZones    map[string]bool // by the operator's file
+	listVersion     uint32          // version of the engine list, the same for all gateways
+	publishedAt     []time.Time     // when each version of the engine list was published
+	unlisted        map[int]bool    // indices of the engines in lost zones that the list has dropped
+	drainedZones    map[string]bool // zones that the operator's file drains
 	gossipOff       atomic.Bool
-	abandonPermille atomic.Int64 // thousandths of all clients that abandon their request
-	lastID          int          // of engines
+	abandonPermille atomic.Int64 // how many in a thousand clients abandon their request
+	lastEngineID    int          // number of the last engine id given out
 	directiveCount  int
 
 	pendingDirectives sync.WaitGroup // goroutines that wait for a gateway's answer to a directive
 }
 
-// link is one direction between two parties.
+// link is one direction of the traffic between two parties.
 type link struct {
 	*faultproxy.Link
 	from, to party
 }
 
-// Run plays a script with a gateway's program and returns the report, also the report so far with an error that occurs later
-// than the start. The gateways' logs are kept in the folder logs, unless that is empty.
-func Run(ctx context.Context, program string, s Script, logs string) (report *Report, err error) {
-	return RunProcess(ctx, Process{Program: program}, s, logs)
+// Run plays a script with gateways that run the given program, and returns the report. If an error occurs after the
+// fleet has started, Run returns the report so far with it. Logs of the gateways are kept in logFolder, unless that
+// is empty.
+func Run(ctx context.Context, program string, script Script, logFolder string) (report *Report, err error) {
+	return RunProcess(ctx, Process{Program: program}, script, logFolder)
 }
 
-// RunProcess is Run with gateways that run any process, such as a fault gateway.
-func RunProcess(ctx context.Context, p Process, s Script, logs string) (report *Report, err error) {
-	f := &fleet{Script: s, classes: classesOf(&s), process: p, logFolder: logs, listVersion: 1,
+// RunProcess does the same as Run with gateways that run any process, such as a fault gateway.
+func RunProcess(ctx context.Context, p Process, script Script, logFolder string) (report *Report, err error) {
+	f := &fleet{Script: script, classes: classesOf(&script), process: p, logFolder: logFolder, listVersion: 1,
 		links: map[[2]string]*link{}, unlisted: map[int]bool{}, drainedZones: map[string]bool{}}
 	defer func() {
-		if end := f.close(); err == nil {
-			err = end
+		if closeErr := f.close(); err == nil {
+			err = closeErr
 		}
 	}()
 	watching, stop := context.WithCancel(ctx)
@@ -95,7 +96,7 @@
 	return report, err
 }
 
-// overloadFactor is how many times its present speed a cold engine can bear.
+// overloadFactor returns the load that a cold engine can bear, as a multiple of its current speed.
 func (f *fleet) overloadFactor() float64 {
 	if f.OverloadFactor > 0 {
 		return f.OverloadFactor
@@ -103,7 +104,7 @@
 	return defaultOverloadFactor
 }
 
-// link returns the link from one party to another, the same for each call.
+// link returns the link from one party to another, and creates it at the first call.
 func (f *fleet) link(from, to party) *faultproxy.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +117,7 @@
 	return found.Link
 }
 
-// build starts all that the script names: engines, name servers, proxies, and the gateways last.
+// build starts everything that the script names: engines, name servers and proxies, then the gateways.
 func (f *fleet) build() (err error) {
 	if f.dir, err = os.MkdirTemp("", "foxrig"); err != nil {
 		return err
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// build starts the engine, and a proxy to it for each gateway.
+// build starts the engine and, for each gateway, a proxy to the engine.
 func (e *engine) build() error {
 	if err := e.start(false); err != nil {
 		return err
@@ -175,13 +176,13 @@
 	return nil
 }
 
-// build starts the gateway's name server, and the proxies to that and to the gateway itself.
+// build starts the gateway's name server, the proxy to it, and the proxy from clients to the gateway.
 func (g *gateway) build() (err error) {
 	f := g.fleet
 	if g.nameServer, err = standin.NewNameServer("127.0.0.1:0", serviceName); err != nil {
 		return err
 	}
-	if g.dnsProxy, err = faultproxy.NewUDP("127.0.0.1:0", g.nameServer.Addr(), f.link(g.party, namesParty), f.link(namesParty, g.party)); err != nil {
+	if g.dnsProxy, err = faultproxy.NewUDP("127.0.0.1:0", g.nameServer.Addr(), f.link(g.party, nameServersParty), f.link(nameServersParty, g.party)); err != nil {
 		return err
 	}
 	g.nameServer.OnSent(g.recordListSent)
@@ -193,7 +194,8 @@
 	return err
 }
 
-// buildGossip starts a proxy from each gateway to each other one, for gossip.
+// buildGossip chooses the gossip and control addresses of all gateways, and starts a gossip proxy from each gateway
+// to each other one.
 func (f *fleet) buildGossip() error {
 	for _, g := range f.gateways {
 		for _, target := range []*netip.AddrPort{&g.gossipAddr, &g.controlAddr} {
@@ -220,13 +222,13 @@
 	return nil
 }
 
-// newEngineID returns an id that no engine had before. f.mu is held once the fleet runs.
+// newEngineID returns an id that no engine had before. The caller holds f.mu once the fleet runs.
 func (f *fleet) newEngineID() string {
-	f.lastID++
-	return fmt.Sprintf("s-%08x", f.lastID)
+	f.lastEngineID++
+	return fmt.Sprintf("s-%08x", f.lastEngineID)
 }
 
-// play runs the script's clients and faults for its time, then what is checked at the end.
+// play runs the script's clients and faults for the script's length, then makes the final checks.
 func (f *fleet) play(ctx context.Context) (*Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.Length)
 	defer cancel()
@@ -260,7 +262,7 @@
 	return &f.recorder.Report, nil
 }
 
-// injectAt injects a fault at its time, unless the context ends before.
+// injectAt injects a fault at its time, unless the context ends earlier.
 func (f *fleet) injectAt(ctx context.Context, fault *Fault) error {
 	select {
 	case <-ctx.Done():
@@ -270,23 +272,24 @@
 	}
 }
 
-// generateAllLoad generates the load of all zones' clients until the context ends. Their requests run in goroutines of wg.
+// generateAllLoad generates the requests of the clients of all zones until the context ends. They run in goroutines
+// of wg.
 func (f *fleet) generateAllLoad(ctx context.Context, wg *sync.WaitGroup) {
-	cores, totalWeight := 0.0, 0.0
+	totalCores, totalWeight := 0.0, 0.0
 	for _, z := range f.Zones {
-		cores += float64(z.Engines * f.Cores)
+		totalCores += float64(z.Engines * f.Cores)
 		totalWeight += z.clientWeight()
 	}
 	var zones sync.WaitGroup
 	for i, z := range f.Zones {
-		if rate := f.Load * cores / f.meanWork() * float64(time.Second) * z.clientWeight() / totalWeight; rate > 0 {
+		if rate := f.Load * totalCores / f.meanWork() * float64(time.Second) * z.clientWeight() / totalWeight; rate > 0 {
 			zones.Go(func() { f.generateLoad(ctx, i, rate, wg) })
 		}
 	}
 	zones.Wait()
 }
 
-// clientWeight is the zone's part of all requests, in any unit.
+// clientWeight returns the zone's share of all requests, relative to the other zones.
 func (z Zone) clientWeight() float64 {
 	if z.ClientShare > 0 {
 		return z.ClientShare
@@ -294,7 +297,7 @@
 	return float64(z.Engines)
 }
 
-// burstFactor is how many times their usual load a zone's clients generate now.
+// burstFactor returns the current load of a zone's clients, as a multiple of their usual load.
 func (f *fleet) burstFactor(zone int) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -307,7 +310,7 @@
 	return factor
 }
 
-// finish makes the checks that need the whole run, stops all gateways by SIGTERM, and completes the report.
+// finish makes the checks that need the whole run, stops all gateways with SIGTERM, and completes the report.
 func (f *fleet) finish() {
 	f.checkDirectives()
 	f.recorder.checkOverlaps()
@@ -321,7 +324,7 @@
 		f.recorder.recordLogEvents(g)
 		f.recorder.checkInvariants(g)
 		if err := g.keepLog(); err != nil {
-			f.recorder.addUnclassified("the log of %s was not kept: %v", g.name, err)
+			f.recorder.addUnclassified("writing the log of %s failed: %v", g.name, err)
 		}
 	}
 	slices.SortStableFunc(f.recorder.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -337,7 +340,7 @@
 	}
 }
 
-// recordUsage adds the memory and processor time of the gateways that run.
+// recordUsage adds the memory and CPU time of the running gateways to the report.
 func (f *fleet) recordUsage() {
 	for _, g := range f.gateways {
 		if pid := g.pid(); pid != 0 {
@@ -349,7 +352,7 @@
 	}
 }
 
-// keepLog writes the gateway's log to the folder of logs, if there is one.
+// keepLog writes the gateway's log to the log folder, if there is one.
 func (g *gateway) keepLog() error {
 	if g.fleet.logFolder == "" {
 		return nil
@@ -358,14 +361,14 @@
 	return os.WriteFile(name, []byte(g.log.String()), 0o600)
 }
 
-// close stops all that still runs, also of a fleet that was built in part.
+// close stops everything that still runs, also in a fleet that was only partly built, and removes the temporary folder.
 func (f *fleet) close() error {
 	if f.clients != nil {
 		f.clients.close()
 	}
 	for _, g := range f.gateways {
 		g.signal(syscall.SIGCONT)
-		_ = g.stop(syscall.SIGKILL) // a kill is expected to end it with an error
+		_ = g.stop(syscall.SIGKILL) // a killed process is expected to exit with an error
 		if g.clientProxy != nil {
 			g.clientProxy.Close()
 		}
@@ -387,7 +390,7 @@
 		}
 		e.stop()
 	}
-	f.pendingDirectives.Wait() // each has a deadline
+	f.pendingDirectives.Wait() // ends, since each request has a deadline
 	if f.dir == "" {
 		return nil
 	}
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -17,10 +17,10 @@
 	"foxlane/internal/faultproxy"
 )
 
-// gatewayProgram is the path of the gateway that TestMain builds.
+// gatewayProgram is the path of the gateway binary that TestMain builds.
 var gatewayProgram string
 
-// TestMain builds the gateway once.
+// TestMain builds the gateway once, and fails if the tests leave goroutines behind.
 func TestMain(m *testing.M) {
 	code, err := buildAndRun(m)
 	if err != nil {
@@ -38,7 +38,7 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	gatewayProgram = filepath.Join(dir, "foxlane")
 	if out, err := exec.Command("go", "build", "-o", gatewayProgram, "foxlane/cmd/foxlane").CombinedOutput(); err != nil {
-		return 0, fmt.Errorf("building the gateway: %w: %s", err, out)
+		return 0, fmt.Errorf("build the gateway: %w: %s", err, out)
 	}
 	code = m.Run()
 	if code == 0 {
@@ -73,7 +73,7 @@
 E
 `
 
-// fault is a fault block of a script, with an attribute a line.
+// fault returns a fault block of a script, with one attribute per line.
 func fault(kind string, attributes ...string) string {
 	return fmt.Sprintf("fault %q {\n%s\n}\n", kind, strings.Join(attributes, "\n"))
 }
@@ -90,21 +90,22 @@
 		t.Fatal(err)
 	}
 	t.Logf("\n%v", report)
-	for _, x := range report.Violations {
-		t.Error(x)
+	for _, violation := range report.Violations {
+		t.Error(violation)
 	}
 	return report
 }
 
-// wantServed fails the test if less than a share of the weight offered in some seconds was served.
-func wantServed(t *testing.T, report *Report, from, to int, least float64, when string) {
+// checkServedShare fails the test if less than minShare of the weight offered in the seconds from (inclusive) to
+// (exclusive) was served.
+func checkServedShare(t *testing.T, report *Report, from, to int, minShare float64, when string) {
 	t.Helper()
-	if got := report.ServedShare(from, to); got < least {
-		t.Errorf("%.3f of the weight served %s, want %.2f", got, when, least)
+	if got := report.ServedShare(from, to); got < minShare {
+		t.Errorf("%.3f of the weight served %s, want %.2f", got, when, minShare)
 	}
 }
 
-// The keys of the JSON report are those that its readers know, whatever the fields are called.
+// The keys of the JSON report must not change when fields are renamed, since other programs read them.
 func TestReportJSONKeys(t *testing.T) {
 	raw, err := json.Marshal(&Report{Seconds: []Second{{}}, Classes: []ClassReport{{}}, Events: []Event{{}}, Links: map[string]faultproxy.Counts{"a > b": {}}})
 	if err != nil {
@@ -120,29 +121,30 @@
 	}
 }
 
-// A zone is lost, engines and gateways, and comes back cold: the others take over, nothing goes there meanwhile, and it gets its
-// part again without an overload.
-func TestZoneIsLostAndReturns(t *testing.T) {
+// A zone is lost with its engines and gateways, and returns with cold engines. The other zones must take over, send
+// nothing to it meanwhile, and give it its share of the work again without an overload.
+func TestZoneLossAndReturn(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
 length = "16s"
 `+
 		fault("lose", `of = "hall-a"`, `at = "3s"`, `for = "4s"`, `unlisted = "2s"`))
-	wantServed(t, report, 5, 7, 0.9, "while the zone was away")
-	wantServed(t, report, 12, 16, 0.95, "after the return")
+	checkServedShare(t, report, 5, 7, 0.9, "while the zone was lost")
+	checkServedShare(t, report, 12, 16, 0.95, "after the return")
 	if p := report.WorkByZone(13, 16); p[0] < 0.2 {
-		t.Errorf("6 s after its return the zone gets %.2f of the work", p[0])
+		t.Errorf("6 s after its return the zone gets %.2f of the work, want at least 0.2", p[0])
 	}
 	if p := report.WorkByZone(5, 7); p[0] > 0.05 {
-		t.Errorf("the lost zone gets %.2f of the work", p[0])
+		t.Errorf("the lost zone gets %.2f of the work, want at most 0.05", p[0])
 	}
 	if report.GatewaysEntered("hall-a", "lost") < 4 || report.ColdOverloads > 0 {
-		t.Errorf("%d gateways saw the loss; cold engines fell %d times", report.GatewaysEntered("hall-a", "lost"), report.ColdOverloads)
+		t.Errorf("%d gateways logged the loss, want at least 4; %d overloads of cold engines, want none", report.GatewaysEntered("hall-a", "lost"), report.ColdOverloads)
 	}
 }
 
-// A zone that flaps every two seconds is used again by a gateway twice in six flaps at most, and the others go on serving.
+// A zone flaps every 2.2 s. Each gateway may use it again at most twice in six flaps, and the other zones must
+// continue to serve.
 func TestZoneFlaps(t *testing.T) {
 	t.Parallel()
 	const flaps, every, silent = 6, 2200 * time.Millisecond, 1400 * time.Millisecond
@@ -153,27 +155,28 @@
 		}
 	}
 	report := playScript(t, text)
-	wantServed(t, report, 9, 15, 0.9, "after the third flap")
-	losses, returns := 0, map[string]int{}
+	checkServedShare(t, report, 9, 15, 0.9, "after the third flap")
+	losses, returnsByGateway := 0, map[string]int{}
 	for _, e := range report.Events {
 		switch {
 		case e.Zone != "hall-a" || e.At > 2*time.Second+flaps*every:
 		case strings.HasSuffix(e.Text, "> lost"):
 			losses++
 		case strings.HasSuffix(e.Text, "> returning"):
-			if returns[e.Source]++; returns[e.Source] > 2 {
-				t.Errorf("%s takes the zone back at %v, for the %d. time in %d flaps", e.Source, e.At, returns[e.Source], flaps)
+			if returnsByGateway[e.Source]++; returnsByGateway[e.Source] > 2 {
+				t.Errorf("%s uses the zone again at %v, return %d in %d flaps", e.Source, e.At, returnsByGateway[e.Source], flaps)
 			}
 		}
 	}
 	if losses == 0 {
-		t.Error("no gateway has seen a loss: the test has lost its subject")
+		t.Error("no gateway logged a loss of the zone, so the test checked nothing")
 	}
 }
 
-// One direction is cut: queries reach a zone's engines from other zones, responses don't come back. Nothing that is not idempotent
-// is sent twice, each client has its response in time, and the zone's own gateways go on serving.
-func TestAnswersAreCutOff(t *testing.T) {
+// One direction is cut: queries from other zones reach a zone's engines, but the responses don't come back. No
+// request that is not idempotent may be sent twice, each client must get its response in time, and the zone's own
+// gateways must continue to serve.
+func TestResponsesCutOff(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
@@ -181,12 +184,13 @@
 `+
 		fault("burst", `of = "hall-b"`, `at = "1s"`, `for = "10s"`, `factor = 2`)+
 		fault("cut", `from = "hall-a"`, `to = "gateways"`, `at = "3s"`, `for = "4s"`))
-	wantServed(t, report, 4, 7, 0.85, "while answers were cut off")
-	wantServed(t, report, 9, 12, 0.95, "after it")
+	checkServedShare(t, report, 4, 7, 0.85, "while responses were cut off")
+	checkServedShare(t, report, 9, 12, 0.95, "after the cut")
 }
 
-// A zone is cut off from the others in both directions, but not from its clients: all zones go on serving alone.
-func TestZoneServesAlone(t *testing.T) {
+// A zone is cut off from the other zones in both directions, but not from its clients. All zones must continue to
+// serve.
+func TestPartitionedZoneServesAlone(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+siteSettings+`
 load   = 0.5
@@ -194,15 +198,15 @@
 `+
 		fault("cut", `from = "hall-a"`, `to = "hall-b"`, `both = true`, `at = "3s"`, `for = "5s"`)+
 		fault("cut", `from = "hall-a"`, `to = "hall-c"`, `both = true`, `at = "3s"`, `for = "5s"`))
-	wantServed(t, report, 4, 8, 0.95, "while a site was cut off")
+	checkServedShare(t, report, 4, 8, 0.95, "while a zone was cut off")
 	if p := report.WorkByZone(4, 8); p[0] < 0.25 {
-		t.Errorf("the site that is cut off serves %.2f of the work", p[0])
+		t.Errorf("the zone that is cut off serves %.2f of the work, want at least 0.25", p[0])
 	}
 }
 
-// A zone is drained by the operator's file while the name service is silent, and another is lost meanwhile; a gateway starts in
-// the middle of it, another is frozen and resumed.
-func TestLostWhileAnotherDrainsInTheDark(t *testing.T) {
+// A zone is drained by the operator's file while the name service is silent, and another zone is lost meanwhile. In
+// the third zone one gateway is restarted during the loss, and another is frozen and resumed.
+func TestZoneLossWhileAnotherDrainsWithoutNameService(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, threeZones+strings.Replace(siteSettings, "ramp", "drain_over = \"2s\"\n  ramp", 1)+`
 load   = 0.25
@@ -213,19 +217,19 @@
 		fault("lose", `of = "hall-a"`, `at = "5s"`, `for = "4s"`, `unlisted = "1s"`)+
 		fault("kill", `of = "hall-c/g1"`, `at = "6s"`, `for = "500ms"`)+
 		fault("freeze", `of = "hall-c/g0"`, `at = "8s"`, `for = "1s"`))
-	wantServed(t, report, 6, 8, 0.8, "with one zone of three")
+	checkServedShare(t, report, 6, 8, 0.8, "with one zone of three")
 	if p := report.WorkByZone(6, 8); p[1] > 0.1 || p[0] > 0.05 {
-		t.Errorf("parts %.2f with the first zone lost and the second drained", p)
+		t.Errorf("zones get %.2f of the work with the first zone lost and the second drained, want at most 0.05 and 0.1", p)
 	}
-	wantServed(t, report, 14, 17, 0.95, "in the end")
+	checkServedShare(t, report, 14, 17, 0.95, "at the end")
 	if p := report.WorkByZone(14, 17); p[1] < 0.15 {
-		t.Errorf("parts %.2f in the end: the drained zone does not come back", p)
+		t.Errorf("zones get %.2f of the work at the end, want at least 0.15 for the second, which was drained before", p)
 	}
 }
 
-// The smaller of two zones takes over from the larger, with load shedding: what earns least for its work is rejected, what earns
-// most is not.
-func TestSmallSiteTakesOver(t *testing.T) {
+// The smaller of two zones takes over when the larger one is lost, with load shedding: the class with the least
+// weight for its work must be rejected, the class with the most weight for its work mostly not.
+func TestSmallZoneTakesOver(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, `
 zone "big" {
@@ -251,30 +255,30 @@
 E
 `+
 		fault("lose", `of = "big"`, `at = "3s"`, `for = "6s"`, `unlisted = "1s"`))
-	var rejected [3]float64 // part of the first attempts, by class
+	var rejected [3]float64 // fraction of first attempts that were rejected, by class
 	for c := range rejected {
 		for _, s := range report.Seconds[5:9] {
 			rejected[c] += float64(s.Rejected[c]) / float64(report.Classes[c].Requests) * float64(len(report.Seconds)) / 4
 		}
 	}
 	if rejected[1] < 0.2 || rejected[0] > rejected[1]/2 {
-		t.Errorf("with a quarter of the engines %.2f of the first attempts are rejected, by class; the first earns most for its work, the second least", rejected)
+		t.Errorf("with a quarter of the engines, %.2f of the first attempts are rejected by class; the first class has the most weight for its work, the second the least", rejected)
 	}
-	wantServed(t, report, 15, 18, 0.93, "after the return")
+	checkServedShare(t, report, 15, 18, 0.93, "after the return")
 }
 
-// What can't be played is an error that names its place and reason.
+// An invalid script is rejected with an error that names the reason.
 func TestInvalidScripts(t *testing.T) {
 	base := threeZones + "load = 0.5\nlength = \"5s\"\n"
 	for text, want := range map[string]string{
 		base + "talk = true\nvoters = -1\n":                               "voters need talk",
 		"load = 0.5\nlength = \"5s\"\ncores = 4\n":                        "0 gateways and 0 engines",
 		threeZones + "load = 0.5\nlength = \"5m\"\n":                      "at most 3m0s",
-		threeZones + "load = 0.5\nlength = \"soon\"\n":                    "\"soon\" is no span of time",
+		threeZones + "load = 0.5\nlength = \"soon\"\n":                    "\"soon\" is not a duration of at least 0",
 		base + "fault \"flood\" {\n  at = \"1s\"\n}\n":                    "unknown fault \"flood\"",
 		base + "fault \"kill\" {\n  at = \"1s\"\n}\n":                     "kill needs `of`",
 		base + "fault \"cut\" {\n  at = \"1s\"\n  from = \"hall-a\"\n}\n": "cut needs `from` and `to`",
-		base + "fault \"kill\" {\n  at = \"1s\"\n  of = \"hall-a/g7\"\n}": "nothing here is called \"hall-a/g7\"",
+		base + "fault \"kill\" {\n  at = \"1s\"\n  of = \"hall-a/g7\"\n}": "no party or zone is called \"hall-a/g7\"",
 		base + "fault \"slow\" {\n  at = \"1s\"\n  of = \"engines\"\n}":   "needs a factor",
 	} {
 		if _, err := ParseScript([]byte(text), "x.hcl"); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/harness/gatewayconfig.go
+++ b/internal/harness/gatewayconfig.go
@@ -12,31 +12,31 @@
 	"syscall"
 )
 
-// This file owns the files that a gateway reads, and the addresses in them.
+// This file writes the files that a gateway reads, and chooses the addresses in them.
 
-// Limits of a gateway, as the configuration declares them.
+// Resource limits of a gateway, as its configuration declares them.
 const (
 	memoryMB   = 64
 	maxSockets = 512
 )
 
-// object is a JSON object.
-type object = map[string]any
+// jsonObject is a JSON object.
+type jsonObject = map[string]any
 
-// config is the gateway's configuration as it is to be now, in the form that the module's platform gives.
-func (g *gateway) config() object {
+// config returns the gateway's current configuration, in the format of the platform that runs the module.
+func (g *gateway) config() jsonObject {
 	f := g.fleet
-	var servers []object
+	var servers []jsonObject
 	serial, hosts := g.knownList()
 	for _, h := range hosts {
 		state := "active"
 		if h.Draining {
 			state = "leaving"
 		}
-		servers = append(servers, object{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": state, "weight": 4,
+		servers = append(servers, jsonObject{"id": h.ID, "addr": h.Addr.String(), "zone": h.Zone, "kind": h.Kind, "state": state, "weight": 4,
 			"started_ms": h.Started})
 	}
-	var classes []object
+	var classes []jsonObject
 	var threads []int
 	var loads []bool
 	for _, c := range f.classes {
@@ -47,15 +47,15 @@
 	for _, z := range f.Zones {
 		zones = append(zones, z.Name)
 	}
-	return object{
+	return jsonObject{
 		"name": fmt.Sprint("n", g.index), "listen": g.listenAddr, "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(g.index)*10+uint64(g.incarnation.Load())),
 		"dns":    g.dnsProxy.Addr().String(),
-		"limits": object{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
-		"known":  object{"seq": serial, "results": []object{{"seq": serial, "fleet": object{"version": 1, "full": true, "servers": servers}}}},
-		"settings": object{
-			"classes": classes, "clients": object{"marksRetry": true}, "fees": object{"crossZone": 0.05},
-			"extra": object{"classThreads": threads, "isLoad": loads, "cpuOfKind": []int{f.Cores}, "ramOfKindMb": []int{65536}, "tellsCost": true},
-			"limits": object{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
+		"limits": jsonObject{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
+		"known":  jsonObject{"seq": serial, "results": []jsonObject{{"seq": serial, "fleet": jsonObject{"version": 1, "full": true, "servers": servers}}}},
+		"settings": jsonObject{
+			"classes": classes, "clients": jsonObject{"marksRetry": true}, "fees": jsonObject{"crossZone": 0.05},
+			"extra": jsonObject{"classThreads": threads, "isLoad": loads, "cpuOfKind": []int{f.Cores}, "ramOfKindMb": []int{65536}, "tellsCost": true},
+			"limits": jsonObject{"cancel": true, "connIdle": 15_000_000, "connectTimeout": 250_000, "maxAttempts": 3, "maxOpen": 20000,
 				"multiplex": 32, "retryAfter": true, "maxRetryAfter": 2_000_000, "probes": true},
 			"machineTypes": []string{"std"}, "membershipMode": "push", "me": g.index, "siblings": len(f.gateways), "tick": 1000, "zone": g.zoneIndex,
 			"zones": zones,
@@ -64,8 +64,8 @@
 	}
 }
 
-// config is the class as the configuration declares it.
-func (c *requestClass) config() object {
+// config returns the class's entry in the configuration.
+func (c *requestClass) config() jsonObject {
 	effect := "pure"
 	if c.nonIdempotent {
 		effect = "side_effect"
@@ -73,7 +73,7 @@
 	if c.idempotencyWindow > 0 {
 		effect = "token"
 	}
-	entry := object{"dedupWindow": c.idempotencyWindow.Microseconds(), "name": c.name, "aim": c.latencyObjective.Microseconds(), "aimStretch": objectiveStretch, "giveUp": c.timeout.Microseconds(),
+	entry := jsonObject{"dedupWindow": c.idempotencyWindow.Microseconds(), "name": c.name, "aim": c.latencyObjective.Microseconds(), "aimStretch": objectiveStretch, "giveUp": c.timeout.Microseconds(),
 		"effect": effect, "group": "all", "lateValue": lateValue, "worth": c.weight, "serialByKey": c.ordered}
 	if c.firstZoneOnly {
 		entry["staysIn"] = []int{0}
@@ -81,9 +81,9 @@
 	return entry
 }
 
-// ruleSettings are the settings of the rules that the harness checks.
-func (f *fleet) ruleSettings() object {
-	out := object{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
+// ruleSettings returns the settings of those rules that the harness checks.
+func (f *fleet) ruleSettings() jsonObject {
+	out := jsonObject{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
 		"coldFrom": f.ColdFrom, "tipAfter": overloadWindow.Microseconds(), "keyRest": keyQuarantine.Microseconds()}
 	if f.RetryBudget > 0 {
 		out["freeResends"], out["extraPerRequest"], out["lookBack"] = freeRetries, f.RetryBudget, retryWindow.Microseconds()
@@ -91,7 +91,7 @@
 	return out
 }
 
-// membersBlock is the part of the operator's file by which a gateway finds the others; empty without gossip.
+// membersBlock returns the blocks of the operator's file that configure gossip and directives; empty without gossip.
 func (g *gateway) membersBlock() string {
 	if !g.fleet.Gossip || g.fleet.gossipOff.Load() {
 		return ""
@@ -119,12 +119,12 @@
 	return text
 }
 
-// path is where a file of the gateway lies.
+// path returns the path of one of the gateway's files.
 func (g *gateway) path(name string) string {
 	return filepath.Join(g.fleet.dir, fmt.Sprintf("g%d-%s", g.index, name))
 }
 
-// writeFiles writes the gateway's configuration and operator's file as they are to be now.
+// writeFiles writes the gateway's current configuration and operator's file.
 func (g *gateway) writeFiles() error {
 	raw, err := json.Marshal(g.config())
 	if err != nil {
@@ -136,7 +136,7 @@
 	return replaceFile(g.path("site.hcl"), []byte(strings.ReplaceAll(g.fleet.operatorFile(), "{folder}", g.path("results"))+"\n"+g.membersBlock()))
 }
 
-// replaceFile puts a file in the place of whatever is there, in one step.
+// replaceFile replaces a file atomically.
 func replaceFile(path string, data []byte) error {
 	if err := os.WriteFile(path+".next", data, 0o600); err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return os.Rename(path+".next", path)
 }
 
-// operatorFile is the operator's file with the zones that are drained now.
+// operatorFile returns the text of the operator's file, with the zones that are currently drained.
 func (f *fleet) operatorFile() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,20 +161,21 @@
 	return strings.Replace(text, "sites {\n", "sites {\n"+zones, 1)
 }
 
-// addressesGiven counts the calls of unusedAddr in this process, so that no two of them try the same port first.
-var addressesGiven atomic.Uint32
+// unusedAddrCalls counts the calls of unusedAddr in this process, so that no two calls try the same port first.
+var unusedAddrCalls atomic.Uint32
 
-// Ports of gateways lie below the ephemeral ones: the system could give a port that is free now to a proxy or a connection before
-// its gateway starts.
+// Ports of gateways lie below the ephemeral range: the system could give an ephemeral port that is free now to a
+// proxy or a connection before the gateway starts.
 const (
 	firstPort = 20_000
 	portCount = 10_000
 )
 
-// unusedAddr is a loopback address that nobody listens on. Processes and calls do not compete for one: the process id chooses a
-// part of the loopback range, and each call begins at another port.
+// unusedAddr returns a loopback address that nothing listens on, for the gateway with index i. Concurrent processes
+// and calls do not compete for an address: the process id selects a part of the loopback range, and each call begins
+// at another port.
 func unusedAddr(i int) (string, error) {
-	pid, n := uint32(os.Getpid()), addressesGiven.Add(1)
+	pid, n := uint32(os.Getpid()), unusedAddrCalls.Add(1)
 	for try := range uint32(portCount) {
 		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%128, pid%256, i+1, firstPort+(n+try)%portCount)
 		ln, err := net.Listen("tcp", at)
@@ -189,4 +190,4 @@
 	return "", errNoPort
 }
 
-var errNoPort = errors.New("harness: no free port")
+var errNoPort = errors.New("harness: no free port for a gateway")
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -8,9 +8,9 @@
 
 const gossipZones = "talk = true\n" + threeZones
 
-// A fifth of the engines fall silent and the gateways learn of it from one another, through proxies that lose a third of all
-// datagrams and delay the rest; a member is killed and comes back, one is frozen, one is cut off in one direction, and gossip is
-// switched off in the end: clients notice nothing of any of it.
+// Gateways gossip through proxies that lose 30 % of all datagrams and delay the rest, while an engine is silent. One
+// member is killed and returns, one is frozen, one is cut off in one direction, and gossip is switched off at the
+// end. None of this may affect clients.
 func TestGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, gossipZones+siteSettings+`
@@ -23,8 +23,8 @@
 		fault("freeze", `of = "hall-c/g0"`, `at = "7s"`, `for = "2s"`)+
 		fault("cut", `from = "hall-a/g1"`, `to = "hall-b/g0"`, `at = "8s"`, `for = "4s"`)+
 		fault("hush", `at = "15s"`))
-	wantServed(t, report, 11, 17, 0.95, "at the end")
-	joined, ended := map[string]bool{}, map[string]bool{}
+	checkServedShare(t, report, 11, 17, 0.95, "towards the end")
+	joined, ended := map[string]bool{}, map[string]bool{} // by gateway
 	for _, e := range report.Events {
 		switch {
 		case strings.HasPrefix(e.Text, "members: joined"):
@@ -32,20 +32,21 @@
 		case strings.HasPrefix(e.Text, "members: leaving"):
 			ended[e.Source] = true
 			if e.At < 15*time.Second {
-				t.Errorf("%s stops its gossip at %v", e.Source, e.At)
+				t.Errorf("%s stopped its gossip at %v, before gossip was switched off", e.Source, e.At)
 			}
 		}
 	}
 	if len(joined) != 6 || len(ended) != 6 {
-		t.Errorf("%d of 6 gateways have joined others, %d have stopped their gossip when it was switched off", len(joined), len(ended))
+		t.Errorf("%d of 6 gateways joined others, %d stopped their gossip when it was switched off, want all", len(joined), len(ended))
 	}
 	if report.MaxReplicaEntries < 10 {
-		t.Errorf("%d replicated entries at most: nothing was shared", report.MaxReplicaEntries)
+		t.Errorf("gateways held at most %d replicated entries, want at least 10: gossip shared nothing", report.MaxReplicaEntries)
 	}
 }
 
-// Three of six gateways vote, and a directive is in effect at all six. While the leader's zone is cut off and voters are killed, a
-// majority still accepts directives; in the end those confirmed are in effect everywhere, and a drained engine gets nothing.
+// Three of six gateways vote, and a directive is in effect at all six. While one voter is cut off, after another was
+// killed and returned, a majority must still accept directives. At the end all confirmed directives must be in effect
+// at every gateway, and no request may reach a drained engine.
 func TestDirectivesThroughFaults(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, gossipZones+siteSettings+`
@@ -60,10 +61,10 @@
 		fault("order", `of = "hall-a/g0"`, `at = "10s"`, `text = "drain-zone hall-c"`)+
 		fault("order", `of = "hall-b/g0"`, `at = "11s"`, `text = "drain-engine s-00000001"`))
 	if n := len(report.AcceptedDirectives); n < 3 {
-		t.Errorf("%d of 4 directives were confirmed: %v", n, report.AcceptedDirectives)
+		t.Errorf("%d of 4 directives were confirmed, want at least 3: %v", n, report.AcceptedDirectives)
 	}
 	if refused := report.Classes[2].Rejected; refused < 10 {
-		t.Errorf("%d requests of the rejected class were rejected", refused)
+		t.Errorf("%d requests of the rejected class were rejected, want at least 10", refused)
 	}
-	wantServed(t, report, 1, 6, 0.95, "with one engine drained")
+	checkServedShare(t, report, 1, 6, 0.95, "with one engine drained")
 }
--- a/internal/harness/lifecycle.go
+++ b/internal/harness/lifecycle.go
@@ -13,18 +13,18 @@
 	"foxlane/internal/standin"
 )
 
-// This file owns how a gateway's process is started, signalled and stopped.
+// This file starts, signals and stops the processes of gateways.
 
 const (
 	startTimeout      = 10 * time.Second
-	maxReadyTime      = 10 * time.Second // from a start until the gateway greets clients
+	maxReadyTime      = 10 * time.Second // from a start until the gateway accepts logins
 	readyPollInterval = 10 * time.Millisecond
-	stackDumpTimeout  = 2 * time.Second // for a process that does not become ready, after SIGQUIT
+	stackDumpTimeout  = 2 * time.Second // after SIGQUIT to a process that did not become ready
 	stopTimeout       = 8 * time.Second
-	freezeAftermath   = time.Second // a gateway counts as frozen this long after SIGCONT
+	resumeGrace       = time.Second // a gateway counts as frozen this long after SIGCONT
 )
 
-// startIfStopped starts the process unless it runs.
+// startIfStopped starts the process unless it is running.
 func (g *gateway) startIfStopped() error {
 	g.startMu.Lock()
 	defer g.startMu.Unlock()
@@ -37,15 +37,15 @@
 	return g.start()
 }
 
-// start writes the gateway's files, starts its process and waits until it greets clients.
+// start writes the gateway's files, starts its process and waits until it accepts a client's login.
 func (g *gateway) start() error {
 	g.mu.Lock()
-	former := g.latest
+	previous := g.latest
 	g.mu.Unlock()
-	if former != nil { // it may still hold the address
-		<-former.ended
+	if previous != nil { // it holds the address until it has exited
+		<-previous.exited
 	}
-	g.startList()
+	g.restartList()
 	if err := g.writeFiles(); err != nil {
 		return err
 	}
@@ -58,108 +58,109 @@
 	g.current, g.latest, g.termAt = proc, proc, time.Time{}
 	g.mu.Unlock()
 	for time.Since(began) < startTimeout {
-		if proc.hasEnded() {
-			return fmt.Errorf("%w: %s: %s: %s", errEndedAtStart, g.name, proc.exitText(), tail(g.log.String()))
+		if proc.hasExited() {
+			return fmt.Errorf("%w: %s: %s: %s", errExitedDuringStart, g.name, proc.exitStatus(), tail(g.log.String()))
 		}
 		if c, err := standin.Connect(g.listenAddr, netip.Addr{}, time.Second); err == nil {
 			c.Close()
 			g.incarnation.Add(1)
 			if took := time.Since(began); took > maxReadyTime {
-				g.fleet.recorder.addViolation(NotReady, "%s was ready after %v", g.name, took.Round(time.Millisecond))
+				g.fleet.recorder.addViolation(NotReady, "%s became ready only after %v", g.name, took.Round(time.Millisecond))
 			}
 			return nil
 		}
 		time.Sleep(readyPollInterval)
 	}
 	g.fleet.recorder.addViolation(NotReady, "%s was not ready after %v", g.name, startTimeout)
-	g.signal(syscall.SIGQUIT) // it writes its stacks to the log
+	g.signal(syscall.SIGQUIT) // makes the process write its stacks to the log
 	select {
-	case <-proc.ended:
+	case <-proc.exited:
 	case <-time.After(stackDumpTimeout):
 	}
 	return fmt.Errorf("%w: %s: %s", errNotServing, g.name, g.log.String())
 }
 
 var (
-	errEndedAtStart = errors.New("harness: a process exited during its start")
-	errNotServing   = errors.New("harness: a process does not serve")
-	errNotEnded     = errors.New("harness: a process did not exit")
+	errExitedDuringStart = errors.New("harness: a process exited during its start")
+	errNotServing        = errors.New("harness: a process does not accept clients")
+	errNotExited         = errors.New("harness: a process did not exit")
 )
 
-// signal sends a signal, if the process runs.
-func (g *gateway) signal(s syscall.Signal) {
+// signal sends a signal to the latest process, if that has not exited. A process that is being stopped gets it too.
+func (g *gateway) signal(sig syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.latest != nil && !g.latest.hasEnded() { // also while it is being stopped: it may be frozen, and must go on to exit
-		_ = g.latest.cmd.Process.Signal(s)
+	if g.latest != nil && !g.latest.hasExited() { // latest, not current: a frozen process that is being stopped must be resumed to exit
+		_ = g.latest.cmd.Process.Signal(sig)
 	}
 }
 
-// stop stops the process by a signal, as stopWithin does.
-func (g *gateway) stop(s syscall.Signal) error { return g.stopWithin(s, stopTimeout) }
+// stop stops the process with a signal within stopTimeout, see stopWithin.
+func (g *gateway) stop(sig syscall.Signal) error { return g.stopWithin(sig, stopTimeout) }
 
-// stopWithin stops the process by a signal, and by SIGKILL if it has not exited within a time, which is errNotEnded. Otherwise it
-// returns the process's exit error; an exit after SIGKILL is none. A process that had exited by itself is a violation.
-func (g *gateway) stopWithin(s syscall.Signal, within time.Duration) error {
+// stopWithin stops the process with a signal. If it has not exited within the timeout, stopWithin kills it and
+// returns errNotExited. Otherwise it returns the process's exit error, or nil if the process was killed on purpose. A
+// process that had already exited by itself is a violation.
+func (g *gateway) stopWithin(sig syscall.Signal, timeout time.Duration) error {
 	began := time.Now()
 	g.mu.Lock()
 	proc, stopping := g.current, g.latest
 	g.current, g.termAt = nil, began
 	g.mu.Unlock()
-	if proc == nil && s == syscall.SIGKILL && stopping != nil && !stopping.hasEnded() { // another call is stopping it: kill it under that
+	if proc == nil && sig == syscall.SIGKILL && stopping != nil && !stopping.hasExited() { // another call is stopping it: kill it meanwhile
 		g.killedAt.Store(began.UnixNano())
 		_ = stopping.cmd.Process.Kill()
-		<-stopping.ended
+		<-stopping.exited
 	}
 	if proc == nil {
 		return nil
 	}
 	g.incarnation.Add(1)
-	if proc.hasEnded() {
-		g.fleet.recorder.addViolation(Crashed, "%s had ended by itself with %v: %s", g.name, proc.err, tail(g.log.String()))
+	if proc.hasExited() {
+		g.fleet.recorder.addViolation(Crashed, "%s had exited by itself with %v: %s", g.name, proc.err, tail(g.log.String()))
 		return nil
 	}
-	if s == syscall.SIGKILL {
+	if sig == syscall.SIGKILL {
 		g.killedAt.Store(time.Now().UnixNano())
 	}
-	_ = proc.cmd.Process.Signal(s)
+	_ = proc.cmd.Process.Signal(sig)
 	select {
-	case <-proc.ended:
-		if s == syscall.SIGKILL || g.killedAt.Load() > began.UnixNano() {
+	case <-proc.exited:
+		if sig == syscall.SIGKILL || g.killedAt.Load() > began.UnixNano() {
 			return nil
 		}
 		return proc.err
-	case <-time.After(within):
-		if g.stoppedSince(began) { // it may not have received the signal in time
+	case <-time.After(timeout):
+		if g.frozenSince(began) { // it may not have received the signal in time
 			g.killedAt.Store(time.Now().UnixNano())
 		}
 		_ = proc.cmd.Process.Kill()
-		<-proc.ended
-		return fmt.Errorf("%w within %v: %s", errNotEnded, within, g.name)
+		<-proc.exited
+		return fmt.Errorf("%w within %v: %s", errNotExited, timeout, g.name)
 	}
 }
 
-// pid is the process's id, 0 if it does not run.
+// pid returns the process's id, or 0 if it is not running.
 func (g *gateway) pid() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.current == nil || g.current.hasEnded() {
+	if g.current == nil || g.current.hasExited() {
 		return 0
 	}
 	return g.current.cmd.Process.Pid
 }
 
-// sendCommand sends the process a command on standard input, if it accepts commands and runs.
+// sendCommand writes a command to the standard input of the process, if it is running and accepts commands.
 func (g *gateway) sendCommand(c command) {
 	raw, err := json.Marshal(c)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err == nil && g.current != nil && g.current.commands != nil {
-		_, _ = g.current.commands.Write(append(raw, '\n')) // fails only if the process has exited
+	if err == nil && g.current != nil && g.current.commandInput != nil {
+		_, _ = g.current.commandInput.Write(append(raw, '\n')) // fails only if the process has exited
 	}
 }
 
-// stallLog stops reading the process's log for a while.
+// stallLog suspends reading of the process's log for a while.
 func (g *gateway) stallLog(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,8 +169,9 @@
 	}
 }
 
-// limitFiles sets how many descriptors the process may have open, and returns the limit before that; 0 if it does not run.
-func (g *gateway) limitFiles(most uint64) (before uint64, err error) {
+// limitFiles sets how many file descriptors the process may have open, at most its hard limit, and returns the previous
+// limit; 0 if the process is not running.
+func (g *gateway) limitFiles(limit uint64) (previous uint64, err error) {
 	pid := g.pid()
 	if pid == 0 {
 		return 0, nil
@@ -178,12 +180,13 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &old); err != nil {
 		return 0, err
 	}
-	return old.Cur, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: min(most, old.Max), Max: old.Max}, nil)
+	return old.Cur, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: min(limit, old.Max), Max: old.Max}, nil)
 }
 
-// checkExit checks the exit of a process that was asked to stop at a time. One that was frozen meanwhile may have to be killed.
-func (g *gateway) checkExit(err error, since time.Time) {
-	if errors.Is(err, errNotEnded) && g.stoppedSince(since) {
+// checkExit reports a crash if a process that was asked to stop at askedAt did not exit cleanly. A process that was
+// frozen meanwhile may have had to be killed.
+func (g *gateway) checkExit(err error, askedAt time.Time) {
+	if errors.Is(err, errNotExited) && g.frozenSince(askedAt) {
 		return
 	}
 	g.reportCrash(err)
@@ -192,15 +195,15 @@
 // reportCrash adds a violation if a process that was asked to stop exited with an error.
 func (g *gateway) reportCrash(err error) {
 	if err != nil {
-		g.fleet.recorder.addViolation(Crashed, "%s ended with %v: %s", g.name, err, tail(g.log.String()))
+		g.fleet.recorder.addViolation(Crashed, "%s exited with %v: %s", g.name, err, tail(g.log.String()))
 	}
 }
 
-// stopGracefully stops the process by SIGTERM, and reports a crash if it does not exit cleanly.
+// stopGracefully stops the process with SIGTERM, and reports a crash if it does not exit cleanly.
 func (g *gateway) stopGracefully() { g.reportCrash(g.stop(syscall.SIGTERM)) }
 
-// startGateways starts those of the gateways that a fault has stopped.
-func (f *fleet) startGateways(selector string) error {
+// startStoppedGateways starts those gateways that the selector matches and that are not running.
+func (f *fleet) startStoppedGateways(selector string) error {
 	for _, g := range f.gateways {
 		if g.matches(selector) {
 			if err := g.startIfStopped(); err != nil {
@@ -211,15 +214,15 @@
 	return nil
 }
 
-// freeze stops the process by SIGSTOP, until resume.
+// freeze suspends the process with SIGSTOP until resume.
 func (g *gateway) freeze() {
 	g.frozen.Store(true)
 	g.signal(syscall.SIGSTOP)
 }
 
-// resume has a frozen process go on.
+// resume lets a frozen process continue. The gateway counts as frozen for another resumeGrace.
 func (g *gateway) resume() {
 	g.signal(syscall.SIGCONT)
 	g.resumedAt.Store(time.Now().UnixNano())
-	time.AfterFunc(freezeAftermath, func() { g.frozen.Store(false) })
+	time.AfterFunc(resumeGrace, func() { g.frozen.Store(false) })
 }
--- a/internal/harness/lostattempts.go
+++ b/internal/harness/lostattempts.go
@@ -6,39 +6,40 @@
 
 // lostAttempt is an attempt whose connection ended, or stayed silent, before its response.
 type lostAttempt struct {
-	id, class  string
-	gateway    *gateway
-	began      time.Time
-	took, left time.Duration
-	fresh      bool // its connection was new
-	err        error
+	id, class     string
+	gateway       *gateway
+	began         time.Time
+	took, left    time.Duration
+	newConnection bool // it was the first attempt on its connection
+	err           error
 }
 
 const (
-	closeRace               = 50 * time.Millisecond  // a request sent while its idle connection is closed has failed by then
-	newConnectionsAfterTerm = 400 * time.Millisecond // for which clients still open connections after SIGTERM
+	idleCloseWindow         = 50 * time.Millisecond  // a request sent on an idle connection that is just being closed fails within this
+	newConnectionsAfterTerm = 400 * time.Millisecond // how long after SIGTERM clients still open connections
 )
 
-// checkLost checks an attempt without a response: its gateway owes one unless it was killed or kept from its clients.
+// checkLost adds a violation for an attempt without a response, unless its gateway was killed or had exited, a fault
+// kept it from its clients, it closed an idle connection or could not accept a new one, or the harness itself paused.
 func (f *fleet) checkLost(lost lostAttempt) {
 	g, end := lost.gateway, lost.began.Add(lost.took)
 	timedOut := lost.took >= lost.left+responseGrace
-	within := func(unix int64) bool { return unix > lost.began.Add(-time.Second).UnixNano() && unix <= end.UnixNano() }
+	duringAttempt := func(unix int64) bool { return unix > lost.began.Add(-time.Second).UnixNano() && unix <= end.UnixNano() }
 	g.mu.Lock()
 	running := g.current != nil
 	g.mu.Unlock()
-	ended := time.Unix(0, g.endedAt.Load())
+	ended := time.Unix(0, g.exitedAt.Load())
 	switch {
 	case timedOut && f.pauses.totalSince(lost.began) > 0:
 		return
-	case within(g.killedAt.Load()), g.disturbedSince(lost.began.Add(-time.Second)):
+	case duringAttempt(g.killedAt.Load()), g.disturbedSince(lost.began.Add(-time.Second)):
 		return
-	case !running && lost.began.After(ended.Add(-closeRace-socketSlack)): // the process had ended
+	case !running && lost.began.After(ended.Add(-idleCloseWindow-socketSlack)): // the process had exited
 		return
-	case !timedOut && !lost.fresh && lost.took < closeRace+socketSlack: // the gateway closed the idle connection meanwhile
+	case !timedOut && !lost.newConnection && lost.took < idleCloseWindow+socketSlack: // the gateway closed the idle connection meanwhile
 		return
-	case !timedOut && g.strainedUntil.Load() > lost.began.UnixNano() && lost.fresh && lost.took < closeRace:
+	case !timedOut && g.constrainedUntil.Load() > lost.began.UnixNano() && lost.newConnection && lost.took < idleCloseWindow:
 		return
 	}
-	f.recorder.addViolation(LostRequest, "%s of class %s at %s: %v after %v of %v", lost.id, lost.class, g.name, lost.err, lost.took.Round(time.Millisecond), lost.left)
+	f.recorder.addViolation(LostRequest, "%s of class %s at %s got no response: %v after %v of %v", lost.id, lost.class, g.name, lost.err, lost.took.Round(time.Millisecond), lost.left)
 }
--- a/internal/harness/pauses.go
+++ b/internal/harness/pauses.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// This file watches the harness itself: while its own goroutines don't run, what it sees late is not late by a gateway's fault.
-// Each such pause is counted and reported.
+// This file detects pauses of the harness itself: what it observes late because its own goroutines did not run is no
+// fault of a gateway. Each pause is counted and reported.
 
 const (
 	pausePollInterval = 10 * time.Millisecond
-	minPause          = 100 * time.Millisecond // a poll this late is a pause
+	minPause          = 100 * time.Millisecond // a poll that is this late counts as a pause
 )
 
-// pauses are the times in which this process did not run.
+// pauses records the times in which the harness's process did not run.
 type pauses struct {
-	mu   sync.Mutex
-	list []pause
+	mu       sync.Mutex
+	recorded []pause
 }
 
 type pause struct {
@@ -33,31 +33,31 @@
 		now := time.Now()
 		if gap := now.Sub(last) - pausePollInterval; gap >= minPause {
 			p.mu.Lock()
-			p.list = append(p.list, pause{now, gap})
+			p.recorded = append(p.recorded, pause{now, gap})
 			p.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// totalSince is the total length of the pauses that ended after a time.
+// totalSince returns the total length of the pauses that ended after t.
 func (p *pauses) totalSince(t time.Time) (sum time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, x := range p.list {
-		if x.end.After(t) {
-			sum += x.length
+	for _, pause := range p.recorded {
+		if pause.end.After(t) {
+			sum += pause.length
 		}
 	}
 	return sum
 }
 
-// summary returns the number of pauses and the longest one.
+// summary returns the number of pauses and the length of the longest one.
 func (p *pauses) summary() (n int, longest time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, x := range p.list {
-		longest = max(longest, x.length)
+	for _, pause := range p.recorded {
+		longest = max(longest, pause.length)
 	}
-	return len(p.list), longest
+	return len(p.recorded), longest
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -14,34 +14,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns single processes of gateways: how one is spawned, who reads its log, and its limits.
+// This file spawns single gateway processes, pins them to a core, and reads their logs.
 
-// Process is the program that gateways run.
+// Process is the program that gateways run, with its arguments and environment.
 type Process struct {
 	Program         string
-	Args            []string // before `serve`
-	Env             []string // added to the harness's own
-	AcceptsCommands bool     // it reads commands on standard input, as a fault gateway does
+	Args            []string // passed before `serve`
+	Env             []string // added to the environment of the harness
+	AcceptsCommands bool     // it reads commands from standard input, as a fault gateway does
 }
 
 // process is one incarnation of a gateway.
 type process struct {
-	cmd       *exec.Cmd
-	commands  io.WriteCloser // nil: it accepts none
-	ended     chan struct{}  // closed once it has exited and its log is read
-	err       error          // how it exited; set before ended is closed
-	logReader *logReader
+	cmd          *exec.Cmd
+	commandInput io.WriteCloser // nil: it accepts no commands
+	exited       chan struct{}  // closed once it has exited and its log is read
+	err          error          // exit error; set before exited is closed
+	logReader    *logReader
 }
 
-// exitText says how a process that has ended exited.
-func (p *process) exitText() string {
+// exitStatus describes how the process exited. It must have exited.
+func (p *process) exitStatus() string {
 	if p.err == nil {
 		return "exit status 0"
 	}
 	return p.err.Error()
 }
 
-// spawn starts the process. A goroutine waits for its exit and closes ended.
+// spawn starts the gateway's process, and a goroutine that waits for its exit and closes exited.
 func (g *gateway) spawn() (*process, error) {
 	p := g.fleet.process
 	args := append(append([]string{}, p.Args...), "serve")
@@ -50,13 +50,13 @@
 	}
 	cmd := exec.Command(p.Program, args...)
 	cmd.Env = append(append(os.Environ(), p.Env...), "LB_CONFIG="+g.path("config.json"), "LB_NAME=", "LB_LISTEN=")
-	proc := &process{cmd: cmd, ended: make(chan struct{})}
+	proc := &process{cmd: cmd, exited: make(chan struct{})}
 	if p.AcceptsCommands {
 		in, err := cmd.StdinPipe()
 		if err != nil {
 			return nil, err
 		}
-		proc.commands = in
+		proc.commandInput = in
 	}
 	logRead, logWrite, err := os.Pipe()
 	if err != nil {
@@ -68,7 +68,7 @@
 	} else {
 		err = cmd.Start()
 	}
-	_ = logWrite.Close() // the process has its own
+	_ = logWrite.Close() // the process has its own copy
 	if err != nil {
 		_ = logRead.Close()
 		return nil, err
@@ -76,62 +76,65 @@
 	proc.logReader = startLogReader(logRead, &g.log)
 	go func() {
 		proc.err = cmd.Wait()
-		g.endedAt.Store(time.Now().UnixNano())
+		g.exitedAt.Store(time.Now().UnixNano())
 		proc.logReader.done.Wait()
-		close(proc.ended)
+		close(proc.exited)
 	}()
 	return proc, nil
 }
 
-// startOnCore starts a process that may run on one core only: the n-th, modulo their number, of those this process may use.
+// startOnCore starts a process that may run on one core only: number n, modulo the count, of the cores that the
+// harness may use. The child inherits the affinity of the thread that starts it, so this sets the thread's affinity
+// for the start.
 func startOnCore(cmd *exec.Cmd, n uint64) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var all, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &all); err != nil {
+	var allowed, pinned unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return err
 	}
-	left := n % uint64(all.Count())
+	remaining := n % uint64(allowed.Count())
 	for i := range maxCores {
-		if !all.IsSet(i) {
+		if !allowed.IsSet(i) {
 			continue
 		}
-		if left == 0 {
-			one.Set(i)
+		if remaining == 0 {
+			pinned.Set(i)
 			break
 		}
-		left--
+		remaining--
 	}
-	if err := unix.SchedSetaffinity(0, &one); err != nil {
+	if err := unix.SchedSetaffinity(0, &pinned); err != nil {
 		return err
 	}
-	defer func() { _ = unix.SchedSetaffinity(0, &all) }()
+	defer func() { _ = unix.SchedSetaffinity(0, &allowed) }()
 	return cmd.Start()
 }
 
-// maxCores is the number of cores that a CPUSet can name.
+// maxCores is the number of cores that a unix.CPUSet can hold.
 const maxCores = 1024
 
-// hasEnded reports whether the process has exited.
-func (p *process) hasEnded() bool {
+// hasExited reports whether the process has exited.
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// logReader copies a process's log until its end, and can be told not to read for a while, so that the pipe fills up.
+// logReader copies a process's log until the pipe is closed. It can suspend reading for a while, so that the pipe
+// fills up.
 type logReader struct {
 	pipe        *os.File
-	pausedUntil atomic.Int64   // Unix nanoseconds: it does not read before
-	done        sync.WaitGroup // of its goroutine, which ends with the pipe
+	pausedUntil atomic.Int64   // when reading resumes, in Unix nanoseconds
+	done        sync.WaitGroup // its goroutine, which ends when the pipe is closed
 }
 
 const logPollInterval = 5 * time.Millisecond
 
-// startLogReader starts the goroutine that copies a log from a pipe, which it owns.
+// startLogReader starts a goroutine that copies a log from a pipe, and closes the pipe at its end.
 func startLogReader(pipe *os.File, to io.Writer) *logReader {
 	reader := &logReader{pipe: pipe}
 	reader.done.Go(func() {
@@ -151,10 +154,10 @@
 	return reader
 }
 
-// stall stops reading for a while.
+// stall suspends reading for d.
 func (r *logReader) stall(d time.Duration) { r.pausedUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// openFiles is how many descriptors a process has open; 0 if it does not run.
+// openFiles returns how many file descriptors a process has open; 0 if it is not running.
 func openFiles(pid int) int {
 	entries, err := os.ReadDir(filepath.Join("/proc", fmt.Sprint(pid), "fd"))
 	if err != nil {
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -17,7 +17,7 @@
 	"foxlane/internal/standin"
 )
 
-// testProcess is one gateway whose standard error and configuration the test controls.
+// testProcess is a gateway process whose standard error and configuration the test controls.
 type testProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -26,28 +26,28 @@
 	done   chan error
 }
 
-// startProcess starts a gateway with one engine, which serves all, and with a file as its standard error.
+// startProcess starts a gateway whose standard error is the given file, and one engine that serves every request.
 func startProcess(t *testing.T, stderr *os.File) *testProcess {
 	t.Helper()
-	e, err := standin.NewEngine("127.0.0.1:0", func(a standin.Request) standin.Reply {
-		return standin.Reply{Delay: time.Millisecond, Status: "served", Pages: []string{a.ID + "\tb\tc\n"}}
+	engine, err := standin.NewEngine("127.0.0.1:0", func(request standin.Request) standin.Reply {
+		return standin.Reply{Delay: time.Millisecond, Status: "served", Pages: []string{request.ID + "\tb\tc\n"}}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
+	t.Cleanup(engine.Close)
 	names, err := standin.NewNameServer("127.0.0.1:0", serviceName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(names.Close)
-	names.SetHosts(1, []standin.Host{{ID: "s-1", Zone: "a", Kind: "std", Weight: 4, Addr: netip.MustParseAddrPort(e.Addr())}})
+	names.SetHosts(1, []standin.Host{{ID: "s-1", Zone: "a", Kind: "std", Weight: 4, Addr: netip.MustParseAddrPort(engine.Addr())}})
 	listen, err := unusedAddr(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &testProcess{t: t, listen: listen, config: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1)}
-	if err := os.WriteFile(p.config, []byte(silentConfig("n0", listen, names.Addr(), e.Addr())), 0o600); err != nil {
+	if err := os.WriteFile(p.config, []byte(silentConfig("n0", listen, names.Addr(), engine.Addr())), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command(gatewayProgram, "serve")
@@ -63,13 +63,13 @@
 			return p
 		}
 		if i > 300 {
-			t.Fatal("the gateway does not serve")
+			t.Fatal("the gateway does not serve queries")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// query queries the gateway for one row.
+// query sends the gateway a query and expects one row. The number n makes its request id unique.
 func (p *testProcess) query(n int) error {
 	c, err := standin.Connect(p.listen, netip.Addr{}, time.Second)
 	if err != nil {
@@ -78,7 +78,7 @@
 	defer c.Close()
 	rows, err := c.Query(fmt.Sprintf("/* kind=point,req=%016x,timeout=1000,ms=1.0 */ SELECT day FROM sales_1.orders", time.Now().UnixNano()+int64(n)), time.Second)
 	if err == nil && rows != 1 {
-		err = fmt.Errorf("%d rows", rows)
+		err = fmt.Errorf("got %d rows, want 1", rows)
 	}
 	return err
 }
@@ -90,31 +90,31 @@
 	}
 }
 
-// checkServes fails the test if a query gets no response.
+// checkServes fails the test if a query is not served.
 func (p *testProcess) checkServes(when string) {
 	p.t.Helper()
 	if err := p.query(0); err != nil {
-		p.t.Errorf("%s: a query got %v", when, err)
+		p.t.Errorf("%s: a query failed: %v", when, err)
 	}
 }
 
-// checkStops sends SIGTERM, after which the process must exit with code 0 within 5 s.
+// checkStops sends SIGTERM and fails the test unless the process exits with code 0 within 5 s.
 func (p *testProcess) checkStops() {
 	p.t.Helper()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.done:
 		if err != nil {
-			p.t.Errorf("ended with %v", err)
+			p.t.Errorf("exited with %v after SIGTERM", err)
 		}
 	case <-time.After(5 * time.Second):
-		p.t.Error("not ended 5 s after SIGTERM")
+		p.t.Error("still running 5 s after SIGTERM")
 		_ = p.cmd.Process.Kill()
 		p.t.Logf("killed: %v", <-p.done)
 	}
 }
 
-// smallPipe is a pipe that holds 4 KB.
+// smallPipe returns the ends of a pipe that holds 4 KB.
 func smallPipe(t *testing.T) (r, w *os.File) {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -128,8 +128,8 @@
 	return r, w
 }
 
-// fill writes to a pipe until it holds no more, through a file description of its own, so that writes of the process through the
-// other one still block.
+// fill writes to a pipe until it is full. It opens a separate file description in non-blocking mode, so that writes
+// of the process through the original one still block.
 func fill(t *testing.T, w *os.File) {
 	t.Helper()
 	fd, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", w.Fd()), unix.O_WRONLY|unix.O_NONBLOCK, 0)
@@ -146,8 +146,8 @@
 	}
 }
 
-// A log collector that exits does not take the gateway down: writes to its pipe fail, and the gateway goes on serving.
-func TestStandardErrorGoesAway(t *testing.T) {
+// A log collector that exits must not stop the gateway: writes to the pipe fail, and the gateway continues to serve.
+func TestStandardErrorClosed(t *testing.T) {
 	r, w := smallPipe(t)
 	p := startProcess(t, w)
 	if err := errors.Join(w.Close(), r.Close()); err != nil {
@@ -155,12 +155,13 @@
 	}
 	p.signal(syscall.SIGHUP, 20)
 	time.Sleep(100 * time.Millisecond)
-	p.checkServes("with nobody at the other end of standard error")
+	p.checkServes("with the other end of standard error closed")
 	p.checkStops()
 }
 
-// A log collector that stops reading blocks nothing: with the pipe full queries are served and SIGTERM takes effect.
-func TestStandardErrorIsFull(t *testing.T) {
+// A log collector that stops reading must not block the gateway: while the pipe is full, queries are served and SIGTERM
+// takes effect.
+func TestStandardErrorFull(t *testing.T) {
 	_, w := smallPipe(t)
 	p := startProcess(t, w)
 	fill(t, w)
@@ -170,8 +171,9 @@
 	p.checkStops()
 }
 
-// A reload of a file whose read never ends, such as one on a mount that hangs, blocks neither the gateway nor its shutdown.
-func TestReloadOfAFileThatHangs(t *testing.T) {
+// A reload of a file whose read never returns, such as one on a mount that hangs, must block neither the gateway nor
+// its shutdown.
+func TestReloadWhileConfigReadHangs(t *testing.T) {
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -185,12 +187,12 @@
 	if err := os.Remove(p.config); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(p.config, 0o600); err != nil { // nobody ever writes to it
+	if err := syscall.Mkfifo(p.config, 0o600); err != nil { // nothing ever writes to it, so that reads block
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP, 3)
 	time.Sleep(100 * time.Millisecond)
-	p.checkServes("while the configuration can't be read")
+	p.checkServes("while reading the configuration hangs")
 	if err := os.Remove(p.config); err != nil {
 		t.Fatal(err)
 	}
@@ -201,6 +203,6 @@
 	p.checkServes("with the configuration in place again")
 	p.checkStops()
 	if raw, err := os.ReadFile(log.Name()); err != nil || !strings.Contains(string(raw), `"configuration reloaded"`) {
-		t.Errorf("the configuration that came back was not read: %v\n%s", err, raw)
+		t.Errorf("the restored configuration was not loaded: %v\n%s", err, raw)
 	}
 }
--- a/internal/harness/processfaults.go
+++ b/internal/harness/processfaults.go
@@ -9,9 +9,11 @@
 	"time"
 )
 
-// This file owns the faults of gateways' processes: signals, their files and limits, and the commands of fault gateways.
+// This file injects the faults of gateway processes: signals, broken files, resource limits, and the commands of fault
+// gateways.
 
-// command is what a fault gateway reads on standard input, a JSON object a line (faultgateway.Command).
+// command is a command to a fault gateway, which reads one JSON object per line from standard input
+// (faultgateway.Command).
 type command struct {
 	Kind     string  `json:"kind"`
 	MS       int64   `json:"ms,omitempty"`
@@ -21,7 +23,7 @@
 	ForMS    int64   `json:"for_ms,omitempty"`
 }
 
-// failCommand is the command by which a fault's calls fail. The fault's text is the calls and the error.
+// failCommand returns the command that makes calls fail. The fault's text holds the calls and the error.
 func failCommand(kind string, fault *Fault) command {
 	calls, errno, _ := strings.Cut(fault.Text, " ")
 	return command{Kind: kind, Calls: calls, Errno: errno, Fraction: fault.Factor, ForMS: fault.For.Milliseconds()}
@@ -30,7 +32,7 @@
 func (f *fleet) failCalls(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, func(g *gateway) {
 		g.sendCommand(failCommand("calls", fault))
-		g.markStrained(fault.For + time.Second)
+		g.markConstrained(fault.For + time.Second)
 	})
 	return nil, nil
 }
@@ -66,27 +68,27 @@
 }
 
 func (f *fleet) killGateways(fault *Fault) (revertFunc, error) {
-	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) }) // a kill is expected to end it with an error
-	return func() error { return f.startGateways(fault.Target) }, nil
+	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) }) // a killed process is expected to exit with an error
+	return func() error { return f.startStoppedGateways(fault.Target) }, nil
 }
 
 func (f *fleet) restartGateways(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, (*gateway).stopGracefully)
-	return func() error { return f.startGateways(fault.Target) }, nil
+	return func() error { return f.startStoppedGateways(fault.Target) }, nil
 }
 
 const (
-	killAfterDeadline  = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline after SIGTERM,
-	maxCountedDeadline = 3 * time.Second        // which counts as this at most
+	killAfterDeadline  = 700 * time.Millisecond // from the longest request timeout after SIGTERM until SIGKILL
+	maxCountedDeadline = 3 * time.Second        // a longer request timeout counts as this
 )
 
-// killDelay is how long after SIGTERM SIGKILL comes, the earliest that the operators' documents name.
+// killDelay returns the time from SIGTERM to SIGKILL: the shortest one that the operators' documents name.
 func (f *fleet) killDelay() time.Duration {
 	return min(f.longestTimeout(), maxCountedDeadline) + killAfterDeadline
 }
 
-// terminateGateways sends gateways SIGTERM, kills those that have not exited after killDelay, and starts them again. Clients go on
-// using their open connections.
+// terminateGateways sends SIGTERM to gateways, kills those that have not exited after killDelay, and starts them again.
+// Clients continue to use their open connections meanwhile.
 func (f *fleet) terminateGateways(fault *Fault) (revertFunc, error) {
 	var exits sync.WaitGroup
 	f.eachGateway(fault.Target, func(g *gateway) {
@@ -96,30 +98,30 @@
 		})
 	})
 	exits.Wait()
-	return nil, f.startGateways(fault.Target)
+	return nil, f.startStoppedGateways(fault.Target)
 }
 
 const (
-	signalPause  = 20 * time.Millisecond  // between two signals of a series
-	stopDuration = 150 * time.Millisecond // for which a series of signals stops a process
+	signalPause  = 20 * time.Millisecond  // before each signal of a series
+	stopDuration = 150 * time.Millisecond // how long a series waits after SIGSTOP
 )
 
-// signalNames are the signals that a series may name.
-var signalNames = map[string]syscall.Signal{"HUP": syscall.SIGHUP, "TERM": syscall.SIGTERM, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT}
+// signalsByName are the signals that a series may contain.
+var signalsByName = map[string]syscall.Signal{"HUP": syscall.SIGHUP, "TERM": syscall.SIGTERM, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT}
 
-// signalGateways sends gateways a series of signals. Those that get a SIGTERM are started again once they have exited.
+// signalGateways sends a series of signals to gateways. Those that get SIGTERM are started again once they have exited.
 func (f *fleet) signalGateways(fault *Fault) (revertFunc, error) {
 	var series sync.WaitGroup
 	f.eachGateway(fault.Target, func(g *gateway) {
-		series.Go(func() { g.sendSeries(strings.Fields(fault.Text)) })
+		series.Go(func() { g.sendSignals(strings.Fields(fault.Text)) })
 	})
 	series.Wait()
-	return nil, f.startGateways(fault.Target)
+	return nil, f.startStoppedGateways(fault.Target)
 }
 
-// sendSeries sends the process a series of signals. With the first SIGTERM it begins to stop, while the rest of the series goes on;
-// sendSeries returns when it has exited.
-func (g *gateway) sendSeries(names []string) {
+// sendSignals sends a series of signals to the process. After the first SIGTERM it still sends the rest of the series
+// while the process stops, and returns when the process has exited.
+func (g *gateway) sendSignals(names []string) {
 	exited := make(chan error, 1)
 	stopping, began := false, time.Now()
 	for _, name := range names {
@@ -134,7 +136,7 @@
 		case name == "CONT":
 			g.resume()
 		default:
-			g.signal(signalNames[name])
+			g.signal(signalsByName[name])
 		}
 	}
 	if stopping {
@@ -142,12 +144,12 @@
 	}
 }
 
-// reloadTargets has the target's gateways read their files again.
+// reloadTargets makes the target's gateways reload their files.
 func (f *fleet) reloadTargets(fault *Fault) (revertFunc, error) {
 	return nil, f.reloadGateways(fault.Target)
 }
 
-// reloadGateways writes the gateways' files as they are to be now, and has them read again.
+// reloadGateways writes the current files of gateways and makes the gateways reload them.
 func (f *fleet) reloadGateways(selector string) error {
 	var errs []error
 	f.eachGateway(selector, func(g *gateway) {
@@ -157,27 +159,28 @@
 	return errors.Join(errs...)
 }
 
-// replaceConfigsWithFIFO replaces configurations by pipes that nobody writes to, and asks for a reload.
+// replaceConfigsWithFIFO replaces the configuration files of gateways by FIFOs that nothing writes to, and sends
+// SIGHUP.
 func (f *fleet) replaceConfigsWithFIFO(fault *Fault) (revertFunc, error) {
 	var errs []error
 	f.eachGateway(fault.Target, func(g *gateway) {
 		path := g.path("config.json")
-		_ = os.Remove(path) // Mkfifo fails if it is still there
+		_ = os.Remove(path) // Mkfifo reports an error if the file is still there
 		errs = append(errs, syscall.Mkfifo(path, 0o600))
 		g.signal(syscall.SIGHUP)
 	})
 	return func() error {
-		f.eachGateway(fault.Target, func(g *gateway) { _ = os.Remove(g.path("config.json")) }) // writeFiles replaces what is left
+		f.eachGateway(fault.Target, func(g *gateway) { _ = os.Remove(g.path("config.json")) }) // writeFiles replaces the FIFO if this fails
 		return f.reloadGateways(fault.Target)
 	}, errors.Join(errs...)
 }
 
-// limitFiles leaves gateways few descriptors beyond those that are open.
+// limitFiles leaves gateways only a few file descriptors beyond those that are open.
 func (f *fleet) limitFiles(fault *Fault) (revertFunc, error) {
 	const spare = 3
 	type limit struct {
-		gateway *gateway
-		before  uint64
+		gateway  *gateway
+		previous uint64
 	}
 	var limits []limit
 	f.eachGateway(fault.Target, func(g *gateway) {
@@ -185,15 +188,15 @@
 		if pid == 0 {
 			return
 		}
-		before, err := g.limitFiles(uint64(openFiles(pid) + spare))
-		if err == nil && before > 0 {
-			limits = append(limits, limit{g, before})
-			g.markStrained(fault.For + time.Second)
+		previous, err := g.limitFiles(uint64(openFiles(pid) + spare))
+		if err == nil && previous > 0 {
+			limits = append(limits, limit{g, previous})
+			g.markConstrained(fault.For + time.Second)
 		}
 	})
 	return func() error {
 		for _, limit := range limits {
-			_, _ = limit.gateway.limitFiles(limit.before) // it may have ended
+			_, _ = limit.gateway.limitFiles(limit.previous) // the process may have exited
 		}
 		return nil
 	}, nil
--- a/internal/harness/recorder.go
+++ b/internal/harness/recorder.go
@@ -12,27 +12,27 @@
 	"foxlane/internal/standin"
 )
 
-// clientAttempt is one attempt of a client's request, at one gateway.
+// clientAttempt is one attempt at a client's request, sent to one gateway.
 type clientAttempt struct {
 	id             string
 	request        *request
-	gateway        *gateway // nil: no client sent it
+	gateway        *gateway // nil: the request is a rogue client's or unknown
 	work           time.Duration
 	gatewayZone    string
-	engineRequests int // times an engine accepted it
+	engineRequests int // how many times engines received it without rejecting it
 	sentAt         time.Time
 	deadline       time.Time
-	abandonedAt    time.Time // when its client disconnected or killed it; zero: it has not
+	abandonedAt    time.Time // when its client disconnected or killed the query; zero: neither
 	firstEngineAt  time.Time // when an engine first received it
-	incarnation    int64     // of its gateway, when it was sent
-	runEnd         time.Time // when its latest run ends, if nothing ends it earlier
-	answeredAt     time.Time // when its client had the final response; zero: not yet
+	incarnation    int64     // of its gateway when it was sent
+	runEnd         time.Time // when its latest run at an engine ends, unless it ends early
+	answeredAt     time.Time // when its client got the final response; zero: not yet
 }
 
-// maxViolations is how many violation texts a report keeps; the counts go on.
+// maxViolations is how many violation texts a report keeps. The counts include all violations.
 const maxViolations = 20
 
-// recorder fills the report of a run from what clients and engines see, and keeps the attempts that its checks need.
+// recorder fills the report of a run with what clients and engines see, and keeps the attempts that the checks need.
 type recorder struct {
 	Report // guarded by mu until the run has ended
 
@@ -41,23 +41,23 @@
 
 	mu              sync.Mutex
 	attempts        map[string]*clientAttempt // by request id
-	lastID          uint64
-	orderedAttempts map[orderKey][]*clientAttempt // of ordered classes, that reached engines
+	lastAttemptID   uint64
+	orderedAttempts map[orderKey][]*clientAttempt // attempts of ordered classes that reached engines
 	overlaps        []overlap                     // attempts that reached an engine while another with their key ran
-	retries         map[*gateway][]gatewayEvent   // attempts at engines beyond the first
-	sends           map[*gateway][]gatewayEvent   // attempts of clients
-	rogueQueries    map[string]rogueQuery         // that rogue clients have sent and no engine has got yet, by request id
+	retries         map[*gateway][]countedAttempt // attempts at engines beyond the first for a request
+	sends           map[*gateway][]countedAttempt // attempts that clients sent
+	rogueQueries    map[string]rogueQuery         // queries of rogue clients that have reached no engine yet, by request id
 }
 
-// rogueQuery is a query of a rogue client: a good one, whose client does not wait for its answer.
+// rogueQuery is a valid query of a rogue client, which does not wait for the answer.
 type rogueQuery struct {
 	gateway *gateway
-	sent    gatewayEvent
+	sent    countedAttempt
 }
 
 func newRecorder(f *fleet) *recorder {
 	r := &recorder{Report: Report{Links: map[string]faultproxy.Counts{}, zoneCount: len(f.Zones)}, fleet: f, start: time.Now(),
-		attempts: map[string]*clientAttempt{}, orderedAttempts: map[orderKey][]*clientAttempt{}, retries: map[*gateway][]gatewayEvent{}, sends: map[*gateway][]gatewayEvent{},
+		attempts: map[string]*clientAttempt{}, orderedAttempts: map[orderKey][]*clientAttempt{}, retries: map[*gateway][]countedAttempt{}, sends: map[*gateway][]countedAttempt{},
 		rogueQueries: map[string]rogueQuery{}}
 	for _, c := range f.classes {
 		r.Classes = append(r.Classes, ClassReport{Name: c.name})
@@ -65,7 +65,7 @@
 	return r
 }
 
-// secondOf is the entry of the second that a time lies in. r.mu is held.
+// secondOf returns the report's entry for the second of the run that contains t. The caller holds r.mu.
 func (r *recorder) secondOf(t time.Time) *Second {
 	i := max(0, int(t.Sub(r.start)/time.Second))
 	for len(r.Seconds) <= i {
@@ -75,7 +75,7 @@
 	return &r.Seconds[i]
 }
 
-// updateSecond changes the entry of the current second.
+// updateSecond applies a change to the report's entry for the current second.
 func (r *recorder) updateSecond(do func(*Second)) {
 	r.mu.Lock()
 	do(r.secondOf(time.Now()))
@@ -94,11 +94,11 @@
 func (r *recorder) startAttempt(req *request, g *gateway, left time.Duration) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastID++
+	r.lastAttemptID++
 	r.ClientAttempts++
-	id := fmt.Sprintf("%08x%08x", uint32(r.fleet.Seed*2654435761), r.lastID)
+	id := fmt.Sprintf("%08x%08x", uint32(r.fleet.Seed*2654435761), r.lastAttemptID)
 	now := time.Now()
-	r.sends[g] = append(r.sends[g], gatewayEvent{now, g.incarnation.Load()})
+	r.sends[g] = append(r.sends[g], countedAttempt{now, g.incarnation.Load()})
 	r.attempts[id] = &clientAttempt{id: id, request: req, gateway: g, work: req.work, gatewayZone: g.zone, sentAt: now, deadline: now.Add(left), incarnation: g.incarnation.Load()}
 	return id
 }
@@ -106,12 +106,13 @@
 // startRogueQuery records a query that a rogue client is about to send.
 func (r *recorder) startRogueQuery(id string, g *gateway) {
 	r.mu.Lock()
-	r.rogueQueries[id] = rogueQuery{g, gatewayEvent{time.Now(), g.incarnation.Load()}}
+	r.rogueQueries[id] = rogueQuery{g, countedAttempt{time.Now(), g.incarnation.Load()}}
 	r.mu.Unlock()
 }
 
-// countRogueQuery counts a rogue client's query that reached an engine among those that its gateway has taken: each that is taken adds to
-// the retry budget, and of others that a rogue client sent nobody but the gateway knows whether it has read them. r.mu is held.
+// countRogueQuery counts a rogue client's query that reached an engine as one that its gateway accepted, since each
+// accepted query adds to the retry budget. Whether the gateway has read a query that reached no engine is unknown to
+// the harness. The caller holds r.mu.
 func (r *recorder) countRogueQuery(id string) {
 	if query, ok := r.rogueQueries[id]; ok {
 		r.sends[query.gateway] = append(r.sends[query.gateway], query.sent)
@@ -119,14 +120,14 @@
 	}
 }
 
-// recordLate counts a response after its deadline.
+// recordLate counts a response that arrived after its deadline.
 func (r *recorder) recordLate() {
 	r.mu.Lock()
 	r.LateResponses++
 	r.mu.Unlock()
 }
 
-// recordResponse marks an attempt as over for its client, with a final response or without one.
+// recordResponse marks an attempt as finished for its client, with or without a final response.
 func (r *recorder) recordResponse(id string) {
 	r.mu.Lock()
 	r.attempts[id].answeredAt = time.Now()
@@ -140,7 +141,8 @@
 	r.mu.Unlock()
 }
 
-// recordEngineRequest records and checks a request that reached an engine, and returns the client attempt it belongs to.
+// recordEngineRequest records and checks a request that reached an engine, and returns the client attempt it belongs
+// to.
 func (r *recorder) recordEngineRequest(query standin.Request, e *engine, now time.Time) *clientAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +150,7 @@
 	attempt := r.attempts[id]
 	if attempt == nil {
 		if !strings.HasPrefix(id, rogueIDPrefix) {
-			r.addViolationLocked(WrongResponse, "an engine was asked for %q, which no client has sent", id)
+			r.addViolationLocked(WrongResponse, "an engine received request %q, which no client sent", id)
 		}
 		r.countRogueQuery(id)
 		return &clientAttempt{work: time.Millisecond}
@@ -174,14 +176,15 @@
 	return attempt
 }
 
-// recordEngineRejection takes back an engine request that the engine rejected without running it.
+// recordEngineRejection uncounts an engine request that the engine rejected without running it.
 func (r *recorder) recordEngineRejection(attempt *clientAttempt) {
 	r.mu.Lock()
 	attempt.engineRequests--
 	r.mu.Unlock()
 }
 
-// recordServed records a request's result. Only the first one counts: a retry may be answered after the first attempt was.
+// recordServed records that a request was served after the given time. Only the first call for a request counts, as
+// more than one of its attempts may be answered.
 func (r *recorder) recordServed(req *request, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,16 +202,17 @@
 	r.Classes[req.class].Late++
 }
 
-// recordRejected records a rejection. One that says that nothing ran (harmless) counts as rejected, any other as failed.
-func (r *recorder) recordRejected(req *request, harmless, resent bool) {
+// recordRejected records an error response. A retryable one, which promises that nothing ran, counts as a rejection,
+// any other one as a failure.
+func (r *recorder) recordRejected(req *request, retryable, resent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	second := r.secondOf(time.Now())
 	switch {
-	case harmless && resent:
+	case retryable && resent:
 		second.RejectedRetries++
 		return
-	case harmless:
+	case retryable:
 		second.Rejected[req.class]++
 		r.Classes[req.class].Rejected++
 		return
@@ -217,7 +221,7 @@
 	r.Classes[req.class].Failed++
 }
 
-// addUnclassified adds a violation that no kind counts.
+// addUnclassified adds the text of a violation that is of no kind and therefore not in the counts.
 func (r *recorder) addUnclassified(format string, args ...any) {
 	r.mu.Lock()
 	r.appendViolationLocked(format, args...)
@@ -230,46 +234,47 @@
 	}
 }
 
-// recordFault adds a fault that is about to begin to the events.
+// recordFault adds a fault that is about to be injected to the events.
 func (r *recorder) recordFault(fault *Fault) {
 	r.mu.Lock()
 	r.Events = append(r.Events, Event{At: time.Since(r.start), Source: "fault", Text: strings.TrimSpace(fault.Kind + " " + fault.Target + fault.From + " " + fault.To), Zone: fault.Target})
 	r.mu.Unlock()
 }
 
-// recordLogEvents adds zone states and membership changes from a gateway's log to the events. The run has ended.
+// recordLogEvents adds zone states and membership changes from a gateway's log to the events. It runs after the
+// gateways have stopped.
 func (r *recorder) recordLogEvents(g *gateway) {
 	for _, line := range strings.Split(g.log.String(), "\n") {
-		var l struct {
+		var entry struct {
 			Msg, Zone, From, To string
 			TS                  string
 			Member              string
 			Entries             int
 		}
-		if json.Unmarshal([]byte(line), &l) != nil {
+		if json.Unmarshal([]byte(line), &entry) != nil {
 			continue
 		}
 		text := ""
-		switch l.Msg {
+		switch entry.Msg {
 		case "zone":
-			text = l.From + " > " + l.To
+			text = entry.From + " > " + entry.To
 		case "members: joined", "members: left", "members: leaving", "members: duplicate name":
-			text = strings.TrimSpace(l.Msg + " " + l.Member)
+			text = strings.TrimSpace(entry.Msg + " " + entry.Member)
 		case "replica":
-			r.MaxReplicaEntries = max(r.MaxReplicaEntries, l.Entries)
+			r.MaxReplicaEntries = max(r.MaxReplicaEntries, entry.Entries)
 			continue
 		default:
 			continue
 		}
-		at, err := time.Parse("2006-01-02T15:04:05.000Z0700", l.TS)
+		at, err := time.Parse("2006-01-02T15:04:05.000Z0700", entry.TS)
 		if err != nil {
 			continue
 		}
-		r.Events = append(r.Events, Event{At: at.Sub(r.start), Source: g.name, Text: text, Zone: l.Zone})
+		r.Events = append(r.Events, Event{At: at.Sub(r.start), Source: g.name, Text: text, Zone: entry.Zone})
 	}
 }
 
-// addViolation counts a violation of a kind and keeps its text.
+// addViolation counts a violation of a kind and keeps its text, up to maxViolations texts.
 func (r *recorder) addViolation(v ViolationKind, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,8 +286,8 @@
 	r.appendViolationLocked(v.String()+": "+format, args...)
 }
 
-// recordRun sets when an attempt's run at an engine will end.
-func (r *recorder) recordRun(attempt *clientAttempt, until time.Time) {
+// recordRunEnd records when an attempt's run at an engine will end.
+func (r *recorder) recordRunEnd(attempt *clientAttempt, until time.Time) {
 	r.mu.Lock()
 	attempt.runEnd = until
 	r.mu.Unlock()
--- a/internal/harness/report.go
+++ b/internal/harness/report.go
@@ -8,45 +8,46 @@
 	"foxlane/internal/faultproxy"
 )
 
-// Report is what clients and engines saw of a run. Its JSON keys predate the names here and are kept for readers of the output.
+// Report is what clients and engines observed during a run. The JSON keys are older than the field names, and are
+// kept for programs that read the output.
 type Report struct {
 	Seconds            []Second
 	Classes            []ClassReport
-	Violations         []string                     `json:"Breaches"` // texts, the first maxViolations of the run
-	ColdOverloads      int                          `json:"Fallen"`   // times a cold engine received more than it can bear
-	Attempts           int                          // that reached engines
-	ClientAttempts     int                          `json:"Tries"` // requests that clients sent to gateways, retries included
+	Violations         []string                     `json:"Breaches"` // texts of the first maxViolations violations
+	ColdOverloads      int                          `json:"Fallen"`   // times that a cold engine received more load than it can bear
+	Attempts           int                          // attempts that reached engines
+	ClientAttempts     int                          `json:"Tries"` // requests that clients sent to gateways, including retries
 	RSSMB              float64                      // mean over the gateways, before they stop
-	CPUSeconds         float64                      `json:"CPU"`     // processor time of all gateways
-	AcceptedDirectives []string                     `json:"Ordered"` // directives a gateway answered as in effect
-	FailedDirectives   int                          `json:"Unheld"`  // directives a gateway did not confirm
-	MaxReplicaEntries  int                          `json:"Copies"`  // most replicated entries one gateway held, by its log
+	CPUSeconds         float64                      `json:"CPU"`     // CPU time of all gateways
+	AcceptedDirectives []string                     `json:"Ordered"` // directives that a gateway confirmed as in effect
+	FailedDirectives   int                          `json:"Unheld"`  // directives that a gateway did not confirm
+	MaxReplicaEntries  int                          `json:"Copies"`  // most replicated entries that a gateway logged
 	CrossZoneAttempts  int                          `json:"Cross"`   // attempts that reached an engine outside their gateway's zone
 	Links              map[string]faultproxy.Counts `json:"Ways"`    // by "from > to"
 	ViolationCounts    [violationKindCount]int      `json:"Verdicts"`
-	StoredResults      int                          `json:"Kept"` // results that gateways confirmed as stored and that were fetched after a kill
+	StoredResults      int                          `json:"Kept"` // results that gateways confirmed as stored, and that were checked after a kill
 	Pauses             int                          // of the harness process itself, which can't judge what arrives meanwhile
 	LongestPause       time.Duration
-	LateResponses      int           `json:"Late"` // responses after their deadline that do not count as lost
-	SlowestDrain       time.Duration // longest time from notifying a gateway of a drain to its last attempt at that engine
-	Events             []Event       // faults and zone states as gateways logged them, by time
+	LateResponses      int           `json:"Late"` // responses that arrived after their deadline but do not count as lost
+	SlowestDrain       time.Duration // longest time from notifying a gateway of a drain to an attempt of the gateway at that engine
+	Events             []Event       // faults, and zone states and membership changes that gateways logged, by time
 
 	zoneCount int
 }
 
-// Second is what happened in one second of the run.
+// Second holds the figures of one second of the run.
 type Second struct {
-	OfferedWeight   float64   `json:"Offered"` // priority weight of requests, by when clients first sent them
-	ServedWeight    float64   `json:"Worth"`   // weight of those served within the objective, and what late responses still earn
+	OfferedWeight   float64   `json:"Offered"` // priority weight of the requests first sent in this second
+	ServedWeight    float64   `json:"Worth"`   // weight that those requests earned: all if served within the objective, lateValue of it if late
 	WorkByZone      []float64 `json:"To"`      // work that reached each zone's engines, in core seconds
-	CrossZoneWork   []float64 `json:"Foreign"` // the part of WorkByZone sent by gateways of other zones
+	CrossZoneWork   []float64 `json:"Foreign"` // the part of WorkByZone that gateways of other zones sent
 	Rejected        []int     `json:"Refused"` // first attempts that were rejected, by class
 	RejectedRetries int       `json:"Again"`
 	Failed          int
 	NoGateway       int `json:"Turned"` // attempts that could not connect to a gateway
 }
 
-// ClassReport is the outcome of one request class.
+// ClassReport holds the outcomes of the requests of one class.
 type ClassReport struct {
 	Name     string
 	Requests int `json:"Asked"`
@@ -54,55 +55,58 @@
 	Late     int
 	Rejected int `json:"Refused"`
 	Failed   int
-	Attempts int `json:"Ran"` // that reached engines
+	Attempts int `json:"Ran"` // attempts that reached engines
 }
 
-// Event is a fault or a logged state change, with its time since the start of the run.
+// Event is a fault, an outcome of a directive, or a state change that a gateway logged. At is the time since the
+// start of the run.
 type Event struct {
 	At     time.Duration
-	Source string `json:"Who"` // a gateway, or "fault"
+	Source string `json:"Who"` // the name of a gateway, or "fault"
 	Text   string
 	Zone   string
 }
 
-// ServedShare is the served part of the weight offered in the seconds from (inclusive) to (exclusive); 1 if none was offered.
+// ServedShare returns the fraction of the offered weight that was served in the seconds from (inclusive) to
+// (exclusive); 1 if none was offered.
 func (r *Report) ServedShare(from, to int) float64 {
-	offered, worth := 0.0, 0.0
+	offered, served := 0.0, 0.0
 	for i := from; i < min(to, len(r.Seconds)); i++ {
 		offered += r.Seconds[i].OfferedWeight
-		worth += r.Seconds[i].ServedWeight
+		served += r.Seconds[i].ServedWeight
 	}
 	if offered <= 0 {
 		return 1
 	}
-	return worth / offered
+	return served / offered
 }
 
-// WorkByZone is each zone's part of the work that reached engines in the seconds from (inclusive) to (exclusive).
+// WorkByZone returns each zone's fraction of the work that reached engines in the seconds from (inclusive) to
+// (exclusive).
 func (r *Report) WorkByZone(from, to int) []float64 {
-	out, sum := make([]float64, r.zoneCount), 0.0
+	shares, sum := make([]float64, r.zoneCount), 0.0
 	for i := from; i < min(to, len(r.Seconds)); i++ {
 		for z, w := range r.Seconds[i].WorkByZone {
-			out[z] += w
+			shares[z] += w
 			sum += w
 		}
 	}
-	for z := range out {
-		out[z] /= max(sum, 1e-9)
+	for z := range shares {
+		shares[z] /= max(sum, 1e-9)
 	}
-	return out
+	return shares
 }
 
-// Amplification is the number of attempts that reached engines per client request.
+// Amplification returns the number of attempts that reached engines per client request.
 func (r *Report) Amplification() float64 {
-	asked := 0
+	requests := 0
 	for _, c := range r.Classes {
-		asked += c.Requests
+		requests += c.Requests
 	}
-	return float64(r.Attempts) / float64(max(1, asked))
+	return float64(r.Attempts) / float64(max(1, requests))
 }
 
-// GatewaysEntered counts the gateways that logged the zone as entering the state.
+// GatewaysEntered returns how many gateways logged that the zone entered the state.
 func (r *Report) GatewaysEntered(zone, state string) int {
 	seen := map[string]bool{}
 	for _, e := range r.Events {
@@ -113,44 +117,44 @@
 	return len(seen)
 }
 
-// String prints the whole report as text.
+// String returns the whole report as text.
 func (r *Report) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "share %.3f; %d tries, %d attempts at engines, %d across zones; cold engines fell %d times\n", r.ServedShare(0, len(r.Seconds)), r.ClientAttempts,
+	fmt.Fprintf(&s, "served share %.3f; %d client attempts, %d attempts at engines, %d across zones; %d overloads of cold engines\n", r.ServedShare(0, len(r.Seconds)), r.ClientAttempts,
 		r.Attempts, r.CrossZoneAttempts, r.ColdOverloads)
 	for _, c := range r.Classes {
-		fmt.Fprintf(&s, "%-8s %5d asked %5d in time %4d late %4d refused %3d failed, ran %d\n", c.Name, c.Requests, c.InTime, c.Late, c.Rejected, c.Failed, c.Attempts)
+		fmt.Fprintf(&s, "%-8s %5d requests %5d in time %4d late %4d rejected %3d failed, %d attempts at engines\n", c.Name, c.Requests, c.InTime, c.Late, c.Rejected, c.Failed, c.Attempts)
 	}
 	for i, sec := range r.Seconds {
-		fmt.Fprintf(&s, "%3d s  %.2f  to zones", i, r.ServedShare(i, i+1))
+		fmt.Fprintf(&s, "%3d s  %.2f  work by zone", i, r.ServedShare(i, i+1))
 		for _, w := range sec.WorkByZone {
 			fmt.Fprintf(&s, " %5.2f", w)
 		}
-		fmt.Fprintf(&s, "  refused %v again %d failed %d turned %d\n", sec.Rejected, sec.RejectedRetries, sec.Failed, sec.NoGateway)
+		fmt.Fprintf(&s, "  rejected %v retries rejected %d failed %d no gateway %d\n", sec.Rejected, sec.RejectedRetries, sec.Failed, sec.NoGateway)
 	}
 	for _, e := range r.Events {
 		fmt.Fprintf(&s, "%6.2f %s %s %s\n", e.At.Seconds(), e.Source, e.Zone, e.Text)
 	}
-	for _, x := range r.Violations {
-		fmt.Fprintln(&s, "BREACH", x)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(&s, "BREACH", violation)
 	}
 	return s.String()
 }
 
-// ViolationKind is a rule that clients and engines can see broken.
+// ViolationKind is a rule whose violation clients, engines or the harness can observe.
 type ViolationKind int
 
 // Kinds of violations.
 const (
-	LostRequest         ViolationKind = iota // a request that was read has no final response, or a stored result is gone
-	DuplicateExecution                       // an engine received again what may have run and must not run twice
+	LostRequest         ViolationKind = iota // a request that was read got no final response, or a stored result is missing
+	DuplicateExecution                       // an engine received a request again that may have run and must not run twice
 	SentAfterDisconnect                      // an engine received a request whose client had disconnected
 	PastDeadline                             // the deadline passed to an engine is later than its client's
 	SentWhileDraining                        // an engine received a request from a gateway that knew it as draining or removed
 	SlowStartExceeded                        // a cold engine received more than it can bear from gateways that knew of its start
-	WrongResponse                            // rows that no engine produced for the request
-	Crashed                                  // a process exited by itself, with an error, or not within its time after SIGTERM
-	NotReady                                 // a process was not ready within 10 s
+	WrongResponse                            // a client got rows that no engine produced for its request, or an engine a request that no client sent
+	Crashed                                  // a process exited by itself or with an error, or not in time after SIGTERM
+	NotReady                                 // a process was not ready within 10 s of its start
 	OrderViolated                            // two requests of an ordered class with the same key ran at once
 	WrongZone                                // a request ran in a zone its class must not use
 	RetryBudgetExceeded                      // a gateway retried more than its settings allow
@@ -161,10 +165,10 @@
 var violationNames = [...]string{"lost", "duplicated", "sent_after_gone", "past_deadline", "drain_broken", "failback_broken", "wrong_answer",
 	"crashed", "not_ready_10s", "order_broken", "misplaced", "ration_broken", "guarded"}
 
-// String is the name of the figure that counts the kind.
+// String returns the name of the figure that counts the violations of the kind.
 func (v ViolationKind) String() string { return violationNames[v] }
 
-// TotalViolations is the number of violations of all kinds.
+// TotalViolations returns the number of violations of all kinds.
 func (r *Report) TotalViolations() (n int) {
 	for _, k := range r.ViolationCounts {
 		n += k
--- a/internal/harness/storedresults.go
+++ b/internal/harness/storedresults.go
@@ -12,9 +12,10 @@
 	"foxlane/internal/standin"
 )
 
-// This file owns clients that have results stored by their gateway, and fetch them again once it was killed.
+// This file owns clients that have results stored by a gateway, and check that the results survive a kill of the
+// gateway.
 
-// resultClient stores results at one gateway.
+// resultClient is a client that has results stored by one gateway.
 type resultClient struct {
 	gateway *gateway
 	results []storedResult
@@ -30,12 +31,12 @@
 const (
 	storeInterval = 250 * time.Millisecond
 	storeTimeout  = 3 * time.Second
-	handlePrefix  = "\x07#handle"
-	handleOffset  = 9 // of the handle in its row
-	handleSize    = 64
+	handlePrefix  = "\x07#handle" // the length and text of the first column of a handle's row
+	handleOffset  = 9             // position of the handle in its row
+	handleSize    = 64            // bytes
 )
 
-// storeResults has a client of each gateway store results until the context ends, in goroutines of wg.
+// storeResults starts a client per gateway that has results stored until the context ends, in goroutines of wg.
 func (f *fleet) storeResults(ctx context.Context, wg *sync.WaitGroup) {
 	for _, g := range f.gateways {
 		client := &resultClient{gateway: g}
@@ -52,7 +53,7 @@
 	}
 }
 
-// store has one result stored. A gateway owes only those whose answer was complete.
+// store runs one query for a stored result. A gateway only has to keep results whose answer was complete.
 func (c *resultClient) store() {
 	f := c.gateway.fleet
 	conn, err := standin.Connect(c.gateway.clientProxy.Addr().String(), netip.Addr{}, connectTimeout)
@@ -68,7 +69,7 @@
 	}
 }
 
-// readStored runs a query for a stored result and returns its handle, which comes before the rows, and its row.
+// readStored runs a query for a stored result, and returns the handle, which comes before the rows, and the row.
 func readStored(conn *standin.Client, text string) (handle, row string, err error) {
 	err = conn.QueryRows(text, storeTimeout, func(b []byte) {
 		switch {
@@ -81,7 +82,7 @@
 	return handle, row, err
 }
 
-// verifyStoredResults kills all gateways, starts them again, and fetches all stored results.
+// verifyStoredResults kills all gateways, starts them again, and fetches and checks all stored results.
 func (f *fleet) verifyStoredResults() error {
 	if len(f.resultClients) == 0 {
 		return nil
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// verify fetches a result and adds a violation if it is not as it was stored.
+// verify fetches a result and adds a violation if it differs from what was stored.
 func (c *resultClient) verify(result storedResult) {
 	conn, err := standin.Connect(c.gateway.listenAddr, netip.Addr{}, time.Second)
 	row := ""
@@ -113,7 +114,7 @@
 		conn.Close()
 	}
 	if err != nil || row != result.row {
-		c.gateway.fleet.recorder.addViolation(LostRequest, "a result that %s kept at %.2f s is not there after a kill: %v, %q instead of %q", c.gateway.name,
+		c.gateway.fleet.recorder.addViolation(LostRequest, "a result that %s stored at %.2f s is lost or changed after a kill: error %v, got %q, want %q", c.gateway.name,
 			result.at.Sub(c.gateway.fleet.startedAt).Seconds(), err, row, result.row)
 	}
 }
--- a/internal/harness/usage.go
+++ b/internal/harness/usage.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Usage is the memory a process holds and the processor time it has used.
+// Usage is the resident memory of a process and the CPU time that it has used.
 type Usage struct {
 	RSSMB      float64
 	CPUSeconds float64
 }
 
-const ticksPerSecond = 100 // USER_HZ on Linux
+const ticksPerSecond = 100 // USER_HZ, the unit of CPU times in /proc on Linux
 
 // UsageOf reads a process's usage from /proc.
 func UsageOf(pid int) (u Usage, err error) {
@@ -24,7 +24,7 @@
 	_, rest, ok := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 22 {
-		return u, fmt.Errorf("harness: stat of process %d has an unknown form: %q", pid, raw)
+		return u, fmt.Errorf("harness: stat of process %d is malformed: %q", pid, raw)
 	}
 	for _, f := range fields[11:13] { // user and system time
 		n, err := strconv.Atoi(f)
--- a/internal/harness/zonefaults.go
+++ b/internal/harness/zonefaults.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// This file owns the faults of whole zones, of connections, and of what all gateways are told.
+// This file injects the faults of whole zones, of connections, of the name service, and of settings that all gateways
+// share.
 
-// loseZone takes a zone away: its gateways are killed, its engines fall silent, and after a while the list drops them. It comes
-// back with new processes, cold.
+// loseZone makes a zone fail: its gateways are killed, its engines become silent, and after unlistAfter the list
+// drops them. Reverting it starts new gateway processes and cold engines.
 func (f *fleet) loseZone(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
 	var lost []*engine
@@ -30,11 +31,12 @@
 			}
 		}
 		setUnlisted(false)
-		return f.startGateways(fault.Target)
+		return f.startStoppedGateways(fault.Target)
 	}, nil
 }
 
-// resetConnections resets the connections of the target with its engines, gateways and clients.
+// resetConnections resets all connections of the target's engines and gateways: those between gateways and engines, and
+// those of clients.
 func (f *fleet) resetConnections(fault *Fault) (revertFunc, error) {
 	for _, e := range f.engines {
 		for i, proxy := range e.proxies {
@@ -50,7 +52,7 @@
 	return nil, nil
 }
 
-// drainZone drains a zone by the operator's file, which all gateways read again.
+// drainZone drains a zone in the operator's file and makes all gateways reload it.
 func (f *fleet) drainZone(fault *Fault) (revertFunc, error) {
 	set := func(draining bool) error {
 		f.mu.Lock()
@@ -63,7 +65,7 @@
 	return func() error { return set(false) }, set(true)
 }
 
-// switchGossipOff drops the members block from the operator's file, which all gateways read again.
+// switchGossipOff removes the members block from the operator's file and makes all gateways reload it.
 func (f *fleet) switchGossipOff(*Fault) (revertFunc, error) {
 	set := func(off bool) error {
 		f.gossipOff.Store(off)
@@ -83,7 +85,8 @@
 	return func() error { set(nil); return nil }, nil
 }
 
-// restartListSerials has the lists' serial numbers begin anew, if the fault says so; other list faults act on each answer.
+// restartListSerials restarts the serial numbers of the engine lists if the fault's text is listSerialsRestart. The
+// other faults of lists act on each answer, see alterReply.
 func (f *fleet) restartListSerials(fault *Fault) (revertFunc, error) {
 	if fault.Text == listSerialsRestart {
 		f.eachGateway(fault.Target, (*gateway).restartSerials)
@@ -91,7 +94,7 @@
 	return nil, nil
 }
 
-// setDirectives asks gateways for a directive.
+// setDirectives asks each of the target's gateways to set the directive in the fault's text.
 func (f *fleet) setDirectives(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, func(g *gateway) { f.setDirective(g, fault.Text) })
 	return nil, nil
