--- a/internal/harness/abandon.go
+++ b/internal/harness/abandon.go
@@ -22,15 +22,15 @@
 		return func() bool { return false }
 	}
 	var mu sync.Mutex
-	done, gone := false, false
+	cancelled, abandoned := false, false
 	kill := rng.IntN(2) == 0
 	timer := time.AfterFunc(time.Duration(rng.Int64N(int64(min(left, 600*time.Millisecond)))), func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if done {
+		if cancelled {
 			return
 		}
-		gone = true
+		abandoned = true
 		if !kill {
 			f.recorder.recordAbandoned(id)
 			conn.Close()
@@ -50,7 +50,7 @@
 		timer.Stop()
 		mu.Lock()
 		defer mu.Unlock()
-		done = true
-		return gone
+		cancelled = true
+		return abandoned
 	}
 }
--- a/internal/harness/classchecks.go
+++ b/internal/harness/classchecks.go
@@ -21,9 +21,9 @@
 }
 
 // countWithin counts the attempts of an incarnation in the given window before now.
-func countWithin(events []countedAttempt, incarnation int64, now time.Time, window time.Duration) (n int) {
-	for _, event := range events {
-		if event.incarnation == incarnation && now.Sub(event.at) < window {
+func countWithin(attempts []countedAttempt, incarnation int64, now time.Time, window time.Duration) (n int) {
+	for _, attempt := range attempts {
+		if attempt.incarnation == incarnation && now.Sub(attempt.at) < window {
 			n++
 		}
 	}
@@ -32,7 +32,7 @@
 
 const (
 	freeRetries        = 3                      // retries per window that are allowed without any requests
-	retryWindow        = 2 * time.Second        // over which the retry budget counts
+	retryWindow        = 2 * time.Second        // period over which retries and requests are counted
 	retryBudgetSlack   = 300 * time.Millisecond // longest transit from a client to a gateway, and on to an engine
 	maxOrderedAttempts = 64                     // kept per key
 )
--- a/internal/harness/classes.go
+++ b/internal/harness/classes.go
@@ -42,17 +42,17 @@
 // classesOf returns the default classes with their timeouts and idempotency windows scaled by the factors of the
 // script.
 func classesOf(s *Script) []requestClass {
-	out := slices.Clone(defaultClasses)
-	for i := range out {
+	classes := slices.Clone(defaultClasses)
+	for i := range classes {
 		if s.DeadlineFactor > 0 {
-			out[i].timeout = time.Duration(float64(out[i].timeout) * s.DeadlineFactor)
-			out[i].latencyObjective = min(out[i].latencyObjective, out[i].timeout)
+			classes[i].timeout = time.Duration(float64(classes[i].timeout) * s.DeadlineFactor)
+			classes[i].latencyObjective = min(classes[i].latencyObjective, classes[i].timeout)
 		}
 		if s.WindowFactor > 0 {
-			out[i].idempotencyWindow = time.Duration(float64(out[i].idempotencyWindow) * s.WindowFactor)
+			classes[i].idempotencyWindow = time.Duration(float64(classes[i].idempotencyWindow) * s.WindowFactor)
 		}
 	}
-	return out
+	return classes
 }
 
 // longestTimeout returns the longest timeout of all classes.
--- a/internal/harness/clientpool.go
+++ b/internal/harness/clientpool.go
@@ -73,9 +73,9 @@
 }
 
 // avoid makes clients avoid a gateway for avoidDuration.
-func (p *clientPool) avoid(i int) {
+func (p *clientPool) avoid(gatewayIndex int) {
 	p.mu.Lock()
-	p.avoidedUntil[i] = time.Now().Add(avoidDuration)
+	p.avoidedUntil[gatewayIndex] = time.Now().Add(avoidDuration)
 	p.mu.Unlock()
 }
 
@@ -83,10 +83,10 @@
 
 // get returns an idle connection to a gateway or, if none is left, a new one. Without mayConnect it returns
 // errNoNewConnections instead of opening one.
-func (p *clientPool) get(i int, addr string, mayConnect bool) (client *standin.Client, isNew bool, err error) {
+func (p *clientPool) get(gatewayIndex int, addr string, mayConnect bool) (client *standin.Client, isNew bool, err error) {
 	for {
 		select {
-		case conn := <-p.idle[i]:
+		case conn := <-p.idle[gatewayIndex]:
 			if time.Since(conn.since) < maxIdleTime {
 				return conn.client, false, nil
 			}
@@ -102,9 +102,9 @@
 }
 
 // put returns an idle connection to the pool, or closes it if the pool has maxIdleConns connections to the gateway.
-func (p *clientPool) put(i int, client *standin.Client) {
+func (p *clientPool) put(gatewayIndex int, client *standin.Client) {
 	select {
-	case p.idle[i] <- idleConn{client, time.Now()}:
+	case p.idle[gatewayIndex] <- idleConn{client, time.Now()}:
 	default:
 		client.Close()
 	}
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -45,9 +45,9 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		point, class := rng.Float64(), 0
+		draw, class := rng.Float64(), 0
 		for class = range f.classes {
-			if point -= f.classes[class].share; point < 0 {
+			if draw -= f.classes[class].share; draw < 0 {
 				break
 			}
 		}
@@ -76,8 +76,8 @@
 		if left < minTimeLeft {
 			return
 		}
-		i := f.chooseGateway(req.zone, rng)
-		wait, retry := f.attempt(req, i, left, try > 0)
+		gatewayIndex := f.chooseGateway(req.zone, rng)
+		wait, retry := f.attempt(req, gatewayIndex, left, try > 0)
 		if !retry || time.Until(deadline) < wait {
 			return
 		}
@@ -103,11 +103,11 @@
 
 // attempt sends a request to one gateway and records the outcome. It reports whether the client may retry, and after
 // which wait.
-func (f *fleet) attempt(req *request, i int, left time.Duration, resent bool) (wait time.Duration, retry bool) {
-	class, g := f.classes[req.class], f.gateways[i]
-	conn, newConnection, err := f.clients.get(i, g.clientProxy.Addr().String(), g.acceptsNewConnections())
+func (f *fleet) attempt(req *request, gatewayIndex int, left time.Duration, resent bool) (wait time.Duration, retry bool) {
+	class, g := f.classes[req.class], f.gateways[gatewayIndex]
+	conn, newConnection, err := f.clients.get(gatewayIndex, g.clientProxy.Addr().String(), g.acceptsNewConnections())
 	if err != nil { // no connection, so nothing was sent
-		f.clients.avoid(i)
+		f.clients.avoid(gatewayIndex)
 		f.recorder.updateSecond(func(s *Second) { s.NoGateway++ })
 		return 10 * time.Millisecond, true
 	}
@@ -133,14 +133,14 @@
 	var rejection *standin.ServerError
 	switch {
 	case err == nil:
-		f.clients.put(i, conn)
+		f.clients.put(gatewayIndex, conn)
 		if rows != 1 || wrong {
 			f.recorder.addViolation(WrongResponse, "request %s of class %s got %d rows, or rows of another request", id, class.name, rows)
 		}
 		f.recorder.recordServed(req, time.Since(req.at))
 		return 0, false
 	case errors.As(err, &rejection):
-		f.clients.put(i, conn)
+		f.clients.put(gatewayIndex, conn)
 		f.recorder.recordRejected(req, rejection.Retryable(), resent)
 		if rejection.Retryable() {
 			return max(rejection.RetryAfter, 20*time.Millisecond), true
@@ -148,7 +148,7 @@
 		return 50 * time.Millisecond, !class.nonIdempotent
 	}
 	conn.Close()
-	f.clients.avoid(i)
+	f.clients.avoid(gatewayIndex)
 	f.checkLost(lostAttempt{id: id, class: class.name, gateway: g, began: began, took: took, left: left, newConnection: newConnection, err: err})
 	return 10 * time.Millisecond, !class.nonIdempotent
 }
--- a/internal/harness/endpointlist.go
+++ b/internal/harness/endpointlist.go
@@ -27,7 +27,7 @@
 	rng           *rand.Rand
 }
 
-// pastList is a list that was published earlier, with the serial number that it had then.
+// pastList is a list that was published, with the serial number that it had then.
 type pastList struct {
 	incarnation int
 	serial      uint32
@@ -47,7 +47,7 @@
 )
 
 // publishList publishes the current list to all gateways as a new version, after a delay.
-func (f *fleet) publishList(after time.Duration) {
+func (f *fleet) publishList(delay time.Duration) {
 	f.mu.Lock()
 	f.listVersion++
 	version := f.listVersion
@@ -66,22 +66,22 @@
 			g.publish(version, all[i])
 		}
 	}
-	if after <= 0 {
+	if delay <= 0 {
 		publish()
 		return
 	}
-	time.AfterFunc(after, publish)
+	time.AfterFunc(delay, publish)
 }
 
 // hosts returns the current list for a gateway, with the addresses of its proxies. The caller holds f.mu.
-func (f *fleet) hosts(gateway int) (out []standin.Host) {
+func (f *fleet) hosts(gateway int) (hosts []standin.Host) {
 	for _, e := range f.engines {
 		draining, unlisted := e.listStatus(f.listVersion)
 		if !f.unlisted[e.index] && !unlisted {
-			out = append(out, e.listEntry(gateway, draining))
+			hosts = append(hosts, e.listEntry(gateway, draining))
 		}
 	}
-	return out
+	return hosts
 }
 
 // publish makes the gateway's name server answer with a version, unless a later one is already published.
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -13,8 +13,9 @@
 // revertFunc reverts a fault; nil: there is nothing to revert.
 type revertFunc func() error
 
-// faultKind is what a kind of fault needs in a script, and the function that injects it. A kind without that function
-// only acts while it is active: on the conditions of links, the rate of clients, or the answers of the name service.
+// faultKind holds what a kind of fault needs in a script, and the function that injects it. A kind without that
+// function only acts while it is active: on the conditions of links, the rate of clients, or the answers of the name
+// service.
 type faultKind struct {
 	target bool // the fault needs `of`
 	link   bool // the fault needs `from` and `to`
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -1,5 +1,5 @@
-// Package harness owns tests of whole fleets on one machine: it runs real gateway processes in one or more zones,
-// fake engines and name servers, clients, and fault-injecting proxies between all of them, and injects the faults of
+// Package harness owns multi-process test runs of whole fleets on one machine: real gateway processes in one or more
+// zones, fake engines and name servers, clients, and fault-injecting proxies between all of them, with the faults of
 // a script. It checks the rules by what clients and engines see and by what gateways log. It must never inspect a
 // gateway in another way, be linked into one, or connect to another machine.
 package harness
@@ -25,7 +25,7 @@
 
 const (
 	serviceName           = "_data._tcp.farm.lan"  // the name that the name servers resolve
-	maxLogBytes           = 16 << 20               // kept of the log of each gateway
+	maxLogBytes           = 16 << 20               // of each gateway's log that are kept
 	publishDelay          = 150 * time.Millisecond // from the loss or return of a zone until the list shows it
 	defaultOverloadFactor = 3
 )
--- a/internal/harness/gateway.go
+++ b/internal/harness/gateway.go
@@ -14,24 +14,24 @@
 // gateway is one of the fleet's gateways over all incarnations of its process, with its name server and its proxies.
 type gateway struct {
 	party
-	fleet            *fleet
-	index            int        // in fleet.gateways
-	zoneIndex        int        // in Script.Zones
-	startMu          sync.Mutex // held while a fault starts the gateway
-	nameServer       *standin.NameServer
-	dnsProxy         *faultproxy.UDP // to the name server
-	clientProxy      *faultproxy.TCP // from clients
-	listenAddr       string
-	gossipAddr       netip.AddrPort          // for other gateways
-	controlAddr      netip.AddrPort          // for operators' commands
-	peerProxies      []*faultproxy.TCPAndUDP // to each other gateway, by the other's index; nil for itself
-	incarnation      atomic.Int64            // grows with each start and each stop
-	frozen           atomic.Bool
-	resumedAt        atomic.Int64 // when it was last resumed; like the next four in Unix nanoseconds
-	resetAt          atomic.Int64 // when its clients' connections were last reset
-	killedAt         atomic.Int64 // when it was last killed
-	exitedAt         atomic.Int64 // when its latest process exited
-	constrainedUntil atomic.Int64 // until when it may lack file descriptors, or its calls may fail
+	fleet        *fleet
+	index        int        // in fleet.gateways
+	zoneIndex    int        // in Script.Zones
+	startMu      sync.Mutex // held while a fault starts the gateway
+	nameServer   *standin.NameServer
+	dnsProxy     *faultproxy.UDP // to the name server
+	clientProxy  *faultproxy.TCP // from clients
+	listenAddr   string
+	gossipAddr   netip.AddrPort          // for other gateways
+	controlAddr  netip.AddrPort          // for operators' commands
+	peerProxies  []*faultproxy.TCPAndUDP // to each other gateway, by the other's index; nil for itself
+	incarnation  atomic.Int64            // grows with each start and each stop
+	frozen       atomic.Bool
+	resumedAt    atomic.Int64 // when it was last resumed; like the next four in Unix nanoseconds
+	resetAt      atomic.Int64 // when its clients' connections were last reset
+	killedAt     atomic.Int64 // when it was last killed
+	exitedAt     atomic.Int64 // when its latest process exited
+	limitedUntil atomic.Int64 // until when it may lack file descriptors, or its calls may fail
 
 	mu      sync.Mutex
 	current *process  // nil: stopped, or being stopped
@@ -90,11 +90,9 @@
 	return g.termAt.IsZero() || time.Since(g.termAt) < newConnectionsAfterTerm
 }
 
-// markConstrained marks the gateway as possibly unable to accept every connection for a while. A request on a new
+// markLimited marks the gateway as possibly unable to accept every connection for a while. A request on a new
 // connection that it closes at once does not count as lost then.
-func (g *gateway) markConstrained(d time.Duration) {
-	g.constrainedUntil.Store(time.Now().Add(d).UnixNano())
-}
+func (g *gateway) markLimited(d time.Duration) { g.limitedUntil.Store(time.Now().Add(d).UnixNano()) }
 
 // disturbedSince reports whether a fault may have kept the gateway from answering its clients in time at any point
 // after since.
--- a/internal/harness/gatewayconfig.go
+++ b/internal/harness/gatewayconfig.go
@@ -83,12 +83,12 @@
 
 // ruleSettings returns the settings of those rules that the harness checks.
 func (f *fleet) ruleSettings() jsonObject {
-	out := jsonObject{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
+	settings := jsonObject{"answerSlack": 5000, "stopSendingWithin": 1_000_000, "overloadFactor": f.overloadFactor(), "cold": f.Cold.Microseconds(),
 		"coldFrom": f.ColdFrom, "tipAfter": overloadWindow.Microseconds(), "keyRest": keyQuarantine.Microseconds()}
 	if f.RetryBudget > 0 {
-		out["freeResends"], out["extraPerRequest"], out["lookBack"] = freeRetries, f.RetryBudget, retryWindow.Microseconds()
+		settings["freeResends"], settings["extraPerRequest"], settings["lookBack"] = freeRetries, f.RetryBudget, retryWindow.Microseconds()
 	}
-	return out
+	return settings
 }
 
 // membersBlock returns the blocks of the operator's file that configure gossip and directives; empty without gossip.
@@ -171,21 +171,21 @@
 	portCount = 10_000
 )
 
-// unusedAddr returns a loopback address that nothing listens on, for the gateway with index i. Concurrent processes
-// and calls do not compete for an address: the process id selects a part of the loopback range, and each call begins
-// at another port.
-func unusedAddr(i int) (string, error) {
+// unusedAddr returns a loopback address that nothing listens on. The host index selects the last octet, one per
+// gateway. Concurrent processes and calls do not compete for an address: the process id selects a part of the
+// loopback range, and each call begins at another port.
+func unusedAddr(hostIndex int) (string, error) {
 	pid, n := uint32(os.Getpid()), unusedAddrCalls.Add(1)
 	for try := range uint32(portCount) {
-		at := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%128, pid%256, i+1, firstPort+(n+try)%portCount)
-		ln, err := net.Listen("tcp", at)
+		addr := fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%128, pid%256, hostIndex+1, firstPort+(n+try)%portCount)
+		ln, err := net.Listen("tcp", addr)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
 		if err != nil {
 			return "", err
 		}
-		return at, ln.Close()
+		return addr, ln.Close()
 	}
 	return "", errNoPort
 }
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -8,9 +8,9 @@
 
 const gossipZones = "talk = true\n" + threeZones
 
-// Gateways gossip through proxies that lose 30 % of all datagrams and delay the rest, while an engine is silent. One
-// member is killed and returns, one is frozen, one is cut off in one direction, and gossip is switched off at the
-// end. None of this may affect clients.
+// An engine falls silent, and the gateways learn of it from one another through proxies that lose 30 % of all
+// datagrams and delay the rest. One member is killed and returns, one is frozen, one is cut off in one direction, and
+// gossip is switched off at the end. None of this may affect clients.
 func TestGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	report := playScript(t, gossipZones+siteSettings+`
@@ -24,20 +24,20 @@
 		fault("cut", `from = "hall-a/g1"`, `to = "hall-b/g0"`, `at = "8s"`, `for = "4s"`)+
 		fault("hush", `at = "15s"`))
 	checkServedShare(t, report, 11, 17, 0.95, "towards the end")
-	joined, ended := map[string]bool{}, map[string]bool{} // by gateway
+	joined, left := map[string]bool{}, map[string]bool{} // by gateway
 	for _, e := range report.Events {
 		switch {
 		case strings.HasPrefix(e.Text, "members: joined"):
 			joined[e.Source] = true
 		case strings.HasPrefix(e.Text, "members: leaving"):
-			ended[e.Source] = true
+			left[e.Source] = true
 			if e.At < 15*time.Second {
 				t.Errorf("%s stopped its gossip at %v, before gossip was switched off", e.Source, e.At)
 			}
 		}
 	}
-	if len(joined) != 6 || len(ended) != 6 {
-		t.Errorf("%d of 6 gateways joined others, %d stopped their gossip when it was switched off, want all", len(joined), len(ended))
+	if len(joined) != 6 || len(left) != 6 {
+		t.Errorf("%d of 6 gateways joined others, %d stopped their gossip when it was switched off, want all", len(joined), len(left))
 	}
 	if report.MaxReplicaEntries < 10 {
 		t.Errorf("gateways held at most %d replicated entries, want at least 10: gossip shared nothing", report.MaxReplicaEntries)
@@ -63,8 +63,8 @@
 	if n := len(report.AcceptedDirectives); n < 3 {
 		t.Errorf("%d of 4 directives were confirmed, want at least 3: %v", n, report.AcceptedDirectives)
 	}
-	if refused := report.Classes[2].Rejected; refused < 10 {
-		t.Errorf("%d requests of the rejected class were rejected, want at least 10", refused)
+	if rejected := report.Classes[2].Rejected; rejected < 10 {
+		t.Errorf("%d requests of the rejected class were rejected, want at least 10", rejected)
 	}
 	checkServedShare(t, report, 1, 6, 0.95, "with one engine drained")
 }
--- a/internal/harness/lostattempts.go
+++ b/internal/harness/lostattempts.go
@@ -28,17 +28,17 @@
 	g.mu.Lock()
 	running := g.current != nil
 	g.mu.Unlock()
-	ended := time.Unix(0, g.exitedAt.Load())
+	exitedAt := time.Unix(0, g.exitedAt.Load())
 	switch {
 	case timedOut && f.pauses.totalSince(lost.began) > 0:
 		return
 	case duringAttempt(g.killedAt.Load()), g.disturbedSince(lost.began.Add(-time.Second)):
 		return
-	case !running && lost.began.After(ended.Add(-idleCloseWindow-socketSlack)): // the process had exited
+	case !running && lost.began.After(exitedAt.Add(-idleCloseWindow-socketSlack)): // the process had exited
 		return
 	case !timedOut && !lost.newConnection && lost.took < idleCloseWindow+socketSlack: // the gateway closed the idle connection meanwhile
 		return
-	case !timedOut && g.constrainedUntil.Load() > lost.began.UnixNano() && lost.newConnection && lost.took < idleCloseWindow:
+	case !timedOut && g.limitedUntil.Load() > lost.began.UnixNano() && lost.newConnection && lost.took < idleCloseWindow:
 		return
 	}
 	f.recorder.addViolation(LostRequest, "%s of class %s at %s got no response: %v after %v of %v", lost.id, lost.class, g.name, lost.err, lost.took.Round(time.Millisecond), lost.left)
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -83,17 +83,17 @@
 	return proc, nil
 }
 
-// startOnCore starts a process that may run on one core only: number n, modulo the count, of the cores that the
-// harness may use. The child inherits the affinity of the thread that starts it, so this sets the thread's affinity
-// for the start.
-func startOnCore(cmd *exec.Cmd, n uint64) error {
+// startOnCore starts a process that may run on one core only: the core with the given number, modulo their count,
+// among those that the harness may use. The child inherits the affinity of the thread that starts it, so startOnCore
+// sets the thread's affinity for the start.
+func startOnCore(cmd *exec.Cmd, core uint64) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var allowed, pinned unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return err
 	}
-	remaining := n % uint64(allowed.Count())
+	remaining := core % uint64(allowed.Count())
 	for i := range maxCores {
 		if !allowed.IsSet(i) {
 			continue
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -19,11 +19,11 @@
 
 // testProcess is a gateway process whose standard error and configuration the test controls.
 type testProcess struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	listen string
-	config string
-	done   chan error
+	t          *testing.T
+	cmd        *exec.Cmd
+	listenAddr string
+	configPath string
+	exitErr    chan error
 }
 
 // startProcess starts a gateway whose standard error is the given file, and one engine that serves every request.
@@ -46,17 +46,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &testProcess{t: t, listen: listen, config: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1)}
-	if err := os.WriteFile(p.config, []byte(silentConfig("n0", listen, names.Addr(), engine.Addr())), 0o600); err != nil {
+	p := &testProcess{t: t, listenAddr: listen, configPath: filepath.Join(t.TempDir(), "config.json"), exitErr: make(chan error, 1)}
+	if err := os.WriteFile(p.configPath, []byte(silentConfig("n0", listen, names.Addr(), engine.Addr())), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command(gatewayProgram, "serve")
-	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.config, "LB_NAME=", "LB_LISTEN=")
+	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath, "LB_NAME=", "LB_LISTEN=")
 	p.cmd.Stderr = stderr
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.done <- p.cmd.Wait() }()
+	go func() { p.exitErr <- p.cmd.Wait() }()
 	t.Cleanup(func() { _ = p.cmd.Process.Kill() })
 	for i := 0; ; i++ {
 		if p.query(i) == nil {
@@ -71,7 +71,7 @@
 
 // query sends the gateway a query and expects one row. The number n makes its request id unique.
 func (p *testProcess) query(n int) error {
-	c, err := standin.Connect(p.listen, netip.Addr{}, time.Second)
+	c, err := standin.Connect(p.listenAddr, netip.Addr{}, time.Second)
 	if err != nil {
 		return err
 	}
@@ -103,14 +103,14 @@
 	p.t.Helper()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-p.done:
+	case err := <-p.exitErr:
 		if err != nil {
 			p.t.Errorf("exited with %v after SIGTERM", err)
 		}
 	case <-time.After(5 * time.Second):
 		p.t.Error("still running 5 s after SIGTERM")
 		_ = p.cmd.Process.Kill()
-		p.t.Logf("killed: %v", <-p.done)
+		p.t.Logf("killed: %v", <-p.exitErr)
 	}
 }
 
@@ -180,23 +180,23 @@
 	}
 	defer func() { _ = log.Close() }()
 	p := startProcess(t, log)
-	whole, err := os.ReadFile(p.config)
+	whole, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(p.config); err != nil {
+	if err := os.Remove(p.configPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(p.config, 0o600); err != nil { // nothing ever writes to it, so that reads block
+	if err := syscall.Mkfifo(p.configPath, 0o600); err != nil { // nothing ever writes to it, so that reads block
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP, 3)
 	time.Sleep(100 * time.Millisecond)
 	p.checkServes("while reading the configuration hangs")
-	if err := os.Remove(p.config); err != nil {
+	if err := os.Remove(p.configPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.config, []byte(strings.Replace(string(whole), `"seq":1,`, `"seq":2,`, 1)), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(strings.Replace(string(whole), `"seq":1,`, `"seq":2,`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP, 1)
--- a/internal/harness/processfaults.go
+++ b/internal/harness/processfaults.go
@@ -32,7 +32,7 @@
 func (f *fleet) failCalls(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, func(g *gateway) {
 		g.sendCommand(failCommand("calls", fault))
-		g.markConstrained(fault.For + time.Second)
+		g.markLimited(fault.For + time.Second)
 	})
 	return nil, nil
 }
@@ -191,7 +191,7 @@
 		previous, err := g.limitFiles(uint64(openFiles(pid) + spare))
 		if err == nil && previous > 0 {
 			limits = append(limits, limit{g, previous})
-			g.markConstrained(fault.For + time.Second)
+			g.markLimited(fault.For + time.Second)
 		}
 	})
 	return func() error {
--- a/internal/harness/recorder.go
+++ b/internal/harness/recorder.go
@@ -76,9 +76,9 @@
 }
 
 // updateSecond applies a change to the report's entry for the current second.
-func (r *recorder) updateSecond(do func(*Second)) {
+func (r *recorder) updateSecond(change func(*Second)) {
 	r.mu.Lock()
-	do(r.secondOf(time.Now()))
+	change(r.secondOf(time.Now()))
 	r.mu.Unlock()
 }
 
@@ -275,15 +275,15 @@
 }
 
 // addViolation counts a violation of a kind and keeps its text, up to maxViolations texts.
-func (r *recorder) addViolation(v ViolationKind, format string, args ...any) {
+func (r *recorder) addViolation(kind ViolationKind, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.addViolationLocked(v, format, args...)
+	r.addViolationLocked(kind, format, args...)
 }
 
-func (r *recorder) addViolationLocked(v ViolationKind, format string, args ...any) {
-	r.ViolationCounts[v]++
-	r.appendViolationLocked(v.String()+": "+format, args...)
+func (r *recorder) addViolationLocked(kind ViolationKind, format string, args ...any) {
+	r.ViolationCounts[kind]++
+	r.appendViolationLocked(kind.String()+": "+format, args...)
 }
 
 // recordRunEnd records when an attempt's run at an engine will end.
--- a/internal/harness/script.go
+++ b/internal/harness/script.go
@@ -202,12 +202,12 @@
 	if slices.Contains([]string{"*", "clients", "names", "gateways", "engines"}, selector) {
 		return true
 	}
-	zone, rest, one := strings.Cut(selector, "/")
+	zone, rest, hasRest := strings.Cut(selector, "/")
 	for _, z := range s.Zones {
 		if z.Name != zone {
 			continue
 		}
-		if !one {
+		if !hasRest {
 			return true
 		}
 		for i := range z.Gateways {
