--- a/internal/soak/defects.go
+++ b/internal/soak/defects.go
@@ -8,7 +8,7 @@
 	"foxlane/internal/faultgateway"
 )
 
-// detectDefects looks for each planted defect, some at once.
+// detectDefects searches for each planted defect, with o.Parallel searches at once, and sets r.Detections.
 func (o *Options) detectDefects(ctx context.Context, r *Result) {
 	if o.DefectSeeds <= 0 {
 		return
@@ -18,36 +18,36 @@
 		defects = faultgateway.Defects
 	}
 	detections := make([]Detection, len(defects))
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	slots := make(chan struct{}, o.Parallel)
 	for i, defect := range defects {
-		players.Go(func() {
+		workers.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			detections[i] = o.detect(ctx, defect)
+			detections[i] = o.detectDefect(ctx, defect)
 		})
 	}
-	players.Wait()
+	workers.Wait()
 	r.Detections = detections
 }
 
-// detect plays seeds with a defect until there is a violation.
-func (o *Options) detect(ctx context.Context, defect string) Detection {
+// detectDefect runs seeds against a gateway with a planted defect until one reports a violation, at most o.DefectSeeds.
+func (o *Options) detectDefect(ctx context.Context, defect string) Detection {
 	detection := Detection{Defect: defect}
-	for detection.SeedsPlayed < o.DefectSeeds && ctx.Err() == nil {
-		s := NewSchedule(o.First+uint64(detection.SeedsPlayed), o.Processes, o.Length)
-		detection.SeedsPlayed++
-		report, _, err := o.play(ctx, &s, defect)
+	for detection.SeedsRun < o.DefectSeeds && ctx.Err() == nil {
+		schedule := NewSchedule(o.First+uint64(detection.SeedsRun), o.Processes, o.Length)
+		detection.SeedsRun++
+		report, _, err := o.runSchedule(ctx, &schedule, defect)
 		switch {
 		case errors.Is(err, context.Canceled):
 		case err != nil:
 			detection.Evidence = err.Error()
 		case len(report.Violations) > 0:
 			detection.Detected, detection.Evidence = true, report.Violations[0]
-			o.printf("planted %s: found in seed %d, the %d. played: %.160s\n", defect, s.Seed, detection.SeedsPlayed, detection.Evidence)
+			o.printf("planted %s: found with seed %d, seeds run: %d: %.160s\n", defect, schedule.Seed, detection.SeedsRun, detection.Evidence)
 			return detection
 		}
 	}
-	o.printf("planted %s: NOT found in %d seeds\n", defect, detection.SeedsPlayed)
+	o.printf("planted %s: NOT found, seeds run: %d\n", defect, detection.SeedsRun)
 	return detection
 }
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -18,13 +18,13 @@
 	Seeds, Overlapping, Faults             int
 	Requests, LateResponses, StoredResults int
 	ViolationCounts                        map[harness.ViolationKind]int
-	Pauses                                 int // of the harness itself
+	Pauses                                 int // of the harness process itself
 	LongestPause                           time.Duration
-	FaultKinds                             map[string]int // faults played, by kind
+	FaultKinds                             map[string]int // number of faults, by kind
 	Failed                                 []Failure
 	SlowestDrain                           time.Duration
-	LargeFleets                            int      // seeds with minLargeFleet processes or more
-	NotPlayed                              []string // seeds that could not be played to their end, and why
+	LargeFleets                            int      // seeds with at least minLargeFleet gateways
+	NotPlayed                              []string // seeds that did not run to completion, each with its error
 	Detections                             []Detection
 }
 
@@ -32,54 +32,54 @@
 type Failure struct {
 	Schedule   Schedule
 	Violations []string
-	Logs       string
-	Shrunk     *Schedule // with the fewest faults that still fail; nil: it was not shrunk, or never failed again
+	LogDir     string
+	Shrunk     *Schedule // the smallest schedule found that still fails; nil: not shrunk, or no smaller one failed
 }
 
-// Detection is the outcome of the search for a planted defect.
+// Detection is the outcome of the search for one planted defect.
 type Detection struct {
-	Defect      string
-	SeedsPlayed int // until it was detected, or in vain
-	Evidence    string
-	Detected    bool
+	Defect   string
+	SeedsRun int    // up to and including the one that detected it
+	Evidence string // the first violation, or the last error of a seed
+	Detected bool
 }
 
-// add adds the outcome of a seed, and prints it if it failed. The caller holds a lock.
-func (r *Result) add(ctx context.Context, o *Options, s *Schedule, report *harness.Report, logs string, err error) {
+// add adds the outcome of a seed and prints it if the seed failed. Calls must be serialized by the caller.
+func (r *Result) add(ctx context.Context, o *Options, schedule *Schedule, report *harness.Report, logDir string, err error) {
 	if ctx.Err() != nil {
-		return // the seed was interrupted
+		return // an interrupted seed has no outcome
 	}
 	r.Seeds++
-	r.Faults += len(s.Script.Faults)
-	for _, f := range s.Script.Faults {
+	r.Faults += len(schedule.Script.Faults)
+	for _, f := range schedule.Script.Faults {
 		r.FaultKinds[f.Kind]++
 	}
-	if s.Overlapping() {
+	if schedule.Overlapping() {
 		r.Overlapping++
 	}
-	if s.processes() >= minLargeFleet {
+	if schedule.gatewayCount() >= minLargeFleet {
 		r.LargeFleets++
 	}
 	r.addReport(report)
 	switch {
 	case err != nil:
-		r.NotPlayed = append(r.NotPlayed, fmt.Sprintf("seed %d: %v", s.Seed, err))
-		o.printf("NOT PLAYED to its end: %v\n%slogs in %s\n", err, s, logs)
+		r.NotPlayed = append(r.NotPlayed, fmt.Sprintf("seed %d: %v", schedule.Seed, err))
+		o.printf("NOT COMPLETED: %v\n%slogs in %s\n", err, schedule, logDir)
 	case len(report.Violations) > 0:
-		r.Failed = append(r.Failed, Failure{Schedule: *s, Violations: report.Violations, Logs: logs})
-		o.printf("FAILED %s", s)
+		r.Failed = append(r.Failed, Failure{Schedule: *schedule, Violations: report.Violations, LogDir: logDir})
+		o.printf("FAILED %s", schedule)
 		for _, violation := range report.Violations[:min(len(report.Violations), 6)] {
 			o.printf("    %s\n", violation)
 		}
-		o.printf("    again: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", s.Seed, o.Processes, o.Length, logs)
+		o.printf("    rerun: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", schedule.Seed, o.Processes, o.Length, logDir)
 	default:
-		if logs != "" {
-			_ = os.RemoveAll(logs) // logs that stay are only in the way
+		if logDir != "" {
+			_ = os.RemoveAll(logDir) // leftover logs only take space
 		}
 	}
 }
 
-// addReport adds the figures of a seed's report, which is nil if the fleet did not start.
+// addReport adds the figures of a seed's report. It ignores a nil report: the fleet did not start.
 func (r *Result) addReport(report *harness.Report) {
 	if report == nil {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// TotalViolations is the number of violations of all kinds.
+// TotalViolations returns the number of violations of all kinds.
 func (r *Result) TotalViolations() (n int) {
 	for _, count := range r.ViolationCounts {
 		n += count
@@ -103,7 +103,7 @@
 	return n
 }
 
-// DefectsFound is the number of planted defects that were detected.
+// DefectsFound returns the number of planted defects that were detected.
 func (r *Result) DefectsFound() (n int) {
 	for _, d := range r.Detections {
 		if d.Detected {
@@ -113,7 +113,7 @@
 	return n
 }
 
-// Write prints the figures, a line `name: value` each.
+// Write prints each figure on a line of its own, as `name: value`.
 func (r *Result) Write(w io.Writer) error {
 	var out strings.Builder
 	line := func(name string, value any) { fmt.Fprintf(&out, "%s: %v\n", name, value) }
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, d := range r.Detections {
-		line("planted_"+d.Defect+"_seeds", d.SeedsPlayed)
+		line("planted_"+d.Defect+"_seeds", d.SeedsRun)
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.FaultKinds)) {
 		line("fault_"+kind, r.FaultKinds[kind])
--- a/internal/soak/result_test.go
+++ b/internal/soak/result_test.go
@@ -8,12 +8,12 @@
 	"foxlane/internal/harness"
 )
 
-// The names of the figures and their order are what readers of the output rely on.
+// TestWrite fixes the names and the order of the printed figures, on which readers of the output rely.
 func TestWrite(t *testing.T) {
 	r := &Result{Seeds: 1, Overlapping: 2, Faults: 3, Requests: 4, LateResponses: 5, StoredResults: 6, ViolationCounts: map[harness.ViolationKind]int{},
 		Pauses: 7, LongestPause: 8 * time.Millisecond, FaultKinds: map[string]int{"kill": 9, "freeze": 10}, Failed: make([]Failure, 11),
 		SlowestDrain: 12 * time.Millisecond, LargeFleets: 13, NotPlayed: make([]string, 14),
-		Detections: []Detection{{Defect: "drain_ignored", SeedsPlayed: 15, Detected: true}, {Defect: "key_twice", SeedsPlayed: 16}}}
+		Detections: []Detection{{Defect: "drain_ignored", SeedsRun: 15, Detected: true}, {Defect: "key_twice", SeedsRun: 16}}}
 	for kind := harness.LostRequest; kind <= harness.InvariantBroken; kind++ {
 		r.ViolationCounts[kind] = 100 + int(kind)
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak runs many random fleets of real processes, each with a few faults that overlap, on package harness, and reports
-// the violations that clients and engines saw. It must never check what a gateway holds inside, other than the invariants that it
-// logs as broken.
+// Package soak runs random fleets of real processes with overlapping faults, on package harness, and reports the
+// violations that clients and engines observed. It must not check a gateway's internal state, except for the invariant
+// violations that the gateway itself logs.
 package soak
 
 import (
@@ -12,133 +12,134 @@
 	"foxlane/internal/harness"
 )
 
-// Schedule is a fleet and its faults, as drawn from a seed.
+// Schedule is a fleet and its faults, drawn from a seed.
 type Schedule struct {
 	Seed   uint64
 	Script harness.Script
 }
 
 const (
-	engines          = 6 // in both zones together
-	coreCount        = 8 // of an engine
+	engineCount      = 6 // of both zones together
+	coresPerEngine   = 8 // of an engine
 	engineColdStart  = 4 * time.Second
 	firstFaultAt     = 600 * time.Millisecond
-	faultSpread      = 1500 * time.Millisecond // over which faults begin
+	faultStartWindow = 1500 * time.Millisecond // faults start within this time after firstFaultAt
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
 )
 
 const (
-	largeFleetFrom     = 8  // with at least this many processes asked for, some seeds have a large fleet instead:
-	largeFleetInterval = 5  // those divisible by this
-	minLargeFleet      = 20 // processes, which share one core
-	maxLargeFleet      = 40
+	largeFleetThreshold = 8  // from this number of requested processes on, some seeds run a large fleet instead
+	largeFleetInterval  = 5  // seeds divisible by this run a large fleet
+	minLargeFleet       = 20 // processes, all on one core
+	maxLargeFleet       = 40 // processes, all on one core
 )
 
-// NewSchedule draws the fleet of a seed and its faults. The same arguments give the same schedule.
+// NewSchedule draws a fleet and its faults from a seed. Equal arguments give equal schedules.
 func NewSchedule(seed uint64, processes int, length time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x50a6))
-	large := processes >= largeFleetFrom && seed%largeFleetInterval == 0
+	large := processes >= largeFleetThreshold && seed%largeFleetInterval == 0
 	if large {
 		processes = minLargeFleet + rng.IntN(maxLargeFleet-minLargeFleet+1)
 	}
-	s := harness.Script{
-		Zones: []harness.Zone{{Name: "hall-a", Gateways: processes - processes/2, Engines: engines / 2}, {Name: "hall-b", Gateways: processes / 2, Engines: engines / 2}},
-		Cores: coreCount, Load: 0.2 + 0.5*rng.Float64(), Seed: seed, ColdFrom: 0.33, Cold: engineColdStart, OverloadFactor: 0.3, Length: length, KeyedShare: 0.1, AbandonShare: 0.08,
+	script := harness.Script{
+		Zones: []harness.Zone{{Name: "hall-a", Gateways: processes - processes/2, Engines: engineCount / 2}, {Name: "hall-b", Gateways: processes / 2, Engines: engineCount / 2}},
+		Cores: coresPerEngine, Load: 0.2 + 0.5*rng.Float64(), Seed: seed, ColdFrom: 0.33, Cold: engineColdStart, OverloadFactor: 0.3, Length: length, KeyedShare: 0.1, AbandonShare: 0.08,
 		OrderedShare: 0.06, FirstZoneShare: 0.05, OneCore: large,
 	}
 	if rng.IntN(3) == 0 {
-		s.RetryBudget = 0.1 + 0.2*rng.Float64()
+		script.RetryBudget = 0.1 + 0.2*rng.Float64()
 	}
 	if rng.IntN(3) == 0 {
-		s.DeadlineFactor, s.WindowFactor = 0.25+0.5*rng.Float64(), 0.4+0.6*rng.Float64()
+		script.DeadlineFactor, script.WindowFactor = 0.25+0.5*rng.Float64(), 0.4+0.6*rng.Float64()
 	}
-	var operator []string
+	var operatorBlocks []string
 	if rng.IntN(2) == 0 {
-		operator = append(operator, "sites {\n  settle = \"300ms\"\n}")
+		operatorBlocks = append(operatorBlocks, "sites {\n  settle = \"300ms\"\n}")
 	}
-	spooled := rng.IntN(4) == 0
-	if spooled {
-		operator = append(operator, "spool {\n  folder = \"{folder}\"\n}")
+	withSpool := rng.IntN(4) == 0
+	if withSpool {
+		operatorBlocks = append(operatorBlocks, "spool {\n  folder = \"{folder}\"\n}")
 	}
 	if rng.IntN(4) == 0 {
-		operator = append(operator, "fair {\n}")
+		operatorBlocks = append(operatorBlocks, "fair {\n}")
 	}
-	s.OperatorFile = strings.Join(operator, "\n")
-	s.Gossip = rng.IntN(8) == 0 && !large
+	script.OperatorFile = strings.Join(operatorBlocks, "\n")
+	script.Gossip = rng.IntN(8) == 0 && !large
 	for range 2 + rng.IntN(3) {
-		s.Faults = append(s.Faults, randomFault(rng, &s, spooled, length))
+		script.Faults = append(script.Faults, randomFault(rng, &script, withSpool, length))
 	}
 	if rng.IntN(4) > 0 {
-		s.Faults = append(s.Faults, randomListFaults(rng, &s, length)...)
+		script.Faults = append(script.Faults, randomListFaults(rng, &script, length)...)
 	}
-	return Schedule{seed, s}
+	return Schedule{seed, script}
 }
 
-// randomFault draws one fault.
-func randomFault(rng *rand.Rand, s *harness.Script, spooled bool, length time.Duration) harness.Fault {
-	f := harness.Fault{At: firstFaultAt + time.Duration(rng.Int64N(int64(faultSpread))), For: minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))}
-	f.For = min(f.For, length-f.At-200*time.Millisecond)
+// randomFault draws one fault that ends 200 ms before the end of the run at the latest. With a spool, half of the faults
+// are disk faults.
+func randomFault(rng *rand.Rand, script *harness.Script, withSpool bool, length time.Duration) harness.Fault {
+	fault := harness.Fault{At: firstFaultAt + time.Duration(rng.Int64N(int64(faultStartWindow))), For: minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))}
+	fault.For = min(fault.For, length-fault.At-200*time.Millisecond)
 	generators := faultGenerators
-	if spooled && rng.IntN(2) == 0 {
+	if withSpool && rng.IntN(2) == 0 {
 		generators = diskFaultGenerators
 	}
-	generators[rng.IntN(len(generators))](rng, s, &f)
-	return f
+	generators[rng.IntN(len(generators))](rng, script, &fault)
+	return fault
 }
 
-// randomListFaults draws engines that leave the list while answers of the name service don't say so, sometimes after a kill of
-// several gateways.
-func randomListFaults(rng *rand.Rand, s *harness.Script, length time.Duration) (out []harness.Fault) {
+// randomListFaults draws a fault in which engines leave the endpoint list while the answers of the name service are
+// faulty, for example stale. Some draws kill gateways first.
+func randomListFaults(rng *rand.Rand, script *harness.Script, length time.Duration) (faults []harness.Fault) {
 	if rng.IntN(3) == 0 {
-		return randomRestartFaults(rng, s, length)
+		return randomRestartFaults(rng, script, length)
 	}
 	if rng.IntN(2) == 0 {
-		out = append(out, harness.Fault{Kind: "retire", Target: randomEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
-			harness.Fault{Kind: "kill", Target: gatewaySelector(rng, s), At: firstFaultAt + 300*time.Millisecond, For: 200 * time.Millisecond})
+		faults = append(faults, harness.Fault{Kind: "retire", Target: randomEngine(rng, script), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
+			harness.Fault{Kind: "kill", Target: randomGatewayTarget(rng, script), At: firstFaultAt + 300*time.Millisecond, For: 200 * time.Millisecond})
 	}
-	from := firstFaultAt + 700*time.Millisecond + time.Duration(rng.Int64N(int64(faultSpread/2)))
-	lists := harness.Fault{Kind: "lists", Target: gatewaySelector(rng, s), At: from - time.Duration(rng.Int64N(int64(time.Second/2))),
+	leaveAt := firstFaultAt + 700*time.Millisecond + time.Duration(rng.Int64N(int64(faultStartWindow/2)))
+	listFault := harness.Fault{Kind: "lists", Target: randomGatewayTarget(rng, script), At: leaveAt - time.Duration(rng.Int64N(int64(time.Second/2))),
 		For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second)))}
-	lists.Text = pick(rng, "stale", "stale", "earlier", "earlier", "mixed", "mixed", "lost", "late", "twice", "short", "failed", "other-id", "anew")
-	lists.Factor = 0.05 + 0.25*rng.Float64()
-	switch lists.Text {
+	listFault.Text = pick(rng, "stale", "stale", "earlier", "earlier", "mixed", "mixed", "lost", "late", "twice", "short", "failed", "other-id", "anew")
+	listFault.Factor = 0.05 + 0.25*rng.Float64()
+	switch listFault.Text {
 	case "lost":
-		lists.Factor = 0.3 + 0.6*rng.Float64()
+		listFault.Factor = 0.3 + 0.6*rng.Float64()
 	case "late":
-		lists.Factor, lists.Delay = 0.3+0.7*rng.Float64(), time.Duration(rng.Int64N(int64(7*time.Second)))
+		listFault.Factor, listFault.Delay = 0.3+0.7*rng.Float64(), time.Duration(rng.Int64N(int64(7*time.Second)))
 	case "mixed":
-		lists.Delay = 2 * time.Second
+		listFault.Delay = 2 * time.Second
 	}
-	leave := harness.Fault{Kind: "retire", Target: pick(rng, randomEngine(rng, s), randomEngine(rng, s), s.Zones[1].Name), Text: pick(rng, "", "", "gone", "both", "flap", "newid"), At: from}
-	leave.For = length - from - 700*time.Millisecond
-	return append(out, lists, leave)
+	leaveFault := harness.Fault{Kind: "retire", Target: pick(rng, randomEngine(rng, script), randomEngine(rng, script), script.Zones[1].Name), Text: pick(rng, "", "", "gone", "both", "flap", "newid"), At: leaveAt}
+	leaveFault.For = length - leaveAt - 700*time.Millisecond
+	return append(faults, listFault, leaveFault)
 }
 
-// randomRestartFaults draws gateways that are killed and started again, then answers with lists from before that, and engines that
-// leave the list.
-func randomRestartFaults(rng *rand.Rand, s *harness.Script, length time.Duration) []harness.Fault {
+// randomRestartFaults draws gateways that are killed and restarted, then receive lists from before the restart while
+// engines leave the list.
+func randomRestartFaults(rng *rand.Rand, script *harness.Script, length time.Duration) []harness.Fault {
 	const killAt, restartedAt = 900 * time.Millisecond, 1300 * time.Millisecond
-	of := gatewaySelector(rng, s)
-	from := restartedAt + 200*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
+	target := randomGatewayTarget(rng, script)
+	leaveAt := restartedAt + 200*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second)))
 	return []harness.Fault{
-		{Kind: "retire", Target: randomEngine(rng, s), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
-		{Kind: "kill", Target: of, At: killAt, For: 200 * time.Millisecond},
-		{Kind: "lists", Target: of, Text: pick(rng, "earlier", "stale", "mixed"), Factor: 0.05 + 0.25*rng.Float64(), Delay: time.Second, At: restartedAt,
-			For: from - restartedAt + time.Duration(rng.Int64N(int64(time.Second)))},
-		{Kind: "retire", Target: randomEngine(rng, s), Text: pick(rng, "", "gone", "both"), At: from, For: length - from - 700*time.Millisecond},
+		{Kind: "retire", Target: randomEngine(rng, script), At: 100 * time.Millisecond, For: 300 * time.Millisecond},
+		{Kind: "kill", Target: target, At: killAt, For: 200 * time.Millisecond},
+		{Kind: "lists", Target: target, Text: pick(rng, "earlier", "stale", "mixed"), Factor: 0.05 + 0.25*rng.Float64(), Delay: time.Second, At: restartedAt,
+			For: leaveAt - restartedAt + time.Duration(rng.Int64N(int64(time.Second)))},
+		{Kind: "retire", Target: randomEngine(rng, script), Text: pick(rng, "", "gone", "both"), At: leaveAt, For: length - leaveAt - 700*time.Millisecond},
 	}
 }
 
-// processes is the number of gateways in the fleet.
-func (s *Schedule) processes() (n int) {
+// gatewayCount returns the number of gateways in the fleet.
+func (s *Schedule) gatewayCount() (n int) {
 	for _, z := range s.Script.Zones {
 		n += z.Gateways
 	}
 	return n
 }
 
-// Overlapping reports whether two faults are active at once.
+// Overlapping reports whether at least two faults are active at the same time.
 func (s *Schedule) Overlapping() bool {
 	for i, a := range s.Script.Faults {
 		for _, b := range s.Script.Faults[:i] {
@@ -150,7 +151,7 @@
 	return false
 }
 
-// String prints the schedule, a line for each fault.
+// String describes the schedule: a line for the fleet, then one for each fault.
 func (s *Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d+%d gateways, load %.2f, one core %v, ration %.2f, deadlines %.2f, windows %.2f, talk %v, operator %q\n", s.Seed,
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,49 +16,49 @@
 // Options are the settings of a soak.
 type Options struct {
 	Process     harness.Process // the fault gateway
-	Seeds       int             // how many
-	First       uint64          // the first one
-	Length      time.Duration   // of each, without its start and end
-	Processes   int             // gateways of each
-	Parallel    int             // seeds at once
-	Shrink      int             // runs to shrink a failing seed, at most; 0: none
-	DefectSeeds int             // seeds to detect each planted defect, at most; 0: none are planted
-	Defects     []string        // to plant; nil: all
-	Logs        string          // folder for the logs of failing seeds
-	Progress    io.Writer       // what happens, for people
+	Seeds       int             // number of consecutive seeds to run
+	First       uint64          // the first seed
+	Length      time.Duration   // of a seed's run, without startup and final checks
+	Processes   int             // gateways in a fleet
+	Parallel    int             // seeds that run at once
+	Shrink      int             // maximum number of runs to shrink a failing seed; 0: failing seeds are not shrunk
+	DefectSeeds int             // maximum number of seeds to detect a planted defect; 0: no defects are planted
+	Defects     []string        // defects to plant; nil: all
+	Logs        string          // folder for the logs of failing seeds; empty: logs are not kept
+	Progress    io.Writer       // receives human-readable progress
 }
 
 const (
 	maxSeeds     = 100_000
 	maxProcesses = 40
-	seedSlack    = 90 * time.Second // for the start and the checks at the end of one seed
+	seedOverhead = 90 * time.Second // allowed for the startup and the final checks of one seed
 )
 
-// validate returns an error that names what can't be run.
+// validate returns an error that names the first option out of range.
 func (o *Options) validate() error {
 	switch {
 	case o.Seeds < 0 || o.Seeds > maxSeeds:
-		return fmt.Errorf("soak: %d seeds, 0 to %d are possible", o.Seeds, maxSeeds)
+		return fmt.Errorf("soak: number of seeds %d is out of range 0 to %d", o.Seeds, maxSeeds)
 	case o.Processes < 2 || o.Processes > maxProcesses:
-		return fmt.Errorf("soak: %d processes, 2 to %d are possible", o.Processes, maxProcesses)
+		return fmt.Errorf("soak: number of processes %d is out of range 2 to %d", o.Processes, maxProcesses)
 	case o.Length < 3*time.Second || o.Length > time.Minute:
-		return fmt.Errorf("soak: a length of %v, 3 s to a minute are possible", o.Length)
-	case o.Parallel < 1 || o.Parallel*max(o.Processes, o.maxFleet()) > 200:
-		return fmt.Errorf("soak: %d seeds at once with up to %d processes each; 200 processes at most", o.Parallel, max(o.Processes, o.maxFleet()))
+		return fmt.Errorf("soak: length %v is out of range 3s to 1m", o.Length)
+	case o.Parallel < 1 || o.Parallel*max(o.Processes, o.maxFleetSize()) > 200:
+		return fmt.Errorf("soak: %d parallel seeds of up to %d processes each exceed 200 processes", o.Parallel, max(o.Processes, o.maxFleetSize()))
 	}
 	return nil
 }
 
-// maxFleet is the largest number of processes that a seed may have.
-func (o *Options) maxFleet() int {
-	if o.Processes >= largeFleetFrom {
+// maxFleetSize returns the largest number of processes that a seed may start.
+func (o *Options) maxFleetSize() int {
+	if o.Processes >= largeFleetThreshold {
 		return maxLargeFleet
 	}
 	return o.Processes
 }
 
-// Run plays all seeds, shrinks those that fail, then looks for planted defects. When the context ends it returns what it has with
-// the context's error.
+// Run runs all seeds, shrinks those that fail, then searches for planted defects. If the context ends, Run returns the
+// results so far with the context's error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -66,14 +66,14 @@
 	r := &Result{ViolationCounts: map[harness.ViolationKind]int{}, FaultKinds: map[string]int{}}
 	var mu sync.Mutex
 	next := make(chan uint64)
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for range o.Parallel {
-		players.Go(func() {
+		workers.Go(func() {
 			for seed := range next {
-				s := NewSchedule(seed, o.Processes, o.Length)
-				report, logs, err := o.play(ctx, &s, "")
+				schedule := NewSchedule(seed, o.Processes, o.Length)
+				report, logDir, err := o.runSchedule(ctx, &schedule, "")
 				mu.Lock()
-				r.add(ctx, &o, &s, report, logs, err)
+				r.add(ctx, &o, &schedule, report, logDir, err)
 				mu.Unlock()
 			}
 		})
@@ -85,59 +85,60 @@
 		next <- o.First + uint64(i)
 	}
 	close(next)
-	players.Wait()
-	o.shrinkAll(ctx, r)
+	workers.Wait()
+	o.shrinkFailures(ctx, r)
 	o.detectDefects(ctx, r)
 	return r, ctx.Err()
 }
 
-// play plays one schedule, with a defect planted if one is named. It returns the folder of the gateways' logs, if they are kept.
-func (o *Options) play(ctx context.Context, s *Schedule, defect string) (report *harness.Report, logs string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, o.Length+seedSlack)
+// runSchedule runs one schedule, with the named defect planted unless the name is empty. It returns the folder of the
+// gateways' logs; empty: they are not kept.
+func (o *Options) runSchedule(ctx context.Context, schedule *Schedule, defect string) (report *harness.Report, logDir string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, o.Length+seedOverhead)
 	defer cancel()
 	if o.Logs != "" && defect == "" {
-		logs = filepath.Join(o.Logs, fmt.Sprintf("seed-%d", s.Seed))
-		if err := os.MkdirAll(logs, 0o700); err != nil {
+		logDir = filepath.Join(o.Logs, fmt.Sprintf("seed-%d", schedule.Seed))
+		if err := os.MkdirAll(logDir, 0o700); err != nil {
 			return nil, "", err
 		}
 	}
-	p := o.Process
+	process := o.Process
 	if defect != "" {
-		p.Env = append(append([]string{}, p.Env...), faultgateway.EnvDefect+"="+defect)
+		process.Env = append(append([]string{}, process.Env...), faultgateway.EnvDefect+"="+defect)
 	}
-	report, err = harness.RunProcess(ctx, p, s.Script, logs)
-	return report, logs, err
+	report, err = harness.RunProcess(ctx, process, schedule.Script, logDir)
+	return report, logDir, err
 }
 
-// fails reports whether a schedule has violations when it is played.
-func (o *Options) fails(ctx context.Context, s *Schedule) bool {
-	quiet := *o
-	quiet.Logs = ""
-	report, _, err := quiet.play(ctx, s, "")
+// fails reports whether a run of the schedule completes with violations.
+func (o *Options) fails(ctx context.Context, schedule *Schedule) bool {
+	withoutLogs := *o
+	withoutLogs.Logs = ""
+	report, _, err := withoutLogs.runSchedule(ctx, schedule, "")
 	return err == nil && len(report.Violations) > 0
 }
 
-// shrinkAll looks for the fewest faults with which failing seeds still fail.
-func (o *Options) shrinkAll(ctx context.Context, r *Result) {
+// shrinkFailures removes faults one at a time from each failing seed, and keeps a removal if the seed still fails.
+func (o *Options) shrinkFailures(ctx context.Context, r *Result) {
 	for i := range r.Failed {
-		left := o.Shrink
-		f := &r.Failed[i]
-		smallest := f.Schedule
-		for at := 0; at < len(smallest.Script.Faults) && left > 0 && ctx.Err() == nil; left-- {
-			smaller := smallest
-			smaller.Script.Faults = append(append([]harness.Fault{}, smallest.Script.Faults[:at]...), smallest.Script.Faults[at+1:]...)
-			if len(smaller.Script.Faults) > 0 && o.fails(ctx, &smaller) {
-				smallest = smaller
-				f.Shrunk = &smallest
+		runsLeft := o.Shrink
+		failure := &r.Failed[i]
+		smallest := failure.Schedule
+		for index := 0; index < len(smallest.Script.Faults) && runsLeft > 0 && ctx.Err() == nil; runsLeft-- {
+			candidate := smallest
+			candidate.Script.Faults = append(append([]harness.Fault{}, smallest.Script.Faults[:index]...), smallest.Script.Faults[index+1:]...)
+			if len(candidate.Script.Faults) > 0 && o.fails(ctx, &candidate) {
+				smallest = candidate
+				failure.Shrunk = &smallest
 			} else {
-				at++
+				index++
 			}
 		}
-		if f.Shrunk != nil {
-			o.printf("still fails with fewer faults: %s", f.Shrunk)
+		if failure.Shrunk != nil {
+			o.printf("still fails with fewer faults: %s", failure.Shrunk)
 		}
 	}
 }
 
-// printf prints progress. A failure to print does not stop a soak.
+// printf prints progress. A failed write does not stop the soak.
 func (o *Options) printf(format string, args ...any) { _, _ = fmt.Fprintf(o.Progress, format, args...) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"foxlane/internal/harness"
 )
 
-// TestMain runs the fault gateway where the test's own program is started as one.
+// TestMain runs the fault gateway if the test binary is started with the argument "double", as the fleets do.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "double" {
 		site := ""
@@ -44,7 +44,7 @@
 
 func (l testLog) Write(p []byte) (int, error) { l.t.Log(string(p)); return len(p), nil }
 
-// A few seeds, with faults that overlap, have no violations.
+// TestSeeds runs ten seeds with overlapping faults and expects no violation.
 func TestSeeds(t *testing.T) {
 	o := testOptions(t)
 	o.Seeds = 10
@@ -53,14 +53,14 @@
 		t.Fatal(err)
 	}
 	if r.Seeds != o.Seeds || len(r.Failed)+len(r.NotPlayed) > 0 || r.TotalViolations() > 0 {
-		t.Errorf("%d seeds played, %d failed, not played: %v, violations %v", r.Seeds, len(r.Failed), r.NotPlayed, r.ViolationCounts)
+		t.Errorf("%d seeds run, %d failed, not completed: %v, violations %v", r.Seeds, len(r.Failed), r.NotPlayed, r.ViolationCounts)
 	}
 	if r.Requests < 200 || r.Overlapping == 0 {
-		t.Errorf("%d requests, %d seeds with faults that overlap: the test does not test what it should", r.Requests, r.Overlapping)
+		t.Errorf("%d requests, %d seeds with overlapping faults: too few for the test to be meaningful", r.Requests, r.Overlapping)
 	}
 }
 
-// Planted defects are detected.
+// TestDefectsAreDetected expects a violation for each planted defect within three seeds.
 func TestDefectsAreDetected(t *testing.T) {
 	o := testOptions(t)
 	o.DefectSeeds, o.Defects = 3, []string{faultgateway.DefectNonIdempotentTwice, faultgateway.DefectClosedWithoutResponse, faultgateway.DefectResponseLate, faultgateway.DefectListIgnoredAtStart}
@@ -69,18 +69,19 @@
 		t.Fatal(err)
 	}
 	if r.DefectsFound() != len(o.Defects) {
-		t.Errorf("found %+v", r.Detections)
+		t.Errorf("not all of %d planted defects were detected: %+v", len(o.Defects), r.Detections)
 	}
 }
 
-// A seed always gives the same schedule, seeds differ, and each fault ends within its run.
+// TestNewSchedule checks that a seed always gives the same schedule, that schedules have many kinds of faults, mostly
+// overlapping, and that each fault ends within its run.
 func TestNewSchedule(t *testing.T) {
 	kinds := map[string]bool{}
 	overlapping := 0
 	for seed := range uint64(400) {
 		a, b := NewSchedule(seed, 10, 5*time.Second), NewSchedule(seed, 10, 5*time.Second)
 		if a.String() != b.String() {
-			t.Fatalf("seed %d is drawn differently:\n%s%s", seed, &a, &b)
+			t.Fatalf("seed %d gave two different schedules:\n%s%s", seed, &a, &b)
 		}
 		if a.Overlapping() {
 			overlapping++
@@ -88,16 +89,16 @@
 		for _, f := range a.Script.Faults {
 			kinds[f.Kind] = true
 			if f.At < 0 || f.For <= 0 || f.At+f.For > 5*time.Second {
-				t.Fatalf("seed %d: %v for %v", seed, f.At, f.For)
+				t.Fatalf("seed %d: fault at %v for %v is outside of the run", seed, f.At, f.For)
 			}
 		}
 	}
 	if len(kinds) < 20 || overlapping < 350 {
-		t.Errorf("%d kinds of faults, %d of 400 seeds with some that overlap", len(kinds), overlapping)
+		t.Errorf("%d kinds of faults, %d of 400 seeds with overlapping faults", len(kinds), overlapping)
 	}
 }
 
-// An interrupted soak ends soon, without its last seeds.
+// TestInterrupted checks that a soak whose context ends returns within 25 s, with an error and without its last seeds.
 func TestInterrupted(t *testing.T) {
 	o := testOptions(t)
 	o.Seeds = 1000
@@ -106,9 +107,9 @@
 	begin := time.Now()
 	r, err := Run(ctx, o)
 	if err == nil || r.Seeds >= o.Seeds {
-		t.Errorf("%v, %d seeds", err, r.Seeds)
+		t.Errorf("interrupted soak returned error %v after %d seeds", err, r.Seeds)
 	}
 	if took := time.Since(begin); took > 25*time.Second {
-		t.Errorf("ended after %v", took)
+		t.Errorf("interrupted soak ended after %v", took)
 	}
 }
