--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// Package standin owns fake servers and a client for tests on loopback and for the example: an engine, a name server and
-// a MySQL client. They implement the public protocols without any of the gateway's own code, so that both sides can't
-// share a mistake. They must never be part of the gateway.
+// Package standin owns fakes for tests on loopback and for the example: an engine, a name server and a MySQL client. They
+// implement the public protocols without any of the gateway's own code, so that the two sides cannot share a mistake.
+// The gateway must not import this package.
 package standin
 
 import (
@@ -17,24 +17,24 @@
 // Request is a request that an engine has received.
 type Request struct {
 	ID        string
-	Fields    map[string]string // by name, as the command has them
+	Fields    map[string]string // the fields of the command, by name
 	Statement string
 }
 
-// Reply is how an engine answers a request.
+// Reply describes how an engine answers a request.
 type Reply struct {
 	Delay        time.Duration // before the reply
-	ReportedWork time.Duration // reported for a served request; 0: the delay
+	ReportedWork time.Duration // elapsed time reported for a served request; 0: the delay
 	Status       string        // served, overload, crashed or nobody; empty: no reply
-	Pages        []string      // of a served request
-	Reset        bool          // reset the connection instead of replying
-	Raw          string        // write this instead of a reply
+	Pages        []string      // the result of a served request
+	Reset        bool          // the connection is reset instead of a reply
+	Raw          string        // written instead of a reply
 }
 
-// Engine is a fake engine.
+// Engine is a fake engine that records the requests it receives.
 type Engine struct {
 	listener  net.Listener
-	answer    func(Request) Reply
+	handler   func(Request) Reply
 	wg        sync.WaitGroup
 	mu        sync.Mutex
 	conns     map[net.Conn]struct{}
@@ -45,47 +45,48 @@
 	stopped   bool
 }
 
-// NewEngine starts an engine on an address. The function decides the reply to each request; it may be called concurrently.
-func NewEngine(addr string, answer func(Request) Reply) (*Engine, error) {
+// NewEngine starts an engine that listens on addr. The handler returns the reply to each request; it may be called
+// concurrently.
+func NewEngine(addr string, handler func(Request) Reply) (*Engine, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{listener: ln, answer: answer, conns: map[net.Conn]struct{}{}, startedAt: map[string]time.Time{}, holdTimes: map[string]time.Duration{}}
+	e := &Engine{listener: ln, handler: handler, conns: map[net.Conn]struct{}{}, startedAt: map[string]time.Time{}, holdTimes: map[string]time.Duration{}}
 	e.wg.Add(1)
 	go e.accept()
 	return e, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the engine listens on.
 func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Requests are the requests that it has received so far.
+// Requests returns the requests received so far.
 func (e *Engine) Requests() []Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Request(nil), e.requests...)
 }
 
-// Cancelled are the ids of the requests that were cancelled so far.
+// Cancelled returns the ids of the requests cancelled so far.
 func (e *Engine) Cancelled() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.cancelled...)
 }
 
-// HoldTime is how long a request held the engine, until it was freed or cancelled; 0 until then.
+// HoldTime returns how long a request held the engine until it was freed or cancelled, and 0 before that.
 func (e *Engine) HoldTime(id string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holdTimes[id]
 }
 
-// Close ends the engine as a process that is killed does: its connections are reset. It waits for its goroutines.
+// Close ends the engine like a killed process, by resetting its connections, and waits for its goroutines.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.stopped = true
-	_ = e.listener.Close() // the engine ends in any case
+	_ = e.listener.Close() // the listener is not used again
 	for c := range e.conns {
 		resetConn(c)
 	}
@@ -93,34 +94,34 @@
 	e.wg.Wait()
 }
 
-// resetConn closes a connection by a reset.
-func resetConn(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+// resetConn closes a connection with a TCP reset.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close() // it is reset in any case
+	_ = conn.Close() // an error does not matter: the connection is not used again
 }
 
 func (e *Engine) accept() {
 	defer e.wg.Done()
 	for {
-		c, err := e.listener.Accept()
+		conn, err := e.listener.Accept()
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
 		if e.stopped {
-			resetConn(c)
+			resetConn(conn)
 		} else {
-			e.conns[c] = struct{}{}
+			e.conns[conn] = struct{}{}
 			e.wg.Add(1)
-			go e.serve(c)
+			go e.serve(conn)
 		}
 		e.mu.Unlock()
 	}
 }
 
-// session is one connection of a gateway.
+// session is the state of one connection from a gateway.
 type session struct {
 	engine  *Engine
 	conn    net.Conn
@@ -129,28 +130,28 @@
 	results map[string][]string
 }
 
-func (e *Engine) serve(c net.Conn) {
+func (e *Engine) serve(conn net.Conn) {
 	defer e.wg.Done()
-	s := &session{engine: e, conn: c, running: map[string]*time.Timer{}, results: map[string][]string{}}
-	in := bufio.NewReader(c)
+	s := &session{engine: e, conn: conn, running: map[string]*time.Timer{}, results: map[string][]string{}}
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil || !s.command(in, strings.Fields(line)) {
 			break
 		}
 	}
-	_ = c.Close() // its client has gone or has broken the protocol
+	_ = conn.Close() // the peer has disconnected or violated the protocol
 	s.mu.Lock()
 	for _, t := range s.running {
 		t.Stop()
 	}
 	s.mu.Unlock()
 	e.mu.Lock()
-	delete(e.conns, c)
+	delete(e.conns, conn)
 	e.mu.Unlock()
 }
 
-// command executes one command; words are those of its line. It reports false for one that breaks the protocol.
+// command executes the command whose line has the given words. It returns false if the command violates the protocol.
 func (s *session) command(in *bufio.Reader, words []string) (ok bool) {
 	if len(words) < 2 {
 		return false
@@ -162,22 +163,22 @@
 	case "QUIT", "FREE":
 		s.release(id, words[0] == "QUIT")
 	case "NEXT":
-		n, err := strconv.Atoi(words[len(words)-1])
+		page, err := strconv.Atoi(words[len(words)-1])
 		s.mu.Lock()
 		pages := s.results[id]
 		s.mu.Unlock()
-		if err != nil || n < 1 || n >= len(pages) {
-			s.write(id, "crashed", "-", "")
+		if err != nil || page < 1 || page >= len(pages) {
+			s.writeReply(id, "crashed", "-", "")
 		} else {
-			s.write(id, "rows", "index="+strconv.Itoa(n), pages[n])
+			s.writeReply(id, "rows", "index="+strconv.Itoa(page), pages[page])
 		}
 	case "NOOP":
-		s.write(id, "green", "-", "")
+		s.writeReply(id, "green", "-", "")
 	case "INFO":
 		s.mu.Lock()
-		n := len(s.running)
+		running := len(s.running)
 		s.mu.Unlock()
-		s.write(id, "green", fmt.Sprintf("rep=inflight:%d;util:0.50", n), "")
+		s.writeReply(id, "green", fmt.Sprintf("rep=inflight:%d;util:0.50", running), "")
 	case "PRIO":
 	default:
 		return false
@@ -185,7 +186,7 @@
 	return true
 }
 
-// release forgets a request and its result, at its end or when it is cancelled.
+// release discards a request and its result after the request was freed or cancelled, and records its hold time.
 func (s *session) release(id string, cancelled bool) {
 	s.mu.Lock()
 	if t := s.running[id]; t != nil {
@@ -196,8 +197,8 @@
 	s.mu.Unlock()
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	if from, ok := s.engine.startedAt[id]; ok {
-		s.engine.holdTimes[id] = time.Since(from)
+	if startedAt, ok := s.engine.startedAt[id]; ok {
+		s.engine.holdTimes[id] = time.Since(startedAt)
 		delete(s.engine.startedAt, id)
 	}
 	if cancelled {
@@ -205,72 +206,73 @@
 	}
 }
 
-// maxStatementBytes bounds what an engine reads of one statement.
+// maxStatementBytes is the longest statement that an engine accepts.
 const maxStatementBytes = 1 << 24
 
-// handleAsk reads the rest of a request and starts it. It reports false for one that breaks the protocol.
+// handleAsk reads the statement of a request and schedules its reply. It returns false if the request violates the
+// protocol.
 func (s *session) handleAsk(in *bufio.Reader, id, fields, length string) bool {
-	n, err := strconv.Atoi(length)
-	if err != nil || n < 0 || n > maxStatementBytes {
+	size, err := strconv.Atoi(length)
+	if err != nil || size < 0 || size > maxStatementBytes {
 		return false
 	}
-	body := make([]byte, n+2)
-	if _, err := io.ReadFull(in, body); err != nil || string(body[n:]) != "\r\n" {
+	body := make([]byte, size+2)
+	if _, err := io.ReadFull(in, body); err != nil || string(body[size:]) != "\r\n" {
 		return false
 	}
-	a := Request{ID: id, Fields: map[string]string{}, Statement: string(body[:n])}
+	request := Request{ID: id, Fields: map[string]string{}, Statement: string(body[:size])}
 	for _, f := range strings.Split(fields, ",") {
 		if name, value, ok := strings.Cut(f, "="); ok {
-			a.Fields[name] = value
+			request.Fields[name] = value
 		}
 	}
 	s.engine.mu.Lock()
-	s.engine.requests = append(s.engine.requests, a)
+	s.engine.requests = append(s.engine.requests, request)
 	s.engine.startedAt[id] = time.Now()
 	s.engine.mu.Unlock()
-	r := s.engine.answer(a)
+	reply := s.engine.handler(request)
 	s.mu.Lock()
-	s.running[id] = time.AfterFunc(r.Delay, func() { s.finish(id, r) })
+	s.running[id] = time.AfterFunc(reply.Delay, func() { s.finish(id, reply) })
 	s.mu.Unlock()
 	return true
 }
 
-// finish sends the reply to a request, unless that was cancelled.
-func (s *session) finish(id string, r Reply) {
+// finish sends the reply to a request, unless the request was cancelled.
+func (s *session) finish(id string, reply Reply) {
 	s.mu.Lock()
-	_, open := s.running[id]
+	_, running := s.running[id]
 	delete(s.running, id)
-	if open && r.Status == "served" {
-		s.results[id] = r.Pages
+	if running && reply.Status == "served" {
+		s.results[id] = reply.Pages
 	}
 	s.mu.Unlock()
 	switch {
-	case !open:
-	case r.Reset:
+	case !running:
+	case reply.Reset:
 		resetConn(s.conn)
-	case r.Raw != "":
-		s.writeRaw(r.Raw)
-	case r.Status == "served":
+	case reply.Raw != "":
+		s.writeRaw(reply.Raw)
+	case reply.Status == "served":
 		page := ""
-		if len(r.Pages) > 0 {
-			page = r.Pages[0]
+		if len(reply.Pages) > 0 {
+			page = reply.Pages[0]
 		}
-		work := r.ReportedWork
+		work := reply.ReportedWork
 		if work == 0 {
-			work = r.Delay
+			work = reply.Delay
 		}
-		s.write(id, r.Status, fmt.Sprintf("total=%d,elapsed=%d,rss=64", max(len(r.Pages), 1), work.Milliseconds()), page)
-	case r.Status != "":
-		s.write(id, r.Status, "-", "")
+		s.writeReply(id, reply.Status, fmt.Sprintf("total=%d,elapsed=%d,rss=64", max(len(reply.Pages), 1), work.Milliseconds()), page)
+	case reply.Status != "":
+		s.writeReply(id, reply.Status, "-", "")
 	}
 }
 
-func (s *session) write(id, word, fields, body string) {
+func (s *session) writeReply(id, word, fields, body string) {
 	s.writeRaw(fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body))
 }
 
 func (s *session) writeRaw(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, _ = io.WriteString(s.conn, text) // a broken connection shows when it is read
+	_, _ = io.WriteString(s.conn, text) // a failed connection is detected by the read loop
 }
--- a/internal/standin/nameserver.go
+++ b/internal/standin/nameserver.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Host is one engine of the list.
+// Host is one entry of the endpoint list.
 type Host struct {
 	ID, Zone string
 	Addr     netip.AddrPort
 	Draining bool
-	Weight   int // as in the list; the weight of a record is ten times as much
+	Weight   int // as in the gateway's configuration; an SRV record carries ten times this value
 	Kind     string
 	Cell     int
 	Started  int64
 }
 
-// NameServer is a fake name server that answers every query with the list of engines.
+// NameServer is a fake name server that answers every query with the endpoint list.
 type NameServer struct {
 	conn    net.PacketConn
 	name    string
@@ -35,25 +35,25 @@
 	onSent  func(ListReply)
 }
 
-// ListReply is an answer that is about to be sent, and the faults to inject into it.
+// ListReply is an answer before it is sent, with the faults to inject into it.
 type ListReply struct {
 	Serial        uint32
 	Hosts         []Host
-	Stale         bool          // it has an older list than the server: set by who changes the hosts
-	Dropped       bool          // not sent
-	ServerFailure bool          // reports SERVFAIL
-	Truncated     bool          // cut short
-	WrongID       bool          // has the id of another query
-	Duplicated    bool          // sent twice
-	Delay         time.Duration // sent so late
+	Stale         bool          // the list is older than the server's; whoever replaces Hosts sets this
+	Dropped       bool          // the answer is not sent
+	ServerFailure bool          // the answer reports SERVFAIL
+	Truncated     bool          // only the first two thirds of the message are sent
+	WrongID       bool          // the answer has the id of another query
+	Duplicated    bool          // the answer is sent twice
+	Delay         time.Duration // before the answer is sent
 }
 
-// Valid reports whether the receiver can use the reply: it is complete and has the current list.
+// Valid reports whether the receiver can use the reply: it is sent complete, and it has the current list.
 func (r *ListReply) Valid() bool {
 	return !r.Stale && !r.Dropped && !r.ServerFailure && !r.Truncated && !r.WrongID
 }
 
-// NewNameServer starts a name server with an empty list under a name.
+// NewNameServer starts a name server that listens on addr and has an empty list under the given name.
 func NewNameServer(addr, name string) (*NameServer, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return n, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the name server listens on.
 func (n *NameServer) Addr() string { return n.conn.LocalAddr().String() }
 
 // SetHosts replaces the list and its serial number.
@@ -74,37 +74,38 @@
 	n.mu.Unlock()
 }
 
-// SetRewrite sets a function that every answer passes through before it is sent; nil: none. An answer of nil is dropped.
+// SetRewrite sets a function that replaces the bytes of each answer before it is sent; nil: none. If f returns nil, the
+// answer is dropped.
 func (n *NameServer) SetRewrite(f func([]byte) []byte) {
 	n.mu.Lock()
 	n.rewrite = f
 	n.mu.Unlock()
 }
 
-// SetFilter sets whom the server answers, by the address of the query; nil: all.
+// SetFilter sets a function that selects, by source address, which queries are answered; nil: all.
 func (n *NameServer) SetFilter(f func(from string) bool) {
 	n.mu.Lock()
 	n.filter = f
 	n.mu.Unlock()
 }
 
-// OnReply sets a function that is called with each answer before it is sent, and may change it; nil: none.
+// OnReply sets a function that is called with each answer before it is encoded, and may change it; nil: none.
 func (n *NameServer) OnReply(f func(*ListReply)) {
 	n.mu.Lock()
 	n.onReply = f
 	n.mu.Unlock()
 }
 
-// OnSent sets a function that is called with each valid answer after it was sent.
+// OnSent sets a function that is called with each valid answer after it was sent; nil: none.
 func (n *NameServer) OnSent(f func(ListReply)) {
 	n.mu.Lock()
 	n.onSent = f
 	n.mu.Unlock()
 }
 
-// Close ends the server and waits for it.
+// Close ends the server and waits for its serving goroutine. Delayed answers are not sent after that.
 func (n *NameServer) Close() {
-	_ = n.conn.Close() // the server ends in any case
+	_ = n.conn.Close() // the socket is not used again
 	<-n.done
 }
 
@@ -123,7 +124,7 @@
 	}
 }
 
-// reply answers one query.
+// reply answers the query with the given id.
 func (n *NameServer) reply(id uint16, from net.Addr) {
 	n.mu.Lock()
 	r := ListReply{Serial: n.serial, Hosts: n.hosts}
@@ -160,7 +161,7 @@
 	send()
 }
 
-// encode is the message with the faults that concern its bytes.
+// encode returns the encoded message with the faults that affect its bytes.
 func (r *ListReply) encode(id uint16, name string) []byte {
 	if r.WrongID {
 		id++
@@ -175,15 +176,15 @@
 	return msg
 }
 
-// EncodeAnswer is the answer to a query for the list: an SRV record for each host, with address and text records. Names
-// that occur before are compressed to pointers, as servers do.
+// EncodeAnswer encodes the answer to a query for the list: an SRV record for each host, an SOA record with the serial
+// number, and an A and a TXT record for each host. Repeated names are compressed to pointers, as real servers do.
 func EncodeAnswer(id uint16, name string, serial uint32, hosts []Host) []byte {
-	b := binary.BigEndian.AppendUint16(nil, id)
-	b = append(b, 0x84, 0, 0, 1)
-	b = binary.BigEndian.AppendUint16(b, uint16(len(hosts)))
-	b = append(b, 0, 1)
-	b = binary.BigEndian.AppendUint16(b, uint16(2*len(hosts)))
-	b = append(appendName(b, name), 0, 33, 0, 1)
+	msg := binary.BigEndian.AppendUint16(nil, id)
+	msg = append(msg, 0x84, 0, 0, 1)
+	msg = binary.BigEndian.AppendUint16(msg, uint16(len(hosts)))
+	msg = append(msg, 0, 1)
+	msg = binary.BigEndian.AppendUint16(msg, uint16(2*len(hosts)))
+	msg = append(appendName(msg, name), 0, 33, 0, 1)
 	targets := make([]int, len(hosts))
 	for i, h := range hosts {
 		var data []byte
@@ -194,23 +195,23 @@
 		data = binary.BigEndian.AppendUint16(data, priority)
 		data = binary.BigEndian.AppendUint16(data, uint16(10*h.Weight))
 		data = binary.BigEndian.AppendUint16(data, h.Addr.Port())
-		b = appendRecord(append(b, 0xc0, 12), 33, appendName(data, h.ID+"."+h.Zone+".hosts"))
-		targets[i] = len(b) - len(h.ID+"."+h.Zone+".hosts") - 2
+		msg = appendRecord(append(msg, 0xc0, 12), 33, appendName(data, h.ID+"."+h.Zone+".hosts"))
+		targets[i] = len(msg) - len(h.ID+"."+h.Zone+".hosts") - 2
 	}
 	soa := append(appendName(nil, "ns.lan"), 0)
 	soa = binary.BigEndian.AppendUint32(soa, serial)
-	b = appendRecord(append(b, 0xc0, 12), 6, append(soa, make([]byte, 16)...))
+	msg = appendRecord(append(msg, 0xc0, 12), 6, append(soa, make([]byte, 16)...))
 	for i, h := range hosts {
 		pointer := []byte{0xc0 | byte(targets[i]>>8), byte(targets[i])}
 		addr := h.Addr.Addr().As4()
-		b = appendRecord(append(b, pointer...), 1, addr[:])
+		msg = appendRecord(append(msg, pointer...), 1, addr[:])
 		var text []byte
 		for _, s := range []string{"kind=" + h.Kind, fmt.Sprint("cell=", h.Cell), fmt.Sprint("started=", h.Started)} {
 			text = append(append(text, byte(len(s))), s...)
 		}
-		b = appendRecord(append(b, pointer...), 16, text)
+		msg = appendRecord(append(msg, pointer...), 16, text)
 	}
-	return b
+	return msg
 }
 
 func appendName(b []byte, name string) []byte {
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Slots are an engine's slots: so many requests run at once, the others wait in the order in which they arrived.
+// Slots models the slots of an engine, each of which runs one request at a time. Requests beyond that wait in the order of
+// their arrival.
 type Slots struct {
 	mu     sync.Mutex
-	freeAt []time.Time // when each is free
+	freeAt []time.Time // when each slot is free
 }
 
 // NewSlots returns n free slots.
 func NewSlots(n int) *Slots { return &Slots{freeAt: make([]time.Time, n)} }
 
-// Reserve reserves the slot that is free first, and returns how long a request that arrives now takes, with its wait.
+// Reserve reserves the slot that is free first, and returns how long a request that arrives now takes, wait included.
 func (s *Slots) Reserve(work time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -15,7 +15,8 @@
 // TestMain fails if a server leaves goroutines behind after its Close.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// An answer that is still delayed when the name server is closed is neither sent nor reported as sent.
+// TestNothingIsSentAfterClose checks that an answer that is still delayed when the name server closes is not reported as
+// sent.
 func TestNothingIsSentAfterClose(t *testing.T) {
 	const delay = 30 * time.Millisecond
 	for _, c := range []struct {
@@ -55,7 +56,8 @@
 	}
 }
 
-// A request holds its engine until it is freed or cancelled, and a cancelled one gets no reply.
+// TestEngineReleasesRequests checks that a request holds its engine until it is freed or cancelled, and that a cancelled
+// request gets no reply.
 func TestEngineReleasesRequests(t *testing.T) {
 	engine, err := NewEngine("127.0.0.1:0", func(r Request) Reply {
 		if r.Fields["lane"] == "slow" {
@@ -88,9 +90,9 @@
 	}
 	exchange("ASK 01 - 8\r\nSELECT 1\r\n", "01 served total=2,")
 	if held := engine.HoldTime("01"); held != 0 {
-		t.Errorf("the request has held its engine for %v before it was freed", held)
+		t.Errorf("hold time is %v before the request was freed, want 0", held)
 	}
-	// The second command of each pair is answered after the first has been handled.
+	// Commands of a connection are handled in order: the answer to the NOOP shows that the command before it was handled.
 	if _, err := in.Discard(len("a\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
@@ -100,12 +102,12 @@
 	}
 	exchange("FREE 01\r\nNOOP 04\r\n", "04 green")
 	if engine.HoldTime("01") == 0 || engine.HoldTime("02") == 0 {
-		t.Errorf("held for %v and %v after both were released", engine.HoldTime("01"), engine.HoldTime("02"))
+		t.Errorf("hold times are %v and %v after both requests were released, want over 0", engine.HoldTime("01"), engine.HoldTime("02"))
 	}
 	if got := engine.Cancelled(); len(got) != 1 || got[0] != "02" {
-		t.Errorf("cancelled: %q, want 02", got)
+		t.Errorf("cancelled requests: %q, want only 02", got)
 	}
 	if got := engine.Requests(); len(got) != 2 || got[1].Statement != "SELECT 2" {
-		t.Errorf("requests: %+v", got)
+		t.Errorf("received requests: %+v, want 2, the second with SELECT 2", got)
 	}
 }
