--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -14,18 +14,18 @@
 	"foxlane/rules"
 )
 
-// This file measures admission control without sockets: in virtual time for shares and Retry-After, and alone for the
-// size of its state and its cost.
+// This file measures admission control without sockets: shares and Retry-After in virtual time, and the state size and the
+// processor cost of the controller alone.
 
-// modelCores is how many requests the engines of a model run at once.
+// modelCores is the number of requests that the engines of a model run at once.
 const modelCores = 32
 
-// trustAnyTenant lets clients of this machine name any tenant.
-func trustAnyTenant() admission.Settings {
+// anyTenantSettings returns the default settings, changed so that clients on loopback may name any tenant.
+func anyTenantSettings() admission.Settings {
 	s := admission.Defaults()
 	var builder netipx.IPSetBuilder
 	builder.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
-	addresses, _ := builder.IPSet() // fails only for what the builder was given
+	addresses, _ := builder.IPSet() // fails only for an invalid prefix
 	s.AnyTenant, s.Networks = true, []admission.Network{{Name: "here", Addresses: addresses, Weight: 1, Trusted: true}}
 	return s
 }
@@ -36,14 +36,14 @@
 
 var loopback = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// jainIndex is Jain's fairness index of the work that 100 equally greedy tenants got, with requests of 20 to 180 ms.
+// jainIndex returns Jain's fairness index of the work served for 100 greedy tenants in 120 s, with requests of 20 to 180 ms.
 func jainIndex() float64 {
-	m := newAdmissionModel(trustAnyTenant(), modelLimits(), modelCores)
+	m := newAdmissionModel(anyTenantSettings(), modelLimits(), modelCores)
 	m.setGreedy()
 	rng := rand.New(rand.NewPCG(3, 3))
 	byTenant := make([][]*modelConn, 100)
 	for i := range byTenant {
-		for range 1 + rng.IntN(5) { // some with many connections
+		for range 1 + rng.IntN(5) { // 1 to 5 connections per tenant
 			c := m.connect(tenantName(i), rules.Time(20+rng.IntN(160))*rules.Millisecond, loopback)
 			byTenant[i] = append(byTenant[i], c)
 			m.request(c)
@@ -62,7 +62,7 @@
 	return sum * sum / (float64(len(byTenant)) * squares)
 }
 
-// weightError is the greatest relative error of the shares of three greedy tenants of weights 1, 2 and 4.
+// weightError returns the largest relative error of the shares of three greedy tenants with weights 1, 2 and 4.
 func weightError() float64 {
 	s := admission.Defaults()
 	names := []string{"one", "two", "four"}
@@ -95,13 +95,14 @@
 	return worst
 }
 
-// returnsAfterRejection runs 400 clients of 20 tenants that honour Retry-After, where 120 requests may be open and 32
-// run at once. From the middle on the engines are slower by a factor. It returns the fraction of those that came back
-// on time that were served, and the median of the time that they needed over the Retry-After.
-func returnsAfterRejection(slowdown float64) (served, p50 float64) {
+// retriesAfterRejection simulates 400 clients of 20 tenants that honour Retry-After, with at most 120 open requests of
+// which 32 run at once. For the second half of the run, service times are multiplied by the slowdown. It returns the
+// fraction of retries after a Retry-After that were served rather than rejected again, and the median of the time from
+// rejection to admission, as a multiple of the Retry-After.
+func retriesAfterRejection(slowdown float64) (served, p50 float64) {
 	limits := modelLimits()
 	limits.Requests = 120
-	m := newAdmissionModel(trustAnyTenant(), limits, modelCores)
+	m := newAdmissionModel(anyTenantSettings(), limits, modelCores)
 	returned, rejected := 0, 0
 	var ratios []float64
 	m.onServed = func(c *modelConn, r *modelRequest) {
@@ -136,13 +137,13 @@
 	return float64(returned) / float64(returned+rejected), ratios[len(ratios)/2]
 }
 
-// displacedClients sends the clients of a lost zone to a gateway where others are at home: 40 clients that use half of
-// the engines, then as many again that are unknown to it and request nine tenths, so that not all can be served. It
-// returns the fraction served of those at home before and after, that of the displaced, and how many connections of
-// either were evicted.
+// displacedClients simulates a gateway that takes over the clients of a lost zone. Its 40 home clients use half of the
+// engines; then 40 clients unknown to it connect and request nine tenths, so that not all can be served. It returns the
+// fraction served of the home clients' requests before and after, that of the displaced clients, and the number of
+// evicted connections of both groups.
 func displacedClients() (before, after, displaced float64, evicted int) {
 	const serviceTime, clients = 100 * rules.Millisecond, 40
-	m := newAdmissionModel(trustAnyTenant(), modelLimits(), modelCores)
+	m := newAdmissionModel(anyTenantSettings(), modelLimits(), modelCores)
 	const (
 		homeBefore = iota
 		homeAfter
@@ -166,8 +167,8 @@
 		served[phaseOf(c)]++
 	}
 	m.onRejected = func(c *modelConn, _ rules.Time) { busy[c] = false }
-	var run func(c *modelConn, interval rules.Time)
-	run = func(c *modelConn, interval rules.Time) {
+	var sendNext func(c *modelConn, interval rules.Time)
+	sendNext = func(c *modelConn, interval rules.Time) {
 		if !c.open {
 			return
 		}
@@ -176,23 +177,23 @@
 			busy[c] = true
 			m.request(c)
 		}
-		m.schedule(interval, func() { run(c, interval) })
+		m.schedule(interval, func() { sendNext(c, interval) })
 	}
-	var all []*modelConn
+	var conns []*modelConn
 	connect := func(group int, interval rules.Time) {
 		for i := range clients {
 			c := m.connect(tenantName(100*group+i), serviceTime, loopbackAddr(20+group, i))
 			isDisplaced[c] = group == 1
-			all = append(all, c)
-			m.schedule(rules.Time(i)*interval/clients, func() { run(c, interval) })
+			conns = append(conns, c)
+			m.schedule(rules.Time(i)*interval/clients, func() { sendNext(c, interval) })
 		}
 	}
-	connect(0, 250*rules.Millisecond) // 160 requests a second of 320
+	connect(0, 250*rules.Millisecond) // 160 requests per second; the engines serve 320
 	m.advance(20 * rules.Second)
 	lost = true
-	connect(1, 139*rules.Millisecond) // and 288 more
+	connect(1, 139*rules.Millisecond) // 288 more requests per second
 	m.advance(20 * rules.Second)
-	for _, c := range all {
+	for _, c := range conns {
 		if !c.open {
 			evicted++
 		}
@@ -201,9 +202,10 @@
 	return fraction(homeBefore), fraction(homeAfter), fraction(fromLostZone), evicted
 }
 
-// stateSize is the size of the state after so many tenants sent one request each, and its bound.
+// stateSize returns the largest size of the controller's state, in bytes, while the given number of tenants send one
+// request each, and the bound that the controller states for it.
 func stateSize(tenants int) (bytes, bound int) {
-	m := newAdmissionModel(trustAnyTenant(), modelLimits(), modelCores)
+	m := newAdmissionModel(anyTenantSettings(), modelLimits(), modelCores)
 	m.onServed = func(*modelConn, *modelRequest) {}
 	m.onRejected = func(*modelConn, rules.Time) {}
 	for i := range tenants {
@@ -216,11 +218,11 @@
 	return bytes, m.controller.StateBound()
 }
 
-// admissionCost is what admission control costs a request with 100,000 tenants known: its arrival, that it was
-// forwarded, the engine time it took, and its end.
+// admissionCost returns the time and the allocations that the controller needs per request with 100,000 known tenants. A
+// request consists of its events: arrived, forwarded, engine time used, done, connection idle.
 func admissionCost() (ns, allocs float64) {
 	const tenants, rounds, slots = 100_000, 400_000, 300
-	controller := admission.New(trustAnyTenant(), modelLimits(), modelClasses(), nil, modelSeed)
+	controller := admission.New(anyTenantSettings(), modelLimits(), modelClasses(), nil, modelSeed)
 	now := rules.Second
 	names := make([]string, tenants)
 	for i := range names {
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -11,13 +11,14 @@
 	"foxlane/rules"
 )
 
-// This file measures replicas alone, in virtual time, over a network that loses, duplicates and delays datagrams: how
-// soon entries reach all members, how soon a member catches up, and whether replicas diverge.
+// This file measures replicas without gateways, in virtual time, over a network that loses, duplicates and delays
+// datagrams: the time until entries reach all members, the time until a paused member catches up, and whether replicas
+// diverge.
 
-// clusterStart is an arbitrary time that is not 0.
+// clusterStart is an arbitrary start time other than 0.
 const clusterStart = 1000 * rules.Second
 
-// cluster is a network of members that know one another.
+// cluster is a network of members, all of which know each other.
 type cluster struct {
 	*emulator.DatagramNetwork
 	members []*emulator.ReplicaMember
@@ -33,7 +34,7 @@
 	return s
 }
 
-// newCluster starts n members. Their settings may be changed; nil: they are the defaults.
+// newCluster starts n members. The change function, if not nil, adjusts the settings of each.
 func newCluster(n int, m emulator.DatagramModel, seed uint64, change func(*replica.Settings)) *cluster {
 	c := &cluster{DatagramNetwork: emulator.NewDatagramNetwork(m, replica.Defaults().GossipInterval, clusterStart, seed), members: make([]*emulator.ReplicaMember, n)}
 	for i := range n {
@@ -42,7 +43,7 @@
 	return c
 }
 
-// startMember starts an incarnation of a member, and introduces it to the others.
+// startMember starts an incarnation of member i and announces it to the others, and the others to it.
 func (c *cluster) startMember(i int, incarnation uint64, change func(*replica.Settings)) {
 	s := memberSettings(i, incarnation)
 	if change != nil {
@@ -59,13 +60,13 @@
 	c.Add(s.Name, m)
 }
 
-// convergence is how long entries take to reach all members: the 99th percentile over members and entries, in seconds,
-// while each member reports its own load; and the bytes a second that a member sends.
+// convergence returns the 99th percentile, over members and entries, of the seconds that an entry takes to reach a member
+// while each member also reports its own load, and the mean number of bytes per second that a member sends.
 func convergence(n int, seed uint64) (p99, bytesPerSecond float64) {
 	const (
-		warmUp           = 5  // seconds until entries are written and bytes are counted
-		length           = 20 // seconds that count
-		lastWrite        = 12 // of these: what is written later might not have time to arrive
+		warmUp           = 5  // seconds before entries are written and bytes are counted
+		length           = 20 // seconds measured
+		lastWrite        = 12 // entries are written in this many of them: later ones might not arrive in time
 		entriesPerSecond = 2
 	)
 	c := newCluster(n, emulator.DatagramModel{Loss: 0.3, Duplicate: 0.05, MinDelay: rules.Millisecond, MaxDelay: 100 * rules.Millisecond}, seed, nil)
@@ -100,17 +101,17 @@
 		sent += bytes
 	}
 	want := len(writtenAt) * (n - 1)
-	for len(delays) < want { // those that never arrived
+	for len(delays) < want { // entries that never arrived count as the whole length
 		delays = append(delays, length)
 	}
 	slices.Sort(delays)
 	return delays[len(delays)*99/100], float64(sent) / float64(n) / length
 }
 
-// catchUpTime is how long a member that was paused for 60 s takes to have what all others wrote before it went on, and
-// the most that any member sent within a second over the budget.
+// catchUpTime returns the seconds that a member that was paused for 60 s takes to receive 99% of the entries that the
+// others wrote before it resumed, and the most bytes that any member sent within a second, as a ratio to the budget.
 func catchUpTime(n int, seed uint64) (seconds, burst float64) {
-	const paused, other = 3, 1
+	const pausedMember, referenceMember = 3, 1
 	c := newCluster(n, emulator.DatagramModel{Loss: 0.05, MinDelay: rules.Millisecond, MaxDelay: 20 * rules.Millisecond}, seed, nil)
 	run := func(seconds int) {
 		for range seconds {
@@ -123,27 +124,27 @@
 		}
 	}
 	run(8)
-	c.SetPaused(memberName(paused), true)
+	c.SetPaused(memberName(pausedMember), true)
 	run(60)
-	type key struct {
+	type entryKey struct {
 		origin  string
 		subject uint64
 	}
-	want := map[key]uint64{}
-	for _, copied := range c.members[other].Replica.Copies() {
+	want := map[entryKey]uint64{}
+	for _, copied := range c.members[referenceMember].Replica.Copies() {
 		for _, e := range copied.Entries {
-			if copied.Origin != memberName(paused) {
-				want[key{copied.Origin, e.Subject}] = e.Counter
+			if copied.Origin != memberName(pausedMember) {
+				want[entryKey{copied.Origin, e.Subject}] = e.Counter
 			}
 		}
 	}
-	c.SetPaused(memberName(paused), false)
+	c.SetPaused(memberName(pausedMember), false)
 	resumedAt := c.Now
 	for range 100 {
 		have := 0
-		for _, copied := range c.members[paused].Replica.Copies() {
+		for _, copied := range c.members[pausedMember].Replica.Copies() {
 			for _, e := range copied.Entries {
-				if counter, ok := want[key{copied.Origin, e.Subject}]; ok && e.Counter >= counter {
+				if counter, ok := want[entryKey{copied.Origin, e.Subject}]; ok && e.Counter >= counter {
 					have++
 				}
 			}
@@ -159,16 +160,17 @@
 	return float64(c.Now-resumedAt) / float64(rules.Second), burst
 }
 
-// diverges runs a random schedule of faults with four members, heals the network, and reports whether replicas differ.
+// diverges runs a random schedule of faults with four members, heals the network for 10 s, and reports whether the
+// replicas still differ.
 func diverges(seed uint64) bool {
 	const members = 4
-	longLived := func(s *replica.Settings) { // no entry is forgotten during the run
+	disableExpiry := func(s *replica.Settings) { // no entry expires during the run
 		for k := range s.MaxAge {
 			s.MaxAge[k] = 120 * rules.Second
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	c := newCluster(members, emulator.DatagramModel{Loss: rng.Float64() * 0.4, Duplicate: 0.1, MinDelay: rules.Millisecond, MaxDelay: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, longLived)
+	c := newCluster(members, emulator.DatagramModel{Loss: rng.Float64() * 0.4, Duplicate: 0.1, MinDelay: rules.Millisecond, MaxDelay: rules.Time(1+rng.IntN(2000)) * rules.Millisecond}, seed, disableExpiry)
 	incarnations := [members]uint64{1, 1, 1, 1}
 	for range 6 {
 		i := rng.IntN(members)
@@ -182,7 +184,7 @@
 		case 3:
 			incarnations[i]++
 			c.Remove(memberName(i))
-			c.startMember(i, incarnations[i], longLived)
+			c.startMember(i, incarnations[i], disableExpiry)
 		case 4:
 			c.SetPaused(memberName(i), rng.IntN(2) == 0)
 		}
@@ -198,34 +200,34 @@
 	c.Partition(func(string) int { return 0 })
 	c.Model = emulator.DatagramModel{MinDelay: rules.Millisecond, MaxDelay: 20 * rules.Millisecond}
 	c.Run(c.Now + 10*rules.Second)
-	return !c.agrees()
+	return !c.converged()
 }
 
-// agrees reports whether all members hold the same.
-func (c *cluster) agrees() bool {
-	first := contents(c.members[0].Replica)
+// converged reports whether all members hold the same versions.
+func (c *cluster) converged() bool {
+	first := heldVersions(c.members[0].Replica)
 	for _, m := range c.members[1:] {
-		if !maps.Equal(first, contents(m.Replica)) {
+		if !maps.Equal(first, heldVersions(m.Replica)) {
 			return false
 		}
 	}
 	return true
 }
 
-// version is what a replica holds of an origin or of one of its entries.
+// version is the state that a replica holds of an origin, or of one entry of that origin.
 type version struct {
 	incarnation, counter uint64
 	value                replica.Value
 }
 
-// contents are the versions that a replica holds, by origin and by entry.
-func contents(r *replica.Store) map[string]version {
-	held := map[string]version{}
+// heldVersions returns the versions that a replica holds, keyed by origin and by origin with entry.
+func heldVersions(r *replica.Store) map[string]version {
+	versions := map[string]version{}
 	for _, copied := range r.Copies() {
-		held[copied.Origin] = version{copied.Incarnation, copied.Counter, replica.Value{}}
+		versions[copied.Origin] = version{copied.Incarnation, copied.Counter, replica.Value{}}
 		for _, e := range copied.Entries {
-			held[fmt.Sprint(copied.Origin, e.Key)] = version{copied.Incarnation, e.Counter, e.Value}
+			versions[fmt.Sprint(copied.Origin, e.Key)] = version{copied.Incarnation, e.Counter, e.Value}
 		}
 	}
-	return held
+	return versions
 }
--- a/internal/measure/cost.go
+++ b/internal/measure/cost.go
@@ -13,11 +13,12 @@
 	"foxlane/internal/standin"
 )
 
-// costTimeout is the timeout of the clients of Cost.
+// costTimeout is the timeout of the clients in Cost.
 const costTimeout = 2500 * time.Millisecond
 
-// Cost measures the fast path: processor time a request at 200 connections that send without a pause to engines that
-// take 2 ms, the memory that the gateway holds then, and the latency that it adds to a request at low load.
+// Cost measures the fast path: the processor time per request and the memory of the gateway with 200 connections that send
+// without a pause to engines that take 2 ms, and the latency that the gateway adds to a request at low load. The gateway
+// is the path of its program; empty: the program is built from this module.
 func Cost(ctx context.Context, gateway, siteConfig string, seconds int, progress io.Writer) (*Report, error) {
 	r := newReport("cost", "scenario", "served", "failed", "p50 ms", "p99 ms", "cpu us/request", "rss MB")
 	sourceAddr := func(i int) netip.Addr { return loopbackAddr(4, i%200) }
@@ -45,14 +46,14 @@
 	return r, ctx.Err()
 }
 
-// gatewayUsage is what a gateway used under a load.
+// gatewayUsage is the resource usage of a gateway under a load.
 type gatewayUsage struct {
 	stats *ClientStats
-	cpuUS float64 // processor time a served request
+	cpuUS float64 // processor time per served request, in microseconds
 	rssMB float64
 }
 
-// measureUsage runs one group against a testbed of its own, and adds a row for it.
+// measureUsage runs one group against a new testbed and adds a row for it.
 func measureUsage(ctx context.Context, r *Report, name string, setup Setup, length time.Duration, progress io.Writer, g ClientGroup) (u gatewayUsage, err error) {
 	progressf(progress, "%s, %v\n", name, length)
 	t, err := StartTestbed(setup)
@@ -80,7 +81,7 @@
 	return u, nil
 }
 
-// directLatency is the median latency of requests that go to a fake engine without a gateway, in milliseconds.
+// directLatency returns the median latency, in milliseconds, of requests sent to a fake engine without a gateway.
 func directLatency(serviceTime time.Duration) (float64, error) {
 	e, err := standin.NewEngine("127.0.0.1:0", func(standin.Request) standin.Reply {
 		return standin.Reply{Delay: serviceTime, Status: "served", Pages: []string{"a\tb\tc\n"}}
@@ -103,15 +104,15 @@
 		time.Sleep(20 * time.Millisecond) // low load
 		start := time.Now()
 		if _, err := fmt.Fprintf(conn, "ASK %016x - 8\r\nSELECT 1\r\n", i); err != nil {
-			return 0, fmt.Errorf("asking the fake engine at %s: %w", e.Addr(), err)
+			return 0, fmt.Errorf("sending a request to the fake engine at %s: %w", e.Addr(), err)
 		}
-		for range 2 { // the head, and the page with the line feed that ends it
+		for range 2 { // the reply line, and the page up to its line feed
 			if _, err := in.ReadString('\n'); err != nil {
 				return 0, fmt.Errorf("reading from the fake engine at %s: %w", e.Addr(), err)
 			}
 		}
 		latencies = append(latencies, float64(time.Since(start).Microseconds())/1000)
-		if _, err := in.ReadString('\n'); err != nil { // behind the page
+		if _, err := in.ReadString('\n'); err != nil { // the line end after the page
 			return 0, fmt.Errorf("reading from the fake engine at %s: %w", e.Addr(), err)
 		}
 	}
--- a/internal/measure/demo.go
+++ b/internal/measure/demo.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Demo shows what admission control does: quiet clients alone, then beside a flood without it, then with it. A line is
-// written each second; live rewrites it in place.
+// Demo shows the effect of admission control in three scenarios: quiet clients alone, beside a flood without admission
+// control, and beside a flood with it. It writes a line each second; if live is set, each line overwrites the last one.
 func Demo(ctx context.Context, gateway string, seconds int, out io.Writer, live bool) error {
 	r := newReport("demo", "scenario", "quiet served", "p50 ms", "p99 ms", "quiet rejected", "flood served", "flood rejected")
 	length := time.Duration(seconds) * time.Second
@@ -17,15 +17,15 @@
 		name, siteConfig string
 		groups           []ClientGroup
 	}{
-		{"quiet clients alone", "", []ClientGroup{quiet()}},
-		{"beside 280 flooding connections, admission control off", "", []ClientGroup{quiet(), flood(280)}},
-		{"the same, admission control on", fairSiteConfig, []ClientGroup{quiet(), flood(280)}},
+		{"quiet clients alone", "", []ClientGroup{quietGroup()}},
+		{"beside 280 flooding connections, admission control off", "", []ClientGroup{quietGroup(), floodGroup(280)}},
+		{"the same, admission control on", fairSiteConfig, []ClientGroup{quietGroup(), floodGroup(280)}},
 	} {
 		if err := demoScenario(ctx, r, gateway, s.name, s.siteConfig, length, s.groups, out, live); err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 		if ctx.Err() != nil {
-			return nil // interrupted: that is how a demo may end
+			return nil // an interrupt is a regular way to end a demo
 		}
 	}
 	var text bytes.Buffer
@@ -38,7 +38,7 @@
 	return err
 }
 
-// demoScenario runs one scenario and adds its row.
+// demoScenario runs one scenario for the given length and adds a row for it.
 func demoScenario(ctx context.Context, r *Report, gateway, name, siteConfig string, length time.Duration, groups []ClientGroup, out io.Writer, live bool) error {
 	t, err := StartTestbed(fairSetup(gateway, siteConfig))
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// showStats writes a line each second, and a last one when the context ends.
+// showStats writes a line of statistics each second, and a final one when the context ends.
 func showStats(ctx context.Context, groups []ClientGroup, stats map[string]*ClientStats, out io.Writer, live bool) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/measure/fair.go
+++ b/internal/measure/fair.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// This file measures admission control on sockets: quiet clients beside a flood. What virtual time decides is measured
-// in admission.go.
+// This file measures admission control on sockets, with quiet clients beside a flood. Measurements in virtual time are in
+// admission.go.
 
-// fairSiteConfig turns admission control on.
+// fairSiteConfig is a site configuration that turns admission control on.
 const fairSiteConfig = "fair {\n}\n"
 
-// fairSetup is the setup that the targets were set on: two engines of 16 slots, 100 ms a query.
+// fairSetup returns the setup for which the targets were chosen: two engines of 16 slots, 100 ms per query.
 func fairSetup(gateway, siteConfig string) Setup {
 	return Setup{Gateway: gateway, Engines: 2, Slots: 16, ServiceTime: 100 * time.Millisecond, MemoryMB: 192, Sockets: 1024, SiteConfig: siteConfig,
 		RetryAfter: true, Timeout: fairTimeout}
@@ -23,24 +23,25 @@
 const (
 	quietClients  = 20
 	fairTimeout   = 2500 * time.Millisecond
-	quietInterval = quietClients * time.Second / 40 // 40 requests a second in all, an eighth of what the engines can do
-	// warmUp is how long a scenario runs before it is counted: hundreds of clients connect in its first second.
-	warmUp = 2 * time.Second
+	quietInterval = quietClients * time.Second / 40 // 40 requests per second in all, an eighth of the engines' capacity
+	// fairWarmUp is the initial part of a scenario that is not counted: hundreds of clients connect in the first second.
+	fairWarmUp = 2 * time.Second
 )
 
-// quiet are clients with addresses of their own that use an eighth of the engines.
-func quiet() ClientGroup {
+// quietGroup returns clients with one address each that together use an eighth of the engines' capacity.
+func quietGroup() ClientGroup {
 	return ClientGroup{Name: "quiet", Clients: quietClients, Interval: quietInterval, Timeout: fairTimeout,
-		SourceAddr: func(i int) netip.Addr { return loopbackAddr(1, i) }, WarmUp: warmUp}
+		SourceAddr: func(i int) netip.Addr { return loopbackAddr(1, i) }, WarmUp: fairWarmUp}
 }
 
-// flood are clients of one address that send as fast as they are answered.
-func flood(clients int) ClientGroup {
+// floodGroup returns clients of one shared address that send their next request as soon as the last is answered.
+func floodGroup(clients int) ClientGroup {
 	return ClientGroup{Name: "flood", Clients: clients, Timeout: fairTimeout,
-		SourceAddr: func(int) netip.Addr { return loopbackAddr(2, 0) }, WarmUp: warmUp}
+		SourceAddr: func(int) netip.Addr { return loopbackAddr(2, 0) }, WarmUp: fairWarmUp}
 }
 
-// Fairness measures admission control. The gateway is the path of its program; empty: it is built from this module.
+// Fairness measures admission control on sockets, in virtual time and alone. The gateway is the path of its program;
+// empty: the program is built from this module.
 func Fairness(ctx context.Context, gateway string, seconds int, progress io.Writer) (*Report, error) {
 	r := newReport("fair", "scenario", "quiet requests", "served", "p50 ms", "p99 ms", "flood served", "rejected", "disconnected")
 	if err := fairOnSockets(ctx, r, gateway, time.Duration(seconds)*time.Second, progress); err != nil {
@@ -49,10 +50,10 @@
 	progressf(progress, "shares and Retry-After, in virtual time\n")
 	r.setValue("jain_100", jainIndex(), "0.97 or more")
 	r.setValue("weight_error", weightError(), "0.1 or less")
-	served, p50 := returnsAfterRejection(1)
+	served, p50 := retriesAfterRejection(1)
 	r.setValue("return_kept", served, "0.9 or more")
 	r.setValue("return_ratio_p50", p50, "0.5 to 2")
-	served, p50 = returnsAfterRejection(2)
+	served, p50 = retriesAfterRejection(2)
 	r.setValue("return_kept_half_capacity", served, "")
 	r.setValue("return_ratio_p50_half_capacity", p50, "")
 	progressf(progress, "size and cost\n")
@@ -66,7 +67,8 @@
 	return r, ctx.Err()
 }
 
-// fairOnSockets measures what quiet clients lose beside a flood, and what admission control costs a flood alone.
+// fairOnSockets measures the service that quiet clients lose beside a flood, and the throughput that admission control
+// costs when only a flood sends.
 func fairOnSockets(ctx context.Context, r *Report, gateway string, length time.Duration, progress io.Writer) error {
 	stats := map[string]map[string]*ClientStats{}
 	for _, s := range []struct {
@@ -74,20 +76,20 @@
 		length           time.Duration
 		groups           []ClientGroup
 	}{
-		{"quiet alone, admission control on", fairSiteConfig, length, []ClientGroup{quiet()}},
-		{"280 flooding, admission control on", fairSiteConfig, length, []ClientGroup{quiet(), flood(280)}},
-		{"280 flooding, admission control off", "", length, []ClientGroup{quiet(), flood(280)}},
-		{"100 flooding alone, admission control on", fairSiteConfig, length / 2, []ClientGroup{flood(100)}},
-		{"100 flooding alone, admission control off", "", length / 2, []ClientGroup{flood(100)}},
+		{"quiet alone, admission control on", fairSiteConfig, length, []ClientGroup{quietGroup()}},
+		{"280 flooding, admission control on", fairSiteConfig, length, []ClientGroup{quietGroup(), floodGroup(280)}},
+		{"280 flooding, admission control off", "", length, []ClientGroup{quietGroup(), floodGroup(280)}},
+		{"100 flooding alone, admission control on", fairSiteConfig, length / 2, []ClientGroup{floodGroup(100)}},
+		{"100 flooding alone, admission control off", "", length / 2, []ClientGroup{floodGroup(100)}},
 	} {
-		progressf(progress, "%s, %v\n", s.name, s.length+warmUp)
-		seen, err := runFairScenario(ctx, gateway, s.siteConfig, s.length+warmUp, s.groups)
+		progressf(progress, "%s, %v\n", s.name, s.length+fairWarmUp)
+		groupStats, err := runFairScenario(ctx, gateway, s.siteConfig, s.length+fairWarmUp, s.groups)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
-		q, f := seen["quiet"], seen["flood"]
+		q, f := groupStats["quiet"], groupStats["flood"]
 		r.addRow(s.name, q.Requested.Load(), q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), f.Served.Load(), f.Rejected.Load(), f.Disconnected.Load())
-		stats[s.name] = seen
+		stats[s.name] = groupStats
 	}
 	alone, beside := stats["quiet alone, admission control on"]["quiet"], stats["280 flooding, admission control on"]["quiet"]
 	on, off := stats["100 flooding alone, admission control on"]["flood"], stats["100 flooding alone, admission control off"]["flood"]
@@ -98,8 +100,8 @@
 	return nil
 }
 
-// runFairScenario runs groups against a testbed of its own. The statistics have an entry for each kind of group, empty
-// for those that don't take part.
+// runFairScenario runs groups against a new testbed. The statistics have an entry for "quiet" and for "flood", which is
+// empty if that group does not take part.
 func runFairScenario(ctx context.Context, gateway, siteConfig string, length time.Duration, groups []ClientGroup) (map[string]*ClientStats, error) {
 	t, err := StartTestbed(fairSetup(gateway, siteConfig))
 	if err != nil {
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -15,20 +15,20 @@
 	"foxlane/internal/standin"
 )
 
-// This file generates load: groups of clients that query a gateway, and statistics of what they saw.
+// This file generates load: groups of clients that query a gateway, and statistics of their requests.
 
-// ClientGroup is a number of clients that behave alike.
+// ClientGroup describes a number of clients with the same behaviour.
 type ClientGroup struct {
 	Name          string
 	Clients       int
 	SourceAddr    func(client int) netip.Addr
-	Interval      time.Duration // open loop: each client's mean time between requests; 0: closed loop, a request as soon as the last is answered
+	Interval      time.Duration // open loop: mean time between a client's requests; 0: closed loop, the next request follows the answer
 	Timeout       time.Duration
-	TimedFromSend bool          // latencies count from when a request was sent: for figures below the accuracy of the lab's own timers, a millisecond
-	WarmUp        time.Duration // requests that are due before this has passed are not counted
+	TimedFromSend bool          // latencies start when a request is sent, not when it is due: timers are accurate only to 1 ms
+	WarmUp        time.Duration // requests due within this time after the start are not counted
 }
 
-// ClientStats are the statistics of a group.
+// ClientStats are the statistics of a client group. They may be read while the clients run.
 type ClientStats struct {
 	Requested    atomic.Int64
 	Served       atomic.Int64
@@ -37,10 +37,10 @@
 	Disconnected atomic.Int64 // connections that were closed or refused
 
 	mu        sync.Mutex
-	latencies *hdrhistogram.Histogram // of the served requests, in microseconds, from when they were due
+	latencies *hdrhistogram.Histogram // of served requests, in microseconds, from the time they were due
 }
 
-// Latencies are recorded from 1 us to 2 min, which is over every timeout, to three significant digits.
+// Latencies are recorded from 1 us to 2 min, which exceeds every timeout, with three significant digits.
 const (
 	minLatencyUS  = 1
 	maxLatencyUS  = 120_000_000
@@ -51,7 +51,7 @@
 	return &ClientStats{latencies: hdrhistogram.New(minLatencyUS, maxLatencyUS, latencyDigits)}
 }
 
-// LatencyQuantile is a quantile of the latencies, by percentage, in milliseconds.
+// LatencyQuantile returns the latency, in milliseconds, at a quantile given as a percentage.
 func (s *ClientStats) LatencyQuantile(percentage float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,13 +61,14 @@
 func (s *ClientStats) recordLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.latencies.RecordValue(max(d.Microseconds(), minLatencyUS)) // fails only for a value over the range
+	_ = s.latencies.RecordValue(max(d.Microseconds(), minLatencyUS)) // fails only for a value above the range
 }
 
-// lastRequestID makes the ids of all requests of this process unique.
+// lastRequestID is the id of the last request; ids are unique within the process.
 var lastRequestID atomic.Uint64
 
-// RunClients runs groups of clients until the context ends, and waits for their last answers.
+// RunClients runs groups of clients until the context ends, waits for their last answers, and returns the statistics by
+// name of the group.
 func RunClients(ctx context.Context, t *Testbed, groups ...ClientGroup) map[string]*ClientStats {
 	stats := map[string]*ClientStats{}
 	for _, g := range groups {
@@ -77,7 +78,7 @@
 	return stats
 }
 
-// runGroups is RunClients with the statistics, by group, of the caller, who may read them meanwhile.
+// runGroups is like RunClients, but records into the caller's statistics, which may be read meanwhile.
 func runGroups(ctx context.Context, t *Testbed, groups []ClientGroup, stats map[string]*ClientStats) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -89,29 +90,29 @@
 	}
 }
 
-// loadClient is one client. It has one connection and one request at a time.
+// loadClient is one client of a group, with at most one connection and one request at a time.
 type loadClient struct {
 	testbed *Testbed
 	group   ClientGroup
 	stats   *ClientStats
 	index   int
 	rng     *rand.Rand
-	due     time.Time       // when the next request is meant to be sent
+	due     time.Time       // when the next request should be sent
 	conn    *standin.Client // nil: not connected
 }
 
-// reconnectBackoff is how long a client waits after its connection failed.
+// reconnectBackoff is the time that a client waits after its connection failed.
 const reconnectBackoff = 50 * time.Millisecond
 
 // run sends requests until the context ends.
 func (c *loadClient) run(ctx context.Context) {
 	defer c.disconnect()
 	c.due = time.Now()
-	if c.group.Interval > 0 { // spread over the first interval
+	if c.group.Interval > 0 { // spread the clients over the first interval
 		c.due = c.due.Add(time.Duration(c.rng.Float64() * float64(c.group.Interval)))
 	}
 	countFrom := time.Now().Add(c.group.WarmUp)
-	stats := newClientStats() // discarded: those of the warm-up
+	stats := newClientStats() // of the warm-up, which are discarded
 	for c.waitUntilDue(ctx) {
 		if err := c.connect(); err != nil {
 			c.stats.Disconnected.Add(1)
@@ -132,7 +133,7 @@
 	}
 }
 
-// waitUntilDue waits for the time of the next request, and reports whether the context is still alive.
+// waitUntilDue waits until the next request is due, and reports whether the context is still active.
 func (c *loadClient) waitUntilDue(ctx context.Context) bool {
 	if c.group.Interval > 0 {
 		return sleepContext(ctx, time.Until(c.due))
@@ -155,7 +156,7 @@
 	}
 }
 
-// query sends one request and counts its result. It disconnects if the connection failed.
+// query sends one request and counts its outcome. It disconnects if the connection failed.
 func (c *loadClient) query(stats *ClientStats) {
 	stats.Requested.Add(1)
 	sent := time.Now()
@@ -186,7 +187,8 @@
 	return fmt.Sprintf("/* kind=point,req=%016x,timeout=%d */ SELECT day FROM sales_17.orders", lastRequestID.Add(1), c.group.Timeout.Milliseconds())
 }
 
-// sleepContext waits, and reports whether the context is still alive. A wait that is over already doesn't wait at all.
+// sleepContext waits for d, or until the context ends, and reports whether the context is still active. It returns at once
+// if d is not positive.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -201,7 +203,7 @@
 	}
 }
 
-// loopbackAddr is one of this machine's own addresses.
+// loopbackAddr returns the loopback address 127.0.net.(host+1).
 func loopbackAddr(net, host int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 0, byte(net), byte(host + 1)})
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -14,28 +14,30 @@
 // TestMain fails if a testbed or its clients leave goroutines behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The targets of admission control that are measured in virtual time, so that the result is always the same.
+// TestAdmissionTargets checks the targets of admission control that are measured in virtual time, which makes the results
+// deterministic.
 func TestAdmissionTargets(t *testing.T) {
 	if j := jainIndex(); j < 0.97 {
-		t.Errorf("Jain's index of 100 greedy tenants is %.3f", j)
+		t.Errorf("Jain's index of 100 greedy tenants is %.3f, want 0.97 or more", j)
 	}
 	if e := weightError(); e > 0.1 {
-		t.Errorf("weights are missed by %.3f", e)
+		t.Errorf("shares differ from the weights by %.3f, want 0.1 or less", e)
 	}
-	for _, slowdown := range []float64{1, 2} { // 2: the engines lose half of their capacity on the way
-		served, p50 := returnsAfterRejection(slowdown)
+	for _, slowdown := range []float64{1, 2} { // 2: the engines lose half of their capacity during the run
+		served, p50 := retriesAfterRejection(slowdown)
 		if served < 0.9 || p50 < 0.5 || p50 > 2 {
-			t.Errorf("engines %v times slower: %.2f of those that came back were served, after %.2f of the Retry-After", slowdown, served, p50)
+			t.Errorf("engines %v times slower: %.2f of the retries were served, after %.2f of the Retry-After", slowdown, served, p50)
 		}
 	}
 	bytes, bound := stateSize(10_000)
 	if bytes > bound {
-		t.Errorf("10,000 tenants take %d bytes, %d at most", bytes, bound)
+		t.Errorf("the state of 10,000 tenants takes %d bytes, want at most %d", bytes, bound)
 	}
 }
 
-// The clients of a lost zone are no flood: they get what those at home leave, no connection is evicted, and those at home,
-// who use less than an even share, hardly lose anything.
+// TestDisplacedClientsAtAdmission guards against treating the clients of a lost zone as a flood. They get the capacity
+// that the home clients leave, no connection is evicted, and the home clients, who use less than an even share, lose
+// almost nothing.
 func TestDisplacedClientsAtAdmission(t *testing.T) {
 	before, after, displaced, evicted := displacedClients()
 	t.Logf("at home %.3f, then %.3f; displaced %.3f; %d connections evicted", before, after, displaced, evicted)
@@ -44,34 +46,34 @@
 	}
 }
 
-// Quiet clients beside a flooding one, on sockets, are served.
+// TestQuietClientsBesideAFlood checks on sockets that a gateway of the smallest size serves quiet clients beside a flood.
 func TestQuietClientsBesideAFlood(t *testing.T) {
 	dir := t.TempDir()
 	gateway, err := BuildGateway(t.Context(), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := fairSetup(gateway, fairSiteConfig)
-	s.MemoryMB, s.Sockets = 32, 256 // the least machine
-	testbed, err := StartTestbed(s)
+	setup := fairSetup(gateway, fairSiteConfig)
+	setup.MemoryMB, setup.Sockets = 32, 256 // the smallest supported machine
+	testbed, err := StartTestbed(setup)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 	defer stop()
-	q, f := quiet(), flood(200) // more than may be connected
-	q.WarmUp, f.WarmUp = time.Second, 0
-	stats := RunClients(ctx, testbed, q, f)
+	quiet, flood := quietGroup(), floodGroup(200) // more clients than the gateway accepts
+	quiet.WarmUp, flood.WarmUp = time.Second, 0
+	stats := RunClients(ctx, testbed, quiet, flood)
 	if err := testbed.Close(); err != nil {
 		t.Error(err)
 	}
 	got := stats["quiet"]
 	if requested, served := got.Requested.Load(), got.Served.Load(); requested < 50 || served < requested*9/10 {
-		t.Errorf("of %d requests of quiet clients %d were served, %d rejected, %d failed, %d disconnected",
+		t.Errorf("of %d requests of quiet clients, %d were served, %d rejected, %d failed, %d disconnected",
 			requested, served, got.Rejected.Load(), got.Failed.Load(), got.Disconnected.Load())
 	}
 	if flooded := stats["flood"]; flooded.Served.Load() < 100 {
-		t.Errorf("the flood was served %d times: the test has no flood", flooded.Served.Load())
+		t.Errorf("the flood was served only %d times: too few for the test to be meaningful", flooded.Served.Load())
 	}
 	if !strings.Contains(testbed.Log(), "\"stopped\"") {
 		t.Error("the gateway did not shut down in order")
--- a/internal/measure/model.go
+++ b/internal/measure/model.go
@@ -9,16 +9,16 @@
 	"foxlane/rules"
 )
 
-// admissionModel is admission control in virtual time, with engines behind it that run so many requests at once, in the
-// order in which they are admitted.
+// admissionModel simulates admission control in virtual time, with engines that run a fixed number of requests at once, in
+// the order in which they are admitted.
 type admissionModel struct {
 	controller *admission.Controller
 	now        rules.Time
 	cores      int
 	busy       int
-	queue      []int // slots of the requests that are admitted and wait for a core
+	queue      []int // slots of the admitted requests that wait for a core
 	events     eventqueue.Queue
-	wakeAt     rules.Time // the controller's timer; 0: not set
+	timerAt    rules.Time // the controller's timer; 0: not set
 	requests   []*modelRequest
 	freeSlots  []int
 	conns      []*modelConn
@@ -28,7 +28,7 @@
 	onServed   func(c *modelConn, r *modelRequest)
 }
 
-// modelConn is a client's connection.
+// modelConn is one client's connection.
 type modelConn struct {
 	slot        int
 	tenant      string
@@ -50,7 +50,7 @@
 	modelSeed    = 11
 )
 
-// modelClasses is the one class of all requests.
+// modelClasses returns the only class, to which all requests belong.
 func modelClasses() []rules.Class {
 	return []rules.Class{{LatencyObjective: 500 * rules.Millisecond, ClientTimeout: modelTimeout, LateValue: 0.1, Threads: 1}}
 }
@@ -67,7 +67,7 @@
 	return m
 }
 
-// setGreedy has all clients send their next request as soon as they may.
+// setGreedy makes all clients send their next request as soon as they are allowed to.
 func (m *admissionModel) setGreedy() {
 	m.onServed = func(c *modelConn, _ *modelRequest) { m.request(c) }
 	m.onRejected = func(c *modelConn, retryAfter rules.Time) {
@@ -77,25 +77,25 @@
 
 func (m *admissionModel) schedule(d rules.Time, run func()) { m.events.Schedule(m.now+d, run) }
 
-// handle hands an event to the controller and executes its effects, and so on with the events that they cause.
+// handle passes an event to the controller and executes its effects, then does the same for the events that these cause.
 func (m *admissionModel) handle(e admission.Event) {
 	pending := []admission.Event{e}
 	for i := 0; i < len(pending); i++ {
-		for _, f := range m.controller.Handle(m.now, pending[i]) {
-			switch f.Kind {
+		for _, effect := range m.controller.Handle(m.now, pending[i]) {
+			switch effect.Kind {
 			case admission.Admit:
-				m.requests[f.Slot].admittedAt = m.now
-				m.queue = append(m.queue, f.Slot)
+				m.requests[effect.Slot].admittedAt = m.now
+				m.queue = append(m.queue, effect.Slot)
 			case admission.Reject:
-				c := m.requests[f.Slot].conn
-				m.freeSlot(f.Slot)
+				c := m.requests[effect.Slot].conn
+				m.releaseSlot(effect.Slot)
 				pending = append(pending, admission.Event{Kind: admission.ConnectionIdle, Conn: c.slot})
-				m.schedule(0, func() { m.onRejected(c, f.After) })
+				m.schedule(0, func() { m.onRejected(c, effect.After) })
 			case admission.Evict:
-				m.conns[f.Conn].open = false
-				pending = append(pending, admission.Event{Kind: admission.ConnectionClosed, Conn: f.Conn})
+				m.conns[effect.Conn].open = false
+				pending = append(pending, admission.Event{Kind: admission.ConnectionClosed, Conn: effect.Conn})
 			case admission.SetTimer:
-				m.wakeAt = f.At
+				m.timerAt = effect.At
 			}
 		}
 		for len(m.queue) > 0 && m.busy < m.cores {
@@ -109,16 +109,16 @@
 	}
 }
 
-func (m *admissionModel) freeSlot(slot int) {
+func (m *admissionModel) releaseSlot(slot int) {
 	m.requests[slot] = nil
 	m.freeSlots = append(m.freeSlots, slot)
 }
 
-// finish ends a request that an engine has served.
+// finish ends a request that an engine has served in the given time.
 func (m *admissionModel) finish(slot int, serviceTime rules.Time) {
 	m.busy--
 	r := m.requests[slot]
-	m.freeSlot(slot)
+	m.releaseSlot(slot)
 	r.conn.servedWork += float64(serviceTime)
 	m.handle(admission.Event{Kind: admission.EngineTimeUsed, Slot: slot, EngineTime: serviceTime})
 	m.handle(admission.Event{Kind: admission.RequestDone, Slot: slot, Served: true})
@@ -142,7 +142,7 @@
 	m.handle(admission.Event{Kind: admission.ConnectionClosed, Conn: c.slot})
 }
 
-// request sends a request on a connection, if that is open and there is a slot for it.
+// request sends a request on a connection. It does nothing if the connection is closed or no request slot is free.
 func (m *admissionModel) request(c *modelConn) {
 	if len(m.freeSlots) == 0 || !c.open {
 		return
@@ -154,15 +154,15 @@
 		Request: admission.Request{Tenant: c.tenant, Deadline: m.now + modelTimeout, DeclaredWork: c.serviceTime, StatementBytes: 100}})
 }
 
-// advance runs the model for a while. The controller's timer fires before the events of its time.
-func (m *admissionModel) advance(d rules.Time) {
-	for until := m.now + d; ; {
+// advance runs the model for the given duration. The controller's timer fires before other events of the same time.
+func (m *admissionModel) advance(duration rules.Time) {
+	for until := m.now + duration; ; {
 		next := until
 		if at, ok := m.events.NextAt(); ok {
 			next = min(next, at)
 		}
-		if m.wakeAt > 0 && m.wakeAt <= next {
-			m.now, m.wakeAt = max(m.now, m.wakeAt), 0
+		if m.timerAt > 0 && m.timerAt <= next {
+			m.now, m.timerAt = max(m.now, m.timerAt), 0
 			m.handle(admission.Event{Kind: admission.TimerFired})
 			continue
 		}
@@ -175,5 +175,5 @@
 	}
 }
 
-// tenantName is the name of one of many tenants.
+// tenantName returns the name of tenant i.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%d", i) }
--- a/internal/measure/replica.go
+++ b/internal/measure/replica.go
@@ -7,25 +7,26 @@
 	"slices"
 )
 
-// This file measures gossip among gateways as a whole: the parts are in cluster.go and gossip.go.
+// This file combines the measurements of gossip among gateways in cluster.go and gossip.go into one report.
 
 const (
 	replicaSeeds        = 10
-	largeSeeds          = 3 // of the cluster of 300, which takes long
+	largeSeeds          = 3 // of the cluster of 300 members, which takes long to simulate
 	divergenceSchedules = 10_000
 	divergenceParts     = 20
 )
 
-// replicaRuns are the results of all simulations.
+// replicaRuns holds the results of all simulations, by seed.
 type replicaRuns struct {
-	converge5          [replicaSeeds]float64 // seconds
-	converge300, bytes [largeSeeds]float64   // seconds, bytes a second of a member
-	catchUp, burst     [replicaSeeds]float64 // seconds, peak over the budget
-	diverged           [divergenceParts]int
-	share, probes      [][2][replicaSeeds]float64 // by scenario, without gossip and with
+	converge5           [replicaSeeds]float64 // seconds
+	converge300, bytes  [largeSeeds]float64   // seconds, bytes per second and member
+	catchUp, burst      [replicaSeeds]float64 // seconds, peak as a ratio to the budget
+	diverged            [divergenceParts]int
+	servedShare, probes [][2][replicaSeeds]float64 // by scenario, without gossip and with
 }
 
-// Replica measures gossip among gateways: replicas alone and the modelled fleet in virtual time, and six processes.
+// Replica measures gossip among gateways: replicas alone and a modelled fleet, both in virtual time, and six real
+// processes. The gateway is the path of its program; empty: the program is built from this module.
 func Replica(ctx context.Context, gateway string, progress io.Writer) (*Report, error) {
 	runs, err := runReplicas(ctx, progress)
 	if err != nil {
@@ -37,7 +38,7 @@
 }
 
 func runReplicas(ctx context.Context, progress io.Writer) (*replicaRuns, error) {
-	runs := &replicaRuns{share: make([][2][replicaSeeds]float64, len(gossipScenarios)), probes: make([][2][replicaSeeds]float64, len(gossipScenarios))}
+	runs := &replicaRuns{servedShare: make([][2][replicaSeeds]float64, len(gossipScenarios)), probes: make([][2][replicaSeeds]float64, len(gossipScenarios))}
 	p := newPool(ctx, progress)
 	for i := range replicaSeeds {
 		seed := uint64(i) + 1
@@ -61,7 +62,7 @@
 			for seed := range replicaSeeds {
 				p.run(func() {
 					share, probes := scenario.run(on == 1, uint64(seed)+1)
-					runs.share[i][on][seed], runs.probes[i][on][seed] = share, float64(probes)/gossipGateways
+					runs.servedShare[i][on][seed], runs.probes[i][on][seed] = share, float64(probes)/gossipGateways
 				})
 			}
 		}
@@ -70,16 +71,16 @@
 }
 
 func (runs *replicaRuns) report(r *Report) {
-	row := func(name, gossip string, of []float64, probes string) {
-		r.addRow(name, gossip, fmt.Sprintf("%.3f", median(of)), fmt.Sprintf("%.3f", slices.Min(of)), fmt.Sprintf("%.3f", slices.Max(of)), probes)
+	row := func(name, gossip string, values []float64, probes string) {
+		r.addRow(name, gossip, fmt.Sprintf("%.3f", median(values)), fmt.Sprintf("%.3f", slices.Min(values)), fmt.Sprintf("%.3f", slices.Max(values)), probes)
 	}
 	row("entries to 5 members at a loss of 0.3, p99, s", "on", runs.converge5[:], "-")
 	row("entries to 300 members at a loss of 0.3, p99, s", "on", runs.converge300[:], "-")
 	row("bytes a second of a member of 300", "on", runs.bytes[:], "-")
 	row("a member of 40 back after 60 s, s until it has all entries", "on", runs.catchUp[:], "-")
 	for i, scenario := range gossipScenarios {
-		row("served: "+scenario.name, "off", runs.share[i][0][:], "0")
-		row("served: "+scenario.name, "on", runs.share[i][1][:], fmt.Sprintf("%.1f", median(runs.probes[i][1][:])))
+		row("served: "+scenario.name, "off", runs.servedShare[i][0][:], "0")
+		row("served: "+scenario.name, "on", runs.servedShare[i][1][:], fmt.Sprintf("%.1f", median(runs.probes[i][1][:])))
 	}
 	r.setValue("converge_s_5", slices.Max(runs.converge5[:]), "2 or less")
 	r.setValue("converge_s_300", slices.Max(runs.converge300[:]), "5 or less")
@@ -87,18 +88,18 @@
 	r.setValue("catchup_s", slices.Max(runs.catchUp[:]), "3 or less")
 	r.setValue("catchup_burst", slices.Max(runs.burst[:]), "1.0 of the budget")
 	r.setValue("diverged", float64(sum(runs.diverged[:])), fmt.Sprintf("0 of %d schedules", divergenceSchedules))
-	r.setValue("worth_gain", runs.gain(scenarioEngineFaults), "over 1")
-	r.setValue("warm_gain", runs.gain(scenarioRestarts), "over 1")
-	r.setValue("liar_worth", runs.gain(scenarioOneByzantine), "0.97 or more of without gossip")
-	r.setValue("liars_worth", runs.gain(scenarioThreeByzantine), "")
-	r.setValue("rejoin_worth", runs.gain(scenarioSilent), "0.99 or more of without gossip")
+	r.setValue("worth_gain", runs.servedRatio(scenarioEngineFaults), "over 1")
+	r.setValue("warm_gain", runs.servedRatio(scenarioRestarts), "over 1")
+	r.setValue("liar_worth", runs.servedRatio(scenarioOneByzantine), "0.97 or more of without gossip")
+	r.setValue("liars_worth", runs.servedRatio(scenarioThreeByzantine), "")
+	r.setValue("rejoin_worth", runs.servedRatio(scenarioSilent), "0.99 or more of without gossip")
 }
 
-// gain is the served share with gossip over that without, paired by seed.
-func (runs *replicaRuns) gain(scenario int) float64 {
+// servedRatio returns the median ratio of the served share with gossip to that without, paired by seed.
+func (runs *replicaRuns) servedRatio(scenario int) float64 {
 	ratios := make([]float64, replicaSeeds)
 	for seed := range ratios {
-		ratios[seed] = runs.share[scenario][1][seed] / runs.share[scenario][0][seed]
+		ratios[seed] = runs.servedShare[scenario][1][seed] / runs.servedShare[scenario][0][seed]
 	}
 	return median(ratios)
 }
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -10,20 +10,20 @@
 	"text/tabwriter"
 )
 
-// Report is the result of a measurement: a table to read and values to compare.
+// Report is the result of a measurement: a table for people and named values for comparison.
 type Report struct {
 	Name    string             `json:"name"`
 	Columns []string           `json:"columns"`
 	Rows    [][]string         `json:"rows"`
 	Values  map[string]float64 `json:"values"`
-	Targets map[string]string  `json:"aims,omitempty"` // by the name of the value; users know them as aims
+	Targets map[string]string  `json:"aims,omitempty"` // by name of the value; they are called aims in the output
 }
 
 func newReport(name string, columns ...string) *Report {
 	return &Report{Name: name, Columns: columns, Values: map[string]float64{}, Targets: map[string]string{}}
 }
 
-// addRow adds a row to the table; floating-point cells have one digit behind the point.
+// addRow adds a row to the table. Floating-point cells are printed with one decimal place.
 func (r *Report) addRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -37,7 +37,7 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// setValue sets a value and its target; empty: none.
+// setValue sets a value and its target, which may be empty.
 func (r *Report) setValue(name string, value float64, target string) {
 	r.Values[name] = value
 	if target != "" {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Write writes the table, then a line `name: value` for each value, its target behind it.
+// Write writes the table, then a line `name: value` for each value, in the order of names, with its target if it has one.
 func (r *Report) Write(w io.Writer) error {
 	var text bytes.Buffer
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
@@ -79,7 +79,7 @@
 	return err
 }
 
-// WriteJSON writes the whole report as one object.
+// WriteJSON writes the whole report as one JSON object.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/measure/spool.go
+++ b/internal/measure/spool.go
@@ -16,23 +16,24 @@
 	"foxlane/internal/standin"
 )
 
-// This file measures the result store: how long a slow client keeps an engine busy, and whether results can be read
-// after the gateway was killed.
+// This file measures the spool: how long a slow client holds an engine, and whether stored results can be read after the
+// gateway was killed.
 
 const (
-	spoolMemoryMB = 64
-	slowRate      = 2048             // bytes a second that a slow client reads
-	holdTimeout   = 50 * time.Second // within which an engine must be released
+	spoolMemoryMB  = 64
+	slowReadRate   = 2048             // bytes per second that a slow client reads
+	releaseTimeout = 50 * time.Second // within which an engine must be released
 )
 
-// resultPages are pages of 6,000 bytes that make a result of a size.
+// resultPages returns pages of 6,000 bytes that make up a result of about the given size.
 func resultPages(size int) []string {
 	page := strings.Repeat("1\tfield\t"+strings.Repeat("x", 191)+"\n", 30)
 	return slices.Repeat([]string{page}, max(size/len(page), 1))
 }
 
-// Spool measures how long an engine is held by a client that reads 2 KB a second over one that reads at full speed, for
-// results of 48 KB, 4 MB and 200 MB, and reads a result by its handle while the gateway is killed again and again.
+// Spool compares how long an engine is held by a client that reads 2 KB per second and by one that reads at full speed,
+// for results of 48 KB, 4 MB and 200 MB. It also reads a stored result by its handle while the gateway is killed
+// repeatedly. The gateway is the path of its program; empty: the program is built from this module.
 func Spool(ctx context.Context, gateway string, seconds int, progress io.Writer) (r *Report, err error) {
 	r = newReport("spool", "result", "fast ms", "slow ms", "rss MB")
 	dir, err := os.MkdirTemp("", "foxlab-spool")
@@ -56,7 +57,7 @@
 	return r, ctx.Err()
 }
 
-// measureSpool measures results of one size on a testbed of their own.
+// measureSpool measures results of one size on a new testbed.
 func measureSpool(ctx context.Context, r *Report, name string, setup Setup, seconds int, resume bool) error {
 	t, err := StartTestbed(setup)
 	if err != nil {
@@ -67,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	slow, rss, err := engineHoldTime(ctx, t, slowRate, seconds)
+	slow, rss, err := engineHoldTime(ctx, t, slowReadRate, seconds)
 	if err != nil {
 		return err
 	}
@@ -80,8 +81,9 @@
 	return nil
 }
 
-// engineHoldTime requests a result and reads it at a rate in bytes a second (0: at full speed). It returns how long the
-// engine was held, in milliseconds, and the gateway's memory then; with a rate, after some seconds more of reading.
+// engineHoldTime requests a result and reads it at a rate in bytes per second; 0: at full speed. It returns how long the
+// engine was held, in milliseconds, and the gateway's memory after the release. With a rate, the memory is read after the
+// given number of further seconds.
 func engineHoldTime(ctx context.Context, t *Testbed, rate, seconds int) (ms, rssMB float64, err error) {
 	c, err := standin.Connect(t.Addr, netip.Addr{}, 2*time.Second)
 	if err != nil {
@@ -90,22 +92,22 @@
 	id := fmt.Sprintf("%016x", lastRequestID.Add(1))
 	reading, stop := context.WithCancel(ctx)
 	var reader sync.WaitGroup
-	defer func() { // the reader ends once its connection has
+	defer func() { // the reader ends when its connection is closed
 		stop()
 		c.Close()
 		reader.Wait()
 	}()
-	result := make(chan error, 1)
+	readDone := make(chan error, 1)
 	reader.Go(func() {
-		read := 0
+		bytesRead := 0
 		start := time.Now()
-		result <- c.QueryRows(fmt.Sprintf("/* kind=report,req=%s,timeout=60000 */ SELECT 1 FROM sales_1.x", id), 60*time.Second, func(row []byte) {
-			if read += len(row); rate > 0 {
-				sleepContext(reading, time.Until(start.Add(time.Duration(float64(read)/float64(rate)*float64(time.Second)))))
+		readDone <- c.QueryRows(fmt.Sprintf("/* kind=report,req=%s,timeout=60000 */ SELECT 1 FROM sales_1.x", id), 60*time.Second, func(row []byte) {
+			if bytesRead += len(row); rate > 0 {
+				sleepContext(reading, time.Until(start.Add(time.Duration(float64(bytesRead)/float64(rate)*float64(time.Second)))))
 			}
 		})
 	})
-	for until := time.Now().Add(holdTimeout); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(releaseTimeout); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		held := t.engines[0].HoldTime(id)
 		if held == 0 {
 			continue
@@ -117,17 +119,17 @@
 			return 0, 0, err
 		}
 		if rate == 0 {
-			err = <-result
+			err = <-readDone
 		}
 		return float64(held.Microseconds()) / 1000, rssMB, err
 	}
 	if err := ctx.Err(); err != nil {
 		return 0, 0, err
 	}
-	return 0, 0, fmt.Errorf("the engine was not released within %v: %s", holdTimeout, t.Log())
+	return 0, 0, fmt.Errorf("the engine was not released within %v: %s", releaseTimeout, t.Log())
 }
 
-// resumeByHandle reads a result by its handle, again and again, and kills the gateway between.
+// resumeByHandle reads a stored result by its handle repeatedly, and kills the gateway between some of the reads.
 func resumeByHandle(t *Testbed, r *Report) error {
 	const reads, kills, timeout = 60, 5, 20 * time.Second
 	before := t.Requests()
@@ -135,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	wrong := 0
+	mismatches := 0
 	for n := range reads {
 		if n%(reads/kills) == 0 {
 			if err := t.KillAndRestart(); err != nil {
@@ -143,26 +145,26 @@
 			}
 		}
 		if again, err := t.readResult("/* resume="+first.handle+" */ FETCH", timeout); err != nil || again.rows != first.rows {
-			wrong++
+			mismatches++
 		}
 	}
 	r.setValue("resumed_reads", reads, "")
-	r.setValue("rows_wrong", float64(wrong), "0")
+	r.setValue("rows_wrong", float64(mismatches), "0")
 	r.setValue("resume_reruns", float64(t.Requests()-before-1), "0")
 	return nil
 }
 
-// storedResult is a result that the gateway stores.
+// storedResult is what a client has read of a result that the gateway stores.
 type storedResult struct {
 	handle   string
 	rows     int
-	prefixes []byte // the first bytes of all rows, by which results are compared
+	prefixes []byte // the first prefixBytes of each row, to compare results
 }
 
-// prefixBytes is how much of each row a storedResult holds.
+// prefixBytes is the number of bytes of each row that a storedResult keeps.
 const prefixBytes = 3
 
-// readResult sends a statement on a connection of its own, and reads its result.
+// readResult sends a statement on a new connection and reads its result.
 func (t *Testbed) readResult(text string, timeout time.Duration) (s storedResult, err error) {
 	c, err := standin.Connect(t.Addr, netip.Addr{}, 2*time.Second)
 	if err != nil {
@@ -171,7 +173,7 @@
 	defer c.Close()
 	err = c.QueryRows(text, timeout, func(row []byte) {
 		switch {
-		case bytes.HasPrefix(row, []byte("\x07#handle")): // a column of 7 bytes, then one of 64
+		case bytes.HasPrefix(row, []byte("\x07#handle")): // a column of 7 bytes, then the handle of 64 bytes
 			s.handle = string(row[9:73])
 		case row[1] != '#':
 			s.rows++
--- a/internal/measure/testbed.go
+++ b/internal/measure/testbed.go
@@ -1,6 +1,6 @@
-// Package measure owns the measurements of a gateway on loopback: fake engines, a name server and clients around a
-// gateway's own process, all bounded in time and number. It must never be part of that process, nor use any address but
-// this machine's.
+// Package measure owns the measurements of foxlab. Most run a real gateway process on loopback between fake engines, a
+// fake name server and clients, all bounded in time and number; others run models in virtual time. The gateway must not
+// import this package, and measurements must use no address other than this machine's.
 package measure
 
 import (
@@ -21,30 +21,30 @@
 	"foxlane/internal/standin"
 )
 
-// listName is the name under which the name server has the list of engines.
+// listName is the name under which the name server publishes the endpoint list.
 const listName = "_data._tcp.farm.lan"
 
 const (
 	startTimeout      = 5 * time.Second
 	startPollInterval = 10 * time.Millisecond
-	stopTimeout       = 8 * time.Second // then the gateway is killed
+	stopTimeout       = 8 * time.Second // after this the gateway is killed
 )
 
-// Setup is what a Testbed is made of.
+// Setup describes a Testbed.
 type Setup struct {
 	Gateway     string // path of the program; empty: built from this module
 	Engines     int
-	Slots       int           // of an engine
+	Slots       int           // requests that an engine runs at once
 	ServiceTime time.Duration // of a request
 	MemoryMB    int
 	Sockets     int
-	SiteConfig  string        // text of the operator's file; empty: none
-	RetryAfter  bool          // rejections may name a time to come back
-	Timeout     time.Duration // of the clients of all classes
+	SiteConfig  string        // content of the operator's file; empty: no file
+	RetryAfter  bool          // rejections may contain a Retry-After
+	Timeout     time.Duration // client timeout of all classes
 	Pages       []string      // of every result; nil: one row
 }
 
-// Testbed is a gateway's process with the fake engines and the fake name server that it talks to.
+// Testbed is a gateway process with the fake engines and the fake name server that it uses.
 type Testbed struct {
 	Setup
 	Addr string // where the gateway listens
@@ -57,7 +57,7 @@
 	dir        string
 }
 
-// gatewayLog holds the gateway's output, which is copied to it while it may be read.
+// gatewayLog holds the gateway's log output. It is safe for concurrent use.
 type gatewayLog struct {
 	text []byte
 	mu   sync.Mutex // guards text
@@ -71,40 +71,41 @@
 	return len(p), nil
 }
 
-// String returns what was written so far.
+// String returns the log so far.
 func (l *gatewayLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return string(l.text)
 }
 
-// BuildGateway builds the gateway's program into a folder and returns its path.
+// BuildGateway builds the gateway's program into dir and returns its path.
 func BuildGateway(ctx context.Context, dir string) (string, error) {
 	out := filepath.Join(dir, "foxlane")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", out, "foxlane/cmd/foxlane")
 	if text, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the gateway (run this within its repository, or name a program): %w\n%s", err, text)
+		return "", fmt.Errorf("building the gateway (run this inside its repository, or name a program): %w\n%s", err, text)
 	}
 	return out, nil
 }
 
-// GatewayProgram is the gateway's program: the one that is named, or one built from this module, which remove takes away.
-func GatewayProgram(ctx context.Context, named string) (path string, remove func(), err error) {
-	if named != "" {
-		return named, func() {}, nil
+// GatewayProgram returns the path of the gateway's program: the given one or, if that is empty, one built from this
+// module, which remove deletes.
+func GatewayProgram(ctx context.Context, program string) (path string, remove func(), err error) {
+	if program != "" {
+		return program, func() {}, nil
 	}
 	dir, err := os.MkdirTemp("", "foxlab")
 	if err != nil {
 		return "", nil, err
 	}
-	remove = func() { _ = os.RemoveAll(dir) } // a temporary folder that stays does no harm
+	remove = func() { _ = os.RemoveAll(dir) } // a leftover temporary folder does no harm
 	if path, err = BuildGateway(ctx, dir); err != nil {
 		remove()
 	}
 	return path, remove, err
 }
 
-// StartTestbed starts a testbed; Close ends it.
+// StartTestbed starts a testbed and waits until its gateway serves. The caller has to call Close.
 func StartTestbed(s Setup) (t *Testbed, err error) {
 	t = &Testbed{Setup: s}
 	defer func() {
@@ -138,7 +139,7 @@
 	return t, t.startGateway()
 }
 
-// Requests is the number of requests that the engines have received.
+// Requests returns the number of requests that the engines have received.
 func (t *Testbed) Requests() (n int) {
 	for _, e := range t.engines {
 		n += len(e.Requests())
@@ -146,16 +147,16 @@
 	return n
 }
 
-// KillAndRestart kills the gateway and starts it again on the same files.
+// KillAndRestart kills the gateway and starts it again with the same files.
 func (t *Testbed) KillAndRestart() error {
-	_ = t.gateway.Process.Kill() // fails if it has ended already
-	_ = t.gateway.Wait()         // says that it was killed
+	_ = t.gateway.Process.Kill() // fails only if the process has already ended
+	_ = t.gateway.Wait()         // the error only reports the kill
 	return t.startGateway()
 }
 
 type jsonObject = map[string]any
 
-// config is the gateway's configuration.
+// config returns the gateway's configuration.
 func (t *Testbed) config() jsonObject {
 	var servers []jsonObject
 	for _, h := range t.hosts {
@@ -180,7 +181,7 @@
 	}
 }
 
-// startGateway starts the gateway's process, and waits until it accepts a client.
+// startGateway starts the gateway process and waits until a client can log in.
 func (t *Testbed) startGateway() error {
 	if t.Gateway == "" {
 		program, err := BuildGateway(context.Background(), t.dir)
@@ -220,11 +221,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the gateway does not serve at %s within %v: %s", t.Addr, startTimeout, t.Log())
+	return fmt.Errorf("the gateway does not accept clients at %s within %v: %s", t.Addr, startTimeout, t.Log())
 }
 
-// reserveAddr finds a free port for the gateway. Another process may take it before the gateway listens; then the
-// gateway doesn't start, which is reported.
+// reserveAddr finds a free port for the gateway. If another process takes the port before the gateway listens, the start
+// of the gateway fails with an error.
 func (t *Testbed) reserveAddr() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -234,29 +235,30 @@
 	return l.Close()
 }
 
-// Log is the gateway's log so far. It is complete once the gateway has ended.
+// Log returns the gateway's log so far. It is complete once the gateway has ended.
 func (t *Testbed) Log() string { return t.log.String() }
 
-// CPU is the processor time that the gateway has used so far.
+// CPU returns the processor time that the gateway has used so far.
 func (t *Testbed) CPU() (time.Duration, error) {
 	u, err := harness.UsageOf(t.gateway.Process.Pid)
 	return time.Duration(u.CPUSeconds * float64(time.Second)), err
 }
 
-// RSS is the memory that the gateway holds now, in MB.
+// RSS returns the resident memory of the gateway, in MB.
 func (t *Testbed) RSS() (float64, error) {
 	u, err := harness.UsageOf(t.gateway.Process.Pid)
 	return u.RSSMB, err
 }
 
-// Close ends the testbed and waits for the gateway. It returns an error if that did not shut down in order.
+// Close stops the gateway, waits for it, and ends the testbed. It returns an error if the gateway did not shut down in
+// order.
 func (t *Testbed) Close() error {
 	var err error
 	if t.gateway != nil && t.gateway.Process != nil {
-		_ = t.gateway.Process.Signal(syscall.SIGTERM) // if it has ended already, Wait says how
+		_ = t.gateway.Process.Signal(syscall.SIGTERM) // if it has already ended, Wait returns how
 		kill := time.AfterFunc(stopTimeout, func() { _ = t.gateway.Process.Kill() })
 		if err = t.gateway.Wait(); err != nil {
-			err = fmt.Errorf("the gateway ended with %w: %s", err, t.Log())
+			err = fmt.Errorf("the gateway ended with an error: %w: %s", err, t.Log())
 		}
 		kill.Stop()
 	}
@@ -272,5 +274,5 @@
 	return err
 }
 
-// discard ends the testbed where its results are all that counts.
+// discard closes the testbed and ignores an unclean shutdown, which does not affect the measured results.
 func (t *Testbed) discard() { _ = t.Close() }
--- a/internal/measure/zonescenarios.go
+++ b/internal/measure/zonescenarios.go
@@ -8,36 +8,36 @@
 	"foxlane/rules"
 )
 
-// This file owns the scenarios by which the plan for the loss of a zone is measured, and one run of them.
+// This file defines the scenarios that measure the plan for the loss of a zone, and runs one of them.
 
 const (
 	zoneSeeds      = 10
-	extraSeeds     = 3 // of the scenarios without figures of their own, which only must not be worse than without the plan
+	extraSeeds     = 3 // of scenarios without figures of their own: they only have to be no worse than without the plan
 	zoneGateways   = 300
 	zoneEngines    = 36
 	zoneCount      = 3
 	lostAt         = 8 * rules.Second
-	lostFor        = 8 * rules.Second
+	outageDuration = 8 * rules.Second
 	flapInterval   = 2 * rules.Second
 	flaps          = 6
-	toleratedFlaps = 3 // after these a flap must hardly cause a transition
+	toleratedFlaps = 3 // flaps after these must cause almost no transitions
 )
 
-// zoneScenario is one scenario.
+// zoneScenario is a scenario of the modelled fleet.
 type zoneScenario struct {
-	name      string
-	seeds     int
-	load      float64
-	faults    []emulator.Fault
-	placement []int // zones of engines and gateways, repeated; nil: round robin
-	configure func(*zones.Settings)
-	from, to  int // the seconds that count
+	name                 string
+	seeds                int
+	load                 float64
+	faults               []emulator.Fault
+	placement            []int                 // zones of engines and gateways, repeated; nil: round robin
+	configure            func(*zones.Settings) // nil: the defaults
+	fromSecond, toSecond int                   // the seconds that are measured: from fromSecond, before toSecond
 }
 
-// lostZone is the fault of most scenarios: zone 0 is lost and returns cold.
-func lostZone() emulator.Fault { return emulator.LoseZone(lostAt, 0, 3*rules.Second, lostFor) }
+// zoneLoss returns the fault of most scenarios: zone 0 is lost and returns cold.
+func zoneLoss() emulator.Fault { return emulator.LoseZone(lostAt, 0, 3*rules.Second, outageDuration) }
 
-// The scenarios that have figures of their own, by index in zoneScenarios.
+// Indexes in zoneScenarios of the scenarios that have figures of their own.
 const (
 	scenarioCalm = iota
 	scenarioZoneLost
@@ -47,65 +47,65 @@
 )
 
 var zoneScenarios = []zoneScenario{
-	{name: "calm", seeds: zoneSeeds, load: 0.8, from: 4, to: 25},
-	{name: "a zone is lost and returns cold", seeds: zoneSeeds, load: 0.55, faults: []emulator.Fault{lostZone()}, from: 8, to: 27},
-	{name: "a zone flaps every 2 s", seeds: zoneSeeds, load: 0.55, faults: []emulator.Fault{emulator.FlapZone(lostAt, 0, flaps, flapInterval)}, from: 8, to: 29},
-	{name: "lost at a load of 0.9, with shedding", seeds: zoneSeeds, load: 0.9, faults: []emulator.Fault{lostZone()}, from: 8, to: 27,
+	{name: "calm", seeds: zoneSeeds, load: 0.8, fromSecond: 4, toSecond: 25},
+	{name: "a zone is lost and returns cold", seeds: zoneSeeds, load: 0.55, faults: []emulator.Fault{zoneLoss()}, fromSecond: 8, toSecond: 27},
+	{name: "a zone flaps every 2 s", seeds: zoneSeeds, load: 0.55, faults: []emulator.Fault{emulator.FlapZone(lostAt, 0, flaps, flapInterval)}, fromSecond: 8, toSecond: 29},
+	{name: "lost at a load of 0.9, with shedding", seeds: zoneSeeds, load: 0.9, faults: []emulator.Fault{zoneLoss()}, fromSecond: 8, toSecond: 27,
 		configure: func(s *zones.Settings) { s.SheddingEnabled = true }},
 	{name: "a burst of half as much again, with shedding", seeds: zoneSeeds, load: 0.9,
-		faults: []emulator.Fault{emulator.LoadBurst(lostAt, lostFor, 1.5)}, from: 8, to: 27, configure: func(s *zones.Settings) { s.SheddingEnabled = true }},
+		faults: []emulator.Fault{emulator.LoadBurst(lostAt, outageDuration, 1.5)}, fromSecond: 8, toSecond: 27, configure: func(s *zones.Settings) { s.SheddingEnabled = true }},
 	{name: "a zone's engines are lost, its gateways not; spillover 0.25", seeds: zoneSeeds, load: 0.55,
-		faults: []emulator.Fault{emulator.SilenceZone(lostAt, lostFor, 0, 1)}, from: 8, to: 27,
+		faults: []emulator.Fault{emulator.SilenceZone(lostAt, outageDuration, 0, 1)}, fromSecond: 8, toSecond: 27,
 		configure: func(s *zones.Settings) { s.SpilloverLimit, s.RetryBudget = 0.25, 0.2 }},
-	{name: "the same without a limit", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.SilenceZone(lostAt, lostFor, 0, 1)}, from: 8, to: 27},
-	{name: "all zones lost", seeds: extraSeeds, load: 0.3, faults: []emulator.Fault{emulator.LoseZone(lostAt, 0, 3*rules.Second, lostFor),
-		emulator.LoseZone(lostAt, 1, 3*rules.Second, lostFor), emulator.LoseZone(lostAt, 2, 3*rules.Second, lostFor)}, from: 8, to: 29},
-	{name: "half of a zone is lost", seeds: extraSeeds, load: 0.6, faults: []emulator.Fault{emulator.SilenceZone(lostAt, lostFor, 0, 0.5)}, from: 8, to: 27},
+	{name: "the same without a limit", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.SilenceZone(lostAt, outageDuration, 0, 1)}, fromSecond: 8, toSecond: 27},
+	{name: "all zones lost", seeds: extraSeeds, load: 0.3, faults: []emulator.Fault{emulator.LoseZone(lostAt, 0, 3*rules.Second, outageDuration),
+		emulator.LoseZone(lostAt, 1, 3*rules.Second, outageDuration), emulator.LoseZone(lostAt, 2, 3*rules.Second, outageDuration)}, fromSecond: 8, toSecond: 29},
+	{name: "half of a zone is lost", seeds: extraSeeds, load: 0.6, faults: []emulator.Fault{emulator.SilenceZone(lostAt, outageDuration, 0, 0.5)}, fromSecond: 8, toSecond: 27},
 	{name: "lost while another drains", seeds: extraSeeds, load: 0.3,
-		faults: []emulator.Fault{emulator.DrainZone(4*rules.Second, 18*rules.Second, 1), lostZone()}, from: 8, to: 29},
-	{name: "lost during a list outage", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.ListOutage(6*rules.Second, 14*rules.Second), lostZone()}, from: 8, to: 29},
-	{name: "lost, list updates four times as late", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.DelayList(0, 30*rules.Second, 4), lostZone()}, from: 8, to: 29},
+		faults: []emulator.Fault{emulator.DrainZone(4*rules.Second, 18*rules.Second, 1), zoneLoss()}, fromSecond: 8, toSecond: 29},
+	{name: "lost during a list outage", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.ListOutage(6*rules.Second, 14*rules.Second), zoneLoss()}, fromSecond: 8, toSecond: 29},
+	{name: "lost, list updates four times as late", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.DelayList(0, 30*rules.Second, 4), zoneLoss()}, fromSecond: 8, toSecond: 29},
 	{name: "two of three lost", seeds: extraSeeds, load: 0.3,
-		faults: []emulator.Fault{lostZone(), emulator.LoseZone(lostAt+rules.Second, 1, 3*rules.Second, lostFor)}, from: 8, to: 29},
-	{name: "the smaller of 1:3 takes over", seeds: extraSeeds, load: 0.5, placement: []int{0, 0, 0, 1}, faults: []emulator.Fault{lostZone()}, from: 8, to: 29},
-	{name: "back under new ids", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.ReplaceZone(lostAt, 0, 3*rules.Second, lostFor)}, from: 8, to: 29},
+		faults: []emulator.Fault{zoneLoss(), emulator.LoseZone(lostAt+rules.Second, 1, 3*rules.Second, outageDuration)}, fromSecond: 8, toSecond: 29},
+	{name: "the smaller of 1:3 takes over", seeds: extraSeeds, load: 0.5, placement: []int{0, 0, 0, 1}, faults: []emulator.Fault{zoneLoss()}, fromSecond: 8, toSecond: 29},
+	{name: "back under new ids", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.ReplaceZone(lostAt, 0, 3*rules.Second, outageDuration)}, fromSecond: 8, toSecond: 29},
 	{name: "the link is cut, one way", seeds: extraSeeds, load: 0.55,
-		faults: []emulator.Fault{emulator.CutLink(lostAt, lostFor, 0, 1), emulator.CutLink(lostAt, lostFor, 0, 2)}, from: 8, to: 27},
+		faults: []emulator.Fault{emulator.CutLink(lostAt, outageDuration, 0, 1), emulator.CutLink(lostAt, outageDuration, 0, 2)}, fromSecond: 8, toSecond: 27},
 	{name: "a zone is cut off, its clients not", seeds: extraSeeds, load: 0.55,
-		faults: []emulator.Fault{emulator.CutLink(lostAt, lostFor, 0, 1), emulator.CutLink(lostAt, lostFor, 0, 2), emulator.CutLink(lostAt, lostFor, 1, 0),
-			emulator.CutLink(lostAt, lostFor, 2, 0)}, from: 8, to: 27},
+		faults: []emulator.Fault{emulator.CutLink(lostAt, outageDuration, 0, 1), emulator.CutLink(lostAt, outageDuration, 0, 2), emulator.CutLink(lostAt, outageDuration, 1, 0),
+			emulator.CutLink(lostAt, outageDuration, 2, 0)}, fromSecond: 8, toSecond: 27},
 	{name: "gateways start in the middle of a loss", seeds: extraSeeds, load: 0.55,
-		faults: []emulator.Fault{lostZone(), emulator.KillGateways(lostAt+3*rules.Second, 0.2, rules.Second)}, from: 8, to: 27},
-	{name: "flaps every 10 s", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.FlapZone(5*rules.Second, 0, 2, 6*rules.Second)}, from: 5, to: 29},
+		faults: []emulator.Fault{zoneLoss(), emulator.KillGateways(lostAt+3*rules.Second, 0.2, rules.Second)}, fromSecond: 8, toSecond: 27},
+	{name: "flaps every 10 s", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.FlapZone(5*rules.Second, 0, 2, 6*rules.Second)}, fromSecond: 5, toSecond: 29},
 }
 
-// zoneRun is the result of one run: without a plan, with it, or with a static split.
+// zoneRun is the result of one run: without the plan, with it, or with a static split.
 type zoneRun struct {
 	servedShare, crossZone, amplification float64
 	collapses                             int
-	transitions                           float64 // states that the lost zone entered, at each of its own gateways: others hardly send there
-	lateTransitions                       float64 // of these, those after the tolerated flaps
-	recoverySeconds                       float64 // from the zone's return until 0.95 of the former share is served again
-	misordered, shedding                  int     // seconds of gateways in which they shed a higher value than they admitted, of those in which they shed
-	rejectedMisordered                    int     // seconds in which a larger part of a higher value was rejected, by the plan or the decision module
-	overSpillLimit                        int     // seconds in which a zone's work for other zones was over the spillover limit
+	transitions                           float64 // states that the lost zone entered, per gateway of that zone: other gateways rarely send there
+	lateTransitions                       float64 // the transitions after the tolerated flaps
+	recoverySeconds                       float64 // from the zone's return until 0.95 of the former served share is reached
+	misordered, shedding                  int     // gateway seconds in which a value higher than an admitted one was shed; gateway seconds with any shedding
+	rejectedMisordered                    int     // seconds in which a larger fraction of a higher value was rejected, by the plan or the decision module
+	overSpillLimit                        int     // seconds in which a zone's work for other zones exceeded the spillover limit
 	shed                                  int
-	probes                                float64 // a gateway and second
+	probes                                float64 // per gateway and second
 }
 
 func (r zoneRun) served() float64             { return r.servedShare }
 func (r zoneRun) crossZoneShare() float64     { return r.crossZone }
 func (r zoneRun) attemptsPerRequest() float64 { return r.amplification }
 
-// recoveredShare is the part of the former served share at which a fleet counts as recovered.
+// recoveredShare is the fraction of the former served share at which a fleet counts as recovered.
 const recoveredShare = 0.95
 
-// warmUpSeconds is how long the engines of the scenarios warm up.
+// warmUpSeconds returns the slow-start period of the engines in the scenarios.
 func warmUpSeconds() float64 {
 	return float64(emulator.Warehouse(1, 1, 1, 1).Settings.Constraints.SlowStartPeriod) / float64(rules.Second)
 }
 
-// run runs the scenario once.
+// run simulates the scenario once. A static home share of nil means no static split.
 func (s zoneScenario) run(plan bool, staticHomeShare *float64, seed uint64) zoneRun {
 	scenario := emulator.Warehouse(zoneGateways, zoneEngines, s.load, seed)
 	scenario.Zones, scenario.Placement, scenario.Faults, scenario.StaticHomeShare = zoneCount, s.placement, s.faults, staticHomeShare
@@ -120,56 +120,57 @@
 	if plan {
 		scenario.ZoneFailover = &settings
 	}
-	m := emulator.New(scenario).Run()
+	metrics := emulator.New(scenario).Run()
 	requested := 0
 	for i := range scenario.Classes {
-		requested += m.Class(i).Requested
+		requested += metrics.Class(i).Requested
 	}
-	run := zoneRun{servedShare: m.ServedShare(s.from, s.to), crossZone: float64(m.CrossZone) / float64(max(1, m.Attempts)), collapses: m.OverloadCollapses,
-		amplification: float64(m.Attempts) / float64(max(1, requested)), shed: m.Shed,
-		probes:          float64(m.Probes) / zoneGateways / (float64(scenario.Duration) / float64(rules.Second)),
-		recoverySeconds: recoverySeconds(m, s.to)}
-	run.countTransitions(m, scenario.Zones)
+	run := zoneRun{servedShare: metrics.ServedShare(s.fromSecond, s.toSecond), crossZone: float64(metrics.CrossZone) / float64(max(1, metrics.Attempts)), collapses: metrics.OverloadCollapses,
+		amplification: float64(metrics.Attempts) / float64(max(1, requested)), shed: metrics.Shed,
+		probes:          float64(metrics.Probes) / zoneGateways / (float64(scenario.Duration) / float64(rules.Second)),
+		recoverySeconds: recoverySeconds(metrics, s.toSecond)}
+	run.countTransitions(metrics, scenario.Zones)
 	if plan {
-		run.overSpillLimit = secondsOverSpillLimit(m, settings)
-		run.misordered, run.shedding = m.MisorderedSeconds, m.SheddingSeconds
-		run.rejectedMisordered = misorderedSeconds(m, settings, func(sec *emulator.Second) []int { return sec.Rejected })
+		run.overSpillLimit = secondsOverSpillLimit(metrics, settings)
+		run.misordered, run.shedding = metrics.MisorderedSeconds, metrics.SheddingSeconds
+		run.rejectedMisordered = misorderedSeconds(metrics, settings, func(sec *emulator.Second) []int { return sec.Rejected })
 	}
 	return run
 }
 
-// countTransitions counts the states that zone 0 entered, the zone that is lost, at each of its gateways.
-func (r *zoneRun) countTransitions(m *emulator.Metrics, zoneCount int) {
-	gateways := float64(zoneGateways) / float64(zoneCount)
+// countTransitions counts the states that zone 0, the lost zone, entered, and divides by the number of its gateways.
+func (r *zoneRun) countTransitions(metrics *emulator.Metrics, zoneCount int) {
+	gatewaysPerZone := float64(zoneGateways) / float64(zoneCount)
 	const from, to = lostAt + 2*flapInterval*toleratedFlaps, lostAt + 2*flapInterval*flaps
-	for _, t := range m.Transitions {
+	for _, t := range metrics.Transitions {
 		if t.Zone != 0 {
 			continue
 		}
-		r.transitions += 1 / gateways
+		r.transitions += 1 / gatewaysPerZone
 		if t.At >= from && t.At < to {
-			r.lateTransitions += 1 / gateways
+			r.lateTransitions += 1 / gatewaysPerZone
 		}
 	}
 }
 
-// recoverySeconds are the seconds from the zone's return, up to a second of the run, until the fleet has recovered.
-func recoverySeconds(m *emulator.Metrics, to int) float64 {
-	const fromSecond, lostSecond, returnSecond = 4, int(lostAt / rules.Second), int((lostAt + lostFor) / rules.Second)
-	former := m.ServedShare(fromSecond, lostSecond)
+// recoverySeconds returns the seconds from the zone's return until the fleet has recovered, at the latest the second to.
+func recoverySeconds(metrics *emulator.Metrics, to int) float64 {
+	const fromSecond, lostSecond, returnSecond = 4, int(lostAt / rules.Second), int((lostAt + outageDuration) / rules.Second)
+	former := metrics.ServedShare(fromSecond, lostSecond)
 	second := returnSecond
-	for second < to && m.ServedShare(second, second+1) < recoveredShare*former {
+	for second < to && metrics.ServedShare(second, second+1) < recoveredShare*former {
 		second++
 	}
 	return float64(second - returnSecond)
 }
 
-// secondsOverSpillLimit counts the seconds in which a zone did more work for other zones than the spillover limit allows.
-func secondsOverSpillLimit(m *emulator.Metrics, settings zones.Settings) (n int) {
+// secondsOverSpillLimit counts the seconds, once for each zone, in which a zone did more work for other zones than the
+// spillover limit allows.
+func secondsOverSpillLimit(metrics *emulator.Metrics, settings zones.Settings) (n int) {
 	if settings.SpilloverLimit >= 1 {
 		return 0
 	}
-	for _, sec := range m.Seconds[:len(m.Seconds)-1] { // the last one is not complete
+	for _, sec := range metrics.Seconds[:len(metrics.Seconds)-1] { // the last second is incomplete
 		for z, work := range sec.CrossZoneWork {
 			if sec.Capacity[z] > 0 && work > settings.SpilloverLimit*sec.Capacity[z] {
 				n++
@@ -180,26 +181,26 @@
 }
 
 const (
-	orderSlack    = 0.05 // by which the rejected part of a higher value may exceed that of a lower one, within a second
-	orderMinTries = 20   // first tries of a value from which its rejected part is meaningful
+	orderSlack    = 0.05 // tolerated excess of a higher value's rejected fraction over that of a lower value, within a second
+	orderMinTries = 20   // fewer first tries of a value give no meaningful rejected fraction
 )
 
-// misorderedSeconds counts the seconds in which a larger part of the first tries of some value was rejected than of a
-// lower value.
-func misorderedSeconds(m *emulator.Metrics, settings zones.Settings, rejected func(*emulator.Second) []int) (n int) {
+// misorderedSeconds counts the seconds in which a larger fraction of the first tries of some value was rejected than of a
+// lower value, with a tolerance of orderSlack.
+func misorderedSeconds(metrics *emulator.Metrics, settings zones.Settings, rejected func(*emulator.Second) []int) (n int) {
 	if !settings.SheddingEnabled {
 		return 0
 	}
-	for i := range m.Seconds {
-		sec := &m.Seconds[i]
-		leastOfLower, misordered := 1.0, false
+	for i := range metrics.Seconds {
+		sec := &metrics.Seconds[i]
+		minRejectedShare, misordered := 1.0, false
 		for tier, tries := range sec.FirstTries {
 			if tries < orderMinTries {
 				continue
 			}
-			part := float64(rejected(sec)[tier]) / float64(tries)
-			misordered = misordered || part > leastOfLower+orderSlack
-			leastOfLower = min(leastOfLower, part)
+			rejectedShare := float64(rejected(sec)[tier]) / float64(tries)
+			misordered = misordered || rejectedShare > minRejectedShare+orderSlack
+			minRejectedShare = min(minRejectedShare, rejectedShare)
 		}
 		if misordered {
 			n++
