--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -88,12 +88,12 @@
 		}
 		total += work[i]
 	}
-	worst := 0.0
+	maxError := 0.0
 	for i := range work {
 		want := total * float64(int(1)<<i) / 7
-		worst = max(worst, math.Abs(work[i]/want-1))
+		maxError = max(maxError, math.Abs(work[i]/want-1))
 	}
-	return worst
+	return maxError
 }
 
 // retriesAfterRejection simulates 400 clients of 20 tenants that honour Retry-After, with at most 120 open requests
@@ -153,12 +153,12 @@
 	)
 	var requested, served [phases]float64
 	isDisplaced, busy := map[*modelConn]bool{}, map[*modelConn]bool{} // a connection has one request at a time
-	lost := false
+	zoneLost := false
 	phaseOf := func(c *modelConn) int {
 		switch {
 		case isDisplaced[c]:
 			return fromLostZone
-		case lost:
+		case zoneLost:
 			return homeAfter
 		}
 		return homeBefore
@@ -191,7 +191,7 @@
 	}
 	connect(0, 250*rules.Millisecond) // 160 requests per second; the engines serve 320
 	m.advance(20 * rules.Second)
-	lost = true
+	zoneLost = true
 	connect(1, 139*rules.Millisecond) // 288 more requests per second
 	m.advance(20 * rules.Second)
 	for _, c := range conns {
@@ -222,14 +222,14 @@
 // admissionCost returns the time and the allocations that the controller needs per request with 100,000 known
 // tenants. A request consists of its events: arrived, forwarded, engine time used, done, connection idle.
 func admissionCost() (ns, allocs float64) {
-	const tenants, rounds, slots = 100_000, 400_000, 300
+	const tenants, requests, slots = 100_000, 400_000, 300
 	controller := admission.New(anyTenantSettings(), modelLimits(), modelClasses(), nil, modelSeed)
 	now := rules.Second
 	names := make([]string, tenants)
 	for i := range names {
 		names[i] = tenantName(i)
 	}
-	round := func(i int) {
+	simulateRequest := func(i int) {
 		now += 10
 		slot := i % slots
 		controller.Handle(now, admission.Event{Kind: admission.RequestArrived, Slot: slot, Conn: slot, Request: admission.Request{Tenant: names[i%tenants], Deadline: now + modelTimeout, StatementBytes: 100}})
@@ -243,15 +243,15 @@
 		controller.Handle(now, admission.Event{Kind: admission.ConnectionOpened, Conn: i, From: loopback})
 	}
 	for i := range tenants {
-		round(i)
+		simulateRequest(i)
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start := time.Now()
-	for i := range rounds {
-		round(i)
+	for i := range requests {
+		simulateRequest(i)
 	}
 	elapsed := time.Since(start)
 	runtime.ReadMemStats(&after)
-	return float64(elapsed.Nanoseconds()) / rounds, math.Round(float64(after.Mallocs-before.Mallocs)/rounds*100) / 100
+	return float64(elapsed.Nanoseconds()) / requests, math.Round(float64(after.Mallocs-before.Mallocs)/requests*100) / 100
 }
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -35,8 +35,8 @@
 }
 
 // newCluster starts n members. The change function, if not nil, adjusts the settings of each.
-func newCluster(n int, m emulator.DatagramModel, seed uint64, change func(*replica.Settings)) *cluster {
-	c := &cluster{DatagramNetwork: emulator.NewDatagramNetwork(m, replica.Defaults().GossipInterval, clusterStart, seed), members: make([]*emulator.ReplicaMember, n)}
+func newCluster(n int, network emulator.DatagramModel, seed uint64, change func(*replica.Settings)) *cluster {
+	c := &cluster{DatagramNetwork: emulator.NewDatagramNetwork(network, replica.Defaults().GossipInterval, clusterStart, seed), members: make([]*emulator.ReplicaMember, n)}
 	for i := range n {
 		c.startMember(i, 1, change)
 	}
@@ -113,7 +113,7 @@
 func catchUpTime(n int, seed uint64) (seconds, burst float64) {
 	const pausedMember, referenceMember = 3, 1
 	c := newCluster(n, emulator.DatagramModel{Loss: 0.05, MinDelay: rules.Millisecond, MaxDelay: 20 * rules.Millisecond}, seed, nil)
-	run := func(seconds int) {
+	writeAndRun := func(seconds int) {
 		for range seconds {
 			for i, m := range c.members {
 				for subject := range uint64(5) {
@@ -123,9 +123,9 @@
 			c.Run(c.Now + rules.Second)
 		}
 	}
-	run(8)
+	writeAndRun(8)
 	c.SetPaused(memberName(pausedMember), true)
-	run(60)
+	writeAndRun(60)
 	type entryKey struct {
 		origin  string
 		subject uint64
--- a/internal/measure/demo.go
+++ b/internal/measure/demo.go
@@ -57,8 +57,8 @@
 	progressf(out, "%s\n", name)
 	showStats(running, groups, stats, out, live)
 	<-ended
-	q, f := stats["quiet"], stats["flood"]
-	r.addRow(name, q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), q.Rejected.Load(), f.Served.Load(), f.Rejected.Load())
+	quiet, flood := stats["quiet"], stats["flood"]
+	r.addRow(name, quiet.Served.Load(), quiet.LatencyQuantile(50), quiet.LatencyQuantile(99), quiet.Rejected.Load(), flood.Served.Load(), flood.Rejected.Load())
 	return nil
 }
 
--- a/internal/measure/fair.go
+++ b/internal/measure/fair.go
@@ -41,8 +41,8 @@
 		SourceAddr: func(int) netip.Addr { return loopbackAddr(2, 0) }, WarmUp: fairWarmUp}
 }
 
-// Fairness measures admission control on sockets, in virtual time and alone. The gateway is the path of its program;
-// empty: the program is built from this module.
+// Fairness measures admission control on sockets and in virtual time, and the controller alone. The gateway is the path
+// of its program; empty: the program is built from this module.
 func Fairness(ctx context.Context, gateway string, seconds int, progress io.Writer) (*Report, error) {
 	r := newReport("fair", "scenario", "quiet requests", "served", "p50 ms", "p99 ms", "flood served", "rejected", "disconnected")
 	if err := fairOnSockets(ctx, r, gateway, time.Duration(seconds)*time.Second, progress); err != nil {
@@ -88,16 +88,16 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
-		q, f := groupStats["quiet"], groupStats["flood"]
-		r.addRow(s.name, q.Requested.Load(), q.Served.Load(), q.LatencyQuantile(50), q.LatencyQuantile(99), f.Served.Load(), f.Rejected.Load(), f.Disconnected.Load())
+		quiet, flood := groupStats["quiet"], groupStats["flood"]
+		r.addRow(s.name, quiet.Requested.Load(), quiet.Served.Load(), quiet.LatencyQuantile(50), quiet.LatencyQuantile(99), flood.Served.Load(), flood.Rejected.Load(), flood.Disconnected.Load())
 		stats[s.name] = groupStats
 	}
-	alone, beside := stats["quiet alone, admission control on"]["quiet"], stats["280 flooding, admission control on"]["quiet"]
-	on, off := stats["100 flooding alone, admission control on"]["flood"], stats["100 flooding alone, admission control off"]["flood"]
+	quietAlone, quietBesideFlood := stats["quiet alone, admission control on"]["quiet"], stats["280 flooding, admission control on"]["quiet"]
+	floodWithAdmission, floodWithoutAdmission := stats["100 flooding alone, admission control on"]["flood"], stats["100 flooding alone, admission control off"]["flood"]
 	servedRatio := func(s *ClientStats) float64 { return float64(s.Served.Load()) / float64(max(s.Requested.Load(), 1)) }
-	r.setValue("quiet_served_ratio", servedRatio(beside)/servedRatio(alone), "0.98 or more")
-	r.setValue("quiet_p99_ratio", beside.LatencyQuantile(99)/alone.LatencyQuantile(99), "2 or less")
-	r.setValue("throughput_ratio", float64(on.Served.Load())/float64(max(off.Served.Load(), 1)), "0.97 or more")
+	r.setValue("quiet_served_ratio", servedRatio(quietBesideFlood)/servedRatio(quietAlone), "0.98 or more")
+	r.setValue("quiet_p99_ratio", quietBesideFlood.LatencyQuantile(99)/quietAlone.LatencyQuantile(99), "2 or less")
+	r.setValue("throughput_ratio", float64(floodWithAdmission.Served.Load())/float64(max(floodWithoutAdmission.Served.Load(), 1)), "0.97 or more")
 	return nil
 }
 
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -22,9 +22,9 @@
 	Name          string
 	Clients       int
 	SourceAddr    func(client int) netip.Addr
-	Interval      time.Duration // open loop: mean time between a client's requests; 0: closed loop, the next request follows the answer
+	Interval      time.Duration // mean time between a client's requests (open loop); 0: closed loop
 	Timeout       time.Duration
-	TimedFromSend bool          // latencies start when a request is sent, not when it is due: timers are accurate only to 1 ms
+	TimedFromSend bool          // count latencies from sending, not from the due time: timers err by up to 1 ms
 	WarmUp        time.Duration // requests due within this time after the start are not counted
 }
 
@@ -159,14 +159,14 @@
 // query sends one request and counts its outcome. It disconnects if the connection failed.
 func (c *loadClient) query(stats *ClientStats) {
 	stats.Requested.Add(1)
-	sent := time.Now()
+	sentAt := time.Now()
 	_, err := c.conn.Query(c.statement(), c.group.Timeout)
 	var serverError *standin.ServerError
 	switch {
 	case err == nil:
 		stats.Served.Add(1)
 		if c.group.TimedFromSend {
-			c.due = sent
+			c.due = sentAt
 		}
 		stats.recordLatency(time.Since(c.due))
 	case errors.As(err, &serverError) && serverError.Retryable():
@@ -175,7 +175,7 @@
 		stats.Failed.Add(1)
 	default:
 		c.disconnect()
-		if time.Since(sent) >= c.group.Timeout {
+		if time.Since(sentAt) >= c.group.Timeout {
 			stats.Failed.Add(1)
 		} else {
 			stats.Disconnected.Add(1)
--- a/internal/measure/plan.go
+++ b/internal/measure/plan.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	planned := simulatePlan(script)
-	worst := 0.0
+	maxError := 0.0
 	for _, span := range []struct {
 		name     string
 		from, to int
@@ -54,11 +54,11 @@
 	} {
 		plannedShares, actualShares := workShares(planned[span.from:min(span.to, len(planned))], len(script.Zones)), report.WorkByZone(span.from, span.to)
 		for z := range plannedShares {
-			worst = max(worst, math.Abs(plannedShares[z]-actualShares[z]))
+			maxError = max(maxError, math.Abs(plannedShares[z]-actualShares[z]))
 		}
 		r.addRow("processes, "+span.name, "on", fmt.Sprintf("%.3f", report.ServedShare(span.from, span.to)), "-", fmt.Sprintf("plan %.2f", plannedShares), "-", "-", fmt.Sprintf("did %.2f", actualShares), "-")
 	}
-	r.setValue("plan_error", worst, "0.1 or less")
+	r.setValue("plan_error", maxError, "0.1 or less")
 	r.setValue("processes_worth", report.ServedShare(planLostAt, planLength), "")
 	r.setValue("processes_breaches", float64(len(report.Violations)), "0")
 	r.setValue("processes_amplification", report.Amplification(), "1.2 or less")
--- a/internal/measure/spool.go
+++ b/internal/measure/spool.go
@@ -133,7 +133,7 @@
 func resumeByHandle(t *Testbed, r *Report) error {
 	const reads, kills, timeout = 60, 5, 20 * time.Second
 	before := t.Requests()
-	first, err := t.readResult(fmt.Sprintf("/* kind=report,req=%016x,timeout=60000,spool=1 */ SELECT 1 FROM sales_1.x", lastRequestID.Add(1)), timeout)
+	original, err := t.readResult(fmt.Sprintf("/* kind=report,req=%016x,timeout=60000,spool=1 */ SELECT 1 FROM sales_1.x", lastRequestID.Add(1)), timeout)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 				return err
 			}
 		}
-		if again, err := t.readResult("/* resume="+first.handle+" */ FETCH", timeout); err != nil || again.rows != first.rows {
+		if reread, err := t.readResult("/* resume="+original.handle+" */ FETCH", timeout); err != nil || reread.rows != original.rows {
 			mismatches++
 		}
 	}
@@ -165,20 +165,20 @@
 const prefixBytes = 3
 
 // readResult sends a statement on a new connection and reads its result.
-func (t *Testbed) readResult(text string, timeout time.Duration) (s storedResult, err error) {
+func (t *Testbed) readResult(statement string, timeout time.Duration) (stored storedResult, err error) {
 	c, err := standin.Connect(t.Addr, netip.Addr{}, 2*time.Second)
 	if err != nil {
-		return s, err
+		return stored, err
 	}
 	defer c.Close()
-	err = c.QueryRows(text, timeout, func(row []byte) {
+	err = c.QueryRows(statement, timeout, func(row []byte) {
 		switch {
 		case bytes.HasPrefix(row, []byte("\x07#handle")): // a column of 7 bytes, then the handle of 64 bytes
-			s.handle = string(row[9:73])
+			stored.handle = string(row[9:73])
 		case row[1] != '#':
-			s.rows++
-			s.prefixes = append(s.prefixes, row[:prefixBytes]...)
+			stored.rows++
+			stored.prefixes = append(stored.prefixes, row[:prefixBytes]...)
 		}
 	})
-	return s, err
+	return stored, err
 }
--- a/internal/measure/testbed.go
+++ b/internal/measure/testbed.go
@@ -36,8 +36,8 @@
 	Engines     int
 	Slots       int           // requests that an engine runs at once
 	ServiceTime time.Duration // of a request
-	MemoryMB    int
-	Sockets     int
+	MemoryMB    int           // memory limit of the gateway
+	Sockets     int           // socket limit of the gateway
 	SiteConfig  string        // content of the operator's file; empty: no file
 	RetryAfter  bool          // rejections may contain a Retry-After
 	Timeout     time.Duration // client timeout of all classes
@@ -227,12 +227,12 @@
 // reserveAddr finds a free port for the gateway. If another process takes the port before the gateway listens, the
 // start of the gateway fails with an error.
 func (t *Testbed) reserveAddr() error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	t.Addr = l.Addr().String()
-	return l.Close()
+	t.Addr = listener.Addr().String()
+	return listener.Close()
 }
 
 // Log returns the gateway's log so far. It is complete once the gateway has ended.
--- a/internal/measure/zones.go
+++ b/internal/measure/zones.go
@@ -36,7 +36,7 @@
 func runZones(ctx context.Context, progress io.Writer) (*zoneRuns, error) {
 	runs := &zoneRuns{}
 	p := newPool(ctx, progress)
-	start := func(s zoneScenario, plan bool, staticHomeShare *float64) []zoneRun {
+	startRuns := func(s zoneScenario, plan bool, staticHomeShare *float64) []zoneRun {
 		results := make([]zoneRun, s.seeds)
 		for i := range results {
 			p.run(func() { results[i] = s.run(plan, staticHomeShare, uint64(i)+1) })
@@ -44,11 +44,11 @@
 		return results
 	}
 	for _, s := range zoneScenarios {
-		runs.withoutPlan = append(runs.withoutPlan, start(s, false, nil))
-		runs.withPlan = append(runs.withPlan, start(s, true, nil))
+		runs.withoutPlan = append(runs.withoutPlan, startRuns(s, false, nil))
+		runs.withPlan = append(runs.withPlan, startRuns(s, true, nil))
 	}
 	for i := range staticHomeShares {
-		runs.static = append(runs.static, start(zoneScenarios[scenarioZoneLost], false, &staticHomeShares[i]))
+		runs.static = append(runs.static, startRuns(zoneScenarios[scenarioZoneLost], false, &staticHomeShares[i]))
 	}
 	return runs, p.wait()
 }
@@ -74,9 +74,9 @@
 
 func (runs *zoneRuns) setValues(r *Report) {
 	lost, flapping := runs.withPlan[scenarioZoneLost], runs.withPlan[scenarioFlapping]
-	worst := 0.0
+	maxLoss := 0.0
 	for i := range zoneScenarios {
-		worst = max(worst, 1-runs.medianRatio(i, zoneRun.served))
+		maxLoss = max(maxLoss, 1-runs.medianRatio(i, zoneRun.served))
 	}
 	r.setValue("worth_calm", runs.medianRatio(scenarioCalm, zoneRun.served), "0.99 or more of without the plan")
 	r.setValue("cross_share", runs.medianRatio(scenarioCalm, zoneRun.crossZoneShare), "0.5 or less of without the plan")
@@ -94,7 +94,7 @@
 		"0, of the seconds of gateways in which they shed")
 	r.setValue("refused_order_wrong", runs.totalWithPlan(func(run zoneRun) int { return run.rejectedMisordered }), "seconds, with what the module rejects later")
 	r.setValue("spill_over_limit_s", runs.totalWithPlan(func(run zoneRun) int { return run.overSpillLimit }), "0")
-	r.setValue("worst_loss_of_a_scene", worst, "")
+	r.setValue("worst_loss_of_a_scene", maxLoss, "")
 }
 
 // medianRatio returns the median, over the seeds, of the ratio of a value with the plan to the value without it.
--- a/internal/measure/zonescenarios.go
+++ b/internal/measure/zonescenarios.go
@@ -79,16 +79,17 @@
 	{name: "flaps every 10 s", seeds: extraSeeds, load: 0.55, faults: []emulator.Fault{emulator.FlapZone(5*rules.Second, 0, 2, 6*rules.Second)}, fromSecond: 5, toSecond: 29},
 }
 
-// zoneRun is the result of one run: without the plan, with it, or with a static split.
+// zoneRun is the result of one run: without the plan, with it, or with a static split. Transitions are the states that
+// the lost zone entered, per gateway of that zone, since other gateways rarely send there.
 type zoneRun struct {
 	servedShare, crossZone, amplification float64
 	collapses                             int
-	transitions                           float64 // states that the lost zone entered, per gateway of that zone: other gateways rarely send there
-	lateTransitions                       float64 // the transitions after the tolerated flaps
-	recoverySeconds                       float64 // from the zone's return until 0.95 of the former served share is reached
-	misordered, shedding                  int     // gateway seconds in which a value higher than an admitted one was shed; gateway seconds with any shedding
-	rejectedMisordered                    int     // seconds in which a larger fraction of a higher value was rejected, by the plan or the decision module
-	overSpillLimit                        int     // seconds in which a zone's work for other zones exceeded the spillover limit
+	transitions                           float64 // all of the run
+	lateTransitions                       float64 // those after the tolerated flaps
+	recoverySeconds                       float64 // from the zone's return until recoveredShare is reached
+	misordered, shedding                  int     // gateway seconds that shed a higher value than one admitted; that shed at all
+	rejectedMisordered                    int     // seconds, see misorderedSeconds; rejected by the plan or the decision module
+	overSpillLimit                        int     // seconds, see secondsOverSpillLimit
 	shed                                  int
 	probes                                float64 // per gateway and second
 }
@@ -155,11 +156,11 @@
 
 // recoverySeconds returns the seconds from the zone's return until the fleet has recovered, at the latest the
 // second to.
-func recoverySeconds(metrics *emulator.Metrics, to int) float64 {
+func recoverySeconds(metrics *emulator.Metrics, endSecond int) float64 {
 	const fromSecond, lostSecond, returnSecond = 4, int(lostAt / rules.Second), int((lostAt + outageDuration) / rules.Second)
-	former := metrics.ServedShare(fromSecond, lostSecond)
+	formerShare := metrics.ServedShare(fromSecond, lostSecond)
 	second := returnSecond
-	for second < to && metrics.ServedShare(second, second+1) < recoveredShare*former {
+	for second < endSecond && metrics.ServedShare(second, second+1) < recoveredShare*formerShare {
 		second++
 	}
 	return float64(second - returnSecond)
@@ -182,7 +183,7 @@
 }
 
 const (
-	orderSlack    = 0.05 // tolerated excess of a higher value's rejected fraction over that of a lower value, within a second
+	orderSlack    = 0.05 // by which a higher value's rejected fraction may exceed a lower value's
 	orderMinTries = 20   // fewer first tries of a value give no meaningful rejected fraction
 )
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -65,11 +65,11 @@
 	}
 	r := &Result{ViolationCounts: map[harness.ViolationKind]int{}, FaultKinds: map[string]int{}}
 	var mu sync.Mutex
-	next := make(chan uint64)
+	seeds := make(chan uint64)
 	var workers sync.WaitGroup
 	for range o.Parallel {
 		workers.Go(func() {
-			for seed := range next {
+			for seed := range seeds {
 				schedule := NewSchedule(seed, o.Processes, o.Length)
 				report, logDir, err := o.runSchedule(ctx, &schedule, "")
 				mu.Lock()
@@ -82,9 +82,9 @@
 		if ctx.Err() != nil {
 			break
 		}
-		next <- o.First + uint64(i)
+		seeds <- o.First + uint64(i)
 	}
-	close(next)
+	close(seeds)
 	workers.Wait()
 	o.shrinkFailures(ctx, r)
 	o.detectDefects(ctx, r)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -30,7 +30,8 @@
 
 func (e *ServerError) Error() string { return fmt.Sprintf("%d: %s", e.Code, e.Message) }
 
-// Retryable reports whether the error guarantees that the request can be retried safely.
+// Retryable reports whether the error guarantees that the request can be retried safely. These are the errors for too
+// many connections (1040), too many connections of a user (1203) and a user's exhausted resource limit (1226).
 func (e *ServerError) Retryable() bool { return e.Code == 1040 || e.Code == 1203 || e.Code == 1226 }
 
 // Connect connects and logs in to a gateway. The connection comes from the source address if that is valid. The
@@ -90,7 +91,7 @@
 	response := binary.LittleEndian.AppendUint32(nil, clientProtocol41|clientSecureConnection|clientConnectWithDB|clientPluginAuth)
 	response = binary.LittleEndian.AppendUint32(response, maxPacketBytes)
 	response = append(append(response, charsetUTF8MB4), make([]byte, reservedBytes)...)
-	response = append(response, "app\x00\x00main\x00mysql_native_password\x00"...) // user, empty password, database, authentication method
+	response = append(response, "app\x00\x00main\x00mysql_native_password\x00"...) // user, no password, database, plugin
 	if err := c.writePacket(1, response); err != nil {
 		return err
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -136,7 +136,7 @@
 	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
-		if err != nil || !s.command(in, strings.Fields(line)) {
+		if err != nil || !s.handleCommand(in, strings.Fields(line)) {
 			break
 		}
 	}
@@ -151,8 +151,9 @@
 	e.mu.Unlock()
 }
 
-// command executes the command whose line has the given words. It returns false if the command violates the protocol.
-func (s *session) command(in *bufio.Reader, words []string) (ok bool) {
+// handleCommand executes the command whose line has the given words. It returns false if the command violates the
+// protocol.
+func (s *session) handleCommand(in *bufio.Reader, words []string) (ok bool) {
 	if len(words) < 2 {
 		return false
 	}
--- a/internal/standin/nameserver.go
+++ b/internal/standin/nameserver.go
@@ -15,10 +15,10 @@
 	ID, Zone string
 	Addr     netip.AddrPort
 	Draining bool
-	Weight   int // as in the gateway's configuration; an SRV record carries ten times this value
-	Kind     string
+	Weight   int    // as in the gateway's configuration; an SRV record carries ten times this value
+	Kind     string // machine type
 	Cell     int
-	Started  int64
+	Started  int64 // when the engine started, in Unix milliseconds; 0: long ago
 }
 
 // NameServer is a fake name server that answers every query with the endpoint list.
@@ -180,40 +180,42 @@
 // number, and an A and a TXT record for each host. Repeated names are compressed to pointers, as real servers do.
 func EncodeAnswer(id uint16, name string, serial uint32, hosts []Host) []byte {
 	msg := binary.BigEndian.AppendUint16(nil, id)
-	msg = append(msg, 0x84, 0, 0, 1)
+	msg = append(msg, 0x84, 0, 0, 1) // authoritative answer, no error, one question
 	msg = binary.BigEndian.AppendUint16(msg, uint16(len(hosts)))
-	msg = append(msg, 0, 1)
+	msg = append(msg, 0, 1) // one authority record
 	msg = binary.BigEndian.AppendUint16(msg, uint16(2*len(hosts)))
-	msg = append(appendName(msg, name), 0, 33, 0, 1)
-	targets := make([]int, len(hosts))
+	msg = append(appendName(msg, name), 0, 33, 0, 1) // the question: type SRV, class IN
+	targets := make([]int, len(hosts))               // offsets of the target names in the message
 	for i, h := range hosts {
-		var data []byte
+		var srvData []byte
 		priority := uint16(0)
 		if h.Draining {
 			priority = 1
 		}
-		data = binary.BigEndian.AppendUint16(data, priority)
-		data = binary.BigEndian.AppendUint16(data, uint16(10*h.Weight))
-		data = binary.BigEndian.AppendUint16(data, h.Addr.Port())
-		msg = appendRecord(append(msg, 0xc0, 12), 33, appendName(data, h.ID+"."+h.Zone+".hosts"))
+		srvData = binary.BigEndian.AppendUint16(srvData, priority)
+		srvData = binary.BigEndian.AppendUint16(srvData, uint16(10*h.Weight))
+		srvData = binary.BigEndian.AppendUint16(srvData, h.Addr.Port())
+		// An SRV record (33), whose name is a pointer to the name in the question, at offset 12.
+		msg = appendRecord(append(msg, 0xc0, 12), 33, appendName(srvData, h.ID+"."+h.Zone+".hosts"))
 		targets[i] = len(msg) - len(h.ID+"."+h.Zone+".hosts") - 2
 	}
-	soa := append(appendName(nil, "ns.lan"), 0)
-	soa = binary.BigEndian.AppendUint32(soa, serial)
-	msg = appendRecord(append(msg, 0xc0, 12), 6, append(soa, make([]byte, 16)...))
+	soaData := append(appendName(nil, "ns.lan"), 0)
+	soaData = binary.BigEndian.AppendUint32(soaData, serial)
+	msg = appendRecord(append(msg, 0xc0, 12), 6, append(soaData, make([]byte, 16)...)) // SOA
 	for i, h := range hosts {
 		pointer := []byte{0xc0 | byte(targets[i]>>8), byte(targets[i])}
 		addr := h.Addr.Addr().As4()
-		msg = appendRecord(append(msg, pointer...), 1, addr[:])
-		var text []byte
+		msg = appendRecord(append(msg, pointer...), 1, addr[:]) // A
+		var txtData []byte
 		for _, s := range []string{"kind=" + h.Kind, fmt.Sprint("cell=", h.Cell), fmt.Sprint("started=", h.Started)} {
-			text = append(append(text, byte(len(s))), s...)
+			txtData = append(append(txtData, byte(len(s))), s...)
 		}
-		msg = appendRecord(append(msg, pointer...), 16, text)
+		msg = appendRecord(append(msg, pointer...), 16, txtData) // TXT
 	}
 	return msg
 }
 
+// appendName appends a domain name as length-prefixed labels, uncompressed.
 func appendName(b []byte, name string) []byte {
 	for _, label := range strings.Split(name, ".") {
 		b = append(append(b, byte(len(label))), label...)
@@ -221,6 +223,7 @@
 	return append(b, 0)
 }
 
+// appendRecord appends a resource record without its name, of class IN and with a TTL of 0.
 func appendRecord(b []byte, kind byte, data []byte) []byte {
 	b = append(b, 0, kind, 0, 1, 0, 0, 0, 0)
 	return append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
