--- a/cmd/foxlab/soak.go
+++ b/cmd/foxlab/soak.go
@@ -26,8 +26,8 @@
 			}
 			options.Process = harness.Process{Program: program, Args: []string{"double"}, AcceptsCommands: true}
 			options.Progress = cmd.ErrOrStderr()
-			if options.Logs == "" {
-				if options.Logs, err = os.MkdirTemp("", "foxsoak"); err != nil {
+			if options.LogDir == "" {
+				if options.LogDir, err = os.MkdirTemp("", "foxsoak"); err != nil {
 					return err
 				}
 			}
@@ -36,21 +36,21 @@
 				return err
 			}
 			err = errors.Join(err, report.Write(cmd.OutOrStdout()))
-			if err == nil && (len(report.Failed) > 0 || len(report.NotPlayed) > 0 || report.DefectsFound() < len(report.Detections)) {
+			if err == nil && (len(report.Failed) > 0 || len(report.Incomplete) > 0 || report.DefectsFound() < len(report.Detections)) {
 				err = errors.New("soak: a rule was violated, a seed was not run, or an injected defect was not found; see the report")
 			}
 			return err
 		},
 	}
 	cmd.Flags().IntVar(&options.Seeds, "seeds", 20, "number of seeds to run")
-	cmd.Flags().Uint64Var(&options.First, "first", 1, "the first seed; run a failing seed again with its number here")
-	cmd.Flags().DurationVar(&options.Length, "for", 5*time.Second, "length of each seed's run")
+	cmd.Flags().Uint64Var(&options.FirstSeed, "first", 1, "the first seed; run a failing seed again with its number here")
+	cmd.Flags().DurationVar(&options.Duration, "for", 5*time.Second, "length of each seed's run")
 	cmd.Flags().IntVar(&options.Processes, "processes", 10, "number of gateways in each run")
 	cmd.Flags().IntVar(&options.Parallel, "parallel", 2, "seeds to run at the same time")
-	cmd.Flags().IntVar(&options.Shrink, "shrink", 6, "at most this many runs to reduce a failing seed to fewer faults")
-	cmd.Flags().IntVar(&options.DefectSeeds, "plants", 0, "at most this many seeds to find each injected defect")
+	cmd.Flags().IntVar(&options.MaxShrinkRuns, "shrink", 6, "at most this many runs to reduce a failing seed to fewer faults")
+	cmd.Flags().IntVar(&options.MaxSeedsPerDefect, "plants", 0, "at most this many seeds to find each injected defect")
 	cmd.Flags().StringSliceVar(&options.Defects, "only", nil, "defects to inject; all if not given")
-	cmd.Flags().StringVar(&options.Logs, "logs", "", "folder for the logs of failing seeds")
+	cmd.Flags().StringVar(&options.LogDir, "logs", "", "folder for the logs of failing seeds")
 	return cmd
 }
 
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -75,7 +75,7 @@
 	}
 	a.done = true
 	f, r := g.fleet, a.request
-	if status != rules.StatusOK && status != rules.StatusSuperseded {
+	if status != rules.StatusOK && status != rules.StatusNotExecuted {
 		g.observationOf(a.engine.id).lastFault = f.now
 	}
 	if a.answered {
@@ -90,7 +90,7 @@
 	} else if !a.answered || status != rules.StatusOK {
 		f.Metrics.LostAttempts[status]++
 	}
-	outcome := rules.Outcome{ID: r.id, Attempt: a.index, Engine: a.engine.id, Status: status, Latency: f.now - a.sentAt, Closed: r.finished}
+	outcome := rules.Outcome{ID: r.id, Attempt: a.index, Engine: a.engine.id, Status: status, Latency: f.now - a.sentAt, RequestEnded: r.finished}
 	if status == rules.StatusOK && f.scenario.Settings.ReportsCost {
 		outcome.MeasuredWork = rules.Time(r.work)
 	}
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -73,7 +73,7 @@
 
 // gossipView returns what the gateway observes and publishes.
 func (g *gateway) gossipView() gossip.View {
-	v := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
+	v := gossip.View{Engines: g.engineObservations(), ClassEstimates: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
 		v.Zones = g.zones.Status(g.fleet.now)
 	}
@@ -89,8 +89,8 @@
 	for i := range v.Zones {
 		v.Zones[i].State = zones.Lost
 	}
-	for i := range v.Learned { // not cloned: the gateway also uses these estimates itself
-		v.Learned[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
+	for i := range v.ClassEstimates { // not cloned: the gateway also uses these estimates itself
+		v.ClassEstimates[i] = rules.ClassEstimate{CostRatio: 1000, MeanWork: 1e9, SampleWeight: 100}
 	}
 	return v
 }
--- a/internal/emulator/metrics.go
+++ b/internal/emulator/metrics.go
@@ -30,7 +30,7 @@
 	Shed                int // rejected requests, shed in favour of a higher value
 	// RampUpTimes are the times from an engine's start until it had received the work that its cores do in one second.
 	RampUpTimes  []rules.Time
-	LostAttempts [rules.StatusSuperseded + 1]int // attempts without a successful response, by status
+	LostAttempts [rules.StatusNotExecuted + 1]int // attempts without a successful response, by status
 	Seconds      []Second
 
 	start   rules.Time
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -137,7 +137,7 @@
 			g.observationOf(e.id).lastAnswer = f.now
 		}
 		if g.zones != nil {
-			g.zones.ProbeAnswered(e.zone, ok)
+			g.zones.RecordProbe(e.zone, ok)
 		}
 		g.handle(rules.ProbeResult{Engine: e.id, Suspected: suspected, Status: status})
 	})
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -27,7 +27,7 @@
 	case engine.Overloaded:
 		g.concludeAttempt(attempt, rules.StatusRejected)
 	case engine.NotExecuted:
-		g.concludeAttempt(attempt, rules.StatusSuperseded)
+		g.concludeAttempt(attempt, rules.StatusNotExecuted)
 	case engine.Errored:
 		// A faulty query causes an error as well, so an error counts against the engine only if the engine has served
 		// nothing since its last error.
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -76,7 +76,7 @@
 	maxAttempts := g.cfg.Settings.Rules.Limits.MaxAttempts
 	switch {
 	case req.answered, attempt.engine == nil, maxAttempts > 0 && len(req.attempts) > maxAttempts:
-		g.concludeAttempt(attempt, rules.StatusSuperseded)
+		g.concludeAttempt(attempt, rules.StatusNotExecuted)
 	case attempt.deadline <= g.now:
 		g.concludeAttempt(attempt, rules.StatusTimeout)
 	default:
@@ -177,7 +177,7 @@
 	if attempt.sent {
 		g.notifyAdmission(admission.Event{Kind: admission.EngineTimeUsed, Slot: req.admissionSlot, EngineTime: attempt.latency})
 	}
-	if status != rules.StatusOK && status != rules.StatusSuperseded && !attempt.localExhaustion && attempt.targetsCurrentProcess() {
+	if status != rules.StatusOK && status != rules.StatusNotExecuted && !attempt.localExhaustion && attempt.targetsCurrentProcess() {
 		attempt.engine.lastFailure = g.now
 	}
 	outcome := rules.Outcome{
@@ -185,7 +185,7 @@
 		Attempt:        attempt.index,
 		Status:         status,
 		Latency:        attempt.latency,
-		Closed:         req.answered || req.result.engineDone,
+		RequestEnded:   req.answered || req.result.engineDone,
 		NotEngineFault: attempt.notEngineFault,
 	}
 	if attempt.engine != nil {
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -64,7 +64,7 @@
 	status := rules.StatusConnectFailed
 	switch {
 	case localExhaustion:
-		status = rules.StatusSuperseded
+		status = rules.StatusNotExecuted
 	case conn.up:
 		status = rules.StatusReset
 	}
@@ -111,7 +111,7 @@
 	for i, attempt := range lost {
 		attempt.notEngineFault = notEngineFault || i > 0
 		if attempt.endOffset > accepted {
-			g.concludeAttempt(attempt, rules.StatusSuperseded)
+			g.concludeAttempt(attempt, rules.StatusNotExecuted)
 		} else {
 			g.terminateAttempt(attempt, rules.StatusReset)
 		}
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -175,7 +175,7 @@
 		switch {
 		case attempt.done:
 		case attempt.request.answered || conn.engine.state != rules.EngineServing || g.now-attempt.startedAt > g.limits.ConnectTimeout:
-			g.concludeAttempt(attempt, rules.StatusSuperseded)
+			g.concludeAttempt(attempt, rules.StatusNotExecuted)
 		case g.catchingUp():
 			conn.waiting = append(conn.waiting, attempt)
 		default:
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -70,7 +70,7 @@
 		g.notifyModule(rules.FleetUpdate{Mode: mode, Engines: changed})
 	}
 	for _, attempt := range stale {
-		g.concludeAttempt(attempt, rules.StatusSuperseded)
+		g.concludeAttempt(attempt, rules.StatusNotExecuted)
 	}
 }
 
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -40,7 +40,7 @@
 		if attempt == except {
 			continue
 		}
-		prior := guard.PriorAttempt{At: attempt.startedAt, Sent: attempt.sent, Ended: attempt.done, NeverRan: attempt.done && attempt.status.NeverExecuted()}
+		prior := guard.PriorAttempt{IssuedAt: attempt.startedAt, Sent: attempt.sent, Ended: attempt.done, NeverRan: attempt.done && attempt.status.NeverExecuted()}
 		if attempt.engine != nil {
 			prior.Zone, prior.Cell = attempt.engine.zone, attempt.engine.entry.Cell
 		}
@@ -55,7 +55,7 @@
 	req, eng, settings := attempt.request, attempt.engine, &g.cfg.Settings.Rules
 	reported := g.moduleEngine(eng)
 	send := guard.Send{Now: g.now, Answered: req.answered, Deadline: attempt.deadline, ClientDeadline: req.dueAt, State: reported.State, NotifiedAt: eng.stateSince,
-		Zone: reported.Zone, Kind: reported.Kind, Cell: reported.Cell, Class: &settings.Classes[req.class], Duties: &settings.Constraints, Limits: &settings.Limits}
+		Zone: reported.Zone, Kind: reported.Kind, Cell: reported.Cell, Class: &settings.Classes[req.class], Constraints: &settings.Constraints, Limits: &settings.Limits}
 	if len(req.attempts) > 1 {
 		send.PriorAttempts = g.priorAttempts(req, attempt)
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -142,7 +142,7 @@
 		g.notifyReplica(replica.Tick{})
 		return
 	}
-	view := gossip.View{Engines: g.engineObservations(), Learned: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
+	view := gossip.View{Engines: g.engineObservations(), ClassEstimates: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
 		view.Zones = g.zones.router.Status(g.now)
 	}
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/reasons.go
@@ -124,4 +124,4 @@
 // statusNames are the attempt statuses as logged.
 var statusNames = map[rules.Status]string{rules.StatusOK: "ok", rules.StatusError: "error", rules.StatusRejected: "rejected",
 	rules.StatusTimeout: "timeout", rules.StatusConnectFailed: "connect_failed", rules.StatusReset: "reset",
-	rules.StatusCancelled: "cancelled", rules.StatusSuperseded: "never_executed"}
+	rules.StatusCancelled: "cancelled", rules.StatusNotExecuted: "never_executed"}
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -190,7 +190,7 @@
 // zoneProbed notifies the zone controller of a probe's result.
 func (g *Gateway) zoneProbed(eng *engineState, ok bool) {
 	if g.zones != nil {
-		g.zones.router.ProbeAnswered(eng.zone, ok)
+		g.zones.router.RecordProbe(eng.zone, ok)
 	}
 }
 
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -31,10 +31,10 @@
 
 // View holds this gateway's own observations.
 type View struct {
-	Engines   []zones.EngineObservation // serving engines, in the order of the endpoint list
-	Zones     []zones.Status            // nil: zones are not configured
-	Learned   []rules.ClassEstimate     // by class
-	SlowStart []rules.SlowStartUsage    // engines in slow start
+	Engines        []zones.EngineObservation // serving engines, in the order of the endpoint list
+	Zones          []zones.Status            // nil: zones are not configured
+	ClassEstimates []rules.ClassEstimate     // by class
+	SlowStart      []rules.SlowStartUsage    // engines in slow start
 }
 
 // Observations exchanges observations with peers through a replica.Store.
@@ -97,7 +97,7 @@
 			put(replica.ZoneState, uint64(i), replica.Value{float32(zone.State)})
 		}
 	}
-	for class, estimate := range view.Learned {
+	for class, estimate := range view.ClassEstimates {
 		if estimate.SampleWeight > 1 {
 			put(replica.ClassEstimate, uint64(class), replica.Value{float32(estimate.CostRatio), float32(estimate.MeanWork), float32(min(estimate.SampleWeight, 100))})
 		}
@@ -168,7 +168,7 @@
 	if o.classesLearned || now-o.startedAt > o.settings.LearnWindow {
 		return nil
 	}
-	ratios, meanWorks := make([][]float64, len(view.Learned)), make([][]float64, len(view.Learned))
+	ratios, meanWorks := make([][]float64, len(view.ClassEstimates)), make([][]float64, len(view.ClassEstimates))
 	o.store.Each(replica.ClassEstimate, func(_ string, entry *replica.Entry) {
 		if entry.Subject < uint64(len(ratios)) && entry.Value[0] > 0 && entry.Value[1] > 0 {
 			ratios[entry.Subject] = append(ratios[entry.Subject], float64(entry.Value[0]))
@@ -177,7 +177,7 @@
 	})
 	required := max(minLearnSources, min(len(o.store.Members())/2, maxLearnSources))
 	for class := range ratios {
-		if len(ratios[class]) < required || view.Learned[class].SampleWeight > sufficientOwnWeight {
+		if len(ratios[class]) < required || view.ClassEstimates[class].SampleWeight > sufficientOwnWeight {
 			continue
 		}
 		events = append(events, rules.PeerEstimate{Class: class, CostRatio: median(ratios[class]), MeanWork: median(meanWorks[class])})
--- a/internal/gossip/observations_test.go
+++ b/internal/gossip/observations_test.go
@@ -122,8 +122,8 @@
 // samples take precedence, and nothing is learned after LearnWindow.
 func TestClassesAreLearnedOnce(t *testing.T) {
 	fleet := newTestFleet(5)
-	view := View{Learned: make([]rules.ClassEstimate, 2)}
-	view.Learned[1].SampleWeight = 20 // of own samples
+	view := View{ClassEstimates: make([]rules.ClassEstimate, 2)}
+	view.ClassEstimates[1].SampleWeight = 20 // of own samples
 	for i := range 5 {
 		ratio := float32(1.5)
 		if i == 4 {
@@ -168,7 +168,7 @@
 	view := viewOf(1, 2)
 	view.Engines[0].Excluded = true
 	view.Zones = []zones.Status{{State: zones.Present}, {State: zones.Lost}}
-	view.Learned = []rules.ClassEstimate{{CostRatio: 2, MeanWork: 100, SampleWeight: 5}, {CostRatio: 2, MeanWork: 100, SampleWeight: 0.5}}
+	view.ClassEstimates = []rules.ClassEstimate{{CostRatio: 2, MeanWork: 100, SampleWeight: 5}, {CostRatio: 2, MeanWork: 100, SampleWeight: 0.5}}
 	fleet.Publish(start, view)
 	view.Engines[0].Excluded = false
 	fleet.Publish(start+second, view)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -83,7 +83,7 @@
 
 // PriorAttempt is an earlier attempt of a request.
 type PriorAttempt struct {
-	At       rules.Time // when the decision module issued it
+	IssuedAt rules.Time // when the decision module issued it
 	Sent     bool       // written to a connection
 	Ended    bool
 	NeverRan bool // it is known not to have run
@@ -108,7 +108,7 @@
 	SlowStartSent   float64 // work that this gateway has sent to the engine within the window, including this attempt
 	SlowStartBudget float64 // work that all gateways together may send it within the window; 0: not in slow start
 	Class           *rules.Class
-	Duties          *rules.Constraints
+	Constraints     *rules.Constraints
 	Limits          *rules.Limits
 	PriorAttempts   []PriorAttempt
 }
@@ -117,7 +117,7 @@
 func (s *Send) Check() (f Findings) {
 	f.add(s.Answered, SendAfterEnd)
 	f.add(s.Now >= s.ClientDeadline+Slack || s.Deadline > s.ClientDeadline+DeadlineSlack, SendAfterDeadline)
-	f.add(s.State != rules.EngineServing && s.Now > s.NotifiedAt+s.Duties.DrainGrace+Slack, SendToDraining)
+	f.add(s.State != rules.EngineServing && s.Now > s.NotifiedAt+s.Constraints.DrainGrace+Slack, SendToDraining)
 	f.add(!isAllowed(s.Class.AllowedZones, s.Zone) || !isAllowed(s.Class.AllowedKinds, s.Kind), SendMisplaced)
 	f.add(s.SlowStartBudget > 0 && s.SlowStartSent > s.SlowStartBudget, SendOverBudget)
 	if len(s.PriorAttempts) == 0 {
@@ -132,7 +132,7 @@
 			continue
 		}
 		unsafe = unsafe || s.Class.Idempotency == rules.NotIdempotent
-		outsideWindow = outsideWindow || s.Class.Idempotency == rules.IdempotentWithKey && (s.Now >= p.At+s.Class.DedupWindow+Slack || !s.inDedupScope(p))
+		outsideWindow = outsideWindow || s.Class.Idempotency == rules.IdempotentWithKey && (s.Now >= p.IssuedAt+s.Class.DedupWindow+Slack || !s.inDedupScope(p))
 	}
 	f.add(parallel, SendParallel)
 	f.add(unsafe, RetryUnsafe)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -12,13 +12,13 @@
 // validSend returns a send that violates no invariant.
 func validSend() Send {
 	return Send{Now: now, Deadline: now + rules.Second, ClientDeadline: now + rules.Second, NotifiedAt: now - 10*rules.Second, SlowStartSent: 1, SlowStartBudget: 2,
-		Class: &rules.Class{}, Duties: &rules.Constraints{DrainGrace: rules.Second}, Limits: &rules.Limits{MaxAttempts: 3}}
+		Class: &rules.Class{}, Constraints: &rules.Constraints{DrainGrace: rules.Second}, Limits: &rules.Limits{MaxAttempts: 3}}
 }
 
 // Each violation is reported under its own invariant, and a valid send or answer reports none.
 func TestEachInvariant(t *testing.T) {
-	ran := PriorAttempt{At: now - rules.Second, Sent: true, Ended: true}
-	neverRan := PriorAttempt{At: now - rules.Second, Sent: true, Ended: true, NeverRan: true}
+	ran := PriorAttempt{IssuedAt: now - rules.Second, Sent: true, Ended: true}
+	neverRan := PriorAttempt{IssuedAt: now - rules.Second, Sent: true, Ended: true, NeverRan: true}
 	for name, c := range map[string]struct {
 		change func(*Send)
 		want   []Invariant
@@ -37,10 +37,14 @@
 		"idempotent retry":       {func(s *Send) { s.PriorAttempts = []PriorAttempt{ran} }, nil},
 		"unsafe retry":           {func(s *Send) { s.PriorAttempts, s.Class.Idempotency = []PriorAttempt{ran}, rules.NotIdempotent }, []Invariant{RetryUnsafe}},
 		"unsafe that never ran":  {func(s *Send) { s.PriorAttempts, s.Class.Idempotency = []PriorAttempt{neverRan}, rules.NotIdempotent }, nil},
-		"unsafe never written":   {func(s *Send) { s.PriorAttempts, s.Class.Idempotency = []PriorAttempt{{At: now}}, rules.NotIdempotent }, nil},
-		"in flight":              {func(s *Send) { s.PriorAttempts = []PriorAttempt{{At: now, Sent: true}} }, []Invariant{SendParallel}},
-		"in flight, allowed":     {func(s *Send) { s.PriorAttempts, s.Limits.HedgedRequests = []PriorAttempt{{At: now, Sent: true}}, true }, nil},
-		"too many":               {func(s *Send) { s.PriorAttempts = []PriorAttempt{ran, ran, ran} }, []Invariant{RetryOverLimit}},
+		"unsafe never written": {func(s *Send) {
+			s.PriorAttempts, s.Class.Idempotency = []PriorAttempt{{IssuedAt: now}}, rules.NotIdempotent
+		}, nil},
+		"in flight": {func(s *Send) { s.PriorAttempts = []PriorAttempt{{IssuedAt: now, Sent: true}} }, []Invariant{SendParallel}},
+		"in flight, allowed": {func(s *Send) {
+			s.PriorAttempts, s.Limits.HedgedRequests = []PriorAttempt{{IssuedAt: now, Sent: true}}, true
+		}, nil},
+		"too many": {func(s *Send) { s.PriorAttempts = []PriorAttempt{ran, ran, ran} }, []Invariant{RetryOverLimit}},
 		"keyed after its window": {func(s *Send) {
 			s.PriorAttempts, s.Class.Idempotency = []PriorAttempt{ran}, rules.IdempotentWithKey
 			s.Class.DedupWindow = rules.Second / 2
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -155,7 +155,7 @@
 		c.Run(c.Now + 100*rules.Millisecond)
 	}
 	for _, peak := range c.PeakBytesPerSecond {
-		burst = max(burst, float64(peak)/float64(replica.Defaults().Budget))
+		burst = max(burst, float64(peak)/float64(replica.Defaults().BytesPerSecond))
 	}
 	return float64(c.Now-resumedAt) / float64(rules.Second), burst
 }
--- a/internal/measure/plan.go
+++ b/internal/measure/plan.go
@@ -77,7 +77,7 @@
 }
 
 // simulatePlan returns the plan, second by second, for the zone loss that the script runs.
-func simulatePlan(script *harness.Script) []zones.Moment {
+func simulatePlan(script *harness.Script) []zones.Sample {
 	settings := zones.Defaults()
 	settings.RecoveryRamp = planRecoveryRamp * rules.Second
 	cores := float64(len(script.Zones) * 2 * script.Cores) // of all zones together
@@ -92,7 +92,7 @@
 }
 
 // workShares returns the fraction of the planned work that each zone does.
-func workShares(planned []zones.Moment, zoneCount int) []float64 {
+func workShares(planned []zones.Sample, zoneCount int) []float64 {
 	shares, totalWork := make([]float64, zoneCount), 0.0
 	for _, m := range planned {
 		for z := range m.Zones {
--- a/internal/replica/budget.go
+++ b/internal/replica/budget.go
@@ -16,7 +16,7 @@
 // withinBudget reports whether the budget allows a message of size bytes now, and counts the message in OverBudget if
 // not.
 func (s *Store) withinBudget(size int) bool {
-	if s.sentBytes.Total(s.now)+float64(size) <= float64(s.settings.Budget) {
+	if s.sentBytes.Total(s.now)+float64(size) <= float64(s.settings.BytesPerSecond) {
 		return true
 	}
 	s.stats.OverBudget++
@@ -29,7 +29,7 @@
 	if urgent(k) {
 		return 0
 	}
-	return rules.Time(float64(len(s.members)*s.settings.Fanout*typicalEntryBytes) / float64(s.settings.Budget) * float64(rules.Second))
+	return rules.Time(float64(len(s.members)*s.settings.Fanout*typicalEntryBytes) / float64(s.settings.BytesPerSecond) * float64(rules.Second))
 }
 
 // beginMessage starts a message in the scratch buffer. The writer owns the buffer until finishMessage.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -268,7 +268,7 @@
 		}
 	}
 	for n, peak := range c.PeakBytesPerSecond {
-		if peak > Defaults().Budget*11/10 { // the budget's sliding second is not aligned with the measured one
+		if peak > Defaults().BytesPerSecond*11/10 { // the budget's sliding second is not aligned with the measured one
 			t.Errorf("%s sent %d bytes within a second", n, peak)
 		}
 	}
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -15,7 +15,7 @@
 	MaxAge              [KindCount]rules.Time // age at which a copy expires
 	MinChange           [KindCount]float32    // relative change up to which an entry is not sent again before RefreshInterval
 	RefreshInterval     rules.Time            // interval at which an unchanged entry is sent again
-	Budget              int                   // bytes sent per second at most
+	BytesPerSecond      int                   // bytes sent per second at most
 	GossipInterval      rules.Time            // time between rounds of gossip
 	DigestInterval      rules.Time            // time between digests
 	Fanout              int                   // peers to which a round sends rumors
@@ -27,7 +27,7 @@
 
 // Defaults returns settings for the gateways of one fleet on a local network. Name and Incarnation are not set.
 func Defaults() Settings {
-	s := Settings{RefreshInterval: 5 * rules.Second, Budget: 20_000, GossipInterval: 200 * rules.Millisecond, DigestInterval: rules.Second, Fanout: 3,
+	s := Settings{RefreshInterval: 5 * rules.Second, BytesPerSecond: 20_000, GossipInterval: 200 * rules.Millisecond, DigestInterval: rules.Second, Fanout: 3,
 		MaxEntriesPerOrigin: 256, MaxOrigins: 512, MaxMessageBytes: 1200}
 	for k := range s.MaxAge {
 		s.MaxAge[k], s.MinChange[k] = 15*rules.Second, 0.2
@@ -43,7 +43,7 @@
 	switch {
 	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Zone) > maxNameBytes:
 		return fmt.Errorf("replica: name %q must have 1 to %d bytes, zone %q must not be longer", s.Name, maxNameBytes, s.Zone)
-	case s.Budget < 1000 || s.GossipInterval <= 0 || s.DigestInterval < s.GossipInterval || s.RefreshInterval <= 0:
+	case s.BytesPerSecond < 1000 || s.GossipInterval <= 0 || s.DigestInterval < s.GossipInterval || s.RefreshInterval <= 0:
 		return errors.New("replica: budget must be at least 1000 bytes per second, tick above 0, digest at least tick, refresh above 0")
 	case s.Fanout < 1 || s.MaxEntriesPerOrigin < 1 || s.MaxOrigins < 1 || s.MaxMessageBytes < 256 || s.MaxMessageBytes > maxMessageBytes:
 		return fmt.Errorf("replica: fanout, entries and origins must be at least 1, message size within 256 and %d bytes", maxMessageBytes)
--- a/internal/simprotocol/codec_test.go
+++ b/internal/simprotocol/codec_test.go
@@ -55,7 +55,7 @@
 			rules.Arrival{Request: rules.Request{ID: "a", Class: 1, Tenant: 1, OrderKey: "t/k", Deadline: 50, EstimatedWork: 12000,
 				HasEstimate: true, EstimatedMemoryMB: 384, DataSet: 11, IsRetry: true, IsWrite: true}}},
 		{`{"cmd":"Resolved","xid":"a","leg":2,"engine":7,"verdict":"S","lag":18500,"doneFlag":true,"trueCost":69728,"pressure":{"queue":3}}`,
-			rules.Outcome{ID: "a", Attempt: 2, Engine: 7, Latency: 18500, Closed: true, MeasuredWork: 17 * rules.Millisecond,
+			rules.Outcome{ID: "a", Attempt: 2, Engine: 7, Latency: 18500, RequestEnded: true, MeasuredWork: 17 * rules.Millisecond,
 				MeasuredMemoryMB: 384, Load: map[string]float64{"queue": 3}}},
 		{`{"cmd":"Opened","xid":"a","leg":1,"engine":7}`, rules.StreamOpened{ID: "a", Attempt: 1}},
 		{`{"cmd":"Heartbeat","xid":"a","leg":1,"sort":2,"x":0.5}`,
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -75,7 +75,7 @@
 
 var statuses = map[string]rules.Status{
 	"S": rules.StatusOK, "E": rules.StatusError, "F": rules.StatusRejected, "T": rules.StatusTimeout,
-	"C": rules.StatusConnectFailed, "R": rules.StatusReset, "X": rules.StatusCancelled, "N": rules.StatusSuperseded,
+	"C": rules.StatusConnectFailed, "R": rules.StatusReset, "X": rules.StatusCancelled, "N": rules.StatusNotExecuted,
 }
 
 var engineStates = map[string]rules.EngineState{
@@ -205,7 +205,7 @@
 		return nil, errors.New("negative value")
 	}
 	return rules.Outcome{
-		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency), Closed: w.Closed,
+		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency), RequestEnded: w.Closed,
 		MeasuredWork:     rules.Time(w.MeasuredCost/costUnitsPerMS) * rules.Millisecond,
 		MeasuredMemoryMB: float64(w.MeasuredCost%costUnitsPerMS) * memoryMBPerCostUnit,
 		Load:             w.Load,
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -93,10 +93,10 @@
 		}
 	}
 	r.flag(b.Fast, &m.FastTimers)
-	budget, observers := float64(m.Replica.Budget), float64(m.Gossip.MinObservers)
+	budget, observers := float64(m.Replica.BytesPerSecond), float64(m.Gossip.MinObservers)
 	r.number(b.Budget, minGossipBudget, maxGossipBudget, &budget)
 	r.number(b.Observers, 1, maxObservers, &observers)
-	m.Replica.Budget, m.Gossip.MinObservers = int(budget), int(observers)
+	m.Replica.BytesPerSecond, m.Gossip.MinObservers = int(budget), int(observers)
 	r.duration(b.Fresh, &m.Gossip.MaxReportAge)
 	if !r.failed() && m.AllowedPrefixes != nil {
 		if set, err := m.AllowedSet(); err != nil || !set.Contains(m.Bind.Addr()) {
@@ -145,7 +145,7 @@
 	}
 	list("seeds    ", seeds)
 	list("may      ", prefixes)
-	fmt.Fprintf(b, "  fast      = %v\n  budget    = %d\n  observers = %d\n  fresh     = %q\n", m.FastTimers, m.Replica.Budget, m.Gossip.MinObservers,
+	fmt.Fprintf(b, "  fast      = %v\n  budget    = %d\n  observers = %d\n  fresh     = %q\n", m.FastTimers, m.Replica.BytesPerSecond, m.Gossip.MinObservers,
 		formatTime(m.Gossip.MaxReportAge))
 	announced := make([]netip.AddrPort, 0, len(m.AddressMap))
 	for from := range m.AddressMap {
--- a/internal/site/members_test.go
+++ b/internal/site/members_test.go
@@ -29,7 +29,7 @@
 func TestMembers(t *testing.T) {
 	s := parse(t, membersSample)
 	m := s.Members
-	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.Budget != 40000 || m.Gossip.MinObservers != 3 ||
+	if m.Bind.String() != "10.0.0.4:7946" || m.Control.Port() != 7947 || len(m.Seeds) != 2 || m.Replica.BytesPerSecond != 40000 || m.Gossip.MinObservers != 3 ||
 		m.Gossip.MaxReportAge != 2*rules.Second || m.AddressMap[netip.MustParseAddrPort("10.0.0.6:7946")].Port() != 9000 {
 		t.Errorf("got %+v", m)
 	}
--- a/internal/soak/defects.go
+++ b/internal/soak/defects.go
@@ -10,7 +10,7 @@
 
 // detectDefects searches for each planted defect, with o.Parallel searches at once, and sets r.Detections.
 func (o *Options) detectDefects(ctx context.Context, r *Result) {
-	if o.DefectSeeds <= 0 {
+	if o.MaxSeedsPerDefect <= 0 {
 		return
 	}
 	defects := o.Defects
@@ -32,11 +32,11 @@
 }
 
 // detectDefect runs seeds against a gateway with a planted defect until one reports a violation, at most
-// o.DefectSeeds.
+// o.MaxSeedsPerDefect.
 func (o *Options) detectDefect(ctx context.Context, defect string) Detection {
 	detection := Detection{Defect: defect}
-	for detection.SeedsRun < o.DefectSeeds && ctx.Err() == nil {
-		schedule := NewSchedule(o.First+uint64(detection.SeedsRun), o.Processes, o.Length)
+	for detection.SeedsRun < o.MaxSeedsPerDefect && ctx.Err() == nil {
+		schedule := NewSchedule(o.FirstSeed+uint64(detection.SeedsRun), o.Processes, o.Duration)
 		detection.SeedsRun++
 		report, _, err := o.runSchedule(ctx, &schedule, defect)
 		switch {
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -24,7 +24,7 @@
 	Failed                                 []Failure
 	SlowestDrain                           time.Duration
 	LargeFleets                            int      // seeds with at least minLargeFleet gateways
-	NotPlayed                              []string // seeds that did not run to completion, each with its error
+	Incomplete                             []string // seeds that did not run to completion, each with its error
 	Detections                             []Detection
 }
 
@@ -63,7 +63,7 @@
 	r.addReport(report)
 	switch {
 	case err != nil:
-		r.NotPlayed = append(r.NotPlayed, fmt.Sprintf("seed %d: %v", schedule.Seed, err))
+		r.Incomplete = append(r.Incomplete, fmt.Sprintf("seed %d: %v", schedule.Seed, err))
 		o.printf("NOT COMPLETED: %v\n%slogs in %s\n", err, schedule, logDir)
 	case len(report.Violations) > 0:
 		r.Failed = append(r.Failed, Failure{Schedule: *schedule, Violations: report.Violations, LogDir: logDir})
@@ -71,7 +71,7 @@
 		for _, violation := range report.Violations[:min(len(report.Violations), 6)] {
 			o.printf("    %s\n", violation)
 		}
-		o.printf("    rerun: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", schedule.Seed, o.Processes, o.Length, logDir)
+		o.printf("    rerun: foxlab soak --seeds 1 --first %d --processes %d --for %v; logs in %s\n", schedule.Seed, o.Processes, o.Duration, logDir)
 	default:
 		if logDir != "" {
 			_ = os.RemoveAll(logDir) // leftover logs only take space
@@ -130,7 +130,7 @@
 	}
 	line("seeds", r.Seeds)
 	line("seeds_failed", len(r.Failed))
-	line("seeds_not_played", len(r.NotPlayed))
+	line("seeds_not_played", len(r.Incomplete))
 	line("requests", r.Requests)
 	line("kept_results", r.StoredResults)
 	line("faults", r.Faults)
--- a/internal/soak/result_test.go
+++ b/internal/soak/result_test.go
@@ -12,7 +12,7 @@
 func TestWrite(t *testing.T) {
 	r := &Result{Seeds: 1, Overlapping: 2, Faults: 3, Requests: 4, LateResponses: 5, StoredResults: 6, ViolationCounts: map[harness.ViolationKind]int{},
 		Pauses: 7, LongestPause: 8 * time.Millisecond, FaultKinds: map[string]int{"kill": 9, "freeze": 10}, Failed: make([]Failure, 11),
-		SlowestDrain: 12 * time.Millisecond, LargeFleets: 13, NotPlayed: make([]string, 14),
+		SlowestDrain: 12 * time.Millisecond, LargeFleets: 13, Incomplete: make([]string, 14),
 		Detections: []Detection{{Defect: "drain_ignored", SeedsRun: 15, Detected: true}, {Defect: "key_twice", SeedsRun: 16}}}
 	for kind := harness.LostRequest; kind <= harness.InvariantBroken; kind++ {
 		r.ViolationCounts[kind] = 100 + int(kind)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,17 +15,17 @@
 
 // Options are the settings of a soak.
 type Options struct {
-	Process     harness.Process // the fault gateway
-	Seeds       int             // number of consecutive seeds to run
-	First       uint64          // the first seed
-	Length      time.Duration   // of a seed's run, without startup and final checks
-	Processes   int             // gateways in a fleet
-	Parallel    int             // seeds that run at once
-	Shrink      int             // maximum number of runs to shrink a failing seed; 0: failing seeds are not shrunk
-	DefectSeeds int             // maximum number of seeds to detect a planted defect; 0: no defects are planted
-	Defects     []string        // defects to plant; nil: all
-	Logs        string          // folder for the logs of failing seeds; empty: logs are not kept
-	Progress    io.Writer       // receives human-readable progress
+	Process           harness.Process // the fault gateway
+	Seeds             int             // number of consecutive seeds to run
+	FirstSeed         uint64          // the first seed
+	Duration          time.Duration   // of a seed's run, without startup and final checks
+	Processes         int             // gateways in a fleet
+	Parallel          int             // seeds that run at once
+	MaxShrinkRuns     int             // maximum number of runs to shrink a failing seed; 0: failing seeds are not shrunk
+	MaxSeedsPerDefect int             // maximum number of seeds to detect a planted defect; 0: no defects are planted
+	Defects           []string        // defects to plant; nil: all
+	LogDir            string          // folder for the logs of failing seeds; empty: logs are not kept
+	Progress          io.Writer       // receives human-readable progress
 }
 
 const (
@@ -41,8 +41,8 @@
 		return fmt.Errorf("soak: number of seeds %d is out of range 0 to %d", o.Seeds, maxSeeds)
 	case o.Processes < 2 || o.Processes > maxProcesses:
 		return fmt.Errorf("soak: number of processes %d is out of range 2 to %d", o.Processes, maxProcesses)
-	case o.Length < 3*time.Second || o.Length > time.Minute:
-		return fmt.Errorf("soak: length %v is out of range 3s to 1m", o.Length)
+	case o.Duration < 3*time.Second || o.Duration > time.Minute:
+		return fmt.Errorf("soak: length %v is out of range 3s to 1m", o.Duration)
 	case o.Parallel < 1 || o.Parallel*max(o.Processes, o.maxFleetSize()) > 200:
 		return fmt.Errorf("soak: %d parallel seeds of up to %d processes each exceed 200 processes", o.Parallel, max(o.Processes, o.maxFleetSize()))
 	}
@@ -70,7 +70,7 @@
 	for range o.Parallel {
 		workers.Go(func() {
 			for seed := range seeds {
-				schedule := NewSchedule(seed, o.Processes, o.Length)
+				schedule := NewSchedule(seed, o.Processes, o.Duration)
 				report, logDir, err := o.runSchedule(ctx, &schedule, "")
 				mu.Lock()
 				r.add(ctx, &o, &schedule, report, logDir, err)
@@ -82,7 +82,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		seeds <- o.First + uint64(i)
+		seeds <- o.FirstSeed + uint64(i)
 	}
 	close(seeds)
 	workers.Wait()
@@ -94,10 +94,10 @@
 // runSchedule runs one schedule, with the named defect planted unless the name is empty. It returns the folder of the
 // gateways' logs; empty: they are not kept.
 func (o *Options) runSchedule(ctx context.Context, schedule *Schedule, defect string) (report *harness.Report, logDir string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, o.Length+seedOverhead)
+	ctx, cancel := context.WithTimeout(ctx, o.Duration+seedOverhead)
 	defer cancel()
-	if o.Logs != "" && defect == "" {
-		logDir = filepath.Join(o.Logs, fmt.Sprintf("seed-%d", schedule.Seed))
+	if o.LogDir != "" && defect == "" {
+		logDir = filepath.Join(o.LogDir, fmt.Sprintf("seed-%d", schedule.Seed))
 		if err := os.MkdirAll(logDir, 0o700); err != nil {
 			return nil, "", err
 		}
@@ -113,7 +113,7 @@
 // fails reports whether a run of the schedule completes with violations.
 func (o *Options) fails(ctx context.Context, schedule *Schedule) bool {
 	withoutLogs := *o
-	withoutLogs.Logs = ""
+	withoutLogs.LogDir = ""
 	report, _, err := withoutLogs.runSchedule(ctx, schedule, "")
 	return err == nil && len(report.Violations) > 0
 }
@@ -121,7 +121,7 @@
 // shrinkFailures removes faults one at a time from each failing seed, and keeps a removal if the seed still fails.
 func (o *Options) shrinkFailures(ctx context.Context, r *Result) {
 	for i := range r.Failed {
-		runsLeft := o.Shrink
+		runsLeft := o.MaxShrinkRuns
 		failure := &r.Failed[i]
 		smallest := failure.Schedule
 		for index := 0; index < len(smallest.Script.Faults) && runsLeft > 0 && ctx.Err() == nil; runsLeft-- {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Process: harness.Process{Program: self, Args: []string{"double"}, AcceptsCommands: true}, First: 1, Length: 4 * time.Second, Processes: 4,
-		Parallel: 2, Logs: t.TempDir(), Progress: testLog{t}}
+	return Options{Process: harness.Process{Program: self, Args: []string{"double"}, AcceptsCommands: true}, FirstSeed: 1, Duration: 4 * time.Second, Processes: 4,
+		Parallel: 2, LogDir: t.TempDir(), Progress: testLog{t}}
 }
 
 type testLog struct{ t *testing.T }
@@ -52,8 +52,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Seeds != o.Seeds || len(r.Failed)+len(r.NotPlayed) > 0 || r.TotalViolations() > 0 {
-		t.Errorf("%d seeds run, %d failed, not completed: %v, violations %v", r.Seeds, len(r.Failed), r.NotPlayed, r.ViolationCounts)
+	if r.Seeds != o.Seeds || len(r.Failed)+len(r.Incomplete) > 0 || r.TotalViolations() > 0 {
+		t.Errorf("%d seeds run, %d failed, not completed: %v, violations %v", r.Seeds, len(r.Failed), r.Incomplete, r.ViolationCounts)
 	}
 	if r.Requests < 200 || r.Overlapping == 0 {
 		t.Errorf("%d requests, %d seeds with overlapping faults: too few for the test to be meaningful", r.Requests, r.Overlapping)
@@ -63,7 +63,7 @@
 // TestDefectsAreDetected expects a violation for each planted defect within three seeds.
 func TestDefectsAreDetected(t *testing.T) {
 	o := testOptions(t)
-	o.DefectSeeds, o.Defects = 3, []string{faultgateway.DefectNonIdempotentTwice, faultgateway.DefectClosedWithoutResponse, faultgateway.DefectResponseLate, faultgateway.DefectListIgnoredAtStart}
+	o.MaxSeedsPerDefect, o.Defects = 3, []string{faultgateway.DefectNonIdempotentTwice, faultgateway.DefectClosedWithoutResponse, faultgateway.DefectResponseLate, faultgateway.DefectListIgnoredAtStart}
 	r, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/zones/probes.go
+++ b/internal/zones/probes.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// ProbeAnswered records whether a probe of an engine in a zone was answered.
-func (c *Controller) ProbeAnswered(index int, ok bool) {
+// RecordProbe records whether a probe of an engine in a zone was answered.
+func (c *Controller) RecordProbe(index int, ok bool) {
 	if index < 0 || index >= len(c.zones) {
 		return
 	}
--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -38,8 +38,8 @@
 	Duration         rules.Time
 }
 
-// Moment is the state at one second of a simulation.
-type Moment struct {
+// Sample is the state at one second of a simulation.
+type Sample struct {
 	At       rules.Time
 	Zones    []ZoneSample
 	Demand   float64 // cores
@@ -61,13 +61,13 @@
 const simulationStep = 100 * rules.Millisecond
 
 // Simulate runs a scenario and returns its state at each second.
-func Simulate(settings Settings, scenario Scenario) []Moment {
+func Simulate(settings Settings, scenario Scenario) []Sample {
 	zoneCount := len(scenario.Zones)
 	gateways := make([]*Controller, zoneCount)
 	for i := range gateways {
 		gateways[i] = New(settings, Fleet{Zones: zoneCount, OwnZone: i, Gateways: zoneCount, Jitter: 0.5}, 0)
 	}
-	var samples []Moment
+	var samples []Sample
 	for now := rules.Time(1); now <= scenario.Duration; now += simulationStep {
 		observations := make([]Observation, zoneCount)
 		for i := range observations {
@@ -121,9 +121,9 @@
 	return s.Zones[zone].Demand * (1 + moved/present)
 }
 
-func (s *Scenario) simulateStep(gateways []*Controller, observations []Observation, now rules.Time) Moment {
+func (s *Scenario) simulateStep(gateways []*Controller, observations []Observation, now rules.Time) Sample {
 	zoneCount := len(gateways)
-	sample := Moment{At: now, Zones: make([]ZoneSample, zoneCount)}
+	sample := Sample{At: now, Zones: make([]ZoneSample, zoneCount)}
 	for j := range gateways {
 		sample.Zones[j].Capacity = observations[j].WarmCores
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -542,7 +542,7 @@
 			}
 			for _, id := range controller.Observe(now, list, rules.LoadSummary{}, true).Probe {
 				if id < 10 {
-					controller.ProbeAnswered(0, answered)
+					controller.RecordProbe(0, answered)
 				}
 			}
 		}
@@ -577,7 +577,7 @@
 		probeResults := map[rules.Time]bool{}
 		for now := rules.Time(start); now < start+4*second; now += 50 * ms {
 			if answer, ok := probeResults[now]; ok {
-				controller.ProbeAnswered(0, answer)
+				controller.RecordProbe(0, answer)
 			}
 			if now%(200*ms) != 0 {
 				continue
@@ -631,7 +631,7 @@
 			for _, id := range controller.Observe(now, engineObservations(1, 1), rules.LoadSummary{}, true).Probe {
 				if id < 10 {
 					probes++
-					controller.ProbeAnswered(0, answered)
+					controller.RecordProbe(0, answered)
 				}
 			}
 		}
--- a/rules/api.go
+++ b/rules/api.go
@@ -206,12 +206,12 @@
 	StatusConnectFailed        // never sent
 	StatusReset                // may have been executed
 	StatusCancelled            // may have been executed
-	StatusSuperseded           // known not to have been executed
+	StatusNotExecuted          // known not to have been executed
 )
 
 // NeverExecuted reports whether the status proves that the attempt was not executed and had no effect.
 func (s Status) NeverExecuted() bool {
-	return s == StatusRejected || s == StatusConnectFailed || s == StatusSuperseded
+	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotExecuted
 }
 
 // EngineView is what a gateway knows about an engine, for operators and for zone routing.
@@ -289,7 +289,7 @@
 		Engine           EngineID
 		Status           Status
 		Latency          Time
-		Closed           bool
+		RequestEnded     bool
 		NotEngineFault   bool               // the status is not the fault of the engine, e.g. any would have failed
 		MeasuredWork     Time               // with StatusOK and Settings.ReportsCost, else 0
 		MeasuredMemoryMB float64            // as MeasuredWork
--- a/rules/attempt.go
+++ b/rules/attempt.go
@@ -66,7 +66,7 @@
 		m.removeGoneEngines()
 	}
 	m.quarantineKey(req, outcome.Status)
-	if outcome.Closed && !req.ended {
+	if outcome.RequestEnded && !req.ended {
 		m.endRequest(req)
 	}
 	switch {
--- a/rules/checker_test.go
+++ b/rules/checker_test.go
@@ -96,7 +96,7 @@
 		if e.Status == StatusTimeout || e.Status == StatusReset || e.Status == StatusCancelled {
 			req.quarantinedUntil = chk.now + chk.settings.Constraints.KeyQuarantine
 		}
-		if e.Closed && !req.ended {
+		if e.RequestEnded && !req.ended {
 			req.ended = true
 			req.responses++
 		}
@@ -279,7 +279,7 @@
 			for i := range req.attempts {
 				if !req.attempts[i].done && chk.now >= req.Deadline {
 					chk.handle(Outcome{ID: id, Attempt: i, Engine: req.attempts[i].engine.ID, Status: StatusTimeout,
-						Latency: chk.now - req.attempts[i].startedAt, Closed: req.ended})
+						Latency: chk.now - req.attempts[i].startedAt, RequestEnded: req.ended})
 				}
 			}
 		}
@@ -305,7 +305,7 @@
 		for i, att := range req.attempts {
 			if !att.done {
 				outcomes = append(outcomes, Outcome{ID: id, Attempt: i, Engine: att.engine.ID,
-					Latency: chk.now - att.startedAt, Closed: req.ended})
+					Latency: chk.now - att.startedAt, RequestEnded: req.ended})
 			}
 		}
 	}
@@ -317,7 +317,7 @@
 func (chk *checker) resolve(outcome Outcome, status Status) {
 	outcome.Status = status
 	if status == StatusOK {
-		outcome.Closed = true
+		outcome.RequestEnded = true
 		outcome.MeasuredWork = Time(chk.work[chk.requests[outcome.ID].Class])
 		outcome.MeasuredMemoryMB = chk.requests[outcome.ID].EstimatedMemoryMB
 	}
@@ -432,7 +432,7 @@
 	case 4, 5, 6, 7:
 		if pending := chk.pending(); len(pending) > 0 {
 			statuses := []Status{StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusConnectFailed,
-				StatusReset, StatusCancelled, StatusSuperseded}
+				StatusReset, StatusCancelled, StatusNotExecuted}
 			chk.resolve(pending[rng.IntN(len(pending))], statuses[rng.IntN(len(statuses))])
 		}
 	case 8:
--- a/rules/estimate.go
+++ b/rules/estimate.go
@@ -59,7 +59,7 @@
 		return
 	}
 	switch outcome.Status {
-	case StatusSuperseded:
+	case StatusNotExecuted:
 		return
 	case StatusError, StatusReset, StatusConnectFailed:
 		m.recordFailure(att.engine)
