--- a/rules/admission_test.go
+++ b/rules/admission_test.go
@@ -32,7 +32,8 @@
 	}
 	for i := range 30 {
 		id := RequestID("load " + string(rune('a'+i)))
-		count(m.Handle(Time(i+1)*Millisecond, Arrival{Request{ID: id, Class: 1, DataSet: 7, Deadline: 60 * Second}}))
+		count(m.Handle(Time(i+1)*Millisecond,
+			Arrival{Request{ID: id, Class: 1, DataSet: 7, Deadline: 60 * Second}}))
 	}
 	if sent != 1 || rejected != 13 || len(m.requests) != 17 {
 		t.Fatalf("%d data loads sent, %d rejected, %d open; want 1, 13 and 17 of at most 20",
@@ -48,10 +49,12 @@
 // Requests get a final response even if the settings leave out most values or there is no engine.
 func TestMinimalSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no number of gateways":     func(s *Settings) { s.Gateways = 0 },
-		"no engine kinds":           func(s *Settings) { s.Kinds = nil },
-		"300 gateways":              func(s *Settings) { s.Gateways = 300 },
-		"no slow-start constraints": func(s *Settings) { s.Constraints = Constraints{DeadlineSlack: 20 * Millisecond} },
+		"no number of gateways": func(s *Settings) { s.Gateways = 0 },
+		"no engine kinds":       func(s *Settings) { s.Kinds = nil },
+		"300 gateways":          func(s *Settings) { s.Gateways = 300 },
+		"no slow-start constraints": func(s *Settings) {
+			s.Constraints = Constraints{DeadlineSlack: 20 * Millisecond}
+		},
 	} {
 		for _, engineCount := range []int{0, 1, 40} {
 			settings := basicSettings(interactive)
--- a/rules/affinity.go
+++ b/rules/affinity.go
@@ -2,7 +2,7 @@
 
 // Data affinity: which engines are preferred for a data set, so that it stays cached there. The types are
 // in api.go. Invariant: all gateways prefer the same engines for a data set (rendezvous hashing), and the
-// preference only orders candidates: if the preferred engines cannot take a request, others can.
+// preference only orders candidates: a request is sent to another engine if these cannot take it.
 
 const (
 	// minPreferredEngines is the number of engines that keep even the least requested data set cached.
--- a/rules/api.go
+++ b/rules/api.go
@@ -115,7 +115,7 @@
 type Constraints struct {
 	DeadlineSlack         Time    // how long after its deadline a response may arrive
 	DrainGrace            Time    // how long requests may still be sent to a draining engine
-	PollInterval          Time    // without a subscription, changes count as known to a gateway after this
+	PollInterval          Time    // delay after which changes count as known to a gateway without subscription
 	SlowStartInitialSpeed float64 // fraction of its full speed with which an engine starts
 	SlowStartPeriod       Time    // duration of the warm-up of an engine
 	OverloadFactor        float64 // slow-start budget as a multiple of the capacity of a warming engine
@@ -228,7 +228,7 @@
 type LoadSummary struct {
 	Share      float64   // its share of the fleet, as a multiple of an even share; at least 1
 	QueuedWork float64   // predicted work over all threads of queued requests that are not late, in microseconds
-	MeanWork   []float64 // mean work of a request by class, in microseconds; 0: no request yet
+	MeanWork   []float64 // mean work of a request by class, in microseconds; 0: unknown
 }
 
 // ClassEstimate is what a gateway has learned about a class.
@@ -282,15 +282,17 @@
 	}
 	// Arrival passes a request to the module. From then on its client is owed exactly one final response.
 	Arrival struct{ Request Request }
-	// Outcome ends one attempt. Closed is set if the request has ended too.
+	// Outcome ends one attempt. RequestEnded is set if the request has ended too.
 	Outcome struct {
-		ID               RequestID
-		Attempt          int
-		Engine           EngineID
-		Status           Status
-		Latency          Time
-		RequestEnded     bool
-		NotEngineFault   bool               // the status is not the fault of the engine, e.g. any would have failed
+		ID           RequestID
+		Attempt      int
+		Engine       EngineID
+		Status       Status
+		Latency      Time
+		RequestEnded bool
+		// NotEngineFault is set if the status says nothing about the engine, such as a response that would be
+		// malformed on any engine. Nothing is learned from such an outcome.
+		NotEngineFault   bool
 		MeasuredWork     Time               // with StatusOK and Settings.ReportsCost, else 0
 		MeasuredMemoryMB float64            // as MeasuredWork
 		Load             map[string]float64 // load report by field; nil: none
@@ -314,7 +316,7 @@
 	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
 		Engine    EngineID
-		Suspected bool // other gateways suspect the engine too: a failed probe counts as a failure
+		Suspected bool // other gateways suspect the engine too; only then a failed probe counts
 		Status    Status
 		Latency   Time
 		Load      map[string]float64
--- a/rules/capacity.go
+++ b/rules/capacity.go
@@ -26,7 +26,7 @@
 	return m.fitsBesidePeers(req, eng) && m.fitsFleet(req, grant) && m.fitsEngine(req, eng, grant)
 }
 
-// fitsBesidePeers reports whether the engine has threads left beside those that peers report to use there.
+// fitsBesidePeers reports whether the engine has enough threads free, after those that peers report.
 func (m *Module) fitsBesidePeers(req *request, eng *engine) bool {
 	eng.peers.expire(m.now - m.maxClientTimeout)
 	needed := fitFraction * req.class.threadCount()
@@ -84,8 +84,9 @@
 	return bound + burstDeviations*margin*math.Sqrt(bound*m.maxThreads)
 }
 
-// memoryGrant returns the memory to ask for, in MB: the client's estimate, corrected by the mean need of
-// its class plus one standard deviation, and capped by MaxGrantFraction.
+// memoryGrant returns the memory grant of an attempt in MB: what most requests with such an estimate need,
+// which is the estimate times the mean need of the class plus one standard deviation. MaxGrantFraction
+// caps it.
 func (m *Module) memoryGrant(req *request, eng *engine) float64 {
 	need := &req.class.memoryNeed
 	grant := req.EstimatedMemoryMB * (need.mean.valueOr(1) + need.deviation())
--- a/rules/checker_test.go
+++ b/rules/checker_test.go
@@ -351,7 +351,8 @@
 	settings := Settings{
 		Gateways: 1 + rng.IntN(4), Tick: 5 * Millisecond, Zone: 0,
 		Kinds:            []EngineKind{{Cores: 8, MemoryMB: 16384}, {Cores: 2, MemoryMB: 4096}},
-		MaxGrantFraction: 0.4, AcceptsGrants: rng.IntN(2) == 0, AcceptsPriority: rng.IntN(2) == 0, ReportsCost: true,
+		MaxGrantFraction: 0.4, AcceptsGrants: rng.IntN(2) == 0, AcceptsPriority: rng.IntN(2) == 0,
+		ReportsCost: true,
 		Limits: Limits{MaxAttempts: 2 + rng.IntN(5), HedgedRequests: rng.IntN(2) == 0, Cancel: rng.IntN(4) > 0,
 			Probes: rng.IntN(2) == 0, PeerMessages: rng.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: Second,
 			ConnectTimeout: 250 * Millisecond},
--- a/rules/deadline_test.go
+++ b/rules/deadline_test.go
@@ -43,8 +43,8 @@
 	chk.verify("requests without an estimate")
 }
 
-// A rejected client is asked to wait until the queued work should be done, but no longer than its own query
-// would run or the site permits. During a shutdown, or if the site permits no wait, it is not asked to.
+// A rejection carries as RetryAfter the time until the queued work should be done, but no more than the run
+// time of its own query or MaxRetryAfter. It carries none during a shutdown or if the site does not allow it.
 func TestRejectedClientsGetRetryAfter(t *testing.T) {
 	for _, test := range []struct {
 		retryAfterAllowed, shuttingDown bool
--- a/rules/engine.go
+++ b/rules/engine.go
@@ -17,8 +17,8 @@
 	slowdowns        [2]logSlowdown     // learned, by priority band
 	incarnation      int                // counts the processes of the engine that the endpoint list has named
 	failureRate      float64            // moving average, from 0 to 1
-	ejection         backoff            // from all requests but half-open probes
-	rejections       map[*class]backoff // by class that the engine rejected
+	ejection         backoff            // of all requests except half-open probes
+	rejections       map[*class]backoff // of single classes, after the engine rejected a request
 	dataLoads        map[int]int        // number of data loads of this gateway in flight there, by data set
 
 	recentSends       []sentWork // work sent within the overload window, at most one entry per tick
@@ -81,7 +81,7 @@
 // recordSend adds work sent to an engine to the entry of the tick that ends at tickEnd, and drops entries
 // before from.
 func (e *engine) recordSend(from, tickEnd Time, work float64) {
-	e.forgetSends(from)
+	e.dropSendsBefore(from)
 	if last := len(e.recentSends) - 1; last >= 0 && e.recentSends[last].tickEnd == tickEnd {
 		e.recentSends[last].work += work
 		return
@@ -89,8 +89,8 @@
 	e.recentSends = append(e.recentSends, sentWork{tickEnd, work})
 }
 
-// forgetSends drops the entries of work sent to an engine before from.
-func (e *engine) forgetSends(from Time) {
+// dropSendsBefore drops the entries of work sent to an engine before from.
+func (e *engine) dropSendsBefore(from Time) {
 	for len(e.recentSends) > 0 && e.recentSends[0].tickEnd < from {
 		e.recentSends = e.recentSends[1:]
 	}
@@ -98,7 +98,7 @@
 
 // sentSince returns the work sent to an engine since from, and drops older entries.
 func (e *engine) sentSince(from Time) (sum float64) {
-	e.forgetSends(from)
+	e.dropSendsBefore(from)
 	for _, sent := range e.recentSends {
 		sum += sent.work
 	}
@@ -143,7 +143,7 @@
 		return gone
 	})
 	if len(m.engines) < before {
-		m.forgetPreferences()
+		m.resetPreferences()
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // dataSet is the state of a data set.
 type dataSet struct {
-	requests   decayingMean // counts its requests
+	requests   decayingMean // its sum is the decaying number of requests
 	preference []*engine    // all engines, in the same hash order on all gateways; nil: to be computed
 }
 
@@ -190,9 +190,9 @@
 	return set
 }
 
-// forgetPreferences drops all preference lists, which are outdated, and the data sets without recent
+// resetPreferences drops all preference lists, which are outdated, and the data sets without recent
 // requests.
-func (m *Module) forgetPreferences() {
+func (m *Module) resetPreferences() {
 	for id, set := range m.dataSets {
 		if set.preference = nil; m.now > set.requests.updatedAt+set.requests.timeConstant {
 			delete(m.dataSets, id)
--- a/rules/estimate_test.go
+++ b/rules/estimate_test.go
@@ -39,7 +39,7 @@
 		chk := startModule(t, basicSettings(interactive), 4)
 		chk.work[0] = float64(work)
 		undeclared := func(r *Request) { r.HasEstimate, r.EstimatedWork = false, 0 }
-		for range 300 { // over three learning windows, so that the first guesses have lost their weight
+		for range 300 { // over three time constants, so that the initial guesses have lost their weight
 			chk.submit(0, undeclared)
 			for _, o := range chk.pending() {
 				o.Latency = work
--- a/rules/fleet.go
+++ b/rules/fleet.go
@@ -23,7 +23,7 @@
 		m.updateEngine(entry)
 	}
 	m.removeGoneEngines()
-	m.forgetPreferences()
+	m.resetPreferences()
 	m.fleetCapacity = m.servingCapacity()
 }
 
--- a/rules/module.go
+++ b/rules/module.go
@@ -76,7 +76,7 @@
 func (e ZonePlanChanged) apply(m *Module) { m.zonePlan = e.Plan }
 
 func (e PeerSlowStartUsage) apply(m *Module) {
-	if known := m.engineByID[e.Engine]; known != nil {
-		known.peerSlowStartWork = e.Work
+	if eng := m.engineByID[e.Engine]; eng != nil {
+		eng.peerSlowStartWork = e.Work
 	}
 }
--- a/rules/restart_test.go
+++ b/rules/restart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// restartEngine sends an endpoint list by which engine 1 has a new process, which started that long ago.
+// restartEngine sends an endpoint list in which engine 1 has a new process of that age.
 func restartEngine(chk *checker, age Time) {
 	fleet := fleetOf(len(chk.engines))
 	fleet[0].StartedAt = chk.now - age
@@ -13,7 +13,9 @@
 // the old process time out. Their outcomes say nothing about the new process, which used to be ejected for
 // up to 4 s, or to count as slow, because of them.
 func TestOutcomesOfAFormerProcessDoNotCount(t *testing.T) {
-	for _, status := range []Status{StatusTimeout, StatusReset, StatusError, StatusRejected, StatusConnectFailed} {
+	for _, status := range []Status{
+		StatusTimeout, StatusReset, StatusError, StatusRejected, StatusConnectFailed,
+	} {
 		settings := basicSettings(interactive)
 		settings.Limits.HedgedRequests = true
 		chk := startModule(t, settings, 1)
--- a/rules/routing.go
+++ b/rules/routing.go
@@ -27,8 +27,9 @@
 	return m.lessBusyOfTwo(req)
 }
 
-// listCandidatesInZone lists the candidates of a zone, preferably those that the data set of the request
-// prefers. Requests that block on data loads are spread over the whole zone instead.
+// listCandidatesInZone lists the candidates of a zone that the data set of the request prefers. It lists all
+// candidates of the zone for requests that block on data loads, so that these are spread over the zone, and
+// under a zone plan if too few are preferred.
 func (m *Module) listCandidatesInZone(req *request, zone int) {
 	m.listCandidates(req, m.preferredInZone(req, zone))
 	if req.blocksOnDataLoad() || len(m.candidates) < minCandidates && m.zonePlan != nil {
--- a/rules/scene_test.go
+++ b/rules/scene_test.go
@@ -29,8 +29,8 @@
 	return engines
 }
 
-// startModule returns a checker whose module knows that many engines. Requests of all classes take 100 ms of
-// work.
+// startModule returns a checker whose endpoint list has that many engines. Requests of all classes take
+// 100 ms of work.
 func startModule(t *testing.T, settings Settings, engineCount int) *checker {
 	chk := newChecker(t, settings, 1, 1000*Second)
 	for class := range settings.Classes {
@@ -40,11 +40,12 @@
 	return chk
 }
 
-// submit sends the module a request with the work of its class and a deadline in 3 s, and returns its ID. The
-// function, if not nil, changes the request before.
+// submit sends the module a request with the work of its class and a deadline in 3 s, and returns its ID. If
+// change is not nil, it is applied to the request first.
 func (chk *checker) submit(class int, change func(*Request)) RequestID {
 	req := Request{ID: RequestID(fmt.Sprintf("q%d", len(chk.arrivalOrder))), Class: class,
-		Deadline: chk.now + 3*Second, EstimatedWork: Time(chk.work[class]), HasEstimate: true, EstimatedMemoryMB: 10}
+		Deadline: chk.now + 3*Second, EstimatedWork: Time(chk.work[class]), HasEstimate: true,
+		EstimatedMemoryMB: 10}
 	if change != nil {
 		change(&req)
 	}
--- a/rules/share.go
+++ b/rules/share.go
@@ -49,8 +49,8 @@
 }
 
 // penalizeSlowAttempt cuts the share for a slow attempt, by the part of the fleet that the attempt has
-// held. The time until it is found to be slow counts at once, the rest at its end: outcomes alone come too
-// late.
+// held. The time until it is found to be slow counts at once and the rest at its end: waiting for the
+// outcome would cut the share too late.
 func (m *Module) penalizeSlowAttempt(att *attempt, latency float64) {
 	if latency > att.penalizedTime {
 		m.cutShare(shareCut * m.evenShareSeconds(att.threads*(latency-att.penalizedTime)))
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -2,8 +2,8 @@
 
 // Slow start: how much work a gateway sends to an engine that warms up. The types are in api.go. Invariant:
 // all gateways together send such an engine no more within the overload window than the settings allow,
-// whatever part of the traffic each has, whenever each started and however late it learns of the engine's
-// start.
+// whatever part of the traffic each has, whenever each started and however late it is notified of the
+// engine's start.
 
 import "math"
 
@@ -87,8 +87,8 @@
 // slowStartUsed returns the work that this gateway has sent to an engine within the overload window.
 func (m *Module) slowStartUsed(eng *engine) float64 { return eng.sentSince(m.slowStartWindowStart()) }
 
-// slowStartQuota returns this gateway's even share of the work that a warming engine tolerates in an
-// overload window.
+// slowStartQuota returns this gateway's even share of the slow-start budget, which is the work that all
+// gateways together may send to a warming engine within the overload window.
 func (m *Module) slowStartQuota(eng *engine) float64 {
 	c := &m.settings.Constraints
 	return c.OverloadFactor * m.speedFraction(eng) * m.kindOf(eng).Cores * float64(c.OverloadWindow) /
--- a/rules/slowstart_test.go
+++ b/rules/slowstart_test.go
@@ -43,7 +43,9 @@
 // budget of 12.3 s got 4.6 s of work in the 112 ms before the notification, of which the gateway counted
 // nothing, and 9.9 s after it.
 func TestSlowStartBudgetCountsWorkSentBeforeNotification(t *testing.T) {
-	for _, updates := range []string{"no list", "a list without the engine", "a list with the restart and a stale one"} {
+	for _, updates := range []string{
+		"no list", "a list without the engine", "a list with the restart and a stale one",
+	} {
 		t.Run(updates+" in between", func(t *testing.T) { checkLateNotification(t, updates) })
 	}
 }
@@ -156,7 +158,8 @@
 // All gateways together keep to the slow-start budget, whatever part of the traffic each has.
 func TestSlowStartBudgetOfAHundredGateways(t *testing.T) {
 	t.Run("light", func(t *testing.T) { checkSlowStartOfHundredGateways(t, 20*Millisecond) })
-	t.Run("heavier than an even share", func(t *testing.T) { checkSlowStartOfHundredGateways(t, 600*Millisecond) })
+	t.Run("heavier than an even share",
+		func(t *testing.T) { checkSlowStartOfHundredGateways(t, 600*Millisecond) })
 }
 
 // checkSlowStartOfHundredGateways sends requests with that much work to 100 gateways, one after the other,
