--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,6 @@
 // Package guard checks a gateway's invariants at run time. It is pure: the caller describes an action that it is about
-// to take, and gets the invariants that the action would violate. The checks only report: a gateway in service must not
-// fail because of one, so the action goes ahead. Violations are counted per invariant.
+// to take, and gets the invariants that the action would violate. The checks prevent nothing: the decision was made
+// elsewhere, and a gateway in service must not fail because of a check. Violations are counted per invariant.
 package guard
 
 import "foxlane/rules"
@@ -13,7 +13,7 @@
 const (
 	SendAfterEnd       Invariant = iota // an attempt starts for a request that is answered or whose client has gone
 	SendAfterDeadline                   // an attempt starts, or may still run on its engine, after the client's deadline
-	SendToDraining                      // an attempt goes to an engine that has been draining or delisted beyond the drain grace
+	SendToDraining                      // an attempt goes to an engine draining or delisted for longer than DrainGrace
 	SendMisplaced                       // an attempt goes to a zone or engine kind that its class does not allow
 	SendParallel                        // an attempt starts while another is in flight, and hedged requests are off
 	SendOverBudget                      // this gateway alone exceeds the slow-start budget that all gateways share
@@ -24,8 +24,8 @@
 	AnswerLate                          // a final answer long after its client's deadline
 	RejectedMayHaveRun                  // a rejection states that nothing ran, although an attempt may have run
 	CloseUnanswered                     // the gateway closes a client connection with an unanswered request
-	CloseInFlight                       // the gateway closes an engine connection with an attempt in flight that was not abandoned
-	StartTwice                          // a request starts with an ID in use, or on a connection with an unanswered request
+	CloseInFlight                       // the gateway closes an engine connection with an unabandoned attempt in flight
+	StartTwice                          // a request starts with an ID in use, or on a connection with an unanswered one
 	StartAfterEnd                       // a request starts on a connection that the gateway has closed
 	invariantCount
 )
@@ -152,12 +152,12 @@
 }
 
 // isAllowed reports whether a class allows a zone or engine kind. A nil list allows every one.
-func isAllowed(places []int, place int) bool {
-	if places == nil {
+func isAllowed(list []int, value int) bool {
+	if list == nil {
 		return true
 	}
-	for _, p := range places {
-		if p == place {
+	for _, p := range list {
+		if p == value {
 			return true
 		}
 	}
