--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -179,8 +179,8 @@
 		if !ok {
 			return false
 		}
-		entry, held := &engines[i], &l.engines[at]
-		if entry.State != held.State || entry.Addr != held.Addr || entry.Started != held.Started {
+		entry, valid := &engines[i], &l.engines[at]
+		if entry.State != valid.State || entry.Addr != valid.Addr || entry.Started != valid.Started {
 			return false
 		}
 	}
@@ -191,9 +191,9 @@
 // active.
 func (l *List) confirmActive() {
 	for id, rec := range l.records {
-		at, held := l.index[id]
+		at, listed := l.index[id]
 		switch {
-		case held && l.engines[at].State != config.StateDraining:
+		case listed && l.engines[at].State != config.StateDraining:
 			l.confirm(&l.engines[at], Confirmed)
 		default:
 			rec.confirmations = 0
@@ -296,7 +296,7 @@
 	for len(l.tombstones) > maxTombstones {
 		id := l.tombstones[0]
 		l.tombstones = l.tombstones[1:]
-		if _, held := l.index[id]; held {
+		if _, listed := l.index[id]; listed {
 			l.records[id].tombstone = false
 		} else {
 			delete(l.records, id)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -211,11 +211,11 @@
 
 func TestSerialsWrapAround(t *testing.T) {
 	for _, c := range []struct {
-		held, answered uint32
-		newer          bool
+		valid, answered uint32
+		newer           bool
 	}{{5, 5, false}, {5, 6, true}, {5, 4, false}, {1<<32 - 1, 0, true}, {1<<32 - 2, 3, true}, {3, 1<<32 - 2, false}, {0, 1, true}, {1, 1<<31 + 5, false}} {
-		if newer(c.answered, c.held) != c.newer {
-			t.Errorf("serial %d is newer than %d: got %v", c.answered, c.held, !c.newer)
+		if newer(c.answered, c.valid) != c.newer {
+			t.Errorf("serial %d is newer than %d: got %v", c.answered, c.valid, !c.newer)
 		}
 	}
 }
