--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -44,7 +44,7 @@
 	ProgressKind      int                `json:"sort"`
 	ProgressValue     float64            `json:"x"`
 	Status            string             `json:"verdict"`
-	Closed            bool               `json:"doneFlag"`
+	RequestEnded      bool               `json:"doneFlag"`
 	MeasuredCost      int64              `json:"trueCost"`
 	Load              map[string]float64 `json:"pressure"`
 	TimerToken        string             `json:"handle"`
@@ -205,7 +205,8 @@
 		return nil, errors.New("negative value")
 	}
 	return rules.Outcome{
-		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency), RequestEnded: w.Closed,
+		ID: id, Attempt: w.Attempt, Engine: engine, Status: status, Latency: rules.Time(w.Latency),
+		RequestEnded:     w.RequestEnded,
 		MeasuredWork:     rules.Time(w.MeasuredCost/costUnitsPerMS) * rules.Millisecond,
 		MeasuredMemoryMB: float64(w.MeasuredCost%costUnitsPerMS) * memoryMBPerCostUnit,
 		Load:             w.Load,
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -61,27 +61,27 @@
 // openRequestCommand begins a command about a request.
 func (e *encoder) openRequestCommand(name string, id rules.RequestID) {
 	e.openCommand(name)
-	e.text("xid", string(id))
+	e.appendText("xid", string(id))
 }
 
 // openEngineCommand begins a command about an engine.
 func (e *encoder) openEngineCommand(name string, id rules.EngineID) {
 	e.openCommand(name)
-	e.int("engine", int64(id))
+	e.appendInt("engine", int64(id))
 }
 
-func (e *encoder) text(key, value string) {
+func (e *encoder) appendText(key, value string) {
 	quoted, _ := json.Marshal(value) // marshalling a string never fails
-	e.key(key)
+	e.appendKey(key)
 	e.buf = append(e.buf, quoted...)
 }
 
-func (e *encoder) int(key string, value int64) {
-	e.key(key)
+func (e *encoder) appendInt(key string, value int64) {
+	e.appendKey(key)
 	e.buf = strconv.AppendInt(e.buf, value, 10)
 }
 
-func (e *encoder) key(key string) {
+func (e *encoder) appendKey(key string) {
 	e.buf = append(e.buf, ',', '"')
 	e.buf = append(e.buf, key...)
 	e.buf = append(e.buf, '"', ':')
@@ -91,7 +91,7 @@
 
 func (e *encoder) appendPanicReport(reason string) {
 	e.openCommand("Crash")
-	e.text("msg", reason)
+	e.appendText("msg", reason)
 	e.closeCommand()
 }
 
@@ -100,46 +100,46 @@
 	switch a := a.(type) {
 	case rules.Send:
 		e.openRequestCommand("Dispatch", a.ID)
-		e.int("engine", int64(a.Engine))
+		e.appendInt("engine", int64(a.Engine))
 		if a.Timeout != 0 {
-			e.int("tryFor", int64(a.Timeout))
+			e.appendInt("tryFor", int64(a.Timeout))
 		}
 	case rules.SetAttemptOptions:
 		e.openRequestCommand("GrantAndRank", a.ID)
-		e.key("workspaceMb")
+		e.appendKey("workspaceMb")
 		e.buf = strconv.AppendFloat(e.buf, a.MemoryMB, 'f', -1, 64)
-		e.int("priority", int64(a.Priority))
+		e.appendInt("priority", int64(a.Priority))
 	case rules.Cancel:
 		e.openRequestCommand("Abandon", a.ID)
-		e.int("leg", int64(a.Attempt))
+		e.appendInt("leg", int64(a.Attempt))
 	case rules.Reject:
 		e.openRequestCommand("Busy", a.ID)
 		if a.RetryAfter > 0 {
-			e.int("holdOff", int64(a.RetryAfter))
+			e.appendInt("holdOff", int64(a.RetryAfter))
 		}
 	case rules.Fail:
 		e.openRequestCommand("ReportFailure", a.ID)
 	case rules.SetTimer:
 		e.openCommand("Arm")
-		e.int("at", int64(a.At))
-		e.text("handle", a.Token)
+		e.appendInt("at", int64(a.At))
+		e.appendText("handle", a.Token)
 	case rules.Probe:
 		e.openEngineCommand("Poll", a.Engine)
 	case rules.CloseIdle:
 		e.openEngineCommand("DropConns", a.Engine)
 	case rules.Broadcast:
 		e.openCommand("Signal")
-		e.text("whom", "all")
-		e.text("content", base64.StdEncoding.EncodeToString(a.Payload))
+		e.appendText("whom", "all")
+		e.appendText("content", base64.StdEncoding.EncodeToString(a.Payload))
 	case rules.Subscribe:
 		e.openCommand("Listen")
-		e.key("active")
+		e.appendKey("active")
 		e.buf = strconv.AppendBool(e.buf, a.On)
 	case rules.FetchFleet:
 		e.openCommand("GetList")
 	case rules.Log:
 		e.openCommand("Remark")
-		e.text("msg", a.Text)
+		e.appendText("msg", a.Text)
 	default:
 		panic(fmt.Sprintf("no wire form for %T", a)) // a bug, not reachable by input; Host.runModule recovers
 	}
