--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -23,7 +23,7 @@
 	lastStats  admission.Stats // as of the last statistics log line
 }
 
-// newAdmission returns the configured admission control, or nil if it is off.
+// newAdmission returns the configured admission control, or nil if it is not configured.
 func newAdmission(cfg *config.Config) *admissionControl {
 	if cfg.Site == nil || cfg.Site.Admission == nil {
 		return nil
@@ -140,7 +140,7 @@
 	g.notifyAdmission(admission.Event{Kind: admission.ConnectionClosed, Conn: client.admissionSlot})
 }
 
-// requestAdmission requests the admission of a request from the controller.
+// requestAdmission submits a request to the admission controller.
 func (g *Gateway) requestAdmission(req *queryRequest, tenant string) {
 	req.admissionSlot = g.admission.requests.allocate(req)
 	arrival := req.pending
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -11,7 +11,7 @@
 // This file handles the engines' answers to attempts. Without a spool, it collects the pages of a result in
 // memory, within limits, and writes the result to the client only once it is complete.
 
-// Reasons of malformed answers, as logged.
+// Reasons why answers are malformed, as logged.
 const (
 	malformedRow    = "a row has not three columns, or a page ends within one"
 	unrequestedPage = "a page that was not asked for"
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -8,9 +8,9 @@
 	"foxlane/rules"
 )
 
-// This file manages the attempts of requests: their start, changes and cancels by the module, and their end. The
-// module is notified of each end exactly once. An attempt that was written counts as possibly executed, unless the
-// engine or the connection proves that it did not run.
+// This file manages the attempts of requests: their start, their change or cancellation by the module, and their
+// end. The module is notified of each end exactly once. An attempt that was written counts as possibly executed,
+// unless the engine or the connection proves that it did not run.
 
 // engineAttempt is one attempt to run a request on an engine.
 type engineAttempt struct {
@@ -23,7 +23,7 @@
 	endOffset       int64       // offset of its end in the bytes written to its connection
 	done            bool
 	status          rules.Status // valid once done
-	terminating     bool         // ended by the gateway or its connection, but its engine may not know yet
+	terminating     bool         // ended by the gateway or its connection, but its engine may still run it
 	notEngineFault  bool         // its failure does not count against the engine
 	localExhaustion bool         // it got no connection because a local resource was exhausted
 	startedAt       rules.Time   // when the module requested it
@@ -154,7 +154,8 @@
 	g.timers.add(timer{at: g.now + min(attempt.conn.dialTime, g.limits.MaxNetworkMargin), kind: timerTerminated, attempt: attempt, status: status})
 }
 
-// concludeAttempt ends an attempt finally and reports its outcome to the module.
+// concludeAttempt marks an attempt as done and reports its outcome to the module. It has no effect on one that is
+// done already.
 func (g *Gateway) concludeAttempt(attempt *engineAttempt, status rules.Status) {
 	if attempt.done {
 		return
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -124,7 +124,8 @@
 	g.releaseConn(client)
 }
 
-// closeClient closes a client connection. It is the only place where the gateway closes an accepted one.
+// closeClient closes a client connection. Each close by the gateway goes through it, except for connections that
+// acceptClient rejects.
 func (g *Gateway) closeClient(client *clientConn, reason CloseReason) {
 	g.checkClose(client, reason)
 	g.countClose(client, reason)
@@ -161,8 +162,8 @@
 	}
 }
 
-// sweepClients closes connections that no working client would keep: those idle for longer than clients keep
-// connections, without a first command, with an incomplete packet, or still open after a KILL.
+// sweepClients closes connections that no working client would keep: those that are idle for longer than clients keep
+// connections, those without a first command, those with an incomplete packet, and those still open after a KILL QUERY.
 func (g *Gateway) sweepClients() {
 	for element := g.newClients.Front(); element != nil; element = g.newClients.Front() {
 		client := element.Value.(*clientConn)
@@ -189,8 +190,8 @@
 	}
 }
 
-// overdueClients returns the clients that stayed connected after a KILL or did not complete a packet in time. They
-// are sorted by ID: the order in which connections end affects what is sent next, so it must not depend on map
+// overdueClients returns the clients that stayed connected after a KILL QUERY or did not complete a packet in time.
+// They are sorted by ID: the order in which connections end affects what is sent next, so it must not depend on map
 // iteration.
 func (g *Gateway) overdueClients() (overdue []*clientConn) {
 	for _, client := range g.clients {
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -66,7 +66,7 @@
 		} else {
 			g.handleCommand(client, payload, seq)
 		}
-		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands are sent, but answers not read
+		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands are sent, but no answers read
 			client.output = client.output[:0]
 			g.protocolError(client, 1, errAnswersUnread)
 		}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -152,25 +152,25 @@
 	Status  *directives.Status     `json:"status,omitempty"`
 }
 
-// directiveStatus returns the DirectiveStatus, or an error answer if directives are off.
+// directiveStatus returns the DirectiveStatus, or an error answer if directives are not configured.
 func (g *Gateway) directiveStatus() any {
 	state := g.directives
 	if state == nil {
 		return errorAnswer(errDirectivesOff)
 	}
-	inForce := state.proposer.State()
+	inForce := state.node.State()
 	status := DirectiveStatus{
 		Index:   inForce.Index,
 		InForce: inForce.Directives,
 		History: inForce.History,
 		AgeMS:   -1, // never confirmed
-		IsVoter: state.proposer.IsVoter(),
+		IsVoter: state.node.IsVoter(),
 		Voters:  state.voters,
 	}
-	if staleness, ok := state.proposer.Staleness(g.now); ok {
+	if staleness, ok := state.node.Staleness(g.now); ok {
 		status.AgeMS = milliseconds(staleness)
 	}
-	if voter, ok := state.proposer.Status(); ok {
+	if voter, ok := state.node.Status(); ok {
 		status.Status = &voter
 	}
 	return status
@@ -185,7 +185,7 @@
 	switch {
 	case state == nil:
 		err = errDirectivesOff
-	case err == nil && !state.proposer.IsVoter():
+	case err == nil && !state.node.IsVoter():
 		err = fmt.Errorf("%s does not vote: ask one of %v", g.cfg.Name, state.voters)
 	case err == nil:
 		err = command.Validate()
@@ -196,7 +196,7 @@
 	}
 	state.lastCommandID++
 	state.pendingCommands[state.lastCommandID] = conn
-	g.runDirectiveEffects(state.proposer.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommandID}))
+	g.runDirectiveEffects(state.node.Handle(g.now, directives.Propose{Command: command, RequestID: state.lastCommandID}))
 }
 
 // answerProposal answers the pending directive command commandID with the index of the change or with an error.
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -18,7 +18,7 @@
 
 // directiveState holds this gateway's replica of the directives and state derived from them.
 type directiveState struct {
-	proposer        *directives.Node
+	node            *directives.Node
 	tickInterval    rules.Time
 	voters          []string
 	rejectedClasses []bool            // by class index
@@ -26,14 +26,14 @@
 	pendingCommands map[uint64]ConnID // connections awaiting an answer, by command ID
 }
 
-// newDirectives returns the configured directive state, or nil if directives are off.
+// newDirectives returns the configured directive state, or nil if directives are not configured.
 func newDirectives(cfg *config.Config) *directiveState {
 	if cfg.Site == nil || cfg.Site.Directives == nil || cfg.Site.Members == nil {
 		return nil
 	}
 	settings := directives.Settings{Self: cfg.Name, Voters: cfg.Site.Directives.Voters, TickInterval: cfg.Site.Directives.TickInterval}
 	return &directiveState{
-		proposer:        directives.NewNode(settings, cfg.Seed),
+		node:            directives.NewNode(settings, cfg.Seed),
 		tickInterval:    settings.TickInterval,
 		voters:          settings.Voters,
 		rejectedClasses: make([]bool, len(cfg.Settings.ClassNames)),
@@ -41,7 +41,7 @@
 	}
 }
 
-// startDirectives creates the directive state and starts its tick timer, if directives are on.
+// startDirectives creates the directive state and starts its tick timer, if directives are configured.
 func (g *Gateway) startDirectives() {
 	if g.directives = newDirectives(&g.cfg); g.directives != nil {
 		g.timers.add(timer{at: g.now + g.directives.tickInterval, kind: timerDirectives})
@@ -60,7 +60,7 @@
 	if g.directives == nil || persisted == nil {
 		return
 	}
-	if err := g.directives.proposer.StartVoter(g.now, *persisted); err != nil {
+	if err := g.directives.node.StartVoter(g.now, *persisted); err != nil {
 		g.log(Warn, "directives: voter could not start", Attr{keyError, err.Error()})
 	}
 	g.applyDirectives()
@@ -79,7 +79,7 @@
 	for _, member := range g.peers.replica.Members() {
 		names = append(names, member.Name)
 	}
-	g.runDirectiveEffects(g.directives.proposer.Tick(g.now, names))
+	g.runDirectiveEffects(g.directives.node.Tick(g.now, names))
 }
 
 // runDirectiveEffects executes the effects returned by the directives' replica.
@@ -95,7 +95,7 @@
 		case directives.Persist:
 			g.emit(PersistVoterLog{Batch: effect.Batch})
 		case directives.Applied:
-			g.log(Info, "directives: changed", Attr{keyIndex, effect.Index}, Attr{keyInForce, len(g.directives.proposer.State().Directives)})
+			g.log(Info, "directives: changed", Attr{keyIndex, effect.Index}, Attr{keyInForce, len(g.directives.node.State().Directives)})
 			g.applyDirectives()
 		case directives.Reply:
 			g.answerProposal(effect.RequestID, effect.Index, effect.Err)
@@ -111,7 +111,7 @@
 	if state == nil {
 		return
 	}
-	inForce := state.proposer.State()
+	inForce := state.node.State()
 	rejected := inForce.Subjects(directives.RejectClass)
 	for i, name := range g.cfg.Settings.ClassNames {
 		state.rejectedClasses[i] = slices.Contains(rejected, name)
@@ -136,7 +136,7 @@
 
 // drainsEngine reports whether a directive drains an engine.
 func (g *Gateway) drainsEngine(id string) bool {
-	return g.directives != nil && slices.Contains(g.directives.proposer.State().Subjects(directives.DrainEngine), id)
+	return g.directives != nil && slices.Contains(g.directives.node.State().Subjects(directives.DrainEngine), id)
 }
 
 // rejectsClass reports whether a directive rejects requests of a class.
@@ -150,12 +150,12 @@
 	if state == nil {
 		return
 	}
-	inForce := state.proposer.State()
+	inForce := state.node.State()
 	attrs := []Attr{{keyIndex, inForce.Index}, {keyInForce, len(inForce.Directives)}}
-	if staleness, ok := state.proposer.Staleness(g.now); ok {
+	if staleness, ok := state.node.Staleness(g.now); ok {
 		attrs = append(attrs, Attr{"staleness_ms", milliseconds(staleness)})
 	}
-	if status, ok := state.proposer.Status(); ok {
+	if status, ok := state.node.Status(); ok {
 		attrs = append(attrs, Attr{"leader", status.Leader}, Attr{"term", status.Term}, Attr{"listening", status.Listens}, Attr{"broken", status.Broken})
 	}
 	g.log(Info, "directives", attrs...)
--- a/internal/gateway/effects.go
+++ b/internal/gateway/effects.go
@@ -40,7 +40,7 @@
 // SetNameServer makes the host query the name service at Addr from a new socket.
 type SetNameServer struct{ Addr netip.AddrPort }
 
-// SetTimer requests TimerFired at the time At. It replaces the previous timer.
+// SetTimer requests TimerFired at the time At and not before. It replaces the previous timer.
 type SetTimer struct{ At rules.Time }
 
 // Log writes a log line.
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// closeEngineConn closes a connection to an engine. It is the only place of an orderly close by the gateway.
+// closeEngineConn closes a connection to an engine. Each orderly close by the gateway goes through it.
 func (g *Gateway) closeEngineConn(conn *engineConn, reason CloseReason) {
 	g.checkEngineClose(conn, reason)
 	g.countEngineClose(conn, reason, nil)
@@ -118,7 +118,7 @@
 	}
 }
 
-// retireConns retires the connections to an engine whose process was replaced or has gone. Attempts that wait for a
+// retireConns retires the connections to an engine whose process was replaced or removed. Attempts that wait for a
 // dial to the old address must not be written there, since another process may use that address. They are returned,
 // to be concluded after the module is notified of the change.
 func (g *Gateway) retireConns(eng *engineState) (stale []*engineAttempt) {
@@ -130,16 +130,16 @@
 	return stale
 }
 
-// graceMarginDivisor is the fraction of the drain grace period, as a divisor, that is reserved for resetting
-// connections.
-const graceMarginDivisor = 10
+// drainGraceMarginDivisor divides the drain grace period: the quotient is the time at its end that is reserved for
+// resetting connections.
+const drainGraceMarginDivisor = 10
 
 // armDrainGrace sets a timer for shortly before the end of the grace period of a draining or removed engine, when no
 // request may be in transit to it any more.
 func (g *Gateway) armDrainGrace(eng *engineState) {
 	grace := g.cfg.Settings.Rules.Constraints.DrainGrace
 	if grace > 0 && len(eng.conns) > 0 {
-		g.timers.add(timer{at: g.now + grace - grace/graceMarginDivisor, kind: timerDrainGrace, engine: eng})
+		g.timers.add(timer{at: g.now + grace - grace/drainGraceMarginDivisor, kind: timerDrainGrace, engine: eng})
 	}
 }
 
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -19,7 +19,7 @@
 	up                 bool
 	retired            bool             // takes no new requests; closed once it carries nothing
 	retireReason       CloseReason      // valid once retired
-	class              int              // class of the requests it carries
+	class              int              // class whose requests it is kept for; see connFor
 	waiting            []*engineAttempt // to be written once the connection is up
 	inFlight           map[string]*engineAttempt
 	probes             map[string]*healthProbe
@@ -43,15 +43,16 @@
 	return req != nil && slices.ContainsFunc(req.attempts, func(attempt *engineAttempt) bool { return attempt.conn == c })
 }
 
-// connUsable reports whether a connection may take a request. It must have capacity, its engine must be reading
-// from it, and it must not have been idle for so long that its engine may be about to close it.
+// connUsable reports whether a connection may take a request, or a probe if req is nil. The connection may still be
+// dialling, but must have capacity and no earlier attempt of the request, its engine must be reading from it, and it
+// must not have been idle for so long that its engine may be about to close it.
 func (g *Gateway) connUsable(conn *engineConn, req *queryRequest) bool {
 	return !conn.retired && conn.blockedSince == 0 && conn.load() < g.limits.Multiplex && !conn.hadAttemptOf(req) &&
 		(!conn.up || conn.load() > 0 || g.now-conn.lastUsed < g.limits.EngineIdleTimeout)
 }
 
-// connFor returns a connection for a request, or for a probe if req is nil. It dials a new one if needed, and
-// returns nil if the connection limits are reached and all connections are full.
+// connFor returns a connection for a request, or for a probe if req is nil. It dials a new one if needed. If
+// the connection limits are reached, it returns a usable connection of another class, or nil if there is none.
 //
 // Each class has its own connections. A connection that breaks ends everything it carries, and malformed answers
 // grow with the number of answers, so the many short requests of light classes would end the few long requests of
@@ -198,7 +199,7 @@
 
 // retireIfSilent retires the connection of an abandoned attempt if nothing was read on it since the attempt
 // started: the machine may have vanished without closing it. The next attempt dials a new connection. If the
-// machine is gone, that dial fails soon, which proves that the attempt did not run.
+// machine has vanished, that dial fails soon, which proves that the next attempt did not run.
 func (g *Gateway) retireIfSilent(attempt *engineAttempt) {
 	if conn := attempt.conn; attempt.sent && conn.lastRead <= attempt.startedAt && g.now-attempt.startedAt > g.limits.ConnectTimeout {
 		conn.retire(CloseEngineRetired)
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -9,8 +9,8 @@
 	"foxlane/rules"
 )
 
-// This file applies the endpoint list to the engines' state and translates it for the module. An engine is kept as
-// long as it has connections.
+// This file applies the endpoint list to the engines' state and translates it for the module. An engine that
+// was removed from the list is kept until its last connection has ended.
 
 const (
 	listName    = "_data._tcp.farm.lan" // SRV name of the endpoint list
@@ -26,12 +26,12 @@
 	state              rules.EngineState
 	stateSince         rules.Time      // when the gateway was notified of the state
 	slowStart          *slowStartSends // nil: no work was sent to the engine yet
-	startedAt          rules.Time      // start of its process in event time; 0: unknown, long ago
+	startedAt          rules.Time      // start of its process in event time; 0: not listed, treated as long ago
 	conns              []*engineConn
 	lastRead           rules.Time // last read from it
-	lastRequest        rules.Time // last request sent to it, or prevented by a failed connect
+	lastRequest        rules.Time // last request sent to it, or that a failed connect kept from being sent
 	lastServed         rules.Time // last answer that served a request
-	lastFailure        rules.Time // last failure of an attempt that may have run
+	lastFailure        rules.Time // last attempt that ended neither as served nor as not executed
 	lastError          rules.Time // last error answer
 	lastConnectionLoss rules.Time // last loss of a connection with requests in flight
 
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -80,8 +80,8 @@
 // NotifyDrained or WriteBlocked.
 type WriteDrained struct{ Conn ConnID }
 
-// WriteBlocked reports that an engine connection does not accept further bytes because its engine does not read.
-// WriteDrained follows once all bytes are accepted.
+// WriteBlocked reports that the operating system does not accept all bytes written to an engine connection, since the
+// engine does not read. WriteDrained follows once all of them are accepted.
 type WriteBlocked struct{ Conn ConnID }
 
 // ControlRequest carries a request from an operator command on the control socket. ControlResponse answers it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -2,8 +2,8 @@
 // in timestamped events and executes the effects that the reducer returns. The reducer never performs I/O or
 // logging and never reads a clock itself.
 //
-// The decision module (package rules) decides where a query runs, how long it may take, and how it ends where there
-// is a choice. The reducer passes events to the module and executes its actions.
+// The decision module (package rules) decides where a query runs, how long it may take and, if there is a choice, how
+// it ends. The reducer passes events to the module and executes its actions.
 //
 // The types exchanged with the host are defined in events.go and effects.go.
 package gateway
@@ -65,17 +65,17 @@
 	clockSteps   wallclock.Steps
 	lastStall    stall
 
-	results           *resultStore              // nil: there is no spool, results are held in memory
-	admission         *admissionControl         // nil: admission control is off
+	results           *resultStore              // nil: no spool is configured, results are held in memory
+	admission         *admissionControl         // nil: admission control is not configured
 	zones             *zoneRouting              // nil: zones are not configured
 	observationBuffer []zones.EngineObservation // scratch space of engineObservations
-	peers             *peerState                // nil: the gateway does not talk to other gateways
+	peers             *peerState                // nil: members are not configured
 	directives        *directiveState           // nil: directives are not configured
 
 	stats              gatewayStats
 	violations         guard.Violations
-	priorAttemptBuffer []guard.PriorAttempt // scratch space of priorAttempts
-	closeCounts        [closeReasons]int    // closed connections by CloseReason
+	priorAttemptBuffer []guard.PriorAttempt  // scratch space of priorAttempts
+	closeCounts        [closeReasonCount]int // closed connections by CloseReason
 	stopping           bool
 	stopped            bool
 	drainPeriodOver    bool
@@ -203,7 +203,7 @@
 
 func (g *Gateway) voterPersisted(err error) {
 	if g.directives != nil {
-		g.runDirectiveEffects(g.directives.proposer.Handle(g.now, directives.Persisted{OK: err == nil}))
+		g.runDirectiveEffects(g.directives.node.Handle(g.now, directives.Persisted{OK: err == nil}))
 	}
 }
 
--- a/internal/gateway/guards.go
+++ b/internal/gateway/guards.go
@@ -10,8 +10,8 @@
 )
 
 // This file checks invariants with package guard before each action: writing an attempt, answering, closing a
-// connection, and starting a request. Violations are counted by invariant, and the first of each is logged. The
-// action is carried out in any case.
+// connection, and starting a request. Violations are counted by invariant. The first of each is logged, or all of
+// them with Config.Trace. The action is carried out in any case.
 
 // reportViolations counts and logs violated invariants.
 func (g *Gateway) reportViolations(findings guard.Findings, request rules.RequestID, engine string) {
--- a/internal/gateway/localexhaustion_test.go
+++ b/internal/gateway/localexhaustion_test.go
@@ -15,7 +15,7 @@
 	sim := newSimulationWith(t, 3, 0, withSite(t, "sites {\n  settle = \"100ms\"\n}"))
 	sim.localExhaustion = true
 	sim.play(6 * rules.Second)
-	for zone, status := range sim.g.zones.router.Status(sim.now)[:2] {
+	for zone, status := range sim.g.zones.controller.Status(sim.now)[:2] {
 		if status.Losses > 0 || status.State != zones.Present {
 			t.Errorf("zone %d is %v and was lost %d times", zone, status.State, status.Losses)
 		}
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -11,7 +11,7 @@
 )
 
 // This file polls the name service for the endpoint list, renews the socket it is queried from, and processes its
-// answers. Package discovery decides which endpoint list is valid.
+// answers. It also applies reloaded configurations. Package discovery decides which endpoint list is valid.
 
 // reconfigure applies a reloaded configuration. The serials of its endpoint list belong to the same sequence as
 // those of the current list, which stays valid until the file or the name service provides a newer one.
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -3,8 +3,8 @@
 // This file manages the output buffers of connections.
 
 const (
-	maxIdleBuffer  = 2048 // capacity in bytes up to which a connection keeps its empty buffer
-	maxFreeBuffers = 64   // number of larger buffers kept for reuse by all connections
+	maxIdleBufferBytes = 2048 // capacity in bytes up to which a connection keeps its empty buffer
+	maxFreeBuffers     = 64   // number of larger buffers kept for reuse by all connections
 )
 
 // outputBuffer is the pending output of a connection.
@@ -19,7 +19,7 @@
 // recycleBuffer empties an output buffer. Large buffers are shared between connections: few results are written at
 // a time, and otherwise each of the many connections would keep one.
 func (g *Gateway) recycleBuffer(buffer *outputBuffer) {
-	if cap(buffer.output) <= maxIdleBuffer {
+	if cap(buffer.output) <= maxIdleBufferBytes {
 		buffer.output = buffer.output[:0]
 		return
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -50,7 +50,7 @@
 	joinedAt   map[string]rules.Time // join time of each other member
 }
 
-// newPeers returns the configured peer state, or nil if members are off.
+// newPeers returns the configured peer state, or nil if members are not configured.
 func newPeers(cfg *config.Config, now rules.Time) *peerState {
 	if cfg.Site == nil || cfg.Site.Members == nil {
 		return nil
@@ -81,14 +81,14 @@
 	}
 }
 
-// startPeers creates the peer state and starts its tick timer, if members are on.
+// startPeers creates the peer state and starts its tick timer, if members are configured.
 func (g *Gateway) startPeers() {
 	if g.peers = newPeers(&g.cfg, g.now); g.peers != nil {
 		g.timers.add(timer{at: g.now + g.cfg.Site.Members.Replica.GossipInterval, kind: timerPeers})
 	}
 }
 
-// handlePeer handles an event of the membership.
+// handlePeer handles a change of membership or a message from a member.
 func (g *Gateway) handlePeer(event PeerEvent) {
 	peers := g.peers
 	if peers == nil {
@@ -109,9 +109,9 @@
 			g.notifyReplica(replica.Received{From: replica.Member{Name: event.Name}, Data: event.Data})
 		case g.directives == nil:
 		case event.Channel == ChannelConsensus:
-			g.runDirectiveEffects(g.directives.proposer.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
+			g.runDirectiveEffects(g.directives.node.Handle(g.now, directives.Received{From: event.Name, Data: event.Data}))
 		case event.Channel == ChannelDirectives:
-			g.runDirectiveEffects(g.directives.proposer.HandleStateMessage(g.now, event.Name, event.Data))
+			g.runDirectiveEffects(g.directives.node.HandleStateMessage(g.now, event.Name, event.Data))
 		}
 	case PeerNameConflict:
 		g.log(Warn, "members: duplicate name", Attr{keyMember, event.Name}, Attr{"at", event.Text})
@@ -144,7 +144,7 @@
 	}
 	view := gossip.View{Engines: g.engineObservations(), ClassEstimates: g.module.ClassEstimates(), SlowStart: g.module.SlowStartUsage()}
 	if g.zones != nil {
-		view.Zones = g.zones.router.Status(g.now)
+		view.Zones = g.zones.controller.Status(g.now)
 	}
 	peers.gossip.Publish(g.now, view)
 	g.notifyReplica(replica.Tick{})
@@ -155,7 +155,7 @@
 		}
 	}
 	for _, zone := range advice.Suspect {
-		g.zones.router.Suspect(zone)
+		g.zones.controller.Suspect(zone)
 	}
 	for _, event := range advice.Events {
 		g.notifyModule(event)
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// finishProbe ends a probe and notifies the module and the zone controller. A probe prevented by local exhaustion
-// does not count against the engine.
+// finishProbe ends a probe and notifies the module and the zone controller. A probe that was prevented because a
+// local resource was exhausted does not count against the engine.
 func (g *Gateway) finishProbe(probe *healthProbe, status rules.Status, report []byte) {
 	if probe.done {
 		return
--- a/internal/gateway/reasons.go
+++ b/internal/gateway/reasons.go
@@ -23,13 +23,13 @@
 	CloseProtocolError                        // the client violated the protocol
 	CloseShutdown                             // the gateway shuts down
 	CloseEngineIdle                           // idle for almost as long as engines keep connections open
-	CloseEngineRetired                        // the engine's process was replaced, has gone, or was silent on the connection
+	CloseEngineRetired                        // its engine's process was replaced or removed, or was silent on it
 	CloseEngineMalformed                      // an answer was malformed or incomplete
 	CloseEngineUnread                         // the draining or removed engine left writes unread
 	CloseEngineLost                           // the engine closed the connection, or it broke
 	CloseEngineUnreachable                    // the dial failed
 	CloseLocalExhaustion                      // the dial failed because a local resource was exhausted
-	closeReasons                              // number of reasons
+	closeReasonCount                          // number of reasons
 )
 
 var closeReasonNames = [...]string{
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -12,19 +12,19 @@
 )
 
 // This file manages requests from the client's query to its answer. Each request gets exactly one final answer, or
-// none if its client has disconnected or killed it.
+// none if its client has disconnected or the query was killed.
 
 // queryRequest is the state of a client's query. It exists until the query is answered and all its attempts have
 // ended.
 type queryRequest struct {
 	id             rules.RequestID
-	client         *clientConn // nil once the client has gone or is answered
+	client         *clientConn // nil once the client has disconnected or was answered
 	admissionSlot  int         // index in admissionControl.requests
 	endReason      EndReason
 	work           rules.Time // declared by the client; 0: not declared
 	submitted      bool       // it was passed to the module
 	served         bool
-	pending        *rules.Request // what the module will receive; nil once submitted
+	pending        *rules.Request // request to pass to the module; nil once submitted
 	queuedFor      rules.Time     // time in the queue of admission control
 	resultOwner    uint64         // tenantKey of the tenant that may read its stored result
 	result         resultState
@@ -236,7 +236,7 @@
 	g.writeRejection(req, g.effectiveRetryAfter(retryAfter))
 }
 
-// writeRejection answers a request with the error that tells the client that it is safe to retry.
+// writeRejection answers a request with the error after which the client can safely retry.
 func (g *Gateway) writeRejection(req *queryRequest, retryAfter rules.Time) {
 	req.stats.rejected++
 	g.writeErr(req.client, mysql.CodeUserLimitReached, withRetryAfter("the query was refused", retryAfter))
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -72,7 +72,7 @@
 	return true
 }
 
-// stopFilling discards the result that an ended attempt was filling. Another attempt must fill it from the start.
+// stopFilling discards the result if the ended attempt was filling it. Another attempt must fill it from the start.
 func (g *Gateway) stopFilling(attempt *engineAttempt) {
 	if result := &attempt.request.result; result.source == attempt {
 		result.source = nil
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -34,7 +34,7 @@
 	engineDone bool           // no pages are needed any more: for the module the request is over
 }
 
-// newResultStore returns the configured result store, or nil if the spool is off.
+// newResultStore returns the configured result store, or nil if the spool is not configured.
 func newResultStore(cfg *config.Config) *resultStore {
 	if cfg.Site == nil || cfg.Site.Spool == nil {
 		return nil
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -1,7 +1,7 @@
 package gateway
 
-// slotTable assigns small integers to open objects, by which a state machine can identify them. The number of slots
-// is fixed. The caller of allocate must make sure that a slot is free.
+// slotTable assigns small integers to open connections or requests, so that a state machine can refer to them by
+// number. The number of slots is fixed. The caller of allocate must make sure that a slot is free.
 type slotTable[T any] struct {
 	entries []*T // nil: free
 	free    []int
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -52,7 +52,7 @@
 	if attrs != nil {
 		g.log(Info, "closed", attrs...)
 	}
-	g.closeCounts = [closeReasons]int{}
+	g.closeCounts = [closeReasonCount]int{}
 }
 
 // logStats logs all statistics of the last interval and sets the timer for the next one.
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -12,13 +12,13 @@
 )
 
 // This file connects the reducer to package zones: it passes observations of engines to the zone controller, passes
-// the controller to the module as its zone plan, asks it to admit requests, and logs its state changes. Without the
-// block `sites` in the operator's file there is no controller.
+// the controller to the module as its zone plan, lets it admit or reject requests, and logs its state changes. Without
+// the block `sites` in the operator's file there is no controller.
 
 // zoneRouting holds the zone controller. Its last zone contains the engines whose zones the configuration does not
 // name.
 type zoneRouting struct {
-	router     *zones.Controller
+	controller *zones.Controller
 	names      []string
 	drained    []int        // zones drained by the operator's file or a directive
 	lastCounts zones.Counts // as of the last statistics log line
@@ -32,7 +32,7 @@
 	zoneSettings, drained := cfg.Site.Zones.Resolve(cfg.Settings.ZoneNames)
 	settings := &cfg.Settings.Rules
 	routing := &zoneRouting{names: append(slices.Clone(cfg.Settings.ZoneNames), "elsewhere")}
-	routing.router = zones.New(zoneSettings, zones.Fleet{
+	routing.controller = zones.New(zoneSettings, zones.Fleet{
 		Zones:             len(routing.names),
 		HasUnassignedZone: true,
 		OwnZone:           settings.Zone,
@@ -49,12 +49,12 @@
 func (r *zoneRouting) setDrained(drained []int, now rules.Time) {
 	for _, zone := range r.drained {
 		if !slices.Contains(drained, zone) {
-			r.router.SetDraining(now, zone, false)
+			r.controller.SetDraining(now, zone, false)
 		}
 	}
 	for _, zone := range drained {
 		if !slices.Contains(r.drained, zone) {
-			r.router.SetDraining(now, zone, true)
+			r.controller.SetDraining(now, zone, true)
 		}
 	}
 	r.drained = drained
@@ -66,7 +66,7 @@
 		g.notifyModule(rules.ZonePlanChanged{})
 		return
 	}
-	g.notifyModule(rules.ZonePlanChanged{Plan: g.zones.router})
+	g.notifyModule(rules.ZonePlanChanged{Plan: g.zones.controller})
 }
 
 // reconfigureZones applies the zone settings of a reloaded configuration, which may have added or removed the block
@@ -93,7 +93,7 @@
 	}
 	settings, drained := g.cfg.Site.Zones.Resolve(g.cfg.Settings.ZoneNames)
 	if g.directives != nil {
-		inForce := g.directives.proposer.State()
+		inForce := g.directives.node.State()
 		if limit, ok := inForce.Value(directives.SpilloverLimit); ok {
 			settings.SpilloverLimit = limit
 		}
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	g.zones.router.Reconfigure(settings)
+	g.zones.controller.Reconfigure(settings)
 	g.zones.setDrained(drained, g.now)
 }
 
@@ -113,7 +113,7 @@
 	if routing == nil {
 		return
 	}
-	observed := routing.router.Observe(g.now, g.engineObservations(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
+	observed := routing.controller.Observe(g.now, g.engineObservations(), g.module.LoadSummary(), g.cfg.Settings.Rules.Limits.Probes)
 	for _, change := range observed.Changes {
 		level := Info
 		if change.To == zones.Lost {
@@ -168,7 +168,7 @@
 		return true
 	}
 	arrival := req.pending
-	rejected, retryAfter := g.zones.router.RequestArrived(g.now, zones.Request{Class: arrival.Class, Tenant: arrival.Tenant,
+	rejected, retryAfter := g.zones.controller.RequestArrived(g.now, zones.Request{Class: arrival.Class, Tenant: arrival.Tenant,
 		DeclaredWork: float64(arrival.EstimatedWork), Retry: arrival.IsRetry})
 	if rejected {
 		g.reject(req, retryAfter, EndZonePlan)
@@ -184,13 +184,13 @@
 	if g.zones == nil || g.stopping || !limits.RetryAfter {
 		return moduleRetryAfter
 	}
-	return max(moduleRetryAfter, capRetryAfter(limits, g.zones.router.RetryAfter(g.now)))
+	return max(moduleRetryAfter, capRetryAfter(limits, g.zones.controller.RetryAfter(g.now)))
 }
 
 // zoneProbed notifies the zone controller of a probe's result.
 func (g *Gateway) zoneProbed(eng *engineState, ok bool) {
 	if g.zones != nil {
-		g.zones.router.RecordProbe(eng.zone, ok)
+		g.zones.controller.RecordProbe(eng.zone, ok)
 	}
 }
 
@@ -200,7 +200,7 @@
 	if routing == nil {
 		return
 	}
-	for i, status := range routing.router.Status(g.now) {
+	for i, status := range routing.controller.Status(g.now) {
 		attrs := []Attr{{keyZone, routing.names[i]}, {keyState, status.State.String()}, {"load_share", round2(status.LoadShare)},
 			{"traffic_fraction", round2(status.TrafficFraction)}, {"healthy_fraction", round2(status.HealthyFraction)},
 			{"penalty", round2(status.Penalty)}, {"losses", status.Losses}}
@@ -209,7 +209,7 @@
 		}
 		g.log(Info, "zone state", attrs...)
 	}
-	pressure, fraction, counts := routing.router.SheddingStatus()
+	pressure, fraction, counts := routing.controller.SheddingStatus()
 	last := routing.lastCounts
 	routing.lastCounts = counts
 	shed := func(tier zones.PriorityTier) int { return counts.Shed[tier] - last.Shed[tier] }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -93,10 +93,10 @@
 					t.Errorf("only %d attempts and %d served: the test covers too little", sim.attemptsReceived, sim.served)
 				}
 				sent, served = sent+sim.attemptsReceived, served+sim.served
-				for _, s := range sim.g.zones.router.Status(sim.now) {
+				for _, s := range sim.g.zones.controller.Status(sim.now) {
 					lost += s.Losses
 				}
-				_, _, counts := sim.g.zones.router.SheddingStatus()
+				_, _, counts := sim.g.zones.controller.SheddingStatus()
 				spilled += counts.Spillovers
 			})
 		}
@@ -135,7 +135,7 @@
 	for at := rules.Time(0); at < 24*rules.Second; at += 12 * rules.Millisecond {
 		sim.schedule(at, sim.sendRequest)
 	}
-	state := func() zones.State { return sim.g.zones.router.Status(sim.now)[0].State }
+	state := func() zones.State { return sim.g.zones.controller.Status(sim.now)[0].State }
 	sim.schedule(3*rules.Second, func() { eachInZone(func(engine *simEngine) { sim.resetConns(engine); engine.refusing = true }) })
 	sim.run(sim.start + 6*rules.Second)
 	if s := state(); s != zones.Lost {
