--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A cancelled dial ends at once. A connection that is established in the same moment is closed, since nothing would
+// A cancelled dial ends at once. A connection that is established at the same time is closed, since nothing would
 // use it.
 func TestDialCancelled(t *testing.T) {
 	server := newBareServer(t)
--- a/internal/transport/members.go
+++ b/internal/transport/members.go
@@ -16,8 +16,8 @@
 
 // This file joins and leaves the other gateways, called members, and exchanges messages with them.
 
-// membership is the connection to the other members from join to leave. Messages are sent by goroutines that read
-// bounded queues; a message is dropped if its queue is full.
+// membership is the gateway's participation in the group of members, from join to leave. Goroutines send the messages
+// of bounded queues; a message is dropped if its queue is full.
 type membership struct {
 	members   *members.Membership
 	datagrams chan memberMessage // messages that fit in a datagram
@@ -62,7 +62,7 @@
 	if i := s.cfg.Settings.Rules.Zone; i >= 0 && i < len(s.cfg.Settings.ZoneNames) {
 		zone = s.cfg.Settings.ZoneNames[i]
 	}
-	if s.openMemberships.Load() > 0 {
+	if s.closingMemberships.Load() > 0 {
 		return errLeaving
 	}
 	m := &membership{datagrams: make(chan memberMessage, maxQueuedDatagrams), streams: make(chan memberMessage, maxQueuedStreamMessages)}
@@ -114,9 +114,9 @@
 	m.leaving.Store(true)
 	close(m.datagrams)
 	close(m.streams)
-	s.openMemberships.Add(1)
+	s.closingMemberships.Add(1)
 	s.leaveWorkers.Go(func() {
-		defer s.openMemberships.Add(-1)
+		defer s.closingMemberships.Add(-1)
 		m.close()
 	})
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -64,10 +64,10 @@
 	voter   *voterWorker // nil: this gateway does not vote on directives
 
 	// Other gateways (members.go). membership and rejoin are used only by the reducer's goroutine.
-	membership      *membership      // nil: members are not joined
-	rejoin          <-chan time.Time // fires when a failed join is to be retried
-	openMemberships atomic.Int64     // memberships that are not closed yet
-	leaveWorkers    sync.WaitGroup   // goroutines that close memberships
+	membership         *membership      // nil: members are not joined
+	rejoin             <-chan time.Time // fires when a failed join is to be retried
+	closingMemberships atomic.Int64     // memberships that leaveMembers is still closing
+	leaveWorkers       sync.WaitGroup   // goroutines that close memberships
 }
 
 // Signals are the signals to the process. Each kind has its own channel, so that one kind can't displace another.
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -128,7 +128,7 @@
 		t.Errorf("a load that may have run ended with %v, want an error that is not a rejection", err)
 	}
 	if took := time.Since(began); took > 3500*time.Millisecond {
-		t.Errorf("the last answer came %v after SIGTERM", took)
+		t.Errorf("the last answer arrived %v after SIGTERM", took)
 	}
 	s.shutdown()
 }
@@ -173,7 +173,7 @@
 		}
 	}
 	if n := len(s.engines[0].Requests()); n != before {
-		t.Errorf("%d attempts went to an engine that the new name service does not list", n-before)
+		t.Errorf("%d attempts were sent to an engine that the new name service does not list", n-before)
 	}
 }
 
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -71,8 +71,8 @@
 }
 
 // Requests are sent one by one from shortly before the process exits to shortly after. Each is either answered, or
-// its connection ends without any byte of an answer and no engine has received the request. A reset is only accepted
-// after the process has exited.
+// its connection ends without any byte of an answer and no engine has received the request. The gateway itself resets
+// no connection; the test accepts resets because the kernel sends them for bytes that arrive after the exit.
 func TestRequestsDuringShutdown(t *testing.T) {
 	s := newTestbed(t, replyAfter(5*time.Millisecond, "a\tb\tc\n"))
 	const clients = 60
