--- a/cmd/foxlane/main_test.go
+++ b/cmd/foxlane/main_test.go
@@ -74,8 +74,8 @@
 
 var garbage []byte
 
-// With a GC percentage of 900 the resident size grew throughout a long run. With setRuntime, allocating 64 MB of garbage
-// grows the heap by a few MB only.
+// With a GC percentage of 900 the resident size grew throughout a long run. With setRuntime, allocating 64 MB of
+// garbage must grow the heap by a few MB only.
 func TestGarbageIsCollectedEarly(t *testing.T) {
 	procs := runtime.GOMAXPROCS(0)
 	defer func() { runtime.GOMAXPROCS(procs); debug.SetGCPercent(100); debug.SetMemoryLimit(1 << 50) }()
--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -109,7 +109,8 @@
 }
 
 // zoneSecond is the state of one zone in a second: the fraction of its usual load that it takes (Share), its capacity
-// (Room), the load from its own and from other gateways, the load over the spillover limit (Held), and the load shed.
+// (Room), the load from its own and from other zones' gateways, the load of other zones that exceeds the spillover
+// limit (Held), and the load shed.
 type zoneSecond struct {
 	State                           string
 	Share, Room, Own, Foreign, Held float64
@@ -165,9 +166,9 @@
 	for i := range names {
 		p.Steady = append(p.Steady, steadyState(settings, scenario, i))
 	}
-	for _, moment := range zones.Simulate(settings, scenario) {
-		s := second{At: float64(moment.At/rules.Millisecond) / 1000, Asked: moment.Demand, Left: moment.Unserved}
-		for _, z := range moment.Zones {
+	for _, sample := range zones.Simulate(settings, scenario) {
+		s := second{At: float64(sample.At/rules.Millisecond) / 1000, Asked: sample.Demand, Left: sample.Unserved}
+		for _, z := range sample.Zones {
 			s.Zones = append(s.Zones, zoneSecond{z.State.String(), z.LoadShare, z.Capacity, z.OwnLoad, z.ForeignLoad, z.BlockedLoad, z.RejectedClasses, z.ShedLoad})
 		}
 		p.Seconds = append(p.Seconds, s)
@@ -245,8 +246,8 @@
 // steadyState simulates the loss of one zone until the fleet has settled.
 func steadyState(settings zones.Settings, scenario zones.Scenario, lostZone int) steadyLoss {
 	scenario.LostZones, scenario.LostAt, scenario.ReturnAt, scenario.Duration = []int{lostZone}, rules.Second, 0, rules.Second+scenario.UnlistAfter+scenario.ClientsMoveAfter+20*rules.Second
-	moments := zones.Simulate(settings, scenario)
-	last := moments[len(moments)-1]
+	samples := zones.Simulate(settings, scenario)
+	last := samples[len(samples)-1]
 	s := steadyLoss{Zone: scenario.Zones[lostZone].Name, Unserved: last.Unserved, To: map[string]float64{}}
 	for i, z := range last.Zones {
 		s.Held += z.BlockedLoad
@@ -262,7 +263,7 @@
 
 func (p *plan) print(w io.Writer) error {
 	err := printTable(w, tabwriter.AlignRight, func(t *printer) {
-		t.printf("zone\tcores\tclients ask\tif it is lost: unserved\theld\tparts of all load go to\t\n")
+		t.printf("zone\tcores\tdemand\tif it is lost: unserved\theld\tfractions of all load by zone\t\n")
 		for i, name := range p.Zones {
 			var to []string
 			for _, other := range p.Zones {
@@ -292,7 +293,7 @@
 func (p *plan) printSeconds(t *printer) {
 	t.printf("s\tasked\tleft\t")
 	for _, name := range p.Zones {
-		t.printf("%s\tshare\town\tforeign\tcan do\trefused\t", name)
+		t.printf("%s\tshare\town\tforeign\tcapacity\trefused\t", name)
 	}
 	t.printf("\n")
 	for _, s := range p.Seconds {
