--- a/internal/site/admission.go
+++ b/internal/site/admission.go
@@ -115,13 +115,13 @@
 	r.flag(b.Together, &n.SharedTenant)
 	r.flag(b.Trusted, &n.Trusted)
 	var set netipx.IPSetBuilder
-	words := r.stringList(b.Addresses)
-	for _, w := range words {
+	texts := r.stringList(b.Addresses)
+	for _, w := range texts {
 		if err := addAddresses(&set, w.text); err != nil {
 			r.errorf(w.at, "%v", err)
 		}
 	}
-	if len(words) == 0 && !r.failed() {
+	if len(texts) == 0 && !r.failed() {
 		r.errorf(b.Range, "network %q has no addresses", b.Name)
 	}
 	addresses, err := set.IPSet()
--- a/internal/site/members.go
+++ b/internal/site/members.go
@@ -18,7 +18,7 @@
 // Members holds the settings of the messages among gateways.
 type Members struct {
 	Bind            netip.AddrPort
-	Control         netip.AddrPort // listens for operators' commands; the zero value: no listener
+	Control         netip.AddrPort // address for operators' commands; the zero value: no listener
 	Seeds           []netip.AddrPort
 	AllowedPrefixes []netip.Prefix                    // addresses of the members that are accepted; nil: any
 	AddressMap      map[netip.AddrPort]netip.AddrPort // from a member's announced address to the one to reach it at
