--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -167,7 +167,7 @@
 	for name, text := range map[string]string{
 		"malformed":    "fair {",
 		"unknown name": "fair {\n ahed = 7\n}",
-		"gone":         "",
+		"no blocks":    "",
 		"other state":  "fair {\n state = \"3MB\"\n}",
 		"all memory":   "fair {\n state = \"500MB\"\n}",
 	} {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -62,7 +62,7 @@
 	EventBufferBytes   int        // of EventQueueBytes, memory kept for the next batch
 	StallThreshold     rules.Time // delay of the reducer's timer from which on the process counts as stalled
 	SettleTime         rules.Time // after a stall nothing is sent until clients have been silent for this time
-	MaxSettleTime      rules.Time // upper bound by which clients can prolong SettleTime
+	MaxSettleTime      rules.Time // largest extension of SettleTime or LongSettleTime by input from clients
 	LongStallThreshold rules.Time // duration from which a stall counts as long
 	LongSettleTime     rules.Time // SettleTime after a long stall
 	MinBatchInterval   rules.Time // between two batches of the reducer
@@ -80,7 +80,7 @@
 	reservedDescriptors = 32 // standard streams, poller, name service, dials
 )
 
-// deriveLimits derives the limits from the machine's and from the settings.
+// deriveLimits derives the limits from the machine's cores, memory and descriptors, and from the settings.
 func deriveLimits(cores, memoryMB float64, sockets int, s settings.Settings) (Limits, error) {
 	switch {
 	case cores <= 0:
