--- a/internal/mysql/fields.go
+++ b/internal/mysql/fields.go
@@ -17,7 +17,7 @@
 	Write      bool   // the statement writes
 }
 
-// Fields are the fields of the leading comment.
+// Fields holds the values of the fields in the leading comment of a query.
 type Fields struct {
 	Class          string
 	ID             string // 16 hexadecimal digits
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -224,7 +224,7 @@
 // Command is the type of a client's command, the first byte of its packet.
 type Command byte
 
-// Commands.
+// Commands that the gateway handles.
 const (
 	ComQuit   Command = 0x01
 	ComInitDB Command = 0x02
