--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -28,7 +28,7 @@
 			next, ok := queue.NextAt()
 			at, run, popped := queue.PopUntil(19)
 			if ok != popped || at != next {
-				t.Fatalf("NextAt said %v, %v, PopUntil returned %v, %v", next, ok, at, popped)
+				t.Fatalf("NextAt returned %v, %v, PopUntil returned %v, %v", next, ok, at, popped)
 			}
 			if !popped {
 				break
