--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,6 +1,6 @@
 // Package window implements sums over a sliding time window. A sum covers the last span and at most one bucket more.
-// It suits limits better than a token bucket, which would let through up to twice the limit within one span. The
-// package never reads a clock.
+// A token bucket with the same limit would let through up to twice the limit within one span. The package never reads
+// a clock.
 package window
 
 import "foxlane/rules"
@@ -32,7 +32,7 @@
 	s.buckets[0] += amount
 }
 
-// Total returns the sum of what was added within the last Span before now.
+// Total returns the sum of what was added within the last Span before now, and up to one bucket before that.
 func (s *Sum) Total(now rules.Time) (sum float64) {
 	s.advance(now)
 	for _, bucket := range s.buckets {
