--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -73,7 +73,7 @@
 			if err := query(string(raw), &answer); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "in force as of index %d\n", answer.Index)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "holds as of index %d\n", answer.Index)
 			return err
 		},
 	}
@@ -185,7 +185,7 @@
 			if err := wal.Init(s.Directives.LogFolder); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is ready for a new voter\n", s.Directives.LogFolder)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is a new voter's\n", s.Directives.LogFolder)
 			return err
 		},
 	}
--- a/cmd/foxlane/members.go
+++ b/cmd/foxlane/members.go
@@ -170,7 +170,7 @@
 			if len(differences) > 0 {
 				return errors.Join(fmt.Errorf("%d entries differ", len(differences)), out.err)
 			}
-			out.printf("%d replicas agree\n", len(at))
+			out.printf("%d copies agree\n", len(at))
 			return out.err
 		},
 	}
--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -263,7 +263,7 @@
 
 func (p *plan) print(w io.Writer) error {
 	err := printTable(w, tabwriter.AlignRight, func(t *printer) {
-		t.printf("zone\tcores\tdemand\tif it is lost: unserved\theld\tfractions of all load by zone\t\n")
+		t.printf("zone\tcores\tclients ask\tif it is lost: unserved\theld\tparts of all load go to\t\n")
 		for i, name := range p.Zones {
 			var to []string
 			for _, other := range p.Zones {
@@ -293,7 +293,7 @@
 func (p *plan) printSeconds(t *printer) {
 	t.printf("s\tasked\tleft\t")
 	for _, name := range p.Zones {
-		t.printf("%s\tshare\town\tforeign\tcapacity\trefused\t", name)
+		t.printf("%s\tshare\town\tforeign\tcan do\trefused\t", name)
 	}
 	t.printf("\n")
 	for _, s := range p.Seconds {
