--- a/internal/zones/observation.go
+++ b/internal/zones/observation.go
@@ -50,7 +50,7 @@
 // ObserveResult is what the caller of Observe has to act on.
 type ObserveResult struct {
 	Changes []Change
-	Probe   []rules.EngineID // engines to probe now; the results go to ProbeAnswered
+	Probe   []rules.EngineID // engines to probe now; the results go to RecordProbe
 }
 
 // recentRequestSpan is the time after a request in which an engine counts as active.
--- a/internal/zones/routing.go
+++ b/internal/zones/routing.go
@@ -6,11 +6,12 @@
 	"foxlane/rules"
 )
 
-// This file implements rules.ZonePlan: it tells the decision module in which zone a query may run.
+// This file implements rules.ZonePlan, by which the decision module chooses the zone of a query.
 
 // PickZone returns the zone in which a query is to run (rules.ZonePlan). It picks at random, weighted by the last
 // split, among the zones that admit the query and are not in tried. It returns -1 (any zone) and true if nothing has
-// been observed yet or all zones of the split have been tried, and false if the limits block the query in all others.
+// been observed yet or all zones of the split have been tried, and false if no untried zone of the split admits the
+// query.
 func (c *Controller) PickZone(now rules.Time, random, work float64, tried []int) (int, bool) {
 	c.now = max(c.now, now)
 	total, blocked := 0.0, false
--- a/internal/zones/settings.go
+++ b/internal/zones/settings.go
@@ -59,9 +59,9 @@
 func (s Settings) Validate() error {
 	switch {
 	case !(s.Overprovision >= 1 && s.Overprovision <= 10):
-		return settingsErrorf("overprovision is %v, must be within 1 and 10", s.Overprovision)
+		return settingsErrorf("overprovision is %v, must be between 1 and 10", s.Overprovision)
 	case !isFraction(s.PanicThreshold), !isFraction(s.SpilloverLimit), !isFraction(s.RampJitter), !isFraction(s.RetryBudget):
-		return settingsErrorf("panic, spill, retries and jitter must be within 0 and 1")
+		return settingsErrorf("panic, spill, retries and jitter must be between 0 and 1")
 	case !(s.LostBelow > 0 && s.LostBelow < s.RecoverAbove && s.RecoverAbove <= 1):
 		return settingsErrorf("lost_below is %v and back_over %v, must be 0 < lost_below < back_over <= 1", s.LostBelow, s.RecoverAbove)
 	case s.SettlingTime < 0, s.RecoveryRamp <= 0, s.DrainTime <= 0:
@@ -76,7 +76,7 @@
 		for _, tier := range tiers {
 			for _, zone := range tier {
 				if slices.Contains(seen, zone) {
-					return settingsErrorf("tiers: zone %d lists a zone twice", from)
+					return settingsErrorf("tiers: a zone is named twice for zone %d, or is the zone itself", from)
 				}
 				seen = append(seen, zone)
 			}
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -22,8 +22,8 @@
 	TierLowestValue                     // first value tier: requests with the least priority weight per work
 )
 
-// A value tier covers half a power of two of the priority weight per core second of work. The tier in the middle
-// begins at 1.
+// Value tiers divide the priority weight per core second of work on a logarithmic scale, with tiersPerDoubling tiers
+// for each doubling. The tier in the middle begins at 1.
 const (
 	valueTiers       = 48
 	tiersPerDoubling = 2
@@ -54,7 +54,7 @@
 
 func (s SheddingSettings) validate() error {
 	if !(s.Threshold > 1) || !(s.Hysteresis >= 0 && s.Hysteresis < s.Threshold-1) || s.SettlingTime < 0 {
-		return settingsErrorf("shedding: up must be above 1, slack at least 0 and under up - 1, settle at least 0")
+		return settingsErrorf("shedding: up must be over 1, slack at least 0 and under up - 1, settle at least 0")
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 }
 
 // minWorkRate returns a lower bound, in cores, for the work rate by which the pressure is computed: one request of each
-// class within demandWindow. At lower rates the measured work is too little to tell the capacity.
+// class within demandWindow. At lower rates the measured work is too little to estimate the capacity.
 func (c *Controller) minWorkRate() (total float64) {
 	for _, work := range c.demand.meanWork {
 		total += work
--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -46,7 +46,7 @@
 	Unserved float64 // cores of the demand that are shed, blocked by spillover limits or beyond the engines' capacity
 }
 
-// ZoneSample is the state of one zone at a Moment. Capacity and loads are in cores.
+// ZoneSample is the state of one zone in a Sample. Capacity and loads are in cores.
 type ZoneSample struct {
 	State           State
 	LoadShare       float64  // fraction of its normal load that the zone takes
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,7 +1,7 @@
 // Package zones implements zone failover for one gateway. A zone is a site or a hall with its engines and gateways.
-// The package owns the state of each zone (present, failing, lost, recovering or drained). From it follow the share
-// of its normal load that each zone takes, the split of this gateway's load over the zones, the spillover limit and
-// the retry budget of each zone, and which requests are shed first.
+// The package owns the state of each zone: present, failing, lost, returning, draining or drained. The states determine
+// the share of its normal load that each zone takes, the split of this gateway's load over the zones, the spillover
+// limit and the retry budget of each zone, and which requests are shed first.
 //
 // Each gateway decides alone, from its own traffic and endpoint list. Hundreds of gateways make the same decisions at
 // the same time, so each spreads its actions by a jitter of its own and paces them by fractions of warm capacity.
@@ -18,7 +18,7 @@
 // Fleet describes the fleet as the gateway knows it at its start.
 type Fleet struct {
 	Zones             int
-	HasUnassignedZone bool    // the last zone stands for engines without a zone; no gateway belongs to it
+	HasUnassignedZone bool    // the last zone is for engines without a zone; no gateway belongs to it
 	OwnZone           int     // zone of this gateway
 	Gateways          int     // in all zones
 	Jitter            float64 // from 0 to 1, different for each gateway
