--- a/internal/spool/budget.go
+++ b/internal/spool/budget.go
@@ -15,7 +15,7 @@
 	MaxResults     int        // maximum number of results, completed or not
 	DiskThreshold  int64      // bytes; a larger result is written to the disk
 	ChunkBytes     int        // target bytes of a chunk, the page that clients read; engine pages are not split
-	MaxUnwritten   int64      // bytes pending for the disk above which engines are asked for no more pages
+	MaxUnwritten   int64      // bytes of pending writes above which no more pages are requested from engines
 	FetchWindow    int        // number of pages to request from an engine in advance
 	MaxPages       int        // maximum number of pages of one engine result
 	LeaseTime      rules.Time // time after the last read for which a result is kept; doubled unless capacity is needed
--- a/internal/spool/capacity.go
+++ b/internal/spool/capacity.go
@@ -34,7 +34,7 @@
 
 // ensureCapacity ensures that need more bytes of a tenant can be stored, evicting results with an expired lease if
 // necessary. If the tenant's quota is exhausted, only results of that tenant are evicted. On failure it returns the
-// reason, and the time after which a retry may succeed (0: not known).
+// reason, and the time after which a retry may succeed (0: unknown).
 func (s *Store) ensureCapacity(tenant uint64, need int64) (Reason, rules.Time) {
 	if need > s.budget.MaxResultBytes {
 		return ReasonTooLarge, 0
--- a/internal/spool/effect.go
+++ b/internal/spool/effect.go
@@ -31,7 +31,7 @@
 type Rejected struct {
 	ID         ID
 	Reason     Reason
-	RetryAfter rules.Time // time until capacity may be available; 0: not known
+	RetryAfter rules.Time // time until capacity may be available; 0: unknown
 }
 
 // FetchPages requests the pages Index to End-1 from the engine.
--- a/internal/spool/event.go
+++ b/internal/spool/event.go
@@ -30,7 +30,7 @@
 	Secret  Secret
 	Tenant  uint64
 	Class   int
-	Shape   uint64 // hash of the statement's shape; 0: not known
+	Shape   uint64 // hash of the statement's shape; 0: unknown
 	Durable bool   // the client requested a handle, so the result must survive a restart
 }
 
--- a/internal/spool/segment/segment.go
+++ b/internal/spool/segment/segment.go
@@ -40,7 +40,7 @@
 type Record struct {
 	Kind    Kind
 	ID      ID
-	Chunk   uint32 // index of the chunk, if Kind is Chunk
+	Chunk   uint32 // of a Chunk: its index; of a Seal: the number of chunks
 	Payload []byte
 }
 
@@ -88,7 +88,7 @@
 		return h, ErrNotSegment
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v != version {
-		return h, fmt.Errorf("%w: %d, want %d", ErrVersion, v, version)
+		return h, fmt.Errorf("%w: %d, supported is %d", ErrVersion, v, version)
 	}
 	return Header{binary.LittleEndian.Uint32(b[12:]), binary.LittleEndian.Uint64(b[16:])}, nil
 }
--- a/internal/spool/sizes.go
+++ b/internal/spool/sizes.go
@@ -30,17 +30,17 @@
 }
 
 // movingStats holds a mean and a mean square: exact up to sizeWindow values, then exponentially weighted.
-type movingStats struct{ mean, square, count float64 }
+type movingStats struct{ mean, meanSquare, count float64 }
 
 func (m *movingStats) observe(x float64) {
 	m.count = min(m.count+1, sizeWindow)
 	m.mean += (x - m.mean) / m.count
-	m.square += (x*x - m.square) / m.count
+	m.meanSquare += (x*x - m.meanSquare) / m.count
 }
 
 // upperBound returns a size that most results do not exceed.
 func (m *movingStats) upperBound() float64 {
-	return m.mean + sizeDeviations*math.Sqrt(max(m.square-m.mean*m.mean, 0))
+	return m.mean + sizeDeviations*math.Sqrt(max(m.meanSquare-m.mean*m.mean, 0))
 }
 
 // slots returns the slots in which a shape can be stored.
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -54,7 +54,7 @@
 	heapIndex   int // position in Store.leases; -1: not in the heap
 	readerCount int
 
-	pageCount   int            // total pages of the engine's result; 0: not known
+	pageCount   int            // total pages of the engine's result; 0: unknown
 	nextPage    int            // index of the next page to append
 	requested   int            // all pages below this index have been requested
 	outOfOrder  map[int][]byte // pages that arrived ahead of a missing one, by index
