--- a/internal/replica/budget.go
+++ b/internal/replica/budget.go
@@ -2,7 +2,7 @@
 
 import "foxlane/rules"
 
-// This file enforces the send budget: at most Budget bytes within a sliding second, in messages of at most
+// This file enforces the send budget: at most BytesPerSecond within a sliding second, in messages of at most
 // MaxMessageBytes.
 
 const (
--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -16,7 +16,7 @@
 //
 //	message          = magic version type sender incarnation body checksum
 //	delta            = blocks of (origin, incarnation, from, to, entries)
-//	digest           = answer-wanted flag, rows of (hash of the origin's name, incarnation, counter)
+//	digest           = 1 if a reply is requested, else 0; rows of (hash of the origin's name, incarnation, counter)
 //	snapshot request = hash of the origin after which to continue, 0 at the beginning
 //	snapshot end     = hash of the last origin that was sent, 0 at the end of the snapshot
 //
--- a/internal/replica/digest.go
+++ b/internal/replica/digest.go
@@ -17,8 +17,8 @@
 	return min((s.settings.MaxMessageBytes-maxHeaderBytes-4)/maxRowBytes, maxDigestRows)
 }
 
-// sendDigest sends a member as many rows as fit into one message, in round-robin order of origins, and asks for an
-// answer.
+// sendDigest sends a member as many rows as fit into one message, in round-robin order of origins, and requests a
+// reply.
 func (s *Store) sendDigest(to string) {
 	var rows []digestRow
 	for range min(len(s.originNames), s.digestCapacity()) {
@@ -29,14 +29,14 @@
 	s.sendDigestRows(to, rows, true)
 }
 
-func (s *Store) sendDigestRows(to string, rows []digestRow, wantAnswer bool) {
+func (s *Store) sendDigestRows(to string, rows []digestRow, requestReply bool) {
 	rows = rows[:min(len(rows), s.digestCapacity())]
 	if len(rows) == 0 {
 		return
 	}
 	w := s.beginMessage(typeDigest)
 	flag := byte(0)
-	if wantAnswer {
+	if requestReply {
 		flag = 1
 	}
 	w.buf = append(w.buf, flag)
@@ -49,10 +49,10 @@
 	s.sendWithinBudget(to, s.finishMessage(&w))
 }
 
-// receiveDigest sends the entries that the sender lacks. If the sender wants an answer, it replies with the rows of
-// which the sender holds more; that reply asks for no further answer.
+// receiveDigest sends the entries that the sender lacks. If the sender requests a reply, receiveDigest also sends the
+// rows of which the sender holds more. This reply does not request another one.
 func (s *Store) receiveDigest(h header, body *reader) {
-	wantsAnswer := body.bytes(1)[0] == 1
+	replyRequested := body.bytes(1)[0] == 1
 	n := body.count(maxDigestRows)
 	rows := make([]digestRow, 0, n)
 	for range n {
@@ -82,12 +82,12 @@
 		}
 	}
 	switch {
-	case len(missing) == 0 && wantsAnswer:
+	case len(missing) == 0 && replyRequested:
 		s.behindSince = 0
 	case len(missing) > 0 && s.behindSince == 0:
 		s.behindSince = max(s.now, 1)
 	}
-	if wantsAnswer {
+	if replyRequested {
 		s.sendDigestRows(h.sender, missing, false)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -105,7 +105,7 @@
 // ---- entries of this gateway
 
 // Put writes an entry of this gateway. It is sent if it is new, has changed by more than the kind's MinChange, or was
-// last sent RefreshInterval ago, but not again within minInterval. Otherwise Put does nothing.
+// last written RefreshInterval ago, but not again within minInterval. Otherwise Put does nothing.
 func (s *Store) Put(now rules.Time, key Key, value Value) {
 	s.now = max(s.now, now)
 	o := s.own
--- a/internal/replica/rumors.go
+++ b/internal/replica/rumors.go
@@ -11,10 +11,10 @@
 }
 
 const (
-	minMembersToShorten = 16 // number of members from which a rumor received again is forwarded for one round less
+	minMembersToShorten = 16 // from this number of members on, a rumor that is received again loses a round
 	nonUrgentRounds     = 2  // ticks for which an origin sends an entry that is not urgent
-	// rumorStride is the number of origins by which the order of rumors rotates per tick, so that when messages are
-	// full it is not always the same origins that have to wait.
+	// rumorStride is the number of origins by which the order of rumors rotates per tick. Without the rotation, the
+	// rumors of the same origins would always wait when messages are full.
 	rumorStride = 7
 )
 
@@ -37,8 +37,8 @@
 	o.rumors = append(o.rumors, rumor{k, rounds})
 }
 
-// shortenRumor takes a round from a rumor that another member has just sent too: the more members forward it, the fewer
-// rounds each needs.
+// shortenRumor reduces the remaining rounds of a rumor that another member has just sent too: the more members forward
+// it, the fewer rounds each needs.
 func (s *Store) shortenRumor(o *origin, k Key) {
 	if len(s.members) < minMembersToShorten {
 		return
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -44,9 +44,9 @@
 	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Zone) > maxNameBytes:
 		return fmt.Errorf("replica: name %q must have 1 to %d bytes, zone %q must not be longer", s.Name, maxNameBytes, s.Zone)
 	case s.BytesPerSecond < 1000 || s.GossipInterval <= 0 || s.DigestInterval < s.GossipInterval || s.RefreshInterval <= 0:
-		return errors.New("replica: budget must be at least 1000 bytes per second, tick above 0, digest at least tick, refresh above 0")
+		return errors.New("replica: budget must be at least 1000 bytes per second, tick over 0, digest at least tick, refresh over 0")
 	case s.Fanout < 1 || s.MaxEntriesPerOrigin < 1 || s.MaxOrigins < 1 || s.MaxMessageBytes < 256 || s.MaxMessageBytes > maxMessageBytes:
-		return fmt.Errorf("replica: fanout, entries and origins must be at least 1, message size within 256 and %d bytes", maxMessageBytes)
+		return fmt.Errorf("replica: fanout, entries and origins must be at least 1, a message between 256 and %d bytes", maxMessageBytes)
 	}
 	return nil
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -13,7 +13,7 @@
 // snapshotCursor is the progress of the snapshot that is being received.
 type snapshotCursor struct {
 	peer        string // sender; empty: no snapshot is being received
-	next        uint64 // hash of the last origin received
+	lastOrigin  uint64 // hash of the last origin received; 0: none
 	requestedAt rules.Time
 }
 
@@ -43,7 +43,7 @@
 
 func (s *Store) requestSnapshotPart() {
 	w := s.beginMessage(typeSnapshotRequest)
-	w.uvarint(s.cursor.next)
+	w.uvarint(s.cursor.lastOrigin)
 	msg := s.finishMessage(&w)
 	s.cursor.requestedAt = s.now
 	s.sendWithinBudget(s.cursor.peer, msg)
@@ -87,14 +87,14 @@
 
 // receiveSnapshotEnd requests the next part, or completes the snapshot.
 func (s *Store) receiveSnapshotEnd(h header, body *reader) {
-	next := body.uvarint()
+	lastOrigin := body.uvarint()
 	if body.err != nil || h.sender != s.cursor.peer {
 		return
 	}
-	if next == 0 {
+	if lastOrigin == 0 {
 		s.synced, s.cursor = true, snapshotCursor{}
 		return
 	}
-	s.cursor.next = next
+	s.cursor.lastOrigin = lastOrigin
 	s.requestSnapshotPart()
 }
