--- a/internal/directives/directives_test.go
+++ b/internal/directives/directives_test.go
@@ -21,8 +21,8 @@
 	second = rules.Second
 )
 
-// disk is a voter's persisted state. It stores a batch at once; the Persisted that answers it is dropped if the voter is
-// killed first.
+// disk is a voter's persisted state. It stores a batch at once. The Persisted that answers the batch is dropped if the
+// voter is killed first.
 type disk struct{ state PersistedState }
 
 func (d *disk) persist(b Batch) {
--- a/internal/directives/node.go
+++ b/internal/directives/node.go
@@ -79,7 +79,7 @@
 	return now - n.confirmedAt, n.confirmedAt != 0
 }
 
-// seesQuorum reports whether this gateway is a working voter that knows a leader.
+// seesQuorum reports whether this gateway is a working voter with a known leader.
 func (n *Node) seesQuorum() bool {
 	if n.voter == nil || n.voter.failure != nil {
 		return false
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -39,13 +39,13 @@
 func (s Settings) Validate() error {
 	switch {
 	case len(s.Voters) != 1 && len(s.Voters) != 3 && len(s.Voters) != 5:
-		return fmt.Errorf("directives: %d voters; there must be 1, 3 or 5", len(s.Voters))
+		return fmt.Errorf("directives: %d voters are named; 1, 3 or 5 are allowed", len(s.Voters))
 	case s.TickInterval <= 0:
-		return errors.New("directives: tick must be positive")
+		return errors.New("directives: tick must be over 0")
 	}
 	for i, v := range s.Voters {
 		if v == "" || slices.Contains(s.Voters[:i], v) {
-			return fmt.Errorf("directives: voter name %q is empty or used twice", v)
+			return fmt.Errorf("directives: voter %q is named twice, or its name is empty", v)
 		}
 	}
 	return nil
@@ -299,9 +299,9 @@
 	if v.listenTicksLeft > 0 {
 		v.highestTermSeen = max(v.highestTermSeen, m.GetTerm())
 	}
-	asksForVote := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
+	isVoteRequest := m.GetType() == pb.MsgVote || m.GetType() == pb.MsgPreVote
 	// A voter that lost its log may have voted in this term already.
-	if asksForVote && (v.listenTicksLeft > 0 || m.GetTerm() <= v.maxVotedTerm) {
+	if isVoteRequest && (v.listenTicksLeft > 0 || m.GetTerm() <= v.maxVotedTerm) {
 		return
 	}
 	last, err := v.storage.LastIndex()
--- a/internal/directives/wal/wal.go
+++ b/internal/directives/wal/wal.go
@@ -1,6 +1,6 @@
 // Package wal stores a voter's log on disk as a file of appended records. Persist returns only after its batch is
 // synced, so that the voter never sends a message that depends on unsynced state. A snapshot starts a new file, which
-// replaces the old one once it is complete.
+// replaces the old one once it is complete. The package does not decide what is persisted.
 package wal
 
 import (
@@ -22,8 +22,8 @@
 
 // Errors of a voter's directory.
 var (
-	ErrLocked = errors.New("wal: the directory is locked by another process")
-	ErrExists = errors.New("wal: the directory already has a voter's log")
+	ErrLocked = errors.New("wal: folder is locked by another process")
+	ErrExists = errors.New("wal: folder already has a voter's log")
 )
 
 // Log is an open log file in a locked directory.
