--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -37,7 +37,7 @@
 	os.Exit(code)
 }
 
-// freeAddr returns an address on which no process listens.
+// freeAddr returns an address with a free port, for use with TCP and UDP.
 func freeAddr(t *testing.T, i int) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.9.%d.1:0", i+1))
--- a/internal/members/settings.go
+++ b/internal/members/settings.go
@@ -40,9 +40,9 @@
 	case !s.Bind.IsValid() || s.Bind.Port() == 0:
 		return errors.New("members: bind must be an address with a port")
 	case s.Bind.Addr().IsUnspecified():
-		return errors.New("members: bind must be a specific address, since it is announced to other members")
+		return errors.New("members: bind must be an address that other gateways could reach, since it is announced to them")
 	case s.Allowed != nil && !s.Allowed.Contains(s.Bind.Addr()):
-		return fmt.Errorf("members: own address %s is not among the allowed addresses", s.Bind.Addr())
+		return fmt.Errorf("members: the allowed addresses do not include the gateway's own address %s", s.Bind.Addr())
 	}
 	return nil
 }
