--- a/internal/gossip/observations_test.go
+++ b/internal/gossip/observations_test.go
@@ -65,40 +65,40 @@
 	fleet := newTestFleet(3)
 	view := viewOf(1, 2, 3, 4)
 	fleet.report(start, 0, replica.EngineFault, 2, 1)
-	if w := fleet.Evaluate(start, view); len(w.Probe) != 0 {
-		t.Fatalf("one observer triggered probes of %v", w.Probe)
+	if advice := fleet.Evaluate(start, view); len(advice.Probe) != 0 {
+		t.Fatalf("one observer triggered probes of %v", advice.Probe)
 	}
 	fleet.report(start+ms, 1, replica.EngineFault, 2, 1)
-	if w := fleet.Evaluate(start+ms, view); len(w.Probe) != 1 || w.Probe[0] != 2 {
-		t.Fatalf("two observers of engine 2 triggered probes of %v", w.Probe)
+	if advice := fleet.Evaluate(start+ms, view); len(advice.Probe) != 1 || advice.Probe[0] != 2 {
+		t.Fatalf("two observers of engine 2 triggered probes of %v", advice.Probe)
 	}
-	if w := fleet.Evaluate(start+200*ms, view); len(w.Probe) != 0 {
-		t.Errorf("probed again after 200 ms: %v", w.Probe)
+	if advice := fleet.Evaluate(start+200*ms, view); len(advice.Probe) != 0 {
+		t.Errorf("probed again after 200 ms: %v", advice.Probe)
 	}
-	if w := fleet.Evaluate(start+1200*ms, view); len(w.Probe) != 1 {
+	if advice := fleet.Evaluate(start+1200*ms, view); len(advice.Probe) != 1 {
 		t.Errorf("not probed again after 1.2 s")
 	}
 	ejectedView := viewOf(1, 2)
 	ejectedView.Engines[1].Excluded = true
-	if w := fleet.Evaluate(start+2500*ms, ejectedView); len(w.Probe) != 0 {
-		t.Errorf("an engine that is already ejected here was probed: %v", w.Probe)
+	if advice := fleet.Evaluate(start+2500*ms, ejectedView); len(advice.Probe) != 0 {
+		t.Errorf("an engine that is already ejected here was probed: %v", advice.Probe)
 	}
-	if w := fleet.Evaluate(start+Defaults().MaxReportAge+100*ms, view); len(w.Probe) != 0 {
-		t.Errorf("old reports triggered probes of %v", w.Probe)
+	if advice := fleet.Evaluate(start+Defaults().MaxReportAge+100*ms, view); len(advice.Probe) != 0 {
+		t.Errorf("old reports triggered probes of %v", advice.Probe)
 	}
 	fleet.report(start+6*second, 0, replica.EngineFault, 3, 1)
 	fleet.report(start+6*second, 1, replica.EngineFault, 3, 1)
 	fleet.report(start+6*second, 1, replica.EngineFault, 3, 0)
-	if w := fleet.Evaluate(start+6*second+ms, view); len(w.Probe) != 0 {
-		t.Errorf("one of two peers withdrew its report, probed anyway: %v", w.Probe)
+	if advice := fleet.Evaluate(start+6*second+ms, view); len(advice.Probe) != 0 {
+		t.Errorf("one of two peers withdrew its report, probed anyway: %v", advice.Probe)
 	}
 	for id := range uint64(4) {
 		for i := range 2 {
 			fleet.report(start+8*second, i, replica.EngineFault, id+1, 1)
 		}
 	}
-	if w := fleet.Evaluate(start+8*second, view); len(w.Probe) > Defaults().MaxProbes {
-		t.Errorf("%d probes at a time", len(w.Probe))
+	if advice := fleet.Evaluate(start+8*second, view); len(advice.Probe) > Defaults().MaxProbes {
+		t.Errorf("%d probes at a time", len(advice.Probe))
 	}
 }
 
@@ -144,8 +144,8 @@
 	for i := range 2 {
 		lateFleet.report(start, i, replica.ClassEstimate, 0, 2, 5000, 10)
 	}
-	if w := lateFleet.Evaluate(start+ms, view); len(w.Events) != 0 {
-		t.Errorf("learned a minute after the start: %v", w.Events)
+	if advice := lateFleet.Evaluate(start+ms, view); len(advice.Events) != 0 {
+		t.Errorf("learned a minute after the start: %v", advice.Events)
 	}
 }
 
