--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -51,8 +51,8 @@
 // Sync does nothing, since logging must not block on a slow reader. Close waits for pending lines, with a timeout.
 func (w *Writer) Sync() error { return nil }
 
-// Close stops the Writer and waits up to timeout until the pending lines are written. It returns false on a timeout;
-// the goroutine then ends after the current write has returned.
+// Close stops the Writer and waits up to timeout until the pending lines are written. It returns false on a timeout.
+// The goroutine then ends once the current write has returned and the remaining lines are written.
 func (w *Writer) Close(timeout time.Duration) bool {
 	w.mu.Lock()
 	w.closed = true
