--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -80,7 +80,7 @@
 	c.updateStaleAt(flow)
 }
 
-// removePending makes a pending request an admitted one that no longer counts as pending.
+// removePending stops counting an admitted request as pending.
 func (c *Controller) removePending(request *openRequest) {
 	flow := &c.flows[request.class]
 	c.unlink(&flow.pendingList, request)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
 // Package admission implements the admission control of a gateway. It maps each request to a tenant and a client,
 // enforces their quotas, decides the order in which queued requests are admitted to the decision module, and computes
 // rejections and their Retry-After. It must not handle protocol bytes, clocks, sockets or goroutines. The decision
-// module alone chooses the class, the engine and the attempts of a request, and which admitted request runs next.
+// module alone chooses among the classes and the admitted requests, and the engine and the attempts of each request.
 //
 // The controller takes events with their time and returns effects in order. The caller identifies requests and
 // connections by slots, which are less than Limits.Requests and Limits.ConnectionSlots. A slot can be reused after
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -450,7 +450,7 @@
 		sim.engineSlots = rapid.IntRange(1, 4).Draw(rt, "slots")
 		keys := map[string][]string{} // request ids by order key, in the order of arrival
 		ids := 0
-		taken := map[string]bool{}
+		sentIDs := map[string]bool{}
 		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 9).Draw(rt, "step") {
 			case 0, 1:
@@ -459,7 +459,7 @@
 				if c := idleConnection(rt, sim); c >= 0 {
 					ids++
 					id := fmt.Sprint("r", ids)
-					taken[id] = true
+					sentIDs[id] = true
 					key := rapid.SampledFrom([]string{"", "", "k", "l"}).Draw(rt, "key")
 					if key != "" {
 						keys[key] = append(keys[key], id)
@@ -491,7 +491,7 @@
 		}
 		sim.advance(20 * rules.Second)
 		sim.checkInvariants(rt, keys)
-		for id := range taken {
+		for id := range sentIDs {
 			if sim.outcomes[id] != 1 {
 				rt.Fatalf("request %s ended %d times", id, sim.outcomes[id])
 			}
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -15,7 +15,7 @@
 	RequestForwarded                      // Slot: the first attempt of a request was sent
 	EngineTimeUsed                        // Slot, EngineTime: an attempt of a request used an engine for EngineTime
 	RequestDone                           // Slot, Served: a request has ended
-	RequestRejected                       // Slot: the decision module rejects a request; answered by a Reject effect
+	RequestRejected                       // Slot: the decision module rejects a request; returns Reject with a Retry-After
 	TimerFired                            // the time of the last SetTimer effect was reached
 	Reconfigured                          // Settings, DeclaredTenants: the settings were reloaded
 	Stopping                              // Deadline: shutdown; caps all deadlines, and no Retry-After is sent
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -11,8 +11,8 @@
 // requestList is a doubly linked list of requests, linked by their slots.
 type requestList struct{ head, tail int32 }
 
-// clientQueue holds the queued requests of a client for one class. Requests that arrived at their Retry-After come
-// first; within both groups the order is that of arrival.
+// clientQueue holds the queued requests of a client for one class. Requests that arrived at their Retry-After are ahead
+// of the others; within both groups the order is that in which they were queued or unblocked.
 type clientQueue struct {
 	requestList
 	lastBooked int32 // slot of the last request that arrived at its Retry-After
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -3,8 +3,8 @@
 import "foxlane/rules"
 
 // This file enforces the quotas on connections, requests, statement bytes and bytes of incomplete packets. A quota
-// applies only when a limit is exceeded: the tenant whose usage exceeds its weighted share of the limit the most then
-// loses a connection or request. An admitted request is never rejected because of a quota.
+// applies only when a limit is reached: the tenant whose usage exceeds its weighted share of the limit the most then
+// loses a connection or a request. An admitted request is never rejected because of a quota.
 
 // silenceLimit is how long a new connection may send no request before it is evicted ahead of all others when
 // connections are at their limit. Clients send a command right after the login.
@@ -35,10 +35,11 @@
 
 // enforceConnectionLimit evicts a connection in favor of conn, which was accepted beyond the limit. It chooses, in this
 // order:
-//   - the connection without a request that has been silent the longest, beyond silenceLimit;
-//   - of the tenant most over its quota, the longest silent connection, the longest idle one, or the one whose queued
-//     request is the first candidate for eviction;
-//   - the longest idle connection of all tenants.
+//   - the connection that has been open the longest without sending a request, if for at least silenceLimit;
+//   - of the tenant most over its quota, the connection that has been open the longest without sending a request, or
+//     the longest idle one;
+//   - if conn belongs to another tenant, the connection of the evictionCandidate of the tenant most over its quota, or
+//     the longest idle connection of all tenants.
 //
 // If there is none, conn stays open beyond the limit while a slot is free. It may then send a KILL, but no request.
 func (c *Controller) enforceConnectionLimit(conn *connection) {
@@ -110,8 +111,8 @@
 	return victim
 }
 
-// enforceRequestLimits rejects queued requests while the open requests or their statement bytes exceed the limits. It
-// reports whether request, which has just arrived, is still queued.
+// enforceRequestLimits rejects queued requests while the open requests have reached their limit or the statement bytes
+// exceed theirs. It reports whether request, which has just arrived, is still queued.
 func (c *Controller) enforceRequestLimits(request *openRequest) bool {
 	for c.openRequests >= c.limits.Requests || c.statementBytes > c.limits.StatementBytes {
 		usage, limit := queuedOf, c.limits.Requests
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -42,7 +42,7 @@
 	declaredWork                       float64    // 0: not declared
 	engineTime                         float64    // work done so far by all threads
 	bookedAt                           rules.Time // when its Retry-After was sent
-	couldStartAt                       rules.Time // when the queue of its tenant became empty, or its arrival
+	couldStartAt                       rules.Time // when its tenant's queue became empty; its arrival if it was not empty
 	bookedDelay                        rules.Time // the Retry-After that it returned at
 }
 
@@ -113,7 +113,7 @@
 	return max(deadline-rules.Time(runTime), request.arrivedAt)
 }
 
-// requestForwarded handles the first attempt of a request being sent.
+// requestForwarded stops counting a request as pending, since its first attempt was sent.
 func (c *Controller) requestForwarded(request *openRequest) {
 	if request.state == requestPending {
 		c.removePending(request)
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -6,8 +6,9 @@
 	"foxlane/rules"
 )
 
-// This file predicts the Retry-After of rejections, and corrects later predictions by the time that clients which
-// observed it needed. A client is never kept away longer than its tenant's share of the capacity requires.
+// This file predicts the Retry-After of rejections, and corrects later predictions by the delay that clients needed
+// when they returned at their Retry-After. A client is never kept away longer than its tenant's share of the capacity
+// requires.
 
 const (
 	biasGain               = 0.1                    // weight of one observation in the correction
@@ -16,7 +17,7 @@
 	earlyAllowanceFraction = 0.1                    // how early a client may return, as a fraction of its Retry-After,
 	maxEarlyAllowance      = 50 * rules.Millisecond // but at most this much
 	minLateAllowance       = rules.Second           // how late a client may return; its Retry-After if longer
-	retryAfterJitter       = 0.2                    // jitter of capped Retry-After, as a fraction of the cap
+	retryAfterJitter       = 0.2                    // jitter of a capped Retry-After, as a fraction of the cap
 )
 
 // maxWaitRatio is the ratio of a request's predicted wait to the time left to admit it above which the request is
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -16,8 +16,8 @@
 	UnlistedWeight float64   // weight of an address that no network contains
 
 	// AnyTenant allows clients to declare tenants that neither the site nor the operator
-	// declares. Such a name only identifies a client of the address that it comes from, unless
-	// the network of the address is trusted to name tenants.
+	// declares. Such a name only identifies another client of the tenant of its address, unless
+	// the network of the address is trusted to declare tenants.
 	AnyTenant bool
 
 	ModuleQueueDepth int        // requests of a class that may wait in the decision module while others are queued
@@ -39,7 +39,7 @@
 	Addresses    *netipx.IPSet
 	Weight       float64 // of each address, or of the shared tenant
 	SharedTenant bool    // its addresses are clients of one tenant
-	Trusted      bool    // its clients may name any tenant
+	Trusted      bool    // its clients may declare any tenant
 }
 
 // Defaults returns the settings used where the operator sets nothing. ModuleQueueDepth gives the decision module
@@ -57,9 +57,9 @@
 
 // Errors wrapped by the result of Settings.Validate.
 var (
-	ErrDuplicate      = errors.New("is declared more than once")
+	ErrDuplicate      = errors.New("is declared twice")
 	ErrOutOfRange     = errors.New("not between")
-	ErrUnknownNetwork = errors.New("unknown network")
+	ErrUnknownNetwork = errors.New("is not declared")
 	ErrNegative       = errors.New("must not be negative")
 )
 
@@ -75,12 +75,12 @@
 		errs = append(errs, tenants.add("tenant", t.Name), checkWeight("tenant", t.Name, t.Weight))
 		for _, n := range t.Networks {
 			if !networks[n] {
-				errs = append(errs, fmt.Errorf("tenant %q: %w %q", t.Name, ErrUnknownNetwork, n))
+				errs = append(errs, fmt.Errorf("tenant %q: network %q %w", t.Name, n, ErrUnknownNetwork))
 			}
 		}
 	}
 	if s.ModuleQueueDepth < 1 || s.ModuleQueueDepth > maxModuleQueueDepth {
-		errs = append(errs, fmt.Errorf("ahead is %d, %w 1 and %d", s.ModuleQueueDepth, ErrOutOfRange, maxModuleQueueDepth))
+		errs = append(errs, fmt.Errorf("ahead: %d is %w 1 and %d", s.ModuleQueueDepth, ErrOutOfRange, maxModuleQueueDepth))
 	}
 	if s.Burst < 0 || s.MaxRetryAfter < 0 {
 		errs = append(errs, fmt.Errorf("burst and longest %w", ErrNegative))
@@ -104,7 +104,7 @@
 
 func checkWeight(block, name string, weight float64) error {
 	if !(weight >= minWeight && weight <= maxWeight) { // NaN is rejected as well
-		return fmt.Errorf("%s %q: weight %v is %w %v and %v", block, name, weight, ErrOutOfRange, minWeight, maxWeight)
+		return fmt.Errorf("%s %q: weight: %v is %w %v and %v", block, name, weight, ErrOutOfRange, minWeight, maxWeight)
 	}
 	return nil
 }
