--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -25,7 +25,7 @@
 // record of the requests and checks the seven rules only by the bytes that clients and engines see:
 //
 //  1. Each request gets one answer by its deadline, or none if its client has disconnected or killed it. After that
-//     the request reaches no engine, apart from maxStartAfterLeave.
+//     the request reaches no engine once maxStartAfterLeave has passed.
 //  2. Attempts of one request never run in parallel. A request that may have run is retried or rejected only if
 //     running it again is safe.
 //  3. An engine that drains or was removed gets no requests from 1 s after the notification.
