--- a/internal/admission/identity.go
+++ b/internal/admission/identity.go
@@ -106,8 +106,9 @@
 }
 
 // principalOf returns the principal of a request from its origin and the hash of the tenant name that it declares (0:
-// none). From outside the trusted networks only names in tenants that allow the network count as tenants. Any other name
-// only identifies another client of the tenant of its address, so that new names don't increase a client's share.
+// none). From a network that is not trusted, only the name of a declared tenant that allows the network selects a
+// tenant. Any other name identifies another client of the tenant of its address, so that new names don't increase a
+// client's share.
 func (r *identityResolver) principalOf(o origin, nameHash uint64) principal {
 	if nameHash == 0 {
 		return o.principal
