--- a/internal/harness/clientfaults.go
+++ b/internal/harness/clientfaults.go
@@ -12,7 +12,7 @@
 
 // This file injects the faults of clients.
 
-// abandonMore replaces the script's share of clients that abandon their request by the fault's factor.
+// abandonMore replaces the script's share of clients that abandon their request with the fault's factor.
 func (f *fleet) abandonMore(fault *Fault) (revertFunc, error) {
 	set := func(share float64) { f.abandonPermille.Store(int64(share * 1000)) }
 	set(fault.Factor)
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -15,11 +15,11 @@
 const (
 	orderKeyCount    = 2                                  // different keys in the ordered class
 	keyQuarantine    = 300 * time.Millisecond             // for a key after an attempt that may still run
-	objectiveStretch = 2.5                                // multiples of a request's work added to its latency objective
+	objectiveStretch = 2.5                                // added to a latency objective, in multiples of the work
 	workSigma        = 0.5                                // standard deviation of the logarithm of work
-	lateValue        = 0.2                                // fraction of its weight that a response after the objective earns
-	responseGrace    = maxLateness + 250*time.Millisecond // wait for a response after the deadline; 250 ms are for timers and both links
-	minTimeLeft      = 50 * time.Millisecond              // a client does not retry with less than this before its deadline
+	lateValue        = 0.2                                // fraction of its weight that a late response earns
+	responseGrace    = maxLateness + 250*time.Millisecond // wait after the deadline; 250 ms are for timers and both links
+	minTimeLeft      = 50 * time.Millisecond              // a client with less than this until its deadline does not retry
 	maxAttempts      = 3
 )
 
--- a/internal/harness/directives.go
+++ b/internal/harness/directives.go
@@ -42,8 +42,8 @@
 	return json.Unmarshal(line, answer)
 }
 
-// setDirective asks a gateway to set a directive and records the outcome, in a goroutine of pendingDirectives. The
-// text is the directive's kind and subject.
+// setDirective sends a gateway a request to set a directive and records the outcome, in a goroutine of
+// pendingDirectives. The text is the directive's kind and subject.
 func (f *fleet) setDirective(g *gateway, text string) {
 	kind, subject, _ := strings.Cut(text, " ")
 	f.mu.Lock()
--- a/internal/harness/endpointlist.go
+++ b/internal/harness/endpointlist.go
@@ -37,7 +37,7 @@
 // notification records when a gateway was first notified of a version.
 type notification struct {
 	version uint32
-	at      time.Time // zero: not known to be notified yet
+	at      time.Time // zero: no notification is known
 	sends   int       // answers sent with this version
 }
 
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -130,8 +130,8 @@
 	return e.fleet.ColdFrom + (1-e.fleet.ColdFrom)*float64(now.Sub(e.started))/float64(e.fleet.Cold)
 }
 
-// recordColdSend adds a request to the recent load of a cold engine and counts an overload if that exceeds what the
-// engine can bear. It returns the text of a violation, if there is one. The caller holds e.mu.
+// recordColdSend adds a request to the recent load of a cold engine, and counts an overload if the load exceeds the
+// engine's limit. It returns the text of a violation, if there is one. The caller holds e.mu.
 func (e *engine) recordColdSend(now time.Time, work time.Duration, notified bool) (violation string) {
 	speed := e.speedFraction(now)
 	if speed >= 1 {
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -25,36 +25,68 @@
 // faultKinds are the kinds of faults by their names in scripts. Kinds marked with * need a fault gateway, see
 // Process.AcceptsCommands.
 var faultKinds = map[string]faultKind{
-	"lose":       {target: true, inject: (*fleet).loseZone},               // a zone is lost: gateways are killed, engines are silent; it returns with cold engines after `for`
-	"silence":    {target: true},                                          // links to and from the target are cut
-	"freeze":     {target: true, inject: (*fleet).freezeGateways},         // gateways get SIGSTOP, and SIGCONT after `for`
-	"kill":       {target: true, inject: (*fleet).killGateways},           // gateways get SIGKILL, and are started again after `for`
-	"restart":    {target: true, inject: (*fleet).restartGateways},        // gateways get SIGTERM, and are started again `for` after they have exited
-	"reset":      {target: true, inject: (*fleet).resetConnections},       // connections of the target are reset
-	"drain":      {target: true, inject: (*fleet).drainZone},              // a zone is drained by the operator's file
-	"burst":      {target: true},                                          // clients of a zone send `factor` times as many requests
-	"slow":       {target: true, inject: (*fleet).slowEngines},            // engines take `factor` times as long per request
-	"order":      {target: true, inject: (*fleet).setDirectives},          // gateways are asked to set a directive: `text` is its kind and subject
-	"hush":       {inject: (*fleet).switchGossipOff},                      // the operator's file switches off gossip among gateways
-	"mode":       {target: true, inject: (*fleet).breakEngines},           // engines mishandle a fraction (`factor`) of requests; `text` is hang, error, spoil or break
-	"retire":     {target: true, inject: (*fleet).retireEngines},          // engines drain, stop after `for`, and return cold; `text` is empty, gone, both, flap or newid
-	"term":       {target: true, inject: (*fleet).terminateGateways},      // gateways get SIGTERM, SIGKILL after killDelay if they still run, and are started again
-	"signals":    {target: true, inject: (*fleet).signalGateways},         // gateways get a series of signals, such as `text` "HUP TERM STOP CONT"; after a TERM they are handled as by term
-	"late-dials": {target: true, inject: (*fleet).delayDials},             // * a fraction (`factor`) of connection attempts to engines is delayed by up to `delay`
-	"reload":     {target: true, inject: (*fleet).reloadTargets},          // gateways reload their files
-	"step":       {target: true, inject: (*fleet).stepClocks},             // * the wall clock is stepped by `factor` seconds
-	"calls":      {target: true, inject: (*fleet).failCalls},              // * a fraction (`factor`) of system calls fails; `text` names calls and error, such as "dial,accept ENETUNREACH"
-	"disk":       {target: true, inject: (*fleet).failDisk},               // * a fraction (`factor`) of calls on the result folder fails; `text` is as in "write,sync EIO"
-	"files":      {target: true, inject: (*fleet).limitFiles},             // gateways may open only a few more file descriptors
-	"log":        {target: true, inject: (*fleet).stallLogs},              // the harness does not read the gateways' logs
-	"rogue":      {target: true, inject: (*fleet).startRogueClients},      // clients that break the protocol connect to the gateways
-	"leave":      {inject: (*fleet).abandonMore},                          // a fraction (`factor`) of clients abandons its requests
-	"fifo":       {target: true, inject: (*fleet).replaceConfigsWithFIFO}, // the configuration file is replaced by a FIFO, and restored
-	"dark":       {inject: (*fleet).silenceNameServers},                   // the name service does not answer
-	"late":       {},                                                      // the name service's answers arrive late by `delay`
-	"lists":      {target: true, inject: (*fleet).restartListSerials},     // a fraction (`factor`) of its answers has the fault `text`, see listFaults; late ones are late by up to `delay`
-	"cut":        {link: true},                                            // links from `from` to `to` are cut
-	"link":       {link: true},                                            // links from `from` to `to` have a delay, jitter, loss and rate
+	// A zone is lost: gateways are killed, engines are silent. It returns with cold engines after `for`.
+	"lose": {target: true, inject: (*fleet).loseZone},
+	// Links to and from the target are cut.
+	"silence": {target: true},
+	// Gateways get SIGSTOP, and SIGCONT after `for`.
+	"freeze": {target: true, inject: (*fleet).freezeGateways},
+	// Gateways get SIGKILL, and are started again after `for`.
+	"kill": {target: true, inject: (*fleet).killGateways},
+	// Gateways get SIGTERM, and are started again `for` after they have exited.
+	"restart": {target: true, inject: (*fleet).restartGateways},
+	// Connections of the target are reset.
+	"reset": {target: true, inject: (*fleet).resetConnections},
+	// A zone is drained by the operator's file.
+	"drain": {target: true, inject: (*fleet).drainZone},
+	// Clients of a zone send `factor` times as many requests.
+	"burst": {target: true},
+	// Engines take `factor` times as long per request.
+	"slow": {target: true, inject: (*fleet).slowEngines},
+	// Gateways get a request to set a directive; `text` is its kind and subject.
+	"order": {target: true, inject: (*fleet).setDirectives},
+	// The operator's file switches off gossip among gateways.
+	"hush": {inject: (*fleet).switchGossipOff},
+	// Engines mishandle a fraction (`factor`) of requests; `text` is hang, error, spoil or break.
+	"mode": {target: true, inject: (*fleet).breakEngines},
+	// Engines drain, stop after `for`, and return cold; `text` is empty, gone, both, flap or newid.
+	"retire": {target: true, inject: (*fleet).retireEngines},
+	// Gateways get SIGTERM, and SIGKILL after killDelay if they still run; then they are started again.
+	"term": {target: true, inject: (*fleet).terminateGateways},
+	// Gateways get the series of signals in `text`, such as "HUP TERM STOP CONT". After a TERM they are killed and
+	// started as by term.
+	"signals": {target: true, inject: (*fleet).signalGateways},
+	// * A fraction (`factor`) of connection attempts to engines is delayed by up to `delay`.
+	"late-dials": {target: true, inject: (*fleet).delayDials},
+	// Gateways reload their files.
+	"reload": {target: true, inject: (*fleet).reloadTargets},
+	// * The wall clock is stepped by `factor` seconds.
+	"step": {target: true, inject: (*fleet).stepClocks},
+	// * A fraction (`factor`) of system calls fails; `text` names calls and error, such as "dial,accept ENETUNREACH".
+	"calls": {target: true, inject: (*fleet).failCalls},
+	// * A fraction (`factor`) of calls on the spool's folder fails; `text` names calls and error, as in "write,sync EIO".
+	"disk": {target: true, inject: (*fleet).failDisk},
+	// Gateways may open only a few more file descriptors.
+	"files": {target: true, inject: (*fleet).limitFiles},
+	// The harness does not read the gateways' logs.
+	"log": {target: true, inject: (*fleet).stallLogs},
+	// Clients that break the protocol connect to the gateways.
+	"rogue": {target: true, inject: (*fleet).startRogueClients},
+	// A fraction (`factor`) of clients abandons its requests.
+	"leave": {inject: (*fleet).abandonMore},
+	// The configuration file is replaced by a FIFO, and restored.
+	"fifo": {target: true, inject: (*fleet).replaceConfigsWithFIFO},
+	// The name service does not answer.
+	"dark": {inject: (*fleet).silenceNameServers},
+	// The name service's answers arrive late by `delay`.
+	"late": {},
+	// A fraction (`factor`) of the name service's answers has the fault `text`, see listFaults. `delay` is the maximum
+	// delay of a delayed answer.
+	"lists": {target: true, inject: (*fleet).restartListSerials},
+	// Links from `from` to `to` are cut.
+	"cut": {link: true},
+	// Links from `from` to `to` have a delay, jitter, loss and rate limit.
+	"link": {link: true},
 }
 
 // inject injects a fault and, if it has a duration, waits for that or the end of the context and reverts the fault.
@@ -130,8 +162,8 @@
 	return c
 }
 
-// affects reports whether a link lies between From and To, or back if Both is set. Links within a zone are affected
-// only if From names a single party.
+// affects reports whether the fault affects a link: one from From to To or, if Both is set, from To to From. Links
+// within a zone are affected only if From names a single party.
 func (f *Fault) affects(link *link) bool {
 	between := link.from.matches(f.From) && link.to.matches(f.To) ||
 		f.Both && link.from.matches(f.To) && link.to.matches(f.From)
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -53,7 +53,7 @@
 	unlisted        map[int]bool    // indices of the engines in lost zones that the list has dropped
 	drainedZones    map[string]bool // zones that the operator's file drains
 	gossipOff       atomic.Bool
-	abandonPermille atomic.Int64 // how many in a thousand clients abandon their request
+	abandonPermille atomic.Int64 // clients per thousand that abandon their request
 	lastEngineID    int          // number of the last engine id given out
 	directiveCount  int
 
@@ -96,7 +96,7 @@
 	return report, err
 }
 
-// overloadFactor returns the load that a cold engine can bear, as a multiple of its current speed.
+// overloadFactor returns the load limit of a cold engine, as a multiple of its current speed.
 func (f *fleet) overloadFactor() float64 {
 	if f.OverloadFactor > 0 {
 		return f.OverloadFactor
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// One direction is cut: queries from other zones reach a zone's engines, but the responses don't come back. No
+// One direction is cut: queries from other zones reach a zone's engines, but the responses do not arrive. No
 // request that is not idempotent may be sent twice, each client must get its response in time, and the zone's own
 // gateways must continue to serve.
 func TestResponsesCutOff(t *testing.T) {
--- a/internal/harness/gateway.go
+++ b/internal/harness/gateway.go
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	current *process  // nil: stopped, or being stopped
 	latest  *process  // the process started last; it may have exited
-	termAt  time.Time // when it was asked to stop; zero: not since its last start
+	termAt  time.Time // when it got SIGTERM or SIGKILL; zero: not since its last start
 	log     cappedLog
 
 	list endpointList // the engine list that its name server publishes
--- a/internal/harness/gatewayconfig.go
+++ b/internal/harness/gatewayconfig.go
@@ -164,7 +164,7 @@
 // unusedAddrCalls counts the calls of unusedAddr in this process, so that no two calls try the same port first.
 var unusedAddrCalls atomic.Uint32
 
-// Ports of gateways lie below the ephemeral range: the system could give an ephemeral port that is free now to a
+// Ports of gateways are below the ephemeral range: the system could give an ephemeral port that is free now to a
 // proxy or a connection before the gateway starts.
 const (
 	firstPort = 20_000
--- a/internal/harness/gossip_test.go
+++ b/internal/harness/gossip_test.go
@@ -8,7 +8,7 @@
 
 const gossipZones = "talk = true\n" + threeZones
 
-// An engine falls silent, and the gateways learn of it from one another through proxies that lose 30 % of all
+// An engine becomes silent, and the gateways learn of it from one another through proxies that lose 30 % of all
 // datagrams and delay the rest. One member is killed and returns, one is frozen, one is cut off in one direction, and
 // gossip is switched off at the end. None of this may affect clients.
 func TestGossipThroughFaults(t *testing.T) {
--- a/internal/harness/lifecycle.go
+++ b/internal/harness/lifecycle.go
@@ -90,7 +90,8 @@
 func (g *gateway) signal(sig syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.latest != nil && !g.latest.hasExited() { // latest, not current: a frozen process that is being stopped must be resumed to exit
+	// latest, not current: a frozen process that is being stopped has to be resumed before it can exit.
+	if g.latest != nil && !g.latest.hasExited() {
 		_ = g.latest.cmd.Process.Signal(sig)
 	}
 }
@@ -107,7 +108,8 @@
 	proc, stopping := g.current, g.latest
 	g.current, g.termAt = nil, began
 	g.mu.Unlock()
-	if proc == nil && sig == syscall.SIGKILL && stopping != nil && !stopping.hasExited() { // another call is stopping it: kill it meanwhile
+	// If another call is stopping the process, kill the process under that call.
+	if proc == nil && sig == syscall.SIGKILL && stopping != nil && !stopping.hasExited() {
 		g.killedAt.Store(began.UnixNano())
 		_ = stopping.cmd.Process.Kill()
 		<-stopping.exited
@@ -183,16 +185,16 @@
 	return old.Cur, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: min(limit, old.Max), Max: old.Max}, nil)
 }
 
-// checkExit reports a crash if a process that was asked to stop at askedAt did not exit cleanly. A process that was
+// checkExit reports a crash if a process that was signalled to stop at stopAt did not exit cleanly. A process that was
 // frozen meanwhile may have had to be killed.
-func (g *gateway) checkExit(err error, askedAt time.Time) {
-	if errors.Is(err, errNotExited) && g.frozenSince(askedAt) {
+func (g *gateway) checkExit(err error, stopAt time.Time) {
+	if errors.Is(err, errNotExited) && g.frozenSince(stopAt) {
 		return
 	}
 	g.reportCrash(err)
 }
 
-// reportCrash adds a violation if a process that was asked to stop exited with an error.
+// reportCrash adds a violation if a process exited with an error after a signal to stop.
 func (g *gateway) reportCrash(err error) {
 	if err != nil {
 		g.fleet.recorder.addViolation(Crashed, "%s exited with %v: %s", g.name, err, tail(g.log.String()))
--- a/internal/harness/lostattempts.go
+++ b/internal/harness/lostattempts.go
@@ -15,7 +15,7 @@
 }
 
 const (
-	idleCloseWindow         = 50 * time.Millisecond  // a request sent on an idle connection that is just being closed fails within this
+	idleCloseWindow         = 50 * time.Millisecond  // a request on a connection that is being closed fails within this
 	newConnectionsAfterTerm = 400 * time.Millisecond // how long after SIGTERM clients still open connections
 )
 
@@ -36,7 +36,7 @@
 		return
 	case !running && lost.began.After(exitedAt.Add(-idleCloseWindow-socketSlack)): // the process had exited
 		return
-	case !timedOut && !lost.newConnection && lost.took < idleCloseWindow+socketSlack: // the gateway closed the idle connection meanwhile
+	case !timedOut && !lost.newConnection && lost.took < idleCloseWindow+socketSlack: // it was closed while it was idle
 		return
 	case !timedOut && g.limitedUntil.Load() > lost.began.UnixNano() && lost.newConnection && lost.took < idleCloseWindow:
 		return
--- a/internal/harness/processfaults.go
+++ b/internal/harness/processfaults.go
@@ -68,7 +68,8 @@
 }
 
 func (f *fleet) killGateways(fault *Fault) (revertFunc, error) {
-	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) }) // a killed process is expected to exit with an error
+	// A killed process is expected to exit with an error.
+	f.eachGateway(fault.Target, func(g *gateway) { _ = g.stop(syscall.SIGKILL) })
 	return func() error { return f.startStoppedGateways(fault.Target) }, nil
 }
 
@@ -170,7 +171,8 @@
 		g.signal(syscall.SIGHUP)
 	})
 	return func() error {
-		f.eachGateway(fault.Target, func(g *gateway) { _ = os.Remove(g.path("config.json")) }) // writeFiles replaces the FIFO if this fails
+		// writeFiles replaces the FIFO if its removal fails.
+		f.eachGateway(fault.Target, func(g *gateway) { _ = os.Remove(g.path("config.json")) })
 		return f.reloadGateways(fault.Target)
 	}, errors.Join(errs...)
 }
--- a/internal/harness/recorder.go
+++ b/internal/harness/recorder.go
@@ -46,7 +46,7 @@
 	overlaps        []overlap                     // attempts that reached an engine while another with their key ran
 	retries         map[*gateway][]countedAttempt // attempts at engines beyond the first for a request
 	sends           map[*gateway][]countedAttempt // attempts that clients sent
-	rogueQueries    map[string]rogueQuery         // queries of rogue clients that have reached no engine yet, by request id
+	rogueQueries    map[string]rogueQuery         // rogue clients' queries that have reached no engine yet, by request id
 }
 
 // rogueQuery is a valid query of a rogue client, which does not wait for the answer.
@@ -176,7 +176,7 @@
 	return attempt
 }
 
-// recordEngineRejection uncounts an engine request that the engine rejected without running it.
+// recordEngineRejection subtracts a request that an engine rejected without running it from the attempt's count.
 func (r *recorder) recordEngineRejection(attempt *clientAttempt) {
 	r.mu.Lock()
 	attempt.engineRequests--
--- a/internal/harness/report.go
+++ b/internal/harness/report.go
@@ -14,22 +14,22 @@
 	Seconds            []Second
 	Classes            []ClassReport
 	Violations         []string                     `json:"Breaches"` // texts of the first maxViolations violations
-	ColdOverloads      int                          `json:"Fallen"`   // times that a cold engine received more load than it can bear
+	ColdOverloads      int                          `json:"Fallen"`   // overloads of cold engines
 	Attempts           int                          // attempts that reached engines
-	ClientAttempts     int                          `json:"Tries"` // requests that clients sent to gateways, including retries
+	ClientAttempts     int                          `json:"Tries"` // requests that clients sent, including retries
 	RSSMB              float64                      // mean over the gateways, before they stop
 	CPUSeconds         float64                      `json:"CPU"`     // CPU time of all gateways
 	AcceptedDirectives []string                     `json:"Ordered"` // directives that a gateway confirmed as in effect
 	FailedDirectives   int                          `json:"Unheld"`  // directives that a gateway did not confirm
 	MaxReplicaEntries  int                          `json:"Copies"`  // most replicated entries that a gateway logged
-	CrossZoneAttempts  int                          `json:"Cross"`   // attempts that reached an engine outside their gateway's zone
+	CrossZoneAttempts  int                          `json:"Cross"`   // attempts at engines outside their gateway's zone
 	Links              map[string]faultproxy.Counts `json:"Ways"`    // by "from > to"
 	ViolationCounts    [violationKindCount]int      `json:"Verdicts"`
-	StoredResults      int                          `json:"Kept"` // results that gateways confirmed as stored, and that were checked after a kill
-	Pauses             int                          // of the harness process itself, which can't judge what arrives meanwhile
+	StoredResults      int                          `json:"Kept"` // results confirmed as stored and checked after a kill
+	Pauses             int                          // of the harness process, which can't check what arrives meanwhile
 	LongestPause       time.Duration
 	LateResponses      int           `json:"Late"` // responses that arrived after their deadline but do not count as lost
-	SlowestDrain       time.Duration // longest time from notifying a gateway of a drain to an attempt of the gateway at that engine
+	SlowestDrain       time.Duration // longest time from a gateway's notification of a drain to its last attempt there
 	Events             []Event       // faults, and zone states and membership changes that gateways logged, by time
 
 	zoneCount int
@@ -38,7 +38,7 @@
 // Second holds the figures of one second of the run.
 type Second struct {
 	OfferedWeight   float64   `json:"Offered"` // priority weight of the requests first sent in this second
-	ServedWeight    float64   `json:"Worth"`   // weight that those requests earned: all if served within the objective, lateValue of it if late
+	ServedWeight    float64   `json:"Worth"`   // weight that those requests earned; a late response earns lateValue of it
 	WorkByZone      []float64 `json:"To"`      // work that reached each zone's engines, in core seconds
 	CrossZoneWork   []float64 `json:"Foreign"` // the part of WorkByZone that gateways of other zones sent
 	Rejected        []int     `json:"Refused"` // first attempts that were rejected, by class
@@ -146,19 +146,19 @@
 
 // Kinds of violations.
 const (
-	LostRequest         ViolationKind = iota // a request that was read got no final response, or a stored result is missing
+	LostRequest         ViolationKind = iota // a request that was read got no response, or a stored result is missing
 	DuplicateExecution                       // an engine received a request again that may have run and must not run twice
 	SentAfterDisconnect                      // an engine received a request whose client had disconnected
 	PastDeadline                             // the deadline passed to an engine is later than its client's
-	SentWhileDraining                        // an engine received a request from a gateway that knew it as draining or removed
-	SlowStartExceeded                        // a cold engine received more than it can bear from gateways that knew of its start
-	WrongResponse                            // a client got rows that no engine produced for its request, or an engine a request that no client sent
+	SentWhileDraining                        // a gateway sent a request to an engine after it was notified of its drain
+	SlowStartExceeded                        // gateways that were notified of an engine's start overloaded it while cold
+	WrongResponse                            // a client got rows of another request, or an engine an unknown request
 	Crashed                                  // a process exited by itself or with an error, or not in time after SIGTERM
 	NotReady                                 // a process was not ready within 10 s of its start
-	OrderViolated                            // two requests of an ordered class with the same key ran at once
+	OrderViolated                            // requests with one order key overlapped, or one began in a quarantine
 	WrongZone                                // a request ran in a zone its class must not use
 	RetryBudgetExceeded                      // a gateway retried more than its settings allow
-	InvariantBroken                          // a gateway logged an invariant as broken
+	InvariantBroken                          // a gateway logged a broken invariant
 	violationKindCount
 )
 
--- a/internal/harness/restart_test.go
+++ b/internal/harness/restart_test.go
@@ -70,7 +70,8 @@
 			}
 			defer func() { _ = db.Close() }()
 			for time.Since(began) < 2*readyLimit {
-				if halfLogin, err := net.DialTimeout("tcp", listen, time.Second); err == nil { // a client that sends only part of a login
+				// A client that sends only part of a login.
+				if halfLogin, err := net.DialTimeout("tcp", listen, time.Second); err == nil {
 					_, _ = halfLogin.Write([]byte{60, 0, 0, 1, 3})
 					_ = halfLogin.Close()
 				}
--- a/internal/harness/script.go
+++ b/internal/harness/script.go
@@ -19,7 +19,7 @@
 	Name        string  `hcl:"name,label"`
 	Gateways    int     `hcl:"gateways"`
 	Engines     int     `hcl:"engines"`
-	ClientShare float64 `hcl:"clients,optional"` // share of all requests relative to the other zones; 0: the number of its engines
+	ClientShare float64 `hcl:"clients,optional"` // relative share of all requests; 0: its number of engines
 }
 
 // Fault is a fault of one of the kinds in faultKinds. From, To and Target are selectors: a party ("hall-a/g0",
@@ -59,11 +59,11 @@
 	ColdFrom       float64 `hcl:"cold_from,optional"` // speed of an engine at its start, as a fraction of its full speed
 	OperatorFile   string  `hcl:"operator,optional"`  // text of the operator's file
 	Gossip         bool    `hcl:"talk,optional"`      // gateways gossip, through one proxy per pair and direction
-	OverloadFactor float64 `hcl:"overload,optional"`  // load that a cold engine can bear, in multiples of its current speed; 0: defaultOverloadFactor
+	OverloadFactor float64 `hcl:"overload,optional"`  // load limit of cold engines over their speed; 0: the default
 	AbandonShare   float64 `hcl:"leave,optional"`     // fraction of clients that abandon their request
 	KeyedShare     float64 `hcl:"notes,optional"`     // fraction of requests in the class with idempotency keys
 	OrderedShare   float64 `hcl:"in_turn,optional"`   // fraction of requests in the ordered class
-	FirstZoneShare float64 `hcl:"placed,optional"`    // fraction of requests in the class that may run in the first zone only
+	FirstZoneShare float64 `hcl:"placed,optional"`    // fraction of requests in the class of the first zone only
 	RetryBudget    float64 `hcl:"ration,optional"`    // retries allowed per accepted request; 0: unlimited
 	DeadlineFactor float64 `hcl:"deadlines,optional"` // multiplies the default deadlines; 0: unchanged
 	WindowFactor   float64 `hcl:"windows,optional"`   // multiplies the default idempotency windows; 0: unchanged
--- a/internal/harness/zonefaults.go
+++ b/internal/harness/zonefaults.go
@@ -94,7 +94,7 @@
 	return nil, nil
 }
 
-// setDirectives asks each of the target's gateways to set the directive in the fault's text.
+// setDirectives sends each of the target's gateways a request to set the directive in the fault's text.
 func (f *fleet) setDirectives(fault *Fault) (revertFunc, error) {
 	f.eachGateway(fault.Target, func(g *gateway) { f.setDirective(g, fault.Text) })
 	return nil, nil
