--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -50,7 +50,7 @@
 	return proxy, forward, reverse, c
 }
 
-// roundTrip writes a text and returns the bytes that come back within the timeout, and the time they took.
+// roundTrip writes a text and returns the bytes received within the timeout, and the time they took.
 func roundTrip(t *testing.T, c net.Conn, text string, timeout time.Duration) (string, time.Duration, error) {
 	t.Helper()
 	began := time.Now()
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// UDP is a proxy for datagrams to one target. It opens a separate socket to the target for each source, so that it
-// knows to which source an answer belongs.
+// UDP is a proxy for datagrams to one target. It opens a separate socket to the target for each source, which
+// identifies the source that an answer belongs to.
 type UDP struct {
 	conn    *net.UDPConn
 	target  *net.UDPAddr
