--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak runs random fleets of real processes with overlapping faults, on package harness, and reports the
-// violations that clients and engines observed. It must not check a gateway's internal state, except for the
-// invariant violations that the gateway itself logs.
+// Package soak owns soak runs: random fleets of real processes with overlapping faults, which package harness runs. It
+// reports the violations that clients and engines observed. It must not check a gateway's internal state, except for
+// the invariant violations that the gateway itself logs.
 package soak
 
 import (
@@ -20,7 +20,7 @@
 
 const (
 	engineCount      = 6 // of both zones together
-	coresPerEngine   = 8 // of an engine
+	coresPerEngine   = 8
 	engineColdStart  = 4 * time.Second
 	firstFaultAt     = 600 * time.Millisecond
 	faultStartWindow = 1500 * time.Millisecond // faults start within this time after firstFaultAt
