--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -44,7 +44,7 @@
 	coldWork            float64          // sum of the samples
 	notifiedWork        float64          // the part of coldWork from gateways that had been notified of the start
 	peakSlowStartBudget float64          // maximum used fraction of the slow-start budget
-	workSinceStart      float64          // work received since its start, counted until recordRampUp has recorded it
+	workSinceStart      float64          // work received since its start, while cold
 }
 
 // priorityBand holds the running jobs of one priority. They share the band's rate.
@@ -97,8 +97,8 @@
 	return j
 }
 
-// warmUpSpeed returns the current fraction of the engine's full speed, which rises linearly over SlowStartPeriod.
-func (e *engine) warmUpSpeed() float64 {
+// speedFraction returns the current fraction of the engine's full speed, which rises linearly over SlowStartPeriod.
+func (e *engine) speedFraction() float64 {
 	c := e.fleet.scenario.Settings.Constraints
 	if e.startedAt == 0 || c.SlowStartPeriod == 0 || e.fleet.now >= e.startedAt+c.SlowStartPeriod {
 		return 1
@@ -112,7 +112,7 @@
 // updateRates recomputes the bands' rates from their thread counts.
 func (e *engine) updateRates() {
 	m := e.fleet.scenario.Engine
-	speed := e.warmUpSpeed() / e.slowdown
+	speed := e.speedFraction() / e.slowdown
 	low, high := &e.bands[0], &e.bands[1]
 	if overload := (low.threads+high.threads)/(m.KneeThreads*m.Cores) - 1; overload > 0 {
 		speed *= 1 - m.OverloadLoss*min(overload, 1)
@@ -136,8 +136,8 @@
 	e.advancedAt = e.fleet.now
 }
 
-// warmUpInterval is the maximum interval between updates of the speed of a busy engine that warms up.
-const warmUpInterval = 100 * rules.Millisecond
+// slowStartUpdateInterval is the maximum interval between updates of the speed of a busy engine in slow start.
+const slowStartUpdateInterval = 100 * rules.Millisecond
 
 // armTimer recomputes the rates and schedules the next job completion.
 func (e *engine) armTimer() {
@@ -152,8 +152,8 @@
 	if wait == math.MaxInt64 {
 		return
 	}
-	if e.warmUpSpeed() < 1 {
-		wait = min(wait, warmUpInterval)
+	if e.speedFraction() < 1 {
+		wait = min(wait, slowStartUpdateInterval)
 	}
 	generation := e.timerGeneration
 	e.fleet.after(wait, func() {
@@ -239,7 +239,7 @@
 // exceeded. Work that the engine then rejects for lack of a slot counts as well.
 func (e *engine) chargeSlowStartBudget(work float64, notified bool) {
 	c := e.fleet.scenario.Settings.Constraints
-	if e.warmUpSpeed() >= 1 || c.OverloadWindow == 0 {
+	if e.speedFraction() >= 1 || c.OverloadWindow == 0 {
 		e.coldWorkSamples, e.coldWork, e.notifiedWork = nil, 0, 0
 		return
 	}
@@ -250,7 +250,7 @@
 		e.adjustColdWork(e.coldWorkSamples[0], -1)
 		e.coldWorkSamples = e.coldWorkSamples[1:]
 	}
-	used := e.coldWork / (c.OverloadFactor * e.warmUpSpeed() * e.fleet.scenario.Engine.Cores * float64(c.OverloadWindow))
+	used := e.coldWork / (c.OverloadFactor * e.speedFraction() * e.fleet.scenario.Engine.Cores * float64(c.OverloadWindow))
 	e.peakSlowStartBudget = max(e.peakSlowStartBudget, used)
 	if used <= 1 {
 		return
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -78,7 +78,7 @@
 	s := f.Metrics.second(f.now)
 	for _, e := range f.engines {
 		if !e.stopped && !e.collapsed && !e.silent && e.state == rules.EngineServing {
-			s.Capacity[e.zone] += f.scenario.Engine.Cores * e.warmUpSpeed() / e.slowdown * float64(capacityInterval) / float64(rules.Second)
+			s.Capacity[e.zone] += f.scenario.Engine.Cores * e.speedFraction() / e.slowdown * float64(capacityInterval) / float64(rules.Second)
 		}
 	}
 	f.after(capacityInterval, f.recordCapacity)
--- a/internal/emulator/metrics.go
+++ b/internal/emulator/metrics.go
@@ -15,7 +15,7 @@
 	Failed              int     // requests answered with another error
 	Unanswered          int     // requests without a final answer by their deadline
 	OverloadCollapses   int     // cold engines that collapsed because they exceeded their slow-start budget
-	NotifiedCollapses   int     // of these, with at least notifiedFraction of the work from gateways notified of the start
+	NotifiedCollapses   int     // of these, with at least two thirds of the work from gateways notified of the start
 	PeakSlowStartBudget float64 // maximum fraction of its slow-start budget that a cold engine received
 	Attempts            int
 	Retries             int // attempts after the first of a request
@@ -27,7 +27,7 @@
 	GossipBytes         int // sent between gateways
 	ZoneTransitions     int // state changes of zones, summed over the gateways
 	Transitions         []Transition
-	Shed                int // rejected requests, shed in favour of a higher value
+	Shed                int // of the rejected requests, those shed in favour of requests of a higher value
 	// RampUpTimes are the times from an engine's start until it had received the work that its cores do in one second.
 	RampUpTimes  []rules.Time
 	LostAttempts [rules.StatusNotExecuted + 1]int // attempts without a successful response, by status
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -43,7 +43,7 @@
 	g.every(zoneEvaluationInterval, g.updateZones)
 }
 
-// engineObservations returns what the gateway knows of each serving engine.
+// engineObservations returns the gateway's observation of each serving engine.
 func (g *gateway) engineObservations() (list []zones.EngineObservation) {
 	f := g.fleet
 	for _, view := range g.module.EngineViews() {
@@ -91,7 +91,8 @@
 	return !shed
 }
 
-// shedOrder holds the extreme value tiers of the first tries that a gateway admitted and shed within one second.
+// shedOrder holds the lowest value tier that a gateway admitted and the highest that it shed within one second, of
+// first tries.
 type shedOrder struct {
 	second                      rules.Time
 	lowestAdmitted, highestShed int
