--- a/internal/faultgateway/defects.go
+++ b/internal/faultgateway/defects.go
@@ -28,7 +28,7 @@
 	DefectDrainIgnored          = "drain_ignored"         // draining engines are treated as active
 	DefectNonIdempotentTwice    = "unsafe_twice"          // a request that is not idempotent is sent to a second engine
 	DefectSentAfterDisconnect   = "sent_after_gone"       // a request is sent after its client has disconnected
-	DefectSlowStartOverload     = "cold_overload"         // engines that have just started receive all requests but data loads
+	DefectSlowStartOverload     = "cold_overload"         // engines that have just started get all requests but data loads
 	DefectResponseLate          = "answer_late"           // some responses are delayed beyond their deadline
 	DefectClosedWithoutResponse = "close_unanswered"      // some connections are closed in place of a response
 	DefectWallClockDeadline     = "wall_deadline"         // deadlines follow the wall clock
--- a/internal/faultgateway/faultgateway.go
+++ b/internal/faultgateway/faultgateway.go
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Serve runs the gateway like `foxlane serve --verbose` until SIGTERM. Site is the path of the site file; empty: none.
+// Serve runs the gateway like `foxlane serve --verbose` until SIGTERM. Site is the path of the operator's file; empty:
+// none.
 func Serve(site string) error {
 	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
