--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -15,7 +15,7 @@
 )
 
 // This file measures admission control without sockets: shares and Retry-After in virtual time, and the state size
-// and the processor cost of the controller alone.
+// and the CPU cost of the controller alone.
 
 // modelCores is the number of requests that the engines of a model run at once.
 const modelCores = 32
@@ -98,8 +98,8 @@
 
 // retriesAfterRejection simulates 400 clients of 20 tenants that honour Retry-After, with at most 120 open requests
 // of which 32 run at once. For the second half of the run, service times are multiplied by the slowdown. It returns
-// the fraction of retries after a Retry-After that were served rather than rejected again, and the median of the
-// time from rejection to admission, as a multiple of the Retry-After.
+// the fraction of the retries, each sent when its Retry-After has passed, that were served rather than rejected again,
+// and the median of the time from rejection to admission, as a multiple of the Retry-After.
 func retriesAfterRejection(slowdown float64) (served, p50 float64) {
 	limits := modelLimits()
 	limits.Requests = 120
--- a/internal/measure/cost.go
+++ b/internal/measure/cost.go
@@ -16,7 +16,7 @@
 // costTimeout is the timeout of the clients in Cost.
 const costTimeout = 2500 * time.Millisecond
 
-// Cost measures the fast path: the processor time per request and the memory of the gateway with 200 connections
+// Cost measures the fast path: the CPU time per request and the memory of the gateway with 200 connections
 // that send without a pause to engines that take 2 ms, and the latency that the gateway adds to a request at low
 // load. The gateway is the path of its program; empty: the program is built from this module.
 func Cost(ctx context.Context, gateway, siteConfig string, seconds int, progress io.Writer) (*Report, error) {
@@ -49,7 +49,7 @@
 // gatewayUsage is the resource usage of a gateway under a load.
 type gatewayUsage struct {
 	stats *ClientStats
-	cpuUS float64 // processor time per served request, in microseconds
+	cpuUS float64 // CPU time per served request, in microseconds
 	rssMB float64
 }
 
--- a/internal/measure/fair.go
+++ b/internal/measure/fair.go
@@ -11,7 +11,7 @@
 // This file measures admission control on sockets, with quiet clients beside a flood. Measurements in virtual time
 // are in admission.go.
 
-// fairSiteConfig is a site configuration that turns admission control on.
+// fairSiteConfig is the text of an operator's file that turns admission control on.
 const fairSiteConfig = "fair {\n}\n"
 
 // fairSetup returns the setup for which the targets were chosen: two engines of 16 slots, 100 ms per query.
--- a/internal/measure/gossip.go
+++ b/internal/measure/gossip.go
@@ -71,7 +71,7 @@
 	return metrics.ServedShare(s.fromSecond, s.toSecond), metrics.Probes
 }
 
-// gossipCost measures the processor time and the memory that gossip adds to six gateway processes.
+// gossipCost measures the CPU time and the memory that gossip adds to six gateway processes.
 func gossipCost(ctx context.Context, gateway string, r *Report, progress io.Writer) error {
 	gateway, remove, err := GatewayProgram(ctx, gateway)
 	if err != nil {
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -24,7 +24,7 @@
 	SourceAddr    func(client int) netip.Addr
 	Interval      time.Duration // mean time between a client's requests (open loop); 0: closed loop
 	Timeout       time.Duration
-	TimedFromSend bool          // count latencies from sending, not from the due time: timers err by up to 1 ms
+	TimedFromSend bool          // count latencies from sending, not from the due time, which timers miss by up to 1 ms
 	WarmUp        time.Duration // requests due within this time after the start are not counted
 }
 
--- a/internal/measure/testbed.go
+++ b/internal/measure/testbed.go
@@ -238,7 +238,7 @@
 // Log returns the gateway's log so far. It is complete once the gateway has ended.
 func (t *Testbed) Log() string { return t.log.String() }
 
-// CPU returns the processor time that the gateway has used so far.
+// CPU returns the CPU time that the gateway has used so far.
 func (t *Testbed) CPU() (time.Duration, error) {
 	u, err := harness.UsageOf(t.gateway.Process.Pid)
 	return time.Duration(u.CPUSeconds * float64(time.Second)), err
@@ -251,7 +251,7 @@
 }
 
 // Close stops the gateway, waits for it, and ends the testbed. It returns an error if the gateway did not shut down
-// in order.
+// cleanly.
 func (t *Testbed) Close() error {
 	var err error
 	if t.gateway != nil && t.gateway.Process != nil {
--- a/internal/measure/zones.go
+++ b/internal/measure/zones.go
@@ -82,7 +82,7 @@
 	r.setValue("cross_share", runs.medianRatio(scenarioCalm, zoneRun.crossZoneShare), "0.5 or less of without the plan")
 	r.setValue("worth_lost_over_off", runs.medianRatio(scenarioZoneLost, zoneRun.served), "")
 	r.setValue("worth_lost_site", runs.ratioToBestStatic(), "0.9 or more of the best static split")
-	r.setValue("recover_ratio", median(column(lost, func(run zoneRun) float64 { return run.recoverySeconds }))/warmUpSeconds(), "1.5 or less")
+	r.setValue("recover_ratio", median(column(lost, func(run zoneRun) float64 { return run.recoverySeconds }))/slowStartSeconds(), "1.5 or less")
 	r.setValue("retry_amplification", median(column(lost, zoneRun.attemptsPerRequest)), "1.2 or less")
 	r.setValue("worth_flap_over_off", runs.medianRatio(scenarioFlapping, zoneRun.served), "")
 	r.setValue("flap_moves", median(column(flapping, func(run zoneRun) float64 { return run.lateTransitions }))/(flaps-toleratedFlaps), "under 0.1 a flap after the third")
--- a/internal/measure/zonescenarios.go
+++ b/internal/measure/zonescenarios.go
@@ -87,8 +87,8 @@
 	transitions                           float64 // all of the run
 	lateTransitions                       float64 // those after the tolerated flaps
 	recoverySeconds                       float64 // from the zone's return until recoveredShare is reached
-	misordered, shedding                  int     // gateway seconds that shed a higher value than one admitted; that shed at all
-	rejectedMisordered                    int     // seconds, see misorderedSeconds; rejected by the plan or the decision module
+	misordered, shedding                  int     // MisorderedSeconds and SheddingSeconds of the metrics
+	rejectedMisordered                    int     // see misorderedSeconds; rejected by the plan or the module
 	overSpillLimit                        int     // seconds, see secondsOverSpillLimit
 	shed                                  int
 	probes                                float64 // per gateway and second
@@ -101,8 +101,8 @@
 // recoveredShare is the fraction of the former served share at which a fleet counts as recovered.
 const recoveredShare = 0.95
 
-// warmUpSeconds returns the slow-start period of the engines in the scenarios.
-func warmUpSeconds() float64 {
+// slowStartSeconds returns the slow-start period of the engines in the scenarios.
+func slowStartSeconds() float64 {
 	return float64(emulator.Warehouse(1, 1, 1, 1).Settings.Constraints.SlowStartPeriod) / float64(rules.Second)
 }
 
@@ -154,8 +154,8 @@
 	}
 }
 
-// recoverySeconds returns the seconds from the zone's return until the fleet has recovered, at the latest the
-// second to.
+// recoverySeconds returns the seconds from the zone's return until the fleet has recovered, or until endSecond if it
+// has not recovered before.
 func recoverySeconds(metrics *emulator.Metrics, endSecond int) float64 {
 	const fromSecond, lostSecond, returnSecond = 4, int(lostAt / rules.Second), int((lostAt + outageDuration) / rules.Second)
 	formerShare := metrics.ServedShare(fromSecond, lostSecond)
@@ -183,7 +183,7 @@
 }
 
 const (
-	orderSlack    = 0.05 // by which a higher value's rejected fraction may exceed a lower value's
+	orderSlack    = 0.05 // by which a higher value's rejected fraction in a second may exceed a lower one's
 	orderMinTries = 20   // fewer first tries of a value give no meaningful rejected fraction
 )
 
