--- a/rules/overdue.go
+++ b/rules/overdue.go
@@ -12,8 +12,8 @@
 	slowFactor = 1.35
 	// slowObjectiveFraction is the fraction of the latency objective below which no attempt counts as slow.
 	slowObjectiveFraction = 0.1
-	// overdueRunTimeFactor and overdueDeviations define when an attempt is overdue: after that multiple of the
-	// time expected for work that exceeds the prediction by that many standard deviations.
+	// overdueRunTimeFactor and overdueDeviations define when an attempt is overdue: after that multiple of
+	// the time expected for work that exceeds the prediction by that many standard deviations.
 	overdueRunTimeFactor = 1.2
 	overdueDeviations    = 2
 	// overdueObjectiveFraction is the fraction of the latency objective below which no attempt is overdue.
