--- a/internal/admission/accounts.go
+++ b/internal/admission/accounts.go
@@ -85,7 +85,7 @@
 	for i := range queues {
 		queues[i] = clientQueue{requestList{noSlot, noSlot}, noSlot, noSlot}
 	}
-	if recorded, ok := c.clientDebts.take(client.key); ok {
+	if recorded, ok := c.clientDebts.remove(client.key); ok {
 		client.virtualTime = max(client.virtualTime, recorded.virtualTime)
 	}
 	tenant.clients = append(tenant.clients, client)
@@ -106,7 +106,7 @@
 	for i := range flows {
 		flows[i].heap, flows[i].heapIndex = flows[i].heap[:0], noSlot
 	}
-	if recorded, ok := c.tenantDebts.take(p.tenant); ok {
+	if recorded, ok := c.tenantDebts.remove(p.tenant); ok {
 		tenant.virtualTime, tenant.bookedUntil = recorded.virtualTime, recorded.bookedUntil
 	} else {
 		tenant.virtualTime = c.evictedDebts.get(p.tenant)
--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -28,7 +28,7 @@
 	returnAfter  rules.Time // requests before this time count as early returns
 }
 
-func (c *Controller) connectionOpened(slot int, from Address) {
+func (c *Controller) handleConnectionOpened(slot int, from Address) {
 	conn := &c.connections[slot]
 	*conn = connection{slot: conn.slot, address: from, origin: c.resolver.originOf(from), stateSince: c.now, state: connectionNew}
 	conn.client = c.findOrAddClient(conn.origin.principal)
@@ -39,13 +39,13 @@
 	}
 }
 
-func (c *Controller) connectionClosed(conn *connection) {
+func (c *Controller) handleConnectionClosed(conn *connection) {
 	if conn.state == connectionFree {
 		return
 	}
 	c.openConnections--
 	conn.state = connectionFree
-	c.inputBuffered(conn, 0)
+	c.handleInputBuffered(conn, 0)
 	client := conn.client
 	conn.client = nil
 	client.connections--
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -116,31 +116,31 @@
 // Handle processes one event and returns the effects to carry out, in order. The result is valid until the next call.
 func (c *Controller) Handle(now rules.Time, event Event) []Effect {
 	c.effects = c.effects[:0]
-	c.now = max(c.now, now) // if the clock steps back, time stands still
+	c.now = max(c.now, now) // if the clock steps back, the controller's time does not advance
 	switch event.Kind {
 	case ConnectionOpened:
-		c.connectionOpened(event.Conn, event.From)
+		c.handleConnectionOpened(event.Conn, event.From)
 	case ConnectionClosed:
-		c.connectionClosed(&c.connections[event.Conn])
+		c.handleConnectionClosed(&c.connections[event.Conn])
 	case ConnectionIdle:
 		c.setConnectionState(&c.connections[event.Conn], connectionIdle)
 	case InputBuffered:
-		c.inputBuffered(&c.connections[event.Conn], event.Bytes)
+		c.handleInputBuffered(&c.connections[event.Conn], event.Bytes)
 	case RequestArrived:
-		c.requestArrived(event.Slot, event.Conn, event.Request)
+		c.handleRequestArrived(event.Slot, event.Conn, event.Request)
 	case RequestForwarded:
-		c.requestForwarded(&c.requests[event.Slot])
+		c.handleRequestForwarded(&c.requests[event.Slot])
 	case EngineTimeUsed:
 		c.requests[event.Slot].engineTime += float64(event.EngineTime) * c.threads(c.requests[event.Slot].class)
 	case RequestDone:
-		c.requestDone(&c.requests[event.Slot], event.Served)
+		c.handleRequestDone(&c.requests[event.Slot], event.Served)
 	case RequestRejected:
 		request := &c.requests[event.Slot]
 		c.rejectAdmitted(request, ReasonModule)
 	case Reconfigured:
 		c.reconfigure(*event.Settings, event.DeclaredTenants)
 	case Stopping:
-		c.stop(event.Deadline)
+		c.beginShutdown(event.Deadline)
 	}
 	c.admitQueued()
 	c.expire()
@@ -163,9 +163,9 @@
 	return s
 }
 
-// stop caps the deadlines of all queued requests at the shutdown deadline. Handle then rejects those that can't meet
-// it.
-func (c *Controller) stop(deadline rules.Time) {
+// beginShutdown caps the deadlines of all queued requests at the shutdown deadline. Handle then rejects those that
+// can't meet it.
+func (c *Controller) beginShutdown(deadline rules.Time) {
 	c.stopping, c.shutdownDeadline = true, deadline
 	for i := range c.requests {
 		if request := &c.requests[i]; request.state == requestBlocked || request.state == requestQueued {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -225,15 +225,15 @@
 	for range 2000 {
 		sim.advance(10 * ms)
 		due := returns[:0:0]
-		rest := returns[:0:0]
+		pending := returns[:0:0]
 		for _, k := range returns {
 			if k.at <= sim.now {
 				due = append(due, k)
 			} else {
-				rest = append(rest, k)
+				pending = append(pending, k)
 			}
 		}
-		returns = rest
+		returns = pending
 		for _, k := range due {
 			n++
 			id := fmt.Sprint("b", n)
--- a/internal/admission/debts.go
+++ b/internal/admission/debts.go
@@ -37,14 +37,14 @@
 
 func (t *debtTable) bytes() int { return len(t.sets) * int(unsafe.Sizeof(debt{})) }
 
-func (t *debtTable) set(key uint64) []debt {
+func (t *debtTable) setOf(key uint64) []debt {
 	i := (key & t.mask) * debtTableWays
 	return t.sets[i : i+debtTableWays]
 }
 
-// take removes and returns the debt of a key.
-func (t *debtTable) take(key uint64) (found debt, ok bool) {
-	set := t.set(key)
+// remove deletes the debt of a key and returns it.
+func (t *debtTable) remove(key uint64) (found debt, ok bool) {
+	set := t.setOf(key)
 	for i := range set {
 		if set[i].key == key {
 			found, set[i] = set[i], debt{}
@@ -58,7 +58,7 @@
 // at most floor and whose bookedUntil has passed. If there is none, it returns the debt that did not fit: the one
 // with the least virtual time, which may be entry itself. Otherwise the key of the result is 0.
 func (t *debtTable) put(entry debt, floor float64, now rules.Time) (evicted debt) {
-	set := t.set(entry.key)
+	set := t.setOf(entry.key)
 	least := 0
 	for i := range set {
 		if set[i].key == 0 || set[i].key == entry.key || set[i].virtualTime <= floor && set[i].bookedUntil <= now {
--- a/internal/admission/guards_test.go
+++ b/internal/admission/guards_test.go
@@ -30,19 +30,19 @@
 	sim.startClosedLoop("10.0.0.1", "coop", 20, 50*ms)
 	sim.advance(30 * rules.Second)
 	clear(work)
-	mine := []int{idle}
+	conns := []int{idle}
 	sim.send(idle, "away", "coop", 50*ms, nil)
 	for i := range 19 {
 		c := sim.connect("10.0.0.2")
 		sim.send(c, fmt.Sprint("back", i), "coop", 50*ms, nil)
-		mine = append(mine, c)
+		conns = append(conns, c)
 	}
 	sim.advance(2 * rules.Second)
 	sum, idleWork := 0.0, 0.0
 	for _, w := range work {
 		sum += w
 	}
-	for _, c := range mine {
+	for _, c := range conns {
 		idleWork += work[c]
 	}
 	if idleWork/sum > 0.6 {
@@ -55,15 +55,15 @@
 func reconnectingShare(t *testing.T, settings Settings, tenant func(i int) string, address func(i int) string) float64 {
 	sim := newSimulation(t, settings, testLimits(), oneClass())
 	n := 0
-	mine, all := 0.0, 0.0
+	reconnectingWork, totalWork := 0.0, 0.0
 	sim.onServed = func(request *simulatedRequest) {
-		all += float64(request.runTime)
+		totalWork += float64(request.runTime)
 		n++
 		if request.id[0] != 'x' {
 			sim.send(request.connection, fmt.Sprint("r", n), request.tenant, request.runTime, nil)
 			return
 		}
-		mine += float64(request.runTime)
+		reconnectingWork += float64(request.runTime)
 		sim.disconnect(request.connection)
 		sim.send(sim.connect(address(9)), fmt.Sprint("x", n), tenant(9), 400*ms, nil)
 	}
@@ -73,10 +73,10 @@
 		}
 	}
 	sim.advance(2 * rules.Second)
-	mine, all = 0, 0
+	reconnectingWork, totalWork = 0, 0
 	sim.send(sim.connect(address(9)), "x", tenant(9), 400*ms, nil)
 	sim.advance(30 * rules.Second)
-	return mine / all
+	return reconnectingWork / totalWork
 }
 
 func TestDebtsOutlastAConnection(t *testing.T) {
--- a/internal/admission/identity_test.go
+++ b/internal/admission/identity_test.go
@@ -131,7 +131,7 @@
 		table.put(debt{key(i), v, 0}, 0, 0)
 	}
 	for i := 7; i < 20_000; i += 1000 {
-		if r, ok := table.take(key(i)); !ok || r.virtualTime != 1e6 {
+		if r, ok := table.remove(key(i)); !ok || r.virtualTime != 1e6 {
 			t.Errorf("heavy tenant %d: %+v, %v", i, r, ok)
 		}
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-// When the clock steps back, time stands still for the controller: no request is rejected, and no queueing time is
+// When the clock steps back, the controller's time does not advance: no request is rejected, and no queueing time is
 // negative.
 func TestClockStepsBack(t *testing.T) {
 	sim := newSimulation(t, trustingSettings(), testLimits(), oneClass())
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -137,9 +137,9 @@
 	return true
 }
 
-// inputBuffered updates the size of the incomplete packet of a connection. While the total exceeds the limit, the
+// handleInputBuffered updates the size of the incomplete packet of a connection. While the total exceeds the limit, the
 // tenant most over its quota loses its connection with the largest incomplete packet.
-func (c *Controller) inputBuffered(conn *connection, bytes int) {
+func (c *Controller) handleInputBuffered(conn *connection, bytes int) {
 	if conn.client == nil {
 		return
 	}
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -46,8 +46,8 @@
 	bookedDelay                        rules.Time // the Retry-After that it returned at
 }
 
-// requestArrived queues a request, and rejects it or another one if a limit is exceeded.
-func (c *Controller) requestArrived(slot, connectionSlot int, incoming Request) {
+// handleRequestArrived queues a request, and rejects it or another one if a limit is exceeded.
+func (c *Controller) handleRequestArrived(slot, connectionSlot int, incoming Request) {
 	conn, request := &c.connections[connectionSlot], &c.requests[slot]
 	c.setConnectionState(conn, connectionBusy)
 	conn.tenantHash = 0
@@ -113,15 +113,15 @@
 	return max(deadline-rules.Time(runTime), request.arrivedAt)
 }
 
-// requestForwarded stops counting a request as pending, since its first attempt was sent.
-func (c *Controller) requestForwarded(request *openRequest) {
+// handleRequestForwarded stops counting a request as pending, since its first attempt was sent.
+func (c *Controller) handleRequestForwarded(request *openRequest) {
 	if request.state == requestPending {
 		c.removePending(request)
 	}
 }
 
-// requestDone corrects the charge of a request to the engine time that it used, and frees its slot.
-func (c *Controller) requestDone(request *openRequest, served bool) {
+// handleRequestDone corrects the charge of a request to the engine time that it used, and frees its slot.
+func (c *Controller) handleRequestDone(request *openRequest, served bool) {
 	if request.state == requestFree {
 		return
 	}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -216,8 +216,8 @@
 }
 
 // advance runs the simulation for a duration.
-func (sim *simulation) advance(by rules.Time) {
-	end := sim.now + by
+func (sim *simulation) advance(duration rules.Time) {
+	end := sim.now + duration
 	for {
 		next, nextRun := min(end, sim.timerAt), -1
 		for i, r := range sim.running {
