--- a/internal/zones/observation.go
+++ b/internal/zones/observation.go
@@ -8,7 +8,7 @@
 
 // This file aggregates observations of engines into observations of zones.
 
-// EngineObservation is what the gateway knows of an engine that the endpoint list reports as serving.
+// EngineObservation is the gateway's view of an engine that the endpoint list reports as serving.
 type EngineObservation struct {
 	Engine       rules.EngineID
 	Zone         int
@@ -22,7 +22,7 @@
 	LastFailure  rules.Time // when an attempt on it last failed
 }
 
-// Observation is what the gateway knows of a zone.
+// Observation is the gateway's view of a zone.
 type Observation struct {
 	ListedCores     float64 // of all engines of the zone in the endpoint list, as if warm
 	UnansweredCores float64 // estimate for a lost zone: ListedCores times the fraction of unanswered probes
--- a/internal/zones/shedding.go
+++ b/internal/zones/shedding.go
@@ -134,7 +134,7 @@
 		work = demand.meanWork[request.Class]
 	}
 	tier := TierLowestValue
-	switch overQuota := c.countOverQuota(request.Tenant); {
+	switch overQuota := c.countTenantRequest(request.Tenant); {
 	case overQuota:
 		tier = TierOverQuota
 	case request.Retry:
@@ -156,8 +156,9 @@
 	return true, c.RetryAfter(c.now)
 }
 
-// countOverQuota counts a request of a tenant and reports whether the tenant exceeds this gateway's share of its quota.
-func (c *Controller) countOverQuota(tenant int) bool {
+// countTenantRequest counts a request of a tenant and reports whether the tenant exceeds this gateway's share of its
+// quota.
+func (c *Controller) countTenantRequest(tenant int) bool {
 	if tenant < 0 || tenant >= len(c.demand.tenantRequests) || c.fleet.Tenants[tenant].QuotaPerSecond <= 0 {
 		return false
 	}
--- a/internal/zones/spillover.go
+++ b/internal/zones/spillover.go
@@ -48,13 +48,13 @@
 			continue
 		}
 		ownWeight, otherWeights := overflowWeight, 0.0
-		if c.unavailable(c.ownZone) {
+		if c.mustSpillOver(c.ownZone) {
 			ownWeight = 1
 		}
 		for other := range zonesWithGateways {
 			switch {
 			case other == i || other == c.ownZone:
-			case ownWeight == 1 && !c.unavailable(other):
+			case ownWeight == 1 && !c.mustSpillOver(other):
 				otherWeights += overflowWeight
 			default:
 				otherWeights++
@@ -65,8 +65,8 @@
 	}
 }
 
-// unavailable reports whether the gateways of a zone have to send load to other zones.
-func (c *Controller) unavailable(index int) bool {
+// mustSpillOver reports whether the gateways of a zone have to send load to other zones.
+func (c *Controller) mustSpillOver(index int) bool {
 	state := c.zones[index].state
 	return state == Lost || state == Returning || state == Draining || state == Drained
 }
@@ -84,7 +84,8 @@
 	if sent+work <= spillover.allowance {
 		return true
 	}
-	totalAllowance := spillover.allowance * float64(c.fleet.Gateways) / float64(c.fleet.gatewayZones()) // estimate of the whole limit
+	// totalAllowance estimates the whole limit of the zone, which all gateways share.
+	totalAllowance := spillover.allowance * float64(c.fleet.Gateways) / float64(c.fleet.gatewayZones())
 	// rootCount solves x*x + samplingMargin*x = totalAllowance/work: on average x*x queries are sent, with the
 	// standard deviation x.
 	rootCount := math.Sqrt(totalAllowance/work+samplingMargin*samplingMargin/4) - samplingMargin/2
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -123,7 +123,7 @@
 			c.addPenalty(zone)
 		}
 		zone.recovered = healthy >= c.settings.RecoverAbove || zone.recovered && healthy >= c.settings.LostBelow
-		zone.damped = c.suppressed(zone)
+		zone.damped = c.isSuppressed(zone)
 		if c.conditionLasted(zone, healthy >= c.settings.RecoverAbove) && !zone.damped {
 			c.startRamp(zone, 0)
 		}
@@ -153,9 +153,9 @@
 	return zone.penalty * math.Exp2(-float64(c.now-zone.penaltyUpdatedAt)/float64(c.settings.Damping.HalfLife))
 }
 
-// suppressed reports whether a zone flaps too much to be used: from a penalty of SuppressAbove on, until it has decayed
-// to ReuseBelow.
-func (c *Controller) suppressed(zone *zoneRecord) bool {
+// isSuppressed reports whether a zone flaps too much to be used: from a penalty of SuppressAbove on, until it has
+// decayed to ReuseBelow.
+func (c *Controller) isSuppressed(zone *zoneRecord) bool {
 	if zone.damped {
 		return c.penalty(zone) > c.settings.Damping.ReuseBelow
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -6,7 +6,7 @@
 // Each gateway decides alone, from its own traffic and endpoint list. Hundreds of gateways make the same decisions at
 // the same time, so each spreads its actions by a jitter of its own and paces them by fractions of warm capacity.
 //
-// Observe takes what the gateway knows of its engines, at regular intervals. The decision module calls PickZone,
+// Observe receives the gateway's view of its engines at regular intervals. The decision module calls PickZone,
 // Admits and RecordSend (rules.ZonePlan). RequestArrived is called for each request before the module receives it.
 //
 // The package must not pick engines, queue queries, read a clock or draw random numbers: times and random numbers are
