--- a/internal/directives/directives.go
+++ b/internal/directives/directives.go
@@ -28,7 +28,7 @@
 	Subject string  `json:"subject,omitempty"`
 	Value   float64 `json:"value,omitempty"`
 	By      string  `json:"by,omitempty"`    // the operator, as free text
-	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of the voter that proposed it; for display only
+	AtMS    int64   `json:"at_ms,omitempty"` // Unix milliseconds by the clock of the proposing voter; for display only
 }
 
 // Op is the operation of a command.
--- a/internal/directives/voter.go
+++ b/internal/directives/voter.go
@@ -63,11 +63,11 @@
 	state            State
 	now              rules.Time
 	pendingReady     *raft.Ready // being persisted; nil: none
-	inFlightPersists []bool      // outstanding Persists, oldest first: true for pendingReady, false for a snapshot of compact
+	inFlightPersists []bool      // outstanding Persists, oldest first; true: pendingReady, false: a snapshot by compact
 	pendingRequests  []pendingRequest
 	listenTicksLeft  int    // ticks with a leader until the voter votes again; 0: it votes
 	highestTermSeen  uint64 // highest term in messages received while the voter listens
-	maxVotedTerm     uint64 // highest term in which the voter may have voted before it lost its log; it votes in later terms only
+	maxVotedTerm     uint64 // highest term of a possible vote before the log was lost; it votes in later terms only
 	failure          error  // ErrDiskFailed or ErrLogInvalid: the voter is stopped until a restart; nil: it runs
 	effects          []Effect
 }
@@ -408,7 +408,8 @@
 			if raw, err := proto.Marshal(m); err == nil {
 				v.emit(Send{To: v.settings.Voters[to-1], Channel: ChannelRaft, Data: raw})
 			}
-			if m.GetType() == pb.MsgSnap { // its arrival is not tracked: raft sends it again if the receiver rejects later entries
+			// The arrival of a snapshot is not tracked: raft sends it again if the receiver rejects later entries.
+			if m.GetType() == pb.MsgSnap {
 				v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
--- a/internal/directives/wal/wal_test.go
+++ b/internal/directives/wal/wal_test.go
@@ -170,7 +170,8 @@
 		t.Fatal(err)
 	}
 	persist(t, l, b)
-	if err := replaceFile(dir, newLog(encodedSnapshot(t, snapshot("state", 3, 2)))); err != nil { // as if the rest of Persist had failed
+	// The log file is as after a Persist that failed once it had replaced the file.
+	if err := replaceFile(dir, newLog(encodedSnapshot(t, snapshot("state", 3, 2)))); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Repair(); err != nil {
