--- a/internal/spool/disk/compact.go
+++ b/internal/spool/disk/compact.go
@@ -87,11 +87,11 @@
 		}
 		return s.appendRecord(seg, segment.Record{Kind: kind, ID: id, Chunk: uint32(index), Payload: data})
 	}
-	open, err := write(segment.Open, 0, segment.AppendMeta(nil, original.meta))
+	openLocation, err := write(segment.Open, 0, segment.AppendMeta(nil, original.meta))
 	if err != nil {
 		return nil, err
 	}
-	replacement := newEntry(original.meta, open)
+	replacement := newEntry(original.meta, openLocation)
 	replacement.summary = original.summary
 	for n := range len(original.chunks) {
 		data, err := s.Read(id, n, original.chunks[n])
--- a/internal/spool/disk/index.go
+++ b/internal/spool/disk/index.go
@@ -16,8 +16,8 @@
 	replacement *entry         // during recovery: a copy made by a compaction; used once it is complete
 }
 
-func newEntry(meta segment.Meta, open spool.Location) *entry {
-	return &entry{meta: meta, openRecord: open, chunks: map[int]spool.Location{}}
+func newEntry(meta segment.Meta, openRecord spool.Location) *entry {
+	return &entry{meta: meta, openRecord: openRecord, chunks: map[int]spool.Location{}}
 }
 
 // current returns the copy that the next scanned record of the result belongs to. The entry may be nil.
--- a/internal/spool/read.go
+++ b/internal/spool/read.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// deny rejects a reader. It gives no reason, so that unknown, foreign, expired and failed results look the same.
-func (s *Store) deny(reader int) {
+// denyReader rejects a reader. It gives no reason, so that unknown, foreign, expired and failed results look the same.
+func (s *Store) denyReader(reader int) {
 	s.stats.Denied++
 	s.emit(Deny{Reader: reader})
 }
@@ -40,7 +40,7 @@
 func (s *Store) attach(e Attach) {
 	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil || e.Index < 0 || s.readers[e.Reader] != nil || r.state == completed && e.Index >= len(r.chunks) {
-		s.deny(e.Reader)
+		s.denyReader(e.Reader)
 		return
 	}
 	s.readers[e.Reader] = &reader{result: r, index: e.Index, waiting: true}
@@ -53,7 +53,7 @@
 func (s *Store) acknowledge(e Acknowledge) {
 	r := s.authorize(e.ID, e.Secret, e.Tenant)
 	if r == nil {
-		s.deny(e.Reader)
+		s.denyReader(e.Reader)
 		return
 	}
 	s.remove(r, ReasonNone)
@@ -94,7 +94,7 @@
 	}
 	if rd.index >= len(r.chunks) { // requested before the number of chunks was known
 		s.detach(number)
-		s.deny(number)
+		s.denyReader(number)
 		return
 	}
 	c := &r.chunks[rd.index]
@@ -135,7 +135,7 @@
 	return numbers
 }
 
-func (s *Store) chunkLoaded(e ChunkLoaded) {
+func (s *Store) handleChunkLoaded(e ChunkLoaded) {
 	rd := s.readers[e.Reader]
 	if rd == nil || !rd.loading {
 		return
@@ -143,7 +143,7 @@
 	rd.loading = false
 	switch {
 	case e.Corrupt: // the stored bytes are not those that were written, so no reader may get them
-		s.fail(rd.result, ReasonDiskFailed)
+		s.failResult(rd.result, ReasonDiskFailed)
 	case e.Failed: // a later read may succeed, so the result is kept
 		s.detach(e.Reader)
 		s.emit(AbortRead{Reader: e.Reader, Reason: ReasonDiskFailed})
--- a/internal/spool/segment/segment_test.go
+++ b/internal/spool/segment/segment_test.go
@@ -137,7 +137,7 @@
 	if _, err := Parse(encoded, header, HeaderSize+1); err == nil {
 		t.Error("a record was accepted at another offset")
 	}
-	// A client that forges rows does not know the salt.
+	// A client that forges rows does not have the salt.
 	forged := Append(nil, Header{7, 99}, 100, Record{Kind: Drop, ID: ID{1}})
 	raw := AppendHeader(nil, header)
 	raw = Append(raw, header, int64(len(raw)), Record{Kind: Chunk, ID: ID{1}, Payload: bytes.Repeat(forged, 5)})
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -122,24 +122,24 @@
 		s.reserve(e)
 	case PageArrived:
 		if r := s.resultInState(filling, e.ID); r != nil {
-			s.pageArrived(r, e)
+			s.handlePageArrived(r, e)
 		}
 	case AttemptFailed:
 		if r := s.resultInState(filling, e.ID); r != nil {
-			s.fail(r, ReasonAttemptFailed)
+			s.failResult(r, ReasonAttemptFailed)
 		}
 	case RecordWritten:
-		s.recordWritten(e)
+		s.handleRecordWritten(e)
 	case ResultSynced:
 		if r := s.resultInState(sealing, e.ID); r != nil {
-			s.resultSynced(r, e.Failed)
+			s.handleResultSynced(r, e.Failed)
 		}
 	case Attach:
 		s.attach(e)
 	case NextChunk:
 		s.nextChunk(e)
 	case ChunkLoaded:
-		s.chunkLoaded(e)
+		s.handleChunkLoaded(e)
 	case Detach:
 		s.detach(e.Reader)
 	case Acknowledge:
@@ -152,16 +152,16 @@
 		s.budget = e.Budget
 		s.evictToBudget()
 	case ResultRecovered:
-		s.resultRecovered(e)
+		s.handleResultRecovered(e)
 	case DiskLost:
 		s.diskLost = true
 		s.failResultsWith(func(c *chunk) bool { return c.data == nil || c.writing })
 	case DiskRestored:
 		s.diskLost = false
 	case SegmentTailLost:
-		s.segmentTailLost(e)
+		s.handleSegmentTailLost(e)
 	case ChunkMoved:
-		s.chunkMoved(e)
+		s.handleChunkMoved(e)
 	}
 	s.expire()
 	s.setTimer()
@@ -179,8 +179,8 @@
 
 // ---- failure and removal of results
 
-// fail removes a result that can't be completed, or that was complete and is lost.
-func (s *Store) fail(r *result, reason Reason) {
+// failResult removes a result that can't be completed, or that was complete and is lost.
+func (s *Store) failResult(r *result, reason Reason) {
 	s.stats.Failed++
 	if r.state != completed {
 		s.emit(Failed{ID: r.id, Reason: reason})
@@ -202,19 +202,19 @@
 	}
 	sortByID(affected)
 	for _, r := range affected {
-		s.fail(r, ReasonDiskFailed)
+		s.failResult(r, ReasonDiskFailed)
 	}
 }
 
-// segmentTailLost fails the results that have a chunk in the lost part of a segment.
-func (s *Store) segmentTailLost(e SegmentTailLost) {
+// handleSegmentTailLost fails the results that have a chunk in the lost part of a segment.
+func (s *Store) handleSegmentTailLost(e SegmentTailLost) {
 	s.failResultsWith(func(c *chunk) bool {
 		return c.location.Size > 0 && c.location.Segment == e.Segment && c.location.Offset >= e.Offset
 	})
 }
 
-// chunkMoved updates the location of a chunk that a compaction moved.
-func (s *Store) chunkMoved(e ChunkMoved) {
+// handleChunkMoved updates the location of a chunk that a compaction moved.
+func (s *Store) handleChunkMoved(e ChunkMoved) {
 	if r := s.results[e.ID]; r != nil && e.Index < len(r.chunks) && r.chunks[e.Index].location.Size > 0 {
 		r.chunks[e.Index].location = e.Location
 	}
@@ -256,9 +256,9 @@
 
 // ---- recovery
 
-// resultRecovered adds a complete, sealed result that was found on the disk at the start. It discards the result if a
-// limit would be exceeded or its lease has long expired.
-func (s *Store) resultRecovered(e ResultRecovered) {
+// handleResultRecovered adds a complete, sealed result that was found on the disk at the start. It discards the result
+// if a limit would be exceeded or its lease has long expired.
+func (s *Store) handleResultRecovered(e ResultRecovered) {
 	r := &result{id: e.ID, secret: e.Secret, tenant: e.Tenant, class: e.Class, durable: true, state: completed, created: e.Created,
 		leaseEnd: e.LeaseEnd, heapIndex: -1, onDisk: true, openWritten: true}
 	for _, l := range e.Locations {
--- a/internal/spool/write.go
+++ b/internal/spool/write.go
@@ -6,23 +6,23 @@
 // pages in order; memoryBytes counts all result bytes held in memory; a result is completed only after all its pages
 // have arrived, and a durable one only after its seal has been synced.
 
-func (s *Store) pageArrived(r *result, e PageArrived) {
+func (s *Store) handlePageArrived(r *result, e PageArrived) {
 	if r.pageCount == 0 {
 		if e.PageCount < 1 || e.PageCount > s.budget.MaxPages {
-			s.fail(r, ReasonTooLarge)
+			s.failResult(r, ReasonTooLarge)
 			return
 		}
 		r.pageCount = e.PageCount
 	}
 	if e.PageCount != r.pageCount || e.Index < 0 || e.Index >= r.pageCount {
-		s.fail(r, ReasonAttemptFailed)
+		s.failResult(r, ReasonAttemptFailed)
 		return
 	}
 	if e.Index < r.nextPage || r.outOfOrder[e.Index] != nil {
 		return // a duplicate
 	}
 	if reason := s.consumeReservation(r, int64(len(e.Data))); reason != ReasonNone {
-		s.fail(r, reason)
+		s.failResult(r, reason)
 		return
 	}
 	s.memoryBytes += int64(len(e.Data))
@@ -40,7 +40,7 @@
 		}
 	}
 	if r.nextPage == r.pageCount {
-		s.allPagesArrived(r)
+		s.handleAllPagesArrived(r)
 		return
 	}
 	s.fetchPages(r)
@@ -101,9 +101,9 @@
 	s.emit(WriteRecord{ID: r.id, Record: kind, Index: index, Data: data})
 }
 
-// allPagesArrived releases the engine at once: the rest of the work does not need it, even if the disk or the client is
-// slow. It completes the result, or writes its seal.
-func (s *Store) allPagesArrived(r *result) {
+// handleAllPagesArrived releases the engine at once: the rest of the work does not need it, even if the disk or the
+// client is slow. It completes the result, or writes its seal.
+func (s *Store) handleAllPagesArrived(r *result) {
 	if len(r.openChunk) > 0 || len(r.chunks) == 0 {
 		s.closeChunk(r)
 	}
@@ -132,14 +132,14 @@
 
 // ---- completions of disk writes
 
-// recordWritten frees the memory of a written chunk, and resumes fetching for engines that waited for the disk.
-func (s *Store) recordWritten(e RecordWritten) {
+// handleRecordWritten frees the memory of a written chunk, and resumes fetching for engines that waited for the disk.
+func (s *Store) handleRecordWritten(e RecordWritten) {
 	r := s.results[e.ID]
 	if r == nil {
 		return
 	}
 	if e.Failed {
-		s.fail(r, ReasonDiskFailed)
+		s.failResult(r, ReasonDiskFailed)
 		return
 	}
 	if e.Record != segment.Chunk || e.Index >= len(r.chunks) {
@@ -174,9 +174,9 @@
 	return stalled
 }
 
-func (s *Store) resultSynced(r *result, failed bool) {
+func (s *Store) handleResultSynced(r *result, failed bool) {
 	if failed {
-		s.fail(r, ReasonDiskFailed)
+		s.failResult(r, ReasonDiskFailed)
 		return
 	}
 	s.complete(r)
