--- a/cmd/foxlane/directive.go
+++ b/cmd/foxlane/directive.go
@@ -50,7 +50,7 @@
 type controlQuery func(question string, answer any) error
 
 func directiveChangeCommand(op directives.Op, query controlQuery) *cobra.Command {
-	var by string
+	var operator string
 	var value float64
 	kinds := strings.Join([]string{string(directives.DrainZone), string(directives.DrainEngine), string(directives.RejectClass), string(directives.SpilloverLimit)}, "|")
 	cmd := &cobra.Command{
@@ -58,7 +58,7 @@
 		Short: map[directives.Op]string{directives.Set: "Set a directive", directives.Unset: "Unset a directive"}[op],
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			command := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: by}}
+			command := directives.Command{ID: newCommandID(), Op: op, Directive: directives.Directive{Kind: directives.Kind(args[0]), Value: value, By: operator}}
 			if len(args) > 1 {
 				command.Subject = args[1]
 			}
@@ -81,7 +81,7 @@
 	if u, err := user.Current(); err == nil {
 		username = u.Username
 	}
-	cmd.Flags().StringVar(&by, "by", username, "who makes the change; for display only")
+	cmd.Flags().StringVar(&operator, "by", username, "who makes the change; for display only")
 	if op == directives.Set {
 		cmd.Flags().Float64Var(&value, "value", 0, "for "+string(directives.SpilloverLimit)+": a fraction, 0 to 1")
 	}
@@ -116,7 +116,7 @@
 	return cmd
 }
 
-// queryDirectives asks a gateway for its directives. In the control protocol this question is called book.
+// queryDirectives queries the directives of a gateway. The control protocol calls this request book.
 func queryDirectives(query controlQuery) (status gateway.DirectiveStatus, err error) {
 	err = query("book", &status)
 	return status, err
--- a/cmd/foxlane/main.go
+++ b/cmd/foxlane/main.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// setRuntime configures the Go runtime for a machine with a fraction of a core and little memory.
-func setRuntime(limits config.Limits) {
+// configureRuntime configures the Go runtime for a machine with a fraction of a core and little memory.
+func configureRuntime(limits config.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(limits.MemoryBytes)
@@ -109,7 +109,7 @@
 
 // runGateway runs the gateway until a termination signal.
 func runGateway(cfg config.Config, verbose bool, signals transport.Signals) error {
-	setRuntime(cfg.Limits)
+	configureRuntime(cfg.Limits)
 	cfg.Trace = verbose
 	lines := asynclog.New(os.Stderr, cfg.Limits.LogBufferBytes, droppedLinesEntry)
 	defer lines.Close(logDrainTimeout)
--- a/cmd/foxlane/main_test.go
+++ b/cmd/foxlane/main_test.go
@@ -74,7 +74,7 @@
 
 var garbage []byte
 
-// With a GC percentage of 900 the resident size grew throughout a long run. With setRuntime, allocating 64 MB of
+// With a GC percentage of 900 the resident size grew throughout a long run. With configureRuntime, allocating 64 MB of
 // garbage must grow the heap by a few MB only.
 func TestGarbageIsCollectedEarly(t *testing.T) {
 	procs := runtime.GOMAXPROCS(0)
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setRuntime(c.Limits)
+	configureRuntime(c.Limits)
 	debug.FreeOSMemory()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/cmd/foxlane/members.go
+++ b/cmd/foxlane/members.go
@@ -204,15 +204,15 @@
 		return cmp.Or(cmp.Compare(a.origin, b.origin), cmp.Compare(a.kind, b.kind), cmp.Compare(a.subject, b.subject))
 	})
 	for _, k := range keys {
-		if settled(entries[k], settle) {
+		if isSettled(entries[k], settle) {
 			out = append(out, compareEntry(gateways, k, entries[k])...)
 		}
 	}
 	return out
 }
 
-// settled reports whether all versions of an entry are at least minAge old and don't expire within minAge.
-func settled(entries []*gateway.ReplicaEntry, minAge time.Duration) bool {
+// isSettled reports whether all versions of an entry are at least minAge old and don't expire within minAge.
+func isSettled(entries []*gateway.ReplicaEntry, minAge time.Duration) bool {
 	ms := minAge.Milliseconds()
 	for _, e := range entries {
 		if e != nil && (e.AgeMS < ms || e.ExpiresInMS < ms) {
