--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -91,7 +91,7 @@
 	control := g.admission
 	switch effect.Kind {
 	case admission.Admit:
-		g.requestAdmitted(control.requests.entries[effect.Slot], effect.After)
+		g.handleRequestAdmitted(control.requests.entries[effect.Slot], effect.After)
 	case admission.Reject:
 		if req := control.requests.entries[effect.Slot]; !req.answered {
 			req.endReason = EndAdmission
@@ -103,7 +103,7 @@
 		}
 	case admission.AbortInput:
 		if client := control.conns.entries[effect.Conn]; client != nil && !client.closed {
-			g.protocolError(client, 1, errUnfinishedInput)
+			g.closeOnProtocolError(client, 1, errUnfinishedInput)
 		}
 	case admission.SetTimer:
 		control.wakeAt = wakeTime(effect.At)
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -44,13 +44,13 @@
 			g.receivePage(attempt, answer.Page, answer.Body)
 		}
 	default:
-		g.malformedAnswer(attempt, "a health report for a request")
+		g.failMalformedAnswer(attempt, "a health report for a request")
 	}
 }
 
-// malformedAnswer ends an attempt whose answer is invalid. The query may have run or may still run, so the status
+// failMalformedAnswer ends an attempt whose answer is invalid. The query may have run or may still run, so the status
 // is a reset.
-func (g *Gateway) malformedAnswer(attempt *engineAttempt, reason string) {
+func (g *Gateway) failMalformedAnswer(attempt *engineAttempt, reason string) {
 	g.log(Warn, "engine: malformed answer", Attr{keyEngine, attempt.engine.entry.ID}, Attr{keyRequest, string(attempt.request.id)},
 		Attr{keyReason, reason})
 	attempt.notEngineFault = true
@@ -72,7 +72,7 @@
 		return
 	}
 	if attempt.firstPageReceived || total > g.limits.MaxPages {
-		g.malformedAnswer(attempt, "served twice, or too many pages")
+		g.failMalformedAnswer(attempt, "served twice, or too many pages")
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
@@ -120,18 +120,18 @@
 func (g *Gateway) receivePage(attempt *engineAttempt, n int, body []byte) {
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= len(attempt.pages):
-		g.malformedAnswer(attempt, unrequestedPage)
+		g.failMalformedAnswer(attempt, unrequestedPage)
 		return
 	case attempt.pages[n] != nil:
 		if !bytes.Equal(attempt.pages[n], body) {
-			g.malformedAnswer(attempt, "a page that comes twice, with other rows")
+			g.failMalformedAnswer(attempt, "a page that comes twice, with other rows")
 		}
 		return
 	case attempt.pageBytes+len(body) > g.limits.MaxResultBytes:
-		g.malformedAnswer(attempt, "the result is too large")
+		g.failMalformedAnswer(attempt, "the result is too large")
 		return
 	case len(body) > 0 && body[len(body)-1] != '\n':
-		g.malformedAnswer(attempt, "a page ends within a row")
+		g.failMalformedAnswer(attempt, "a page ends within a row")
 		return
 	}
 	if attempt.pages[n] = body; attempt.pagesMissing > 1 {
@@ -157,7 +157,7 @@
 		g.borrowBuffer(&req.client.outputBuffer)
 		out, ok := appendResult(req.client.output, attempt.pages)
 		if !ok {
-			g.malformedAnswer(attempt, "a row has not three columns")
+			g.failMalformedAnswer(attempt, "a row has not three columns")
 			return
 		}
 		req.client.output = out
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// clientBecameIdle records that a client has no request. If there are too many idle clients, those idle longest are
+// handleClientIdle records that a client has no request. If there are too many idle clients, those idle longest are
 // closed.
-func (g *Gateway) clientBecameIdle(client *clientConn) {
+func (g *Gateway) handleClientIdle(client *clientConn) {
 	if client.closed || client.killed || client.reader != nil {
 		return
 	}
@@ -185,7 +185,7 @@
 		case client.killed:
 			g.closeClient(client, CloseQueryKilled)
 		default:
-			g.protocolError(client, 1, errPacketUnfinished)
+			g.closeOnProtocolError(client, 1, errPacketUnfinished)
 		}
 	}
 }
--- a/internal/gateway/commands.go
+++ b/internal/gateway/commands.go
@@ -29,7 +29,7 @@
 // such commands.
 func (g *Gateway) rejectCommand(client *clientConn, code uint16, text string) {
 	if client.rejectedCommands++; client.rejectedCommands > g.limits.MaxSessionErrors {
-		g.protocolError(client, 1, &mysql.Error{Code: code, Text: text})
+		g.closeOnProtocolError(client, 1, &mysql.Error{Code: code, Text: text})
 		return
 	}
 	g.writeErr(client, code, text)
@@ -54,7 +54,7 @@
 	for !client.closed {
 		payload, seq, ok, err := client.decoder.Next()
 		if err != nil {
-			g.protocolError(client, seq+1, err)
+			g.closeOnProtocolError(client, seq+1, err)
 			return
 		}
 		if !ok {
@@ -68,7 +68,7 @@
 		}
 		if len(client.output) > g.limits.ClientSendBuffer && !client.closed { // commands are sent, but no answers read
 			client.output = client.output[:0]
-			g.protocolError(client, 1, errAnswersUnread)
+			g.closeOnProtocolError(client, 1, errAnswersUnread)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		g.notifyAdmission(admission.Event{Kind: admission.InputBuffered, Conn: client.admissionSlot, Bytes: buffered})
 	}
 	for g.partialBytes > g.limits.MaxInputBytes {
-		g.protocolError(g.largestPartialClient(client), 1, errUnfinishedInput)
+		g.closeOnProtocolError(g.largestPartialClient(client), 1, errUnfinishedInput)
 	}
 }
 
@@ -106,9 +106,9 @@
 	return largest
 }
 
-// protocolError closes a session that violates the protocol. The client receives the error unless it is waiting for
-// another answer.
-func (g *Gateway) protocolError(client *clientConn, seq byte, err error) {
+// closeOnProtocolError closes a session that violates the protocol. The client receives the error unless it is waiting
+// for another answer.
+func (g *Gateway) closeOnProtocolError(client *clientConn, seq byte, err error) {
 	code := uint16(mysql.CodeUnknownError)
 	var protocolErr *mysql.Error
 	if errors.As(err, &protocolErr) {
@@ -134,7 +134,7 @@
 		err = &mysql.Error{Code: mysql.CodeUnknownDatabase, Text: "login: unknown database"}
 	}
 	if err != nil {
-		g.protocolError(client, seq+1, err)
+		g.closeOnProtocolError(client, seq+1, err)
 		return
 	}
 	client.loginPending, client.decoder.MaxPayload = false, g.limits.MaxStatementBytes
@@ -146,13 +146,13 @@
 func (g *Gateway) handleCommand(client *clientConn, payload []byte, seq byte) {
 	switch {
 	case client.request != nil || client.killed || client.reader != nil:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a command while a query is open"})
+		g.closeOnProtocolError(client, 1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "a command while a query is open"})
 		return
 	case seq != 0:
-		g.protocolError(client, seq+1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "wrong sequence number"})
+		g.closeOnProtocolError(client, seq+1, &mysql.Error{Code: mysql.CodePacketsOutOfOrder, Text: "wrong sequence number"})
 		return
 	case len(payload) == 0:
-		g.protocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCommand, Text: "empty command"})
+		g.closeOnProtocolError(client, 1, &mysql.Error{Code: mysql.CodeUnknownCommand, Text: "empty command"})
 		return
 	}
 	g.removeFromClientLists(client)
@@ -176,7 +176,7 @@
 		g.rejectCommand(client, mysql.CodeUnknownCommand, "unknown command")
 	}
 	if client.request == nil && client.reader == nil {
-		g.clientBecameIdle(client)
+		g.handleClientIdle(client)
 	}
 }
 
@@ -233,7 +233,7 @@
 
 // handleKill ends another session, or with queryOnly only its query, which gets no answer. A client that opened its
 // connection while an earlier query of the session was in flight means that query, so a KILL QUERY that arrives
-// after it ended must not hit the next one.
+// after it ended must not end the next one.
 func (g *Gateway) handleKill(client *clientConn, session uint32, queryOnly bool) {
 	target := g.sessions[session]
 	if target == nil {
@@ -242,13 +242,13 @@
 	}
 	g.writeOK(client)
 	// Event numbers are compared, since all events of a batch have the same time.
-	late := client.commands == 1 && target.answeredInEvent >= client.openedInEvent
+	queryEnded := client.commands == 1 && target.answeredInEvent >= client.openedInEvent
 	if !queryOnly {
 		g.closeClient(target, CloseKilled)
-	} else if req := target.request; req != nil && !late {
+	} else if req := target.request; req != nil && !queryEnded {
 		target.killed, target.lastActive = true, g.now
 		g.abandonRequest(req)
-	} else if target.reader != nil && !late { // the rest of its answer must not be sent
+	} else if target.reader != nil && !queryEnded { // the rest of its answer must not be sent
 		target.output = nil
 		g.closeClient(target, CloseQueryKilled)
 	}
--- a/internal/gateway/directives.go
+++ b/internal/gateway/directives.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// voterOpened starts this gateway's voter with its persisted state.
-func (g *Gateway) voterOpened(persisted *directives.PersistedState) {
+// handleVoterOpened starts this gateway's voter with its persisted state.
+func (g *Gateway) handleVoterOpened(persisted *directives.PersistedState) {
 	if g.directives == nil || persisted == nil {
 		return
 	}
@@ -134,13 +134,13 @@
 	g.applyZoneSettings()
 }
 
-// drainsEngine reports whether a directive drains an engine.
-func (g *Gateway) drainsEngine(id string) bool {
+// engineDrainedByDirective reports whether a directive drains an engine.
+func (g *Gateway) engineDrainedByDirective(id string) bool {
 	return g.directives != nil && slices.Contains(g.directives.node.State().Subjects(directives.DrainEngine), id)
 }
 
-// rejectsClass reports whether a directive rejects requests of a class.
-func (g *Gateway) rejectsClass(class int) bool {
+// classRejectedByDirective reports whether a directive rejects requests of a class.
+func (g *Gateway) classRejectedByDirective(class int) bool {
 	return g.directives != nil && g.directives.rejectedClasses[class]
 }
 
--- a/internal/gateway/engineclose.go
+++ b/internal/gateway/engineclose.go
@@ -39,18 +39,18 @@
 	conn.engine.conns = slices.DeleteFunc(conn.engine.conns, func(other *engineConn) bool { return other == conn })
 }
 
-// engineConnEnded handles the end of a connection that broke or was never established. accepted is the number of
+// handleEngineConnEnded handles the end of a connection that broke or was never established. accepted is the number of
 // bytes written to it that the operating system accepted. With notEngineFault, the end does not count against the
 // engine; for a dial this means that a local resource was exhausted.
-func (g *Gateway) engineConnEnded(conn *engineConn, err error, accepted int64, notEngineFault bool) {
-	localExhaustion := notEngineFault && !conn.up
+func (g *Gateway) handleEngineConnEnded(conn *engineConn, err error, accepted int64, notEngineFault bool) {
+	localExhaustion := notEngineFault && !conn.established
 	if !conn.closed { // otherwise the gateway closed it and has counted it
 		notEngineFault = notEngineFault || conn.aborted
 		g.countEngineClose(conn, endReason(conn, localExhaustion), err)
 	}
 	g.removeEngineConn(conn)
 	if conn.load() > 0 {
-		g.log(Warn, "engine: connection lost", Attr{keyEngine, conn.engine.entry.ID}, Attr{"up", conn.up},
+		g.log(Warn, "engine: connection lost", Attr{keyEngine, conn.engine.entry.ID}, Attr{"up", conn.established},
 			Attr{keyRequests, conn.load()}, Attr{keyError, errorText(err)})
 	}
 	for _, attempt := range slices.Clone(conn.waiting) {
@@ -59,13 +59,13 @@
 	}
 	g.endInFlightAttempts(conn, accepted, notEngineFault)
 	if localExhaustion {
-		conn.engine.undoRequest()
+		conn.engine.resetLastRequest()
 	}
 	status := rules.StatusConnectFailed
 	switch {
 	case localExhaustion:
 		status = rules.StatusNotExecuted
-	case conn.up:
+	case conn.established:
 		status = rules.StatusReset
 	}
 	for _, probe := range conn.probesInOrder() {
@@ -81,7 +81,7 @@
 		return CloseEngineUnread
 	case localExhaustion:
 		return CloseLocalExhaustion
-	case !conn.up:
+	case !conn.established:
 		return CloseEngineUnreachable
 	default:
 		return CloseEngineLost
@@ -180,7 +180,7 @@
 func (g *Gateway) sweepEngineConns() {
 	for _, eng := range g.engineOrder {
 		for _, conn := range slices.Clone(eng.conns) {
-			if conn.up && conn.load() == 0 && g.now-conn.lastUsed >= g.limits.EngineIdleTimeout {
+			if conn.established && conn.load() == 0 && g.now-conn.lastUsed >= g.limits.EngineIdleTimeout {
 				conn.retire(CloseEngineIdle)
 				g.closeIfDrained(conn)
 			}
--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -16,7 +16,7 @@
 	outputBuffer
 	engine             *engineState
 	decoder            engine.Decoder
-	up                 bool
+	established        bool
 	retired            bool             // takes no new requests; closed once it carries nothing
 	retireReason       CloseReason      // valid once retired
 	class              int              // class whose requests it is kept for; see connFor
@@ -48,7 +48,7 @@
 // must not have been idle for so long that its engine may be about to close it.
 func (g *Gateway) connUsable(conn *engineConn, req *queryRequest) bool {
 	return !conn.retired && conn.blockedSince == 0 && conn.load() < g.limits.Multiplex && !conn.hadAttemptOf(req) &&
-		(!conn.up || conn.load() > 0 || g.now-conn.lastUsed < g.limits.EngineIdleTimeout)
+		(!conn.established || conn.load() > 0 || g.now-conn.lastUsed < g.limits.EngineIdleTimeout)
 }
 
 // connFor returns a connection for a request, or for a probe if req is nil. It dials a new one if needed. If
@@ -65,18 +65,18 @@
 		class = req.class
 	}
 	var dialling, idle, other *engineConn
-	open := 0
+	openConns := 0
 	for _, conn := range eng.conns {
 		if !conn.retired {
-			open++
+			openConns++
 		}
 		switch {
 		case !g.connUsable(conn, req):
 		case conn.class != class:
-			if other = conn; conn.up && conn.load() == 0 {
+			if other = conn; conn.established && conn.load() == 0 {
 				idle = conn
 			}
-		case conn.up:
+		case conn.established:
 			return conn
 		case dialling == nil:
 			dialling = conn
@@ -89,7 +89,7 @@
 		idle.class = class
 		return idle
 	}
-	if open >= g.limits.MaxEngineConns || len(g.engineConns) >= g.limits.MaxConns {
+	if openConns >= g.limits.MaxEngineConns || len(g.engineConns) >= g.limits.MaxConns {
 		return other
 	}
 	return g.dialEngine(eng, class)
@@ -127,9 +127,9 @@
 	case attempt.conn == nil:
 		g.log(Warn, "engine: connection limit reached", Attr{keyEngine, attempt.engine.entry.ID})
 		attempt.notEngineFault, attempt.localExhaustion = true, true
-		attempt.engine.undoRequest()
+		attempt.engine.resetLastRequest()
 		g.concludeAttempt(attempt, rules.StatusConnectFailed)
-	case attempt.conn.up && !g.catchingUp():
+	case attempt.conn.established && !g.catchingUp():
 		g.writeAttempt(attempt)
 	default:
 		attempt.conn.waiting = append(attempt.conn.waiting, attempt)
@@ -155,9 +155,9 @@
 	g.markDirty(&conn.outputBuffer)
 }
 
-// engineConnected handles an established connection and writes the attempts and probes waiting for it.
-func (g *Gateway) engineConnected(conn *engineConn) {
-	conn.up, conn.lastUsed, conn.dialTime = true, g.now, g.now-conn.dialledAt
+// handleEngineConnected handles an established connection and writes the attempts and probes waiting for it.
+func (g *Gateway) handleEngineConnected(conn *engineConn) {
+	conn.established, conn.lastUsed, conn.dialTime = true, g.now, g.now-conn.dialledAt
 	g.writeWaiting(conn)
 	for _, probe := range conn.probesInOrder() {
 		conn.output = engine.AppendProbe(conn.output, probe.tag)
@@ -209,6 +209,6 @@
 // retire stops a connection from taking new requests. closeIfDrained closes it once it carries nothing.
 func (c *engineConn) retire(reason CloseReason) { c.retired, c.retireReason = true, reason }
 
-// undoRequest resets lastRequest after a request that did not reach the engine, so that the missing answer is not
+// resetLastRequest resets lastRequest after a request that did not reach the engine, so that the missing answer is not
 // taken for silence.
-func (s *engineState) undoRequest() { s.lastRequest = min(s.lastRequest, s.lastRead) }
+func (s *engineState) resetLastRequest() { s.lastRequest = min(s.lastRequest, s.lastRead) }
--- a/internal/gateway/engineread.go
+++ b/internal/gateway/engineread.go
@@ -52,7 +52,7 @@
 	}
 	accepted := conn.emittedBytes // without the cancels, which are emitted by the close
 	g.closeEngineConn(conn, CloseEngineMalformed)
-	g.engineConnEnded(conn, err, accepted, true)
+	g.handleEngineConnEnded(conn, err, accepted, true)
 }
 
 // errAnswerIncomplete is the error of a connection on which an answer was not completed in time.
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -83,10 +83,10 @@
 	if eng.entry.Started != entry.Started {
 		eng.startedAt = g.startTime(entry)
 		eng.slowStart.resetForNewProcess()
-		eng.undoRequest() // the new process does not answer requests sent to the previous one
+		eng.resetLastRequest() // the new process does not answer requests sent to the previous one
 	}
 	g.setEntry(eng, entry)
-	eng.drainedByDirective = g.drainsEngine(entry.ID)
+	eng.drainedByDirective = g.engineDrainedByDirective(entry.ID)
 	state := rules.EngineServing
 	if entry.State == config.StateDraining {
 		state = rules.EngineDraining
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,8 +81,8 @@
 	drainPeriodOver    bool
 }
 
-// queryHistorySize is the number of name service queries that are remembered: all polls whose answers may still
-// arrive, and as many again for reloads.
+// queryHistorySize is the number of name service queries that are remembered. It is at least twice the number of polls
+// whose answers may still arrive, which leaves the same number of entries for queries that reloads trigger.
 const queryHistorySize = 192
 
 // New returns a Gateway that starts at the time now with the configuration cfg.
@@ -134,16 +134,16 @@
 		g.extendCatchUp()
 		g.acceptClient(e.Conn, e.From)
 	case *DataReceived:
-		g.dataReceived(e)
+		g.handleDataReceived(e)
 	case ConnectionClosed:
-		g.connectionClosed(e)
+		g.handleConnectionClosed(e)
 	case DialSucceeded:
 		if conn := g.engineConns[e.Conn]; conn != nil {
-			g.engineConnected(conn)
+			g.handleEngineConnected(conn)
 		}
 	case DialFailed:
 		if conn := g.engineConns[e.Conn]; conn != nil {
-			g.engineConnEnded(conn, e.Err, 0, e.Local)
+			g.handleEngineConnEnded(conn, e.Err, 0, e.Local)
 		}
 	case DNSResponse:
 		g.clockSteps.Note(e.ClockSkew)
@@ -156,9 +156,9 @@
 		g.clockSteps.Note(e.ClockSkew)
 		g.reconfigure(e.Config)
 	case SpoolCompleted:
-		g.diskCompleted(e.Events)
+		g.handleDiskCompleted(e.Events)
 	case WriteDrained:
-		g.writeDrained(e.Conn)
+		g.handleWriteDrained(e.Conn)
 	case WriteBlocked:
 		if conn := g.engineConns[e.Conn]; conn != nil {
 			conn.blockedSince = g.now
@@ -168,13 +168,13 @@
 	case ControlRequest:
 		g.handleControlRequest(e)
 	case VoterLogOpened:
-		g.voterOpened(e.State)
+		g.handleVoterOpened(e.State)
 	case VoterLogPersisted:
-		g.voterPersisted(e.Err)
+		g.handleVoterPersisted(e.Err)
 	}
 }
 
-func (g *Gateway) dataReceived(e *DataReceived) {
+func (g *Gateway) handleDataReceived(e *DataReceived) {
 	if client := g.clients[e.Conn]; client != nil {
 		g.extendCatchUp()
 		g.handleClientData(client, e.Data)
@@ -183,25 +183,25 @@
 	}
 }
 
-func (g *Gateway) connectionClosed(e ConnectionClosed) {
+func (g *Gateway) handleConnectionClosed(e ConnectionClosed) {
 	if client := g.clients[e.Conn]; client != nil {
 		g.extendCatchUp()
 		g.countClose(client, CloseByPeer)
 		g.removeClient(client)
 	} else if conn := g.engineConns[e.Conn]; conn != nil {
-		g.engineConnEnded(conn, e.Err, e.AcceptedBytes, false)
+		g.handleEngineConnEnded(conn, e.Err, e.AcceptedBytes, false)
 	}
 }
 
-func (g *Gateway) writeDrained(id ConnID) {
+func (g *Gateway) handleWriteDrained(id ConnID) {
 	if client := g.clients[id]; client != nil {
-		g.clientDrained(client)
+		g.handleClientDrained(client)
 	} else if conn := g.engineConns[id]; conn != nil {
 		conn.blockedSince = 0
 	}
 }
 
-func (g *Gateway) voterPersisted(err error) {
+func (g *Gateway) handleVoterPersisted(err error) {
 	if g.directives != nil {
 		g.runDirectiveEffects(g.directives.node.Handle(g.now, directives.Persisted{OK: err == nil}))
 	}
@@ -232,8 +232,8 @@
 		return
 	}
 	for event, ok := g.moduleQueue.next(); ok; event, ok = g.moduleQueue.next() {
-		for _, act := range g.module.Handle(g.now, event) {
-			g.runAction(act)
+		for _, action := range g.module.Handle(g.now, event) {
+			g.runAction(action)
 		}
 	}
 }
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -17,14 +17,14 @@
 // follows the request only by what the gateway writes.
 type interleaving struct {
 	*testGateway
-	class          string
-	asks           int             // how often a complete request was written to an engine
-	mayHaveRun     int             // how many of these attempts may have run
-	sentAfterLeave bool            // it was written to an engine after its client had left
-	answers        int             // final answers to the client
-	left           bool            // the client has disconnected or was killed
-	readUpTo       map[ConnID]int  // how much of each connection's output was read
-	resolvedDials  map[ConnID]bool // dials that have succeeded or failed
+	class           string
+	requestsWritten int             // how often a complete request was written to an engine
+	mayHaveRun      int             // how many of these attempts may have run
+	sentAfterLeave  bool            // it was written to an engine after its client had left
+	answers         int             // final answers to the client
+	clientLeft      bool            // the client has disconnected or was killed
+	readUpTo        map[ConnID]int  // how much of each connection's output was read
+	resolvedDials   map[ConnID]bool // dials that have succeeded or failed
 }
 
 const killerConn = 3 // the client connection that sends KILL
@@ -49,9 +49,9 @@
 			x.answers += strings.Count(text, "the query") + strings.Count(text, "\x011\x01a\x01b")
 		case id&dialledBit != 0:
 			if n := strings.Count(text, "ASK "+idA); n > 0 {
-				x.asks += n
+				x.requestsWritten += n
 				x.mayHaveRun += n
-				x.sentAfterLeave = x.sentAfterLeave || x.left
+				x.sentAfterLeave = x.sentAfterLeave || x.clientLeft
 			}
 		}
 	}
@@ -77,33 +77,33 @@
 	do   func(x *interleaving)
 }{
 	{"request", func(x *interleaving) {
-		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
+		if !x.closed[1] && !x.clientLeft && x.g.requests[idA] == nil && x.answers == 0 {
 			x.receive(1, requestPacket(x.class, idA))
 		}
 	}},
 	{"first byte", func(x *interleaving) {
-		if !x.closed[1] && !x.left && x.g.requests[idA] == nil && x.answers == 0 {
+		if !x.closed[1] && !x.clientLeft && x.g.requests[idA] == nil && x.answers == 0 {
 			x.receive(1, requestPacket(x.class, idA)[:9])
 		}
 	}},
 	{"last byte", func(x *interleaving) {
-		if client := x.g.clients[1]; client != nil && client.partialBytes > 0 && !x.left {
+		if client := x.g.clients[1]; client != nil && client.partialBytes > 0 && !x.clientLeft {
 			x.receive(1, requestPacket(x.class, idA)[9:])
 		}
 	}},
 	{"close", func(x *interleaving) {
-		x.left = true
+		x.clientLeft = true
 		x.closeConn(1)
 	}},
 	{"kill", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil && client.request != nil {
-			x.left = true
+			x.clientLeft = true
 			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL QUERY %d", client.session))))
 		}
 	}},
 	{"session killed", func(x *interleaving) {
 		if client := x.g.clients[1]; client != nil {
-			x.left = true
+			x.clientLeft = true
 			x.receive(killerConn, string(queryPacket(fmt.Sprintf("KILL %d", client.session))))
 		}
 	}},
@@ -128,11 +128,11 @@
 	{"second page", func(x *interleaving) { x.receive(x.lastDial(), idA+" rows index=1 6\r\n2\tc\td\n\r\n") }},
 	{"half an answer", func(x *interleaving) { x.receive(x.lastDial(), idA+" served total=1 6\r\n1\ta") }},
 	{"overload", func(x *interleaving) {
-		if x.asks > 0 {
+		if x.requestsWritten > 0 {
 			x.mayHaveRun--
 		}
 		x.receive(x.lastDial(), idA+" overload - 0\r\n\r\n")
-		if x.asks == 0 {
+		if x.requestsWritten == 0 {
 			return
 		}
 		if req := x.g.requests[idA]; req != nil && len(req.attempts) > 0 && req.attempts[0].sent && !req.attempts[0].done {
@@ -180,7 +180,7 @@
 				interleavedEvents[i].do(x)
 				x.readOutput()
 			}
-			requested := x.g.requests[idA] != nil || x.answers > 0 || x.left
+			requested := x.g.requests[idA] != nil || x.answers > 0 || x.clientLeft
 			x.step(ShutdownRequested{})
 			x.advance(5 * rules.Second)
 			x.readOutput()
@@ -188,10 +188,10 @@
 			switch {
 			case x.answers > 1:
 				problem = fmt.Sprintf("%d final answers", x.answers)
-			case requested && x.answers == 0 && !x.left && !x.closed[1]:
+			case requested && x.answers == 0 && !x.clientLeft && !x.closed[1]:
 				problem = "no answer"
 			case class != "point" && x.mayHaveRun > 1:
-				problem = fmt.Sprintf("it was sent to engines %d times", x.asks)
+				problem = fmt.Sprintf("it was sent to engines %d times", x.requestsWritten)
 			case x.sentAfterLeave:
 				problem = "it was sent to an engine after its client had left"
 			case len(x.g.requests) != 0 || x.g.unanswered != 0 || x.g.statementBytes != 0 || x.g.resultBytes != 0 || x.g.partialBytes != 0:
@@ -631,15 +631,15 @@
 			x.now += delay
 			x.step(DialSucceeded{Conn: first})
 			x.readOutput()
-			if x.asks != 1 {
-				t.Fatalf("%s: %d requests were written at first", name, x.asks)
+			if x.requestsWritten != 1 {
+				t.Fatalf("%s: %d requests were written at first", name, x.requestsWritten)
 			}
 			x.now += 5 * rules.Millisecond
 			x.step(TimerFired{})
 			c.end(x)
 			retried := func() bool { // whether another attempt has started, with or without a connection
 				x.readOutput()
-				return x.asks > 1 || len(x.dials) > 1
+				return x.requestsWritten > 1 || len(x.dials) > 1
 			}
 			if waits := c.wait && !hedging; waits {
 				x.advance(delay - rules.Millisecond)
--- a/internal/gateway/listchange_test.go
+++ b/internal/gateway/listchange_test.go
@@ -17,12 +17,12 @@
 	serial         uint32
 	addrs          map[ConnID]netip.AddrPort // addresses of the engine connections
 	readUpTo       map[ConnID]int            // how much of each connection's output was read
-	asksByAddr     map[netip.AddrPort]int    // number of requests written to each address
+	requestsByAddr map[netip.AddrPort]int    // number of requests written to each address
 	lastClientConn ConnID                    // ID of the last client connection
 }
 
 func newListChange(t *testing.T) *listChange {
-	return &listChange{testGateway: newTestGateway(t), serial: 1, addrs: map[ConnID]netip.AddrPort{}, readUpTo: map[ConnID]int{}, asksByAddr: map[netip.AddrPort]int{}}
+	return &listChange{testGateway: newTestGateway(t), serial: 1, addrs: map[ConnID]netip.AddrPort{}, readUpTo: map[ConnID]int{}, requestsByAddr: map[netip.AddrPort]int{}}
 }
 
 // readOutput counts the requests that were written to each address since its last call.
@@ -36,7 +36,7 @@
 	}
 	for id, out := range c.output {
 		if id&dialledBit != 0 {
-			c.asksByAddr[c.addrs[id]] += strings.Count(string(out[c.readUpTo[id]:]), "ASK ")
+			c.requestsByAddr[c.addrs[id]] += strings.Count(string(out[c.readUpTo[id]:]), "ASK ")
 			c.readUpTo[id] = len(out)
 		}
 	}
@@ -54,7 +54,7 @@
 func (c *listChange) completeDials() {
 	c.readOutput()
 	for _, id := range c.dials {
-		if conn := c.g.engineConns[id]; conn != nil && !conn.up {
+		if conn := c.g.engineConns[id]; conn != nil && !conn.established {
 			c.step(DialSucceeded{Conn: id})
 		}
 	}
@@ -75,7 +75,7 @@
 	c.completeDials()
 	c.receive(c.dials[0], idB+" served total=1 0\r\n\r\n")
 	c.readOutput()
-	c.asksByAddr = map[netip.AddrPort]int{}
+	c.requestsByAddr = map[netip.AddrPort]int{}
 }
 
 // listChanges are the changes of the engine by name, with the list after each.
@@ -121,7 +121,7 @@
 					change.sendRequest(idA)
 					change.completeDials()
 					change.readOutput()
-					change.asksByAddr = map[netip.AddrPort]int{}
+					change.requestsByAddr = map[netip.AddrPort]int{}
 					apply()
 					change.receive(change.dials[0], idA+" overload - 0\r\n\r\n")
 				},
@@ -149,7 +149,7 @@
 				}
 				change.readOutput()
 				served := 0
-				for addr, n := range change.asksByAddr {
+				for addr, n := range change.requestsByAddr {
 					if addr == oneHost.Addr && n > 0 && name != "replaced by another at its address" {
 						t.Errorf("%s: %d requests were sent to the engine's old address", state, n)
 					} else {
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -684,7 +684,7 @@
 			gw.receive(1, requestPacket("load", bad))
 			gw.receive(2, requestPacket("point", good))
 			for _, d := range gw.dials {
-				if conn := gw.g.engineConns[d]; conn != nil && !conn.up {
+				if conn := gw.g.engineConns[d]; conn != nil && !conn.established {
 					gw.step(DialSucceeded{Conn: d})
 				}
 			}
--- a/internal/gateway/probes.go
+++ b/internal/gateway/probes.go
@@ -56,7 +56,7 @@
 	}
 	probe.conn.probes[probe.tag] = probe
 	g.timers.add(timer{at: g.now + g.limits.ProbeTimeout, kind: timerProbe, probe: probe})
-	if probe.conn.up {
+	if probe.conn.established {
 		probe.conn.output = engine.AppendProbe(probe.conn.output, probe.tag)
 		probe.conn.lastUsed = g.now
 		g.markDirty(&probe.conn.outputBuffer)
@@ -71,7 +71,7 @@
 	}
 	probe.done = true
 	if !probe.localExhaustion {
-		g.zoneProbed(probe.engine, status == rules.StatusOK)
+		g.recordZoneProbe(probe.engine, status == rules.StatusOK)
 	}
 	if probe.conn != nil {
 		delete(probe.conn.probes, probe.tag)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -79,7 +79,7 @@
 		g.requestAdmission(req, query.Fields.Tenant)
 		return
 	}
-	g.requestAdmitted(req, 0)
+	g.handleRequestAdmitted(req, 0)
 }
 
 // resolveQuery looks up the class and the tenant of a query and validates its fields. The error is sent to the
@@ -145,8 +145,8 @@
 	return req
 }
 
-// requestAdmitted continues a request that admission control has admitted, after it was queued for queuedFor.
-func (g *Gateway) requestAdmitted(req *queryRequest, queuedFor rules.Time) {
+// handleRequestAdmitted continues a request that admission control has admitted, after it was queued for queuedFor.
+func (g *Gateway) handleRequestAdmitted(req *queryRequest, queuedFor rules.Time) {
 	req.queuedFor = queuedFor
 	if !g.admitOrReject(req) {
 		return
@@ -187,7 +187,7 @@
 		if client.reader == nil {
 			client.answeredInEvent = g.eventNumber
 		}
-		g.clientBecameIdle(client)
+		g.handleClientIdle(client)
 	}
 	g.releaseRequest(req)
 }
--- a/internal/gateway/resultfill.go
+++ b/internal/gateway/resultfill.go
@@ -17,7 +17,7 @@
 // spoolFirstPage handles the first page of a result that is stored in the spool.
 func (g *Gateway) spoolFirstPage(attempt *engineAttempt, answer *engine.Answer, total int) {
 	if !pageWellFormed(answer.Body) {
-		g.malformedAnswer(attempt, malformedRow)
+		g.failMalformedAnswer(attempt, malformedRow)
 		return
 	}
 	attempt.firstPageReceived, attempt.latency = true, g.now-attempt.startedAt
@@ -51,9 +51,9 @@
 	req := attempt.request
 	switch {
 	case !attempt.firstPageReceived || n < 0 || n >= attempt.totalPages || req.result.source != attempt:
-		g.malformedAnswer(attempt, unrequestedPage)
+		g.failMalformedAnswer(attempt, unrequestedPage)
 	case !pageWellFormed(body):
-		g.malformedAnswer(attempt, malformedRow)
+		g.failMalformedAnswer(attempt, malformedRow)
 	default:
 		data := append(make([]byte, 0, len(body)), body...)
 		g.notifySpool(spool.PageArrived{ID: req.result.handle.ID, Index: n, PageCount: attempt.totalPages, Data: data})
@@ -80,9 +80,9 @@
 	}
 }
 
-// resultReceived ends the attempt that has filled a result. Its engine is released, whether or not the client reads
-// the result.
-func (g *Gateway) resultReceived(req *queryRequest) {
+// handleResultReceived ends the attempt that has filled a result. Its engine is released, whether or not the client
+// reads the result.
+func (g *Gateway) handleResultReceived(req *queryRequest) {
 	attempt := req.result.source
 	req.result.source, req.result.engineDone = nil, true
 	if attempt == nil || attempt.done {
@@ -114,9 +114,9 @@
 	}
 }
 
-// resultLost answers a request whose result cannot be stored. The query has run, so the client is told that it may
-// retry only if the class is idempotent, and not if the result is too large, since it would be too large again.
-func (g *Gateway) resultLost(req *queryRequest, reason spool.Reason) {
+// answerLostResult answers a request whose result cannot be stored. The query has run, so the answer permits a retry
+// only if the class is idempotent, and not if the result is too large, since it would be too large again.
+func (g *Gateway) answerLostResult(req *queryRequest, reason spool.Reason) {
 	if req.answered {
 		return
 	}
--- a/internal/gateway/resultread.go
+++ b/internal/gateway/resultread.go
@@ -94,21 +94,21 @@
 		g.notifySpool(spool.NextChunk{Reader: reader.slot, Index: effect.Index + 1})
 	}
 	g.removeReader(client)
-	g.clientBecameIdle(client)
+	g.handleClientIdle(client)
 }
 
-// resultAcknowledged confirms the release of a result to the client.
-func (g *Gateway) resultAcknowledged(client *clientConn) {
+// confirmResultRelease confirms the release of a result to the client.
+func (g *Gateway) confirmResultRelease(client *clientConn) {
 	g.removeReader(client)
 	g.writeOK(client)
-	g.clientBecameIdle(client)
+	g.handleClientIdle(client)
 }
 
-// resultDenied answers a client that may not read the result it requested.
-func (g *Gateway) resultDenied(client *clientConn) {
+// denyResult answers a client that may not read the result it requested.
+func (g *Gateway) denyResult(client *clientConn) {
 	g.removeReader(client)
 	g.rejectCommand(client, mysql.CodeUnknownError, noSuchResult)
-	g.clientBecameIdle(client)
+	g.handleClientIdle(client)
 }
 
 // appendRow appends a row of the result. The row is well-formed, since pages are checked when they are received.
@@ -123,8 +123,8 @@
 	g.emit(NotifyDrained{Conn: client.id})
 }
 
-// clientDrained requests the next chunk for a client whose connection has accepted the last one.
-func (g *Gateway) clientDrained(client *clientConn) {
+// handleClientDrained requests the next chunk for a client whose connection has accepted the last one.
+func (g *Gateway) handleClientDrained(client *clientConn) {
 	if reader := client.reader; reader != nil && reader.headerWritten && !reader.complete {
 		g.notifySpool(spool.NextChunk{Reader: reader.slot, Index: reader.lastChunk + 1})
 	}
@@ -152,12 +152,12 @@
 	}
 }
 
-// abortReader ends an interrupted answer with an error, so that the client can tell it from a complete one.
+// abortReader ends an interrupted answer with an error, so that the client can distinguish it from a complete one.
 func (g *Gateway) abortReader(client *clientConn, reason spool.Reason) {
 	reader := client.reader
 	g.log(Warn, "spool: result lost while being read", Attr{keySession, client.session}, Attr{keyReason, reason.String()})
 	client.output = mysql.AppendErr(client.output, reader.nextSeq, mysql.CodeUnknownError, "the result was lost: "+reason.String())
 	g.markDirty(&client.outputBuffer)
 	g.removeReader(client)
-	g.clientBecameIdle(client)
+	g.handleClientIdle(client)
 }
--- a/internal/gateway/resultstore.go
+++ b/internal/gateway/resultstore.go
@@ -81,11 +81,11 @@
 		}
 	case spool.Acknowledged:
 		if client := store.readers.entries[effect.Reader]; client != nil {
-			g.resultAcknowledged(client)
+			g.confirmResultRelease(client)
 		}
 	case spool.Deny:
 		if client := store.readers.entries[effect.Reader]; client != nil {
-			g.resultDenied(client)
+			g.denyResult(client)
 		}
 	case spool.AbortRead:
 		if client := store.readers.entries[effect.Reader]; client != nil {
@@ -102,22 +102,22 @@
 func (g *Gateway) runFillEffect(req *queryRequest, effect spool.FillEffect) {
 	switch effect := effect.(type) {
 	case spool.Granted:
-		g.resultGranted(req)
+		g.handleResultGranted(req)
 	case spool.Rejected:
-		g.resultRejected(req, effect)
+		g.handleResultRejected(req, effect)
 	case spool.FetchPages:
 		g.fetchPages(req, effect)
 	case spool.ReleaseEngine:
-		g.resultReceived(req)
+		g.handleResultReceived(req)
 	case spool.Completed:
 		g.serveStoredResult(req)
 	case spool.Failed:
-		g.resultFailed(req, effect)
+		g.handleResultFailed(req, effect)
 	}
 }
 
-// resultGranted continues a request after capacity for its result was reserved.
-func (g *Gateway) resultGranted(req *queryRequest) {
+// handleResultGranted continues a request after capacity for its result was reserved.
+func (g *Gateway) handleResultGranted(req *queryRequest) {
 	req.result.reserved = true
 	if !req.submitted {
 		g.submit(req)
@@ -126,8 +126,8 @@
 	g.startFilling(req)
 }
 
-// resultRejected ends a request because there is no capacity for its result.
-func (g *Gateway) resultRejected(req *queryRequest, effect spool.Rejected) {
+// handleResultRejected ends a request because there is no capacity for its result.
+func (g *Gateway) handleResultRejected(req *queryRequest, effect spool.Rejected) {
 	delete(g.results.filling, effect.ID)
 	req.result.reserved = false
 	g.log(Info, "spool: no capacity for a result", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
@@ -137,7 +137,7 @@
 		req.endReason = EndNoResultCapacity
 		g.writeRejection(req, capRetryAfter(&g.cfg.Settings.Rules.Limits, effect.RetryAfter))
 	default:
-		g.resultLost(req, effect.Reason)
+		g.answerLostResult(req, effect.Reason)
 	}
 }
 
@@ -151,8 +151,8 @@
 	}
 }
 
-// resultFailed handles a result that cannot be completed.
-func (g *Gateway) resultFailed(req *queryRequest, effect spool.Failed) {
+// handleResultFailed handles a result that cannot be completed.
+func (g *Gateway) handleResultFailed(req *queryRequest, effect spool.Failed) {
 	delete(g.results.filling, effect.ID)
 	req.result.reserved = false
 	if effect.Reason == spool.ReasonAttemptFailed { // another attempt may follow, which needs a new reservation
@@ -162,7 +162,7 @@
 		return
 	}
 	g.log(Warn, "spool: result could not be stored", Attr{keyReason, effect.Reason.String()}, Attr{keyClass, g.cfg.Settings.ClassNames[req.class]})
-	g.resultLost(req, effect.Reason)
+	g.answerLostResult(req, effect.Reason)
 }
 
 // reserveResult requests capacity for a request's result from the spool.
@@ -193,8 +193,8 @@
 	return xxh3.HashString(tenant)
 }
 
-// diskCompleted passes completed disk operations to the spool.
-func (g *Gateway) diskCompleted(events []spool.Event) {
+// handleDiskCompleted passes completed disk operations to the spool.
+func (g *Gateway) handleDiskCompleted(events []spool.Event) {
 	for _, event := range events {
 		g.notifySpool(event)
 	}
--- a/internal/gateway/resultstore_test.go
+++ b/internal/gateway/resultstore_test.go
@@ -70,8 +70,8 @@
 	if event != nil {
 		gw.g.Step(gw.now, event)
 	}
-	for again := true; again; {
-		again = false
+	for progressed := true; progressed; {
+		progressed = false
 		for _, effect := range slices.Clone(gw.g.Flush()) {
 			switch effect := effect.(type) {
 			case *Write:
@@ -89,7 +89,7 @@
 			}
 		}
 		if !gw.diskPaused && len(gw.pendingDisk) > 0 {
-			again = true
+			progressed = true
 			gw.runDisk()
 		}
 	}
@@ -166,11 +166,11 @@
 	for {
 		got := gw.takeOutput(connID)
 		received += got
-		asks := nextCommand.FindAllStringSubmatch(got, -1)
-		if len(asks) == 0 {
+		pageRequests := nextCommand.FindAllStringSubmatch(got, -1)
+		if len(pageRequests) == 0 {
 			return received
 		}
-		for _, m := range asks {
+		for _, m := range pageRequests {
 			n := parseInt(gw.t, m[2])
 			p := bigPage(n)
 			gw.receiveData(connID, fmt.Sprintf("%s rows index=%d %d\r\n%s\r\n", m[1], n, len(p), p))
@@ -287,7 +287,7 @@
 		t.Fatalf("handle %q, chunks %v", handle, pages)
 	}
 	gw.stepWithDisk(ConnectionClosed{Conn: 1})
-	asks := gw.takeOutput(connID)
+	engineInput := gw.takeOutput(connID)
 	gw.login(2)
 	last := pages[len(pages)-1]
 	// Rows after the last complete page are read again.
@@ -304,7 +304,7 @@
 	if end != "end" || again != handle || !slices.Equal(append(got, more...), wantRows(0, 60)) {
 		t.Errorf("%s: %d rows and %d more of %d", end, len(got), len(more), len(wantRows(0, 60)))
 	}
-	if asks += gw.takeOutput(connID); strings.Contains(asks, "ASK") {
+	if engineInput += gw.takeOutput(connID); strings.Contains(engineInput, "ASK") {
 		t.Error("the query was run again")
 	}
 	// The result is kept until it is released: it can be read again before that.
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -75,7 +75,7 @@
 // within 3 s.
 func (sim *simulation) startBadClient() {
 	sim.lastConn++
-	conn := &simConn{id: sim.lastConn, client: true, bad: true, replyDue: true}
+	conn := &simConn{id: sim.lastConn, client: true, sendsInvalidInput: true, replyDue: true}
 	sim.conns[conn.id] = conn
 	openID := "open"
 	for _, req := range sim.requests {
@@ -173,7 +173,7 @@
 		}
 		payload := conn.input[4 : 4+size]
 		req := conn.request
-		if conn.bad {
+		if conn.sendsInvalidInput {
 			switch {
 			case conn.session == 0 || payload[0] == 0: // the greeting, or the OK of a login
 				conn.session = 1
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -91,9 +91,9 @@
 
 // simEvent is a scheduled action of the simulation.
 type simEvent struct {
-	at  rules.Time
-	seq int // orders events of the same time as they were scheduled
-	do  func()
+	at     rules.Time
+	seq    int // orders events of the same time as they were scheduled
+	action func()
 }
 
 // Before orders events by time, then in the order in which they were scheduled.
@@ -103,19 +103,19 @@
 
 // simConn is the client's or engine's end of a connection.
 type simConn struct {
-	id       ConnID
-	session  uint32 // session ID, known after the greeting
-	client   bool
-	input    []byte // received and not read yet
-	loggedIn bool
-	bad      bool // the client sends invalid input
-	replyDue bool // the bad client must still get an error or be closed
-	request  *simRequest
-	engine   *simEngine
-	inFlight map[string]*simAttempt // of an engine connection, by request ID
-	closed   bool
-	written  int64      // bytes that the operating system accepted from the gateway
-	delay    rules.Time // network delay to the engine; 0 for clients
+	id                ConnID
+	session           uint32 // session ID, known after the greeting
+	client            bool
+	input             []byte // received and not read yet
+	loggedIn          bool
+	sendsInvalidInput bool // a bad client
+	replyDue          bool // the bad client must still get an error or be closed
+	request           *simRequest
+	engine            *simEngine
+	inFlight          map[string]*simAttempt // of an engine connection, by request ID
+	closed            bool
+	written           int64      // bytes that the operating system accepted from the gateway
+	delay             rules.Time // network delay to the engine; 0 for clients
 }
 
 // simEngine is a simulated engine.
@@ -243,9 +243,9 @@
 }
 
 // schedule runs do after delay.
-func (sim *simulation) schedule(delay rules.Time, do func()) {
+func (sim *simulation) schedule(delay rules.Time, action func()) {
 	sim.eventSeq++
-	sim.queue.Push(simEvent{sim.now + delay, sim.eventSeq, do})
+	sim.queue.Push(simEvent{sim.now + delay, sim.eventSeq, action})
 }
 
 // reportViolations fails the test with the first five violations of the rules, if there are any.
@@ -333,7 +333,7 @@
 		if len(sim.queue) == 0 || sim.queue[0].at > until {
 			return
 		}
-		sim.queue.Pop().do()
+		sim.queue.Pop().action()
 	}
 }
 
@@ -597,7 +597,7 @@
 	if req.leftAt != 0 && sim.now > req.leftAt+maxStartAfterLeave {
 		sim.addViolation(1, "%s reached an engine %d ms after its client had gone", req.id, (sim.now-req.leftAt)/rules.Millisecond)
 	}
-	if req.client == nil || req.client.bad {
+	if req.client == nil || req.client.sendsInvalidInput {
 		sim.t.Fatalf("engine received request %s of a bad client", id)
 	}
 	if remaining := req.deadline - sim.now; parseTTL(fields) > remaining+150*rules.Millisecond+timingSlack {
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -64,7 +64,7 @@
 	}
 	for _, eng := range g.engineOrder {
 		for _, conn := range eng.conns {
-			if conn.up && !conn.closed && len(conn.waiting) > 0 {
+			if conn.established && !conn.closed && len(conn.waiting) > 0 {
 				g.writeWaiting(conn)
 			}
 		}
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -160,7 +160,7 @@
 // admitOrReject reports whether the directives in force and the zone controller admit a request. If not, the
 // request has been rejected.
 func (g *Gateway) admitOrReject(req *queryRequest) bool {
-	if g.rejectsClass(req.class) {
+	if g.classRejectedByDirective(req.class) {
 		g.reject(req, g.cfg.Settings.Rules.Limits.MaxRetryAfter, EndDirective)
 		return false
 	}
@@ -187,8 +187,8 @@
 	return max(moduleRetryAfter, capRetryAfter(limits, g.zones.controller.RetryAfter(g.now)))
 }
 
-// zoneProbed notifies the zone controller of a probe's result.
-func (g *Gateway) zoneProbed(eng *engineState, ok bool) {
+// recordZoneProbe notifies the zone controller of a probe's result.
+func (g *Gateway) recordZoneProbe(eng *engineState, ok bool) {
 	if g.zones != nil {
 		g.zones.controller.RecordProbe(eng.zone, ok)
 	}
