--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -25,7 +25,7 @@
 		s.closeGracefully(c)
 		return
 	}
-	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errPeerNotReading) })
+	s.runAfter(s.limits.FlushTimeout, func() { s.shutdownConn(c, errPeerNotReading) })
 }
 
 // closeGracefully closes a connection that has no pending bytes. A client connection gets a lingering close; the
@@ -45,7 +45,7 @@
 	if oldest != nil {
 		s.shutdownConn(oldest, errClosedLocally)
 	}
-	s.after(s.limits.FlushTimeout, func() { s.shutdownConn(c, errClosedLocally) })
+	s.runAfter(s.limits.FlushTimeout, func() { s.shutdownConn(c, errClosedLocally) })
 }
 
 // closeWrite closes the write half of a connection and reports whether that half is closed. The caller holds s.mu.
@@ -74,7 +74,7 @@
 	if c.ownsDescriptor() {
 		_ = syscall.Shutdown(c.nb.Hash(), syscall.SHUT_RDWR) // fails if the peer has already closed the connection
 	}
-	s.after(s.limits.FlushTimeout, func() { // in case the poller gets no event
+	s.runAfter(s.limits.FlushTimeout, func() { // in case the poller gets no event
 		if s.connByID(c.id) == c {
 			_ = c.nb.Close() // the connection is no longer used
 			s.reserveDescriptor(c.nb.Hash())
@@ -116,7 +116,7 @@
 	return ok && addrPort.IsValid() && addrPort == netip.AddrPortFrom(tcp.AddrPort().Addr().Unmap(), tcp.AddrPort().Port())
 }
 
-// after calls a function in a goroutine of its own once d has passed.
-func (s *Server) after(d rules.Time, do func()) {
-	time.AfterFunc(time.Duration(d)*time.Microsecond, do)
+// runAfter calls action in a goroutine of its own after delay.
+func (s *Server) runAfter(delay rules.Time, action func()) {
+	time.AfterFunc(time.Duration(delay)*time.Microsecond, action)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -28,7 +28,7 @@
 	maxPending       int64        // bytes; the connection is shut down if more are pending
 	acceptedBytes    atomic.Int64 // total bytes that the kernel has accepted
 	closeWhenDrained atomic.Bool  // close the connection once no bytes are pending
-	notifyDrained    atomic.Bool  // the reducer asked for WriteDrained once no bytes are pending
+	notifyDrained    atomic.Bool  // the reducer requested WriteDrained once no bytes are pending
 
 	blockedMu    sync.Mutex   // keeps WriteBlocked and WriteDrained in order
 	blockedSince atomic.Int64 // server time at which bytes to an engine became pending; 0: no bytes are pending
@@ -140,7 +140,7 @@
 	}
 }
 
-// reportDrained sends WriteDrained to the reducer if it asked for it, once per request.
+// reportDrained sends WriteDrained to the reducer if requested, once per request.
 func (s *Server) reportDrained(c *conn) {
 	if c.notifyDrained.Swap(false) {
 		s.queue.enqueue(gateway.WriteDrained{Conn: c.id})
--- a/internal/transport/control_test.go
+++ b/internal/transport/control_test.go
@@ -116,9 +116,9 @@
 	})
 	c.stop()
 	c.wait()
-	for what, in := range map[string]*bufio.Reader{"that waits for a response": waiting, "that has sent no request": silent} {
+	for client, in := range map[string]*bufio.Reader{"that waits for a response": waiting, "that has sent no request": silent} {
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the connection %s read %v, want EOF", what, err)
+			t.Errorf("the connection %s read %v, want EOF", client, err)
 		}
 	}
 }
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -45,7 +45,7 @@
 		s.reserved = s.reserved[1:]
 	}
 	s.mu.Unlock()
-	s.after(s.limits.FlushTimeout, func() { s.releaseDescriptor(fd) })
+	s.runAfter(s.limits.FlushTimeout, func() { s.releaseDescriptor(fd) })
 }
 
 // releaseDescriptor closes a descriptor if it is still reserved.
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -197,7 +197,7 @@
 }
 
 // waitFor waits up to 2 s for a condition and fails the test if it does not become true.
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for range 200 {
 		if ok() {
@@ -205,7 +205,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("timed out waiting for %s", what)
+	t.Fatalf("timed out waiting for %s", condition)
 }
 
 // ---- a server without a reducer
@@ -239,9 +239,9 @@
 }
 
 // awaitQueue waits until the queue fulfills a condition.
-func (s *Server) awaitQueue(t *testing.T, what string, ok func(q *eventQueue) bool) {
+func (s *Server) awaitQueue(t *testing.T, condition string, ok func(q *eventQueue) bool) {
 	t.Helper()
-	waitFor(t, what, func() bool {
+	waitFor(t, condition, func() bool {
 		s.queue.mu.Lock()
 		defer s.queue.mu.Unlock()
 		return ok(s.queue)
--- a/internal/transport/voter.go
+++ b/internal/transport/voter.go
@@ -35,11 +35,11 @@
 		return nil
 	}
 	v := &voterWorker{batches: make(chan directives.Batch, maxQueuedBatches)}
-	open := func() (err error) {
+	openLog := func() (err error) {
 		v.log, v.recovered, err = s.platform.OpenVoterLog(s.cfg.Site.Directives.LogFolder)
 		return err
 	}
-	if err := s.retryStart("voter's log", open); err != nil {
+	if err := s.retryStart("voter's log", openLog); err != nil {
 		return err
 	}
 	state := v.recovered
