--- a/rules/api.go
+++ b/rules/api.go
@@ -27,7 +27,7 @@
 // EngineID identifies an engine across restarts of its process.
 type EngineID uint32
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency specifies whether a request may be executed more than once.
 type Idempotency int
 
 // Idempotency of a class.
@@ -37,7 +37,7 @@
 	NotIdempotent                        // must never be executed twice
 )
 
-// DedupScope says which engines drop duplicates of a request that carries an idempotency key.
+// DedupScope specifies which engines drop duplicates of a request that carries an idempotency key.
 type DedupScope int
 
 // Scopes of deduplication.
@@ -78,7 +78,7 @@
 	MemoryMB float64
 }
 
-// LoadReportMode says how engines report their load.
+// LoadReportMode specifies how engines report their load.
 type LoadReportMode int
 
 // Modes of load reporting.
@@ -88,7 +88,7 @@
 	LoadReportInProbes                  // in probe results only
 )
 
-// OvercommitMode says how an engine reacts when memory grants exceed its memory.
+// OvercommitMode specifies how an engine reacts when memory grants exceed its memory.
 type OvercommitMode int
 
 // Reactions to overcommitted memory.
@@ -98,7 +98,7 @@
 	OvercommitPage                         // the engine pages
 )
 
-// Limits says what the site permits its gateways.
+// Limits specifies what the site permits its gateways.
 type Limits struct {
 	MaxAttempts     int  // attempts per request; 0: no limit
 	MaxOpenRequests int  // requests open at once; any beyond do not reach the gateway; 0: no limit
@@ -214,7 +214,7 @@
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotExecuted
 }
 
-// EngineView is what a gateway knows about an engine, for operators and for zone routing.
+// EngineView is a gateway's view of an engine, for operators and for zone routing.
 type EngineView struct {
 	Engine        EngineID
 	InFlight      int     // attempts without an outcome yet
@@ -262,7 +262,7 @@
 // Event is an input of the module. Only this package implements it.
 type Event interface{ event() }
 
-// UpdateMode says how a FleetUpdate relates to the previous endpoint list.
+// UpdateMode specifies how a FleetUpdate relates to the previous endpoint list.
 type UpdateMode int
 
 // Modes of a FleetUpdate.
@@ -297,7 +297,7 @@
 		MeasuredMemoryMB float64            // as MeasuredWork
 		Load             map[string]float64 // load report by field; nil: none
 	}
-	// StreamOpened says that the response of an attempt has begun to reach the client.
+	// StreamOpened reports that the response of an attempt has begun to reach the client.
 	StreamOpened struct {
 		ID      RequestID
 		Attempt int
@@ -309,9 +309,9 @@
 		Kind    ProgressKind
 		Value   float64
 	}
-	// ClientGone says that the client has disconnected. It is owed no response any more.
+	// ClientGone reports that the client has disconnected. It is owed no response any more.
 	ClientGone struct{ ID RequestID }
-	// TimerFired says that a timer set by SetTimer has expired.
+	// TimerFired reports that a timer set by SetTimer has expired.
 	TimerFired struct{ Token string }
 	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
@@ -321,7 +321,7 @@
 		Latency   Time
 		Load      map[string]float64
 	}
-	// ShutdownStarted says that this gateway is shutting down. All responses are due by Deadline.
+	// ShutdownStarted reports that this gateway is shutting down. All responses are due by Deadline.
 	ShutdownStarted struct{ Deadline Time }
 	// ZonePlanChanged replaces the zone plan of the operators. Without a plan (nil), engines are chosen over
 	// all zones.
@@ -370,7 +370,7 @@
 func (PeerEstimate) event()       {}
 func (PeerSlowStartUsage) event() {}
 
-// FailureReason says why the module ends a request without serving it.
+// FailureReason specifies why the module ends a request without serving it.
 type FailureReason int
 
 // Reasons to end a request.
--- a/rules/attempt.go
+++ b/rules/attempt.go
@@ -24,7 +24,7 @@
 		m.emit(Broadcast{Payload: eng.encodePeerReport()})
 	}
 	m.chargeSlowStartBudget(eng, m.slowStartCharge(req))
-	m.reviewAt(req, m.slowAt(req, &att))
+	m.scheduleReview(req, m.slowAt(req, &att))
 }
 
 // setOptions sets memory grant and priority of the next attempt, if engines respect them and they have
--- a/rules/checker_test.go
+++ b/rules/checker_test.go
@@ -270,8 +270,8 @@
 
 // advance moves the clock forward tick by tick, fires the timers that are due, and times out attempts at the
 // deadline of their request.
-func (chk *checker) advance(by Time) {
-	until := chk.now + by
+func (chk *checker) advance(duration Time) {
+	until := chk.now + duration
 	for {
 		chk.now += chk.settings.Tick
 		for _, id := range chk.arrivalOrder {
--- a/rules/deadline.go
+++ b/rules/deadline.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if lateAt := req.arrivedAt + req.latencyObjective(work) - run; m.now < lateAt {
-		m.reviewAt(req, lateAt)
+		m.scheduleReview(req, lateAt)
 		return
 	}
 	m.reviewLate(req, run)
@@ -42,7 +42,7 @@
 func (m *Module) reviewLate(req *request, run Time) {
 	if req.class.LateValue <= 0 {
 		if m.now == req.arrivedAt+req.QueuedFor {
-			m.reviewAt(req, m.now+m.settings.Tick)
+			m.scheduleReview(req, m.now+m.settings.Tick)
 		} else {
 			m.rejectOrFail(req, ReasonTooLate)
 		}
@@ -52,5 +52,5 @@
 		req.late = true
 		heap.Fix(req.queue, req.heapIndex)
 	}
-	m.reviewAt(req, req.Deadline-run)
+	m.scheduleReview(req, req.Deadline-run)
 }
--- a/rules/dispatch.go
+++ b/rules/dispatch.go
@@ -117,7 +117,7 @@
 	return c.queues[max(weightedDraw(rng, odds), 0)]
 }
 
-// dispatchFrom sends the first request of a queue if an engine may take it. Otherwise the request draws a
+// dispatchFrom sends the first request of a queue if there is an engine for it. Otherwise the request draws a
 // new place in the queue: one that waits for the retry budget, for an engine of its dedup scope or for
 // memory must not block the rest.
 func (m *Module) dispatchFrom(q *queue) bool {
--- a/rules/ejection.go
+++ b/rules/ejection.go
@@ -23,14 +23,14 @@
 // routable reports whether an engine's health permits sending it a request. An engine that is ejected, or
 // on which the request would be late, gets half-open probes only.
 func (m *Module) routable(req *request, eng *engine) bool {
-	if m.inTime(req, eng) && (!m.ejectedFor(req.class, eng) || m.inPanicMode(req.class)) {
+	if m.meetsObjective(req, eng) && (!m.ejectedFor(req.class, eng) || m.inPanicMode(req.class)) {
 		return true
 	}
 	return m.isHalfOpenProbe(req, eng)
 }
 
-// inTime reports whether a request would meet its objective on an engine, or is late anyway.
-func (m *Module) inTime(req *request, eng *engine) bool {
+// meetsObjective reports whether a request would meet its objective on an engine, or is late anyway.
+func (m *Module) meetsObjective(req *request, eng *engine) bool {
 	if req.late {
 		return true
 	}
--- a/rules/module.go
+++ b/rules/module.go
@@ -37,7 +37,7 @@
 	arrivals         []Time  // within the window of the retry budget
 	retries          []Time  // within the window of the retry budget
 
-	candidates  []*engine // scratch space: engines that may take a request
+	candidates  []*engine // scratch space: candidates for a request; see isCandidate
 	zoneEngines []*engine // scratch space: engines of a zone
 }
 
--- a/rules/overdue.go
+++ b/rules/overdue.go
@@ -53,7 +53,7 @@
 		if at := m.slowAt(req, att); m.now >= at && att.penalizedTime == 0 {
 			m.penalizeSlowAttempt(att, float64(m.now-att.startedAt))
 		} else {
-			m.reviewAt(req, at)
+			m.scheduleReview(req, at)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 		after += after / 2
 	}
 	if m.now < att.startedAt+after {
-		m.reviewAt(req, att.startedAt+after)
+		m.scheduleReview(req, att.startedAt+after)
 		return
 	}
 	att.cancelledOverdue = true
--- a/rules/request.go
+++ b/rules/request.go
@@ -137,8 +137,8 @@
 	return false
 }
 
-// reviewAt sets a timer to review the request, unless the time is past or not before the deadline.
-func (m *Module) reviewAt(req *request, at Time) {
+// scheduleReview sets a timer to review the request, unless the time is past or not before the deadline.
+func (m *Module) scheduleReview(req *request, at Time) {
 	if at > m.now && at < req.Deadline {
 		m.setTimer(at, timerRequest, string(req.ID))
 	}
--- a/rules/retry.go
+++ b/rules/retry.go
@@ -5,12 +5,12 @@
 // run, one with an idempotency key is retried only where and while its key is remembered, and retries stay
 // within the retry budget.
 
-// maySend reports whether the rules allow an attempt on an engine. It is the only place that checks them
-// all.
-func (m *Module) maySend(req *request, eng *engine) bool {
+// attemptAllowed reports whether the rules allow an attempt on an engine, the first or a retry. It is the
+// only place that checks them all.
+func (m *Module) attemptAllowed(req *request, eng *engine) bool {
 	return eng.State == EngineServing &&
-		allowed(req.class.AllowedZones, eng.Zone) &&
-		allowed(req.class.AllowedKinds, eng.Kind) &&
+		isAllowed(req.class.AllowedZones, eng.Zone) &&
+		isAllowed(req.class.AllowedKinds, eng.Kind) &&
 		m.mayRetry(req, eng) &&
 		m.zoneAdmits(req, eng) &&
 		m.slowStartBudgetLeft(req, eng)
@@ -25,16 +25,16 @@
 		return false
 	}
 	for i := range req.attempts {
-		if !m.mayFollow(req, &req.attempts[i], eng) {
+		if !m.isSafeAfter(req, &req.attempts[i], eng) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayFollow reports whether an attempt on an engine is safe after an earlier one. The new attempt may have
+// isSafeAfter reports whether an attempt on an engine is safe after an earlier one. The new attempt may have
 // to wait for a connection, and must still reach the engine within the dedup window.
-func (m *Module) mayFollow(req *request, earlier *attempt, eng *engine) bool {
+func (m *Module) isSafeAfter(req *request, earlier *attempt, eng *engine) bool {
 	if earlier.done && earlier.status.NeverExecuted() || req.class.Idempotency == Idempotent {
 		return true
 	}
--- a/rules/routing.go
+++ b/rules/routing.go
@@ -2,12 +2,12 @@
 
 // Routing: which engine a request is sent to. The types are in api.go. The less busy of two random
 // candidates is chosen. Invariant: the chosen engine has the capacity for the request and the rules allow
-// it, and it has had an attempt of the request only if no other engine may take it.
+// it, and it has had an attempt of the request only if no other engine is a candidate.
 
 // minCandidates is the number of candidates with which a search ends: two leave a choice.
 const minCandidates = 2
 
-// chooseEngine returns the engine for a request, or nil if none may take it now.
+// chooseEngine returns the engine for a request, or nil if no engine is a candidate now.
 func (m *Module) chooseEngine(req *request) *engine {
 	if eng := m.sampledWarmingEngine(req); eng != nil {
 		return eng
@@ -23,7 +23,7 @@
 	if len(m.candidates) == 0 {
 		m.listCandidatesAnywhere(req)
 	}
-	m.candidates = excluding(m.candidates, req.triedOn)
+	m.candidates = excludeUnlessAll(m.candidates, req.triedOn)
 	return m.lessBusyOfTwo(req)
 }
 
@@ -46,19 +46,19 @@
 	}
 }
 
-// listCandidates lists those of the engines that may take a request.
+// listCandidates lists those of the engines that are candidates for a request.
 func (m *Module) listCandidates(req *request, engines []*engine) {
 	m.candidates = m.candidates[:0]
 	for _, eng := range engines {
-		if m.mayTake(eng, req) {
+		if m.isCandidate(eng, req) {
 			m.candidates = append(m.candidates, eng)
 		}
 	}
 }
 
-// mayTake reports whether an engine has the capacity for a request and the rules allow it.
-func (m *Module) mayTake(eng *engine, req *request) bool {
-	return m.fits(req, eng) && m.maySend(req, eng)
+// isCandidate reports whether an engine has the capacity for a request and the rules allow it.
+func (m *Module) isCandidate(eng *engine, req *request) bool {
+	return m.fits(req, eng) && m.attemptAllowed(req, eng)
 }
 
 // lessBusyOfTwo returns the less busy of two random candidates, or nil if there are none.
--- a/rules/share.go
+++ b/rules/share.go
@@ -59,7 +59,9 @@
 }
 
 // cutShare reduces the share by a fraction, within its limits.
-func (m *Module) cutShare(by float64) { m.share = max(m.share*(1-min(by, maxShareCut)), minShare) }
+func (m *Module) cutShare(fraction float64) {
+	m.share = max(m.share*(1-min(fraction, maxShareCut)), minShare)
+}
 
 // evenShareSeconds returns for how many seconds the given thread time fills an even share of the fleet.
 func (m *Module) evenShareSeconds(threadTime float64) float64 {
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -23,10 +23,10 @@
 
 // slowStartBudgetLeft reports whether the slow-start budget of an engine allows sending it a request. Each
 // gateway keeps to its quota, an even share of the budget, whatever part of the traffic it has. Work that
-// peers report is checked against the whole budget. A gateway that has just started does not know what it
-// sent before, and waits for one window. With hundreds of gateways a quota is smaller than a heavy query,
+// peers report is checked against the whole budget. A gateway that has just started has no record of what
+// it sent before, and waits for one window. With hundreds of gateways a quota is smaller than a heavy query,
 // which would never run there. So in each window a sample of the gateways may exceed the quota with one
-// such query; the sample is so small that together they ask for a safe part of the budget. A query of over
+// such query; the sample is so small that together they use a safe part of the budget. A query of over
 // slowStartSafety/2 of the whole budget is never sent this way, which keeps three gateways within the
 // budget even if all of them are sampled.
 func (m *Module) slowStartBudgetLeft(req *request, eng *engine) bool {
@@ -132,7 +132,7 @@
 // request only because it is sampled. It returns nil if there is none.
 func (m *Module) sampledWarmingEngine(req *request) (best *engine) {
 	for _, eng := range m.engines {
-		if !m.warmingUp(eng) || m.withinSlowStartQuota(req, eng) || !m.mayTake(eng, req) || req.triedOn(eng) {
+		if !m.warmingUp(eng) || m.withinSlowStartQuota(req, eng) || !m.isCandidate(eng, req) || req.triedOn(eng) {
 			continue
 		}
 		if best == nil || m.predictedBusy(req, eng) < m.predictedBusy(req, best) {
--- a/rules/stats.go
+++ b/rules/stats.go
@@ -93,11 +93,11 @@
 	return times
 }
 
-// allowed reports whether the list contains a value. A nil list contains all.
-func allowed(list []int, value int) bool { return list == nil || slices.Contains(list, value) }
+// isAllowed reports whether the list contains a value. A nil list contains all.
+func isAllowed(list []int, value int) bool { return list == nil || slices.Contains(list, value) }
 
-// excluding returns the list without the elements that match, or the whole list if all match.
-func excluding[T any](list []T, matches func(T) bool) []T {
+// excludeUnlessAll returns the list without the elements that match, or the whole list if all match.
+func excludeUnlessAll[T any](list []T, matches func(T) bool) []T {
 	if !slices.ContainsFunc(list, matches) {
 		return list
 	}
