--- a/rules/api.go
+++ b/rules/api.go
@@ -280,7 +280,7 @@
 		Mode    UpdateMode
 		Engines []Engine
 	}
-	// Arrival passes a request to the module. From then on its client is owed exactly one final response.
+	// Arrival passes a request to the module. From then on exactly one final response is due.
 	Arrival struct{ Request Request }
 	// Outcome ends one attempt. RequestEnded is set if the request has ended too.
 	Outcome struct {
@@ -309,7 +309,7 @@
 		Kind    ProgressKind
 		Value   float64
 	}
-	// ClientGone reports that the client has disconnected. It is owed no response any more.
+	// ClientGone reports that the client has disconnected. No response is due any more.
 	ClientGone struct{ ID RequestID }
 	// TimerFired reports that a timer set by SetTimer has expired.
 	TimerFired struct{ Token string }
--- a/rules/share.go
+++ b/rules/share.go
@@ -59,9 +59,7 @@
 }
 
 // cutShare reduces the share by a fraction, within its limits.
-func (m *Module) cutShare(fraction float64) {
-	m.share = max(m.share*(1-min(fraction, maxShareCut)), minShare)
-}
+func (m *Module) cutShare(cut float64) { m.share = max(m.share*(1-min(cut, maxShareCut)), minShare) }
 
 // evenShareSeconds returns for how many seconds the given thread time fills an even share of the fleet.
 func (m *Module) evenShareSeconds(threadTime float64) float64 {
