--- a/internal/zones/simulate.go
+++ b/internal/zones/simulate.go
@@ -49,7 +49,7 @@
 // ZoneSample is the state of one zone in a Sample. Capacity and loads are in cores.
 type ZoneSample struct {
 	State           State
-	LoadShare       float64  // fraction of its normal load that the zone takes
+	LoadShare       float64  // fraction of its normal load that the zone receives
 	Capacity        float64  // of its engines
 	OwnLoad         float64  // load that its own gateways send to it
 	ForeignLoad     float64  // load that gateways of other zones send to it
--- a/internal/zones/split.go
+++ b/internal/zones/split.go
@@ -21,8 +21,8 @@
 // its engines are clearly slower than that, not at the first slow query.
 const crowdedSlowdown = 1.35 * 1.35
 
-// capacity returns the load that a zone can take now, in cores. During a recovery it is the lesser of what the ramp and
-// the warm-up of its engines allow.
+// capacity returns the load that a zone can serve now, in cores. During a recovery it is the lesser of what the ramp
+// and the warm-up of its engines allow.
 func (c *Controller) capacity(zone *zoneRecord) float64 {
 	if zone.observation.unreachable() {
 		return 0
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -6,13 +6,13 @@
 	"foxlane/rules"
 )
 
-// This file owns the states of zones and the share of its normal load that a zone takes in each state.
+// This file owns the states of zones and the share of its normal load that a zone receives in each state.
 
 // State is the state of a zone.
 type State int
 
-// States of a zone. A loss and recovery goes Present -> Failing -> Lost -> Returning -> Present. An operator's drain
-// leads from any of these to Draining -> Drained; when it is lifted, the zone goes to Returning.
+// States of a zone. With a loss and a recovery they are Present -> Failing -> Lost -> Returning -> Present. An
+// operator's drain leads from any of these to Draining -> Drained; when it is lifted, the zone enters Returning.
 const (
 	Present   State = iota
 	Failing         // too little is healthy; the zone keeps its share until that has lasted for the settling time
@@ -170,7 +170,7 @@
 	c.enterState(zone, Returning)
 }
 
-// loadShare returns the fraction of its normal load that a zone takes now.
+// loadShare returns the fraction of its normal load that a zone receives now.
 func (c *Controller) loadShare(zone *zoneRecord) float64 {
 	progress := func(start rules.Time, duration rules.Time) float64 {
 		return min(max(float64(c.now-start)/float64(duration), 0), 1)
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,6 +1,6 @@
 // Package zones implements zone failover for one gateway. A zone is a site or a hall with its engines and gateways.
 // The package owns the state of each zone: present, failing, lost, returning, draining or drained. The states determine
-// the share of its normal load that each zone takes, the split of this gateway's load over the zones, the spillover
+// the share of its normal load that each zone receives, the split of this gateway's load over the zones, the spillover
 // limit and the retry budget of each zone, and which requests are shed first.
 //
 // Each gateway decides alone, from its own traffic and endpoint list. Hundreds of gateways make the same decisions at
@@ -79,7 +79,7 @@
 type Status struct {
 	State           State
 	Since           rules.Time // when the state was entered
-	LoadShare       float64    // fraction of its normal load that the zone takes
+	LoadShare       float64    // fraction of its normal load that the zone receives
 	HealthyFraction float64    // healthy fraction of its listed cores
 	Penalty         float64    // current sum of flap penalties
 	Damped          bool       // suppressed because it flaps
