--- a/internal/spool/event.go
+++ b/internal/spool/event.go
@@ -62,7 +62,7 @@
 }
 
 // Attach reports that a reader requests a result, starting at chunk Index. DeliverChunk, Deny or AbortRead answers it.
-// DeliverChunk comes only after the result is complete.
+// DeliverChunk is emitted only after the result is complete.
 type Attach struct {
 	Reader int
 	ID     ID
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -116,7 +116,7 @@
 // Handle applies one event and returns the resulting effects in order. The returned slice is valid until the next call.
 func (s *Store) Handle(now rules.Time, e Event) []Effect {
 	s.effects = s.effects[:0]
-	s.now = max(s.now, now) // the store's time never goes back, even if the clock does
+	s.now = max(s.now, now) // the store's time never decreases, even if the clock steps back
 	switch e := e.(type) {
 	case Reserve:
 		s.reserve(e)
