--- a/cmd/foxlane/plan.go
+++ b/cmd/foxlane/plan.go
@@ -97,7 +97,7 @@
 	Zone     string
 	Held     float64            // load that the spillover limits keep from other zones, in cores
 	Unserved float64            // load that no zone serves, in cores
-	To       map[string]float64 // fraction of the whole load that each zone takes, by name
+	To       map[string]float64 // fraction of the whole load that each zone receives, by name
 }
 
 // second is the state at one second of the simulation. Loads are in cores.
@@ -108,9 +108,9 @@
 	Zones []zoneSecond
 }
 
-// zoneSecond is the state of one zone in a second: the fraction of its usual load that it takes (Share), its capacity
-// (Room), the load from its own and from other zones' gateways, the load of other zones that exceeds the spillover
-// limit (Held), and the load shed.
+// zoneSecond is the state of one zone in a second: the fraction of its normal load that it receives (Share), its
+// capacity (Room), the load from its own and from other zones' gateways, the load of other zones that exceeds the
+// spillover limit (Held), and the load shed.
 type zoneSecond struct {
 	State                           string
 	Share, Room, Own, Foreign, Held float64
