--- a/internal/gateway/engineconn.go
+++ b/internal/gateway/engineconn.go
@@ -17,7 +17,7 @@
 	engine             *engineState
 	decoder            engine.Decoder
 	established        bool
-	retired            bool             // takes no new requests; closed once it carries nothing
+	retired            bool             // accepts no new requests; closed once it carries nothing
 	retireReason       CloseReason      // valid once retired
 	class              int              // class whose requests it is kept for; see connFor
 	waiting            []*engineAttempt // to be written once the connection is up
@@ -37,13 +37,13 @@
 func (c *engineConn) load() int { return len(c.waiting) + len(c.inFlight) + len(c.probes) }
 
 // hadAttemptOf reports whether a request had an attempt on the connection. It must not have another one there:
-// answers identify only the request, so a late answer to the first attempt could be taken for an answer to the
-// second.
+// answers identify only the request, so a late answer to the first attempt could be mistaken for an answer to
+// the second.
 func (c *engineConn) hadAttemptOf(req *queryRequest) bool {
 	return req != nil && slices.ContainsFunc(req.attempts, func(attempt *engineAttempt) bool { return attempt.conn == c })
 }
 
-// connUsable reports whether a connection may take a request, or a probe if req is nil. The connection may still be
+// connUsable reports whether a connection may carry a request, or a probe if req is nil. The connection may still be
 // dialling, but must have capacity and no earlier attempt of the request, its engine must be reading from it, and it
 // must not have been idle for so long that its engine may be about to close it.
 func (g *Gateway) connUsable(conn *engineConn, req *queryRequest) bool {
@@ -206,9 +206,9 @@
 	}
 }
 
-// retire stops a connection from taking new requests. closeIfDrained closes it once it carries nothing.
+// retire stops a connection from accepting new requests. closeIfDrained closes it once it carries nothing.
 func (c *engineConn) retire(reason CloseReason) { c.retired, c.retireReason = true, reason }
 
 // resetLastRequest resets lastRequest after a request that did not reach the engine, so that the missing answer is not
-// taken for silence.
+// mistaken for silence.
 func (s *engineState) resetLastRequest() { s.lastRequest = min(s.lastRequest, s.lastRead) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,7 +82,7 @@
 }
 
 // queryHistorySize is the number of name service queries that are remembered. It is at least twice the number of polls
-// whose answers may still arrive, which leaves the same number of entries for queries that reloads trigger.
+// whose answers may still arrive, so that half of the entries remain for the queries sent on reloads.
 const queryHistorySize = 192
 
 // New returns a Gateway that starts at the time now with the configuration cfg.
@@ -257,7 +257,7 @@
 	case rules.CloseIdle:
 		g.closeIdleConns(g.engines[a.Engine])
 	case rules.FetchFleet:
-		g.sendQuery()
+		g.queryNameService()
 	case rules.Subscribe:
 		// No action is needed: the name service is always polled.
 	case rules.Broadcast:
--- a/internal/gateway/interleaving_test.go
+++ b/internal/gateway/interleaving_test.go
@@ -14,7 +14,7 @@
 )
 
 // interleaving is a gateway with two engines that handles one client's request and other events in any order. It
-// follows the request only by what the gateway writes.
+// tracks the request only by what the gateway writes.
 type interleaving struct {
 	*testGateway
 	class           string
@@ -136,7 +136,7 @@
 			return
 		}
 		if req := x.g.requests[idA]; req != nil && len(req.attempts) > 0 && req.attempts[0].sent && !req.attempts[0].done {
-			x.mayHaveRun++ // the answer came on another connection than the attempt
+			x.mayHaveRun++ // the answer arrived on another connection than that of the attempt
 		}
 	}},
 	{"reset", func(x *interleaving) {
--- a/internal/gateway/nameservice.go
+++ b/internal/gateway/nameservice.go
@@ -28,7 +28,7 @@
 	g.renewSocket(cfg.DNS)
 	g.endpointList.Reload(g.now, cfg.InitialList.Seq, cfg.InitialList.Engines)
 	g.applyListChanges()
-	g.sendQuery()
+	g.queryNameService()
 }
 
 // applyListChanges applies the endpoint list if an answer or the passage of time has changed it.
@@ -75,12 +75,12 @@
 	g.endpointList.Tick(g.now)
 	g.applyListChanges()
 	g.renewSocketIfSilent()
-	g.sendQuery()
+	g.queryNameService()
 	g.timers.add(timer{at: g.now + g.limits.PollInterval, kind: timerPoll})
 }
 
-// sendQuery queries the name service for the endpoint list.
-func (g *Gateway) sendQuery() {
+// queryNameService queries the name service for the endpoint list.
+func (g *Gateway) queryNameService() {
 	id := uint16(g.rng.Uint32())
 	slot := g.queryCount % queryHistorySize
 	g.queryIDs[slot], g.queryTimes[slot] = id, g.now
@@ -91,7 +91,7 @@
 // receiveDatagram handles an answer of the name service. An invalid answer leaves the current list unchanged.
 func (g *Gateway) receiveDatagram(msg []byte) {
 	id, ok := dns.ID(msg)
-	query, found := g.findQuery(id)
+	query, found := g.findNameServiceQuery(id)
 	if !ok || !found {
 		g.log(Warn, "name service: unsolicited answer", Attr{"bytes", len(msg)})
 		return
@@ -136,9 +136,9 @@
 	return engines
 }
 
-// findQuery returns the sequence number of the query with an ID, if its answer may still arrive. IDs are random, so
-// an answer with an unknown ID is forged or too late.
-func (g *Gateway) findQuery(id uint16) (query int, ok bool) {
+// findNameServiceQuery returns the sequence number of the query with an ID, if its answer may still arrive. IDs are
+// random, so an answer with an unknown ID is forged or too late.
+func (g *Gateway) findNameServiceQuery(id uint16) (query int, ok bool) {
 	for i := range min(g.queryCount, queryHistorySize) {
 		query = g.queryCount - 1 - i
 		if g.now-g.queryTimes[query%queryHistorySize] > g.limits.MaxListDelay {
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -108,7 +108,7 @@
 	client            bool
 	input             []byte // received and not read yet
 	loggedIn          bool
-	sendsInvalidInput bool // a bad client
+	sendsInvalidInput bool // such a client is called bad
 	replyDue          bool // the bad client must still get an error or be closed
 	request           *simRequest
 	engine            *simEngine
