--- a/internal/transport/reload.go
+++ b/internal/transport/reload.go
@@ -82,7 +82,7 @@
 	return true
 }
 
-// abandonReload stops waiting for the current read, whose goroutine goes on.
+// abandonReload stops waiting for the current read, whose goroutine continues.
 func (s *Server) abandonReload(r *reloadState) {
 	r.current, r.timeout = 0, nil
 	s.log.Warn("configuration kept as it was: reading it takes too long", zap.Duration("waited", reloadTimeout))
--- a/internal/transport/wait.go
+++ b/internal/transport/wait.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// returnsWithin reports whether a call returns within d. A call that does not goes on in its goroutine, since a call
-// on a hanging disk or mount can't be stopped; it ends with the process.
+// returnsWithin reports whether a call returns within d. Otherwise the call continues in its goroutine, since a call on
+// a hanging disk or mount can't be stopped; it ends with the process.
 func returnsWithin(d time.Duration, call func()) bool {
 	done := make(chan struct{})
 	go func() { defer close(done); call() }()
