--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -132,7 +132,8 @@
 // request only because it is sampled. It returns nil if there is none.
 func (m *Module) sampledWarmingEngine(req *request) (best *engine) {
 	for _, eng := range m.engines {
-		if !m.warmingUp(eng) || m.withinSlowStartQuota(req, eng) || !m.isCandidate(eng, req) || req.triedOn(eng) {
+		if !m.warmingUp(eng) || m.withinSlowStartQuota(req, eng) || !m.isCandidate(eng, req) ||
+			req.triedOn(eng) {
 			continue
 		}
 		if best == nil || m.predictedBusy(req, eng) < m.predictedBusy(req, best) {
